--- a/benchmarks/src/main/java/amberroute/oracle/DecisionsBenchmark.java
+++ b/benchmarks/src/main/java/amberroute/decisions/reference/DecisionsBenchmark.java
@@ -1,8 +1,8 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
-import amberroute.Policy;
-import amberroute.Relay;
-import amberroute.Relay.Event;
+import amberroute.decisions.AtcDeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.Event;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -45,14 +45,14 @@
     @Param({"100/4", "1000/20", "10000/200", "100000/2000", "100000/5000"})
     public String size;
 
-    private Relay relay;
+    private DeliveryScheduler relay;
     private final Deque<long[]> calls = new ArrayDeque<>();
     private final SplittableRandom random = new SplittableRandom(7);
     private long now = 1_000_000;
     private long ids;
     private int destinations;
 
-    private final Relay.Actions actions = new Relay.Actions() {
+    private final DeliveryScheduler.Actions actions = new DeliveryScheduler.Actions() {
         @Override
         public void send(long id, long endpoint, long giveUpAt) {
             calls.add(new long[] {id, endpoint, now});
@@ -84,53 +84,53 @@
     public void fill() {
         int held = Integer.parseInt(size.split("/")[0]);
         destinations = Integer.parseInt(size.split("/")[1]);
-        List<Relay.MessageClass> classes = List.of(
-                new Relay.MessageClass(
-                        2, 0.5, 600_000_000L, 3_600_000_000L, Relay.Effect.SAFE, Relay.KeyScope.DESTINATION, 0, false),
-                new Relay.MessageClass(
+        List<DeliveryScheduler.MessageClass> classes = List.of(
+                new DeliveryScheduler.MessageClass(
+                        2, 0.5, 600_000_000L, 3_600_000_000L, DeliveryScheduler.Effect.SAFE, DeliveryScheduler.KeyScope.DESTINATION, 0, false),
+                new DeliveryScheduler.MessageClass(
                         1,
                         0.5,
                         300_000_000L,
                         3_000_000_000L,
-                        Relay.Effect.KEYED,
-                        Relay.KeyScope.DESTINATION,
+                        DeliveryScheduler.Effect.KEYED,
+                        DeliveryScheduler.KeyScope.DESTINATION,
                         3_600_000_000L,
                         false),
-                new Relay.MessageClass(
+                new DeliveryScheduler.MessageClass(
                         4,
                         0.5,
                         200_000_000L,
                         2_400_000_000L,
-                        Relay.Effect.UNSAFE,
-                        Relay.KeyScope.DESTINATION,
+                        DeliveryScheduler.Effect.UNSAFE,
+                        DeliveryScheduler.KeyScope.DESTINATION,
                         0,
                         false));
-        Relay.Settings settings = new Relay.Settings(
+        DeliveryScheduler.Settings settings = new DeliveryScheduler.Settings(
                 1,
                 1,
                 0,
                 5_000,
                 false,
                 0.3,
-                Relay.LateWorth.EVEN,
-                Relay.WeightKind.NONE,
+                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.WeightKind.NONE,
                 classes,
                 List.of(),
-                List.of(new Relay.Kind(false, 1)),
-                new Relay.Limits(32, 200_000, 12, false, true, true, 3_000_000, 1, 15_000_000, 1_000_000),
-                new Relay.Rules(300_000, 6_000_000, 0.15, 12_000_000, 2.5, 1_500_000, 100_000),
-                new Relay.Prices(0, 0, List.of()),
-                new Relay.ReportFields(-1, -1));
-        relay = module.equals("before") ? new OldPolicy(settings) : new Policy(settings);
-        List<Relay.Entry> entries = new ArrayList<>();
+                List.of(new DeliveryScheduler.DestinationKind(false, 1)),
+                new DeliveryScheduler.Limits(32, 200_000, 12, false, true, true, 3_000_000, 1, 15_000_000, 1_000_000),
+                new DeliveryScheduler.Rules(300_000, 6_000_000, 0.15, 12_000_000, 2.5, 1_500_000, 100_000),
+                new DeliveryScheduler.Prices(0, 0, List.of()),
+                new DeliveryScheduler.ReportFields(-1, -1));
+        relay = module.equals("before") ? new ReferenceScheduler(settings) : new AtcDeliveryScheduler(settings);
+        List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
         for (int d = 0; d < destinations; d++) {
-            entries.add(new Relay.Entry(1 + 2L * d, d, Relay.Listed.READY, 0, 0, 0));
-            entries.add(new Relay.Entry(2 + 2L * d, d, Relay.Listed.READY, 0, 0, 0));
+            entries.add(new DeliveryScheduler.EndpointEntry(1 + 2L * d, d, DeliveryScheduler.EndpointState.READY, 0, 0, 0));
+            entries.add(new DeliveryScheduler.EndpointEntry(2 + 2L * d, d, DeliveryScheduler.EndpointState.READY, 0, 0, 0));
         }
-        relay.step(now, new Event.Listing(Relay.ListKind.FULL, entries), actions);
+        relay.step(now, new Event.EndpointListUpdated(DeliveryScheduler.EndpointListKind.FULL, entries), actions);
         // Every destination is called once, so that all are known.
         for (int d = 0; d < destinations; d++) {
-            relay.step(now, new Event.Arrival(++ids, 0, -1, 0, 3_600_000_000L, d), actions);
+            relay.step(now, new Event.MessageSubmitted(++ids, 0, -1, 0, 3_600_000_000L, d), actions);
             turn();
             while (!calls.isEmpty()) {
                 now += 50 + random.nextInt(1_000);
@@ -146,7 +146,7 @@
         int type = random.nextInt(3);
         relay.step(
                 now,
-                new Event.Arrival(
+                new Event.MessageSubmitted(
                         ++ids,
                         type,
                         -1,
@@ -160,7 +160,7 @@
     void clump(int messages) {
         now += STEP;
         for (int i = 0; i < messages; i++) {
-            relay.step(now, new Event.Arrival(++ids, i % 3, -1, 0, 3_600_000_000L - i, 1), actions);
+            relay.step(now, new Event.MessageSubmitted(++ids, i % 3, -1, 0, 3_600_000_000L - i, 1), actions);
         }
         turn();
     }
@@ -171,7 +171,7 @@
         for (int i = 0; i < messages; i++) {
             relay.step(
                     now,
-                    new Event.Resumed(
+                    new Event.MessageRecovered(
                             ++ids,
                             random.nextInt(3),
                             0,
@@ -190,13 +190,13 @@
         long[] call = calls.poll();
         relay.step(
                 now,
-                new Event.Outcome(
-                        call[0], 0, call[1], Relay.Ending.OK, Math.max(1, now - call[2]), true, 0, List.of(), 0),
+                new Event.AttemptCompleted(
+                        call[0], 0, call[1], DeliveryScheduler.AttemptOutcome.OK, Math.max(1, now - call[2]), true, 0, List.of(), 0),
                 actions);
     }
 
     private void turn() {
-        relay.step(now, new Event.Turn(), actions);
+        relay.step(now, new Event.Decide(), actions);
     }
 
     @Benchmark
--- a/benchmarks/src/main/java/amberroute/oracle/ScaleFigures.java
+++ b/benchmarks/src/main/java/amberroute/decisions/reference/ScaleMeasurement.java
@@ -1,4 +1,4 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
 import java.util.Locale;
 
@@ -6,8 +6,8 @@
  * What a benchmark of single steps does not show: memory a held message takes in the module, the turn in which 10,000 arrive
  * for one destination with 100,000 held, and the one that resumes 100,000. Prints; asserts nothing.
  */
-final class ScaleFigures {
-    private ScaleFigures() {}
+final class ScaleMeasurement {
+    private ScaleMeasurement() {}
 
     private static long used() {
         for (int i = 0; i < 4; i++) {
--- a/cli/src/main/java/amberroute/cli/Main.java
+++ b/cli/src/main/java/amberroute/cli/Main.java
@@ -1,7 +1,7 @@
 package amberroute.cli;
 
 import amberroute.config.ConfigException;
-import amberroute.settings.BadInput;
+import amberroute.decisions.settings.InvalidSettingsException;
 import java.io.PrintWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -43,7 +43,7 @@
         CommandLine line = new CommandLine(new Main());
         line.setExecutionExceptionHandler((e, command, parsed) -> {
             if (e instanceof ConfigException
-                    || e instanceof BadInput
+                    || e instanceof InvalidSettingsException
                     || e instanceof java.io.IOException
                     || e instanceof IllegalArgumentException) {
                 complain(command.getErr(), e.getMessage() == null ? e.toString() : e.getMessage());
--- a/decisions/src/main/java/amberroute/Policy.java
+++ b/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
@@ -1,7 +1,7 @@
-package amberroute;
+package amberroute.decisions;
 
-import amberroute.State.*;
-import amberroute.order.IndexShape;
+import amberroute.decisions.SchedulerState.*;
+import amberroute.decisions.collections.AtcIndex;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,14 +16,14 @@
 import java.util.TreeMap;
 
 /**
- * All decisions of one sender. Its interface (settings, events, actions) is {@code Relay.java}.
+ * All decisions of one sender. Its interface (settings, events, actions) is {@code DeliveryScheduler.java}.
  *
  * <p>Held messages leave by the ATC index of Ye et al.; an arrival whose due date minus predicted wait is
  * negative is refused at once. Guards withhold a destination from that choice and never reorder it.
  * Sections follow the order of one step. A scope carries health and limits and is the destination, or the
  * endpoint where routes are apart.
  */
-public final class Policy implements Relay {
+public final class AtcDeliveryScheduler implements DeliveryScheduler {
 
     // ---- Figures. Spans in microseconds unless said otherwise. ----
 
@@ -151,10 +151,10 @@
     private Settings settings;
     private final boolean concludes;
     private final SplittableRandom random;
-    private final Map<Long, Message> messages = new LinkedHashMap<>();
-    private final List<Message> arrivals = new ArrayList<>();
-    private final Hold hold = new Hold(FADE, this::endOf, this::shape);
-    private final IndexShape shape = new IndexShape();
+    private final Map<Long, PendingMessage> messages = new LinkedHashMap<>();
+    private final List<PendingMessage> arrivals = new ArrayList<>();
+    private final PendingMessages hold = new PendingMessages(FADE, this::endOf, this::shape);
+    private final AtcIndex shape = new AtcIndex();
     /** Messages are numbered in their order, and choices. */
     private long lastNumber;
 
@@ -163,15 +163,15 @@
     private final Map<Integer, Destination> destinations = new TreeMap<>();
     private final Map<Long, Endpoint> endpoints = new TreeMap<>();
     /** Scopes with calls out: a step walks these, however long the list is. */
-    private final Set<Scope> busy = new LinkedHashSet<>();
+    private final Set<UpstreamHealth> busy = new LinkedHashSet<>();
     /** Scopes whose breaker has turned since the last step. */
-    private final Set<Scope> turned = new LinkedHashSet<>();
+    private final Set<UpstreamHealth> turned = new LinkedHashSet<>();
 
-    private final Map<Long, KeyTurn> turns = new HashMap<>();
+    private final Map<Long, KeyQueue> turns = new HashMap<>();
     /** Answered messages whose key's turn waits for the answer to be concluded. */
-    private final Map<Long, Message> concluding = new HashMap<>();
+    private final Map<Long, PendingMessage> concluding = new HashMap<>();
 
-    private final Deque<KeyTurn> resting = new ArrayDeque<>();
+    private final Deque<KeyQueue> resting = new ArrayDeque<>();
     private final List<TokenBucket> shares = new ArrayList<>();
     private int slotsUsed;
     private long followAt;
@@ -192,12 +192,12 @@
     private long timerAt = NEVER;
 
     /** A sender with nothing but its settings; they are checked here. Answers are final as they are given. */
-    public Policy(Settings settings) {
+    public AtcDeliveryScheduler(Settings settings) {
         this(settings, false);
     }
 
-    /** {@code concludes}: the caller tells by {@link Event.Concluded} when an answer has been received. */
-    public Policy(Settings settings, boolean concludes) {
+    /** {@code concludes}: the caller tells by {@link Event.CompletionAcknowledged} when an answer has been received. */
+    public AtcDeliveryScheduler(Settings settings, boolean concludes) {
         this.concludes = concludes;
         configure(settings);
         random = new SplittableRandom(settings.seed());
@@ -217,43 +217,43 @@
 
     @Override
     public void step(long now, Event event, Actions actions) {
-        if (event instanceof Event.Arrival e) {
+        if (event instanceof Event.MessageSubmitted e) {
             onArrival(now, e);
-        } else if (event instanceof Event.Outcome e) {
+        } else if (event instanceof Event.AttemptCompleted e) {
             onOutcome(now, e, actions);
-        } else if (event instanceof Event.Resumed e) {
+        } else if (event instanceof Event.MessageRecovered e) {
             onResumed(now, e);
-        } else if (event instanceof Event.Remembered e) {
+        } else if (event instanceof Event.HealthRestored e) {
             onRemembered(now, e.memory(), e.memory().since() + e.age());
-        } else if (event instanceof Event.Underway e) {
+        } else if (event instanceof Event.CallInFlight e) {
             onUnderway(now, e, actions);
-        } else if (event instanceof Event.Answered e) {
-            Message m = new Message();
+        } else if (event instanceof Event.CompletedMessageRecovered e) {
+            PendingMessage m = new PendingMessage();
             turn(e.key()).add(m);
             concluding.put(e.id(), m);
-        } else if (event instanceof Event.TakenOver e) {
+        } else if (event instanceof Event.UpstreamStateTransferred e) {
             onTakenOver(now, e.learned());
-        } else if (event instanceof Event.Resting e) {
+        } else if (event instanceof Event.KeyPaused e) {
             onResting(now, e.rest());
-        } else if (event instanceof Event.Configured e) {
+        } else if (event instanceof Event.SettingsChanged e) {
             configure(e.settings());
             destinations.values().forEach(hold::wake);
             hold.exhausted.addAll(messages.values());
-        } else if (event instanceof Event.Ceiling e) {
+        } else if (event instanceof Event.FleetRateLimitChanged e) {
             onCeiling(now, e);
-        } else if (event instanceof Event.Price e) {
+        } else if (event instanceof Event.AdmissionPriceChanged e) {
             destination(e.destination()).price = e;
-        } else if (event instanceof Event.Stopping e) {
+        } else if (event instanceof Event.ShutdownStarted e) {
             stopsAt = now + e.timeLeft();
-        } else if (event instanceof Event.Concluded e) {
+        } else if (event instanceof Event.CompletionAcknowledged e) {
             leaveTurn(now, concluding.remove(e.id()));
-        } else if (event instanceof Event.Withdrawn e) {
+        } else if (event instanceof Event.MessageCancelled e) {
             onWithdrawn(now, e.id());
-        } else if (event instanceof Event.Listing e) {
+        } else if (event instanceof Event.EndpointListUpdated e) {
             onListing(now, e);
-        } else if (event instanceof Event.TimerDue) {
+        } else if (event instanceof Event.TimerExpired) {
             timerAt = timerAt <= now ? NEVER : timerAt;
-        } else if (event instanceof Event.Turn) {
+        } else if (event instanceof Event.Decide) {
             decide(now, actions);
         }
     }
@@ -261,12 +261,12 @@
     @Override
     public int avoided() {
         return (int) endpoints.values().stream()
-                .filter(point -> point.state == Listed.READY
-                        && (point.scope.breaker == Breaker.OPEN || point.failures + point.lost >= STREAK))
+                .filter(point -> point.state == EndpointState.READY
+                        && (point.scope.breaker == BreakerState.OPEN || point.failures + point.lost >= STREAK))
                 .count();
     }
 
-    private void onArrival(long now, Event.Arrival e) {
+    private void onArrival(long now, Event.MessageSubmitted e) {
         if (messages.containsKey(e.id())) {
             return;
         }
@@ -274,14 +274,14 @@
             destinations.values().removeIf(d -> d.endpoints.isEmpty() && d.held == 0);
             mostDestinations = Math.max(DESTINATIONS, 2 * destinations.size());
         }
-        Message m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
         m.worth *= withinShare(now, e.tenant()) ? 1 : settings.overShareWorth();
         arrivals.add(m);
         hold.await(now, m, repeatableUntil(m));
     }
 
-    private Message take(long now, long id, int messageClass, long key, long timeLeft, int destination) {
-        Message m = new Message();
+    private PendingMessage take(long now, long id, int messageClass, long key, long timeLeft, int destination) {
+        PendingMessage m = new PendingMessage();
         m.id = id;
         m.number = ++lastNumber;
         m.type =
@@ -298,21 +298,21 @@
     }
 
     /** When a message of this bucket gets its final answer if it still waits. */
-    private long endOf(long now, Bucket b, long due) {
+    private long endOf(long now, DispatchQueue b, long due) {
         return due - Math.max(END_MARGIN, (long) hold.serviceTime(now, b.destination, b.type));
     }
 
-    private KeyTurn turn(long key) {
-        return turns.computeIfAbsent(key, KeyTurn::new);
+    private KeyQueue turn(long key) {
+        return turns.computeIfAbsent(key, KeyQueue::new);
     }
 
     /** It passed the arrival test in an earlier process; what was out when that ended may still run. What is
      * untried and not safe goes like what is worth most: no trial while safe ones wait, it got no call. */
-    private void onResumed(long now, Event.Resumed e) {
+    private void onResumed(long now, Event.MessageRecovered e) {
         if (messages.containsKey(e.id())) {
             return;
         }
-        Message m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
         m.attempts = e.attempts();
         m.worth = m.attempts == 0 && m.type.effect() != Effect.SAFE ? settings.mostWorth() : m.worth;
         if (e.doubtAge() >= 0) {
@@ -332,13 +332,13 @@
      * out all that is held, at a destination that is still cold. It covers crashes and planned restarts.
      * Harm: a destination that is well again since is tried by one call first.
      */
-    private void onRemembered(long now, Memory memory, long age) {
+    private void onRemembered(long now, HealthCheckpoint memory, long age) {
         Endpoint point = endpoints.get(memory.endpoint());
-        if (memory.endpoint() != 0 && point == null || memory.health() == Health.WELL) {
+        if (memory.endpoint() != 0 && point == null || memory.health() == UpstreamStatus.WELL) {
             return;
         }
         Destination destination = destination(memory.destination());
-        Scope scope = point == null ? destination.shared : point.scope;
+        UpstreamHealth scope = point == null ? destination.shared : point.scope;
         scope.usual = memory.usual();
         scope.present = memory.usual();
         scope.formerPace = memory.pace();
@@ -346,12 +346,12 @@
             destination.p = memory.usual();
             destination.measured = true;
         }
-        scope.breaker = memory.health() == Health.OUT ? Breaker.OPEN : Breaker.RAMP;
+        scope.breaker = memory.health() == UpstreamStatus.OUT ? BreakerState.OPEN : BreakerState.RAMP;
         scope.openedAt = now - age;
         scope.rampFrom = now - age;
         scope.rampSent = now;
         scope.trialAt = now;
-        scope.harm = memory.health() == Health.OUT ? 1 : 0;
+        scope.harm = memory.health() == UpstreamStatus.OUT ? 1 : 0;
         hold.news(now, destination);
     }
 
@@ -363,9 +363,9 @@
 
     // ---- Taking over from a process that still runs. ----
 
-    private void onUnderway(long now, Event.Underway e, Actions actions) {
+    private void onUnderway(long now, Event.CallInFlight e, Actions actions) {
         Endpoint point = endpoints.get(e.endpoint());
-        List<Message> load = e.ids().stream()
+        List<PendingMessage> load = e.ids().stream()
                 .map(messages::get)
                 .filter(m -> m != null && m.out == null)
                 .toList();
@@ -376,8 +376,8 @@
         }
     }
 
-    private void onResting(long now, Rest rest) {
-        KeyTurn turn = turn(rest.key());
+    private void onResting(long now, KeyPause rest) {
+        KeyQueue turn = turn(rest.key());
         turn.restUntil = now + rest.left();
         turn.restsAfter = messages.get(rest.except());
         hold.look(now, turn.first);
@@ -387,15 +387,15 @@
     }
 
     @Override
-    public List<Rest> rests(long now) {
+    public List<KeyPause> rests(long now) {
         return turns.values().stream()
                 .filter(t -> t.restUntil > now)
-                .map(t -> new Rest(t.key, t.restUntil - now, t.restsAfter == null ? 0 : t.restsAfter.id))
+                .map(t -> new KeyPause(t.key, t.restUntil - now, t.restsAfter == null ? 0 : t.restsAfter.id))
                 .toList();
     }
 
     @Override
-    public List<Learned> learned(long now) {
+    public List<UpstreamSnapshot> learned(long now) {
         return endpoints.values().stream()
                 .map(p -> p.scope)
                 .distinct()
@@ -403,14 +403,14 @@
                 .toList();
     }
 
-    private void onTakenOver(long now, Learned l) {
+    private void onTakenOver(long now, UpstreamSnapshot l) {
         Endpoint point = endpoints.get(l.memory().endpoint());
         if (l.memory().endpoint() != 0 && point == null) {
             return;
         }
         onRemembered(now, l.memory(), l.memory().since());
         Destination destination = destination(l.memory().destination());
-        Scope scope = point == null ? destination.shared : point.scope;
+        UpstreamHealth scope = point == null ? destination.shared : point.scope;
         scope.usual = l.memory().usual();
         hold.usual(scope.usual, FAST);
         destination.measured |= l.p() > 0;
@@ -421,7 +421,7 @@
     }
 
     /** That another has seen it answer is worth a trial now: its own turn may be many seconds away. */
-    private void onCeiling(long now, Event.Ceiling e) {
+    private void onCeiling(long now, Event.FleetRateLimitChanged e) {
         Destination destination = destination(e.destination());
         destination.ceiling.set(now, e.perSecond(), e.first());
         destination.endpoints.forEach(p -> p.scope.trialAt = e.back() ? now : p.scope.trialAt);
@@ -429,7 +429,8 @@
     }
 
     private Destination destination(int number) {
-        return destinations.computeIfAbsent(number, n -> new Destination(new Scope(n, 0, SENT_SPAN, SERVED_SPAN)));
+        return destinations.computeIfAbsent(
+                number, n -> new Destination(new UpstreamHealth(n, 0, SENT_SPAN, SERVED_SPAN)));
     }
 
     /** A sender sees only its own part of a tenant's traffic and takes an even part of its share. */
@@ -438,15 +439,15 @@
     }
 
     private void onWithdrawn(long now, long id) {
-        Message m = messages.get(id);
+        PendingMessage m = messages.get(id);
         if (m != null) {
             m.ended = true;
             forgetIfDone(now, m);
         }
     }
 
-    private void onOutcome(long now, Event.Outcome e, Actions actions) {
-        Message m = messages.get(e.id());
+    private void onOutcome(long now, Event.AttemptCompleted e, Actions actions) {
+        PendingMessage m = messages.get(e.id());
         if (m == null || m.out == null || m.attempts - 1 != e.attempt()) {
             return;
         }
@@ -476,14 +477,14 @@
             m.doubtSince = call.sentAt;
             m.doubtAt = call.endpoint;
         }
-        if (m.turn != null && ran && e.ending() != Ending.OK && e.ending() != Ending.ERROR) {
+        if (m.turn != null && ran && e.ending() != AttemptOutcome.OK && e.ending() != AttemptOutcome.ERROR) {
             m.turn.restUntil = now + settings.rules().settle();
             m.turn.restsAfter = m;
             hold.look(now, m.turn.first);
         }
-        m.timeOuts += e.ending() == Ending.TIMEOUT ? 1 : 0;
+        m.timeOuts += e.ending() == AttemptOutcome.TIMEOUT ? 1 : 0;
         m.failedAt = call.endpoint;
-        Scope scope = call.endpoint.scope;
+        UpstreamHealth scope = call.endpoint.scope;
         if (m.attempts >= Math.max(2, m.destination.endpoints.size())) {
             m.notBefore = now + pause(turn(scope, e), 0, m.type.deadline(), m.attempts - 1);
         }
@@ -494,13 +495,13 @@
             call.noted = true;
             learn(now, m, call, e);
         }
-        scope.served.add(now, e.ending() == Ending.OK ? 1 : 0);
+        scope.served.add(now, e.ending() == AttemptOutcome.OK ? 1 : 0);
         hold.await(now, m, repeatableUntil(m));
         forgetIfDone(now, m);
         hold.news(now, call.endpoint.destination);
     }
 
-    private void forgetIfDone(long now, Message m) {
+    private void forgetIfDone(long now, PendingMessage m) {
         if (!m.ended || m.out != null) {
             return;
         }
@@ -515,7 +516,7 @@
         }
     }
 
-    private void leaveTurn(long now, Message m) {
+    private void leaveTurn(long now, PendingMessage m) {
         if (m != null && m.turn != null) {
             m.turn.remove(m);
             hold.look(now, m.turn.first);
@@ -524,49 +525,49 @@
             }
         }
         while (!resting.isEmpty() && resting.peek().restUntil <= now) {
-            KeyTurn done = resting.poll();
+            KeyQueue done = resting.poll();
             if (done.first == null) {
                 turns.remove(done.key, done);
             }
         }
     }
 
-    private void onListing(long now, Event.Listing e) {
-        if (e.kind() == ListKind.FAILED) {
+    private void onListing(long now, Event.EndpointListUpdated e) {
+        if (e.kind() == EndpointListKind.FAILED) {
             long pause = FOLLOW_PAUSE << Math.min(followFailures++, 6);
             followAt = now + jitter(Math.min(pause, settings.rules().askWithin() / 4));
             return;
         }
-        followFailures = e.kind() == ListKind.CACHED ? followFailures : 0;
-        List<Endpoint> touched = new ArrayList<>(e.kind() == ListKind.DELTA ? List.of() : endpoints.values());
+        followFailures = e.kind() == EndpointListKind.CACHED ? followFailures : 0;
+        List<Endpoint> touched = new ArrayList<>(e.kind() == EndpointListKind.DELTA ? List.of() : endpoints.values());
         destinations.values().forEach(d -> hold.fade(now, d));
-        touched.forEach(known -> known.state = Listed.GONE);
+        touched.forEach(known -> known.state = EndpointState.GONE);
         e.entries().forEach(entry -> touched.add(update(entry)));
         touched.forEach(this::dropIfGone);
         touched.stream().map(point -> point.destination).distinct().forEach(d -> hold.news(now, d));
     }
 
     private void dropIfGone(Endpoint known) {
-        if (known.state == Listed.GONE && known.inFlight == 0) {
+        if (known.state == EndpointState.GONE && known.inFlight == 0) {
             endpoints.remove(known.id, known);
             known.destination.endpoints.remove(known);
             known.scope.members.remove(known);
         }
     }
 
-    private Endpoint update(Entry entry) {
+    private Endpoint update(EndpointEntry entry) {
         Endpoint point = endpoints.get(entry.endpoint());
         if (point == null) {
             point = new Endpoint();
             point.id = entry.endpoint();
             point.destination = destination(entry.destination());
-            Kind kind = settings.kinds().isEmpty()
-                    ? new Kind(false, 1)
+            DestinationKind kind = settings.kinds().isEmpty()
+                    ? new DestinationKind(false, 1)
                     : settings.kinds()
                             .get(Math.min(entry.kind(), settings.kinds().size() - 1));
             point.scope = !kind.routesApart()
                     ? point.destination.shared
-                    : new Scope(entry.destination(), point.id, SENT_SPAN, SERVED_SPAN);
+                    : new UpstreamHealth(entry.destination(), point.id, SENT_SPAN, SERVED_SPAN);
             point.messagesPerCall = Math.max(1, kind.messagesPerCall());
             endpoints.put(point.id, point);
             List<Endpoint> siblings = point.destination.endpoints;
@@ -585,7 +586,7 @@
     // ---- Effects: each send and each answer goes through these. ----
 
     /** Until when the class lets this message be sent again. */
-    private static long repeatableUntil(Message m) {
+    private static long repeatableUntil(PendingMessage m) {
         if (m.doubtSince == NEVER || m.type.effect() == Effect.SAFE) {
             return NEVER;
         }
@@ -593,17 +594,17 @@
     }
 
     /** Whether all endpoints of its destination would know its key again, where that matters. */
-    private static boolean remembersAll(Message m) {
+    private static boolean remembersAll(PendingMessage m) {
         return m.doubtSince == NEVER || m.type.effect() == Effect.SAFE || m.type.keyScope() == KeyScope.DESTINATION;
     }
 
-    private static boolean remembered(Message m, Endpoint point) {
+    private static boolean remembered(PendingMessage m, Endpoint point) {
         return remembersAll(m)
                 || m.doubtAt != null
                         && (m.type.keyScope() == KeyScope.ZONE ? m.doubtAt.zone == point.zone : m.doubtAt == point);
     }
 
-    private static boolean mayRefuse(Message m) {
+    private static boolean mayRefuse(PendingMessage m) {
         return m.out == null
                 && (m.type.effect() == Effect.SAFE
                         || m.doubtSince == NEVER
@@ -611,7 +612,7 @@
     }
 
     /** The final answer: a refusal wherever that is harmless, since the client may then come again. */
-    private void answer(long now, Message m, long advice, Actions actions) {
+    private void answer(long now, PendingMessage m, long advice, Actions actions) {
         if (mayRefuse(m)) {
             actions.refuse(
                     m.id,
@@ -649,7 +650,7 @@
     }
 
     private void settleDue(long now, Actions actions) {
-        for (Message m : hold.over(now, settings.limits().maxAttempts())) {
+        for (PendingMessage m : hold.over(now, settings.limits().maxAttempts())) {
             answer(now, m, predictedWait(now, m, false), actions);
         }
         note(hold.nextEnd(now));
@@ -658,8 +659,8 @@
 
     /** When to come again with what is worth less than a call costs the fleet, 0 where it is worth it; of
      * what is worth just that a share is, by whole keys: nothing of one overtakes what was turned away. */
-    private long priced(Message m) {
-        Event.Price price = m.destination.price;
+    private long priced(PendingMessage m) {
+        Event.AdmissionPriceChanged price = m.destination.price;
         return m.worth < price.worth() || m.worth < price.upTo() && m.lot() >= price.share()
                 ? 1 + price.again() + random.nextLong(1 + price.again())
                 : 0;
@@ -668,7 +669,7 @@
     /** The arrival test binds once more messages are held unsent than there are slots. */
     private void admit(long now, Actions actions) {
         boolean binds = hold.waiting > settings.limits().slots();
-        for (Message m : arrivals) {
+        for (PendingMessage m : arrivals) {
             long wait = binds && !m.ended ? predictedWait(now, m, true) : 0;
             wait = binds && !m.ended && m.due - now - wait < 0 ? predictedWait(now, m, false) : wait;
             long again = m.ended ? 0 : priced(m);
@@ -678,7 +679,7 @@
         }
         arrivals.clear();
         while (messages.size() > ROOM * settings.limits().openMessages() && hold.waiting > 0) {
-            Message least = hold.least(now, LOOK_AHEAD * meanP);
+            PendingMessage least = hold.least(now, LOOK_AHEAD * meanP);
             answer(now, least, predictedWait(now, least, false), actions);
         }
     }
@@ -687,16 +688,16 @@
      * W: the larger of the work ahead over all slots and that ahead at the destination over its cap. Ahead
      * is what has the higher index now or, being worth no less, will have it as this one ages; at most, all.
      */
-    private long predictedWait(long now, Message m, boolean atMost) {
+    private long predictedWait(long now, PendingMessage m, boolean atMost) {
         double index = shape(now, m.bucket, shape).index(m.due);
         double all = hold.time(now, atMost ? Double.NEGATIVE_INFINITY : m.worth) - hold.serviceTime(now, m);
         double here = 0;
         double aheadHere = 0;
-        for (Scope scope : busy) {
+        for (UpstreamHealth scope : busy) {
             all += hold.timeOut(now, scope);
             here += scope.destination == m.destination.shared.destination ? hold.timeOut(now, scope) : 0;
         }
-        for (Bucket b : m.destination.buckets) {
+        for (DispatchQueue b : m.destination.buckets) {
             double n = b.worth >= m.worth
                     ? b.tree.size() - (b == m.bucket ? 1 : 0)
                     : hold.ahead(now, b, index, LOOK_AHEAD * meanP);
@@ -707,14 +708,16 @@
         double cap = 0;
         double pace = 0;
         long opens = NEVER;
-        Scope last = null;
+        UpstreamHealth last = null;
         for (Endpoint point : m.destination.endpoints) {
-            if (point.state == Listed.READY && point.scope != last) {
+            if (point.state == EndpointState.READY && point.scope != last) {
                 last = point.scope;
                 cap += cap(now, last);
                 // Paces count calls: what waits behind a limit or a slow start fills them.
                 pace += point.messagesPerCall
-                        * (last.breaker == Breaker.CLOSED ? last.pace : rampPace((1 + warmth(now, last)) / 2, last));
+                        * (last.breaker == BreakerState.CLOSED
+                                ? last.pace
+                                : rampPace((1 + warmth(now, last)) / 2, last));
                 opens = Math.min(opens, returnsAt(now, last));
             }
         }
@@ -728,15 +731,15 @@
     }
 
     /** When a scope is expected to take calls: an outage without a told end counts as half over. */
-    private static long returnsAt(long now, Scope scope) {
+    private static long returnsAt(long now, UpstreamHealth scope) {
         long told = Math.max(scope.waitUntil, scope.backoffUntil);
-        return scope.breaker == Breaker.OPEN ? Math.max(told, 2 * now - scope.openedAt) : told;
+        return scope.breaker == BreakerState.OPEN ? Math.max(told, 2 * now - scope.openedAt) : told;
     }
 
     // ---- Choice. ----
 
     /** I = (w/p) exp(-max(d - t, 0) / (k p')), as a function of d in one bucket. */
-    private IndexShape shape(long now, Bucket b, IndexShape into) {
+    private AtcIndex shape(long now, DispatchQueue b, AtcIndex into) {
         double p = hold.serviceTime(now, b.destination, b.type);
         into.set(
                 b.worth,
@@ -747,7 +750,7 @@
                 b.type.aim(),
                 b.type.deadline(),
                 b.type.lateShare(),
-                settings.lateWorth() == LateWorth.HALVING);
+                settings.lateWorth() == LateValueDecay.HALVING);
         into.divide(b.first, hurryLimit(now, b.destination, b.type), now + (long) (LAST_SHARE * b.type.deadline()));
         return into;
     }
@@ -769,7 +772,8 @@
         double k = LOOK_AHEAD * meanP;
         hold.beginChoice(now, k, settings.limits().slots() - slotsUsed);
         int open = 0;
-        for (Bucket b; (slotsUsed < settings.limits().slots() || open > 0) && (b = hold.candidate(now, k)) != null; ) {
+        for (DispatchQueue b;
+                (slotsUsed < settings.limits().slots() || open > 0) && (b = hold.candidate(now, k)) != null; ) {
             Destination d = b.destination;
             Call call = d.filled == choice && d.filling.takesMore() ? d.filling : null;
             boolean filling = call != null;
@@ -782,7 +786,7 @@
                 shape(now, b, b.walk.shape());
                 more = b.walk.begin();
             } else {
-                Message m = b.walk.here();
+                PendingMessage m = b.walk.here();
                 boolean joins = filling && d.ceiling.opensAt(now) <= now && mayJoin(now, m, call);
                 Endpoint point = joins || slotsUsed >= settings.limits().slots() ? null : endpointFor(now, m);
                 if (point != null) {
@@ -811,7 +815,7 @@
      * It covers trials in an outage of any kind, brown-outs, cold returns and what a new process finds.
      * Harm: where most calls go on failing, unsafe messages wait for the last part of their time.
      */
-    private boolean mayRisk(long now, Message m, Scope scope) {
+    private boolean mayRisk(long now, PendingMessage m, UpstreamHealth scope) {
         boolean late = m.due - now < LAST_SHARE * m.type.deadline();
         return !probing(scope) && (scope.harm < DOUBT || late)
                 || risk(m.type, hurried(now, m)) <= leastRisk(now, m.destination);
@@ -822,7 +826,7 @@
         if (d.judged != choice) {
             d.judged = choice;
             d.leastRisk = Integer.MAX_VALUE;
-            for (Bucket b : d.buckets) {
+            for (DispatchQueue b : d.buckets) {
                 if (b.tree.turns() > 0) {
                     boolean hurried = b.tree.lastTurn() < hurryLimit(now, d, b.type);
                     d.leastRisk = Math.min(d.leastRisk, risk(b.type, hurried));
@@ -840,7 +844,7 @@
     }
 
     /** Its time may run out before a slow answer: it would be given up before that is silence. */
-    private boolean hurried(long now, Message m) {
+    private boolean hurried(long now, PendingMessage m) {
         return m.due < hurryLimit(now, m.destination, m.type);
     }
 
@@ -849,16 +853,16 @@
     }
 
     /** Nothing is known of a scope, or only that it failed: only safe messages share a call to it. */
-    private static boolean probing(Scope scope) {
-        return scope.breaker == Breaker.OPEN || scope.usual == 0;
+    private static boolean probing(UpstreamHealth scope) {
+        return scope.breaker == BreakerState.OPEN || scope.usual == 0;
     }
 
-    private Endpoint endpointFor(long now, Message m) {
+    private Endpoint endpointFor(long now, PendingMessage m) {
         Endpoint best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         long opens = NEVER;
         for (Endpoint point : m.destination.endpoints) {
-            boolean usable = point.state == Listed.READY && remembered(m, point) && mayRisk(now, m, point.scope);
+            boolean usable = point.state == EndpointState.READY && remembered(m, point) && mayRisk(now, m, point.scope);
             if (!usable || !endsInTime(now, m, point)) {
                 continue;
             }
@@ -881,19 +885,19 @@
     private void shutIfBlocked(long now, Destination d) {
         long until = NEVER;
         for (Endpoint point : d.endpoints) {
-            if (point.state == Listed.READY) {
-                Scope scope = point.scope;
+            if (point.state == EndpointState.READY) {
+                UpstreamHealth scope = point.scope;
                 long at = Math.max(opensAt(now, scope), d.ceiling.opensAt(now));
                 if (at <= now) {
                     return;
                 }
                 note(at);
-                at = scope.breaker != Breaker.RAMP || at == NEVER
+                at = scope.breaker != BreakerState.RAMP || at == NEVER
                         ? at
                         : Math.min(at, scope.rampSent + (long) (SECOND / rampPace(warmth(at, scope), scope)));
                 until = Math.min(
                         until,
-                        scope.breaker == Breaker.OPEN || Double.isInfinite(scope.pace)
+                        scope.breaker == BreakerState.OPEN || Double.isInfinite(scope.pace)
                                 ? at
                                 : Math.min(at, scope.lastRefusal + PACE_LIFE + 1));
             }
@@ -903,13 +907,13 @@
     }
 
     /** Before the process ends, no unsafe attempt starts whose outcome it may not see: that would lose it. */
-    private boolean endsInTime(long now, Message m, Endpoint point) {
+    private boolean endsInTime(long now, PendingMessage m, Endpoint point) {
         return stopsAt == NEVER
                 || m.type.effect() != Effect.UNSAFE
                 || now + LAST_CALLS * Math.max(hold.serviceTime(now, m), point.scope.present(now, FAST)) < stopsAt;
     }
 
-    private double cost(long now, Message m, Endpoint point) {
+    private double cost(long now, PendingMessage m, Endpoint point) {
         boolean warm = (point.inFlight > 0 || now - point.lastUse < trustedIdle)
                 && point.inFlight
                         < point.connections * Math.max(1, settings.limits().callsPerConnection());
@@ -948,7 +952,7 @@
     }
 
     /** A call is given up with the first of its messages: those with time to wait must not fail by that. */
-    private boolean mayJoin(long now, Message m, Call call) {
+    private boolean mayJoin(long now, PendingMessage m, Call call) {
         Endpoint point = call.endpoint;
         return call.hurried == hurried(now, m)
                 && mayRisk(now, m, point.scope)
@@ -957,7 +961,7 @@
                 && endsInTime(now, m, point);
     }
 
-    private void load(long now, Message m, Call call) {
+    private void load(long now, PendingMessage m, Call call) {
         call.hurried |= hurried(now, m);
         call.messages++;
         call.waiting++;
@@ -982,7 +986,7 @@
     }
 
     /** Unsafe attempts run to the end, as giving one up loses the message. */
-    private long giveUpAt(long now, Message m, Call call) {
+    private long giveUpAt(long now, PendingMessage m, Call call) {
         if (m.type.effect() == Effect.UNSAFE || m.attempts >= settings.limits().maxAttempts()) {
             return m.due;
         }
@@ -1026,20 +1030,20 @@
     }
 
     /** From when a scope's guards let a call out; NEVER if only an outcome can tell. */
-    private long opensAt(long now, Scope scope) {
+    private long opensAt(long now, UpstreamHealth scope) {
         long at = Math.max(scope.waitUntil, scope.backoffUntil);
-        if (scope.breaker == Breaker.OPEN) {
+        if (scope.breaker == BreakerState.OPEN) {
             return scope.trial != null ? NEVER : Math.max(at, scope.trialAt);
         }
         // What never answered gets a call for each endpoint: after a restart all held would else go at once.
         if (scope.calls.size() >= (scope.usual == 0 ? scope.members.size() : cap(now, scope))) {
             return NEVER;
         }
-        if (scope.breaker == Breaker.RAMP
+        if (scope.breaker == BreakerState.RAMP
                 && now - scope.rampFrom >= settings.rules().coldSpan()) {
-            scope.breaker = Breaker.CLOSED;
+            scope.breaker = BreakerState.CLOSED;
         }
-        if (scope.breaker == Breaker.RAMP) {
+        if (scope.breaker == BreakerState.RAMP) {
             at = Math.max(
                     at,
                     Math.min(
@@ -1054,20 +1058,20 @@
                 : Math.max(at, scope.paceNext - (long) ((PACE_BURST - 1) * SECOND / scope.pace));
     }
 
-    private void charge(long now, Scope scope, Call call) {
+    private void charge(long now, UpstreamHealth scope, Call call) {
         scope.sent.add(now, 1);
         if (!Double.isInfinite(scope.pace)) {
             scope.paceNext = Math.max(scope.paceNext, now) + (long) (SECOND / scope.pace);
         }
-        if (scope.breaker == Breaker.OPEN) {
+        if (scope.breaker == BreakerState.OPEN) {
             scope.trial = call;
-        } else if (scope.breaker == Breaker.RAMP) {
+        } else if (scope.breaker == BreakerState.RAMP) {
             scope.rampSent = now;
         }
     }
 
     /** Latency-scaled cap: all slots at the usual pace, else their share usual over present; at least one. */
-    private int cap(long now, Scope scope) {
+    private int cap(long now, UpstreamHealth scope) {
         int slots = settings.limits().slots();
         if (scope.usual == 0) {
             return slots;
@@ -1075,7 +1079,7 @@
         return (int) Math.max(1, Math.min(slots, slots * AT_PACE * scope.usual / scope.present(now, FAST)));
     }
 
-    private long silence(Scope scope) {
+    private long silence(UpstreamHealth scope) {
         double usual = scope.usual > 0 ? Math.max(scope.usual, scope.present) : hold.usualLatency;
         return Math.max((long) (SILENT_SHARE * settings.longestTime()), (long) (SILENT * usual));
     }
@@ -1084,7 +1088,7 @@
      * Silence opens the breaker before anything times out; one slow call among answered ones does not, but
      * it is silent all the same: what its endpoint has answered since does not bring its answer.
      */
-    private void watch(long now, Scope scope) {
+    private void watch(long now, UpstreamHealth scope) {
         scope.members.forEach(point -> point.lost = 0);
         for (Call call : scope.calls) {
             long silentAt = call.sentAt + silence(scope);
@@ -1098,7 +1102,7 @@
                 judgeConnection(call, true, false);
             }
         }
-        if (!scope.calls.isEmpty() && scope.breaker != Breaker.OPEN && failed(now, scope)) {
+        if (!scope.calls.isEmpty() && scope.breaker != BreakerState.OPEN && failed(now, scope)) {
             open(now, scope);
         }
     }
@@ -1120,17 +1124,17 @@
         if (silent == 0 || !settings.limits().cancel()) {
             return;
         }
-        List<Message> unanswered = new ArrayList<>();
+        List<PendingMessage> unanswered = new ArrayList<>();
         busy.forEach(scope -> scope.calls.stream().filter(call -> call.silent).forEach(call -> call.load.stream()
                 .filter(m -> m.out == call && !m.calledOff)
                 .forEach(unanswered::add)));
         unanswered.sort(Comparator.comparingLong(m -> m.number));
-        for (Message m : unanswered) {
+        for (PendingMessage m : unanswered) {
             if (!m.calledOff) {
                 Call call = m.out;
-                Scope scope = call.endpoint.scope;
+                UpstreamHealth scope = call.endpoint.scope;
                 boolean due = pressed && now - call.sentAt > (call.unsafe ? PATIENCE : 1) * silence(scope)
-                        || !call.unsafe && scope.breaker == Breaker.OPEN;
+                        || !call.unsafe && scope.breaker == BreakerState.OPEN;
                 if (due || call.calledOff) {
                     m.calledOff = true;
                     call.calledOff = true;
@@ -1146,11 +1150,11 @@
      * is passed over while its siblings answer. Where no answer is recent one will do, as the second would
      * come after the outage. Harm: with many endpoints an outage is seen later; false alarms.
      */
-    private boolean failed(long now, Scope scope) {
+    private boolean failed(long now, UpstreamHealth scope) {
         int failures = 0;
         for (Endpoint point : scope.members) {
             int here = point.failures + point.lost;
-            if (here == 0 && point.state == Listed.READY) {
+            if (here == 0 && point.state == EndpointState.READY) {
                 return false;
             }
             failures += here;
@@ -1158,8 +1162,8 @@
         return failures >= STREAK || failures > 0 && now - scope.lastOk > OLD * settings.longestTime();
     }
 
-    private void learn(long now, Message m, Call call, Event.Outcome e) {
-        Scope scope = call.endpoint.scope;
+    private void learn(long now, PendingMessage m, Call call, Event.AttemptCompleted e) {
+        UpstreamHealth scope = call.endpoint.scope;
         boolean wasTrial = scope.trial == call;
         scope.trial = wasTrial ? null : scope.trial;
         boolean told = e.idle() >= 0;
@@ -1168,13 +1172,13 @@
             call.idleBefore = e.idle();
         }
         if (!call.silent) {
-            judgeConnection(call, e.ending() == Ending.RESET || e.ending() == Ending.TIMEOUT, told);
+            judgeConnection(call, e.ending() == AttemptOutcome.RESET || e.ending() == AttemptOutcome.TIMEOUT, told);
         }
-        boolean placed = e.ending() != Ending.CONNECT_FAILED && !e.noPlace(settings.reports());
+        boolean placed = e.ending() != AttemptOutcome.CONNECT_FAILED && !e.noPlace(settings.reports());
         unconnected += FAST_POOLED * ((placed ? 0 : 1) - unconnected);
-        m.destination.odds += FAST * ((e.ending() == Ending.OK ? 1 : 0) - m.destination.odds);
+        m.destination.odds += FAST * ((e.ending() == AttemptOutcome.OK ? 1 : 0) - m.destination.odds);
         if (e.ending().mayHaveRun()) {
-            scope.harm += FAST * ((e.ending() == Ending.OK ? 0 : 1) - scope.harm);
+            scope.harm += FAST * ((e.ending() == AttemptOutcome.OK ? 0 : 1) - scope.harm);
         }
         switch (e.ending()) {
             case OK -> onOk(now, call, e);
@@ -1195,15 +1199,15 @@
             }
             default -> {
                 // A kept connection that is reset tells of itself; a sick endpoint shows on a fresh one.
-                if (e.ending() != Ending.RESET || !told || e.idle() == 0 || wasTrial) {
+                if (e.ending() != AttemptOutcome.RESET || !told || e.idle() == 0 || wasTrial) {
                     onFailure(now, call, e.ending(), wasTrial);
                 }
             }
         }
     }
 
-    private void onOk(long now, Call call, Event.Outcome e) {
-        Scope scope = call.endpoint.scope;
+    private void onOk(long now, Call call, Event.AttemptCompleted e) {
+        UpstreamHealth scope = call.endpoint.scope;
         Destination destination = call.endpoint.destination;
         double took = Math.max(1, e.took());
         hold.usual(took, FAST_POOLED);
@@ -1222,8 +1226,8 @@
         boolean falseAlarm = now - scope.lastOk < OUTAGE_LEAST;
         scope.lastOk = now;
         scope.trials = 0;
-        if (scope.breaker == Breaker.OPEN) {
-            scope.breaker = falseAlarm ? Breaker.CLOSED : Breaker.RAMP;
+        if (scope.breaker == BreakerState.OPEN) {
+            scope.breaker = falseAlarm ? BreakerState.CLOSED : BreakerState.RAMP;
             turned.add(scope);
             scope.rampFrom = now;
             scope.rampSent = now;
@@ -1237,7 +1241,7 @@
     }
 
     /** A told limit sets the pace and cuts it when it runs low; absurd ones are passed over. */
-    private void readReport(long now, Scope scope, List<Double> report) {
+    private void readReport(long now, UpstreamHealth scope, List<Double> report) {
         ReportFields fields = settings.reports();
         if (!fields.in(report) || !(report.get(fields.limit()) >= LEAST_PACE)) {
             return;
@@ -1252,25 +1256,25 @@
         }
     }
 
-    private void onFailure(long now, Call call, Ending ending, boolean wasTrial) {
-        Scope scope = call.endpoint.scope;
+    private void onFailure(long now, Call call, AttemptOutcome ending, boolean wasTrial) {
+        UpstreamHealth scope = call.endpoint.scope;
         call.endpoint.failing += FAST * (1 - call.endpoint.failing);
-        if (ending == Ending.CONNECT_FAILED) {
+        if (ending == AttemptOutcome.CONNECT_FAILED) {
             call.endpoint.connections = 0;
         }
         call.endpoint.failures++;
-        if (wasTrial || scope.breaker != Breaker.OPEN && failed(now, scope)) {
+        if (wasTrial || scope.breaker != BreakerState.OPEN && failed(now, scope)) {
             open(now, scope);
         }
     }
 
     /** What each sender's turn behind a failure takes. */
-    private long turn(Scope scope, Event.Outcome e) {
+    private long turn(UpstreamHealth scope, Event.AttemptCompleted e) {
         return e.noPlace(settings.reports()) ? 0 : scope.turn(TURN, TURNS);
     }
 
-    private void onFull(long now, Message m, Call call, Event.Outcome e, boolean wasTrial) {
-        Scope scope = call.endpoint.scope;
+    private void onFull(long now, PendingMessage m, Call call, Event.AttemptCompleted e, boolean wasTrial) {
+        UpstreamHealth scope = call.endpoint.scope;
         long wait = e.toldWait();
         boolean fresh = call.sentAt >= scope.lastRefusal;
         scope.refusals += fresh ? 1 : 0;
@@ -1280,7 +1284,7 @@
             long pause = pause(turn(scope, e), base, m.type.deadline(), scope.refusals);
             scope.backoffUntil = Math.max(scope.backoffUntil, now + wait + pause);
         }
-        if (wasTrial || wait > OUTAGE_LEAST && scope.breaker != Breaker.OPEN) {
+        if (wasTrial || wait > OUTAGE_LEAST && scope.breaker != BreakerState.OPEN) {
             open(now, scope);
         } else if (call.sentAt >= scope.lastCut && !e.noPlace(settings.reports())) {
             cutPace(now, scope);
@@ -1293,7 +1297,7 @@
         return first << Math.min(tries - 1, MOST_DOUBLINGS);
     }
 
-    private void cutPace(long now, Scope scope) {
+    private void cutPace(long now, UpstreamHealth scope) {
         double shown = scope.served.perSecond(now);
         double before = Math.min(scope.pace, Math.max(shown, scope.sent.perSecond(now)));
         double least = Math.max(LEAST_PACE, PART_KEPT * scope.weight) / settings.senders();
@@ -1302,31 +1306,31 @@
         scope.lastRefusal = Math.max(scope.lastRefusal, now);
     }
 
-    private void open(long now, Scope scope) {
+    private void open(long now, UpstreamHealth scope) {
         scope.members.forEach(point -> hold.wake(point.destination));
-        if (scope.breaker == Breaker.CLOSED) {
+        if (scope.breaker == BreakerState.CLOSED) {
             scope.formerPace = scope.served.atLast();
         }
-        if (scope.breaker != Breaker.OPEN) {
+        if (scope.breaker != BreakerState.OPEN) {
             scope.openedAt = now;
             turned.add(scope);
             scope.trial = null;
             scope.trials = 0;
         }
-        scope.breaker = Breaker.OPEN;
+        scope.breaker = BreakerState.OPEN;
         long pause = pause(TURN, BACKOFF, settings.longestTime(), 1 + ++scope.trials);
         // All senders' trials together come no faster than a slow start begins: what returns can take them.
         pause = Math.min(pause, jitter((long) (1.5 * SECOND / rampPace(0, scope))));
         scope.trialAt = now + Math.min(TRIAL_LONGEST * settings.senders(), pause);
     }
 
-    private double warmth(long now, Scope scope) {
+    private double warmth(long now, UpstreamHealth scope) {
         double span = settings.rules().coldSpan() + 1;
-        return scope.breaker == Breaker.OPEN ? 0 : Math.min(1, (now - scope.rampFrom) / span);
+        return scope.breaker == BreakerState.OPEN ? 0 : Math.min(1, (now - scope.rampFrom) / span);
     }
 
     /** Messages a second that a slow start lets out: own former pace times what the rule allows. */
-    private double rampPace(double warm, Scope scope) {
+    private double rampPace(double warm, UpstreamHealth scope) {
         Rules rules = settings.rules();
         double capacity = rules.startCapacity() + (1 - rules.startCapacity()) * warm;
         double told = Math.max(LEAST_PACE, TOLD * scope.weight) / settings.senders();
--- a/decisions/src/main/java/amberroute/Relay.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -1,4 +1,4 @@
-package amberroute;
+package amberroute.decisions;
 
 import java.util.List;
 
@@ -6,12 +6,12 @@
  * The decisions of one sender: it holds messages and hands them to destinations that it does not control.
  *
  * <p>This file is the whole interface of {@link Policy}. Times are microseconds on the caller's clock, ids
- * are opaque. A caller passes everything that happened at one moment, then {@link Event.Turn}; actions are
+ * are opaque. A caller passes everything that happened at one moment, then {@link Event.Decide}; actions are
  * given during that call and take effect at the same moment.
  */
-public interface Relay {
+public interface DeliveryScheduler {
 
-    /** Takes note of one event; {@link Event.Turn} makes the decisions. */
+    /** Takes note of one event; {@link Event.Decide} makes the decisions. */
     void step(long now, Event event, Actions actions);
 
     /** How many of the endpoints that are listed as ready get no ordinary messages now, for what was seen of them. */
@@ -20,12 +20,12 @@
     }
 
     /** What another process should know that takes over now, one for each place that was called. */
-    default List<Learned> learned(long now) {
+    default List<UpstreamSnapshot> learned(long now) {
         return List.of();
     }
 
     /** The keys that rest now. */
-    default List<Rest> rests(long now) {
+    default List<KeyPause> rests(long now) {
         return List.of();
     }
 
@@ -44,13 +44,13 @@
     }
 
     /** How the worth of a late message falls. */
-    enum LateWorth {
+    enum LateValueDecay {
         EVEN,
         HALVING
     }
 
     /** How an attempt ended. */
-    enum Ending {
+    enum AttemptOutcome {
         OK,
         ERROR,
         FULL,
@@ -68,14 +68,14 @@
     }
 
     /** State of a listed endpoint; it says nothing of its health. */
-    enum Listed {
+    enum EndpointState {
         READY,
         DRAINING,
         GONE
     }
 
     /** What kind of list an event brings. */
-    enum ListKind {
+    enum EndpointListKind {
         DELTA,
         FULL,
         CACHED,
@@ -104,7 +104,7 @@
     record Tenant(double quotaPerSecond) {}
 
     /** A kind of destination. */
-    record Kind(boolean routesApart, int messagesPerCall) {}
+    record DestinationKind(boolean routesApart, int messagesPerCall) {}
 
     /** What the deployment permits. */
     record Limits(
@@ -148,11 +148,11 @@
             long tick,
             boolean listOnRequest,
             double overShareWorth,
-            LateWorth lateWorth,
+            LateValueDecay lateWorth,
             WeightKind weights,
             List<MessageClass> classes,
             List<Tenant> tenants,
-            List<Kind> kinds,
+            List<DestinationKind> kinds,
             Limits limits,
             Rules rules,
             Prices prices,
@@ -212,20 +212,21 @@
     }
 
     /** A line of the list of endpoints. */
-    record Entry(long endpoint, int destination, Listed state, double weight, int zone, int kind) {}
+    record EndpointEntry(long endpoint, int destination, EndpointState state, double weight, int zone, int kind) {}
 
     /**
      * What has to outlast the process of one destination, or of one endpoint where {@code endpoint} is not 0: that it is
      * out, or has been and is cold, since {@code since} microseconds; the messages a second and the latency it had before.
      */
-    record Memory(int destination, long endpoint, Health health, long since, double pace, double usual) {}
+    record HealthCheckpoint(
+            int destination, long endpoint, UpstreamStatus health, long since, double pace, double usual) {}
 
     /**
      * What is known of a place by a process that ends while another goes on at once: beside what outlasts any end, the
      * waits that bind and what was measured. Spans in microseconds from now, rates a second.
      */
-    record Learned(
-            Memory memory,
+    record UpstreamSnapshot(
+            HealthCheckpoint memory,
             long waitLeft,
             long backoffLeft,
             double pace,
@@ -240,10 +241,10 @@
             double harm) {}
 
     /** The messages of a key wait for so long, but for the one named by its id, 0 for none. */
-    record Rest(long key, long left, long except) {}
+    record KeyPause(long key, long left, long except) {}
 
     /** How a destination fares as far as a sender has seen. */
-    enum Health {
+    enum UpstreamStatus {
         WELL,
         OUT,
         COLD
@@ -252,7 +253,7 @@
     /** Something that happened. */
     sealed interface Event {
         /** A new message; {@code timeLeft} is how long it may still be delivered. */
-        record Arrival(long id, int messageClass, int tenant, long key, long timeLeft, int destination)
+        record MessageSubmitted(long id, int messageClass, int tenant, long key, long timeLeft, int destination)
                 implements Event {}
 
         /**
@@ -260,7 +261,7 @@
          * {@code doubtAge} is the time since the first attempt that may have run was sent, -1 where none may
          * have; {@code cutOff} tells that the last attempt was out when that process ended.
          */
-        record Resumed(
+        record MessageRecovered(
                 long id,
                 int messageClass,
                 long key,
@@ -276,58 +277,59 @@
          * A call that the process before this one still has out, after its messages have been resumed with one attempt
          * less: its outcome is told like any other's. It began {@code sentAgo} ago.
          */
-        record Underway(List<Long> ids, long endpoint, long sentAgo) implements Event {}
+        record CallInFlight(List<Long> ids, long endpoint, long sentAgo) implements Event {}
 
         /** A message that an earlier process has answered, of a class that keeps its order: Concluded is still to come. */
-        record Answered(long id, long key) implements Event {}
+        record CompletedMessageRecovered(long id, long key) implements Event {}
 
         /** What the process before this one knows of a place, behind the list. */
-        record TakenOver(Learned learned) implements Event {}
+        record UpstreamStateTransferred(UpstreamSnapshot learned) implements Event {}
 
         /** A key rests, as the process before this one saw it, behind the messages that are resumed. */
-        record Resting(Rest rest) implements Event {}
+        record KeyPaused(KeyPause rest) implements Event {}
 
         /** What an earlier process of this sender asked to be remembered, {@code age} ago; before what is resumed. */
-        record Remembered(Memory memory, long age) implements Event {}
+        record HealthRestored(HealthCheckpoint memory, long age) implements Event {}
 
         /**
          * Other settings count from now on. A message under way keeps its class; {@code messageClass} of later events
          * is an index into these. Those that cannot be used change nothing and end in an IllegalArgumentException.
          */
-        record Configured(Settings settings) implements Event {}
+        record SettingsChanged(Settings settings) implements Event {}
 
         /**
          * This daemon's part of what all of them may give a destination from now on, in messages a second; infinite for no
          * ceiling, 0 for nothing. {@code first} is the share of the first message that is saved up already, where there was
          * no ceiling before; {@code back} tells that another daemon has just seen the destination answer after an outage.
          */
-        record Ceiling(int destination, double perSecond, double first, boolean back) implements Event {}
+        record FleetRateLimitChanged(int destination, double perSecond, double first, boolean back) implements Event {}
 
         /**
          * What a call to a destination costs all daemons together from now on, as worth given up elsewhere: an arrival
          * worth less than {@code worth} is to be turned away, of one worth up to {@code upTo} the {@code share} is taken
          * on. {@code again} is when what was turned away may have a chance, in microseconds.
          */
-        record Price(int destination, double worth, double upTo, double share, long again) implements Event {
+        record AdmissionPriceChanged(int destination, double worth, double upTo, double share, long again)
+                implements Event {
             /** A call costs nothing. */
-            public static final Price NONE = new Price(0, 0, 0, 1, 0);
+            public static final AdmissionPriceChanged NONE = new AdmissionPriceChanged(0, 0, 0, 1, 0);
         }
 
         /** The process will be ended after {@code timeLeft}; what is held then resumes in the next one. */
-        record Stopping(long timeLeft) implements Event {}
+        record ShutdownStarted(long timeLeft) implements Event {}
 
         /** The final answer of a message has reached whom it was for: its key's turn passes on. */
-        record Concluded(long id) implements Event {}
+        record CompletionAcknowledged(long id) implements Event {}
 
         /**
          * An attempt ended; {@code toldWait} is the told wait or 0, {@code report} may be empty. {@code idle} is how
          * long its connection had lain idle before, 0 for a fresh one, -1 where the caller does not know.
          */
-        record Outcome(
+        record AttemptCompleted(
                 long id,
                 int attempt,
                 long endpoint,
-                Ending ending,
+                AttemptOutcome ending,
                 long took,
                 boolean closed,
                 long toldWait,
@@ -335,11 +337,11 @@
                 long idle)
                 implements Event {
 
-            public Outcome(
+            public AttemptCompleted(
                     long id,
                     int attempt,
                     long endpoint,
-                    Ending ending,
+                    AttemptOutcome ending,
                     long took,
                     boolean closed,
                     long toldWait,
@@ -352,7 +354,11 @@
              * of its limit, though answers tell of that. Places come free with each answer, and idle connections hold them.
              */
             public boolean noPlace(ReportFields told) {
-                return ending == Ending.FULL && idle == 0 && toldWait == 0 && report.isEmpty() && told.limit() >= 0;
+                return ending == AttemptOutcome.FULL
+                        && idle == 0
+                        && toldWait == 0
+                        && report.isEmpty()
+                        && told.limit() >= 0;
             }
         }
 
@@ -360,22 +366,22 @@
         record StreamStarted(long id, int attempt) implements Event {}
 
         /** Nobody wants this message any more. */
-        record Withdrawn(long id) implements Event {}
+        record MessageCancelled(long id) implements Event {}
 
         /** News of the list of endpoints. */
-        record Listing(ListKind kind, List<Entry> entries) implements Event {}
+        record EndpointListUpdated(EndpointListKind kind, List<EndpointEntry> entries) implements Event {}
 
         /** A timer is due. */
-        record TimerDue(long token) implements Event {}
+        record TimerExpired(long token) implements Event {}
 
         /** A health check ended. */
-        record CheckEnded(long endpoint, Ending ending, long took) implements Event {}
+        record HealthCheckCompleted(long endpoint, AttemptOutcome ending, long took) implements Event {}
 
         /** Another sender told something. */
-        record PeerNote(long from, byte[] data) implements Event {}
+        record PeerMessageReceived(long from, byte[] data) implements Event {}
 
         /** All events of this moment have been passed: decide. */
-        record Turn() implements Event {}
+        record Decide() implements Event {}
     }
 
     /** What a sender can do. */
@@ -405,7 +411,7 @@
         default void trustIdle(long longest) {}
 
         /** Replaces what was remembered of the same place; callers without a lasting store pass over it. */
-        default void remember(Memory memory) {}
+        default void remember(HealthCheckpoint memory) {}
 
         /** Asks for a timer. */
         void wake(long delay, long token);
--- a/decisions/src/main/java/amberroute/Hold.java
+++ b/decisions/src/main/java/amberroute/decisions/PendingMessages.java
@@ -1,12 +1,12 @@
-package amberroute;
-
-import amberroute.State.Bucket;
-import amberroute.State.Destination;
-import amberroute.State.Message;
-import amberroute.order.FadingSum;
-import amberroute.order.IndexShape;
-import amberroute.order.TimeQueue;
-import amberroute.order.TopQueue;
+package amberroute.decisions;
+
+import amberroute.decisions.SchedulerState.Destination;
+import amberroute.decisions.SchedulerState.DispatchQueue;
+import amberroute.decisions.SchedulerState.PendingMessage;
+import amberroute.decisions.collections.AtcIndex;
+import amberroute.decisions.collections.DecayingSum;
+import amberroute.decisions.collections.IndexedTimerHeap;
+import amberroute.decisions.collections.MaxHeap;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
  * The books of the messages that wait to be sent: which bucket each is in, which are ready, when the next one is to be looked
  * at, and how much work they are together. It follows what {@link Policy} says and decides nothing.
  */
-final class Hold {
+final class PendingMessages {
     /** Beyond so many buckets of a destination empty ones go, as classes may come and vanish. */
     private static final int BUCKETS = 8;
     /** Sums are made anew after so many changes, so that errors of rounding do not add up. */
@@ -31,12 +31,12 @@
 
     /** All messages of one worth: their service times where those are known, and how many there are where they are not. */
     static final class Load {
-        private final FadingSum known;
+        private final DecayingSum known;
         int unknown;
         double aims;
 
         Load(double span) {
-            known = new FadingSum(span);
+            known = new DecayingSum(span);
         }
 
         /** All their service times together; {@code usual} stands for those that are not known, 0 for their classes' aims. */
@@ -47,12 +47,12 @@
 
     /** When a message of a bucket that is due then gets its final answer if it still waits. */
     interface Ends {
-        long end(long now, Bucket b, long due);
+        long end(long now, DispatchQueue b, long due);
     }
 
     /** The index of a bucket's messages. */
     interface Shapes {
-        IndexShape shape(long now, Bucket b, IndexShape into);
+        AtcIndex shape(long now, DispatchQueue b, AtcIndex into);
     }
 
     /** Added to bounds of the index, so that rounding never makes one too small. */
@@ -63,12 +63,12 @@
     private final double fadeSpan;
     private final Ends ends;
     private final Shapes shapes;
-    private final IndexShape shape = new IndexShape();
+    private final AtcIndex shape = new AtcIndex();
     private final TreeMap<Double, Load> loads = new TreeMap<>();
     /** Buckets that are not empty, and those with ready messages for a destination that is not asleep. */
-    final List<Bucket> buckets = new ArrayList<>();
+    final List<DispatchQueue> buckets = new ArrayList<>();
     /** Those with something to send stand in arrays, so that a choice goes over numbers that lie side by side. */
-    private Bucket[] awake = new Bucket[64];
+    private DispatchQueue[] awake = new DispatchQueue[64];
 
     private double[] gains = new double[64];
     /** What of the service time fades, as a share of what does not and as of {@link #epoch}. */
@@ -79,20 +79,20 @@
     private int awakes;
     private double[] bounds = new double[64];
     private int[] best = new int[64];
-    private final TopQueue<Bucket> top = new TopQueue<>();
+    private final MaxHeap<DispatchQueue> top = new MaxHeap<>();
     private long choice;
     /** The highest bound of those that this choice has left out so far. */
     private double rest;
     /** Ends that come, pauses and rests that are over, times up to which messages may be repeated, sleeps that are over. */
-    private final TimeQueue<Bucket> endsDue = new TimeQueue<>();
+    private final IndexedTimerHeap<DispatchQueue> endsDue = new IndexedTimerHeap<>();
 
-    private final TimeQueue<Message> pauses = new TimeQueue<>();
-    private final TimeQueue<Message> lapses = new TimeQueue<>();
-    private final TimeQueue<Destination> opens = new TimeQueue<>();
+    private final IndexedTimerHeap<PendingMessage> pauses = new IndexedTimerHeap<>();
+    private final IndexedTimerHeap<PendingMessage> lapses = new IndexedTimerHeap<>();
+    private final IndexedTimerHeap<Destination> opens = new IndexedTimerHeap<>();
     /** Those that may have had all attempts: to be looked at in the next turn. */
-    final List<Message> exhausted = new ArrayList<>();
+    final List<PendingMessage> exhausted = new ArrayList<>();
 
-    private final List<Message> over = new ArrayList<>();
+    private final List<PendingMessage> over = new ArrayList<>();
     int waiting;
     /** Usual latency over all destinations: what one that never answered is taken to need. */
     double usualLatency;
@@ -102,7 +102,7 @@
     private int changes;
 
     /** {@code fadeSpan}: what was learned of a service time falls to 1/e of its excess in so many microseconds. */
-    Hold(double fadeSpan, Ends ends, Shapes shapes) {
+    PendingMessages(double fadeSpan, Ends ends, Shapes shapes) {
         this.fadeSpan = fadeSpan;
         this.ends = ends;
         this.shapes = shapes;
@@ -111,13 +111,13 @@
     // ---- Messages. ----
 
     /** Unless it is over it waits to be sent, and may be sent until {@code lapses}, MAX_VALUE for no bound but its time. */
-    void await(long now, Message m, long lapses) {
+    void await(long now, PendingMessage m, long lapses) {
         if (m.ended) {
             return;
         }
         add(m);
         if (lapses != Long.MAX_VALUE) {
-            m.lapse = m.lapse == null ? new TimeQueue.Entry<>(m) : m.lapse;
+            m.lapse = m.lapse == null ? new IndexedTimerHeap.Entry<>(m) : m.lapse;
             this.lapses.set(m.lapse, lapses);
         }
         if (m.attempts > 0) {
@@ -128,7 +128,7 @@
     }
 
     /** Whether it has its key's turn, and may go now or when to look at that again; null and what does not wait are left. */
-    void look(long now, Message m) {
+    void look(long now, PendingMessage m) {
         if (m == null || !m.waits) {
             return;
         }
@@ -141,17 +141,17 @@
 
     /** Pauses, rests and sleeps that are over by now. */
     void advance(long now) {
-        for (TimeQueue.Entry<Message> next; (next = pauses.poll(now)) != null; ) {
+        for (IndexedTimerHeap.Entry<PendingMessage> next; (next = pauses.poll(now)) != null; ) {
             look(now, next.of());
         }
-        for (TimeQueue.Entry<Destination> next; (next = opens.poll(now)) != null; ) {
+        for (IndexedTimerHeap.Entry<Destination> next; (next = opens.poll(now)) != null; ) {
             wake(next.of());
         }
     }
 
     /** When the next message has to be ended, MAX_VALUE for never. */
     long nextEnd(long now) {
-        TimeQueue.Entry<Bucket> end = endsDue.peek();
+        IndexedTimerHeap.Entry<DispatchQueue> end = endsDue.peek();
         for (; end != null && ends.end(now, end.of(), end.of().first) > end.at(); end = endsDue.peek()) {
             endsDue.set(end, ends.end(now, end.of(), end.of().first));
         }
@@ -165,33 +165,33 @@
                 opens.peek() == null ? Long.MAX_VALUE : opens.peek().at() + EARLY);
     }
 
-    private static long at(TimeQueue.Entry<?> entry) {
+    private static long at(IndexedTimerHeap.Entry<?> entry) {
         return entry == null ? Long.MAX_VALUE : entry.at();
     }
 
     /** Those whose end has come, that may not be sent again, or have had so many attempts, in their order. */
-    List<Message> over(long now, int attempts) {
+    List<PendingMessage> over(long now, int attempts) {
         over.clear();
-        for (Message m : exhausted) {
+        for (PendingMessage m : exhausted) {
             if (m.waits && m.attempts >= attempts) {
                 over.add(m);
             }
         }
         exhausted.clear();
-        for (TimeQueue.Entry<Message> next; (next = lapses.poll(now)) != null; ) {
+        for (IndexedTimerHeap.Entry<PendingMessage> next; (next = lapses.poll(now)) != null; ) {
             over.add(next.of());
         }
         if (usualLatency > queuedUsual && anyUnknown()) {
-            for (Bucket b : buckets) {
+            for (DispatchQueue b : buckets) {
                 if (!b.destination.measured) {
                     queueEnd(now, b);
                 }
             }
         }
         queuedUsual = usualLatency;
-        for (TimeQueue.Entry<Bucket> next; (next = endsDue.poll(now)) != null; ) {
-            Bucket b = next.of();
-            Message m = b.tree.first();
+        for (IndexedTimerHeap.Entry<DispatchQueue> next; (next = endsDue.poll(now)) != null; ) {
+            DispatchQueue b = next.of();
+            PendingMessage m = b.tree.first();
             while (m != null && ends.end(now, b, m.due) <= now) {
                 over.add(m);
                 m = b.tree.after(m.due, m.number, Long.MAX_VALUE, false);
@@ -219,7 +219,7 @@
     }
 
     /** Ends are queued for when they come at the soonest: service times fall by themselves, and rise only with news. */
-    private void queueEnd(long now, Bucket b) {
+    private void queueEnd(long now, DispatchQueue b) {
         if (b.tree.size() > 0) {
             long end = ends.end(now, b, b.first);
             if (!b.end.queued() || end < b.end.at()) {
@@ -228,8 +228,8 @@
         }
     }
 
-    private void add(Message m) {
-        Bucket b = bucket(m);
+    private void add(PendingMessage m) {
+        DispatchQueue b = bucket(m);
         m.bucket = b;
         m.waits = true;
         b.tree.add(m, false, false);
@@ -242,9 +242,9 @@
         }
     }
 
-    private static Bucket bucket(Message m) {
+    private static DispatchQueue bucket(PendingMessage m) {
         Destination d = m.destination;
-        for (Bucket b : d.buckets) {
+        for (DispatchQueue b : d.buckets) {
             if (b.worth == m.worth && (b.type == m.type || b.type.equals(m.type))) {
                 return b;
             }
@@ -252,17 +252,17 @@
         if (d.buckets.size() >= BUCKETS) {
             d.buckets.removeIf(b -> b.place < 0 && b.counted == 0);
         }
-        Bucket fresh = new Bucket(d, m.type, m.worth);
+        DispatchQueue fresh = new DispatchQueue(d, m.type, m.worth);
         d.buckets.add(fresh);
         return fresh;
     }
 
     /** Waits no more: it goes out, or is over. To be recounted behind it. */
-    void remove(Message m) {
+    void remove(PendingMessage m) {
         if (!m.waits) {
             return;
         }
-        Bucket b = m.bucket;
+        DispatchQueue b = m.bucket;
         boolean wasReady = m.ready();
         m.waits = false;
         waiting--;
@@ -284,20 +284,20 @@
         }
     }
 
-    private static void dequeue(TimeQueue<Message> queue, TimeQueue.Entry<Message> entry) {
+    private static void dequeue(IndexedTimerHeap<PendingMessage> queue, IndexedTimerHeap.Entry<PendingMessage> entry) {
         if (entry != null) {
             queue.remove(entry);
         }
     }
 
     /** {@code again}: when that is to be looked at anew, MAX_VALUE for never. */
-    private void mark(Message m, boolean turn, boolean ready, long again) {
+    private void mark(PendingMessage m, boolean turn, boolean ready, long again) {
         boolean wasReady = m.ready();
         m.bucket.tree.mark(m, ready, turn);
         if (again == Long.MAX_VALUE) {
             dequeue(pauses, m.pause);
         } else {
-            m.pause = m.pause == null ? new TimeQueue.Entry<>(m) : m.pause;
+            m.pause = m.pause == null ? new IndexedTimerHeap.Entry<>(m) : m.pause;
             pauses.set(m.pause, again);
         }
         if (ready != wasReady) {
@@ -305,7 +305,7 @@
         }
     }
 
-    private void readied(Bucket b, long due, boolean ready) {
+    private void readied(DispatchQueue b, long due, boolean ready) {
         if (ready) {
             b.firstReady = b.tree.readies() == 1 ? due : Math.min(b.firstReady, due);
         } else if (b.tree.readies() > 0 && due == b.firstReady) {
@@ -314,7 +314,7 @@
         list(b);
     }
 
-    private void list(Bucket b) {
+    private void list(DispatchQueue b) {
         boolean listed = b.tree.readies() > 0 && !b.destination.asleep;
         if (listed && b.awakePlace < 0) {
             if (awakes == awake.length) {
@@ -326,7 +326,7 @@
             b.awakePlace = awakes;
             awake[awakes++] = b;
         } else if (!listed && b.awakePlace >= 0) {
-            Bucket last = awake[--awakes];
+            DispatchQueue last = awake[--awakes];
             awake[awakes] = null;
             if (last != b) {
                 awake[b.awakePlace] = last;
@@ -340,7 +340,7 @@
         figures(b);
     }
 
-    private void figures(Bucket b) {
+    private void figures(DispatchQueue b) {
         if (b.awakePlace >= 0) {
             fade(b.countedAt);
             gains[b.awakePlace] = b.destination.measured ? b.gain : Double.NaN;
@@ -372,7 +372,7 @@
     // ---- Service times. ----
 
     /** What a message needs: what was learned, or where nothing was the usual latency, or the class's aim. */
-    double serviceTime(long now, Destination d, Relay.MessageClass type) {
+    double serviceTime(long now, Destination d, DeliveryScheduler.MessageClass type) {
         if (d.measured) {
             fade(now, d);
             return d.p;
@@ -380,15 +380,15 @@
         return usualLatency > 0 ? usualLatency : type.aim();
     }
 
-    double serviceTime(long now, Message m) {
+    double serviceTime(long now, PendingMessage m) {
         return serviceTime(now, m.destination, m.type);
     }
 
     /** The service times of all that is out to a scope and not over. */
-    double timeOut(long now, State.Scope scope) {
+    double timeOut(long now, SchedulerState.UpstreamHealth scope) {
         double time = 0;
-        for (State.Call call : scope.calls) {
-            for (Message m : call.load) {
+        for (SchedulerState.Call call : scope.calls) {
+            for (PendingMessage m : call.load) {
                 time += m.out == call && !m.ended ? serviceTime(now, m) : 0;
             }
         }
@@ -406,7 +406,7 @@
 
     private static double usual(Destination d) {
         double usual = d.p;
-        for (State.Endpoint point : d.endpoints) {
+        for (SchedulerState.Endpoint point : d.endpoints) {
             usual = point.scope.usual > 0 ? Math.min(usual, point.scope.usual) : usual;
         }
         return usual;
@@ -417,7 +417,7 @@
         fade(now, d);
         double steady = d.calls > 0 ? d.p : usual(d);
         count(now, d, steady, d.p - steady);
-        for (Bucket b : d.buckets) {
+        for (DispatchQueue b : d.buckets) {
             queueEnd(now, b);
         }
     }
@@ -436,7 +436,7 @@
     // ---- By the index. ----
 
     /** No message of the bucket that is due then or later has a higher index; {@code k}: the span of pressure. */
-    double bound(long now, Bucket b, long due, double k) {
+    double bound(long now, DispatchQueue b, long due, double k) {
         double gain = b.destination.measured
                 ? b.gain
                 : Math.log(b.worth * b.destination.odds / serviceTime(now, b.destination, b.type));
@@ -484,7 +484,7 @@
     }
 
     /** The next to look at, null where there is none; the first time it stands there by its bound alone ({@code begun}). */
-    Bucket candidate(long now, double k) {
+    DispatchQueue candidate(long now, double k) {
         if (rest > Double.NEGATIVE_INFINITY && (top.isEmpty() || top.key() <= rest)) {
             all(now, k);
         }
@@ -492,7 +492,7 @@
     }
 
     /** It has more, by where its walk is. */
-    void candidateAgain(Bucket b) {
+    void candidateAgain(DispatchQueue b) {
         top.push(b, b.walk.index(), b.walk.here().number);
     }
 
@@ -517,7 +517,7 @@
         return fade;
     }
 
-    /** As {@link #bound(long, Bucket, long, double)}, and nearer: by the service time that it has now. */
+    /** As {@link #bound(long, DispatchQueue, long, double)}, and nearer: by the service time that it has now. */
     private double bound(int i, long now, double k, double fade) {
         double gain = gains[i];
         if (Double.isNaN(gain)) {
@@ -533,7 +533,7 @@
         return ((bits >> 52) - 1_023) * LN_2 + 3 * (m * m - 1) / (m * m + 4 * m + 1);
     }
 
-    private void put(Bucket b, double bound) {
+    private void put(DispatchQueue b, double bound) {
         if (b.choice != choice) {
             b.choice = choice;
             b.begun = false;
@@ -542,7 +542,7 @@
     }
 
     /** How many of a bucket have an index that is no less. */
-    int ahead(long now, Bucket b, double index, double k) {
+    int ahead(long now, DispatchQueue b, double index, double k) {
         return b.tree.size() == 0 || bound(now, b, b.first, k) < index
                 ? 0
                 : shapes.shape(now, b, shape).atLeast(b.tree, index);
@@ -552,7 +552,7 @@
     double timeAhead(long now, double worth, double index, double k) {
         double sum = 0;
         if (!loads.headMap(worth, false).isEmpty()) {
-            for (Bucket b : buckets) {
+            for (DispatchQueue b : buckets) {
                 int n = b.worth < worth ? ahead(now, b, index, k) : 0;
                 sum += n > 0 ? n * serviceTime(now, b.destination, b.type) : 0;
             }
@@ -561,16 +561,16 @@
     }
 
     /** The one with the least index of all that wait; buckets that cannot have it are not looked into. */
-    Message least(long now, double k) {
-        Message least = null;
+    PendingMessage least(long now, double k) {
+        PendingMessage least = null;
         double lowest = 0;
-        for (Bucket b : buckets) {
+        for (DispatchQueue b : buckets) {
             double slowest = Math.max(b.destination.p, serviceTime(now, b.destination, b.type));
             double floor = Math.log(b.worth * b.destination.odds * Math.min(1, b.type.lateShare()) / slowest)
                     - NEAR
                     - Math.max(b.last - now, 0) / k;
             if (least == null || floor <= lowest) {
-                Message m = shapes.shape(now, b, shape).least(b.tree);
+                PendingMessage m = shapes.shape(now, b, shape).least(b.tree);
                 double index = shape.index(m.due);
                 if (least == null || index < lowest || index == lowest && m.number < least.number) {
                     least = m;
@@ -588,7 +588,7 @@
      * called when either has changed, or how many wait.
      */
     private void count(long now, Destination d, double steady, double fading) {
-        for (Bucket b : d.buckets) {
+        for (DispatchQueue b : d.buckets) {
             Load load = loads.get(b.worth);
             if (b.counted > 0 && load != null) {
                 if (b.steady < 0) {
@@ -628,7 +628,7 @@
             load.unknown = 0;
             return true;
         });
-        for (Bucket b : buckets) {
+        for (DispatchQueue b : buckets) {
             Load load = loads.computeIfAbsent(b.worth, w -> new Load(fadeSpan));
             if (b.steady < 0) {
                 load.unknown += b.counted;
--- a/decisions/src/main/java/amberroute/State.java
+++ b/decisions/src/main/java/amberroute/decisions/SchedulerState.java
@@ -1,31 +1,31 @@
-package amberroute;
+package amberroute.decisions;
 
-import amberroute.order.DueTree;
-import amberroute.order.TimeQueue;
-import amberroute.order.Walk;
+import amberroute.decisions.collections.DueDateTreap;
+import amberroute.decisions.collections.IndexOrderIterator;
+import amberroute.decisions.collections.IndexedTimerHeap;
 import java.util.ArrayList;
 import java.util.List;
 
 /** What a sender remembers; every decision on it is in {@link Policy}. */
-final class State {
-    private State() {}
+final class SchedulerState {
+    private SchedulerState() {}
 
-    enum Breaker {
+    enum BreakerState {
         CLOSED,
         OPEN,
         RAMP
     }
 
-    static final class Message extends DueTree.Node<Message> {
+    static final class PendingMessage extends DueDateTreap.Node<PendingMessage> {
         long id;
-        Relay.MessageClass type;
+        DeliveryScheduler.MessageClass type;
         Destination destination;
-        Bucket bucket;
-        KeyTurn turn;
+        DispatchQueue bucket;
+        KeyQueue turn;
         /** Neighbours in the key's order. */
-        Message ahead;
+        PendingMessage ahead;
 
-        Message behind;
+        PendingMessage behind;
         double worth;
         int attempts;
         int timeOuts;
@@ -44,9 +44,9 @@
         Endpoint failedAt;
         long notBefore;
         /** When its pause or its key's rest is over, and until when it may be sent again; null until there was one. */
-        TimeQueue.Entry<Message> pause;
+        IndexedTimerHeap.Entry<PendingMessage> pause;
 
-        TimeQueue.Entry<Message> lapse;
+        IndexedTimerHeap.Entry<PendingMessage> lapse;
 
         /** From 0 to 1, evenly; the same for all messages of a key, at every sender. */
         double lot() {
@@ -55,14 +55,14 @@
     }
 
     /** The messages of one destination, class and worth that wait to be sent. */
-    static final class Bucket {
+    static final class DispatchQueue {
         final Destination destination;
-        final Relay.MessageClass type;
+        final DeliveryScheduler.MessageClass type;
         final double worth;
-        final DueTree<Message> tree = new DueTree<>();
-        final Walk<Message> walk = new Walk<>(tree);
+        final DueDateTreap<PendingMessage> tree = new DueDateTreap<>();
+        final IndexOrderIterator<PendingMessage> walk = new IndexOrderIterator<>(tree);
         /** When its first message has to be ended: never later than it really has to be. */
-        final TimeQueue.Entry<Bucket> end = new TimeQueue.Entry<>(this);
+        final IndexedTimerHeap.Entry<DispatchQueue> end = new IndexedTimerHeap.Entry<>(this);
         /** The earliest due date of those that are ready, the earliest and the latest of all. */
         long firstReady;
 
@@ -85,7 +85,7 @@
 
         boolean begun;
 
-        Bucket(Destination destination, Relay.MessageClass type, double worth) {
+        DispatchQueue(Destination destination, DeliveryScheduler.MessageClass type, double worth) {
             this.destination = destination;
             this.type = type;
             this.worth = worth;
@@ -95,7 +95,7 @@
     static final class Call {
         Endpoint endpoint;
         long sentAt;
-        final List<Message> load = new ArrayList<>(1);
+        final List<PendingMessage> load = new ArrayList<>(1);
         int messages;
         int waiting;
         boolean noted;
@@ -119,8 +119,8 @@
         int zone;
         int messagesPerCall = 1;
         Destination destination;
-        Scope scope;
-        Relay.Listed state;
+        UpstreamHealth scope;
+        DeliveryScheduler.EndpointState state;
         int inFlight;
         int connections;
         long lastUse = Long.MIN_VALUE / 2;
@@ -135,11 +135,11 @@
 
     static final class Destination {
         final List<Endpoint> endpoints = new ArrayList<>(2);
-        final Ceiling ceiling = new Ceiling();
+        final FleetRateLimit ceiling = new FleetRateLimit();
         /** What a call costs the fleet; nothing where nobody tells. */
-        Relay.Event.Price price = Relay.Event.Price.NONE;
+        DeliveryScheduler.Event.AdmissionPriceChanged price = DeliveryScheduler.Event.AdmissionPriceChanged.NONE;
 
-        final Scope shared;
+        final UpstreamHealth shared;
         double p;
         boolean measured;
         /** Up to when p is as it was learned. */
@@ -150,7 +150,7 @@
         int leastRisk;
 
         long judged;
-        final List<Bucket> buckets = new ArrayList<>(2);
+        final List<DispatchQueue> buckets = new ArrayList<>(2);
         /** Messages for it, those that are out too, and calls to it. */
         int held;
 
@@ -163,26 +163,26 @@
         /** Nothing can be sent there until this time, or until something happens there. */
         boolean asleep;
 
-        final TimeQueue.Entry<Destination> opens = new TimeQueue.Entry<>(this);
+        final IndexedTimerHeap.Entry<Destination> opens = new IndexedTimerHeap.Entry<>(this);
 
-        Destination(Scope shared) {
+        Destination(UpstreamHealth shared) {
             this.shared = shared;
         }
     }
 
     /** The messages of a key in their order, linked by themselves. */
-    static final class KeyTurn {
+    static final class KeyQueue {
         final long key;
-        Message first;
-        private Message last;
+        PendingMessage first;
+        private PendingMessage last;
         long restUntil;
-        Message restsAfter;
+        PendingMessage restsAfter;
 
-        KeyTurn(long key) {
+        KeyQueue(long key) {
             this.key = key;
         }
 
-        void add(Message m) {
+        void add(PendingMessage m) {
             m.turn = this;
             m.ahead = last;
             if (last == null) {
@@ -193,7 +193,7 @@
             last = m;
         }
 
-        void remove(Message m) {
+        void remove(PendingMessage m) {
             if (m.ahead == null && first != m) {
                 return;
             }
@@ -213,12 +213,12 @@
     }
 
     /** Exponentially averaged rate. */
-    static final class Rate {
+    static final class DecayingRate {
         private final double span;
         private double sum;
         private long at;
 
-        Rate(double span) {
+        DecayingRate(double span) {
             this.span = span;
         }
 
@@ -242,15 +242,15 @@
     }
 
     /** Health and limits of what shares one limit and one fate. */
-    static final class Scope {
+    static final class UpstreamHealth {
         /** Whose it is: a destination's, or one endpoint's where that is not 0. */
         final int destination;
 
         final long endpoint;
         final List<Endpoint> members = new ArrayList<>();
         final List<Call> calls = new ArrayList<>();
-        final Rate sent;
-        final Rate served;
+        final DecayingRate sent;
+        final DecayingRate served;
         double usual;
         double present;
         long waitUntil;
@@ -267,7 +267,7 @@
         /** Share of recent calls that may have run and were not answered as done. */
         double harm;
 
-        Breaker breaker = Breaker.CLOSED;
+        BreakerState breaker = BreakerState.CLOSED;
         int trials;
         long openedAt;
         long trialAt;
@@ -295,21 +295,21 @@
         }
 
         /** What of it has to outlast the process. */
-        Relay.Memory memory(long now) {
-            Relay.Health health =
+        DeliveryScheduler.HealthCheckpoint memory(long now) {
+            DeliveryScheduler.UpstreamStatus health =
                     switch (breaker) {
-                        case OPEN -> Relay.Health.OUT;
-                        case RAMP -> Relay.Health.COLD;
-                        case CLOSED -> Relay.Health.WELL;
+                        case OPEN -> DeliveryScheduler.UpstreamStatus.OUT;
+                        case RAMP -> DeliveryScheduler.UpstreamStatus.COLD;
+                        case CLOSED -> DeliveryScheduler.UpstreamStatus.WELL;
                     };
-            long since = now - (health == Relay.Health.OUT ? openedAt : rampFrom);
-            return new Relay.Memory(destination, endpoint, health, since, formerPace, usual);
+            long since = now - (health == DeliveryScheduler.UpstreamStatus.OUT ? openedAt : rampFrom);
+            return new DeliveryScheduler.HealthCheckpoint(destination, endpoint, health, since, formerPace, usual);
         }
 
         /** What another process should know that goes on with it at once. */
-        Relay.Learned learned(long now) {
+        DeliveryScheduler.UpstreamSnapshot learned(long now) {
             Destination d = members.get(0).destination;
-            return new Relay.Learned(
+            return new DeliveryScheduler.UpstreamSnapshot(
                     memory(now),
                     Math.max(0, waitUntil - now),
                     Math.max(0, backoffUntil - now),
@@ -325,7 +325,7 @@
                     harm);
         }
 
-        void take(long now, Relay.Learned l) {
+        void take(long now, DeliveryScheduler.UpstreamSnapshot l) {
             present = l.present();
             formerPace = l.memory().pace();
             waitUntil = now + l.waitLeft();
@@ -339,16 +339,16 @@
             harm = l.harm();
         }
 
-        Scope(int destination, long endpoint, double sentSpan, double servedSpan) {
+        UpstreamHealth(int destination, long endpoint, double sentSpan, double servedSpan) {
             this.destination = destination;
             this.endpoint = endpoint;
-            sent = new Rate(sentSpan);
-            served = new Rate(servedSpan);
+            sent = new DecayingRate(sentSpan);
+            served = new DecayingRate(servedSpan);
         }
     }
 
     /** An account of messages that may be sent; it saves up one at most, so that nothing comes in a burst. */
-    static final class Ceiling {
+    static final class FleetRateLimit {
         private double perSecond = Double.POSITIVE_INFINITY;
         private double saved;
         private long at;
--- a/decisions/src/main/java/amberroute/order/IndexShape.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/AtcIndex.java
@@ -1,4 +1,4 @@
-package amberroute.order;
+package amberroute.decisions.collections;
 
 import java.util.Arrays;
 
@@ -12,7 +12,7 @@
  * falls evenly it is (a + b·d)·exp(−d / K), which has one peak, K − a/b. Where it halves it is a stair, falling on each step. What
  * cannot be answered before it is due has the late share left.
  */
-public final class IndexShape {
+public final class AtcIndex {
     /** Steps of a stair; what lies below the last has less than 2^−60 of its worth left, and is taken for one step. */
     private static final int STEPS = 60;
 
@@ -162,7 +162,7 @@
     // ---- Questions to a tree of such messages; divide() comes first. ----
 
     /** How many have this index or a higher one. */
-    public <N extends DueTree.Node<N>> int atLeast(DueTree<N> tree, double least) {
+    public <N extends DueDateTreap.Node<N>> int atLeast(DueDateTreap<N> tree, double least) {
         int count = 0;
         for (int i = 0; i < pieces; i++) {
             if (rising[i]) {
@@ -175,7 +175,7 @@
     }
 
     /** The one with the least index, of equals the one with the smallest number; null in an empty tree. */
-    public <N extends DueTree.Node<N>> N least(DueTree<N> tree) {
+    public <N extends DueDateTreap.Node<N>> N least(DueDateTreap<N> tree) {
         N least = null;
         double lowest = 0;
         for (int i = 0; i < pieces; i++) {
--- a/decisions/src/main/java/amberroute/order/FadingSum.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DecayingSum.java
@@ -1,18 +1,18 @@
-package amberroute.order;
+package amberroute.decisions.collections;
 
 /**
  * A sum whose terms are each a constant and a part that fades at one rate common to all, so that the sum of those fades as a
  * whole: its value at any time costs one exponential, however many terms it has. Adding and taking away leaves errors of some
  * 1e-16 of the largest term each time; {@link #clear} and adding anew rids it of them.
  */
-public final class FadingSum {
+public final class DecayingSum {
     private final double span;
     private double constant;
     private double fading;
     private long at;
 
     /** {@code span}: the microseconds in which the fading parts fall to 1/e. */
-    public FadingSum(double span) {
+    public DecayingSum(double span) {
         this.span = span;
     }
 
--- a/decisions/src/main/java/amberroute/order/DueTree.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
@@ -1,4 +1,4 @@
-package amberroute.order;
+package amberroute.decisions.collections;
 
 import java.util.function.LongPredicate;
 
@@ -7,7 +7,7 @@
  * messages themselves, so that nothing is allocated. Priorities are a hash of the number, so the same messages give the same
  * tree. Counts, with and without marks, cost the logarithm of the size on average.
  */
-public final class DueTree<N extends DueTree.Node<N>> {
+public final class DueDateTreap<N extends DueDateTreap.Node<N>> {
     /** What stands in a tree; in one at a time. */
     public abstract static class Node<N extends Node<N>> {
         /** Due date and number; neither may change while it stands in a tree. */
--- a/decisions/src/main/java/amberroute/order/Walk.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexOrderIterator.java
@@ -1,4 +1,4 @@
-package amberroute.order;
+package amberroute.decisions.collections;
 
 import java.util.Arrays;
 
@@ -7,19 +7,19 @@
  * numbers. A step costs the logarithm of the tree's size for each stretch in which the index only falls or rises. The
  * tree may lose what the walk has been at, and nothing else may change in it meanwhile.
  */
-public final class Walk<N extends DueTree.Node<N>> {
-    private final DueTree<N> tree;
-    private final IndexShape shape = new IndexShape();
+public final class IndexOrderIterator<N extends DueDateTreap.Node<N>> {
+    private final DueDateTreap<N> tree;
+    private final AtcIndex shape = new AtcIndex();
     private Object[] next = new Object[8];
     private double[] keys = new double[8];
     private int at;
 
-    public Walk(DueTree<N> tree) {
+    public IndexOrderIterator(DueDateTreap<N> tree) {
         this.tree = tree;
     }
 
     /** To be set and divided before {@link #begin}. */
-    public IndexShape shape() {
+    public AtcIndex shape() {
         return shape;
     }
 
@@ -63,7 +63,7 @@
         return highest();
     }
 
-    /** Passes over all else of the stretch it is in, as given to {@link IndexShape#divide}; false where nothing is left. */
+    /** Passes over all else of the stretch it is in, as given to {@link AtcIndex#divide}; false where nothing is left. */
     public boolean skip() {
         next[at] = null;
         return highest();
--- a/decisions/src/main/java/amberroute/order/TimeQueue.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexedTimerHeap.java
@@ -1,4 +1,4 @@
-package amberroute.order;
+package amberroute.decisions.collections;
 
 import java.util.Arrays;
 
@@ -7,7 +7,7 @@
  * {@link Entry} of its own. Nothing is allocated but the array; {@link #set} and {@link #remove} cost the logarithm of the size.
  * Equal times come in no particular order.
  */
-public final class TimeQueue<T> {
+public final class IndexedTimerHeap<T> {
     /** A thing's place in one queue. */
     public static final class Entry<T> {
         private final T of;
--- a/decisions/src/main/java/amberroute/order/TopQueue.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/MaxHeap.java
@@ -1,4 +1,4 @@
-package amberroute.order;
+package amberroute.decisions.collections;
 
 import java.util.Arrays;
 
@@ -6,7 +6,7 @@
  * Things by a key, the greatest first, equal keys by their number, the smallest first. The arrays are kept from one use to the
  * next. {@link #add} is for many at once, {@link #push} for one at a time.
  */
-public final class TopQueue<T> {
+public final class MaxHeap<T> {
     private double[] keys = new double[64];
     private long[] numbers = new long[64];
     private Object[] things = new Object[64];
--- a/decisions/src/main/java/amberroute/order/package-info.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/package-info.java
@@ -3,4 +3,4 @@
  * here decides anything, or knows of destinations, calls or rules: {@code amberroute.Policy} does. No I/O, no clock, no
  * threads, no randomness, and no other package of the project. Times are microseconds on the caller's clock.
  */
-package amberroute.order;
+package amberroute.decisions.collections;
--- a/decisions/src/main/java/amberroute/settings/Facts.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
@@ -1,6 +1,6 @@
-package amberroute.settings;
+package amberroute.decisions.settings;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -9,11 +9,11 @@
 import java.util.function.IntFunction;
 
 /** Reads the path=value settings of an instance; the real sender flattens its JSON to the same paths. */
-public final class Facts {
+public final class PlatformSettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
     /** Settings as lines of path=value; other lines are passed over. */
-    public Facts(String text) {
+    public PlatformSettingsReader(String text) {
         for (String line : text.split("\n")) {
             int eq = line.indexOf('=');
             if (eq > 0) {
@@ -23,13 +23,13 @@
     }
 
     /** Settings that already are pairs of path and value. */
-    public Facts(Map<String, String> values) {
+    public PlatformSettingsReader(Map<String, String> values) {
         this.values.putAll(values);
     }
 
     /** The settings in the module's own terms. */
-    public Relay.Settings settings(long seed) {
-        return new Relay.Settings(
+    public DeliveryScheduler.Settings settings(long seed) {
+        return new DeliveryScheduler.Settings(
                 seed,
                 whole("balancers"),
                 whole("az", 0),
@@ -39,69 +39,70 @@
                 lateWorth(),
                 weightKind(),
                 items("lanes", this::messageClass),
-                items("parties", i -> new Relay.Tenant(real("parties." + i + ".quota_per_s"))),
+                items("parties", i -> new DeliveryScheduler.Tenant(real("parties." + i + ".quota_per_s"))),
                 kinds(),
                 limits(),
                 rules(),
-                new Relay.Prices(real("prices.handshake", 0), real("prices.cross_zone", 0), reals("family_info.toll")),
+                new DeliveryScheduler.Prices(
+                        real("prices.handshake", 0), real("prices.cross_zone", 0), reals("family_info.toll")),
                 reportFields());
     }
 
-    private Relay.LateWorth lateWorth() {
+    private DeliveryScheduler.LateValueDecay lateWorth() {
         return values.getOrDefault("family_info.late", "even").equals("by_half")
-                ? Relay.LateWorth.HALVING
-                : Relay.LateWorth.EVEN;
+                ? DeliveryScheduler.LateValueDecay.HALVING
+                : DeliveryScheduler.LateValueDecay.EVEN;
     }
 
-    private Relay.WeightKind weightKind() {
+    private DeliveryScheduler.WeightKind weightKind() {
         return switch (values.getOrDefault("weight_kind", "off")) {
-            case "nominal" -> Relay.WeightKind.NOMINAL;
-            case "rough" -> Relay.WeightKind.ROUGH;
-            default -> Relay.WeightKind.NONE;
+            case "nominal" -> DeliveryScheduler.WeightKind.NOMINAL;
+            case "rough" -> DeliveryScheduler.WeightKind.ROUGH;
+            default -> DeliveryScheduler.WeightKind.NONE;
         };
     }
 
-    private Relay.MessageClass messageClass(int i) {
+    private DeliveryScheduler.MessageClass messageClass(int i) {
         String p = "lanes." + i + ".";
-        Relay.Effect effect =
+        DeliveryScheduler.Effect effect =
                 switch (text(p + "effect")) {
-                    case "pure" -> Relay.Effect.SAFE;
-                    case "token" -> Relay.Effect.KEYED;
-                    case "side_effect" -> Relay.Effect.UNSAFE;
+                    case "pure" -> DeliveryScheduler.Effect.SAFE;
+                    case "token" -> DeliveryScheduler.Effect.KEYED;
+                    case "side_effect" -> DeliveryScheduler.Effect.UNSAFE;
                     default -> throw bad(p + "effect");
                 };
-        Relay.KeyScope scope =
+        DeliveryScheduler.KeyScope scope =
                 switch (values.getOrDefault(p + "dedup_scope", "")) {
-                    case "all" -> Relay.KeyScope.DESTINATION;
-                    case "zone" -> Relay.KeyScope.ZONE;
-                    default -> Relay.KeyScope.ENDPOINT;
+                    case "all" -> DeliveryScheduler.KeyScope.DESTINATION;
+                    case "zone" -> DeliveryScheduler.KeyScope.ZONE;
+                    default -> DeliveryScheduler.KeyScope.ENDPOINT;
                 };
-        return new Relay.MessageClass(
+        return new DeliveryScheduler.MessageClass(
                 real(p + "importance"),
                 real(p + "late_share", 0),
                 micros(p + "goal_time_us"),
                 micros(p + "deadline_us"),
                 effect,
                 scope,
-                effect == Relay.Effect.KEYED ? micros(p + "key_ttl_us") : 0,
+                effect == DeliveryScheduler.Effect.KEYED ? micros(p + "key_ttl_us") : 0,
                 flag(p + "sequential"));
     }
 
-    private List<Relay.Kind> kinds() {
+    private List<DeliveryScheduler.DestinationKind> kinds() {
         List<String> names = list("kinds");
         List<String> apart = list("family_info.routes_apart");
         List<String> perCall = list("family_info.per_call");
-        List<Relay.Kind> out = new ArrayList<>();
+        List<DeliveryScheduler.DestinationKind> out = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             boolean isApart = i < apart.size() && apart.get(i).equals("true");
             int messages = i < perCall.size() ? parse("family_info.per_call", perCall.get(i), Integer::parseInt) : 1;
-            out.add(new Relay.Kind(isApart, messages));
+            out.add(new DeliveryScheduler.DestinationKind(isApart, messages));
         }
         return out;
     }
 
-    private Relay.Limits limits() {
-        return new Relay.Limits(
+    private DeliveryScheduler.Limits limits() {
+        return new DeliveryScheduler.Limits(
                 whole("family_info.calls_out"),
                 whole("allowed.open_cap"),
                 whole("allowed.max_attempts"),
@@ -114,8 +115,8 @@
                 micros("allowed.connect_timeout_us"));
     }
 
-    private Relay.Rules rules() {
-        return new Relay.Rules(
+    private DeliveryScheduler.Rules rules() {
+        return new DeliveryScheduler.Rules(
                 micros("rules.answer_slack_us"),
                 micros("rules.ask_within_us"),
                 real("rules.start_capacity"),
@@ -125,10 +126,10 @@
                 values.containsKey("rules.settle_after_doubt_us") ? micros("rules.settle_after_doubt_us") : 0);
     }
 
-    private Relay.ReportFields reportFields() {
+    private DeliveryScheduler.ReportFields reportFields() {
         boolean inline = values.getOrDefault("reporting.how", "off").equals("inline");
         List<String> names = inline ? list("reporting.names") : List.of();
-        return new Relay.ReportFields(names.indexOf("x0"), names.indexOf("x1"));
+        return new DeliveryScheduler.ReportFields(names.indexOf("x0"), names.indexOf("x1"));
     }
 
     private <T> List<T> items(String path, IntFunction<T> reader) {
@@ -199,7 +200,7 @@
         }
     }
 
-    private static BadInput bad(String path) {
-        return new BadInput("setting " + path + " is missing or cannot be read");
+    private static InvalidSettingsException bad(String path) {
+        return new InvalidSettingsException("setting " + path + " is missing or cannot be read");
     }
 }
--- a/decisions/src/test/java/amberroute/PolicyTest.java
+++ b/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
@@ -1,4 +1,4 @@
-package amberroute;
+package amberroute.decisions;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay.Ending;
-import amberroute.Relay.Event;
-import amberroute.Relay.ListKind;
-import amberroute.Relay.Listed;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.EndpointListKind;
+import amberroute.decisions.DeliveryScheduler.EndpointState;
+import amberroute.decisions.DeliveryScheduler.Event;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,17 +20,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class PolicyTest {
-    private static Script script() {
-        return new Script(Script.settings(8, false, 1));
+class AtcDeliverySchedulerTest {
+    private static SchedulerScript script() {
+        return new SchedulerScript(SchedulerScript.settings(8, false, 1));
     }
 
     /** Ten quick answers, one after the other, so that the usual pace is known. */
-    private static Script warmed(int destination, int endpoints) {
-        Script s = script().list(destination, endpoints);
+    private static SchedulerScript warmed(int destination, int endpoints) {
+        SchedulerScript s = script().list(destination, endpoints);
         for (int i = 0; i < 10; i++) {
-            s.arrive(1000 * destination + i, Script.SAFE, destination).turn();
-            s.pass(200_000).end(1000 * destination + i, Ending.OK).turn();
+            s.arrive(1000 * destination + i, SchedulerScript.SAFE, destination).turn();
+            s.pass(200_000).end(1000 * destination + i, AttemptOutcome.OK).turn();
         }
         return s;
     }
@@ -57,14 +57,14 @@
     }
 
     /** Time passes, and each call is answered after 50 ms. */
-    private static void answering(Script s, long span) {
+    private static void answering(SchedulerScript s, long span) {
         int seen = s.sends.size();
         for (long end = s.now + span; s.now < end; ) {
             s.pass(50_000);
-            List<Script.Send> due = List.copyOf(s.sends.subList(seen, s.sends.size()));
-            for (Script.Send send : due) {
+            List<SchedulerScript.Send> due = List.copyOf(s.sends.subList(seen, s.sends.size()));
+            for (SchedulerScript.Send send : due) {
                 if (s.now - send.at() >= 50_000) {
-                    s.end(send.id(), Ending.OK).turn();
+                    s.end(send.id(), AttemptOutcome.OK).turn();
                     seen++;
                 }
             }
@@ -74,62 +74,69 @@
     /** Worth in the script: 3 safe, 1 keyed, 4 unsafe, 1 ordered. */
     @Test
     void whatIsWorthLessThanACallCostsIsTurnedAwayWithAdvice() {
-        Script s = script().list(1, 1);
-        s.with(new Event.Price(1, 2, 2.4, 1, 500_000)).turn();
-        s.arrive(1, Script.SAFE, 1)
-                .arrive(2, Script.KEYED, 1)
-                .arrive(3, Script.UNSAFE, 1)
-                .arrive(4, Script.KEYED, 2)
+        SchedulerScript s = script().list(1, 1);
+        s.with(new Event.AdmissionPriceChanged(1, 2, 2.4, 1, 500_000)).turn();
+        s.arrive(1, SchedulerScript.SAFE, 1)
+                .arrive(2, SchedulerScript.KEYED, 1)
+                .arrive(3, SchedulerScript.UNSAFE, 1)
+                .arrive(4, SchedulerScript.KEYED, 2)
                 .turn();
         assertEquals(List.of(2L), s.refused);
         // Of what is worth just the price a share goes on, and all of a key or nothing of it.
-        s.with(new Event.Price(1, 0.9, 1.1, 0.5, 500_000)).turn();
+        s.with(new Event.AdmissionPriceChanged(1, 0.9, 1.1, 0.5, 500_000)).turn();
         s.refused.clear();
         for (long id = 100; id < 140; id++) {
-            s.arrive(id, Script.ORDERED, 1, 1 + id % 10);
+            s.arrive(id, SchedulerScript.ORDERED, 1, 1 + id % 10);
         }
         s.turn();
         assertTrue(s.refused.size() >= 8 && s.refused.size() <= 32, s.refused.toString());
         assertEquals(0, s.refused.size() % 4);
         assertTrue(s.refused.stream().allMatch(id -> s.refused.contains(100 + (id - 100) % 10)), s.refused.toString());
         // It costs nothing any more.
-        s.with(Event.Price.NONE).with(new Event.Price(1, 0, 0, 1, 0)).turn();
+        s.with(Event.AdmissionPriceChanged.NONE)
+                .with(new Event.AdmissionPriceChanged(1, 0, 0, 1, 0))
+                .turn();
         s.refused.clear();
-        s.arrive(200, Script.KEYED, 1).turn();
+        s.arrive(200, SchedulerScript.KEYED, 1).turn();
         assertEquals(List.of(), s.refused);
     }
 
     /** Under a ceiling messages leave evenly, and at once when it is lifted. */
     @Test
     void aCeilingHoldsTheFlowToItsRate() {
-        Script s = warmed(1, 1);
+        SchedulerScript s = warmed(1, 1);
         int before = s.sends.size();
-        s.with(new Event.Ceiling(1, 2, 0.5, false)).turn();
+        s.with(new Event.FleetRateLimitChanged(1, 2, 0.5, false)).turn();
         for (int i = 1; i <= 6; i++) {
-            s.arrive(i, Script.SAFE, 1).turn();
+            s.arrive(i, SchedulerScript.SAFE, 1).turn();
         }
         long from = s.now;
         answering(s, 2_000_000);
-        List<Script.Send> sent = s.sends.subList(before, s.sends.size());
+        List<SchedulerScript.Send> sent = s.sends.subList(before, s.sends.size());
         assertEquals(
                 List.of(250_000L, 750_000L, 1_250_000L, 1_750_000L),
                 sent.stream().map(x -> x.at() - from).toList());
-        s.with(new Event.Ceiling(1, 0, 0, false)).turn();
+        s.with(new Event.FleetRateLimitChanged(1, 0, 0, false)).turn();
         answering(s, 1_000_000);
         assertEquals(before + 4, s.sends.size());
-        s.with(new Event.Ceiling(1, Double.POSITIVE_INFINITY, 0, false)).turn();
+        s.with(new Event.FleetRateLimitChanged(1, Double.POSITIVE_INFINITY, 0, false))
+                .turn();
         assertEquals(before + 6, s.sends.size());
     }
 
     /** A call with several messages uses up the ceiling for each of them. */
     @Test
     void aCeilingCountsMessagesAndNotCalls() {
-        Script s = new Script(Script.settings(8, false, 5)).list(1, 1);
-        s.arrive(100, Script.SAFE, 1).turn().pass(50_000).end(100, Ending.OK).turn();
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(8, false, 5)).list(1, 1);
+        s.arrive(100, SchedulerScript.SAFE, 1)
+                .turn()
+                .pass(50_000)
+                .end(100, AttemptOutcome.OK)
+                .turn();
         int before = s.sends.size();
-        s.with(new Event.Ceiling(1, 1, 1, false)).turn();
+        s.with(new Event.FleetRateLimitChanged(1, 1, 1, false)).turn();
         for (int i = 1; i <= 5; i++) {
-            s.arrive(i, Script.SAFE, 1);
+            s.arrive(i, SchedulerScript.SAFE, 1);
         }
         s.turn();
         answering(s, 3_500_000);
@@ -139,66 +146,73 @@
     /** Another daemon was answered: the destination is tried now, not when this sender's own turn comes. */
     @Test
     void newsOfAReturnBringsTheNextTrialForward() {
-        Script s = warmed(1, 1);
-        s.arrive(1, Script.SAFE, 1).turn();
+        SchedulerScript s = warmed(1, 1);
+        s.arrive(1, SchedulerScript.SAFE, 1).turn();
         int ended = 0;
         for (int i = 0; i < 80; i++) {
             int out = s.sends.size();
             if (out > ended + 10) {
-                s.end(1, Ending.CONNECT_FAILED).turn();
+                s.end(1, AttemptOutcome.CONNECT_FAILED).turn();
                 ended++;
             }
             s.pass(50_000);
         }
         // Its last call is out or over; the next of its own would come later than this.
         if (s.sends.size() > ended + 10) {
-            s.end(1, Ending.CONNECT_FAILED).turn();
+            s.end(1, AttemptOutcome.CONNECT_FAILED).turn();
         }
-        s.arrive(2, Script.SAFE, 1).turn();
+        s.arrive(2, SchedulerScript.SAFE, 1).turn();
         int before = s.sends.size();
         s.turn();
         assertEquals(before, s.sends.size(), "a trial was due anyhow");
-        s.with(new Event.Ceiling(1, 100, 1, true)).turn();
+        s.with(new Event.FleetRateLimitChanged(1, 100, 1, true)).turn();
         assertEquals(before + 1, s.sends.size());
     }
 
     @Test
     void higherIndexGoesFirst() {
-        Script s = warmed(1, 1);
-        s.arrive(1, Script.KEYED, 1)
-                .arrive(2, Script.UNSAFE, 1)
-                .arrive(3, Script.SAFE, 1)
+        SchedulerScript s = warmed(1, 1);
+        s.arrive(1, SchedulerScript.KEYED, 1)
+                .arrive(2, SchedulerScript.UNSAFE, 1)
+                .arrive(3, SchedulerScript.SAFE, 1)
+                .turn();
+        s.pass(100_000)
+                .end(2, AttemptOutcome.OK)
+                .turn()
+                .end(3, AttemptOutcome.OK)
                 .turn();
-        s.pass(100_000).end(2, Ending.OK).turn().end(3, Ending.OK).turn();
         assertEquals(
                 List.of(2L, 3L, 1L),
-                s.sends.stream().map(Script.Send::id).filter(id -> id < 100).toList());
+                s.sends.stream()
+                        .map(SchedulerScript.Send::id)
+                        .filter(id -> id < 100)
+                        .toList());
     }
 
     @Test
     void refusesAtOnceWhenTheWaitIsLongerThanTheTimeLeft() {
-        Script s = warmed(1, 1);
+        SchedulerScript s = warmed(1, 1);
         for (int i = 0; i < 40; i++) {
-            s.arrive(1 + i, Script.SAFE, 1);
+            s.arrive(1 + i, SchedulerScript.SAFE, 1);
         }
         s.turn().pass(12_000_000);
-        s.arrive(100, Script.KEYED, 1).turn();
+        s.arrive(100, SchedulerScript.KEYED, 1).turn();
         assertTrue(s.refused.contains(100L), "refused at once: the destination has been silent for long");
     }
 
     @Test
     void messageWithoutEndpointIsHandedBackInTime() {
-        Script s = script().arrive(1, Script.UNSAFE, 9).turn().pass(17_000_000);
+        SchedulerScript s = script().arrive(1, SchedulerScript.UNSAFE, 9).turn().pass(17_000_000);
         assertEquals(List.of(1L), s.refused);
     }
 
     @Test
     void toldWaitHoldsTheWholeDestination() {
-        Script s = warmed(1, 2);
-        s.arrive(1, Script.SAFE, 1)
+        SchedulerScript s = warmed(1, 2);
+        s.arrive(1, SchedulerScript.SAFE, 1)
                 .turn()
-                .end(1, Ending.FULL, 900_000)
-                .arrive(2, Script.SAFE, 1)
+                .end(1, AttemptOutcome.FULL, 900_000)
+                .arrive(2, SchedulerScript.SAFE, 1)
                 .turn();
         assertFalse(s.isOut(2));
         s.pass(1_500_000);
@@ -207,9 +221,17 @@
 
     @Test
     void unsafeIsNeverRepeatedAndKeyedOnlyWhileRemembered() {
-        Script s = warmed(1, 1);
-        s.arrive(1, Script.UNSAFE, 1).turn().end(1, Ending.ERROR).turn().pass(100_000);
-        s.arrive(2, Script.KEYED, 1).turn().end(2, Ending.RESET).turn().pass(16_100_000);
+        SchedulerScript s = warmed(1, 1);
+        s.arrive(1, SchedulerScript.UNSAFE, 1)
+                .turn()
+                .end(1, AttemptOutcome.ERROR)
+                .turn()
+                .pass(100_000);
+        s.arrive(2, SchedulerScript.KEYED, 1)
+                .turn()
+                .end(2, AttemptOutcome.RESET)
+                .turn()
+                .pass(16_100_000);
         assertEquals(List.of(1L), s.failed);
         assertEquals(1, s.sends.stream().filter(x -> x.id() == 1).count());
         assertTrue(s.sends.stream().filter(x -> x.id() == 2).count() > 1);
@@ -217,45 +239,47 @@
 
     @Test
     void unsafeGoesAgainWhenItNeverRan() {
-        Script s = warmed(1, 2);
-        s.arrive(1, Script.UNSAFE, 1).turn();
+        SchedulerScript s = warmed(1, 2);
+        s.arrive(1, SchedulerScript.UNSAFE, 1).turn();
         long first = s.last(1).endpoint();
-        s.end(1, Ending.CONNECT_FAILED).turn();
+        s.end(1, AttemptOutcome.CONNECT_FAILED).turn();
         assertNotEquals(first, s.last(1).endpoint(), "the sibling is tried next");
     }
 
     @Test
     void keysTakeTurnsAndRestAfterDoubt() {
-        Script s = warmed(1, 1);
-        s.arrive(1, Script.ORDERED, 1, 77).arrive(2, Script.ORDERED, 1, 77).turn();
+        SchedulerScript s = warmed(1, 1);
+        s.arrive(1, SchedulerScript.ORDERED, 1, 77)
+                .arrive(2, SchedulerScript.ORDERED, 1, 77)
+                .turn();
         assertTrue(s.isOut(1) && !hasSent(s, 2));
-        s.with(new Event.Withdrawn(1)).turn();
+        s.with(new Event.MessageCancelled(1)).turn();
         assertFalse(hasSent(s, 2), "the earlier attempt is still out");
-        s.end(1, Ending.RESET);
-        s.with(new Event.Withdrawn(1)).turn();
+        s.end(1, AttemptOutcome.RESET);
+        s.with(new Event.MessageCancelled(1)).turn();
         assertFalse(hasSent(s, 2), "the key rests");
     }
 
-    private static boolean hasSent(Script s, long id) {
+    private static boolean hasSent(SchedulerScript s, long id) {
         return s.sends.stream().anyMatch(x -> x.id() == id);
     }
 
     @Test
     void nothingNewToADrainingEndpoint() {
-        Script s = warmed(1, 2).change(1, 0, Listed.DRAINING);
+        SchedulerScript s = warmed(1, 2).change(1, 0, EndpointState.DRAINING);
         for (int i = 1; i < 6; i++) {
-            s.arrive(i, Script.SAFE, 1).turn();
+            s.arrive(i, SchedulerScript.SAFE, 1).turn();
         }
-        s.change(1, 1, Listed.GONE).arrive(9, Script.SAFE, 1).turn();
+        s.change(1, 1, EndpointState.GONE).arrive(9, SchedulerScript.SAFE, 1).turn();
         assertFalse(hasSent(s, 9));
     }
 
     /** Incident of calls that nobody answered: they held all slots until their time-outs. */
     @Test
     void silenceOpensTheBreakerAndGivesSlotsBack() {
-        Script s = warmed(1, 1);
+        SchedulerScript s = warmed(1, 1);
         for (int i = 1; i <= 6; i++) {
-            s.arrive(i, Script.SAFE, 1);
+            s.arrive(i, SchedulerScript.SAFE, 1);
         }
         s.turn().pass(2_500_000);
         assertFalse(s.cancelled.isEmpty(), "silent calls are called off");
@@ -266,32 +290,32 @@
 
     @Test
     void oneSilentEndpointDoesNotShutItsSibling() {
-        Script s = warmed(1, 2);
-        s.arrive(1, Script.SAFE, 1).arrive(2, Script.SAFE, 1).turn();
+        SchedulerScript s = warmed(1, 2);
+        s.arrive(1, SchedulerScript.SAFE, 1).arrive(2, SchedulerScript.SAFE, 1).turn();
         long sick = s.last(1).endpoint();
-        s.end(2, Ending.OK).turn().pass(3_000_000);
+        s.end(2, AttemptOutcome.OK).turn().pass(3_000_000);
         for (int i = 3; i < 10; i++) {
-            s.arrive(i, Script.SAFE, 1).turn();
+            s.arrive(i, SchedulerScript.SAFE, 1).turn();
             assertNotEquals(sick, s.last(i).endpoint());
-            s.pass(100_000).end(i, Ending.OK).turn();
+            s.pass(100_000).end(i, AttemptOutcome.OK).turn();
         }
     }
 
     @Test
     void oneErrorDoesNotShutADestination() {
-        Script s = warmed(1, 1);
-        s.arrive(1, Script.SAFE, 1).turn().end(1, Ending.ERROR).turn();
-        s.arrive(2, Script.SAFE, 1).arrive(3, Script.SAFE, 1).turn();
+        SchedulerScript s = warmed(1, 1);
+        s.arrive(1, SchedulerScript.SAFE, 1).turn().end(1, AttemptOutcome.ERROR).turn();
+        s.arrive(2, SchedulerScript.SAFE, 1).arrive(3, SchedulerScript.SAFE, 1).turn();
         assertTrue(s.isOut(2) && s.isOut(3));
     }
 
     @Test
     void slowStartAfterAnOutage() {
-        Script s = warmed(1, 1);
+        SchedulerScript s = warmed(1, 1);
         for (int i = 1; i <= 20; i++) {
-            s.arrive(i, Script.SAFE, 1).turn();
+            s.arrive(i, SchedulerScript.SAFE, 1).turn();
             if (s.sends.stream().anyMatch(x -> x.id() == i0(s)) && s.isOut(i0(s))) {
-                s.end(i0(s), Ending.CONNECT_FAILED).turn();
+                s.end(i0(s), AttemptOutcome.CONNECT_FAILED).turn();
             }
             s.pass(300_000);
         }
@@ -299,30 +323,30 @@
         while (s.sends.stream().noneMatch(x -> s.isOut(x.id()))) {
             s.pass(100_000);
         }
-        s.end(i0(s), Ending.OK).turn();
+        s.end(i0(s), AttemptOutcome.OK).turn();
         long from = s.now;
         for (int i = 0; i < 30; i++) {
             s.pass(100_000);
             while (s.sends.stream().anyMatch(x -> s.isOut(x.id()))) {
-                s.end(i0(s), Ending.OK).turn();
+                s.end(i0(s), AttemptOutcome.OK).turn();
             }
         }
         assertTrue(s.sendsTo(1, from) <= 6, "sent in the first three seconds: " + s.sendsTo(1, from));
     }
 
     /** The message of the latest attempt. */
-    private static long i0(Script s) {
+    private static long i0(SchedulerScript s) {
         return s.sends.get(s.sends.size() - 1).id();
     }
 
     /** Many senders with little traffic knocked at one door until its limit was used up by refusals. */
     @Test
     void pausesGrowWhileADoorStaysShut() {
-        Script s = warmed(1, 1);
-        s.arrive(1, Script.SAFE, 1).turn();
+        SchedulerScript s = warmed(1, 1);
+        s.arrive(1, SchedulerScript.SAFE, 1).turn();
         for (int i = 0; i < 2_000 && !s.refused.contains(1L); i++) {
             if (s.isOut(1)) {
-                s.end(1, Ending.FULL).turn();
+                s.end(1, AttemptOutcome.FULL).turn();
             }
             s.pass(5_000);
         }
@@ -331,27 +355,35 @@
 
     @Test
     void oneCallCarriesSeveralMessagesInOneSlot() {
-        Script s = new Script(Script.settings(1, false, 3)).list(1, 1);
-        s.arrive(1, Script.SAFE, 1).arrive(2, Script.SAFE, 1).arrive(3, Script.SAFE, 1);
-        s.arrive(4, Script.SAFE, 1).turn();
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(1, false, 3)).list(1, 1);
+        s.arrive(1, SchedulerScript.SAFE, 1).arrive(2, SchedulerScript.SAFE, 1).arrive(3, SchedulerScript.SAFE, 1);
+        s.arrive(4, SchedulerScript.SAFE, 1).turn();
         assertEquals(3, s.sends.size());
     }
 
     /** Idle connections of hundreds of senders filled the tables of destinations that each met seldom. */
     @Test
     void connectionsThatWillNotBeReusedAreShutWhereTablesAreFull() {
-        Script s = warmed(1, 1);
+        SchedulerScript s = warmed(1, 1);
         assertEquals(List.of(), s.closed, "connections are to be had");
-        s.arrive(1, Script.SAFE, 1).turn().end(1, Ending.CONNECT_FAILED).turn().pass(3_000_000);
-        s.end(1, Ending.OK).turn().pass(20_000_000);
-        s.arrive(2, Script.SAFE, 1).turn().pass(200_000).end(2, Ending.OK).turn();
+        s.arrive(1, SchedulerScript.SAFE, 1)
+                .turn()
+                .end(1, AttemptOutcome.CONNECT_FAILED)
+                .turn()
+                .pass(3_000_000);
+        s.end(1, AttemptOutcome.OK).turn().pass(20_000_000);
+        s.arrive(2, SchedulerScript.SAFE, 1)
+                .turn()
+                .pass(200_000)
+                .end(2, AttemptOutcome.OK)
+                .turn();
         int before = s.closed.size();
         assertTrue(before > 0, "a gap longer than its life shows that it serves nobody");
         s.pass(200_000)
-                .arrive(3, Script.SAFE, 1)
+                .arrive(3, SchedulerScript.SAFE, 1)
                 .turn()
                 .pass(200_000)
-                .end(3, Ending.OK)
+                .end(3, AttemptOutcome.OK)
                 .turn();
         assertEquals(before, s.closed.size(), "calls close together keep theirs");
     }
@@ -359,33 +391,38 @@
     /** Connections were dropped unseen while idle, and what was sent on one was lost. */
     @Test
     void connectionsThatFailAfterIdlingAreNotReused() {
-        Script s = warmed(1, 1).list(2, 1);
+        SchedulerScript s = warmed(1, 1).list(2, 1);
         for (int i = 1; i <= 12; i++) {
-            s.pass(1_500_000).arrive(i, Script.UNSAFE, 1).turn().pass(100_000);
+            s.pass(1_500_000).arrive(i, SchedulerScript.UNSAFE, 1).turn().pass(100_000);
             if (s.sends.stream().anyMatch(x -> x.id() < 100) && s.isOut(i)) {
-                s.end(i, Ending.RESET).turn();
+                s.end(i, AttemptOutcome.RESET).turn();
             }
-            s.arrive(100 + i, Script.SAFE, 1).turn();
+            s.arrive(100 + i, SchedulerScript.SAFE, 1).turn();
             for (int k = 0; k < 40; k++) {
                 s.pass(100_000);
                 for (long id : List.of((long) i, 100L + i)) {
                     if (s.isOut(id)) {
-                        s.end(id, Ending.OK).turn();
+                        s.end(id, AttemptOutcome.OK).turn();
                     }
                 }
             }
         }
-        s.arrive(50, Script.SAFE, 1).turn();
+        s.arrive(50, SchedulerScript.SAFE, 1).turn();
         assertFalse(s.closed.isEmpty(), "shut before it is used");
     }
 
     /** With three slots, two unsafe calls without an answer stopped a sender until their deadline. */
     @Test
     void silentUnsafeCallsGiveTheirSlotsBackUnderPressure() {
-        Script s = new Script(Script.settings(2, false, 1)).list(1, 1).list(2, 1);
-        s.arrive(1, Script.UNSAFE, 1).arrive(2, Script.UNSAFE, 1).turn().pass(8_000_000);
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(2, false, 1))
+                .list(1, 1)
+                .list(2, 1);
+        s.arrive(1, SchedulerScript.UNSAFE, 1)
+                .arrive(2, SchedulerScript.UNSAFE, 1)
+                .turn()
+                .pass(8_000_000);
         assertTrue(s.cancelled.isEmpty(), "nobody waits");
-        s.arrive(3, Script.SAFE, 2).turn().pass(100_000);
+        s.arrive(3, SchedulerScript.SAFE, 2).turn().pass(100_000);
         assertTrue(s.isOut(3), "a slot was given back");
         assertEquals(1, s.cancelled.size());
     }
@@ -393,42 +430,46 @@
     /** A slow start that only an answer could end left a destination shut to senders that met it seldom. */
     @Test
     void slowStartEndsWithoutTraffic() {
-        Script s = warmed(1, 1);
-        s.arrive(1, Script.SAFE, 1)
-                .arrive(2, Script.SAFE, 1)
+        SchedulerScript s = warmed(1, 1);
+        s.arrive(1, SchedulerScript.SAFE, 1)
+                .arrive(2, SchedulerScript.SAFE, 1)
                 .turn()
-                .end(1, Ending.CONNECT_FAILED)
+                .end(1, AttemptOutcome.CONNECT_FAILED)
                 .turn();
-        s.end(2, Ending.CONNECT_FAILED).turn().pass(1_000_000);
+        s.end(2, AttemptOutcome.CONNECT_FAILED).turn().pass(1_000_000);
         for (int i = 0; i < 120; i++) {
             for (long id : List.of(1L, 2L)) {
                 if (s.isOut(id)) {
-                    s.end(id, Ending.OK).turn();
+                    s.end(id, AttemptOutcome.OK).turn();
                 }
             }
             s.pass(100_000);
         }
-        s.arrive(5, Script.SAFE, 1).arrive(6, Script.SAFE, 1).turn();
+        s.arrive(5, SchedulerScript.SAFE, 1).arrive(6, SchedulerScript.SAFE, 1).turn();
         assertTrue(s.isOut(5) && s.isOut(6));
     }
 
     /** With one call in tens of seconds an outage was over before a second failure was seen. */
     @Test
     void oneFailureOpensTheBreakerWhereNothingWasAnsweredForLong() {
-        Script s = warmed(1, 1);
-        s.pass(20_000_000).arrive(1, Script.SAFE, 1).turn().end(1, Ending.ERROR).turn();
-        s.arrive(2, Script.SAFE, 1).arrive(3, Script.SAFE, 1).turn();
+        SchedulerScript s = warmed(1, 1);
+        s.pass(20_000_000)
+                .arrive(1, SchedulerScript.SAFE, 1)
+                .turn()
+                .end(1, AttemptOutcome.ERROR)
+                .turn();
+        s.arrive(2, SchedulerScript.SAFE, 1).arrive(3, SchedulerScript.SAFE, 1).turn();
         assertFalse(s.isOut(2) || s.isOut(3));
     }
 
     /** A message whose attempts all failed made a dozen, and hundreds of senders pushed the destination over. */
     @Test
     void aMessageMakesFewAttemptsAtADeadDestination() {
-        Script s = new Script(crowd(7)).list(1, 1);
-        s.arrive(1, Script.SAFE, 1).turn();
+        SchedulerScript s = new SchedulerScript(crowd(7)).list(1, 1);
+        s.arrive(1, SchedulerScript.SAFE, 1).turn();
         while (!s.refused.contains(1L)) {
             if (s.isOut(1)) {
-                s.end(1, Ending.FULL).turn();
+                s.end(1, AttemptOutcome.FULL).turn();
             }
             s.pass(5_000);
         }
@@ -440,21 +481,24 @@
     void sendersRefusedTogetherComeBackFarApart() {
         TreeSet<Long> returns = new TreeSet<>();
         for (int seed = 1; seed <= 20; seed++) {
-            Script s = new Script(crowd(seed)).list(1, 1);
-            s.arrive(1, Script.SAFE, 1).turn().end(1, Ending.FULL).turn();
+            SchedulerScript s = new SchedulerScript(crowd(seed)).list(1, 1);
+            s.arrive(1, SchedulerScript.SAFE, 1)
+                    .turn()
+                    .end(1, AttemptOutcome.FULL)
+                    .turn();
             while (s.sends.size() < 2 && s.refused.isEmpty()) {
                 s.pass(50_000);
             }
-            returns.add(s.now - Script.START);
+            returns.add(s.now - SchedulerScript.START);
         }
         assertTrue(returns.first() >= 8_000_000, "none soon: " + returns);
         assertTrue(returns.last() - returns.first() > 4_000_000 && returns.size() > 12, "apart: " + returns);
     }
 
     /** Settings of one among three hundred senders. */
-    private static Relay.Settings crowd(long seed) {
-        Relay.Settings few = Script.settings(4, false, 1);
-        return new Relay.Settings(
+    private static DeliveryScheduler.Settings crowd(long seed) {
+        DeliveryScheduler.Settings few = SchedulerScript.settings(4, false, 1);
+        return new DeliveryScheduler.Settings(
                 seed,
                 300,
                 0,
@@ -474,23 +518,28 @@
 
     @Test
     void subscribesOnRequestAndRenews() {
-        Script s = new Script(Script.settings(4, true, 1)).turn();
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(4, true, 1)).turn();
         assertEquals(1, s.follows);
-        s.with(new Event.Listing(ListKind.FAILED, List.of())).turn().pass(1_000_000);
+        s.with(new Event.EndpointListUpdated(EndpointListKind.FAILED, List.of()))
+                .turn()
+                .pass(1_000_000);
         assertEquals(2, s.follows);
     }
 
     @Test
     void badSettingsAreNamed() {
-        assertThrows(IllegalArgumentException.class, () -> new Policy(Script.settings(0, false, 1)));
+        assertThrows(
+                IllegalArgumentException.class, () -> new AtcDeliveryScheduler(SchedulerScript.settings(0, false, 1)));
     }
 
     @Test
     void oddEventsAreHarmless() {
-        Script s = warmed(1, 1);
-        s.with(new Event.Outcome(999, 0, 5, Ending.UNKNOWN, 1, false, 0, List.of()));
-        s.with(new Event.Withdrawn(999)).with(new Event.TimerDue(4)).with(new Event.StreamStarted(1, 2));
-        s.with(new Event.Listing(ListKind.FULL, List.of())).turn().pass(100_000);
+        SchedulerScript s = warmed(1, 1);
+        s.with(new Event.AttemptCompleted(999, 0, 5, AttemptOutcome.UNKNOWN, 1, false, 0, List.of()));
+        s.with(new Event.MessageCancelled(999)).with(new Event.TimerExpired(4)).with(new Event.StreamStarted(1, 2));
+        s.with(new Event.EndpointListUpdated(EndpointListKind.FULL, List.of()))
+                .turn()
+                .pass(100_000);
         assertTrue(s.failed.isEmpty());
     }
 
@@ -505,14 +554,15 @@
     /** Instances share nothing: a step of one between the steps of another changes neither. */
     @Test
     void interleavedInstancesActAsAlone() {
-        Script alone = script().list(1, 2);
-        Script first = script().list(1, 2);
-        Script second = script().list(1, 2);
+        SchedulerScript alone = script().list(1, 2);
+        SchedulerScript first = script().list(1, 2);
+        SchedulerScript second = script().list(1, 2);
         for (int i = 0; i < 40; i++) {
-            for (Script s : List.of(alone, first, second)) {
+            for (SchedulerScript s : List.of(alone, first, second)) {
                 s.arrive(i, i % 3, 1).pass(40_000);
                 if (s.isOut(i)) {
-                    s.end(i, i % 5 == 0 ? Ending.FULL : Ending.OK).turn();
+                    s.end(i, i % 5 == 0 ? AttemptOutcome.FULL : AttemptOutcome.OK)
+                            .turn();
                 }
             }
         }
@@ -521,20 +571,20 @@
         assertEquals(alone.sends, second.sends);
     }
 
-    private static List<Script.Send> randomDay(int seed) {
+    private static List<SchedulerScript.Send> randomDay(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Script s = new Script(Script.settings(4, false, 1 + seed % 3))
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(4, false, 1 + seed % 3))
                 .list(1, 2)
                 .list(2, 1)
                 .list(3, 3);
-        Ending[] endings = Ending.values();
+        AttemptOutcome[] endings = AttemptOutcome.values();
         for (int i = 0; i < 300; i++) {
             s.arrive(i, random.nextInt(4), 1 + random.nextInt(3), 1 + random.nextInt(5));
             s.pass(5_000L * random.nextInt(1, 40));
-            for (Script.Send send : List.copyOf(s.sends)) {
+            for (SchedulerScript.Send send : List.copyOf(s.sends)) {
                 if (s.isOut(send.id()) && s.last(send.id()) == send && random.nextInt(3) > 0) {
-                    Ending ending = endings[random.nextInt(2) * random.nextInt(endings.length)];
-                    s.end(send.id(), ending, ending == Ending.FULL ? random.nextInt(1_000_000) : 0);
+                    AttemptOutcome ending = endings[random.nextInt(2) * random.nextInt(endings.length)];
+                    s.end(send.id(), ending, ending == AttemptOutcome.FULL ? random.nextInt(1_000_000) : 0);
                 }
             }
             s.turn();
@@ -546,34 +596,45 @@
     /** One connection carries a call: its messages are given up together, so none outlives its due date. */
     @Test
     void messagesOfOneCallAreGivenUpTogether() {
-        Script s = new Script(Script.settings(1, false, 5)).list(1, 1);
-        s.arrive(9, Script.SAFE, 1).turn().pass(50_000).end(9, Ending.OK).turn();
-        s.arrive(1, Script.SAFE, 1)
-                .arrive(2, Script.UNSAFE, 1)
-                .arrive(3, Script.KEYED, 1)
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(1, false, 5)).list(1, 1);
+        s.arrive(9, SchedulerScript.SAFE, 1)
+                .turn()
+                .pass(50_000)
+                .end(9, AttemptOutcome.OK)
+                .turn();
+        s.arrive(1, SchedulerScript.SAFE, 1)
+                .arrive(2, SchedulerScript.UNSAFE, 1)
+                .arrive(3, SchedulerScript.KEYED, 1)
                 .turn();
         assertEquals(4, s.sends.size());
         assertEquals(
                 1,
-                s.sends.stream().skip(1).map(Script.Send::giveUpAt).distinct().count());
+                s.sends.stream()
+                        .skip(1)
+                        .map(SchedulerScript.Send::giveUpAt)
+                        .distinct()
+                        .count());
         s.pass(16_100_000);
     }
 
     /** An outcome that would come after the kill loses an unsafe message; a repeatable one resumes. */
     @Test
     void startsNoUnsafeAttemptJustBeforeTheProcessEnds() {
-        Script s = warmed(1, 1);
-        s.with(new Relay.Event.Stopping(100_000)).turn();
-        s.arrive(1, Script.UNSAFE, 1).arrive(2, Script.SAFE, 1).turn().pass(50_000);
+        SchedulerScript s = warmed(1, 1);
+        s.with(new DeliveryScheduler.Event.ShutdownStarted(100_000)).turn();
+        s.arrive(1, SchedulerScript.UNSAFE, 1)
+                .arrive(2, SchedulerScript.SAFE, 1)
+                .turn()
+                .pass(50_000);
         assertEquals(0, s.sends.stream().filter(send -> send.id() == 1).count());
         assertEquals(1, s.sends.stream().filter(send -> send.id() == 2).count());
     }
 
     @Test
     void startsUnsafeAttemptsThatEndBeforeTheProcessDoes() {
-        Script s = warmed(1, 1);
-        s.with(new Relay.Event.Stopping(3_600_000)).turn();
-        s.arrive(1, Script.UNSAFE, 1).turn();
+        SchedulerScript s = warmed(1, 1);
+        s.with(new DeliveryScheduler.Event.ShutdownStarted(3_600_000)).turn();
+        s.arrive(1, SchedulerScript.UNSAFE, 1).turn();
         assertEquals(1, s.sends.stream().filter(send -> send.id() == 1).count());
     }
 
@@ -582,21 +643,29 @@
     void holdsTheKeysTurnUntilAnAnswerIsConcluded() {
         List<Long> sent = new ArrayList<>();
         List<Long> answered = new ArrayList<>();
-        Relay.Actions actions = recording(sent, answered);
-        Policy policy = new Policy(Script.settings(4, false, 1), true);
-        long now = Script.START;
+        DeliveryScheduler.Actions actions = recording(sent, answered);
+        AtcDeliveryScheduler policy = new AtcDeliveryScheduler(SchedulerScript.settings(4, false, 1), true);
+        long now = SchedulerScript.START;
+        policy.step(
+                now,
+                new DeliveryScheduler.Event.EndpointListUpdated(
+                        EndpointListKind.FULL,
+                        List.of(new DeliveryScheduler.EndpointEntry(10, 1, EndpointState.READY, 1, 0, 0))),
+                actions);
+        policy.step(
+                now,
+                new DeliveryScheduler.Event.MessageSubmitted(1, SchedulerScript.ORDERED, 0, 5, 9_000_000, 2),
+                actions);
         policy.step(
                 now,
-                new Relay.Event.Listing(ListKind.FULL, List.of(new Relay.Entry(10, 1, Listed.READY, 1, 0, 0))),
+                new DeliveryScheduler.Event.MessageSubmitted(2, SchedulerScript.ORDERED, 0, 5, 16_000_000, 1),
                 actions);
-        policy.step(now, new Relay.Event.Arrival(1, Script.ORDERED, 0, 5, 9_000_000, 2), actions);
-        policy.step(now, new Relay.Event.Arrival(2, Script.ORDERED, 0, 5, 16_000_000, 1), actions);
-        policy.step(now, new Relay.Event.Turn(), actions);
-        policy.step(now + 8_900_000, new Relay.Event.Turn(), actions);
+        policy.step(now, new DeliveryScheduler.Event.Decide(), actions);
+        policy.step(now + 8_900_000, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(1L), answered);
         assertEquals(List.of(), sent);
-        policy.step(now + 9_000_000, new Relay.Event.Concluded(1), actions);
-        policy.step(now + 9_000_000, new Relay.Event.Turn(), actions);
+        policy.step(now + 9_000_000, new DeliveryScheduler.Event.CompletionAcknowledged(1), actions);
+        policy.step(now + 9_000_000, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(2L), sent);
     }
 
@@ -605,37 +674,49 @@
     void resumesByClass() {
         List<Long> sent = new ArrayList<>();
         List<Long> answered = new ArrayList<>();
-        Relay.Actions actions = recording(sent, answered);
-        Policy policy = new Policy(Script.settings(8, false, 1), true);
-        long now = Script.START;
+        DeliveryScheduler.Actions actions = recording(sent, answered);
+        AtcDeliveryScheduler policy = new AtcDeliveryScheduler(SchedulerScript.settings(8, false, 1), true);
+        long now = SchedulerScript.START;
         policy.step(
                 now,
-                new Relay.Event.Listing(ListKind.CACHED, List.of(new Relay.Entry(10, 1, Listed.READY, 1, 0, 0))),
+                new DeliveryScheduler.Event.EndpointListUpdated(
+                        EndpointListKind.CACHED,
+                        List.of(new DeliveryScheduler.EndpointEntry(10, 1, EndpointState.READY, 1, 0, 0))),
                 actions);
-        resume(policy, now, 1, Script.UNSAFE, 1, 2_000_000, actions);
-        resume(policy, now, 2, Script.UNSAFE, 1, -1, actions);
-        resume(policy, now, 3, Script.KEYED, 1, 2_000_000, actions);
-        resume(policy, now, 4, Script.KEYED, 1, 6_500_000, actions);
-        resume(policy, now, 5, Script.SAFE, 1, 9_000_000, actions);
-        resume(policy, now, 6, Script.SAFE, 8, -1, actions);
-        policy.step(now, new Relay.Event.Turn(), actions);
+        resume(policy, now, 1, SchedulerScript.UNSAFE, 1, 2_000_000, actions);
+        resume(policy, now, 2, SchedulerScript.UNSAFE, 1, -1, actions);
+        resume(policy, now, 3, SchedulerScript.KEYED, 1, 2_000_000, actions);
+        resume(policy, now, 4, SchedulerScript.KEYED, 1, 6_500_000, actions);
+        resume(policy, now, 5, SchedulerScript.SAFE, 1, 9_000_000, actions);
+        resume(policy, now, 6, SchedulerScript.SAFE, 8, -1, actions);
+        policy.step(now, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(5L), sent, "the safe one tells whether the destination answers");
-        policy.step(now + 50_000, new Relay.Event.Outcome(5, 1, 10, Ending.OK, 50_000, true, 0, List.of()), actions);
-        policy.step(now + 50_000, new Relay.Event.Turn(), actions);
+        policy.step(
+                now + 50_000,
+                new DeliveryScheduler.Event.AttemptCompleted(5, 1, 10, AttemptOutcome.OK, 50_000, true, 0, List.of()),
+                actions);
+        policy.step(now + 50_000, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(2L, 3L, 5L), sent.stream().sorted().toList());
         assertEquals(List.of(1L, 4L, 6L), answered.stream().sorted().toList());
     }
 
     private static void resume(
-            Policy policy, long now, long id, int type, int attempts, long doubtAge, Relay.Actions actions) {
+            AtcDeliveryScheduler policy,
+            long now,
+            long id,
+            int type,
+            int attempts,
+            long doubtAge,
+            DeliveryScheduler.Actions actions) {
         policy.step(
                 now,
-                new Relay.Event.Resumed(id, type, 0, 10_000_000, 1, attempts, doubtAge, 10, doubtAge >= 0),
+                new DeliveryScheduler.Event.MessageRecovered(
+                        id, type, 0, 10_000_000, 1, attempts, doubtAge, 10, doubtAge >= 0),
                 actions);
     }
 
-    private static Relay.Actions recording(List<Long> sent, List<Long> answered) {
-        return new Relay.Actions() {
+    private static DeliveryScheduler.Actions recording(List<Long> sent, List<Long> answered) {
+        return new DeliveryScheduler.Actions() {
             @Override
             public void send(long id, long endpoint, long giveUpAt) {
                 sent.add(id);
@@ -670,10 +751,11 @@
 
     // ---- Settings that change. ----
 
-    private static Relay.Settings fewer(Relay.Settings s, int attempts, Relay.Effect effect) {
-        Relay.Limits l = s.limits();
-        List<Relay.MessageClass> classes = s.classes().stream()
-                .map(c -> new Relay.MessageClass(
+    private static DeliveryScheduler.Settings fewer(
+            DeliveryScheduler.Settings s, int attempts, DeliveryScheduler.Effect effect) {
+        DeliveryScheduler.Limits l = s.limits();
+        List<DeliveryScheduler.MessageClass> classes = s.classes().stream()
+                .map(c -> new DeliveryScheduler.MessageClass(
                         c.worth(),
                         c.lateShare(),
                         c.aim(),
@@ -683,7 +765,7 @@
                         c.keyLife(),
                         c.inOrder()))
                 .toList();
-        return new Relay.Settings(
+        return new DeliveryScheduler.Settings(
                 s.seed(),
                 s.senders(),
                 s.zone(),
@@ -695,7 +777,7 @@
                 classes,
                 s.tenants(),
                 s.kinds(),
-                new Relay.Limits(
+                new DeliveryScheduler.Limits(
                         l.slots(),
                         l.openMessages(),
                         attempts,
@@ -713,42 +795,45 @@
 
     @Test
     void aMessageUnderWayKeepsItsClassAndNewOnesGetTheNewOne() {
-        Script s = warmed(1, 2);
-        s.arrive(1, Script.SAFE, 1).turn();
-        s.with(new Event.Configured(fewer(Script.settings(8, false, 1), 12, Relay.Effect.UNSAFE)))
+        SchedulerScript s = warmed(1, 2);
+        s.arrive(1, SchedulerScript.SAFE, 1).turn();
+        s.with(new Event.SettingsChanged(
+                        fewer(SchedulerScript.settings(8, false, 1), 12, DeliveryScheduler.Effect.UNSAFE)))
                 .turn();
-        s.pass(100_000).end(1, Ending.ERROR).turn().pass(100_000);
+        s.pass(100_000).end(1, AttemptOutcome.ERROR).turn().pass(100_000);
         assertTrue(s.isOut(1), "a safe message was not sent again");
-        s.end(1, Ending.OK)
-                .arrive(2, Script.SAFE, 1)
+        s.end(1, AttemptOutcome.OK)
+                .arrive(2, SchedulerScript.SAFE, 1)
                 .turn()
                 .pass(100_000)
-                .end(2, Ending.ERROR)
+                .end(2, AttemptOutcome.ERROR)
                 .turn();
         assertTrue(s.failed.contains(2L), "an unsafe message may not go on");
     }
 
     @Test
     void fewerAttemptsEndWhatHasHadThem() {
-        Script s = warmed(1, 2);
-        s.arrive(1, Script.SAFE, 1).turn().pass(100_000).end(1, Ending.ERROR);
-        s.with(new Event.Configured(fewer(Script.settings(8, false, 1), 1, Relay.Effect.SAFE)))
+        SchedulerScript s = warmed(1, 2);
+        s.arrive(1, SchedulerScript.SAFE, 1).turn().pass(100_000).end(1, AttemptOutcome.ERROR);
+        s.with(new Event.SettingsChanged(
+                        fewer(SchedulerScript.settings(8, false, 1), 1, DeliveryScheduler.Effect.SAFE)))
                 .turn();
         assertEquals(List.of(1L), s.refused);
     }
 
     @Test
     void settingsThatCannotBeUsedChangeNothing() {
-        Script s = warmed(1, 2);
+        SchedulerScript s = warmed(1, 2);
         for (int attempts : new int[] {0, -1}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> s.configure(fewer(Script.settings(8, false, 1), attempts, Relay.Effect.UNSAFE)));
+                    () -> s.configure(
+                            fewer(SchedulerScript.settings(8, false, 1), attempts, DeliveryScheduler.Effect.UNSAFE)));
         }
-        s.arrive(1, Script.SAFE, 1)
+        s.arrive(1, SchedulerScript.SAFE, 1)
                 .turn()
                 .pass(100_000)
-                .end(1, Ending.ERROR)
+                .end(1, AttemptOutcome.ERROR)
                 .turn()
                 .pass(100_000);
         assertTrue(s.isOut(1), "the class had changed");
@@ -756,33 +841,36 @@
 
     @Test
     void countsWhomItAvoids() {
-        Script s = warmed(1, 2);
+        SchedulerScript s = warmed(1, 2);
         assertEquals(0, s.avoided());
-        s.arrive(1, Script.SAFE, 1).turn().end(1, Ending.CONNECT_FAILED).turn();
+        s.arrive(1, SchedulerScript.SAFE, 1)
+                .turn()
+                .end(1, AttemptOutcome.CONNECT_FAILED)
+                .turn();
         assertEquals(0, s.avoided(), "one failure is chance");
-        s.pass(500_000).end(1, Ending.CONNECT_FAILED).turn();
+        s.pass(500_000).end(1, AttemptOutcome.CONNECT_FAILED).turn();
         assertEquals(2, s.avoided());
     }
 
     // ---- Taking over from a process that still runs. ----
 
     private static Event resumed(long id, int type, long key) {
-        return new Event.Resumed(id, type, key, 10_000_000, 1, 0, -1, 0, false);
+        return new Event.MessageRecovered(id, type, key, 10_000_000, 1, 0, -1, 0, false);
     }
 
-    private static Event ended(long id, Ending ending) {
-        return new Event.Outcome(id, 0, 10, ending, 60_000, ending == Ending.OK, 0, List.of());
+    private static Event ended(long id, AttemptOutcome ending) {
+        return new Event.AttemptCompleted(id, 0, 10, ending, 60_000, ending == AttemptOutcome.OK, 0, List.of());
     }
 
     @Test
     void aCallOfTheOtherProcessHoldsItsSlotAndIsNotMadeAgain() {
-        Script s = new Script(Script.settings(1, false, 1)).list(1, 1);
-        s.with(resumed(1, Script.UNSAFE, 0))
-                .with(new Event.Underway(List.of(1L), 10, 50_000))
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(1, false, 1)).list(1, 1);
+        s.with(resumed(1, SchedulerScript.UNSAFE, 0))
+                .with(new Event.CallInFlight(List.of(1L), 10, 50_000))
                 .turn();
-        s.arrive(2, Script.SAFE, 1).turn().pass(50_000);
+        s.arrive(2, SchedulerScript.SAFE, 1).turn().pass(50_000);
         assertEquals(List.of(), s.sends);
-        s.with(ended(1, Ending.OK)).turn();
+        s.with(ended(1, AttemptOutcome.OK)).turn();
         assertTrue(s.isOut(2));
         assertEquals(1, s.sends.size());
     }
@@ -790,78 +878,90 @@
     /** Both messages of one call: one slot, and free only when both have been told. */
     @Test
     void severalMessagesOfOneCallShareItsSlot() {
-        Script s = new Script(Script.settings(2, false, 2)).list(1, 1).list(2, 2);
-        s.with(resumed(1, Script.UNSAFE, 0))
-                .with(resumed(2, Script.UNSAFE, 0))
-                .with(new Event.Underway(List.of(1L, 2L), 10, 50_000))
+        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(2, false, 2))
+                .list(1, 1)
+                .list(2, 2);
+        s.with(resumed(1, SchedulerScript.UNSAFE, 0))
+                .with(resumed(2, SchedulerScript.UNSAFE, 0))
+                .with(new Event.CallInFlight(List.of(1L, 2L), 10, 50_000))
                 .turn();
-        s.arrive(3, Script.SAFE, 2).arrive(4, Script.SAFE, 2).turn();
+        s.arrive(3, SchedulerScript.SAFE, 2).arrive(4, SchedulerScript.SAFE, 2).turn();
         assertEquals(
                 1,
                 s.sends.stream()
                         .filter(send -> s.isOut(send.id()))
-                        .map(Script.Send::endpoint)
+                        .map(SchedulerScript.Send::endpoint)
                         .distinct()
                         .count());
-        s.with(ended(1, Ending.OK)).turn().with(ended(2, Ending.OK)).turn();
-        s.arrive(5, Script.SAFE, 1).turn();
+        s.with(ended(1, AttemptOutcome.OK))
+                .turn()
+                .with(ended(2, AttemptOutcome.OK))
+                .turn();
+        s.arrive(5, SchedulerScript.SAFE, 1).turn();
         assertTrue(s.isOut(5), "the slot did not come back");
     }
 
     @Test
     void aCallOfTheOtherProcessHoldsItsKeysTurn() {
-        Script s = script().list(1, 2);
-        s.with(resumed(1, Script.ORDERED, 5))
-                .with(new Event.Underway(List.of(1L), 10, 0))
+        SchedulerScript s = script().list(1, 2);
+        s.with(resumed(1, SchedulerScript.ORDERED, 5))
+                .with(new Event.CallInFlight(List.of(1L), 10, 0))
                 .turn();
-        s.arrive(2, Script.ORDERED, 1, 5).turn().pass(100_000);
+        s.arrive(2, SchedulerScript.ORDERED, 1, 5).turn().pass(100_000);
         assertFalse(s.isOut(2));
-        s.with(ended(1, Ending.OK)).turn();
+        s.with(ended(1, AttemptOutcome.OK)).turn();
         assertTrue(s.isOut(2));
     }
 
     @Test
     void aKeyRestsOnAndWaitsForANoticeThatIsOwed() {
-        Script s = script().list(1, 2);
-        s.with(new Event.Resting(new Relay.Rest(5, 80_000, 0)))
-                .with(new Event.Answered(9, 6))
+        SchedulerScript s = script().list(1, 2);
+        s.with(new Event.KeyPaused(new DeliveryScheduler.KeyPause(5, 80_000, 0)))
+                .with(new Event.CompletedMessageRecovered(9, 6))
                 .turn();
-        assertEquals(List.of(new Relay.Rest(5, 80_000, 0)), s.rests());
-        s.arrive(1, Script.ORDERED, 1, 5).arrive(2, Script.ORDERED, 1, 6).turn().pass(70_000);
+        assertEquals(List.of(new DeliveryScheduler.KeyPause(5, 80_000, 0)), s.rests());
+        s.arrive(1, SchedulerScript.ORDERED, 1, 5)
+                .arrive(2, SchedulerScript.ORDERED, 1, 6)
+                .turn()
+                .pass(70_000);
         assertFalse(s.isOut(1) || s.isOut(2));
         s.pass(20_000);
         assertTrue(s.isOut(1));
-        s.end(1, Ending.OK).turn();
+        s.end(1, AttemptOutcome.OK).turn();
         assertFalse(s.isOut(2));
-        s.with(new Event.Concluded(9)).turn();
+        s.with(new Event.CompletionAcknowledged(9)).turn();
         assertTrue(s.isOut(2));
     }
 
     @Test
     void whatWasLearnedBindsTheNextProcess() {
-        Script before = warmed(1, 2);
-        before.arrive(1, Script.SAFE, 1).turn().end(1, Ending.FULL, 900_000).turn();
-        List<Relay.Learned> learned = before.learned();
-        Script after = script().list(1, 2);
-        learned.forEach(l -> after.with(new Event.TakenOver(l)));
-        after.arrive(2, Script.SAFE, 1).turn().pass(850_000);
+        SchedulerScript before = warmed(1, 2);
+        before.arrive(1, SchedulerScript.SAFE, 1)
+                .turn()
+                .end(1, AttemptOutcome.FULL, 900_000)
+                .turn();
+        List<DeliveryScheduler.UpstreamSnapshot> learned = before.learned();
+        SchedulerScript after = script().list(1, 2);
+        learned.forEach(l -> after.with(new Event.UpstreamStateTransferred(l)));
+        after.arrive(2, SchedulerScript.SAFE, 1).turn().pass(850_000);
         assertFalse(after.isOut(2), "the told wait is not kept");
         after.pass(900_000);
         assertTrue(after.isOut(2));
-        List<Relay.Learned> again = script().list(1, 2)
-                .with(new Event.TakenOver(learned.get(0)))
+        List<DeliveryScheduler.UpstreamSnapshot> again = script().list(1, 2)
+                .with(new Event.UpstreamStateTransferred(learned.get(0)))
                 .turn()
                 .learned();
         // How long a place has been well is not kept: nothing depends on it.
         assertEquals(
-                learned.stream().map(PolicyTest::sinceEver).toList(),
-                again.stream().map(PolicyTest::sinceEver).toList());
+                learned.stream().map(AtcDeliverySchedulerTest::sinceEver).toList(),
+                again.stream().map(AtcDeliverySchedulerTest::sinceEver).toList());
     }
 
-    private static Relay.Learned sinceEver(Relay.Learned l) {
-        Relay.Memory m = l.memory();
-        return new Relay.Learned(
-                new Relay.Memory(m.destination(), m.endpoint(), m.health(), 0, m.pace(), m.usual()),
+    private static DeliveryScheduler.UpstreamSnapshot sinceEver(DeliveryScheduler.UpstreamSnapshot l) {
+        DeliveryScheduler.HealthCheckpoint m = l.memory();
+        return new DeliveryScheduler.UpstreamSnapshot(
+                new DeliveryScheduler.HealthCheckpoint(
+                        m.destination(), m.endpoint(), m.health(), 0, m.pace(), m.usual()),
                 l.waitLeft(),
                 l.backoffLeft(),
                 l.pace(),
@@ -878,17 +978,17 @@
 
     @Test
     void anOutagePassesOn() {
-        Script before = warmed(1, 1);
-        before.arrive(1, Script.SAFE, 1)
+        SchedulerScript before = warmed(1, 1);
+        before.arrive(1, SchedulerScript.SAFE, 1)
                 .turn()
-                .end(1, Ending.CONNECT_FAILED)
+                .end(1, AttemptOutcome.CONNECT_FAILED)
                 .turn()
                 .pass(600_000);
         while (before.avoided() == 0) {
-            before.end(1, Ending.CONNECT_FAILED).turn().pass(600_000);
+            before.end(1, AttemptOutcome.CONNECT_FAILED).turn().pass(600_000);
         }
-        Script after = script().list(1, 1);
-        before.learned().forEach(l -> after.with(new Event.TakenOver(l)));
+        SchedulerScript after = script().list(1, 1);
+        before.learned().forEach(l -> after.with(new Event.UpstreamStateTransferred(l)));
         after.turn();
         assertEquals(1, after.avoided());
         assertEquals(0, script().list(1, 1).turn().avoided());
--- a/decisions/src/test/java/amberroute/EmbeddingExampleTest.java
+++ b/decisions/src/test/java/amberroute/decisions/EmbeddingExampleTest.java
@@ -1,4 +1,4 @@
-package amberroute;
+package amberroute.decisions;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,7 @@
 
     // example begins
     /** Carries out what the relay decides; a real sender would start calls and timers here. */
-    final class Printer implements Relay.Actions {
+    final class Printer implements DeliveryScheduler.Actions {
         @Override
         public void send(long id, long endpoint, long giveUpAt) {
             done.add("send " + id);
@@ -60,23 +60,25 @@
         }
     }
 
-    void sendOne(Relay.Settings settings) {
-        Relay relay = new Policy(settings);
-        Relay.Actions actions = new Printer();
+    void sendOne(DeliveryScheduler.Settings settings) {
+        DeliveryScheduler relay = new AtcDeliveryScheduler(settings);
+        DeliveryScheduler.Actions actions = new Printer();
         long now = 1_000_000;
         relay.step(
                 now,
-                new Relay.Event.Listing(
-                        Relay.ListKind.FULL, List.of(new Relay.Entry(42, 1, Relay.Listed.READY, 1, 0, 0))),
+                new DeliveryScheduler.Event.EndpointListUpdated(
+                        DeliveryScheduler.EndpointListKind.FULL,
+                        List.of(new DeliveryScheduler.EndpointEntry(
+                                42, 1, DeliveryScheduler.EndpointState.READY, 1, 0, 0))),
                 actions);
-        relay.step(now, new Relay.Event.Arrival(7, 0, 0, 0, 5_000_000, 1), actions);
-        relay.step(now, new Relay.Event.Turn(), actions);
+        relay.step(now, new DeliveryScheduler.Event.MessageSubmitted(7, 0, 0, 0, 5_000_000, 1), actions);
+        relay.step(now, new DeliveryScheduler.Event.Decide(), actions);
     }
     // example ends
 
     @Test
     void sendsOne() {
-        sendOne(Script.settings(4, false, 1));
+        sendOne(SchedulerScript.settings(4, false, 1));
         assertTrue(done.contains("send 7"), done.toString());
     }
 
--- a/decisions/src/test/java/amberroute/FleetTest.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
@@ -1,4 +1,4 @@
-package amberroute;
+package amberroute.decisions;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What each sender does alone, seen from a destination that many of them share. */
-class FleetTest {
+class FleetBehaviorTest {
     private static final long SEED = 20_261;
 
-    private static FleetPlay outage(int senders, double limit) {
-        FleetPlay play = new FleetPlay(senders, SEED);
+    private static FleetSimulation outage(int senders, double limit) {
+        FleetSimulation play = new FleetSimulation(senders, SEED);
         play.limit = limit;
         play.outFrom = 6_000_000;
         play.outUntil = 11_000_000;
@@ -27,7 +27,7 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void aFleetIsBackSoonAfterAnOutageWithoutPushingOver(int senders) {
-        FleetPlay play = outage(senders, 200);
+        FleetSimulation play = outage(senders, 200);
         play.run(26_000_000);
         String seen = senders + " senders: push " + play.push + ", rates after the return";
         for (int s = 0; s < 12; s++) {
@@ -44,7 +44,7 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void aSmallDestinationIsNotPushedOver(int senders) {
-        FleetPlay play = outage(senders, 15);
+        FleetSimulation play = outage(senders, 15);
         play.run(30_000_000);
         System.out.println(senders + " senders, small: push " + play.push + ", refused " + play.refused + " of "
                 + play.calls + ", seed " + SEED);
@@ -77,7 +77,7 @@
                 + ", learn within " + learnsWithin + ", " + restarting + " restarts, limit told " + told + ": excess");
         double worst = Double.NEGATIVE_INFINITY;
         for (int seed = 0; seed < 8; seed++) {
-            FleetPlay play = new FleetPlay(senders, SEED + seed);
+            FleetSimulation play = new FleetSimulation(senders, SEED + seed);
             play.limit = limit;
             play.load = 0.8;
             play.lie = told ? null : List::of;
@@ -97,8 +97,8 @@
         assertTrue(worst < 1, seen.toString());
     }
 
-    private static FleetPlay overloaded(int senders, boolean windows) {
-        FleetPlay play = new FleetPlay(senders, SEED);
+    private static FleetSimulation overloaded(int senders, boolean windows) {
+        FleetSimulation play = new FleetSimulation(senders, SEED);
         play.limit = 40;
         play.load = 1.3;
         play.windows = windows;
@@ -109,7 +109,7 @@
     @ParameterizedTest
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
     void allTogetherStayNearATellingLimit(int senders, boolean windows) {
-        FleetPlay play = overloaded(senders, windows);
+        FleetSimulation play = overloaded(senders, windows);
         play.run(30_000_000);
         int least = Arrays.stream(play.answeredBy).min().orElse(0);
         int most = Arrays.stream(play.answeredBy).max().orElse(0);
@@ -129,7 +129,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whoIsRefusedAtALargeLimitIsSoonBack(boolean windows) {
-        FleetPlay play = overloaded(100, windows);
+        FleetSimulation play = overloaded(100, windows);
         play.limit = 280;
         play.run(30_000_000);
         String seen = "large limit, windows " + windows + ": answered " + play.rate(10_000_000, 30_000_000)
@@ -143,7 +143,7 @@
     @ParameterizedTest
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
     void aLimitThatFallsIsBelievedAndLeftWhenItIsBack(int senders, boolean windows) {
-        FleetPlay play = overloaded(senders, windows);
+        FleetSimulation play = overloaded(senders, windows);
         play.when(8_000_000, () -> play.limit = 20);
         play.when(17_000_000, () -> play.limit = 40);
         play.run(30_000_000);
@@ -161,7 +161,7 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void whatTheDeadLeaveOfALimitIsUsed(int senders) {
-        FleetPlay play = overloaded(senders, false);
+        FleetSimulation play = overloaded(senders, false);
         play.load = 2;
         play.dying = senders / 2;
         play.diesAt = 8_000_000;
@@ -176,7 +176,7 @@
     @ParameterizedTest
     @CsvSource({"0,0", "-1,-5", "NaN,NaN", "7,1e300", "0,1e-9", "Infinity,Infinity", "0,1e300", "1,1e-300"})
     void absurdReportsAreBounded(double left, double limit) {
-        FleetPlay play = outage(14, 60);
+        FleetSimulation play = outage(14, 60);
         play.lie = () -> List.of(left, limit);
         play.run(34_000_000);
         String seen = left + " " + limit + ": push " + play.push + ", answered " + play.answered + " of " + play.offered
@@ -189,7 +189,7 @@
     /** A limit that jumps tenfold between two answers. */
     @Test
     void aLimitThatJumpsIsSurvived() {
-        FleetPlay play = outage(14, 60);
+        FleetSimulation play = outage(14, 60);
         int[] count = new int[1];
         play.lie = () -> List.of(0.5, count[0]++ % 2 == 0 ? 6.0 : 600.0);
         play.run(34_000_000);
@@ -202,7 +202,7 @@
     /** Reports that are 8 s old are read as though they were of now: the limit has halved and come back since. */
     @Test
     void oldReportsDoNotStarveADestination() {
-        FleetPlay play = overloaded(14, false);
+        FleetSimulation play = overloaded(14, false);
         Deque<List<Double>> old = new ArrayDeque<>();
         play.lie = () -> {
             old.addLast(List.of(play.told0(), play.told1()));
@@ -224,7 +224,7 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void aFullHouseIsNotLeftAlone(int senders) {
-        FleetPlay play = new FleetPlay(senders, SEED);
+        FleetSimulation play = new FleetSimulation(senders, SEED);
         play.limit = 100;
         play.places = 5;
         play.run(30_000_000);
@@ -242,7 +242,7 @@
     @ParameterizedTest
     @CsvSource({"14,6", "50,10", "100,10"})
     void aTableFullOfIdleConnectionsIsNoLimit(int senders, int table) {
-        FleetPlay play = new FleetPlay(senders, SEED);
+        FleetSimulation play = new FleetSimulation(senders, SEED);
         play.limit = 40;
         play.table = table;
         play.idleLife = 4_000_000;
@@ -271,7 +271,7 @@
         int untried = 0;
         int givenUp = 0;
         for (int seed = 0; seed < 5; seed++) {
-            FleetPlay play = new FleetPlay(senders, SEED + seed, mostHeld);
+            FleetSimulation play = new FleetSimulation(senders, SEED + seed, mostHeld);
             restartAll(play, senders, load, outage);
             untried += play.untried;
             givenUp += play.givenUpUntried;
@@ -303,11 +303,12 @@
         "2,1.5,true,60,KEYED,1"
     })
     void whatARestartFindsUntriedAndMayNotRepeatIsTried(
-            int senders, double load, boolean outage, int mostHeld, Relay.Effect effect, double worth) {
+            int senders, double load, boolean outage, int mostHeld, DeliveryScheduler.Effect effect, double worth) {
         int untried = 0;
         int givenUp = 0;
         for (int seed = 0; seed < 5; seed++) {
-            FleetPlay play = new FleetPlay(senders, SEED + seed, mostHeld, FleetPlay.type(worth, effect));
+            FleetSimulation play =
+                    new FleetSimulation(senders, SEED + seed, mostHeld, FleetSimulation.type(worth, effect));
             play.otherEach = 3;
             restartAll(play, senders, load, outage);
             untried += play.untriedOther;
@@ -322,7 +323,7 @@
     }
 
     /** A limit of 40 a second, all senders restarted between 9 and 13 s, an outage up to its middle. */
-    private static void restartAll(FleetPlay play, int senders, double load, boolean outage) {
+    private static void restartAll(FleetSimulation play, int senders, double load, boolean outage) {
         play.limit = 40;
         play.load = load;
         play.outFrom = outage ? 6_000_000 : Long.MAX_VALUE;
@@ -337,7 +338,7 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void aFleetThatStartsTogetherSpreadsWhatItHolds(int senders) {
-        FleetPlay play = new FleetPlay(senders, SEED);
+        FleetSimulation play = new FleetSimulation(senders, SEED);
         play.limit = 40;
         play.load = 0.3;
         play.heldAtStart = 300 / senders;
--- a/decisions/src/test/java/amberroute/FleetPlay.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
@@ -1,7 +1,7 @@
-package amberroute;
+package amberroute.decisions;
 
-import amberroute.Relay.Ending;
-import amberroute.Relay.Event;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.Event;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -19,7 +19,7 @@
  * Many instances of the module, each on its own, against one modelled destination with a limit, in virtual time and from a
  * seed. A sender sees only its own calls and what their answers report. Times are microseconds.
  */
-final class FleetPlay {
+final class FleetSimulation {
     static final double MULTIPLE = 2.5;
     static final long WINDOW = 1_500_000;
     static final long COLD = 14_000_000;
@@ -113,17 +113,17 @@
     private double told1;
     private long toldAt = Long.MIN_VALUE / 2;
 
-    FleetPlay(int senders, long seed) {
+    FleetSimulation(int senders, long seed) {
         this(senders, seed, 4_000 / senders);
     }
 
     /** {@code mostHeld} messages may each instance hold. */
-    FleetPlay(int senders, long seed, int mostHeld) {
-        this(senders, seed, mostHeld, type(2, Relay.Effect.UNSAFE));
+    FleetSimulation(int senders, long seed, int mostHeld) {
+        this(senders, seed, mostHeld, type(2, DeliveryScheduler.Effect.UNSAFE));
     }
 
     /** {@code other}: the class of what may not simply be repeated; all else is safe and worth 2. */
-    FleetPlay(int senders, long seed, int mostHeld, Relay.MessageClass other) {
+    FleetSimulation(int senders, long seed, int mostHeld, DeliveryScheduler.MessageClass other) {
         this.mostHeld = mostHeld;
         random = new SplittableRandom(seed);
         answeredBy = new int[senders];
@@ -132,37 +132,39 @@
         }
     }
 
-    private static Relay.Settings settings(int senders, long seed, int mostHeld, Relay.MessageClass other) {
+    private static DeliveryScheduler.Settings settings(
+            int senders, long seed, int mostHeld, DeliveryScheduler.MessageClass other) {
         // Slots as the platform gives them: about three times what the load keeps busy, four at the least.
         int slots = Math.max(4, 70 / senders);
-        return new Relay.Settings(
+        return new DeliveryScheduler.Settings(
                 seed,
                 senders,
                 0,
                 1_000,
                 false,
                 0.1,
-                Relay.LateWorth.EVEN,
-                Relay.WeightKind.NONE,
-                List.of(type(2, Relay.Effect.SAFE), other),
+                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.WeightKind.NONE,
+                List.of(type(2, DeliveryScheduler.Effect.SAFE), other),
                 List.of(),
-                List.of(new Relay.Kind(false, 1)),
-                new Relay.Limits(slots, mostHeld, 12, false, true, true, 3_000_000, 1, 15_000_000, 1_000_000),
-                new Relay.Rules(5_000, 10_000_000, COLD_FROM, COLD, MULTIPLE, WINDOW, 100_000),
-                new Relay.Prices(0.06, 0, List.of()),
-                new Relay.ReportFields(0, 1));
+                List.of(new DeliveryScheduler.DestinationKind(false, 1)),
+                new DeliveryScheduler.Limits(
+                        slots, mostHeld, 12, false, true, true, 3_000_000, 1, 15_000_000, 1_000_000),
+                new DeliveryScheduler.Rules(5_000, 10_000_000, COLD_FROM, COLD, MULTIPLE, WINDOW, 100_000),
+                new DeliveryScheduler.Prices(0.06, 0, List.of()),
+                new DeliveryScheduler.ReportFields(0, 1));
     }
 
     /** A class with 12 s, repeats of which are known for 1 s where they carry a key. */
-    static Relay.MessageClass type(double worth, Relay.Effect effect) {
-        return new Relay.MessageClass(
+    static DeliveryScheduler.MessageClass type(double worth, DeliveryScheduler.Effect effect) {
+        return new DeliveryScheduler.MessageClass(
                 worth,
                 0.5,
                 2_500_000,
                 12_000_000,
                 effect,
-                Relay.KeyScope.DESTINATION,
-                effect == Relay.Effect.KEYED ? 1_000_000 : 0,
+                DeliveryScheduler.KeyScope.DESTINATION,
+                effect == DeliveryScheduler.Effect.KEYED ? 1_000_000 : 0,
                 false);
     }
 
@@ -249,18 +251,18 @@
     /** How a call ends, and when. */
     private void serve(Instance from, long id, int attempt, BooleanSupplier lives) {
         if (out()) {
-            at(now + 1_000, () -> from.ended(lives, id, attempt, Ending.CONNECT_FAILED, 1_000, 0, List.of()));
+            at(now + 1_000, () -> from.ended(lives, id, attempt, AttemptOutcome.CONNECT_FAILED, 1_000, 0, List.of()));
             return;
         }
         if (connected >= places) {
             crowdedOut++;
-            at(now + 1_000, () -> from.ended(lives, id, attempt, Ending.CONNECT_FAILED, 1_000, 0, List.of()));
+            at(now + 1_000, () -> from.ended(lives, id, attempt, AttemptOutcome.CONNECT_FAILED, 1_000, 0, List.of()));
             return;
         }
         long idle = from.connection(table);
         if (idle < 0) {
             crowdedOut++;
-            at(now + 30_000, () -> from.ended(lives, id, attempt, Ending.FULL, 30_000, 0, List.of()));
+            at(now + 30_000, () -> from.ended(lives, id, attempt, AttemptOutcome.FULL, 30_000, 0, List.of()));
             return;
         }
         calls++;
@@ -292,7 +294,7 @@
         if (tokens < 0 || free - now > 8 * each + 100_000) {
             refused++;
             refusals.add(now - start);
-            at(now + 30_000, () -> from.ended(lives, id, attempt, Ending.FULL, 30_000, idle, from.report()));
+            at(now + 30_000, () -> from.ended(lives, id, attempt, AttemptOutcome.FULL, 30_000, idle, from.report()));
             return;
         }
         free = Math.max(free, now) + each;
@@ -304,7 +306,7 @@
             answered++;
             answeredBy[from.index]++;
             answers.add(now - start);
-            from.ended(lives, id, attempt, Ending.OK, now - sent, idle, from.report());
+            from.ended(lives, id, attempt, AttemptOutcome.OK, now - sent, idle, from.report());
         });
     }
 
@@ -326,11 +328,11 @@
         return answers.stream().filter(t -> t >= from && t < until).count() * 1e6 / (until - from);
     }
 
-    private final class Instance implements Relay.Actions {
+    private final class Instance implements DeliveryScheduler.Actions {
         final int index;
-        private final Relay.Settings settings;
-        Policy policy;
-        Relay.Memory memory;
+        private final DeliveryScheduler.Settings settings;
+        AtcDeliveryScheduler policy;
+        DeliveryScheduler.HealthCheckpoint memory;
         long rememberedAt;
         /** Of which start what is still under way is: its outcomes and timers count no more behind the next. */
         int life;
@@ -342,31 +344,31 @@
         private final Deque<Long> idleSince = new ArrayDeque<>();
         long ids;
 
-        Instance(int index, Relay.Settings settings) {
+        Instance(int index, DeliveryScheduler.Settings settings) {
             this.index = index;
             this.settings = settings;
-            policy = new Policy(settings);
+            policy = new AtcDeliveryScheduler(settings);
         }
 
         /** Killed and started again with what it wrote down; what it held it has to deliver. */
         void restart() {
             life++;
             Map<Long, Integer> held = new HashMap<>(attempts);
-            policy = new Policy(settings);
+            policy = new AtcDeliveryScheduler(settings);
             list();
             if (memory != null) {
-                policy.step(now, new Event.Remembered(memory, now - rememberedAt), this);
+                policy.step(now, new Event.HealthRestored(memory, now - rememberedAt), this);
             }
             untried.clear();
             held.forEach((id, tried) -> {
                 if (tried == 0) {
                     untried.add(id);
-                    FleetPlay.this.untried++;
+                    FleetSimulation.this.untried++;
                     untriedOther += type(id);
                 }
             });
-            held.forEach((id, tried) ->
-                    policy.step(now, new Event.Resumed(id, type(id), 0, 8_000_000, 1, tried, -1, 0, false), this));
+            held.forEach((id, tried) -> policy.step(
+                    now, new Event.MessageRecovered(id, type(id), 0, 8_000_000, 1, tried, -1, 0, false), this));
             turn();
         }
 
@@ -377,18 +379,20 @@
         void list() {
             policy.step(
                     now,
-                    new Event.Listing(
-                            Relay.ListKind.FULL,
+                    new Event.EndpointListUpdated(
+                            DeliveryScheduler.EndpointListKind.FULL,
                             List.of(
-                                    new Relay.Entry(1, 1, Relay.Listed.READY, 1, 0, 0),
-                                    new Relay.Entry(2, 1, Relay.Listed.READY, 1, 0, 0))),
+                                    new DeliveryScheduler.EndpointEntry(
+                                            1, 1, DeliveryScheduler.EndpointState.READY, 1, 0, 0),
+                                    new DeliveryScheduler.EndpointEntry(
+                                            2, 1, DeliveryScheduler.EndpointState.READY, 1, 0, 0))),
                     this);
             turn();
         }
 
         void arrive() {
             attempts.put(++ids, 0);
-            policy.step(now, new Event.Arrival(ids, type(ids), -1, 0, 12_000_000, 1), this);
+            policy.step(now, new Event.MessageSubmitted(ids, type(ids), -1, 0, 12_000_000, 1), this);
             turn();
         }
 
@@ -416,10 +420,10 @@
             if (!idleSince.isEmpty()) {
                 return Math.max(1, now - idleSince.removeLast());
             }
-            if (FleetPlay.this.held >= places) {
+            if (FleetSimulation.this.held >= places) {
                 return -1;
             }
-            FleetPlay.this.held++;
+            FleetSimulation.this.held++;
             return 0;
         }
 
@@ -433,27 +437,36 @@
         }
 
         private void shut(int connections) {
-            FleetPlay.this.held -= connections;
+            FleetSimulation.this.held -= connections;
         }
 
         void ended(
-                BooleanSupplier lives, long id, int attempt, Ending ending, long took, long idle, List<Double> report) {
+                BooleanSupplier lives,
+                long id,
+                int attempt,
+                AttemptOutcome ending,
+                long took,
+                long idle,
+                List<Double> report) {
             if (dead() || !lives.getAsBoolean() || !attempts.containsKey(id)) {
                 return;
             }
-            if (ending != Ending.CONNECT_FAILED && !(ending == Ending.FULL && report.isEmpty())) {
+            if (ending != AttemptOutcome.CONNECT_FAILED && !(ending == AttemptOutcome.FULL && report.isEmpty())) {
                 idles();
             }
-            if (ending == Ending.OK) {
+            if (ending == AttemptOutcome.OK) {
                 attempts.remove(id);
             }
             policy.step(
-                    now, new Event.Outcome(id, attempt, 1, ending, took, ending == Ending.OK, 0, report, idle), this);
+                    now,
+                    new Event.AttemptCompleted(
+                            id, attempt, 1, ending, took, ending == AttemptOutcome.OK, 0, report, idle),
+                    this);
             turn();
         }
 
         private void turn() {
-            policy.step(now, new Event.Turn(), this);
+            policy.step(now, new Event.Decide(), this);
         }
 
         @Override
@@ -492,14 +505,14 @@
             int lived = life;
             at(now + delay, () -> {
                 if (!dead() && lived == life) {
-                    policy.step(now, new Event.TimerDue(token), this);
+                    policy.step(now, new Event.TimerExpired(token), this);
                     turn();
                 }
             });
         }
 
         @Override
-        public void remember(Relay.Memory told) {
+        public void remember(DeliveryScheduler.HealthCheckpoint told) {
             memory = told;
             rememberedAt = now;
         }
--- a/decisions/src/test/java/amberroute/Script.java
+++ b/decisions/src/test/java/amberroute/decisions/SchedulerScript.java
@@ -1,15 +1,15 @@
-package amberroute;
+package amberroute.decisions;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay.Ending;
-import amberroute.Relay.Entry;
-import amberroute.Relay.Event;
-import amberroute.Relay.ListKind;
-import amberroute.Relay.Listed;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.EndpointEntry;
+import amberroute.decisions.DeliveryScheduler.EndpointListKind;
+import amberroute.decisions.DeliveryScheduler.EndpointState;
+import amberroute.decisions.DeliveryScheduler.Event;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -17,7 +17,7 @@
 import java.util.TreeSet;
 
 /** Plays scripted events against a policy and asserts the rules on every action. */
-final class Script implements Relay.Actions {
+final class SchedulerScript implements DeliveryScheduler.Actions {
     static final long START = 1_000_000_000L;
     static final int SAFE = 0;
     static final int KEYED = 1;
@@ -45,8 +45,8 @@
     int follows;
     long now = START;
 
-    private final Relay.Settings settings;
-    private final Policy policy;
+    private final DeliveryScheduler.Settings settings;
+    private final AtcDeliveryScheduler policy;
     private final Map<Long, Told> messages = new HashMap<>();
     private final Map<Long, Integer> destinationOf = new HashMap<>();
     private final Map<Integer, Long> waits = new HashMap<>();
@@ -54,79 +54,82 @@
     private final TreeSet<Long> timers = new TreeSet<>();
     private final List<Event> batch = new ArrayList<>();
 
-    Script(Relay.Settings settings) {
+    SchedulerScript(DeliveryScheduler.Settings settings) {
         this.settings = settings;
-        policy = new Policy(settings);
+        policy = new AtcDeliveryScheduler(settings);
     }
 
-    static Relay.Settings settings(int slots, boolean onRequest, int perCall) {
-        List<Relay.MessageClass> classes = List.of(
-                type(3, Relay.Effect.SAFE, false), type(1, Relay.Effect.KEYED, false),
-                type(4, Relay.Effect.UNSAFE, false), type(1, Relay.Effect.KEYED, true));
-        return new Relay.Settings(
+    static DeliveryScheduler.Settings settings(int slots, boolean onRequest, int perCall) {
+        List<DeliveryScheduler.MessageClass> classes = List.of(
+                type(3, DeliveryScheduler.Effect.SAFE, false), type(1, DeliveryScheduler.Effect.KEYED, false),
+                type(4, DeliveryScheduler.Effect.UNSAFE, false), type(1, DeliveryScheduler.Effect.KEYED, true));
+        return new DeliveryScheduler.Settings(
                 7,
                 2,
                 0,
                 5_000,
                 onRequest,
                 0.1,
-                Relay.LateWorth.EVEN,
-                Relay.WeightKind.NONE,
+                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.WeightKind.NONE,
                 classes,
                 List.of(),
-                List.of(new Relay.Kind(false, perCall)),
-                new Relay.Limits(slots, 60, 8, false, true, true, 2_000_000, 1, 5_000_000, 1_000_000),
-                new Relay.Rules(20_000, 10_000_000, 0.2, 10_000_000, 2, 3_000_000, 100_000),
-                new Relay.Prices(0.02, 0, List.of()),
-                new Relay.ReportFields(-1, -1));
+                List.of(new DeliveryScheduler.DestinationKind(false, perCall)),
+                new DeliveryScheduler.Limits(slots, 60, 8, false, true, true, 2_000_000, 1, 5_000_000, 1_000_000),
+                new DeliveryScheduler.Rules(20_000, 10_000_000, 0.2, 10_000_000, 2, 3_000_000, 100_000),
+                new DeliveryScheduler.Prices(0.02, 0, List.of()),
+                new DeliveryScheduler.ReportFields(-1, -1));
     }
 
-    private static Relay.MessageClass type(double worth, Relay.Effect effect, boolean inOrder) {
-        return new Relay.MessageClass(
-                worth, 0.5, 2_000_000, 16_000_000, effect, Relay.KeyScope.DESTINATION, 6_000_000, inOrder);
+    private static DeliveryScheduler.MessageClass type(double worth, DeliveryScheduler.Effect effect, boolean inOrder) {
+        return new DeliveryScheduler.MessageClass(
+                worth, 0.5, 2_000_000, 16_000_000, effect, DeliveryScheduler.KeyScope.DESTINATION, 6_000_000, inOrder);
     }
 
     /** Lists endpoints that are ready; their numbers are destination times ten and up. */
-    Script list(int destination, int count) {
-        List<Entry> entries = new ArrayList<>();
+    SchedulerScript list(int destination, int count) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            entries.add(entry(destination, i, Listed.READY));
+            entries.add(entry(destination, i, EndpointState.READY));
         }
-        return with(new Event.Listing(ListKind.DELTA, entries)).turn();
+        return with(new Event.EndpointListUpdated(EndpointListKind.DELTA, entries))
+                .turn();
     }
 
-    Script change(int destination, int index, Listed state) {
+    SchedulerScript change(int destination, int index, EndpointState state) {
         mayNotUse.put(destination * 10L + index, now);
-        return with(new Event.Listing(ListKind.DELTA, List.of(entry(destination, index, state))))
+        return with(new Event.EndpointListUpdated(EndpointListKind.DELTA, List.of(entry(destination, index, state))))
                 .turn();
     }
 
-    private Entry entry(int destination, int index, Listed state) {
+    private EndpointEntry entry(int destination, int index, EndpointState state) {
         destinationOf.put(destination * 10L + index, destination);
-        return new Entry(destination * 10L + index, destination, state, 1, 0, 0);
+        return new EndpointEntry(destination * 10L + index, destination, state, 1, 0, 0);
     }
 
-    Script arrive(long id, int type, int destination, long key) {
+    SchedulerScript arrive(long id, int type, int destination, long key) {
         Told told = new Told();
         told.type = type;
         told.due = now + settings.classes().get(type).deadline();
         told.key = key;
         messages.put(id, told);
-        return with(new Event.Arrival(id, type, 0, key, told.due - now, destination));
+        return with(new Event.MessageSubmitted(id, type, 0, key, told.due - now, destination));
     }
 
-    Script arrive(long id, int type, int destination) {
+    SchedulerScript arrive(long id, int type, int destination) {
         return arrive(id, type, destination, 0);
     }
 
     /** Ends the last attempt of a message. */
-    Script end(long id, Ending ending, long wait) {
+    SchedulerScript end(long id, AttemptOutcome ending, long wait) {
         Told told = messages.get(id);
         assertTrue(told.out, "no attempt of " + id + " is out");
         Send send = last(id);
-        boolean never = ending == Ending.FULL || ending == Ending.CONNECT_FAILED || ending == Ending.MOOT;
+        boolean never = ending == AttemptOutcome.FULL
+                || ending == AttemptOutcome.CONNECT_FAILED
+                || ending == AttemptOutcome.MOOT;
         told.out = false;
-        told.ended |= ending == Ending.OK;
+        told.ended |= ending == AttemptOutcome.OK;
         if (!never && !told.mayHaveRun) {
             told.mayHaveRun = true;
             told.doubtSince = send.at();
@@ -134,19 +137,19 @@
         if (wait > 0) {
             waits.merge(destinationOf.get(send.endpoint()), now + wait, Math::max);
         }
-        return with(new Event.Outcome(
+        return with(new Event.AttemptCompleted(
                 id, send.attempt(), send.endpoint(), ending, now - send.at(), told.ended, wait, List.of()));
     }
 
-    Script end(long id, Ending ending) {
+    SchedulerScript end(long id, AttemptOutcome ending) {
         return end(id, ending, 0);
     }
 
-    List<Relay.Learned> learned() {
+    List<DeliveryScheduler.UpstreamSnapshot> learned() {
         return policy.learned(now);
     }
 
-    List<Relay.Rest> rests() {
+    List<DeliveryScheduler.KeyPause> rests() {
         return policy.rests(now);
     }
 
@@ -154,39 +157,39 @@
         return policy.avoided();
     }
 
-    void configure(Relay.Settings other) {
-        policy.step(now, new Event.Configured(other), this);
+    void configure(DeliveryScheduler.Settings other) {
+        policy.step(now, new Event.SettingsChanged(other), this);
     }
 
-    Script with(Event event) {
+    SchedulerScript with(Event event) {
         batch.add(event);
         return this;
     }
 
     /** Passes what has gathered as one moment. */
-    Script turn() {
+    SchedulerScript turn() {
         batch.forEach(event -> policy.step(now, event, this));
         batch.clear();
-        policy.step(now, new Event.Turn(), this);
+        policy.step(now, new Event.Decide(), this);
         return this;
     }
 
     /** Lets time pass, serving timers in rounds of 5 ms; attempts that run out of time end as such. */
-    Script pass(long span) {
+    SchedulerScript pass(long span) {
         long until = now + span;
         turn();
         while (now < until) {
             now = Math.min(until, now + 5_000);
             boolean due = false;
             while (!timers.isEmpty() && timers.first() <= now) {
-                with(new Event.TimerDue(0));
+                with(new Event.TimerExpired(0));
                 timers.pollFirst();
                 due = true;
             }
             for (Send send : List.copyOf(sends)) {
                 Told told = messages.get(send.id());
                 if (told.out && send == last(send.id()) && send.giveUpAt() <= now) {
-                    end(send.id(), Ending.TIMEOUT);
+                    end(send.id(), AttemptOutcome.TIMEOUT);
                     due = true;
                 }
             }
@@ -262,7 +265,7 @@
     public void cancel(long id, int attempt) {
         assertEquals(last(id).attempt(), attempt, "cancels an attempt that is not out");
         cancelled.add(last(id));
-        end(id, Ending.CANCELLED);
+        end(id, AttemptOutcome.CANCELLED);
     }
 
     @Override
