--- a/decisions/src/test/java/amberroute/order/OrderTest.java
+++ b/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
@@ -1,4 +1,4 @@
-package amberroute.order;
+package amberroute.decisions.collections;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Each structure beside the plainest thing that does the same, on random operations with printed seeds. */
-class OrderTest {
-    private static final class Item extends DueTree.Node<Item> {
+class CollectionsTest {
+    private static final class Item extends DueDateTreap.Node<Item> {
         private boolean isReady;
         private boolean hasTurn;
 
@@ -43,7 +43,7 @@
     void aTreeAnswersAsASortedListDoes() {
         for (long seed = 1; seed <= 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            DueTree<Item> tree = new DueTree<>();
+            DueDateTreap<Item> tree = new DueDateTreap<>();
             TreeSet<Item> model = new TreeSet<>(ORDER);
             int dues = 1 + random.nextInt(200);
             for (int step = 0; step < 600; step++) {
@@ -116,14 +116,14 @@
     void aQueueGivesTheEarliestWhateverWasMovedOrRemoved() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            TimeQueue<Integer> queue = new TimeQueue<>();
-            List<TimeQueue.Entry<Integer>> entries = new ArrayList<>();
+            IndexedTimerHeap<Integer> queue = new IndexedTimerHeap<>();
+            List<IndexedTimerHeap.Entry<Integer>> entries = new ArrayList<>();
             for (int i = 0; i < 80; i++) {
-                entries.add(new TimeQueue.Entry<>(i));
+                entries.add(new IndexedTimerHeap.Entry<>(i));
             }
-            Set<TimeQueue.Entry<Integer>> in = new HashSet<>();
+            Set<IndexedTimerHeap.Entry<Integer>> in = new HashSet<>();
             for (int step = 0; step < 2_000; step++) {
-                TimeQueue.Entry<Integer> any = entries.get(random.nextInt(entries.size()));
+                IndexedTimerHeap.Entry<Integer> any = entries.get(random.nextInt(entries.size()));
                 switch (random.nextInt(4)) {
                     case 0, 1 -> {
                         queue.set(any, random.nextInt(50));
@@ -135,9 +135,11 @@
                     }
                     default -> {
                         long now = random.nextInt(50);
-                        TimeQueue.Entry<Integer> polled = queue.poll(now);
-                        long least =
-                                in.stream().mapToLong(TimeQueue.Entry::at).min().orElse(Long.MAX_VALUE);
+                        IndexedTimerHeap.Entry<Integer> polled = queue.poll(now);
+                        long least = in.stream()
+                                .mapToLong(IndexedTimerHeap.Entry::at)
+                                .min()
+                                .orElse(Long.MAX_VALUE);
                         assertEquals(least <= now, polled != null, "seed " + seed + ", step " + step);
                         if (polled != null) {
                             assertEquals(least, polled.at());
@@ -148,7 +150,7 @@
                 assertEquals(in.size(), queue.size());
                 assertEquals(in.contains(any), any.queued());
                 assertEquals(
-                        in.stream().mapToLong(TimeQueue.Entry::at).min().orElse(-1),
+                        in.stream().mapToLong(IndexedTimerHeap.Entry::at).min().orElse(-1),
                         queue.peek() == null ? -1 : queue.peek().at(),
                         "seed " + seed + ", step " + step);
             }
@@ -159,7 +161,7 @@
     void theGreatestKeyComesFirstHoweverThingsWerePutIn() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            TopQueue<Item> queue = new TopQueue<>();
+            MaxHeap<Item> queue = new MaxHeap<>();
             List<Item> model = new ArrayList<>();
             for (int step = 0; step < 1_500; step++) {
                 if (random.nextInt(3) > 0) {
@@ -190,7 +192,7 @@
     @Test
     void aSumFadesAsItsTermsDo() {
         SplittableRandom random = new SplittableRandom(5);
-        FadingSum sum = new FadingSum(1_000_000);
+        DecayingSum sum = new DecayingSum(1_000_000);
         List<double[]> terms = new ArrayList<>();
         long now = 0;
         for (int step = 0; step < 5_000; step++) {
@@ -218,9 +220,9 @@
     /** Random classes, loads and moments; dues reach from behind to far ahead, many of them equal. */
     private static final class Scene {
         final SplittableRandom random;
-        final IndexShape shape;
-        final Walk<Item> walk;
-        final DueTree<Item> tree = new DueTree<>();
+        final AtcIndex shape;
+        final IndexOrderIterator<Item> walk;
+        final DueDateTreap<Item> tree = new DueDateTreap<>();
         final List<Item> items = new ArrayList<>();
         final long now = 50_000_000;
         final double p;
@@ -229,7 +231,7 @@
 
         Scene(long seed) {
             random = new SplittableRandom(seed);
-            walk = new Walk<>(tree);
+            walk = new IndexOrderIterator<>(tree);
             shape = walk.shape();
             long aim = 1 + random.nextLong(3_000_000);
             long deadline = aim + random.nextLong(10_000_000) - (random.nextInt(10) == 0 ? aim / 2 : 0);
@@ -323,7 +325,7 @@
                     scene.shape.index(scene.shape.least(scene.tree).due),
                     lowest == Double.NEGATIVE_INFINITY ? 0 : 1e-9 * Math.max(1, Math.abs(lowest)),
                     "seed " + seed);
-            assertNull(scene.shape.least(new DueTree<Item>()));
+            assertNull(scene.shape.least(new DueDateTreap<Item>()));
         }
     }
 
--- a/decisions/src/test/java/amberroute/oracle/RandomWorld.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
@@ -1,8 +1,8 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
-import amberroute.Relay;
-import amberroute.Relay.Ending;
-import amberroute.Relay.Event;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.Event;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -16,9 +16,9 @@
  * of the list, restarts of what is held, changes of settings. It follows what the module does, so calls end as a world would
  * have them end. The same seed and module give the same events.
  */
-final class RandomWorld {
+final class RandomScenario {
     /** What a module did in one step, in its order. */
-    static final class Recorder implements Relay.Actions {
+    static final class Recorder implements DeliveryScheduler.Actions {
         final List<String> lines = new ArrayList<>();
         final List<long[]> sends = new ArrayList<>();
         final List<Long> answered = new ArrayList<>();
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public void remember(Relay.Memory memory) {
+        public void remember(DeliveryScheduler.HealthCheckpoint memory) {
             lines.add("remember " + memory);
         }
 
@@ -97,7 +97,7 @@
             boolean concludes) {}
 
     /** A call's end that is due. */
-    private record Due(long at, long id, int attempt, long endpoint, Ending ending, long took, long toldWait) {}
+    private record Due(long at, long id, int attempt, long endpoint, AttemptOutcome ending, long took, long toldWait) {}
 
     enum Mood {
         WELL,
@@ -122,7 +122,7 @@
     private long wakeAt = Long.MAX_VALUE;
     private long nextArrival;
 
-    RandomWorld(long seed, Plan plan) {
+    RandomScenario(long seed, Plan plan) {
         random = new SplittableRandom(seed);
         this.plan = plan;
         moods = new Mood[plan.destinations()];
@@ -131,42 +131,53 @@
         nextArrival = now;
     }
 
-    static Relay.Settings settings(long seed, Plan plan) {
+    static DeliveryScheduler.Settings settings(long seed, Plan plan) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 7);
-        List<Relay.MessageClass> classes = List.of(
-                new Relay.MessageClass(
-                        2, 0.5, 1_500_000, 12_000_000, Relay.Effect.SAFE, Relay.KeyScope.DESTINATION, 0, false),
-                new Relay.MessageClass(
+        List<DeliveryScheduler.MessageClass> classes = List.of(
+                new DeliveryScheduler.MessageClass(
+                        2,
+                        0.5,
+                        1_500_000,
+                        12_000_000,
+                        DeliveryScheduler.Effect.SAFE,
+                        DeliveryScheduler.KeyScope.DESTINATION,
+                        0,
+                        false),
+                new DeliveryScheduler.MessageClass(
                         1,
                         0.5,
                         1_000_000,
                         10_000_000,
-                        Relay.Effect.KEYED,
-                        Relay.KeyScope.values()[random.nextInt(3)],
+                        DeliveryScheduler.Effect.KEYED,
+                        DeliveryScheduler.KeyScope.values()[random.nextInt(3)],
                         4_000_000 + random.nextInt(8_000_000),
                         true),
-                new Relay.MessageClass(
+                new DeliveryScheduler.MessageClass(
                         4,
                         random.nextDouble(),
                         2_000_000,
                         8_000_000,
-                        Relay.Effect.UNSAFE,
-                        Relay.KeyScope.DESTINATION,
+                        DeliveryScheduler.Effect.UNSAFE,
+                        DeliveryScheduler.KeyScope.DESTINATION,
                         0,
                         random.nextBoolean()));
-        return new Relay.Settings(
+        return new DeliveryScheduler.Settings(
                 seed,
                 1 + random.nextInt(3),
                 0,
                 5_000,
                 random.nextBoolean(),
                 0.3,
-                random.nextBoolean() ? Relay.LateWorth.EVEN : Relay.LateWorth.HALVING,
-                Relay.WeightKind.NONE,
+                random.nextBoolean() ? DeliveryScheduler.LateValueDecay.EVEN : DeliveryScheduler.LateValueDecay.HALVING,
+                DeliveryScheduler.WeightKind.NONE,
                 classes,
-                random.nextBoolean() ? List.of() : List.of(new Relay.Tenant(20), new Relay.Tenant(100)),
-                List.of(new Relay.Kind(random.nextBoolean(), 1), new Relay.Kind(false, 5)),
-                new Relay.Limits(
+                random.nextBoolean()
+                        ? List.of()
+                        : List.of(new DeliveryScheduler.Tenant(20), new DeliveryScheduler.Tenant(100)),
+                List.of(
+                        new DeliveryScheduler.DestinationKind(random.nextBoolean(), 1),
+                        new DeliveryScheduler.DestinationKind(false, 5)),
+                new DeliveryScheduler.Limits(
                         plan.slots(),
                         plan.openMessages(),
                         3 + random.nextInt(10),
@@ -177,9 +188,9 @@
                         1,
                         15_000_000,
                         1_000_000),
-                new Relay.Rules(300_000, 6_000_000, 0.15, 12_000_000, 2.5, 1_500_000, 100_000),
-                new Relay.Prices(0.06, random.nextInt(2) * 0.1, List.of()),
-                new Relay.ReportFields(0, 1));
+                new DeliveryScheduler.Rules(300_000, 6_000_000, 0.15, 12_000_000, 2.5, 1_500_000, 100_000),
+                new DeliveryScheduler.Prices(0.06, random.nextInt(2) * 0.1, List.of()),
+                new DeliveryScheduler.ReportFields(0, 1));
     }
 
     private long endpoint(int destination, int i) {
@@ -187,14 +198,15 @@
     }
 
     Event first() {
-        List<Relay.Entry> entries = new ArrayList<>();
+        List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
         for (int d = 0; d < plan.destinations(); d++) {
             for (int i = 0; i < plan.endpointsEach(); i++) {
-                entries.add(new Relay.Entry(endpoint(d, i), d, Relay.Listed.READY, 0, i % 2, d % 2));
+                entries.add(new DeliveryScheduler.EndpointEntry(
+                        endpoint(d, i), d, DeliveryScheduler.EndpointState.READY, 0, i % 2, d % 2));
                 listed[d * plan.endpointsEach() + i] = true;
             }
         }
-        return new Event.Listing(Relay.ListKind.FULL, entries);
+        return new Event.EndpointListUpdated(DeliveryScheduler.EndpointListKind.FULL, entries);
     }
 
     long now() {
@@ -208,7 +220,7 @@
     /** What happens next; every second event or so is the turn that follows. */
     Event next() {
         if (!conclude.isEmpty() && random.nextInt(3) == 0) {
-            return new Event.Concluded(conclude.remove(0));
+            return new Event.CompletionAcknowledged(conclude.remove(0));
         }
         int what = random.nextInt(1_000);
         if (what < 3) {
@@ -217,14 +229,16 @@
             int at = random.nextInt(listed.length);
             listed[at] = !listed[at];
             int d = at / plan.endpointsEach();
-            return new Event.Listing(
-                    Relay.ListKind.DELTA,
-                    List.of(new Relay.Entry(
+            return new Event.EndpointListUpdated(
+                    DeliveryScheduler.EndpointListKind.DELTA,
+                    List.of(new DeliveryScheduler.EndpointEntry(
                             at + 1,
                             d,
                             listed[at]
-                                    ? Relay.Listed.READY
-                                    : random.nextBoolean() ? Relay.Listed.GONE : Relay.Listed.DRAINING,
+                                    ? DeliveryScheduler.EndpointState.READY
+                                    : random.nextBoolean()
+                                            ? DeliveryScheduler.EndpointState.GONE
+                                            : DeliveryScheduler.EndpointState.DRAINING,
                             0,
                             at % plan.endpointsEach() % 2,
                             d % 2)));
@@ -233,9 +247,10 @@
         } else if (what < 8 && !held.isEmpty()) {
             long id = held.keySet().iterator().next();
             held.remove(id);
-            return new Event.Withdrawn(id);
+            return new Event.MessageCancelled(id);
         } else if (what < 9) {
-            return new Event.Ceiling(random.nextInt(plan.destinations()), random.nextInt(30), 1, random.nextBoolean());
+            return new Event.FleetRateLimitChanged(
+                    random.nextInt(plan.destinations()), random.nextInt(30), 1, random.nextBoolean());
         }
         long soonest = Math.min(
                 Math.min(wakeAt, nextArrival),
@@ -246,7 +261,7 @@
         }
         if (wakeAt <= now) {
             wakeAt = Long.MAX_VALUE;
-            return new Event.TimerDue(0);
+            return new Event.TimerExpired(0);
         }
         nextArrival = now
                 + (random.nextInt(200) == 0 ? 0 : (long) (-Math.log(1 - random.nextDouble()) / plan.perSecond() * 1e6));
@@ -259,7 +274,7 @@
         held.put(id, true);
         attempts.put(id, 0);
         long full = type == 0 ? 12_000_000 : type == 1 ? 10_000_000 : 8_000_000;
-        return new Event.Arrival(
+        return new Event.MessageSubmitted(
                 id,
                 type,
                 random.nextInt(3) - 1,
@@ -279,7 +294,7 @@
         attempts.put(id, tried);
         boolean doubt = tried > 0 && random.nextBoolean();
         int d = random.nextInt(plan.destinations());
-        return new Event.Resumed(
+        return new Event.MessageRecovered(
                 id,
                 random.nextInt(3),
                 key(),
@@ -293,7 +308,7 @@
 
     private Event ended(Due call) {
         out.remove(call.id());
-        boolean closed = call.ending() == Ending.OK || random.nextInt(200) == 0;
+        boolean closed = call.ending() == AttemptOutcome.OK || random.nextInt(200) == 0;
         if (closed) {
             held.remove(call.id());
             if (plan.concludes()) {
@@ -301,7 +316,7 @@
                 conclude.remove(call.id());
             }
         }
-        return new Event.Outcome(
+        return new Event.AttemptCompleted(
                 call.id(),
                 call.attempt(),
                 call.endpoint(),
@@ -318,25 +333,26 @@
         for (long[] send : did.sends) {
             int d = (int) ((send[1] - 1) / plan.endpointsEach());
             long took = 20_000 + random.nextLong(200_000);
-            Ending ending = random.nextInt(100) == 0 ? Ending.ERROR : Ending.OK;
+            AttemptOutcome ending = random.nextInt(100) == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK;
             long wait = 0;
             switch (moods[d]) {
                 case SLOW -> took *= 10;
                 case AWAY -> {
-                    ending = random.nextBoolean() ? Ending.CONNECT_FAILED : Ending.TIMEOUT;
-                    took = ending == Ending.TIMEOUT ? Long.MAX_VALUE : took;
+                    ending = random.nextBoolean() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT;
+                    took = ending == AttemptOutcome.TIMEOUT ? Long.MAX_VALUE : took;
                 }
                 case FULL -> {
-                    ending = random.nextInt(4) == 0 ? Ending.OK : Ending.FULL;
-                    wait = ending == Ending.FULL && random.nextInt(3) == 0 ? random.nextLong(4_000_000) : 0;
+                    ending = random.nextInt(4) == 0 ? AttemptOutcome.OK : AttemptOutcome.FULL;
+                    wait = ending == AttemptOutcome.FULL && random.nextInt(3) == 0 ? random.nextLong(4_000_000) : 0;
                 }
-                case ERRORS -> ending =
-                        random.nextBoolean() ? Ending.ERROR : random.nextBoolean() ? Ending.RESET : Ending.OK;
+                case ERRORS -> ending = random.nextBoolean()
+                        ? AttemptOutcome.ERROR
+                        : random.nextBoolean() ? AttemptOutcome.RESET : AttemptOutcome.OK;
                 default -> {}
             }
             long end = took == Long.MAX_VALUE ? send[2] : Math.min(send[2], now + took);
-            if (end == send[2] && ending != Ending.CONNECT_FAILED) {
-                ending = Ending.TIMEOUT;
+            if (end == send[2] && ending != AttemptOutcome.CONNECT_FAILED) {
+                ending = AttemptOutcome.TIMEOUT;
             }
             int attempt = attempts.merge(send[0], 1, Integer::sum) - 1;
             Due call = new Due(end, send[0], attempt, send[1], ending, end - now, wait);
@@ -347,8 +363,8 @@
             Due call = out.remove(cancel[0]);
             if (call != null) {
                 due.remove(call);
-                Due early =
-                        new Due(now + 1_000, call.id(), call.attempt(), call.endpoint(), Ending.CANCELLED, 1_000, 0);
+                Due early = new Due(
+                        now + 1_000, call.id(), call.attempt(), call.endpoint(), AttemptOutcome.CANCELLED, 1_000, 0);
                 out.put(call.id(), early);
                 due.add(early);
             }
--- a/decisions/src/test/java/amberroute/oracle/OracleRig.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparison.java
@@ -1,12 +1,12 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The long form of {@link OracleTest}: {@code bin/rig decisions-oracle [--rounds N] [--steps N] [--seed N]}. */
-final class OracleRig {
-    private OracleRig() {}
+/** The long form of {@link ReferenceComparisonTest}: {@code bin/rig decisions-oracle [--rounds N] [--steps N] [--seed N]}. */
+final class ReferenceComparison {
+    private ReferenceComparison() {}
 
     public static void main(String[] args) {
         Map<String, Long> options = new HashMap<>(Map.of("--rounds", 400L, "--steps", 10_000L, "--seed", 1L));
@@ -28,7 +28,10 @@
         for (long round = 0; ok && round < options.get("--rounds"); round++) {
             try {
                 int n = options.get("--steps").intValue();
-                Duel.play(seed + round, Duel.PLANS.get((int) ((seed + round) % Duel.PLANS.size())), n)
+                SideBySideRun.play(
+                                seed + round,
+                                SideBySideRun.PLANS.get((int) ((seed + round) % SideBySideRun.PLANS.size())),
+                                n)
                         .forEach((kind, count) -> seen.merge(kind, count, Integer::sum));
                 steps += n;
             } catch (AssertionError e) {
--- a/decisions/src/test/java/amberroute/oracle/OracleTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
@@ -1,4 +1,4 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The present module beside the one of before its data structures changed: the same actions in the same order. */
-class OracleTest {
+class ReferenceComparisonTest {
     @Test
     void theSameActionsInTheSameOrder() {
         Map<String, Integer> seen = new HashMap<>();
         for (long seed = 1; seed <= 40; seed++) {
-            Duel.play(seed, Duel.PLANS.get((int) (seed % Duel.PLANS.size())), 2_500)
+            SideBySideRun.play(seed, SideBySideRun.PLANS.get((int) (seed % SideBySideRun.PLANS.size())), 2_500)
                     .forEach((kind, n) -> seen.merge(kind, n, Integer::sum));
         }
         for (String kind :
--- a/decisions/src/test/java/amberroute/oracle/OldPolicy.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
@@ -1,7 +1,7 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
-import amberroute.Relay;
-import amberroute.oracle.OldState.*;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.reference.ReferenceState.*;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -17,14 +17,14 @@
 import java.util.TreeMap;
 
 /**
- * All decisions of one sender. Its interface (settings, events, actions) is {@code Relay.java}.
+ * All decisions of one sender. Its interface (settings, events, actions) is {@code DeliveryScheduler.java}.
  *
  * <p>Held messages leave by the ATC index of Ye et al.; an arrival whose due date minus predicted wait is
  * negative is refused at once. Guards withhold a destination from that choice and never reorder it.
  * Sections follow the order of one step. A scope carries health and limits and is the destination, or the
  * endpoint where routes are apart.
  */
-public final class OldPolicy implements Relay {
+public final class ReferenceScheduler implements DeliveryScheduler {
 
     // ---- Figures. Spans in microseconds unless said otherwise. ----
 
@@ -138,27 +138,28 @@
 
     private static final long NEVER = Long.MAX_VALUE;
     private static final double SECOND = 1e6;
-    private static final Set<Ending> NEVER_RAN = EnumSet.of(Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT);
+    private static final Set<AttemptOutcome> NEVER_RAN =
+            EnumSet.of(AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT);
 
     // ---- State. ----
 
     private Settings settings;
     private final boolean concludes;
     private final SplittableRandom random;
-    private final Map<Long, Message> messages = new LinkedHashMap<>();
-    private final List<Message> arrivals = new ArrayList<>();
+    private final Map<Long, PendingMessage> messages = new LinkedHashMap<>();
+    private final List<PendingMessage> arrivals = new ArrayList<>();
     private final Map<Integer, Destination> destinations = new TreeMap<>();
     private final Map<Long, Endpoint> endpoints = new TreeMap<>();
     /** Scopes with calls out: a step walks these, however long the list is. */
-    private final Set<Scope> busy = new LinkedHashSet<>();
+    private final Set<UpstreamHealth> busy = new LinkedHashSet<>();
     /** Scopes whose breaker has turned since the last step. */
-    private final Set<Scope> turned = new LinkedHashSet<>();
+    private final Set<UpstreamHealth> turned = new LinkedHashSet<>();
 
-    private final Map<Long, KeyTurn> turns = new HashMap<>();
+    private final Map<Long, KeyQueue> turns = new HashMap<>();
     /** Answered messages whose key's turn waits for the answer to be concluded. */
-    private final Map<Long, Message> concluding = new HashMap<>();
+    private final Map<Long, PendingMessage> concluding = new HashMap<>();
 
-    private final Deque<KeyTurn> resting = new ArrayDeque<>();
+    private final Deque<KeyQueue> resting = new ArrayDeque<>();
     private final List<TokenBucket> shares = new ArrayList<>();
     private long longestTime;
     private int slotsUsed;
@@ -183,12 +184,12 @@
     private long timerAt = NEVER;
 
     /** A sender with nothing but its settings; they are checked here. Answers are final as they are given. */
-    public OldPolicy(Settings settings) {
+    public ReferenceScheduler(Settings settings) {
         this(settings, false);
     }
 
-    /** {@code concludes}: the caller tells by {@link Event.Concluded} when an answer has been received. */
-    public OldPolicy(Settings settings, boolean concludes) {
+    /** {@code concludes}: the caller tells by {@link Event.CompletionAcknowledged} when an answer has been received. */
+    public ReferenceScheduler(Settings settings, boolean concludes) {
         this.concludes = concludes;
         configure(settings);
         random = new SplittableRandom(settings.seed());
@@ -221,40 +222,40 @@
 
     @Override
     public void step(long now, Event event, Actions actions) {
-        if (event instanceof Event.Arrival e) {
+        if (event instanceof Event.MessageSubmitted e) {
             onArrival(now, e);
-        } else if (event instanceof Event.Outcome e) {
+        } else if (event instanceof Event.AttemptCompleted e) {
             onOutcome(now, e, actions);
-        } else if (event instanceof Event.Resumed e) {
+        } else if (event instanceof Event.MessageRecovered e) {
             onResumed(now, e);
-        } else if (event instanceof Event.Remembered e) {
+        } else if (event instanceof Event.HealthRestored e) {
             onRemembered(now, e.memory(), e.memory().since() + e.age());
-        } else if (event instanceof Event.Underway e) {
+        } else if (event instanceof Event.CallInFlight e) {
             onUnderway(now, e, actions);
-        } else if (event instanceof Event.Answered e) {
-            Message m = new Message();
+        } else if (event instanceof Event.CompletedMessageRecovered e) {
+            PendingMessage m = new PendingMessage();
             m.turn = turn(e.key());
             m.turn.queue.add(m);
             concluding.put(e.id(), m);
-        } else if (event instanceof Event.TakenOver e) {
+        } else if (event instanceof Event.UpstreamStateTransferred e) {
             onTakenOver(now, e.learned());
-        } else if (event instanceof Event.Resting e) {
+        } else if (event instanceof Event.KeyPaused e) {
             onResting(now, e.rest());
-        } else if (event instanceof Event.Configured e) {
+        } else if (event instanceof Event.SettingsChanged e) {
             configure(e.settings());
-        } else if (event instanceof Event.Ceiling e) {
+        } else if (event instanceof Event.FleetRateLimitChanged e) {
             onCeiling(now, e);
-        } else if (event instanceof Event.Stopping e) {
+        } else if (event instanceof Event.ShutdownStarted e) {
             stopsAt = now + e.timeLeft();
-        } else if (event instanceof Event.Concluded e) {
+        } else if (event instanceof Event.CompletionAcknowledged e) {
             onConcluded(now, e.id());
-        } else if (event instanceof Event.Withdrawn e) {
+        } else if (event instanceof Event.MessageCancelled e) {
             onWithdrawn(now, e.id());
-        } else if (event instanceof Event.Listing e) {
+        } else if (event instanceof Event.EndpointListUpdated e) {
             onListing(now, e);
-        } else if (event instanceof Event.TimerDue) {
+        } else if (event instanceof Event.TimerExpired) {
             timerAt = timerAt <= now ? NEVER : timerAt;
-        } else if (event instanceof Event.Turn) {
+        } else if (event instanceof Event.Decide) {
             decide(now, actions);
         }
     }
@@ -262,12 +263,12 @@
     @Override
     public int avoided() {
         return (int) endpoints.values().stream()
-                .filter(point -> point.state == Listed.READY
-                        && (point.scope.breaker == Breaker.OPEN || point.failures + point.lost >= STREAK))
+                .filter(point -> point.state == EndpointState.READY
+                        && (point.scope.breaker == BreakerState.OPEN || point.failures + point.lost >= STREAK))
                 .count();
     }
 
-    private void onArrival(long now, Event.Arrival e) {
+    private void onArrival(long now, Event.MessageSubmitted e) {
         if (messages.containsKey(e.id())) {
             return;
         }
@@ -277,13 +278,13 @@
                     .removeIf(d ->
                             d.endpoints.isEmpty() && messages.values().stream().noneMatch(m -> m.destination == d));
         }
-        Message m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
         m.worth *= withinShare(now, e.tenant()) ? 1 : settings.overShareWorth();
         arrivals.add(m);
     }
 
-    private Message take(long now, long id, int messageClass, long key, long timeLeft, int destination) {
-        Message m = new Message();
+    private PendingMessage take(long now, long id, int messageClass, long key, long timeLeft, int destination) {
+        PendingMessage m = new PendingMessage();
         m.id = id;
         m.type =
                 settings.classes().get(Math.min(messageClass, settings.classes().size() - 1));
@@ -299,18 +300,18 @@
         return m;
     }
 
-    private KeyTurn turn(long key) {
-        KeyTurn turn = turns.computeIfAbsent(key, k -> new KeyTurn());
+    private KeyQueue turn(long key) {
+        KeyQueue turn = turns.computeIfAbsent(key, k -> new KeyQueue());
         turn.key = key;
         return turn;
     }
 
     /** It passed the arrival test in an earlier process; what was out when that ended may still run. */
-    private void onResumed(long now, Event.Resumed e) {
+    private void onResumed(long now, Event.MessageRecovered e) {
         if (messages.containsKey(e.id())) {
             return;
         }
-        Message m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
         m.attempts = e.attempts();
         m.worth = m.attempts == 0 && m.type.effect() != Effect.SAFE ? settings.mostWorth() : m.worth;
         if (e.doubtAge() >= 0) {
@@ -328,13 +329,13 @@
      * out all that is held, at a destination that is still cold. It covers crashes and planned restarts.
      * Harm: a destination that is well again since is tried by one call first.
      */
-    private void onRemembered(long now, Memory memory, long age) {
+    private void onRemembered(long now, HealthCheckpoint memory, long age) {
         Endpoint point = endpoints.get(memory.endpoint());
-        if (memory.endpoint() != 0 && point == null || memory.health() == Health.WELL) {
+        if (memory.endpoint() != 0 && point == null || memory.health() == UpstreamStatus.WELL) {
             return;
         }
         Destination destination = destination(memory.destination());
-        Scope scope = point == null ? destination.shared : point.scope;
+        UpstreamHealth scope = point == null ? destination.shared : point.scope;
         scope.usual = memory.usual();
         scope.present = memory.usual();
         scope.formerPace = memory.pace();
@@ -342,12 +343,12 @@
             destination.p = memory.usual();
             destination.measured = true;
         }
-        scope.breaker = memory.health() == Health.OUT ? Breaker.OPEN : Breaker.RAMP;
+        scope.breaker = memory.health() == UpstreamStatus.OUT ? BreakerState.OPEN : BreakerState.RAMP;
         scope.openedAt = now - age;
         scope.rampFrom = now - age;
         scope.rampSent = now;
         scope.trialAt = now;
-        scope.harm = memory.health() == Health.OUT ? 1 : 0;
+        scope.harm = memory.health() == UpstreamStatus.OUT ? 1 : 0;
     }
 
     /** What is to outlast the process changes with the breaker only, so it is seldom written. */
@@ -356,22 +357,22 @@
         turned.clear();
     }
 
-    private static Memory memory(long now, Scope scope) {
-        Health health =
+    private static HealthCheckpoint memory(long now, UpstreamHealth scope) {
+        UpstreamStatus health =
                 switch (scope.breaker) {
-                    case OPEN -> Health.OUT;
-                    case RAMP -> Health.COLD;
-                    case CLOSED -> Health.WELL;
+                    case OPEN -> UpstreamStatus.OUT;
+                    case RAMP -> UpstreamStatus.COLD;
+                    case CLOSED -> UpstreamStatus.WELL;
                 };
-        long since = now - (health == Health.OUT ? scope.openedAt : scope.rampFrom);
-        return new Memory(scope.destination, scope.endpoint, health, since, scope.formerPace, scope.usual);
+        long since = now - (health == UpstreamStatus.OUT ? scope.openedAt : scope.rampFrom);
+        return new HealthCheckpoint(scope.destination, scope.endpoint, health, since, scope.formerPace, scope.usual);
     }
 
     // ---- Taking over from a process that still runs. ----
 
-    private void onUnderway(long now, Event.Underway e, Actions actions) {
+    private void onUnderway(long now, Event.CallInFlight e, Actions actions) {
         Endpoint point = endpoints.get(e.endpoint());
-        List<Message> load = e.ids().stream()
+        List<PendingMessage> load = e.ids().stream()
                 .map(messages::get)
                 .filter(m -> m != null && m.out == null)
                 .toList();
@@ -382,8 +383,8 @@
         }
     }
 
-    private void onResting(long now, Rest rest) {
-        KeyTurn turn = turn(rest.key());
+    private void onResting(long now, KeyPause rest) {
+        KeyQueue turn = turn(rest.key());
         turn.restUntil = now + rest.left();
         turn.restsAfter = messages.get(rest.except());
         if (turn.queue.isEmpty()) {
@@ -392,21 +393,21 @@
     }
 
     @Override
-    public List<Rest> rests(long now) {
+    public List<KeyPause> rests(long now) {
         return turns.values().stream()
                 .filter(t -> t.restUntil > now)
-                .map(t -> new Rest(t.key, t.restUntil - now, t.restsAfter == null ? 0 : t.restsAfter.id))
+                .map(t -> new KeyPause(t.key, t.restUntil - now, t.restsAfter == null ? 0 : t.restsAfter.id))
                 .toList();
     }
 
     @Override
-    public List<Learned> learned(long now) {
+    public List<UpstreamSnapshot> learned(long now) {
         return endpoints.values().stream()
                 .map(point -> point.scope)
                 .distinct()
                 .map(s -> {
                     Destination d = s.members.get(0).destination;
-                    return new Learned(
+                    return new UpstreamSnapshot(
                             memory(now, s),
                             Math.max(0, s.waitUntil - now),
                             Math.max(0, s.backoffUntil - now),
@@ -424,14 +425,14 @@
                 .toList();
     }
 
-    private void onTakenOver(long now, Learned l) {
+    private void onTakenOver(long now, UpstreamSnapshot l) {
         Endpoint point = endpoints.get(l.memory().endpoint());
         if (l.memory().endpoint() != 0 && point == null) {
             return;
         }
         onRemembered(now, l.memory(), l.memory().since());
         Destination destination = destination(l.memory().destination());
-        Scope scope = point == null ? destination.shared : point.scope;
+        UpstreamHealth scope = point == null ? destination.shared : point.scope;
         scope.usual = l.memory().usual();
         scope.present = l.present();
         usualLatency = usualLatency == 0 ? scope.usual : usualLatency + FAST * (scope.usual - usualLatency);
@@ -451,21 +452,22 @@
     }
 
     /** That another has seen it answer is worth a trial now: its own turn may be many seconds away. */
-    private void onCeiling(long now, Event.Ceiling e) {
+    private void onCeiling(long now, Event.FleetRateLimitChanged e) {
         Destination destination = destination(e.destination());
         destination.ceiling.set(now, e.perSecond(), e.first());
         destination.endpoints.forEach(p -> p.scope.trialAt = e.back() ? now : p.scope.trialAt);
     }
 
     private void onConcluded(long now, long id) {
-        Message m = concluding.remove(id);
+        PendingMessage m = concluding.remove(id);
         if (m != null) {
             leaveTurn(now, m);
         }
     }
 
     private Destination destination(int number) {
-        return destinations.computeIfAbsent(number, n -> new Destination(new Scope(n, 0, SENT_SPAN, SERVED_SPAN)));
+        return destinations.computeIfAbsent(
+                number, n -> new Destination(new UpstreamHealth(n, 0, SENT_SPAN, SERVED_SPAN)));
     }
 
     /** A sender sees only its own part of a tenant's traffic and takes an even part of its share. */
@@ -474,15 +476,15 @@
     }
 
     private void onWithdrawn(long now, long id) {
-        Message m = messages.get(id);
+        PendingMessage m = messages.get(id);
         if (m != null) {
             m.ended = true;
             forgetIfDone(now, m);
         }
     }
 
-    private void onOutcome(long now, Event.Outcome e, Actions actions) {
-        Message m = messages.get(e.id());
+    private void onOutcome(long now, Event.AttemptCompleted e, Actions actions) {
+        PendingMessage m = messages.get(e.id());
         if (m == null || m.out == null || m.attempts - 1 != e.attempt()) {
             return;
         }
@@ -510,13 +512,13 @@
             m.doubtSince = call.sentAt;
             m.doubtAt = call.endpoint;
         }
-        if (m.turn != null && ran && e.ending() != Ending.OK && e.ending() != Ending.ERROR) {
+        if (m.turn != null && ran && e.ending() != AttemptOutcome.OK && e.ending() != AttemptOutcome.ERROR) {
             m.turn.restUntil = now + settings.rules().settle();
             m.turn.restsAfter = m;
         }
-        m.timeOuts += e.ending() == Ending.TIMEOUT ? 1 : 0;
+        m.timeOuts += e.ending() == AttemptOutcome.TIMEOUT ? 1 : 0;
         m.failedAt = call.endpoint;
-        Scope scope = call.endpoint.scope;
+        UpstreamHealth scope = call.endpoint.scope;
         if (m.attempts >= Math.max(2, m.destination.endpoints.size())) {
             m.notBefore =
                     now + pause(e.noPlace(settings.reports()) ? 0 : turn(scope), 0, m.type.deadline(), m.attempts - 1);
@@ -528,11 +530,11 @@
             call.noted = true;
             learn(now, m, call, e);
         }
-        scope.served.add(now, e.ending() == Ending.OK ? 1 : 0);
+        scope.served.add(now, e.ending() == AttemptOutcome.OK ? 1 : 0);
         forgetIfDone(now, m);
     }
 
-    private void forgetIfDone(long now, Message m) {
+    private void forgetIfDone(long now, PendingMessage m) {
         if (!m.ended || m.out != null) {
             return;
         }
@@ -544,7 +546,7 @@
         }
     }
 
-    private void leaveTurn(long now, Message m) {
+    private void leaveTurn(long now, PendingMessage m) {
         if (m.turn != null) {
             m.turn.queue.remove(m);
             if (m.turn.queue.isEmpty()) {
@@ -552,49 +554,49 @@
             }
         }
         while (!resting.isEmpty() && resting.peek().restUntil <= now) {
-            KeyTurn done = resting.poll();
+            KeyQueue done = resting.poll();
             if (done.queue.isEmpty()) {
                 turns.remove(done.key, done);
             }
         }
     }
 
-    private void onListing(long now, Event.Listing e) {
-        if (e.kind() == ListKind.FAILED) {
+    private void onListing(long now, Event.EndpointListUpdated e) {
+        if (e.kind() == EndpointListKind.FAILED) {
             long pause = FOLLOW_PAUSE << Math.min(followFailures++, 6);
             followAt = now + jitter(Math.min(pause, settings.rules().askWithin() / 4));
             return;
         }
-        followFailures = e.kind() == ListKind.CACHED ? followFailures : 0;
-        List<Endpoint> touched = new ArrayList<>(e.kind() == ListKind.DELTA ? List.of() : endpoints.values());
+        followFailures = e.kind() == EndpointListKind.CACHED ? followFailures : 0;
+        List<Endpoint> touched = new ArrayList<>(e.kind() == EndpointListKind.DELTA ? List.of() : endpoints.values());
         // The second: what was learned fades up to a change of the list by the endpoints that were listed until then.
         destinations.values().forEach(d -> fade(now, d));
-        touched.forEach(known -> known.state = Listed.GONE);
+        touched.forEach(known -> known.state = EndpointState.GONE);
         e.entries().forEach(entry -> touched.add(update(entry)));
         touched.forEach(this::dropIfGone);
     }
 
     private void dropIfGone(Endpoint known) {
-        if (known.state == Listed.GONE && known.inFlight == 0) {
+        if (known.state == EndpointState.GONE && known.inFlight == 0) {
             endpoints.remove(known.id, known);
             known.destination.endpoints.remove(known);
             known.scope.members.remove(known);
         }
     }
 
-    private Endpoint update(Entry entry) {
+    private Endpoint update(EndpointEntry entry) {
         Endpoint point = endpoints.get(entry.endpoint());
         if (point == null) {
             point = new Endpoint();
             point.id = entry.endpoint();
             point.destination = destination(entry.destination());
-            Kind kind = settings.kinds().isEmpty()
-                    ? new Kind(false, 1)
+            DestinationKind kind = settings.kinds().isEmpty()
+                    ? new DestinationKind(false, 1)
                     : settings.kinds()
                             .get(Math.min(entry.kind(), settings.kinds().size() - 1));
             point.scope = !kind.routesApart()
                     ? point.destination.shared
-                    : new Scope(entry.destination(), point.id, SENT_SPAN, SERVED_SPAN);
+                    : new UpstreamHealth(entry.destination(), point.id, SENT_SPAN, SERVED_SPAN);
             point.messagesPerCall = Math.max(1, kind.messagesPerCall());
             endpoints.put(point.id, point);
             List<Endpoint> siblings = point.destination.endpoints;
@@ -612,7 +614,7 @@
 
     // ---- Effects: each send and each answer goes through these. ----
 
-    private boolean maySend(long now, Message m) {
+    private boolean maySend(long now, PendingMessage m) {
         return !m.ended
                 && m.out == null
                 && m.attempts < settings.limits().maxAttempts()
@@ -621,14 +623,14 @@
     }
 
     /** Until when the class lets this message be sent again. */
-    private static long repeatableUntil(Message m) {
+    private static long repeatableUntil(PendingMessage m) {
         if (m.doubtSince == NEVER || m.type.effect() == Effect.SAFE) {
             return NEVER;
         }
         return m.type.effect() == Effect.UNSAFE ? 0 : m.doubtSince + m.type.keyLife() - KEY_MARGIN;
     }
 
-    private static boolean remembered(Message m, Endpoint point) {
+    private static boolean remembered(PendingMessage m, Endpoint point) {
         if (m.doubtSince == NEVER || m.type.effect() == Effect.SAFE) {
             return true;
         }
@@ -639,7 +641,7 @@
         };
     }
 
-    private static boolean mayRefuse(Message m) {
+    private static boolean mayRefuse(PendingMessage m) {
         return m.out == null
                 && (m.type.effect() == Effect.SAFE
                         || m.doubtSince == NEVER
@@ -647,7 +649,7 @@
     }
 
     /** The final answer: a refusal wherever that is harmless, since the client may then come again. */
-    private void answer(long now, Message m, long advice, Actions actions) {
+    private void answer(long now, PendingMessage m, long advice, Actions actions) {
         if (mayRefuse(m)) {
             actions.refuse(
                     m.id,
@@ -696,7 +698,7 @@
         messages.values().forEach(m -> m.index = m.out == null && !m.ended ? index(now, m) : 0);
         double sum = 0;
         int n = 0;
-        for (Message m : List.copyOf(messages.values())) {
+        for (PendingMessage m : List.copyOf(messages.values())) {
             if (m.out != null || m.ended) {
                 continue;
             }
@@ -712,7 +714,7 @@
             }
         }
         meanP = n == 0 ? 1 : sum / n;
-        for (Message m : messages.values()) {
+        for (PendingMessage m : messages.values()) {
             m.index = m.out == null && !m.ended ? index(now, m) : 0;
         }
     }
@@ -739,7 +741,7 @@
     /** The arrival test binds once more messages are held unsent than there are slots. */
     private void admit(long now, Actions actions) {
         long held = messages.values().stream().filter(m -> m.out == null).count();
-        for (Message m : arrivals) {
+        for (PendingMessage m : arrivals) {
             if (m.ended) {
                 continue;
             }
@@ -750,7 +752,7 @@
         }
         arrivals.clear();
         while (messages.size() > ROOM * settings.limits().openMessages()) {
-            Message least = messages.values().stream()
+            PendingMessage least = messages.values().stream()
                     .filter(m -> m.out == null && !m.ended)
                     .min(Comparator.comparingDouble(m -> m.index))
                     .orElse(null);
@@ -765,11 +767,11 @@
      * W: the larger of the work ahead over all slots and that ahead at the destination over its cap. Ahead
      * is what has the higher index now or, being worth no less, will have it as this one ages.
      */
-    private long predictedWait(long now, Message m) {
+    private long predictedWait(long now, PendingMessage m) {
         double all = 0;
         double here = 0;
         double aheadHere = 0;
-        for (Message other : messages.values()) {
+        for (PendingMessage other : messages.values()) {
             boolean ahead = other.out != null || other.index >= m.index || other.worth >= m.worth;
             if (other == m || other.ended || !ahead) {
                 continue;
@@ -783,14 +785,16 @@
         double cap = 0;
         double pace = 0;
         long opens = NEVER;
-        Scope last = null;
+        UpstreamHealth last = null;
         for (Endpoint point : m.destination.endpoints) {
-            if (point.state == Listed.READY && point.scope != last) {
+            if (point.state == EndpointState.READY && point.scope != last) {
                 last = point.scope;
                 cap += cap(now, last);
                 // Paces count calls: what waits behind a limit or a slow start fills them.
                 pace += point.messagesPerCall
-                        * (last.breaker == Breaker.CLOSED ? last.pace : rampPace((1 + warmth(now, last)) / 2, last));
+                        * (last.breaker == BreakerState.CLOSED
+                                ? last.pace
+                                : rampPace((1 + warmth(now, last)) / 2, last));
                 opens = Math.min(opens, returnsAt(now, last));
             }
         }
@@ -804,31 +808,31 @@
     }
 
     /** When a scope is expected to take calls: an outage without a told end counts as half over. */
-    private static long returnsAt(long now, Scope scope) {
+    private static long returnsAt(long now, UpstreamHealth scope) {
         long told = Math.max(scope.waitUntil, scope.backoffUntil);
-        return scope.breaker == Breaker.OPEN ? Math.max(told, 2 * now - scope.openedAt) : told;
+        return scope.breaker == BreakerState.OPEN ? Math.max(told, 2 * now - scope.openedAt) : told;
     }
 
     // ---- Choice. ----
 
-    private double serviceTime(Message m) {
+    private double serviceTime(PendingMessage m) {
         return m.destination.measured ? m.destination.p : usualLatency > 0 ? usualLatency : m.type.aim();
     }
 
     /** I = (w/p) exp(-max(d - t, 0) / (k p')). */
-    private double index(long now, Message m) {
+    private double index(long now, PendingMessage m) {
         double p = serviceTime(m);
         double pressure = Math.exp(-Math.max(m.due - now, 0) / (LOOK_AHEAD * meanP));
         return m.worth * timeliness(m, now + p) * m.destination.odds / p * pressure;
     }
 
     /** Share of the worth that is left at a time. */
-    private double timeliness(Message m, double at) {
+    private double timeliness(PendingMessage m, double at) {
         if (at <= m.aim) {
             return 1;
         }
         double late = m.type.lateShare();
-        if (settings.lateWorth() == LateWorth.HALVING) {
+        if (settings.lateWorth() == LateValueDecay.HALVING) {
             return Math.max(late, Math.pow(0.5, Math.ceil((at - m.aim) / m.type.aim())));
         }
         double span = Math.max(1, m.due - m.aim);
@@ -836,8 +840,8 @@
     }
 
     private void choose(long now, Actions actions) {
-        List<Message> ready = new ArrayList<>();
-        for (Message m : messages.values()) {
+        List<PendingMessage> ready = new ArrayList<>();
+        for (PendingMessage m : messages.values()) {
             if (maySend(now, m) && hasTurn(now, m)) {
                 if (m.notBefore <= now) {
                     ready.add(m);
@@ -846,11 +850,11 @@
                 }
             }
         }
-        ready.sort(Comparator.comparingDouble((Message m) -> -m.index));
+        ready.sort(Comparator.comparingDouble((PendingMessage m) -> -m.index));
         judgeRisks(now);
         Map<Destination, Call> filling = new HashMap<>();
         List<Call> started = new ArrayList<>();
-        for (Message m : ready) {
+        for (PendingMessage m : ready) {
             Call open = filling.get(m.destination);
             boolean free = m.destination.ceiling.opensAt(now) <= now;
             boolean joins = open != null
@@ -880,7 +884,7 @@
     /** The least that a failed call costs or could cost among the messages for each destination. */
     private void judgeRisks(long now) {
         destinations.values().forEach(d -> d.leastRisk = Integer.MAX_VALUE);
-        for (Message m : messages.values()) {
+        for (PendingMessage m : messages.values()) {
             boolean counts = m.out != null || maySend(now, m) && hasTurn(now, m);
             if (counts) {
                 m.destination.leastRisk = Math.min(m.destination.leastRisk, risk(now, m));
@@ -895,26 +899,26 @@
      * It covers trials in an outage of any kind, brown-outs, cold returns and what a new process finds.
      * Harm: where most calls go on failing, unsafe messages wait for the last part of their time.
      */
-    private boolean mayRisk(long now, Message m, Scope scope) {
+    private boolean mayRisk(long now, PendingMessage m, UpstreamHealth scope) {
         boolean late = m.due - now < LAST_SHARE * m.type.deadline();
         return risk(now, m) <= m.destination.leastRisk || !probing(scope) && (scope.harm < DOUBT || late);
     }
 
-    private int risk(long now, Message m) {
+    private int risk(long now, PendingMessage m) {
         return m.type.effect() == Effect.UNSAFE ? 4 : m.type.effect().ordinal() + (hurried(now, m) ? 2 : 0);
     }
 
     /** Its time may run out before a slow answer: it would be given up before that is silence. */
-    private boolean hurried(long now, Message m) {
+    private boolean hurried(long now, PendingMessage m) {
         return m.due - now < Math.max((long) (SILENT_SHARE * longestTime), (long) (AMPLE * serviceTime(m)));
     }
 
     /** Nothing is known of a scope, or only that it failed: only safe messages share a call to it. */
-    private static boolean probing(Scope scope) {
-        return scope.breaker == Breaker.OPEN || scope.usual == 0;
+    private static boolean probing(UpstreamHealth scope) {
+        return scope.breaker == BreakerState.OPEN || scope.usual == 0;
     }
 
-    private boolean hasTurn(long now, Message m) {
+    private boolean hasTurn(long now, PendingMessage m) {
         if (m.turn == null || m.turn.queue.peek() != m) {
             return m.turn == null;
         }
@@ -923,12 +927,12 @@
         return rested;
     }
 
-    private Endpoint endpointFor(long now, Message m) {
+    private Endpoint endpointFor(long now, PendingMessage m) {
         Endpoint best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         long opens = NEVER;
         for (Endpoint point : m.destination.endpoints) {
-            boolean usable = point.state == Listed.READY && remembered(m, point) && mayRisk(now, m, point.scope);
+            boolean usable = point.state == EndpointState.READY && remembered(m, point) && mayRisk(now, m, point.scope);
             if (!usable || !endsInTime(now, m, point)) {
                 continue;
             }
@@ -947,13 +951,13 @@
     }
 
     /** Before the process ends, no unsafe attempt starts whose outcome it may not see: that would lose it. */
-    private boolean endsInTime(long now, Message m, Endpoint point) {
+    private boolean endsInTime(long now, PendingMessage m, Endpoint point) {
         return stopsAt == NEVER
                 || m.type.effect() != Effect.UNSAFE
                 || now + LAST_CALLS * Math.max(serviceTime(m), present(now, point.scope)) < stopsAt;
     }
 
-    private double cost(long now, Message m, Endpoint point) {
+    private double cost(long now, PendingMessage m, Endpoint point) {
         boolean warm = (point.inFlight > 0 || now - point.lastUse < trustedIdle)
                 && point.inFlight
                         < point.connections * Math.max(1, settings.limits().callsPerConnection());
@@ -990,11 +994,11 @@
     }
 
     /** A call is given up with the first of its messages: those with time to wait must not fail by that. */
-    private boolean sharesFate(long now, Message m, Call call) {
+    private boolean sharesFate(long now, PendingMessage m, Call call) {
         return call.hurried == hurried(now, m);
     }
 
-    private void load(long now, Message m, Call call) {
+    private void load(long now, PendingMessage m, Call call) {
         call.hurried |= hurried(now, m);
         call.messages++;
         call.waiting++;
@@ -1017,7 +1021,7 @@
     }
 
     /** Unsafe attempts run to the end, as giving one up loses the message. */
-    private long giveUpAt(long now, Message m, Call call) {
+    private long giveUpAt(long now, PendingMessage m, Call call) {
         if (m.type.effect() == Effect.UNSAFE || m.attempts >= settings.limits().maxAttempts()) {
             return m.due;
         }
@@ -1061,20 +1065,20 @@
     }
 
     /** From when a scope's guards let a call out; NEVER if only an outcome can tell. */
-    private long opensAt(long now, Scope scope) {
+    private long opensAt(long now, UpstreamHealth scope) {
         long at = Math.max(scope.waitUntil, scope.backoffUntil);
-        if (scope.breaker == Breaker.OPEN) {
+        if (scope.breaker == BreakerState.OPEN) {
             return scope.trial != null ? NEVER : Math.max(at, scope.trialAt);
         }
         // What never answered gets a call for each endpoint: after a restart all held would else go at once.
         if (scope.calls.size() >= (scope.usual == 0 ? scope.members.size() : cap(now, scope))) {
             return NEVER;
         }
-        if (scope.breaker == Breaker.RAMP
+        if (scope.breaker == BreakerState.RAMP
                 && now - scope.rampFrom >= settings.rules().coldSpan()) {
-            scope.breaker = Breaker.CLOSED;
+            scope.breaker = BreakerState.CLOSED;
         }
-        if (scope.breaker == Breaker.RAMP) {
+        if (scope.breaker == BreakerState.RAMP) {
             at = Math.max(
                     at,
                     Math.min(
@@ -1089,20 +1093,20 @@
                 : Math.max(at, scope.paceNext - (long) ((PACE_BURST - 1) * SECOND / scope.pace));
     }
 
-    private void charge(long now, Scope scope, Call call) {
+    private void charge(long now, UpstreamHealth scope, Call call) {
         scope.sent.add(now, 1);
         if (!Double.isInfinite(scope.pace)) {
             scope.paceNext = Math.max(scope.paceNext, now) + (long) (SECOND / scope.pace);
         }
-        if (scope.breaker == Breaker.OPEN) {
+        if (scope.breaker == BreakerState.OPEN) {
             scope.trial = call;
-        } else if (scope.breaker == Breaker.RAMP) {
+        } else if (scope.breaker == BreakerState.RAMP) {
             scope.rampSent = now;
         }
     }
 
     /** Latency-scaled cap: all slots at the usual pace, else their share usual over present; at least one. */
-    private int cap(long now, Scope scope) {
+    private int cap(long now, UpstreamHealth scope) {
         int slots = settings.limits().slots();
         if (scope.usual == 0) {
             return slots;
@@ -1111,7 +1115,7 @@
     }
 
     /** Present latency: a call unanswered for longer than it counts as though it were answered now. */
-    private static double present(long now, Scope scope) {
+    private static double present(long now, UpstreamHealth scope) {
         double present = scope.present;
         for (Call call : scope.calls) {
             double age = now - call.sentAt;
@@ -1122,7 +1126,7 @@
         return present;
     }
 
-    private long silence(Scope scope) {
+    private long silence(UpstreamHealth scope) {
         double usual = scope.usual > 0 ? Math.max(scope.usual, scope.present) : usualLatency;
         return Math.max((long) (SILENT_SHARE * longestTime), (long) (SILENT * usual));
     }
@@ -1131,7 +1135,7 @@
      * Silence opens the breaker before anything times out; one slow call among answered ones does not, but
      * it is silent all the same: what its endpoint has answered since does not bring its answer.
      */
-    private void watch(long now, Scope scope) {
+    private void watch(long now, UpstreamHealth scope) {
         scope.members.forEach(point -> point.lost = 0);
         for (Call call : scope.calls) {
             long silentAt = call.sentAt + silence(scope);
@@ -1145,7 +1149,7 @@
                 judgeConnection(call, true, false);
             }
         }
-        if (!scope.calls.isEmpty() && scope.breaker != Breaker.OPEN && failed(now, scope)) {
+        if (!scope.calls.isEmpty() && scope.breaker != BreakerState.OPEN && failed(now, scope)) {
             open(now, scope);
         }
     }
@@ -1164,15 +1168,15 @@
         boolean pressed = slotsUsed >= slots
                 && silent >= SILENT_SLOTS * slots
                 && messages.values().stream().anyMatch(m -> m.out == null && m.notBefore <= now);
-        for (Message m : messages.values()) {
+        for (PendingMessage m : messages.values()) {
             if (m.out != null
                     && m.out.silent
                     && !m.calledOff
                     && settings.limits().cancel()) {
                 Call call = m.out;
-                Scope scope = call.endpoint.scope;
+                UpstreamHealth scope = call.endpoint.scope;
                 boolean due = pressed && now - call.sentAt > (call.unsafe ? PATIENCE : 1) * silence(scope)
-                        || !call.unsafe && scope.breaker == Breaker.OPEN;
+                        || !call.unsafe && scope.breaker == BreakerState.OPEN;
                 if (due || call.calledOff) {
                     m.calledOff = true;
                     call.calledOff = true;
@@ -1188,11 +1192,11 @@
      * is passed over while its siblings answer. Where no answer is recent one will do, as the second would
      * come after the outage. Harm: with many endpoints an outage is seen later; false alarms.
      */
-    private boolean failed(long now, Scope scope) {
+    private boolean failed(long now, UpstreamHealth scope) {
         int failures = 0;
         for (Endpoint point : scope.members) {
             int here = point.failures + point.lost;
-            if (here == 0 && point.state == Listed.READY) {
+            if (here == 0 && point.state == EndpointState.READY) {
                 return false;
             }
             failures += here;
@@ -1200,8 +1204,8 @@
         return failures >= STREAK || failures > 0 && now - scope.lastOk > OLD * longestTime;
     }
 
-    private void learn(long now, Message m, Call call, Event.Outcome e) {
-        Scope scope = call.endpoint.scope;
+    private void learn(long now, PendingMessage m, Call call, Event.AttemptCompleted e) {
+        UpstreamHealth scope = call.endpoint.scope;
         boolean wasTrial = scope.trial == call;
         if (wasTrial) {
             scope.trial = null;
@@ -1212,13 +1216,14 @@
             call.idleBefore = e.idle();
         }
         if (!call.silent) {
-            judgeConnection(call, e.ending() == Ending.RESET || e.ending() == Ending.TIMEOUT, told);
+            judgeConnection(call, e.ending() == AttemptOutcome.RESET || e.ending() == AttemptOutcome.TIMEOUT, told);
         }
         unconnected += FAST_POOLED
-                * ((e.ending() == Ending.CONNECT_FAILED || e.noPlace(settings.reports()) ? 1 : 0) - unconnected);
-        m.destination.odds += FAST * ((e.ending() == Ending.OK ? 1 : 0) - m.destination.odds);
+                * ((e.ending() == AttemptOutcome.CONNECT_FAILED || e.noPlace(settings.reports()) ? 1 : 0)
+                        - unconnected);
+        m.destination.odds += FAST * ((e.ending() == AttemptOutcome.OK ? 1 : 0) - m.destination.odds);
         if (!NEVER_RAN.contains(e.ending())) {
-            scope.harm += FAST * ((e.ending() == Ending.OK ? 0 : 1) - scope.harm);
+            scope.harm += FAST * ((e.ending() == AttemptOutcome.OK ? 0 : 1) - scope.harm);
         }
         switch (e.ending()) {
             case OK -> onOk(now, call, e);
@@ -1239,15 +1244,15 @@
             }
             default -> {
                 // A kept connection that is reset tells of itself; a sick endpoint shows on a fresh one.
-                if (e.ending() != Ending.RESET || !told || e.idle() == 0 || wasTrial) {
+                if (e.ending() != AttemptOutcome.RESET || !told || e.idle() == 0 || wasTrial) {
                     onFailure(now, call, e.ending(), wasTrial);
                 }
             }
         }
     }
 
-    private void onOk(long now, Call call, Event.Outcome e) {
-        Scope scope = call.endpoint.scope;
+    private void onOk(long now, Call call, Event.AttemptCompleted e) {
+        UpstreamHealth scope = call.endpoint.scope;
         Destination destination = call.endpoint.destination;
         double took = Math.max(1, e.took());
         usualLatency = usualLatency == 0 ? took : usualLatency + FAST_POOLED * (took - usualLatency);
@@ -1266,8 +1271,8 @@
         boolean falseAlarm = now - scope.lastOk < OUTAGE_LEAST;
         scope.lastOk = now;
         scope.trials = 0;
-        if (scope.breaker == Breaker.OPEN) {
-            scope.breaker = falseAlarm ? Breaker.CLOSED : Breaker.RAMP;
+        if (scope.breaker == BreakerState.OPEN) {
+            scope.breaker = falseAlarm ? BreakerState.CLOSED : BreakerState.RAMP;
             turned.add(scope);
             scope.rampFrom = now;
             scope.rampSent = now;
@@ -1281,7 +1286,7 @@
     }
 
     /** A reported allowance that runs low cuts the pace before refusals do. */
-    private void readReport(long now, Scope scope, List<Double> report) {
+    private void readReport(long now, UpstreamHealth scope, List<Double> report) {
         ReportFields fields = settings.reports();
         if (Math.max(fields.allowanceLeft(), fields.limit()) >= report.size()
                 || fields.allowanceLeft() < 0
@@ -1299,21 +1304,21 @@
         }
     }
 
-    private void onFailure(long now, Call call, Ending ending, boolean wasTrial) {
-        Scope scope = call.endpoint.scope;
+    private void onFailure(long now, Call call, AttemptOutcome ending, boolean wasTrial) {
+        UpstreamHealth scope = call.endpoint.scope;
         call.endpoint.failing += FAST * (1 - call.endpoint.failing);
-        if (ending == Ending.CONNECT_FAILED) {
+        if (ending == AttemptOutcome.CONNECT_FAILED) {
             call.endpoint.connections = 0;
         }
         call.endpoint.failures++;
-        if (wasTrial || scope.breaker != Breaker.OPEN && failed(now, scope)) {
+        if (wasTrial || scope.breaker != BreakerState.OPEN && failed(now, scope)) {
             open(now, scope);
         }
     }
 
-    private void onFull(long now, Message m, Call call, Event.Outcome e, boolean wasTrial) {
+    private void onFull(long now, PendingMessage m, Call call, Event.AttemptCompleted e, boolean wasTrial) {
         long wait = e.toldWait();
-        Scope scope = call.endpoint.scope;
+        UpstreamHealth scope = call.endpoint.scope;
         boolean fresh = call.sentAt >= scope.lastRefusal;
         scope.refusals += fresh ? 1 : 0;
         scope.lastRefusal = now;
@@ -1325,7 +1330,7 @@
                     scope.refusals);
             scope.backoffUntil = Math.max(scope.backoffUntil, now + wait + pause);
         }
-        if (wasTrial || wait > OUTAGE_LEAST && scope.breaker != Breaker.OPEN) {
+        if (wasTrial || wait > OUTAGE_LEAST && scope.breaker != BreakerState.OPEN) {
             open(now, scope);
         } else if (call.sentAt >= scope.lastCut && !e.noPlace(settings.reports())) {
             cutPace(now, scope);
@@ -1333,7 +1338,7 @@
     }
 
     /** A turn among all senders, or half of the class's time up to all of it; doubled with each try. */
-    private static long turn(Scope scope) {
+    private static long turn(UpstreamHealth scope) {
         return (long) Math.min(TURN, TURNS * 1e6 / scope.weight);
     }
 
@@ -1342,7 +1347,7 @@
         return turn << Math.min(tries - 1, MOST_DOUBLINGS);
     }
 
-    private void cutPace(long now, Scope scope) {
+    private void cutPace(long now, UpstreamHealth scope) {
         double shown = scope.served.perSecond(now);
         double before = Math.min(scope.pace, Math.max(shown, scope.sent.perSecond(now)));
         double least = Math.max(LEAST_PACE, PART_KEPT * scope.weight) / settings.senders();
@@ -1351,29 +1356,29 @@
         scope.lastRefusal = Math.max(scope.lastRefusal, now);
     }
 
-    private void open(long now, Scope scope) {
-        if (scope.breaker == Breaker.CLOSED) {
+    private void open(long now, UpstreamHealth scope) {
+        if (scope.breaker == BreakerState.CLOSED) {
             scope.formerPace = scope.served.atLast();
         }
-        if (scope.breaker != Breaker.OPEN) {
+        if (scope.breaker != BreakerState.OPEN) {
             scope.openedAt = now;
             turned.add(scope);
             scope.trial = null;
             scope.trials = 0;
         }
-        scope.breaker = Breaker.OPEN;
+        scope.breaker = BreakerState.OPEN;
         long pause = pause(TURN, BACKOFF, longestTime, 1 + ++scope.trials);
         pause = Math.min(pause, jitter((long) (1.5 * SECOND / rampPace(0, scope))));
         scope.trialAt = now + Math.min(TRIAL_LONGEST * settings.senders(), pause);
     }
 
-    private double warmth(long now, Scope scope) {
+    private double warmth(long now, UpstreamHealth scope) {
         double span = settings.rules().coldSpan() + 1;
-        return scope.breaker == Breaker.OPEN ? 0 : Math.min(1, (now - scope.rampFrom) / span);
+        return scope.breaker == BreakerState.OPEN ? 0 : Math.min(1, (now - scope.rampFrom) / span);
     }
 
     /** Messages a second that a slow start lets out: own former pace times what the rule allows. */
-    private double rampPace(double warm, Scope scope) {
+    private double rampPace(double warm, UpstreamHealth scope) {
         Rules rules = settings.rules();
         double capacity = rules.startCapacity() + (1 - rules.startCapacity()) * warm;
         double told = Math.max(LEAST_PACE, 0.75 * scope.weight) / settings.senders();
--- a/decisions/src/test/java/amberroute/oracle/OldState.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
@@ -1,26 +1,26 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
 
-/** What a sender remembers; every decision on it is in {@link OldPolicy}. */
-final class OldState {
-    private OldState() {}
+/** What a sender remembers; every decision on it is in {@link ReferenceScheduler}. */
+final class ReferenceState {
+    private ReferenceState() {}
 
-    enum Breaker {
+    enum BreakerState {
         CLOSED,
         OPEN,
         RAMP
     }
 
-    static final class Message {
+    static final class PendingMessage {
         long id;
-        Relay.MessageClass type;
+        DeliveryScheduler.MessageClass type;
         Destination destination;
-        KeyTurn turn;
+        KeyQueue turn;
         long due;
         long aim;
         double worth;
@@ -43,7 +43,7 @@
     static final class Call {
         Endpoint endpoint;
         long sentAt;
-        final List<Message> load = new ArrayList<>(1);
+        final List<PendingMessage> load = new ArrayList<>(1);
         int messages;
         int waiting;
         boolean noted;
@@ -63,8 +63,8 @@
         int zone;
         int messagesPerCall = 1;
         Destination destination;
-        Scope scope;
-        Relay.Listed state;
+        UpstreamHealth scope;
+        DeliveryScheduler.EndpointState state;
         int inFlight;
         int connections;
         long lastUse = Long.MIN_VALUE / 2;
@@ -79,8 +79,8 @@
 
     static final class Destination {
         final List<Endpoint> endpoints = new ArrayList<>(2);
-        final Ceiling ceiling = new Ceiling();
-        final Scope shared;
+        final FleetRateLimit ceiling = new FleetRateLimit();
+        final UpstreamHealth shared;
         double p;
         boolean measured;
         /** Up to when p is as it was learned. */
@@ -90,25 +90,25 @@
         /** The least risk of a call among the messages for it; worked out anew in each choice. */
         int leastRisk;
 
-        Destination(Scope shared) {
+        Destination(UpstreamHealth shared) {
             this.shared = shared;
         }
     }
 
-    static final class KeyTurn {
+    static final class KeyQueue {
         long key;
-        final Deque<Message> queue = new ArrayDeque<>();
+        final Deque<PendingMessage> queue = new ArrayDeque<>();
         long restUntil;
-        Message restsAfter;
+        PendingMessage restsAfter;
     }
 
     /** Exponentially averaged rate. */
-    static final class Rate {
+    static final class DecayingRate {
         private final double span;
         private double sum;
         private long at;
 
-        Rate(double span) {
+        DecayingRate(double span) {
             this.span = span;
         }
 
@@ -127,15 +127,15 @@
     }
 
     /** Health and limits of what shares one limit and one fate. */
-    static final class Scope {
+    static final class UpstreamHealth {
         /** Whose it is: a destination's, or one endpoint's where that is not 0. */
         final int destination;
 
         final long endpoint;
         final List<Endpoint> members = new ArrayList<>();
         final List<Call> calls = new ArrayList<>();
-        final Rate sent;
-        final Rate served;
+        final DecayingRate sent;
+        final DecayingRate served;
         double usual;
         double present;
         long waitUntil;
@@ -151,7 +151,7 @@
         /** Share of recent calls that may have run and were not answered as done. */
         double harm;
 
-        Breaker breaker = Breaker.CLOSED;
+        BreakerState breaker = BreakerState.CLOSED;
         int trials;
         long openedAt;
         long trialAt;
@@ -161,16 +161,16 @@
         double formerPace;
         long lastOk = Long.MIN_VALUE / 2;
 
-        Scope(int destination, long endpoint, double sentSpan, double servedSpan) {
+        UpstreamHealth(int destination, long endpoint, double sentSpan, double servedSpan) {
             this.destination = destination;
             this.endpoint = endpoint;
-            sent = new Rate(sentSpan);
-            served = new Rate(servedSpan);
+            sent = new DecayingRate(sentSpan);
+            served = new DecayingRate(servedSpan);
         }
     }
 
     /** An account of messages that may be sent; it saves up one at most, so that nothing comes in a burst. */
-    static final class Ceiling {
+    static final class FleetRateLimit {
         private double perSecond = Double.POSITIVE_INFINITY;
         private double saved;
         private long at;
--- a/decisions/src/test/java/amberroute/oracle/Duel.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
@@ -1,25 +1,25 @@
-package amberroute.oracle;
+package amberroute.decisions.reference;
 
-import amberroute.Policy;
-import amberroute.Relay;
-import amberroute.Relay.Event;
+import amberroute.decisions.AtcDeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.Event;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The present module beside the one of before in one random world, in which things go as the older one has them go. */
-final class Duel {
+final class SideBySideRun {
     /** Microseconds by which times may differ: what fades is not looked at in each turn any more, and rounds otherwise. */
     private static final long TIMER = 5;
 
-    private Duel() {}
+    private SideBySideRun() {}
 
-    static final List<RandomWorld.Plan> PLANS = List.of(
-            new RandomWorld.Plan(4, 2, 8, 60, 60, 6, false),
-            new RandomWorld.Plan(4, 2, 8, 60, 60, 6, true),
-            new RandomWorld.Plan(30, 1, 16, 200, 200, 40, false),
-            new RandomWorld.Plan(1, 5, 4, 100, 80, 3, true),
-            new RandomWorld.Plan(60, 3, 40, 400, 400, 0, true));
+    static final List<RandomScenario.Plan> PLANS = List.of(
+            new RandomScenario.Plan(4, 2, 8, 60, 60, 6, false),
+            new RandomScenario.Plan(4, 2, 8, 60, 60, 6, true),
+            new RandomScenario.Plan(30, 1, 16, 200, 200, 40, false),
+            new RandomScenario.Plan(1, 5, 4, 100, 80, 3, true),
+            new RandomScenario.Plan(60, 3, 40, 400, 400, 0, true));
 
     /** The same acts; times in them may differ by a rounding, as sums are made in another order. */
     static boolean same(List<String> wanted, List<String> did) {
@@ -40,18 +40,18 @@
     }
 
     /** Returns how often each kind of action was seen; an AssertionError tells the first difference. */
-    static Map<String, Integer> play(long seed, RandomWorld.Plan plan, int steps) {
+    static Map<String, Integer> play(long seed, RandomScenario.Plan plan, int steps) {
         Map<String, Integer> seen = new HashMap<>();
-        Relay.Settings settings = RandomWorld.settings(seed, plan);
-        OldPolicy old = new OldPolicy(settings, plan.concludes());
-        Relay fresh = new Policy(settings, plan.concludes());
+        DeliveryScheduler.Settings settings = RandomScenario.settings(seed, plan);
+        ReferenceScheduler old = new ReferenceScheduler(settings, plan.concludes());
+        DeliveryScheduler fresh = new AtcDeliveryScheduler(settings, plan.concludes());
         long timer = Long.MAX_VALUE;
-        RandomWorld world = new RandomWorld(seed, plan);
+        RandomScenario world = new RandomScenario(seed, plan);
         Event event = world.first();
         for (int step = 0; step < steps; step++) {
-            for (Event one : List.of(event, new Event.Turn())) {
-                RandomWorld.Recorder wanted = new RandomWorld.Recorder();
-                RandomWorld.Recorder did = new RandomWorld.Recorder();
+            for (Event one : List.of(event, new Event.Decide())) {
+                RandomScenario.Recorder wanted = new RandomScenario.Recorder();
+                RandomScenario.Recorder did = new RandomScenario.Recorder();
                 old.step(world.now(), one, wanted);
                 fresh.step(world.now(), one, did);
                 String at = "seed " + seed + ", " + plan + ", step " + step + " at " + world.now() + ": " + one;
@@ -61,9 +61,9 @@
                 }
                 timer = did.wake >= 0
                         ? world.now() + did.wake
-                        : one instanceof Event.TimerDue && timer <= world.now() ? Long.MAX_VALUE : timer;
+                        : one instanceof Event.TimerExpired && timer <= world.now() ? Long.MAX_VALUE : timer;
                 // It may be due earlier, as it is set for a destination and not for each of its messages.
-                if (one instanceof Event.Turn && timer - TIMER > Math.max(world.now() + 1, old.wakeAt())) {
+                if (one instanceof Event.Decide && timer - TIMER > Math.max(world.now() + 1, old.wakeAt())) {
                     throw new AssertionError(at + ": the timer is set for " + timer + ", not for " + old.wakeAt());
                 }
                 world.follow(wanted);
--- a/decisions/src/test/java/amberroute/oracle/package-info.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/package-info.java
@@ -3,4 +3,4 @@
  * beside the present one: the same actions in the same order are wanted. What is learned of a difference stands in
  * {@code docs/decisions.md}.
  */
-package amberroute.oracle;
+package amberroute.decisions.reference;
--- a/sender/src/main/java/amberroute/sender/Action.java
+++ b/sender/src/main/java/amberroute/sender/Action.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 
 /** What the decision module has decided in a turn, for the sender to carry out; spans in microseconds. */
 sealed interface Action {
@@ -20,7 +20,7 @@
     record CloseIdle(long endpoint) implements Action {}
 
     /** What a later process is to know of a place. */
-    record Remember(Relay.Memory memory) implements Action {}
+    record Remember(DeliveryScheduler.HealthCheckpoint memory) implements Action {}
 
     /** The module's one timer, by its token. */
     record Wake(long delay, long token) implements Action {}
--- a/sender/src/main/java/amberroute/sender/ActionRecorder.java
+++ b/sender/src/main/java/amberroute/sender/ActionRecorder.java
@@ -1,11 +1,11 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Collects what the decision module decides, until the sender carries it out. Bounded by what one turn decides. */
-final class ActionRecorder implements Relay.Actions {
+final class ActionRecorder implements DeliveryScheduler.Actions {
     private final List<Action> actions = new ArrayList<>();
     private long longestTrustedIdle;
 
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void remember(Relay.Memory memory) {
+    public void remember(DeliveryScheduler.HealthCheckpoint memory) {
         actions.add(new Action.Remember(memory));
     }
 
--- a/sender/src/main/java/amberroute/sender/ClassBook.java
+++ b/sender/src/main/java/amberroute/sender/ClassBook.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay.MessageClass;
+import amberroute.decisions.DeliveryScheduler.MessageClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/sender/src/main/java/amberroute/sender/Config.java
+++ b/sender/src/main/java/amberroute/sender/Config.java
@@ -1,9 +1,9 @@
 package amberroute.sender;
 
-import amberroute.Relay;
 import amberroute.config.Units;
-import amberroute.settings.BadInput;
-import amberroute.settings.Facts;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.decisions.settings.PlatformSettingsReader;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -32,7 +32,7 @@
         long memoryBytes,
         long diskBytes,
         JsonObject known,
-        Relay.Settings settings,
+        DeliveryScheduler.Settings settings,
         List<String> classes,
         List<String> zones,
         List<String> kinds,
@@ -99,7 +99,8 @@
     static boolean inherits(Map<String, String> environment) {
         String descriptor = environment.getOrDefault("GW_ACCEPT_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
-            throw new BadInput("GW_ACCEPT_FD is " + descriptor + "; only descriptor 0 can be taken over");
+            throw new InvalidSettingsException(
+                    "GW_ACCEPT_FD is " + descriptor + "; only descriptor 0 can be taken over");
         }
         return !descriptor.isEmpty();
     }
@@ -108,7 +109,7 @@
     static Config read(Map<String, String> environment) throws IOException {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
-            throw new BadInput("GW_CONFIG names no configuration");
+            throw new InvalidSettingsException("GW_CONFIG names no configuration");
         }
         if (file.endsWith(".toml")) {
             return StandaloneConfig.read(Path.of(file), environment);
@@ -117,12 +118,12 @@
         try {
             text = Files.readString(Path.of(file));
         } catch (IOException e) {
-            throw new BadInput("configuration " + file + " cannot be read: " + e);
+            throw new InvalidSettingsException("configuration " + file + " cannot be read: " + e);
         }
         try {
             return parse(JsonParser.parseString(text).getAsJsonObject(), environment);
         } catch (RuntimeException e) {
-            throw new BadInput("configuration " + file + ": " + e.getMessage());
+            throw new InvalidSettingsException("configuration " + file + ": " + e.getMessage());
         }
     }
 
@@ -152,9 +153,9 @@
     void checkAgainst(Config inForce) {
         inForce.keys.forEach((key, kind) -> {
             if (!keys.containsKey(key)) {
-                throw new BadInput(key + " is missing");
+                throw new InvalidSettingsException(key + " is missing");
             } else if (!kind.equals(keys.get(key))) {
-                throw new BadInput(key + " is no " + kind);
+                throw new InvalidSettingsException(key + " is no " + kind);
             }
         });
     }
@@ -199,16 +200,16 @@
     private static Config parse(JsonObject json, Map<String, String> environment) {
         for (String part : List.of("settings", "limits")) {
             if (!json.has(part) || !json.get(part).isJsonObject()) {
-                throw new BadInput(part + " is missing");
+                throw new InvalidSettingsException(part + " is missing");
             }
         }
         Map<String, String> paths = new HashMap<>();
         flatten("", json.getAsJsonObject("settings"), paths);
-        Facts facts = new Facts(paths);
+        PlatformSettingsReader facts = new PlatformSettingsReader(paths);
         JsonObject limits = json.getAsJsonObject("limits");
         String state = environment.get("GW_STATE");
         if (state == null) {
-            throw new BadInput("GW_STATE names no folder");
+            throw new InvalidSettingsException("GW_STATE names no folder");
         }
         JsonElement known = json.get("known");
         return new Config(
@@ -281,7 +282,7 @@
         try {
             return Units.address(text);
         } catch (IllegalArgumentException e) {
-            throw new BadInput("not an address: " + text);
+            throw new InvalidSettingsException("not an address: " + text);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/Directory.java
+++ b/sender/src/main/java/amberroute/sender/Directory.java
@@ -1,8 +1,8 @@
 package amberroute.sender;
 
-import amberroute.Relay;
-import amberroute.Relay.ListKind;
-import amberroute.Relay.Listed;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.EndpointListKind;
+import amberroute.decisions.DeliveryScheduler.EndpointState;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -74,7 +74,7 @@
 
     /** News for the module. */
     interface Listener {
-        void listed(ListKind kind, List<Relay.Entry> entries);
+        void listed(EndpointListKind kind, List<DeliveryScheduler.EndpointEntry> entries);
     }
 
     /** A receiver as listed. */
@@ -96,7 +96,7 @@
         }
 
         boolean ready() {
-            return parsed.state() == Listed.READY;
+            return parsed.state() == EndpointState.READY;
         }
 
         /** With the numbers that a fresh configuration has for the names of its kind and zone. */
@@ -160,10 +160,10 @@
     /** Starts from the list that this sender last had, then watches. */
     void start() {
         if (address == null) {
-            take(config.known(), ListKind.FULL);
+            take(config.known(), EndpointListKind.FULL);
             return;
         }
-        take(config.known(), ListKind.CACHED);
+        take(config.known(), EndpointListKind.CACHED);
         open();
         loop.scheduleWithFixedDelay(this::checkSilence, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
@@ -196,7 +196,7 @@
                 leaving.add(item);
             }
         }
-        take(list, address == null ? ListKind.FULL : ListKind.CACHED);
+        take(list, address == null ? EndpointListKind.FULL : EndpointListKind.CACHED);
         if (address != null) {
             open();
         }
@@ -245,7 +245,7 @@
         item.addProperty("az", name(config.zones(), parsed.zone()));
         item.addProperty("model", name(config.kinds(), parsed.kind()));
         item.addProperty("pod_group", parsed.destination());
-        item.addProperty("state", parsed.state() == Listed.READY && !left ? "Ready" : "Terminating");
+        item.addProperty("state", parsed.state() == EndpointState.READY && !left ? "Ready" : "Terminating");
         item.addProperty("capacity_hint", parsed.weight());
         if (left) {
             item.addProperty("gone", true);
@@ -277,7 +277,7 @@
             }
         }
         if (!current) {
-            take(list, ListKind.CACHED);
+            take(list, EndpointListKind.CACHED);
         }
         delta(missing);
         return leaving;
@@ -290,9 +290,9 @@
 
     private void delta(JsonArray items) {
         if (!items.isEmpty()) {
-            List<Relay.Entry> entries = new ArrayList<>();
+            List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
             items.forEach(item -> entries.add(entry(item.getAsJsonObject())));
-            listener.listed(ListKind.DELTA, entries);
+            listener.listed(EndpointListKind.DELTA, entries);
         }
     }
 
@@ -302,14 +302,14 @@
         if (target == null) {
             return null;
         }
-        List<Relay.Kind> kinds = config.settings().kinds();
+        List<DeliveryScheduler.DestinationKind> kinds = config.settings().kinds();
         boolean apart = target.kind() < kinds.size() && kinds.get(target.kind()).routesApart();
         return new Receivers.Route(number, target.address(), apart ? "route " + number : target.destination());
     }
 
     int messagesPerCall(long number) {
         Target target = targets.getOrDefault(number, gone.get(number));
-        List<Relay.Kind> kinds = config.settings().kinds();
+        List<DeliveryScheduler.DestinationKind> kinds = config.settings().kinds();
         return target == null || target.kind() >= kinds.size()
                 ? 1
                 : Math.max(1, kinds.get(target.kind()).messagesPerCall());
@@ -352,7 +352,7 @@
 
     // ---- The list. ----
 
-    private void take(JsonObject news, ListKind kind) {
+    private void take(JsonObject news, EndpointListKind kind) {
         JsonElement all = news.get("targets");
         if (all == null || !all.isJsonArray()) {
             return;
@@ -360,8 +360,8 @@
         if (news.has("rev")) {
             version = news.get("rev").getAsLong();
         }
-        List<Relay.Entry> entries = new ArrayList<>();
-        if (kind != ListKind.DELTA) {
+        List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
+        if (kind != EndpointListKind.DELTA) {
             targets.values().forEach(this::bury);
             targets.clear();
         }
@@ -372,27 +372,33 @@
                 Log.warn("discovery: skipped an entry: " + e.getMessage());
             }
         }
-        current |= kind != ListKind.CACHED;
+        current |= kind != EndpointListKind.CACHED;
         listener.listed(kind, entries);
     }
 
     /** An entry as the list has it, before anybody knows its number. */
     record Parsed(
-            String uid, Listed state, int destination, int kind, int zone, double weight, InetSocketAddress address) {}
+            String uid,
+            EndpointState state,
+            int destination,
+            int kind,
+            int zone,
+            double weight,
+            InetSocketAddress address) {}
 
     /** Takes a whole list from elsewhere than the watch. */
     void replace(JsonObject list) {
-        take(list, ListKind.FULL);
+        take(list, EndpointListKind.FULL);
     }
 
     /** Reads one entry; whatever is wrong with it ends in a RuntimeException. */
     static Parsed parse(JsonObject item, Config config) {
         String uid = item.get("uid").getAsString();
-        Listed state =
+        EndpointState state =
                 switch (item.get("state").getAsString()) {
-                    case "Ready" -> Listed.READY;
-                    case "Terminating" -> Listed.DRAINING;
-                    case "Gone" -> Listed.GONE;
+                    case "Ready" -> EndpointState.READY;
+                    case "Terminating" -> EndpointState.DRAINING;
+                    case "Gone" -> EndpointState.GONE;
                     default -> throw new IllegalArgumentException("unknown state of " + uid);
                 };
         int destination = item.get("pod_group").getAsInt();
@@ -406,22 +412,23 @@
         return new Parsed(uid, state, destination, kind, zone, weight, address);
     }
 
-    private Relay.Entry entry(JsonObject item) {
+    private DeliveryScheduler.EndpointEntry entry(JsonObject item) {
         Parsed parsed = parse(item, config);
         String uid = parsed.uid();
-        Listed state = parsed.state();
+        EndpointState state = parsed.state();
         int destination = parsed.destination();
         destinations.add(destination);
         long number = number(uid);
         Target target = new Target(number, parsed);
-        if (state == Listed.GONE) {
+        if (state == EndpointState.GONE) {
             targets.remove(number);
             bury(target);
         } else {
             targets.put(number, target);
             gone.remove(number);
         }
-        return new Relay.Entry(number, destination, state, parsed.weight(), parsed.zone(), parsed.kind());
+        return new DeliveryScheduler.EndpointEntry(
+                number, destination, state, parsed.weight(), parsed.zone(), parsed.kind());
     }
 
     private static int index(List<String> names, String name) {
@@ -612,7 +619,7 @@
                     Log.warn("discovery: passed over a whole list without a receiver");
                     return true;
                 }
-                take(news, all ? ListKind.FULL : ListKind.DELTA);
+                take(news, all ? EndpointListKind.FULL : EndpointListKind.DELTA);
                 pauses.good();
                 return true;
             } catch (RuntimeException e) {
--- a/sender/src/main/java/amberroute/sender/FleetLoad.java
+++ b/sender/src/main/java/amberroute/sender/FleetLoad.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import amberroute.overload.Digest;
 import amberroute.overload.Overload;
 import amberroute.overload.Price;
@@ -29,7 +29,7 @@
     private final Map<String, InetSocketAddress> peers;
     private final LongSupplier clock;
     private final IntToDoubleFunction waiting;
-    private final Consumer<Relay.Event> events;
+    private final Consumer<DeliveryScheduler.Event> events;
     private final SplittableRandom random = new SplittableRandom();
     private final Overload overload;
     /** Whether calls are held to this daemon's part. */
@@ -47,7 +47,7 @@
             LongSupplier clock,
             long incarnation,
             IntToDoubleFunction waiting,
-            Consumer<Relay.Event> events) {
+            Consumer<DeliveryScheduler.Event> events) {
         this.parts = parts;
         this.loop = loop;
         this.peers = Map.copyOf(peers);
@@ -73,12 +73,14 @@
     private void round() {
         long now = clock.getAsLong();
         for (Price p : overload.round(now, waiting)) {
-            events.accept(new Relay.Event.Price(p.destination(), p.worth(), p.upTo(), p.share(), p.again()));
+            events.accept(new DeliveryScheduler.Event.AdmissionPriceChanged(
+                    p.destination(), p.worth(), p.upTo(), p.share(), p.again()));
         }
         if (parts) {
             for (Overload.Ceiling c : overload.ceilings(now)) {
                 // Daemons that are given a rate at one moment begin at different ones.
-                events.accept(new Relay.Event.Ceiling(c.destination(), c.perSecond(), random.nextDouble(), false));
+                events.accept(new DeliveryScheduler.Event.FleetRateLimitChanged(
+                        c.destination(), c.perSecond(), random.nextDouble(), false));
             }
             overload.asks(now).forEach(this::send);
         }
@@ -110,10 +112,10 @@
     }
 
     /** What became of a call's message. */
-    void ended(int destination, Relay.Ending ending) {
-        if (ending == Relay.Ending.OK) {
+    void ended(int destination, DeliveryScheduler.AttemptOutcome ending) {
+        if (ending == DeliveryScheduler.AttemptOutcome.OK) {
             overload.served(clock.getAsLong(), destination);
-        } else if (ending == Relay.Ending.FULL) {
+        } else if (ending == DeliveryScheduler.AttemptOutcome.FULL) {
             overload.full(clock.getAsLong(), destination);
         }
     }
--- a/sender/src/main/java/amberroute/sender/IncomingTransfer.java
+++ b/sender/src/main/java/amberroute/sender/IncomingTransfer.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay.Ending;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
 import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -29,7 +29,7 @@
     /** Where news go, on the event loop. */
     interface Host {
         /** What became of a message's attempt that was out; {@code uid} is empty where nobody can tell. */
-        void outcome(long number, String uid, Ending ending, JsonObject told);
+        void outcome(long number, String uid, AttemptOutcome ending, JsonObject told);
 
         /** A client of the other process handed this in. */
         void submitted(ClientServer.Submission submission, ClientServer.Answer answer);
@@ -127,7 +127,7 @@
                     host.outcome(
                             number,
                             word.get("uid").getAsString(),
-                            Ending.valueOf(word.get("ending").getAsString()),
+                            AttemptOutcome.valueOf(word.get("ending").getAsString()),
                             word);
                 }
             }
@@ -163,7 +163,7 @@
     private void loseAll() {
         List<Long> lost = new ArrayList<>(underway);
         underway.clear();
-        lost.forEach(number -> host.outcome(number, "", Ending.RESET, null));
+        lost.forEach(number -> host.outcome(number, "", AttemptOutcome.RESET, null));
     }
 
     private static JsonObject word(String what) {
--- a/sender/src/main/java/amberroute/sender/Journal.java
+++ b/sender/src/main/java/amberroute/sender/Journal.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import amberroute.handover.KeyHolds;
 import amberroute.handover.Ownership;
 import amberroute.storage.Batch;
@@ -104,7 +104,13 @@
     private static final int MOST_FORCES = 5;
 
     /** What the module wants to know of a place again, {@code uid} empty for a whole destination; wall time. */
-    record Memory(int destination, String uid, Relay.Health health, long since, double pace, double usual) {
+    record Memory(
+            int destination,
+            String uid,
+            DeliveryScheduler.UpstreamStatus health,
+            long since,
+            double pace,
+            double usual) {
         String place() {
             return destination + " " + uid;
         }
@@ -761,16 +767,18 @@
         return remembered.add(m.id, m.content, effect(m), m.number, clock.getAsLong());
     }
 
-    private Relay.Effect effect(Held m) {
+    private DeliveryScheduler.Effect effect(Held m) {
         ClassBook.Version version = classes.get(m.type);
-        return version == null ? Relay.Effect.UNSAFE : version.type().effect();
+        return version == null
+                ? DeliveryScheduler.Effect.UNSAFE
+                : version.type().effect();
     }
 
     private byte[] gone(Held m) {
         return gone(m.id, m.content, effect(m));
     }
 
-    private static byte[] gone(String id, int content, Relay.Effect effect) {
+    private static byte[] gone(String id, int content, DeliveryScheduler.Effect effect) {
         return bytes(out -> {
             out.writeByte(GONE);
             out.writeUTF(id);
@@ -835,7 +843,7 @@
 
     private long keep(Memory memory, Batch batch) {
         forget(memory.place(), batch);
-        if (memory.health() == Relay.Health.WELL) {
+        if (memory.health() == DeliveryScheduler.UpstreamStatus.WELL) {
             return 0;
         }
         long number = numberOf("place " + memory.place());
@@ -1195,7 +1203,7 @@
                     Memory memory = new Memory(
                             in.readInt(),
                             in.readUTF(),
-                            Relay.Health.valueOf(in.readUTF()),
+                            DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
                             in.readLong(),
                             in.readDouble(),
                             in.readDouble());
@@ -1263,9 +1271,10 @@
         writeAll();
         for (Map.Entry<String, Integer> id : old.ended.entrySet()) {
             long number = log.nextOwner();
-            Batch batch = new Batch().putSole(number, MESSAGE, gone(id.getKey(), id.getValue(), Relay.Effect.UNSAFE));
+            Batch batch = new Batch()
+                    .putSole(number, MESSAGE, gone(id.getKey(), id.getValue(), DeliveryScheduler.Effect.UNSAFE));
             remembered
-                    .add(id.getKey(), id.getValue(), Relay.Effect.UNSAFE, number, clock.getAsLong())
+                    .add(id.getKey(), id.getValue(), DeliveryScheduler.Effect.UNSAFE, number, clock.getAsLong())
                     .forEach(batch::end);
             log.write(batch);
         }
@@ -1460,11 +1469,11 @@
     }
 
     /** The id of a message that is over. */
-    private record Gone(String id, int content, Relay.Effect effect) {}
+    private record Gone(String id, int content, DeliveryScheduler.Effect effect) {}
 
     private static Gone readGone(ByteBuffer in) throws IOException {
         in.get();
-        return new Gone(Texts.read(in), in.getInt(), Relay.Effect.values()[in.get()]);
+        return new Gone(Texts.read(in), in.getInt(), DeliveryScheduler.Effect.values()[in.get()]);
     }
 
     /** All that attempts have left behind. */
@@ -1496,7 +1505,7 @@
     }
 
     private static byte[] defined(int number, ClassBook.Version version) {
-        Relay.MessageClass c = version.type();
+        DeliveryScheduler.MessageClass c = version.type();
         return bytes(out -> {
             out.writeInt(number);
             out.writeUTF(version.name());
@@ -1515,13 +1524,13 @@
         String name = in.readUTF();
         return new ClassBook.Version(
                 name,
-                new Relay.MessageClass(
+                new DeliveryScheduler.MessageClass(
                         in.readDouble(),
                         in.readDouble(),
                         in.readLong(),
                         in.readLong(),
-                        Relay.Effect.values()[in.readByte()],
-                        Relay.KeyScope.values()[in.readByte()],
+                        DeliveryScheduler.Effect.values()[in.readByte()],
+                        DeliveryScheduler.KeyScope.values()[in.readByte()],
                         in.readLong(),
                         in.readBoolean()));
     }
--- a/sender/src/main/java/amberroute/sender/Main.java
+++ b/sender/src/main/java/amberroute/sender/Main.java
@@ -1,7 +1,7 @@
 package amberroute.sender;
 
 import amberroute.config.ConfigException;
-import amberroute.settings.BadInput;
+import amberroute.decisions.settings.InvalidSettingsException;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
         }
         try {
             Sender.run(environment, hangup);
-        } catch (BadInput | ConfigException | IOException e) {
+        } catch (InvalidSettingsException | ConfigException | IOException e) {
             System.err.println("amberroute: " + String.valueOf(e.getMessage()).replaceAll("\\p{Cntrl}", " "));
             // The event loop may run already, on a thread that keeps the process.
             System.exit(1);
--- a/sender/src/main/java/amberroute/sender/ModuleTrace.java
+++ b/sender/src/main/java/amberroute/sender/ModuleTrace.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import java.io.PrintStream;
 import java.util.List;
 
@@ -8,17 +8,17 @@
  * A module whose events and actions are written down, a line each, for {@code bin/fleet-ledger}: only for plays whose
  * loss is counted. It is asked for by the system property {@code amberroute.trace} and is not bounded.
  */
-final class ModuleTrace implements Relay {
-    private final Relay inner;
+final class ModuleTrace implements DeliveryScheduler {
+    private final DeliveryScheduler inner;
     private final PrintStream out;
 
-    private ModuleTrace(Relay inner, PrintStream out) {
+    private ModuleTrace(DeliveryScheduler inner, PrintStream out) {
         this.inner = inner;
         this.out = out;
     }
 
     /** The module itself where no trace was asked for. */
-    static Relay around(Relay module, Settings settings) {
+    static DeliveryScheduler around(DeliveryScheduler module, Settings settings) {
         if (!Boolean.getBoolean("amberroute.trace")) {
             return module;
         }
@@ -29,13 +29,13 @@
 
     @Override
     public void step(long now, Event event, Actions actions) {
-        if (event instanceof Event.Arrival e) {
+        if (event instanceof Event.MessageSubmitted e) {
             line("A", e.id(), e.destination(), e.messageClass(), e.timeLeft(), e.key());
-        } else if (event instanceof Event.Resumed e) {
+        } else if (event instanceof Event.MessageRecovered e) {
             line("R", e.id(), e.destination(), e.messageClass(), e.timeLeft(), e.key());
-        } else if (event instanceof Event.Outcome e) {
+        } else if (event instanceof Event.AttemptCompleted e) {
             line("O", e.id(), e.endpoint(), e.ending(), e.took(), e.toldWait(), e.idle(), e.report());
-        } else if (event instanceof Event.Listing e) {
+        } else if (event instanceof Event.EndpointListUpdated e) {
             e.entries().forEach(x -> line("L", x.endpoint(), x.destination(), x.state(), x.kind(), x.weight()));
         }
         inner.step(now, event, new Lines(actions));
@@ -58,12 +58,12 @@
     }
 
     @Override
-    public List<Learned> learned(long now) {
+    public List<UpstreamSnapshot> learned(long now) {
         return inner.learned(now);
     }
 
     @Override
-    public List<Rest> rests(long now) {
+    public List<KeyPause> rests(long now) {
         return inner.rests(now);
     }
 
@@ -110,7 +110,7 @@
         }
 
         @Override
-        public void remember(Memory memory) {
+        public void remember(HealthCheckpoint memory) {
             line("M", memory.destination(), memory.health(), memory.pace());
             to.remember(memory);
         }
--- a/sender/src/main/java/amberroute/sender/OldJournal.java
+++ b/sender/src/main/java/amberroute/sender/OldJournal.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import amberroute.handover.KeyHolds;
 import amberroute.handover.Ownership;
 import java.io.ByteArrayInputStream;
@@ -145,12 +145,12 @@
                 Journal.Memory memory = new Journal.Memory(
                         in.readInt(),
                         in.readUTF(),
-                        Relay.Health.valueOf(in.readUTF()),
+                        DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
                         in.readLong(),
                         in.readDouble(),
                         in.readDouble());
                 memories.remove(memory.place());
-                if (memory.health() != Relay.Health.WELL) {
+                if (memory.health() != DeliveryScheduler.UpstreamStatus.WELL) {
                     memories.put(memory.place(), memory);
                 }
             }
--- a/sender/src/main/java/amberroute/sender/Receivers.java
+++ b/sender/src/main/java/amberroute/sender/Receivers.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay.Ending;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -50,7 +50,7 @@
             Held message,
             int attempt,
             long endpoint,
-            Ending ending,
+            AttemptOutcome ending,
             long took,
             boolean closed,
             long toldWait,
@@ -156,7 +156,7 @@
         calls.add(call);
         items.forEach(item -> byMessage.put(item.message().number, call));
         call.timer = loop.schedule(
-                () -> abandon(call, call.written ? Ending.TIMEOUT : Ending.CONNECT_FAILED),
+                () -> abandon(call, call.written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED),
                 Math.max(0, giveUpAfter),
                 TimeUnit.MICROSECONDS);
         Connection warm = pollIdle(route, Math.min(idleNanos, longestIdle * 1_000));
@@ -180,7 +180,7 @@
     /** Gives up all calls that are out; each message's result follows when its connection has ended. */
     void callOff() {
         for (Call call : List.copyOf(calls)) {
-            abandon(call, call.written ? Ending.CANCELLED : Ending.CONNECT_FAILED);
+            abandon(call, call.written ? AttemptOutcome.CANCELLED : AttemptOutcome.CONNECT_FAILED);
         }
     }
 
@@ -190,7 +190,7 @@
         if (call == null || !call.items.contains(new Item(message, attempt))) {
             return false;
         }
-        abandon(call, call.written ? Ending.CANCELLED : Ending.CONNECT_FAILED);
+        abandon(call, call.written ? AttemptOutcome.CANCELLED : AttemptOutcome.CONNECT_FAILED);
         return true;
     }
 
@@ -294,7 +294,7 @@
         }
         if (open >= mostOpen) {
             // Later, as the caller is in the middle of starting calls.
-            loop.execute(() -> abandon(call, Ending.MOOT));
+            loop.execute(() -> abandon(call, AttemptOutcome.MOOT));
             return;
         }
         Connection connection = new Connection(call.route.endpoint(), call.route.address());
@@ -327,7 +327,7 @@
                         // What bars this call may lie unread beside the news that its connection is up.
                         looks.behindReads(loop, () -> carry(connection, call));
                     } else {
-                        finish(call, Ending.CONNECT_FAILED, 0, List.of());
+                        finish(call, AttemptOutcome.CONNECT_FAILED, 0, List.of());
                     }
                 });
     }
@@ -360,7 +360,7 @@
             next.connection = this;
             if (next.unwanted()) {
                 call = null;
-                finish(next, Ending.MOOT, 0, List.of());
+                finish(next, AttemptOutcome.MOOT, 0, List.of());
                 keep(this);
                 return;
             }
@@ -372,7 +372,7 @@
                     listener.written(next.items.size());
                 } else if (!next.done) {
                     channel.close();
-                    finish(next, Ending.CONNECT_FAILED, 0, List.of());
+                    finish(next, AttemptOutcome.CONNECT_FAILED, 0, List.of());
                 }
             });
         }
@@ -404,7 +404,7 @@
             Call lost = call;
             call = null;
             if (lost != null && !lost.done) {
-                finish(lost, lost.written ? Ending.RESET : Ending.CONNECT_FAILED, 0, List.of());
+                finish(lost, lost.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, 0, List.of());
             }
         }
     }
@@ -453,7 +453,8 @@
         if (!answer.whole()) {
             boolean delivered = status == 200 && !many;
             release(call);
-            call.items.forEach(item -> tell(call, item, delivered ? Ending.OK : Ending.RESET, delivered, 0, List.of()));
+            call.items.forEach(item ->
+                    tell(call, item, delivered ? AttemptOutcome.OK : AttemptOutcome.RESET, delivered, 0, List.of()));
             return;
         }
         List<Double> report = report(answer.headers().get("X-Server-Load"));
@@ -470,28 +471,30 @@
             }
             return;
         }
-        Ending ending =
+        AttemptOutcome ending =
                 switch (status) {
-                    case 200 -> Ending.OK;
-                    case 429, 413 -> Ending.FULL;
-                    case 503 -> "1".equals(answer.headers().get("Slots-Taken")) ? Ending.MOOT : Ending.FULL;
-                    case 504, 410 -> Ending.MOOT;
-                    default -> Ending.ERROR;
+                    case 200 -> AttemptOutcome.OK;
+                    case 429, 413 -> AttemptOutcome.FULL;
+                    case 503 -> "1".equals(answer.headers().get("Slots-Taken"))
+                            ? AttemptOutcome.MOOT
+                            : AttemptOutcome.FULL;
+                    case 504, 410 -> AttemptOutcome.MOOT;
+                    default -> AttemptOutcome.ERROR;
                 };
-        if (ending == Ending.ERROR && status != 500 || status == 413) {
+        if (ending == AttemptOutcome.ERROR && status != 500 || status == 413) {
             Log.warn("receiver " + call.route.address() + " answered " + status);
         }
         call.items.forEach(item -> tell(call, item, ending, status == 200 || status == 410, wait, report));
     }
 
     /** An end that cannot be read may stand for any: the message may have run. */
-    private static Ending ending(String end) {
+    private static AttemptOutcome ending(String end) {
         return switch (end) {
-            case "delivered" -> Ending.OK;
-            case "failed" -> Ending.ERROR;
-            case "refused" -> Ending.FULL;
-            case "over", "spent" -> Ending.MOOT;
-            default -> Ending.RESET;
+            case "delivered" -> AttemptOutcome.OK;
+            case "failed" -> AttemptOutcome.ERROR;
+            case "refused" -> AttemptOutcome.FULL;
+            case "over", "spent" -> AttemptOutcome.MOOT;
+            default -> AttemptOutcome.RESET;
         };
     }
 
@@ -508,8 +511,8 @@
                 return Map.of();
             }
         }
-        boolean all =
-                call.items.stream().allMatch(item -> ending(ends.getOrDefault(item.message().id, "")) != Ending.RESET);
+        boolean all = call.items.stream()
+                .allMatch(item -> ending(ends.getOrDefault(item.message().id, "")) != AttemptOutcome.RESET);
         return all ? ends : Map.of();
     }
 
@@ -540,7 +543,7 @@
     // ---- Ends. ----
 
     /** The slot is free, and another attempt allowed, only when the connection has ended. */
-    private void abandon(Call call, Ending ending) {
+    private void abandon(Call call, AttemptOutcome ending) {
         if (call.done) {
             return;
         }
@@ -549,7 +552,7 @@
         if (delivered) {
             call.connection.channel.close().addListener(closed -> {
                 release(call);
-                call.items.forEach(item -> tell(call, item, Ending.OK, true, 0, List.of()));
+                call.items.forEach(item -> tell(call, item, AttemptOutcome.OK, true, 0, List.of()));
             });
             return;
         }
@@ -561,12 +564,12 @@
         }
     }
 
-    private void settle(Call call, Ending ending) {
+    private void settle(Call call, AttemptOutcome ending) {
         release(call);
         call.items.forEach(item -> tell(call, item, ending, false, 0, List.of()));
     }
 
-    private void finish(Call call, Ending ending, long wait, List<Double> report) {
+    private void finish(Call call, AttemptOutcome ending, long wait, List<Double> report) {
         release(call);
         call.items.forEach(item -> tell(call, item, ending, false, wait, report));
     }
@@ -580,7 +583,7 @@
         byMessage.keySet().removeAll(numbers);
     }
 
-    private void tell(Call call, Item item, Ending ending, boolean closed, long wait, List<Double> report) {
+    private void tell(Call call, Item item, AttemptOutcome ending, boolean closed, long wait, List<Double> report) {
         if (call.disowned) {
             return;
         }
--- a/sender/src/main/java/amberroute/sender/RememberedIds.java
+++ b/sender/src/main/java/amberroute/sender/RememberedIds.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -19,7 +19,7 @@
     private static final long BYTES = 48;
 
     /** One of them, as it is kept, with its number in the journal. */
-    record Known(String id, int content, Relay.Effect effect, long number) {}
+    record Known(String id, int content, DeliveryScheduler.Effect effect, long number) {}
 
     /** What the id's message was, 0 where that is not known, and its number in the journal. */
     private record Entry(String id, int content, long number, long at) {
@@ -37,13 +37,13 @@
     /** All together count for so many bytes at most, which is what they may have on the disk. */
     RememberedIds(long most) {
         this.most = most;
-        for (int i = 0; i < Relay.Effect.values().length; i++) {
+        for (int i = 0; i < DeliveryScheduler.Effect.values().length; i++) {
             kinds.add(new LinkedHashMap<>());
         }
     }
 
     /** Returns the numbers of those that are forgotten for it, and of an earlier one under the same id. */
-    List<Long> add(String id, int content, Relay.Effect effect, long number, long now) {
+    List<Long> add(String id, int content, DeliveryScheduler.Effect effect, long number, long now) {
         List<Long> forgotten = expire(now);
         Entry entry = new Entry(id, content, number, now);
         Entry before = all.put(id, entry);
@@ -61,7 +61,8 @@
     }
 
     private Map<String, Entry> leastNeeded() {
-        for (Relay.Effect effect : List.of(Relay.Effect.SAFE, Relay.Effect.KEYED, Relay.Effect.UNSAFE)) {
+        for (DeliveryScheduler.Effect effect : List.of(
+                DeliveryScheduler.Effect.SAFE, DeliveryScheduler.Effect.KEYED, DeliveryScheduler.Effect.UNSAFE)) {
             if (!kinds.get(effect.ordinal()).isEmpty()) {
                 return kinds.get(effect.ordinal());
             }
@@ -105,7 +106,7 @@
     /** All of them, the oldest of each kind first. */
     List<Known> all() {
         List<Known> out = new ArrayList<>();
-        for (Relay.Effect effect : Relay.Effect.values()) {
+        for (DeliveryScheduler.Effect effect : DeliveryScheduler.Effect.values()) {
             kinds.get(effect.ordinal())
                     .values()
                     .forEach(entry -> out.add(new Known(entry.id(), entry.content(), effect, entry.number())));
--- a/sender/src/main/java/amberroute/sender/RepeatWindow.java
+++ b/sender/src/main/java/amberroute/sender/RepeatWindow.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import java.util.List;
 import java.util.function.IntFunction;
 
@@ -18,12 +18,12 @@
     private RepeatWindow() {}
 
     /** How much longer a call with these messages may be written, below 0 where it must not be any more. */
-    static long left(List<Receivers.Item> items, IntFunction<Relay.MessageClass> types, long wall) {
+    static long left(List<Receivers.Item> items, IntFunction<DeliveryScheduler.MessageClass> types, long wall) {
         long left = UNBOUNDED;
         for (Receivers.Item item : items) {
             Held m = item.message();
-            Relay.MessageClass type = types.apply(m.type);
-            if (m.doubtSince != 0 && type.effect() == Relay.Effect.KEYED) {
+            DeliveryScheduler.MessageClass type = types.apply(m.type);
+            if (m.doubtSince != 0 && type.effect() == DeliveryScheduler.Effect.KEYED) {
                 left = Math.min(left, m.doubtSince + type.keyLife() / 1_000 - MARGIN_MS - wall);
             }
         }
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -1,10 +1,11 @@
 package amberroute.sender;
 
-import amberroute.Policy;
-import amberroute.Relay;
-import amberroute.Relay.Ending;
-import amberroute.Relay.Event;
 import amberroute.config.ConfigException;
+import amberroute.decisions.AtcDeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.Event;
+import amberroute.decisions.settings.InvalidSettingsException;
 import amberroute.handover.Ownership;
 import amberroute.handover.Placement;
 import amberroute.membership.Beat;
@@ -17,7 +18,6 @@
 import amberroute.sender.Action.Remember;
 import amberroute.sender.Action.Send;
 import amberroute.sender.Action.Wake;
-import amberroute.settings.BadInput;
 import amberroute.shares.ColdLimit;
 import amberroute.shares.ColdLimits;
 import amberroute.storage.FolderDisk;
@@ -128,7 +128,7 @@
     private Journal journal;
 
     private SteadyClock clock;
-    private Relay module;
+    private DeliveryScheduler module;
     private final ActionRecorder recorder = new ActionRecorder(NO_LIMIT);
     private final Directory directory;
     private final Receivers receivers;
@@ -147,7 +147,7 @@
     /** Null where no address is configured. */
     private OpsServer ops;
     /** Those that count now. */
-    private Relay.Settings settings;
+    private DeliveryScheduler.Settings settings;
     /** Messages handed in since the last turn, with their waiting clients. */
     private final Map<Long, Arriving> arriving = new LinkedHashMap<>();
 
@@ -290,7 +290,7 @@
     private void open() throws IOException {
         Fence fence = Fence.read(config.state());
         if (fence != null) {
-            throw new BadInput("state folder " + config.state() + " was taken over by " + fence.by()
+            throw new InvalidSettingsException("state folder " + config.state() + " was taken over by " + fence.by()
                     + "; this instance needs another one");
         }
         if (config.standalone() != null && around == null) {
@@ -331,11 +331,11 @@
     }
 
     /** A module with these settings, which it checks. */
-    private static Relay checked(Relay.Settings settings) {
+    private static DeliveryScheduler checked(DeliveryScheduler.Settings settings) {
         try {
-            return new Policy(settings, true);
+            return new AtcDeliveryScheduler(settings, true);
         } catch (IllegalArgumentException e) {
-            throw new BadInput(e.getMessage());
+            throw new InvalidSettingsException(e.getMessage());
         }
     }
 
@@ -384,7 +384,7 @@
         if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
             return socket;
         }
-        throw new BadInput("GW_ACCEPT_FD: descriptor 0 is no listening socket");
+        throw new InvalidSettingsException("GW_ACCEPT_FD: descriptor 0 is no listening socket");
     }
 
     /** Starts on its own loop; tests use it too. */
@@ -637,8 +637,8 @@
         journal.memories()
                 .forEach(m -> found(m.destination(), m.health(), Math.max(0, now() - (steady() - m.since()) * 1_000)));
         journal.memories()
-                .forEach(m -> note(new Event.Remembered(
-                        new Relay.Memory(
+                .forEach(m -> note(new Event.HealthRestored(
+                        new DeliveryScheduler.HealthCheckpoint(
                                 m.destination(),
                                 m.uid().isEmpty() ? 0 : directory.number(m.uid()),
                                 m.health(),
@@ -659,7 +659,7 @@
             if (m.notice != null) {
                 if (m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder()) {
                     // The next of its key must not run before this one's notice is answered.
-                    note(new Event.Answered(m.number, m.key));
+                    note(new Event.CompletedMessageRecovered(m.number, m.key));
                 }
                 notices.send(m);
                 continue;
@@ -721,7 +721,7 @@
      * Returns null, or why they are not taken; then nothing has changed.
      */
     private String configure(Config read) {
-        Relay.Settings fresh = read.settings();
+        DeliveryScheduler.Settings fresh = read.settings();
         Set<Integer> needed = new HashSet<>();
         journal.live().forEach(m -> needed.add(m.type));
         arriving.values().forEach(a -> needed.add(a.message().type));
@@ -740,7 +740,7 @@
         receivers.configure(fresh.limits().connectTimeout(), fresh.limits().idleConnectionLife(), read.reportNames());
         clients.classes(classes.names());
         classes.names().forEach(figures::name);
-        note(new Event.Configured(settings));
+        note(new Event.SettingsChanged(settings));
         return null;
     }
 
@@ -770,7 +770,7 @@
         names.remove(config.name());
         names.add(config.name());
         names.sort(null);
-        Relay.Rules rules = settings.rules();
+        DeliveryScheduler.Rules rules = settings.rules();
         int daemons = Math.max(settings.senders(), names.size());
         limits = new ColdLimits(
                 now(),
@@ -810,10 +810,10 @@
     }
 
     private void ceiling(ColdLimits.Ceiling c) {
-        note(new Event.Ceiling(c.destination(), c.perSecond(), c.first(), c.back()));
+        note(new Event.FleetRateLimitChanged(c.destination(), c.perSecond(), c.first(), c.back()));
     }
 
-    private void found(int destination, Relay.Health health, long since) {
+    private void found(int destination, DeliveryScheduler.UpstreamStatus health, long since) {
         if (limits != null) {
             limits.found(now(), destination, Beat.Health.valueOf(health.name()), since);
             beats.hurry();
@@ -824,7 +824,7 @@
         long age = m.doubtSince == 0
                 ? -1
                 : clock.interrupted(m.doubtSince) ? NO_LIMIT : Math.max(0, (steady() - m.doubtSince) * 1_000);
-        note(new Event.Resumed(
+        note(new Event.MessageRecovered(
                 m.number,
                 m.type,
                 m.key,
@@ -882,7 +882,7 @@
             lock = StateLock.tryOwn(config.state(), config.standalone() != null);
             if (lock == null) {
                 if (System.nanoTime() - start > TAKE_OVER_MS * 1_000_000) {
-                    throw new BadInput(
+                    throw new InvalidSettingsException(
                             "state folder " + config.state() + " is held by a process that does not give it");
                 }
                 Thread.sleep(LOOK_AGAIN_MS);
@@ -914,12 +914,12 @@
     /** Runs once, for nothing, through what has to be quick when the folder is this process's: its code is loaded then. */
     private void rehearse() {
         try (Journal now = Journal.peek(config.state())) {
-            Relay trial = checked(config.settings());
+            DeliveryScheduler trial = checked(config.settings());
             long at = now();
             for (Held m : now.live()) {
                 trial.step(
                         at,
-                        new Event.Resumed(
+                        new Event.MessageRecovered(
                                 m.number,
                                 Math.max(0, config.classes().indexOf(m.className)),
                                 m.key,
@@ -931,7 +931,7 @@
                                 false),
                         new ActionRecorder(NO_LIMIT));
             }
-            trial.step(at, new Event.Turn(), new ActionRecorder(NO_LIMIT));
+            trial.step(at, new Event.Decide(), new ActionRecorder(NO_LIMIT));
         } catch (IOException | RuntimeException e) {
             Log.warn("nothing to rehearse with: " + e.getMessage());
         }
@@ -939,16 +939,16 @@
 
     private void resumeCalls() {
         long passed = Math.max(0, (System.nanoTime() - transferredState.at()) / 1_000);
-        transferredState.learned().forEach(l -> note(new Event.TakenOver(l)));
+        transferredState.learned().forEach(l -> note(new Event.UpstreamStateTransferred(l)));
         for (TransferredState.Out call : transferredState.out()) {
-            note(new Event.Underway(call.numbers(), directory.number(call.uid()), call.sentAgo() + passed));
+            note(new Event.CallInFlight(call.numbers(), directory.number(call.uid()), call.sentAgo() + passed));
         }
-        transferredState.rests().forEach(rest -> note(new Event.Resting(rest)));
+        transferredState.rests().forEach(rest -> note(new Event.KeyPaused(rest)));
     }
 
     private final class IncomingHost implements IncomingTransfer.Host {
         @Override
-        public void outcome(long number, String uid, Ending ending, JsonObject told) {
+        public void outcome(long number, String uid, AttemptOutcome ending, JsonObject told) {
             Held m = held.get(number);
             if (m == null) {
                 return;
@@ -1102,8 +1102,8 @@
         @Override
         public void resume() {
             retireSteps.cancel(false);
-            List<Relay.Learned> learned = module.learned(now());
-            List<Relay.Rest> rests = module.rests(now());
+            List<DeliveryScheduler.UpstreamSnapshot> learned = module.learned(now());
+            List<DeliveryScheduler.KeyPause> rests = module.rests(now());
             forgetOwned();
             OutgoingTransfer.Unsettled unsettled = outgoingTransfer.takeBack();
             JsonArray leaving = directory.resume(calledNow()::contains);
@@ -1217,7 +1217,7 @@
     /** What was asked of this process while another one owned all: it is told to end so many milliseconds from now. */
     private void stopWithin(long left) {
         if (config.standalone() == null) {
-            note(new Event.Stopping(left * 1_000));
+            note(new Event.ShutdownStarted(left * 1_000));
         } else {
             beginStop(DrainPlan.Mode.RESTART, left);
         }
@@ -1336,7 +1336,7 @@
         @Override
         public long longestLife() {
             return settings.classes().stream()
-                            .mapToLong(Relay.MessageClass::deadline)
+                            .mapToLong(DeliveryScheduler.MessageClass::deadline)
                             .max()
                             .orElse(0)
                     / 1_000;
@@ -1458,15 +1458,15 @@
      */
     private JsonObject adopt(Path folder, boolean fenced) throws IOException {
         if (!Files.isRegularFile(folder.resolve("journal"))) {
-            throw new BadInput("no journal in " + folder);
+            throw new InvalidSettingsException("no journal in " + folder);
         }
         if (Files.isSameFile(folder, config.state())) {
-            throw new BadInput(folder + " is this process's own");
+            throw new InvalidSettingsException(folder + " is this process's own");
         }
         StateLock theirs = StateLock.tryTake(folder, false);
         try {
             if (theirs == null && !(fenced && StateLock.guarded(folder))) {
-                throw new BadInput(
+                throw new InvalidSettingsException(
                         !fenced
                                 ? "a process holds " + folder + "; only a fence could stop it"
                                 : "the process that holds " + folder + " does not look for a fence");
@@ -1476,7 +1476,8 @@
                     .syncUninterruptibly()
                     .getNow();
             if (expected > room) {
-                throw new BadInput("no room for " + expected + " messages, only for " + Math.max(0, room));
+                throw new InvalidSettingsException(
+                        "no room for " + expected + " messages, only for " + Math.max(0, room));
             }
             return adoptBehind(Fence.raise(folder, config.name(), config.state()), folder);
         } finally {
@@ -1557,7 +1558,7 @@
             Held m = messages.get(i);
             if (m.notice != null) {
                 if (m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder()) {
-                    note(new Event.Answered(m.number, m.key));
+                    note(new Event.CompletedMessageRecovered(m.number, m.key));
                 }
                 notices.send(m);
             } else {
@@ -1582,7 +1583,7 @@
                                         Path.of(request.get("folder").getAsString()),
                                         request.has("fence")
                                                 && request.get("fence").getAsBoolean());
-                            } catch (BadInput | IOException e) {
+                            } catch (InvalidSettingsException | IOException e) {
                                 result = Control.answer(false, e.getMessage());
                             } catch (RuntimeException e) {
                                 result = Control.answer(false, "adopt needs a folder: " + e);
@@ -1679,7 +1680,7 @@
         }
         arriving.put(m.number, new Arriving(m, reply));
         arrivingIds.add(m.id);
-        note(new Event.Arrival(m.number, m.type, 0, s.key(), s.timeLeft() * 1_000, s.destination()));
+        note(new Event.MessageSubmitted(m.number, m.type, 0, s.key(), s.timeLeft() * 1_000, s.destination()));
     }
 
     /** It was taken on before; that is said once it outlasts what it has to. */
@@ -1714,7 +1715,7 @@
             if (!phantoms.containsKey(key)) {
                 long number = journal.nextNumber();
                 phantoms.put(key, number);
-                note(new Event.Answered(number, key));
+                note(new Event.CompletedMessageRecovered(number, key));
             }
         }
     }
@@ -1724,7 +1725,7 @@
         for (long key : keys) {
             Long number = phantoms.remove(key);
             if (number != null) {
-                note(new Event.Concluded(number));
+                note(new Event.CompletionAcknowledged(number));
             }
         }
         if (handOver != null) {
@@ -1751,19 +1752,19 @@
                         .toList();
     }
 
-    private void onListing(Relay.ListKind kind, List<Relay.Entry> entries) {
+    private void onListing(DeliveryScheduler.EndpointListKind kind, List<DeliveryScheduler.EndpointEntry> entries) {
         receivers.bar(route -> !directory.ready(route.endpoint()));
         // Whoever comes to the address of one that is gone shall inherit nothing of it.
         receivers.closeIdle(directory::gone);
         if (limits != null) {
-            for (Relay.Entry entry : entries) {
+            for (DeliveryScheduler.EndpointEntry entry : entries) {
                 ColdLimits.Ceiling c = limits.known(now(), entry.destination());
                 if (c != null) {
                     ceiling(c);
                 }
             }
         }
-        note(new Event.Listing(kind, entries));
+        note(new Event.EndpointListUpdated(kind, entries));
     }
 
     private void onResult(Receivers.Result r) {
@@ -1773,7 +1774,7 @@
         }
         if (r.closed()) {
             journal.conclude(m);
-            if (held.remove(m.number) != null && r.ending() == Ending.OK) {
+            if (held.remove(m.number) != null && r.ending() == AttemptOutcome.OK) {
                 figures.ended(m.className, Figures.End.OK);
                 if (limits != null && limits.answered(now(), m.destination)) {
                     beats.hurry();
@@ -1781,13 +1782,16 @@
             }
         } else if (held.containsKey(m.number)) {
             journal.outcome(
-                    m, r.ending() != Ending.FULL && r.ending() != Ending.CONNECT_FAILED && r.ending() != Ending.MOOT);
+                    m,
+                    r.ending() != AttemptOutcome.FULL
+                            && r.ending() != AttemptOutcome.CONNECT_FAILED
+                            && r.ending() != AttemptOutcome.MOOT);
         }
         note(outcomeOf(r));
     }
 
     private static Event outcomeOf(Receivers.Result r) {
-        return new Event.Outcome(
+        return new Event.AttemptCompleted(
                 r.message().number,
                 r.attempt(),
                 r.endpoint(),
@@ -1805,7 +1809,7 @@
         }
         tellLate(answeredLate, m);
         journal.conclude(m);
-        note(new Event.Concluded(m.number));
+        note(new Event.CompletionAcknowledged(m.number));
     }
 
     /**
@@ -1861,7 +1865,7 @@
         List<Noted> batch = List.copyOf(events);
         events.clear();
         batch.forEach(noted -> step(noted.at(), noted.event()));
-        step(now, new Event.Turn());
+        step(now, new Event.Decide());
         List<Action> actions = recorder.drain();
         Log.guarded("taking on", () -> takeOn(actions));
         actions.forEach(action -> Log.guarded("answer", () -> answer(action)));
@@ -1898,7 +1902,7 @@
                         refused.reply(),
                         refused.message().className,
                         action instanceof Refuse r ? millis(r.retryAfter()) : 0);
-                note(new Event.Concluded(refused.message().number));
+                note(new Event.CompletionAcknowledged(refused.message().number));
             }
         }
         for (Arriving taken : arriving.values()) {
@@ -1918,10 +1922,10 @@
                 // one.
                 figures.ended(m.className, Figures.End.ERRORS);
                 taken.reply().error("the message could not be recorded, or may have been");
-                note(new Event.Withdrawn(m.number));
+                note(new Event.MessageCancelled(m.number));
             } else {
                 busy(taken.reply(), m.className, journal.again());
-                note(new Event.Withdrawn(m.number));
+                note(new Event.MessageCancelled(m.number));
             }
         }
         arriving.clear();
@@ -2003,9 +2007,10 @@
                 items.add(new Receivers.Item(m, m.attempts - 1));
             } else if (m != null) {
                 m.attempts++;
-                note(new Event.Outcome(m.number, m.attempts - 1, endpoint, Ending.MOOT, 0, false, 0, List.of()));
+                note(new Event.AttemptCompleted(
+                        m.number, m.attempts - 1, endpoint, AttemptOutcome.MOOT, 0, false, 0, List.of()));
             } else {
-                note(new Event.Outcome(s.id(), 0, endpoint, Ending.MOOT, 0, true, 0, List.of()));
+                note(new Event.AttemptCompleted(s.id(), 0, endpoint, AttemptOutcome.MOOT, 0, true, 0, List.of()));
             }
         }
         if (!items.isEmpty()) {
@@ -2020,7 +2025,7 @@
         if (journal.attempt(m, uid, steady())) {
             return true;
         }
-        if (classes.type(m.type).effect() != Relay.Effect.SAFE || survival != null || copying != null) {
+        if (classes.type(m.type).effect() != DeliveryScheduler.Effect.SAFE || survival != null || copying != null) {
             return false;
         }
         journal.attemptUnrecorded(m, uid, steady());
@@ -2051,11 +2056,11 @@
             if (held.containsKey(m.number)) {
                 journal.outcome(m, false);
             }
-            note(new Event.Outcome(
+            note(new Event.AttemptCompleted(
                     m.number,
                     item.attempt(),
                     route.endpoint(),
-                    Ending.MOOT,
+                    AttemptOutcome.MOOT,
                     0,
                     !held.containsKey(m.number),
                     0,
@@ -2097,7 +2102,7 @@
     }
 
     private boolean repeatable(Held m) {
-        return classes.type(m.type).effect() != Relay.Effect.UNSAFE;
+        return classes.type(m.type).effect() != DeliveryScheduler.Effect.UNSAFE;
     }
 
     private void other(Action action) {
@@ -2117,9 +2122,9 @@
             if (timer != null) {
                 timer.cancel(false);
             }
-            timer = loop.schedule(() -> note(new Event.TimerDue(w.token())), w.delay(), TimeUnit.MICROSECONDS);
+            timer = loop.schedule(() -> note(new Event.TimerExpired(w.token())), w.delay(), TimeUnit.MICROSECONDS);
         } else if (action instanceof Remember r) {
-            Relay.Memory m = r.memory();
+            DeliveryScheduler.HealthCheckpoint m = r.memory();
             found(m.destination(), m.health(), m.since());
             journal.remember(new Journal.Memory(
                     m.destination(),
@@ -2263,7 +2268,7 @@
         }
         Log.warn("stop " + (mode == DrainPlan.Mode.FINAL ? "for good" : "for a restart") + " within " + within
                 + " ms; holding " + held.size() + " messages");
-        note(new Event.Stopping(drain.deliverLeft(now() / 1_000) * 1_000));
+        note(new Event.ShutdownStarted(drain.deliverLeft(now() / 1_000) * 1_000));
         if (drainSteps == null) {
             drainSteps = loop.scheduleWithFixedDelay(this::drainStep, 0, DRAIN_STEP_MS, TimeUnit.MILLISECONDS);
         }
@@ -2352,12 +2357,13 @@
 
     /** Ends a message of which no call is out: handed back where it surely has not run or may be repeated. */
     private void endUndelivered(Held m) {
-        Relay.MessageClass type = classes.type(m.type);
+        DeliveryScheduler.MessageClass type = classes.type(m.type);
         boolean returned = DrainPlan.mayReturn(
                 m.doubtSince != 0 || m.out,
-                type.effect() == Relay.Effect.SAFE,
-                type.effect() == Relay.Effect.KEYED && type.keyScope() == Relay.KeyScope.DESTINATION);
-        note(new Event.Withdrawn(m.number));
+                type.effect() == DeliveryScheduler.Effect.SAFE,
+                type.effect() == DeliveryScheduler.Effect.KEYED
+                        && type.keyScope() == DeliveryScheduler.KeyScope.DESTINATION);
+        note(new Event.MessageCancelled(m.number));
         end(m.number, returned ? m.returned(0) : m.failed(), returned ? Figures.End.SHED : Figures.End.ERRORS);
     }
 
@@ -2410,7 +2416,7 @@
             safeOrEnd();
             messages.forEach(m -> {
                 if (held.remove(m.number) != null) {
-                    note(new Event.Withdrawn(m.number));
+                    note(new Event.MessageCancelled(m.number));
                 }
             });
             return true;
@@ -2445,7 +2451,7 @@
         }
 
         private void goOn(List<Held> messages, List<Held> behind) {
-            behind.forEach(m -> note(new Event.Withdrawn(m.number)));
+            behind.forEach(m -> note(new Event.MessageCancelled(m.number)));
             for (Held m : messages) {
                 held.put(m.number, m);
                 resume(m, false);
@@ -2476,16 +2482,16 @@
         }
 
         /** One in doubt that only the place where it may have run could take again, and that place is unknown here. */
-        private boolean wouldBeLost(Held m, Relay.MessageClass type) {
+        private boolean wouldBeLost(Held m, DeliveryScheduler.MessageClass type) {
             return m.doubtSince != 0
-                    && type.effect() == Relay.Effect.KEYED
-                    && type.keyScope() != Relay.KeyScope.DESTINATION
+                    && type.effect() == DeliveryScheduler.Effect.KEYED
+                    && type.keyScope() != DeliveryScheduler.KeyScope.DESTINATION
                     && !directory.listed(m.doubtAt);
         }
 
         /** What may be done with a message of a class: where two daemons differ in it, neither may take the other's. */
         private String meaning(int type) {
-            Relay.MessageClass c = classes.type(type);
+            DeliveryScheduler.MessageClass c = classes.type(type);
             return c.effect() + " " + c.keyScope() + " " + c.keyLife() + " " + c.inOrder();
         }
 
@@ -2559,7 +2565,7 @@
         Log.warn("the process ends soon; "
                 + (transferred ? "another one owns what was held" : "what is held will be resumed"));
         drainConnections(LAST_MS);
-        loop.execute(() -> note(new Event.Stopping(UNTIL_KILLED)));
+        loop.execute(() -> note(new Event.ShutdownStarted(UNTIL_KILLED)));
         try {
             retired.await(1, TimeUnit.HOURS);
         } catch (InterruptedException e) {
@@ -2580,10 +2586,11 @@
             long fingerprint = Config.fingerprint(environment);
             Config read = Config.reread(environment);
             if ((read.discovery() == null) != (config.discovery() == null)) {
-                throw new BadInput("changing between discovery and a file of endpoints takes a restart");
+                throw new InvalidSettingsException(
+                        "changing between discovery and a file of endpoints takes a restart");
             }
             if (phase == Phase.GIVEN) {
-                throw new BadInput("another process has taken this one's place");
+                throw new InvalidSettingsException("another process has taken this one's place");
             }
             read.checkAgainst(config);
             checked(read.settings());
@@ -2591,7 +2598,7 @@
             String refused =
                     loop.submit(() -> configure(read)).syncUninterruptibly().getNow();
             if (refused != null) {
-                throw new BadInput(refused);
+                throw new InvalidSettingsException(refused);
             }
             loop.execute(() -> {
                 figures.applied();
@@ -2607,7 +2614,7 @@
                 notices.move(read.notices());
             });
             return null;
-        } catch (BadInput | ConfigException | IOException e) {
+        } catch (InvalidSettingsException | ConfigException | IOException e) {
             loop.execute(figures::rejected);
             Log.warn("configuration not taken: " + e.getMessage());
             return e.getMessage();
--- a/sender/src/main/java/amberroute/sender/StandaloneConfig.java
+++ b/sender/src/main/java/amberroute/sender/StandaloneConfig.java
@@ -1,10 +1,10 @@
 package amberroute.sender;
 
-import amberroute.Relay;
 import amberroute.config.ConfigException;
 import amberroute.config.Schema;
 import amberroute.config.Settings;
 import amberroute.config.Units;
+import amberroute.decisions.DeliveryScheduler;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -398,43 +398,45 @@
         return List.copyOf(names);
     }
 
-    private static Relay.Settings settings(Settings s, List<String> classes, List<String> zones) {
-        List<Relay.MessageClass> types = new ArrayList<>();
+    private static DeliveryScheduler.Settings settings(Settings s, List<String> classes, List<String> zones) {
+        List<DeliveryScheduler.MessageClass> types = new ArrayList<>();
         for (Settings row : s.tables("class")) {
             if (row.micros("aim") > row.micros("deadline")) {
                 throw s.bad("class.aim", "is behind the deadline of class " + row.text("name"));
             }
-            Relay.Effect effect = Relay.Effect.valueOf(row.text("effect").toUpperCase(java.util.Locale.ROOT));
-            types.add(new Relay.MessageClass(
+            DeliveryScheduler.Effect effect =
+                    DeliveryScheduler.Effect.valueOf(row.text("effect").toUpperCase(java.util.Locale.ROOT));
+            types.add(new DeliveryScheduler.MessageClass(
                     row.real("worth"),
                     row.real("late_share"),
                     row.micros("aim"),
                     row.micros("deadline"),
                     effect,
-                    Relay.KeyScope.valueOf(row.text("key_scope").toUpperCase(java.util.Locale.ROOT)),
-                    effect == Relay.Effect.KEYED ? row.micros("key_life") : 0,
+                    DeliveryScheduler.KeyScope.valueOf(row.text("key_scope").toUpperCase(java.util.Locale.ROOT)),
+                    effect == DeliveryScheduler.Effect.KEYED ? row.micros("key_life") : 0,
                     row.flag("in_order")));
         }
-        List<Relay.Kind> kinds = new ArrayList<>();
+        List<DeliveryScheduler.DestinationKind> kinds = new ArrayList<>();
         s.tables("kind")
-                .forEach(row -> kinds.add(new Relay.Kind(row.flag("routes_apart"), row.whole("messages_per_call"))));
+                .forEach(row -> kinds.add(new DeliveryScheduler.DestinationKind(
+                        row.flag("routes_apart"), row.whole("messages_per_call"))));
         if (kinds.isEmpty()) {
-            kinds.add(new Relay.Kind(false, 1));
+            kinds.add(new DeliveryScheduler.DestinationKind(false, 1));
         }
         List<String> reports = s.list("reports");
-        return new Relay.Settings(
+        return new DeliveryScheduler.Settings(
                 System.nanoTime(),
                 s.whole("senders"),
                 s.has("zone") ? zones.indexOf(s.text("zone")) : 0,
                 s.micros("limits.tick"),
                 false,
                 1,
-                Relay.LateWorth.EVEN,
-                Relay.WeightKind.NONE,
+                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.WeightKind.NONE,
                 types,
                 List.of(),
                 kinds,
-                new Relay.Limits(
+                new DeliveryScheduler.Limits(
                         s.whole("limits.slots"),
                         s.whole("limits.open_messages"),
                         s.whole("limits.max_attempts"),
@@ -445,7 +447,7 @@
                         1,
                         s.micros("connections.idle"),
                         s.micros("connections.connect")),
-                new Relay.Rules(
+                new DeliveryScheduler.Rules(
                         20_000,
                         10_000_000,
                         s.real("cold.from"),
@@ -453,7 +455,7 @@
                         s.real("cold.multiple"),
                         s.micros("cold.window"),
                         s.micros("rules.settle")),
-                new Relay.Prices(s.real("costs.handshake"), 0, List.of()),
-                new Relay.ReportFields(reports.indexOf("x0"), reports.indexOf("x1")));
+                new DeliveryScheduler.Prices(s.real("costs.handshake"), 0, List.of()),
+                new DeliveryScheduler.ReportFields(reports.indexOf("x0"), reports.indexOf("x1")));
     }
 }
--- a/sender/src/main/java/amberroute/sender/StateLock.java
+++ b/sender/src/main/java/amberroute/sender/StateLock.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.settings.BadInput;
+import amberroute.decisions.settings.InvalidSettingsException;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -29,7 +29,7 @@
         if (lock != null) {
             return lock;
         }
-        throw new BadInput("state folder " + folder + " is held by " + holder(folder));
+        throw new InvalidSettingsException("state folder " + folder + " is held by " + holder(folder));
     }
 
     /** As {@link #tryTake}, and the log says so: the folder is this sender's own from then on. */
--- a/sender/src/main/java/amberroute/sender/TransferredState.java
+++ b/sender/src/main/java/amberroute/sender/TransferredState.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -14,7 +14,12 @@
  * still has out, and what was learned. Receivers go by their uids, as each process numbers them itself; {@code at} is the
  * system's monotonic clock in nanoseconds, which all processes of a machine read alike. Does no I/O.
  */
-record TransferredState(long at, JsonObject list, List<Out> out, List<Relay.Learned> learned, List<Relay.Rest> rests) {
+record TransferredState(
+        long at,
+        JsonObject list,
+        List<Out> out,
+        List<DeliveryScheduler.UpstreamSnapshot> learned,
+        List<DeliveryScheduler.KeyPause> rests) {
     /** A call that is out, with the numbers of its messages; {@code sentAgo} in microseconds at {@link #at}. */
     record Out(List<Long> numbers, String uid, long sentAgo) {}
 
@@ -34,13 +39,13 @@
         }
         json.add("out", calls);
         JsonArray places = new JsonArray();
-        for (Relay.Learned l : learned) {
+        for (DeliveryScheduler.UpstreamSnapshot l : learned) {
             places.add(write(
                     l, l.memory().endpoint() == 0 ? "" : uids.apply(l.memory().endpoint())));
         }
         json.add("learned", places);
         JsonArray keys = new JsonArray();
-        for (Relay.Rest rest : rests) {
+        for (DeliveryScheduler.KeyPause rest : rests) {
             JsonArray one = new JsonArray();
             one.add(Long.toHexString(rest.key()));
             one.add(rest.left());
@@ -63,12 +68,12 @@
                     call.get("uid").getAsString(),
                     call.get("sent_ago").getAsLong()));
         }
-        List<Relay.Learned> learned = new ArrayList<>();
+        List<DeliveryScheduler.UpstreamSnapshot> learned = new ArrayList<>();
         json.getAsJsonArray("learned").forEach(item -> learned.add(learned(item.getAsJsonObject(), numbers)));
-        List<Relay.Rest> rests = new ArrayList<>();
+        List<DeliveryScheduler.KeyPause> rests = new ArrayList<>();
         for (JsonElement item : json.getAsJsonArray("rests")) {
             JsonArray rest = item.getAsJsonArray();
-            rests.add(new Relay.Rest(
+            rests.add(new DeliveryScheduler.KeyPause(
                     Long.parseUnsignedLong(rest.get(0).getAsString(), 16),
                     rest.get(1).getAsLong(),
                     rest.get(2).getAsLong()));
@@ -76,8 +81,8 @@
         return new TransferredState(json.get("at").getAsLong(), json.getAsJsonObject("list"), out, learned, rests);
     }
 
-    private static JsonObject write(Relay.Learned l, String uid) {
-        Relay.Memory m = l.memory();
+    private static JsonObject write(DeliveryScheduler.UpstreamSnapshot l, String uid) {
+        DeliveryScheduler.HealthCheckpoint m = l.memory();
         JsonObject json = new JsonObject();
         json.addProperty("destination", m.destination());
         json.addProperty("uid", uid);
@@ -101,14 +106,14 @@
         return json;
     }
 
-    private static Relay.Learned learned(JsonObject j, ToLongFunction<String> numbers) {
+    private static DeliveryScheduler.UpstreamSnapshot learned(JsonObject j, ToLongFunction<String> numbers) {
         String uid = j.get("uid").getAsString();
         double pace = j.get("pace").getAsDouble();
-        return new Relay.Learned(
-                new Relay.Memory(
+        return new DeliveryScheduler.UpstreamSnapshot(
+                new DeliveryScheduler.HealthCheckpoint(
                         j.get("destination").getAsInt(),
                         uid.isEmpty() ? 0 : numbers.applyAsLong(uid),
-                        Relay.Health.valueOf(j.get("health").getAsString()),
+                        DeliveryScheduler.UpstreamStatus.valueOf(j.get("health").getAsString()),
                         j.get("since").getAsLong(),
                         j.get("former_pace").getAsDouble(),
                         j.get("usual").getAsDouble()),
--- a/sender/src/test/java/amberroute/sender/AdoptionTest.java
+++ b/sender/src/test/java/amberroute/sender/AdoptionTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.decisions.settings.InvalidSettingsException;
 import amberroute.handover.Ownership;
-import amberroute.settings.BadInput;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.BufferedReader;
@@ -225,7 +225,7 @@
         assertEquals(
                 new Fence("heir", folder.resolve("heir"), Fence.read(orphan).lots(), true), Fence.read(orphan));
         assertTrue(adopt("other", orphan, false).get("error").getAsString().contains("taken over by heir"));
-        assertThrows(BadInput.class, () -> start("orphan", 50));
+        assertThrows(InvalidSettingsException.class, () -> start("orphan", 50));
     }
 
     /** The second of three dies in the middle of taking the first's: the third finishes that, and nothing comes twice. */
--- a/sender/src/test/java/amberroute/sender/ClassBookTest.java
+++ b/sender/src/test/java/amberroute/sender/ClassBookTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay.Effect;
-import amberroute.Relay.KeyScope;
-import amberroute.Relay.MessageClass;
+import amberroute.decisions.DeliveryScheduler.Effect;
+import amberroute.decisions.DeliveryScheduler.KeyScope;
+import amberroute.decisions.DeliveryScheduler.MessageClass;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/sender/src/test/java/amberroute/sender/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/JournalTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import amberroute.storage.SimulatedDisk;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -186,13 +186,15 @@
     void remembersAThousandOutages() throws IOException {
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             for (int i = 0; i < 1_500; i++) {
-                journal.remember(new Journal.Memory(i, "", amberroute.Relay.Health.OUT, i, 1, 2));
+                journal.remember(
+                        new Journal.Memory(i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.OUT, i, 1, 2));
             }
         }
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             assertEquals(1_500, journal.memories().size());
             for (int i = 0; i < 1_500; i++) {
-                journal.remember(new Journal.Memory(5_000 + i, "", amberroute.Relay.Health.OUT, i, 1, 2));
+                journal.remember(new Journal.Memory(
+                        5_000 + i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.OUT, i, 1, 2));
             }
             assertEquals(1_950, journal.memories().size(), "they take their share of the disk, and no more");
             assertTrue(journal.memories().stream().anyMatch(m -> m.destination() == 6_499), "the newest is forgotten");
@@ -207,13 +209,13 @@
                     0,
                     new ClassBook.Version(
                             "safe",
-                            new Relay.MessageClass(
+                            new DeliveryScheduler.MessageClass(
                                     1,
                                     0.5,
                                     1_500_000,
                                     6_000_000,
-                                    Relay.Effect.SAFE,
-                                    Relay.KeyScope.DESTINATION,
+                                    DeliveryScheduler.Effect.SAFE,
+                                    DeliveryScheduler.KeyScope.DESTINATION,
                                     0,
                                     false)));
             for (int i = 0; i < 500; i++) {
--- a/sender/src/test/java/amberroute/sender/OldJournalTest.java
+++ b/sender/src/test/java/amberroute/sender/OldJournalTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import amberroute.handover.Ownership;
 import amberroute.storage.SegmentLog;
 import java.io.IOException;
@@ -66,7 +66,9 @@
         assertEquals("heir", journal.lots().get("lot").ownership().peer());
         assertTrue(journal.knows("over") && journal.differs("over", 5));
         assertEquals(1, journal.memories().size());
-        assertEquals(Relay.Health.OUT, journal.memories().iterator().next().health());
+        assertEquals(
+                DeliveryScheduler.UpstreamStatus.OUT,
+                journal.memories().iterator().next().health());
         assertEquals("policy-order", journal.classes().get(1).name());
         assertTrue(journal.holds().held(31) && !journal.holds().held(32));
         assertTrue(journal.nextNumber()
@@ -162,13 +164,13 @@
                     1,
                     new ClassBook.Version(
                             "policy-order",
-                            new Relay.MessageClass(
+                            new DeliveryScheduler.MessageClass(
                                     1,
                                     0.5,
                                     1_500_000,
                                     6_000_000,
-                                    Relay.Effect.KEYED,
-                                    Relay.KeyScope.DESTINATION,
+                                    DeliveryScheduler.Effect.KEYED,
+                                    DeliveryScheduler.KeyScope.DESTINATION,
                                     60_000_000,
                                     true)));
             String[] ids = {"first", "doubt", "behind", "ended", "over", "offered", "given"};
@@ -197,7 +199,8 @@
                     List.of(all[2]));
             journal.conclude(came);
             journal.release("peer", List.of(32L));
-            journal.remember(new SingleFileJournal.Memory(3, "uid-a", Relay.Health.OUT, 5, 1.5, 2.5));
+            journal.remember(
+                    new SingleFileJournal.Memory(3, "uid-a", DeliveryScheduler.UpstreamStatus.OUT, 5, 1.5, 2.5));
         }
     }
 }
--- a/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
+++ b/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay;
-import amberroute.settings.BadInput;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.settings.InvalidSettingsException;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.BufferedReader;
@@ -400,8 +400,8 @@
         assertEquals(List.of("503", "503", "200"), List.of(ready(old), ready(second), ready(third)));
         assertEquals("+OK", client().submit("safe", "a", NO_KEY));
         await(() -> third.owed() == 0);
-        assertThrows(BadInput.class, () -> Sender.start(Config.read(world.environment())));
-        assertThrows(BadInput.class, () -> Config.inherits(Map.of("GW_ACCEPT_FD", "3")));
+        assertThrows(InvalidSettingsException.class, () -> Sender.start(Config.read(world.environment())));
+        assertThrows(InvalidSettingsException.class, () -> Config.inherits(Map.of("GW_ACCEPT_FD", "3")));
     }
 
     /**
@@ -473,8 +473,9 @@
                 list,
                 List.of(new TransferredState.Out(List.of(5L, 6L), "s-1", 77)),
                 List.of(
-                        new Relay.Learned(
-                                new Relay.Memory(3, 0, Relay.Health.OUT, 1, 2.5, 3.5),
+                        new DeliveryScheduler.UpstreamSnapshot(
+                                new DeliveryScheduler.HealthCheckpoint(
+                                        3, 0, DeliveryScheduler.UpstreamStatus.OUT, 1, 2.5, 3.5),
                                 4,
                                 5,
                                 Double.POSITIVE_INFINITY,
@@ -487,8 +488,9 @@
                                 2.25,
                                 3.75,
                                 0.125),
-                        new Relay.Learned(
-                                new Relay.Memory(3, 9, Relay.Health.WELL, 1, 2, 3),
+                        new DeliveryScheduler.UpstreamSnapshot(
+                                new DeliveryScheduler.HealthCheckpoint(
+                                        3, 9, DeliveryScheduler.UpstreamStatus.WELL, 1, 2, 3),
                                 4,
                                 5,
                                 1.75,
@@ -501,7 +503,7 @@
                                 12,
                                 13,
                                 14)),
-                List.of(new Relay.Rest(-1, 50, 6)));
+                List.of(new DeliveryScheduler.KeyPause(-1, 50, 6)));
         String text = estate.write(number -> "s-" + number).toString();
         assertEquals(
                 estate,
--- a/sender/src/test/java/amberroute/sender/ReceiversTest.java
+++ b/sender/src/test/java/amberroute/sender/ReceiversTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay.Effect;
-import amberroute.Relay.Ending;
-import amberroute.Relay.KeyScope;
-import amberroute.Relay.MessageClass;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.Effect;
+import amberroute.decisions.DeliveryScheduler.KeyScope;
+import amberroute.decisions.DeliveryScheduler.MessageClass;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -160,7 +160,7 @@
                 news.getOutputStream().write('x');
                 goesOn.countDown();
                 Receivers.Result result = results.poll(10, TimeUnit.SECONDS);
-                assertEquals(Ending.MOOT, result.ending());
+                assertEquals(AttemptOutcome.MOOT, result.ending());
                 assertEquals(0, accepted.getInputStream().available());
             }
         }
@@ -183,7 +183,7 @@
             filler.close();
         }
         try (Socket accepted = receiver.accept()) {
-            assertEquals(Ending.MOOT, results.poll(10, TimeUnit.SECONDS).ending());
+            assertEquals(AttemptOutcome.MOOT, results.poll(10, TimeUnit.SECONDS).ending());
             assertEquals(0, accepted.getInputStream().available());
         }
     }
@@ -209,7 +209,7 @@
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                             .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             Receivers.Result result = results.poll(10, TimeUnit.SECONDS);
-            assertEquals(Ending.OK, result.ending());
+            assertEquals(AttemptOutcome.OK, result.ending());
             assertTrue(result.closed());
         }
     }
--- a/sender/src/test/java/amberroute/sender/RememberedIdsTest.java
+++ b/sender/src/test/java/amberroute/sender/RememberedIdsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Relay.Effect;
+import amberroute.decisions.DeliveryScheduler.Effect;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/sender/src/test/java/amberroute/sender/SenderTest.java
+++ b/sender/src/test/java/amberroute/sender/SenderTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.settings.BadInput;
+import amberroute.decisions.settings.InvalidSettingsException;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.Socket;
@@ -636,11 +636,11 @@
 
     @Test
     void namesWhatIsWrongWithTheConfiguration() throws IOException {
-        assertThrows(BadInput.class, () -> Config.read(Map.of()));
+        assertThrows(InvalidSettingsException.class, () -> Config.read(Map.of()));
         Path file = folder.resolve("broken.json");
         Files.writeString(file, "{\"settings\":");
         Map<String, String> broken = Map.of("GW_CONFIG", file.toString(), "GW_STATE", folder.toString());
-        assertTrue(assertThrows(BadInput.class, () -> Config.read(broken))
+        assertTrue(assertThrows(InvalidSettingsException.class, () -> Config.read(broken))
                 .getMessage()
                 .contains("broken.json"));
         assertFalse(Config.read(world.environment()).classes().isEmpty());
--- a/sender/src/test/java/amberroute/sender/SingleFileJournal.java
+++ b/sender/src/test/java/amberroute/sender/SingleFileJournal.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import amberroute.handover.KeyHolds;
 import amberroute.handover.Ownership;
 import java.io.BufferedOutputStream;
@@ -67,7 +67,13 @@
     private static final int REWRITE_BUFFER = 16 * 1024;
 
     /** What the module wants to know of a place again, {@code uid} empty for a whole destination; wall time. */
-    record Memory(int destination, String uid, Relay.Health health, long since, double pace, double usual) {}
+    record Memory(
+            int destination,
+            String uid,
+            DeliveryScheduler.UpstreamStatus health,
+            long since,
+            double pace,
+            double usual) {}
 
     /**
      * What is known of a lot that moved or was to move: whose it is, until when that has to be kept (wall time), and the
@@ -585,7 +591,7 @@
 
     /** The 0 stands where other records have a message's number, so that older programs pass over it. */
     private static byte[] defined(int number, ClassBook.Version version) {
-        Relay.MessageClass c = version.type();
+        DeliveryScheduler.MessageClass c = version.type();
         return record('D', out -> {
             out.writeLong(0);
             out.writeInt(number);
@@ -609,13 +615,13 @@
                 number,
                 new ClassBook.Version(
                         name,
-                        new Relay.MessageClass(
+                        new DeliveryScheduler.MessageClass(
                                 in.readDouble(),
                                 in.readDouble(),
                                 in.readLong(),
                                 in.readLong(),
-                                Relay.Effect.values()[in.readByte()],
-                                Relay.KeyScope.values()[in.readByte()],
+                                DeliveryScheduler.Effect.values()[in.readByte()],
+                                DeliveryScheduler.KeyScope.values()[in.readByte()],
                                 in.readLong(),
                                 in.readBoolean())));
     }
@@ -682,7 +688,7 @@
             keep(new Memory(
                     in.readInt(),
                     in.readUTF(),
-                    Relay.Health.valueOf(in.readUTF()),
+                    DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
                     in.readLong(),
                     in.readDouble(),
                     in.readDouble()));
@@ -794,7 +800,7 @@
     private void keep(Memory memory) {
         String place = memory.destination() + " " + memory.uid();
         forget(place);
-        if (memory.health() != Relay.Health.WELL) {
+        if (memory.health() != DeliveryScheduler.UpstreamStatus.WELL) {
             memories.put(place, memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         }
--- a/sender/src/test/java/amberroute/sender/StandaloneTest.java
+++ b/sender/src/test/java/amberroute/sender/StandaloneTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.config.ConfigException;
-import amberroute.settings.BadInput;
+import amberroute.decisions.settings.InvalidSettingsException;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.BufferedReader;
@@ -196,8 +196,8 @@
     @Test
     void refusesAFolderThatAnotherHolds() throws IOException {
         started();
-        String message =
-                assertThrows(BadInput.class, () -> Sender.start(read())).getMessage();
+        String message = assertThrows(InvalidSettingsException.class, () -> Sender.start(read()))
+                .getMessage();
         assertTrue(
                 message.contains("is held by process " + ProcessHandle.current().pid()), message);
         sender.stop();
@@ -364,7 +364,7 @@
         Map<String, String> platform = world.environment();
         Path file = Path.of(platform.get("GW_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("\"balancers\":1", "\"balancers\":0"));
-        String message = assertThrows(BadInput.class, () -> Sender.start(Config.read(platform)))
+        String message = assertThrows(InvalidSettingsException.class, () -> Sender.start(Config.read(platform)))
                 .getMessage();
         assertEquals("setting senders or classes is out of range", message);
         sender = world.start();
--- a/simulator/src/main/java/amberroute/simulator/Main.java
+++ b/simulator/src/main/java/amberroute/simulator/Main.java
@@ -1,7 +1,7 @@
 package amberroute.simulator;
 
-import amberroute.Policy;
-import amberroute.settings.BadInput;
+import amberroute.decisions.AtcDeliveryScheduler;
+import amberroute.decisions.settings.InvalidSettingsException;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
 import java.io.FileDescriptor;
@@ -18,8 +18,8 @@
         try (BufferedInputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16);
                 BufferedOutputStream out =
                         new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new WireHost(Policy::new).serve(in, out);
-        } catch (BadInput | IOException e) {
+            new WireHost(AtcDeliveryScheduler::new).serve(in, out);
+        } catch (InvalidSettingsException | IOException e) {
             System.err.println("amberroute: " + e.getMessage());
             System.exit(1);
         }
--- a/simulator/src/main/java/amberroute/simulator/Replies.java
+++ b/simulator/src/main/java/amberroute/simulator/Replies.java
@@ -1,6 +1,6 @@
 package amberroute.simulator;
 
-import amberroute.Relay;
+import amberroute.decisions.DeliveryScheduler;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 
 /** Collects the action records of one reply. */
-final class Replies implements Relay.Actions {
+final class Replies implements DeliveryScheduler.Actions {
     private static final int HEADER = 12;
     private static final int RECORD = 24;
 
--- a/simulator/src/main/java/amberroute/simulator/WireHost.java
+++ b/simulator/src/main/java/amberroute/simulator/WireHost.java
@@ -1,12 +1,12 @@
 package amberroute.simulator;
 
-import amberroute.Relay;
-import amberroute.Relay.Ending;
-import amberroute.Relay.Event;
-import amberroute.Relay.ListKind;
-import amberroute.Relay.Listed;
-import amberroute.settings.BadInput;
-import amberroute.settings.Facts;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.EndpointListKind;
+import amberroute.decisions.DeliveryScheduler.EndpointState;
+import amberroute.decisions.DeliveryScheduler.Event;
+import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.decisions.settings.PlatformSettingsReader;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -28,15 +28,15 @@
     private static final int ENTRY = 25;
     private static final int PAGES = 16;
 
-    private final Function<Relay.Settings, Relay> maker;
-    private final Map<Integer, Relay> instances = new HashMap<>();
+    private final Function<DeliveryScheduler.Settings, DeliveryScheduler> maker;
+    private final Map<Integer, DeliveryScheduler> instances = new HashMap<>();
     private final Set<Integer> touched = new LinkedHashSet<>();
-    private final List<List<Relay.Entry>> pages = new ArrayList<>();
+    private final List<List<DeliveryScheduler.EndpointEntry>> pages = new ArrayList<>();
     private final Replies replies = new Replies();
     private ByteBuffer body;
     private int tailAt;
 
-    WireHost(Function<Relay.Settings, Relay> maker) {
+    WireHost(Function<DeliveryScheduler.Settings, DeliveryScheduler> maker) {
         this.maker = maker;
         for (int i = 0; i < PAGES; i++) {
             pages.add(List.of());
@@ -47,14 +47,14 @@
     void serve(InputStream in, OutputStream out) throws IOException {
         for (byte[] head = in.readNBytes(HEADER); head.length > 0; head = in.readNBytes(HEADER)) {
             if (head.length < HEADER) {
-                throw new BadInput("truncated frame: header of " + head.length + " bytes");
+                throw new InvalidSettingsException("truncated frame: header of " + head.length + " bytes");
             }
             ByteBuffer h = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
             int length = h.getInt(0);
             int sequence = h.getInt(16);
             byte[] content = length < 0 ? new byte[0] : in.readNBytes(length);
             if (length < 0 || content.length < length) {
-                throw new BadInput("truncated frame: batch " + Integer.toUnsignedString(sequence));
+                throw new InvalidSettingsException("truncated frame: batch " + Integer.toUnsignedString(sequence));
             }
             out.write(answer(content, h.getInt(4), h.getLong(8), sequence));
             out.flush();
@@ -64,7 +64,7 @@
     private byte[] answer(byte[] content, int count, long now, int sequence) {
         body = ByteBuffer.wrap(content).order(ByteOrder.LITTLE_ENDIAN);
         if (count < 0 || (long) count * RECORD > content.length) {
-            throw new BadInput("batch " + Integer.toUnsignedString(sequence) + " is too short for its "
+            throw new InvalidSettingsException("batch " + Integer.toUnsignedString(sequence) + " is too short for its "
                     + Integer.toUnsignedString(count) + " records");
         }
         tailAt = count * RECORD;
@@ -73,7 +73,7 @@
         for (int i = 0; i < count; i++) {
             take(i * RECORD, now);
         }
-        Event turn = new Event.Turn();
+        Event turn = new Event.Decide();
         for (int instance : touched) {
             pass(instance, now, turn);
         }
@@ -84,22 +84,23 @@
         int code = body.getShort(at) & 0xffff;
         int who = body.getShort(at + 2) & 0xffff;
         switch (code) {
-            case 256 -> note(who, now, new Event.PeerNote(u32(at + 4), bytes(at + 8)));
+            case 256 -> note(who, now, new Event.PeerMessageReceived(u32(at + 4), bytes(at + 8)));
             case 257 -> note(who, now, listing(at));
             case 258 -> pages.set(page(u32(at + 2), at), entries(at + 6));
             case 259 -> provision(who, at);
-            case 260 -> note(who, now, new Event.CheckEnded(endpoint(at + 9), ending(body.get(at + 4)), u32(at + 5)));
-            case 261 -> note(who, now, new Event.TimerDue(body.getLong(at + 4)));
+            case 260 -> note(
+                    who, now, new Event.HealthCheckCompleted(endpoint(at + 9), ending(body.get(at + 4)), u32(at + 5)));
+            case 261 -> note(who, now, new Event.TimerExpired(body.getLong(at + 4)));
             case 262 -> {
                 instances.remove(who);
                 touched.remove(who);
             }
-            case 263 -> note(who, now, new Event.Withdrawn(u32(at + 4)));
+            case 263 -> note(who, now, new Event.MessageCancelled(u32(at + 4)));
             case 264 -> note(who, now, outcome(at));
             case 265 -> note(
                     who,
                     now,
-                    new Event.Arrival(
+                    new Event.MessageSubmitted(
                             u32(at + 4),
                             body.getShort(at + 8) & 0xffff,
                             body.getInt(at + 10),
@@ -107,16 +108,16 @@
                             u32(at + 22),
                             (int) body.getFloat(at + 30)));
             case 266 -> note(who, now, new Event.StreamStarted(u32(at + 4), body.get(at + 18) & 0xff));
-            default -> throw new BadInput("unknown event code " + code + " at byte " + at);
+            default -> throw new InvalidSettingsException("unknown event code " + code + " at byte " + at);
         }
     }
 
     private void provision(int who, int at) {
         String text = new String(bytes(at + 12), StandardCharsets.UTF_8);
         try {
-            instances.put(who, maker.apply(new Facts(text).settings(body.getLong(at + 4))));
+            instances.put(who, maker.apply(new PlatformSettingsReader(text).settings(body.getLong(at + 4))));
         } catch (IllegalArgumentException e) {
-            throw new BadInput("instance " + who + ": " + e.getMessage());
+            throw new InvalidSettingsException("instance " + who + ": " + e.getMessage());
         }
         touched.add(who);
     }
@@ -127,9 +128,9 @@
     }
 
     private void pass(int who, long now, Event event) {
-        Relay relay = instances.get(who);
+        DeliveryScheduler relay = instances.get(who);
         if (relay == null) {
-            throw new BadInput("event for instance " + who + " before its start");
+            throw new InvalidSettingsException("event for instance " + who + " before its start");
         }
         replies.actFor(who);
         try {
@@ -142,27 +143,28 @@
 
     private Event listing(int at) {
         int code = body.get(at + 4) & 0xff;
-        ListKind kind =
+        EndpointListKind kind =
                 switch (code) {
-                    case 0 -> ListKind.DELTA;
-                    case 1 -> ListKind.CACHED;
-                    case 2 -> ListKind.FAILED;
-                    case 3 -> ListKind.FULL;
-                    default -> throw new BadInput("unknown list kind " + code + " at byte " + at);
+                    case 0 -> EndpointListKind.DELTA;
+                    case 1 -> EndpointListKind.CACHED;
+                    case 2 -> EndpointListKind.FAILED;
+                    case 3 -> EndpointListKind.FULL;
+                    default -> throw new InvalidSettingsException("unknown list kind " + code + " at byte " + at);
                 };
-        List<Relay.Entry> entries = kind == ListKind.FAILED ? List.of() : pages.get(page(u32(at + 9), at));
-        return new Event.Listing(kind, entries);
+        List<DeliveryScheduler.EndpointEntry> entries =
+                kind == EndpointListKind.FAILED ? List.of() : pages.get(page(u32(at + 9), at));
+        return new Event.EndpointListUpdated(kind, entries);
     }
 
     private Event outcome(int at) {
-        Ending ending = ending(body.get(at + 15));
-        long wait = ending == Ending.FULL ? u32(at + 21) * 1000 : 0;
+        AttemptOutcome ending = ending(body.get(at + 15));
+        long wait = ending == AttemptOutcome.FULL ? u32(at + 21) * 1000 : 0;
         int n = body.get(at + 25) & 0xff;
         List<Double> report = new ArrayList<>(4);
         for (int i = 0; i < Math.min(n, 4); i++) {
             report.add((double) body.getFloat(at + 26 + 4 * i));
         }
-        return new Event.Outcome(
+        return new Event.AttemptCompleted(
                 u32(at + 4),
                 body.get(at + 8) & 0xff,
                 endpoint(at + 9),
@@ -173,20 +175,20 @@
                 report);
     }
 
-    private List<Relay.Entry> entries(int at) {
+    private List<DeliveryScheduler.EndpointEntry> entries(int at) {
         int from = tail(at, ENTRY);
         int n = body.getInt(at + 4);
-        List<Relay.Entry> out = new ArrayList<>(n);
+        List<DeliveryScheduler.EndpointEntry> out = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
             int e = from + i * ENTRY;
-            Listed state =
+            EndpointState state =
                     switch (body.get(e + 8)) {
-                        case 0 -> Listed.GONE;
-                        case 1 -> Listed.READY;
-                        case 2 -> Listed.DRAINING;
-                        default -> throw new BadInput("unknown state in a list at byte " + e);
+                        case 0 -> EndpointState.GONE;
+                        case 1 -> EndpointState.READY;
+                        case 2 -> EndpointState.DRAINING;
+                        default -> throw new InvalidSettingsException("unknown state in a list at byte " + e);
                     };
-            out.add(new Relay.Entry(
+            out.add(new DeliveryScheduler.EndpointEntry(
                     endpoint(e),
                     body.getShort(e + 6) & 0xffff,
                     state,
@@ -212,14 +214,14 @@
         long offset = u32(at);
         long length = u32(at + 4) * size;
         if (tailAt + offset + length > body.capacity()) {
-            throw new BadInput("reference outside the tail at byte " + at);
+            throw new InvalidSettingsException("reference outside the tail at byte " + at);
         }
         return (int) (tailAt + offset);
     }
 
     private static int page(long number, int at) {
         if (number >= PAGES) {
-            throw new BadInput("unknown list " + number + " at byte " + at);
+            throw new InvalidSettingsException("unknown list " + number + " at byte " + at);
         }
         return (int) number;
     }
@@ -232,17 +234,17 @@
         return body.getInt(at) & 0xffffffffL;
     }
 
-    private static Ending ending(byte code) {
+    private static AttemptOutcome ending(byte code) {
         return switch (code) {
-            case 0 -> Ending.OK;
-            case 5 -> Ending.ERROR;
-            case 11 -> Ending.FULL;
-            case 104 -> Ending.RESET;
-            case 110 -> Ending.TIMEOUT;
-            case 111 -> Ending.CONNECT_FAILED;
-            case 114 -> Ending.MOOT;
-            case 125 -> Ending.CANCELLED;
-            default -> Ending.UNKNOWN;
+            case 0 -> AttemptOutcome.OK;
+            case 5 -> AttemptOutcome.ERROR;
+            case 11 -> AttemptOutcome.FULL;
+            case 104 -> AttemptOutcome.RESET;
+            case 110 -> AttemptOutcome.TIMEOUT;
+            case 111 -> AttemptOutcome.CONNECT_FAILED;
+            case 114 -> AttemptOutcome.MOOT;
+            case 125 -> AttemptOutcome.CANCELLED;
+            default -> AttemptOutcome.UNKNOWN;
         };
     }
 }
--- a/simulator/src/test/java/amberroute/simulator/WireHostTest.java
+++ b/simulator/src/test/java/amberroute/simulator/WireHostTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.Policy;
-import amberroute.Relay;
-import amberroute.settings.BadInput;
+import amberroute.decisions.AtcDeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.settings.InvalidSettingsException;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -91,7 +91,7 @@
 
     private static byte[] serve(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost(Policy::new).serve(new ByteArrayInputStream(input), out);
+        new WireHost(AtcDeliveryScheduler::new).serve(new ByteArrayInputStream(input), out);
         return out.toByteArray();
     }
 
@@ -131,7 +131,7 @@
 
     @Test
     void everyOutcomeIsRead() throws IOException {
-        List<Relay.Event> seen = new ArrayList<>();
+        List<DeliveryScheduler.Event> seen = new ArrayList<>();
         provision(1, FACTS);
         record(
                 264,
@@ -141,12 +141,20 @@
         byte[] in = batch(1, 1);
         new WireHost(s -> (now, event, actions) -> seen.add(event))
                 .serve(new ByteArrayInputStream(in), new ByteArrayOutputStream());
-        Relay.Event.Outcome o = assertInstanceOf(Relay.Event.Outcome.class, seen.get(0));
+        DeliveryScheduler.Event.AttemptCompleted o =
+                assertInstanceOf(DeliveryScheduler.Event.AttemptCompleted.class, seen.get(0));
         assertEquals(
-                new Relay.Event.Outcome(
-                        7, 2, 0x074a120a1b5bL, Relay.Ending.FULL, 1234, false, 250_000, List.of(1.0, 2.0)),
+                new DeliveryScheduler.Event.AttemptCompleted(
+                        7,
+                        2,
+                        0x074a120a1b5bL,
+                        DeliveryScheduler.AttemptOutcome.FULL,
+                        1234,
+                        false,
+                        250_000,
+                        List.of(1.0, 2.0)),
                 o);
-        assertInstanceOf(Relay.Event.Turn.class, seen.get(1));
+        assertInstanceOf(DeliveryScheduler.Event.Decide.class, seen.get(1));
     }
 
     @Test
@@ -186,6 +194,6 @@
     }
 
     private static String failure(byte[] input) {
-        return assertThrows(BadInput.class, () -> serve(input)).getMessage();
+        return assertThrows(InvalidSettingsException.class, () -> serve(input)).getMessage();
     }
 }
