--- a/handover/src/main/java/amberroute/handover/Word.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
@@ -1,7 +1,7 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 /** One word between two daemons about one lot; an offer's messages travel with it. */
-public record Word(Kind kind, String lot, long generation) {
+public record HandoffMessage(Kind kind, String lot, long generation) {
     /** OFFER and CANCEL go to the heir, YES and NO come back. */
     public enum Kind {
         OFFER,
--- a/handover/src/main/java/amberroute/handover/Placement.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffPlacement.java
@@ -1,4 +1,4 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,7 +26,7 @@
  * <p>Decides only; times are milliseconds on the caller's clock. It remembers what it has met for one stop, at most one
  * entry a group.
  */
-public final class Placement {
+public final class HandoffPlacement {
     /** Messages in a lot. */
     public static final int MOST_MESSAGES = 64;
     /** Bytes of a lot's messages with what is told of each, so that its record stays within the journal's bound. */
@@ -43,18 +43,18 @@
     public static final int MOST_OFFERS = 32;
 
     /** What moves together; {@code first} names it, {@code key} is 0 for none, {@code left} is its least time left. */
-    public record Group(long first, long key, int messages, long bytes, long left) {}
+    public record MessageGroup(long first, long key, int messages, long bytes, long left) {}
 
     /** Groups for one peer. */
-    public record Lot(String heir, List<Group> groups) {}
+    public record HandoffBatch(String heir, List<MessageGroup> groups) {}
 
     /** Why a peer refuses. */
-    public enum No {
+    public enum RejectionReason {
         ROOM,
         UNFIT
     }
 
-    private static final class Met {
+    private static final class PeerStatus {
         final Set<String> refusedBy = new HashSet<>();
         /** To be offered alone, as a peer could not use something in a lot with it. */
         boolean alone;
@@ -63,11 +63,11 @@
     }
 
     private final List<String> peers;
-    private final Map<Long, Met> met = new HashMap<>();
+    private final Map<Long, PeerStatus> met = new HashMap<>();
     private final Map<Long, String> turnedUp = new HashMap<>();
     private final Map<String, Long> shunned = new HashMap<>();
 
-    public Placement(Collection<String> peers) {
+    public HandoffPlacement(Collection<String> peers) {
         this.peers = List.copyOf(peers);
     }
 
@@ -79,10 +79,10 @@
     }
 
     /** Lots to be offered now, at most so many; the rest of the groups have to wait or stay. */
-    public List<Lot> place(long now, List<Group> groups, int mostLots) {
-        List<Lot> out = new ArrayList<>();
-        Map<String, List<Group>> filling = new LinkedHashMap<>();
-        for (Group group : groups) {
+    public List<HandoffBatch> place(long now, List<MessageGroup> groups, int mostLots) {
+        List<HandoffBatch> out = new ArrayList<>();
+        Map<String, List<MessageGroup>> filling = new LinkedHashMap<>();
+        for (MessageGroup group : groups) {
             if (out.size() >= mostLots) {
                 break;
             }
@@ -93,13 +93,13 @@
             boolean room = out.size() + filling.size() < mostLots;
             if (met.containsKey(group.first()) && met.get(group.first()).alone) {
                 if (room) {
-                    out.add(new Lot(heir, List.of(group)));
+                    out.add(new HandoffBatch(heir, List.of(group)));
                 }
                 continue;
             }
-            List<Group> lot = filling.get(heir);
+            List<MessageGroup> lot = filling.get(heir);
             if (lot != null && !joins(lot, group)) {
-                out.add(new Lot(heir, filling.remove(heir)));
+                out.add(new HandoffBatch(heir, filling.remove(heir)));
                 lot = null;
             }
             if (lot == null) {
@@ -111,15 +111,15 @@
             }
             lot.add(group);
         }
-        filling.forEach((heir, lot) -> out.add(new Lot(heir, lot)));
-        out.forEach(lot -> lot.groups().forEach(g -> met.computeIfAbsent(g.first(), f -> new Met()).offers++));
+        filling.forEach((heir, lot) -> out.add(new HandoffBatch(heir, lot)));
+        out.forEach(lot -> lot.groups().forEach(g -> met.computeIfAbsent(g.first(), f -> new PeerStatus()).offers++));
         return out;
     }
 
-    private static boolean joins(List<Group> lot, Group group) {
+    private static boolean joins(List<MessageGroup> lot, MessageGroup group) {
         int messages = group.messages();
         long bytes = group.bytes();
-        for (Group g : lot) {
+        for (MessageGroup g : lot) {
             messages += g.messages();
             bytes += g.bytes();
         }
@@ -127,8 +127,8 @@
     }
 
     /** Null where it stays, for now or for good. */
-    private String heir(long now, Group group) {
-        Met known = met.get(group.first());
+    private String heir(long now, MessageGroup group) {
+        PeerStatus known = met.get(group.first());
         if (peers.isEmpty()
                 || group.left() < LEAST_LEFT
                 || group.bytes() > LARGEST_GROUP
@@ -149,20 +149,20 @@
         return null;
     }
 
-    private boolean open(long now, String peer, Met known) {
+    private boolean open(long now, String peer, PeerStatus known) {
         return now >= shunned.getOrDefault(peer, Long.MIN_VALUE) && (known == null || !known.refusedBy.contains(peer));
     }
 
     /** The peer refused a lot. */
-    public void refused(long now, Lot lot, No why) {
-        if (why == No.ROOM) {
+    public void refused(long now, HandoffBatch lot, RejectionReason why) {
+        if (why == RejectionReason.ROOM) {
             shunned.put(lot.heir(), now + NO_ROOM);
         }
-        for (Group group : lot.groups()) {
-            Met known = met.computeIfAbsent(group.first(), f -> new Met());
-            if (why == No.UNFIT && lot.groups().size() > 1) {
+        for (MessageGroup group : lot.groups()) {
+            PeerStatus known = met.computeIfAbsent(group.first(), f -> new PeerStatus());
+            if (why == RejectionReason.UNFIT && lot.groups().size() > 1) {
                 known.alone = true;
-            } else if (why == No.UNFIT) {
+            } else if (why == RejectionReason.UNFIT) {
                 known.refusedBy.add(lot.heir());
             }
         }
@@ -174,7 +174,7 @@
     }
 
     /** Nothing more need be remembered of these. */
-    public void forget(Collection<Group> groups) {
+    public void forget(Collection<MessageGroup> groups) {
         groups.forEach(g -> met.remove(g.first()));
     }
 }
--- a/handover/src/main/java/amberroute/handover/Naming.java
+++ b/handoff/src/main/java/amberroute/handoff/KeyHoldAnnouncement.java
@@ -1,4 +1,4 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -21,24 +21,24 @@
  * <p>Decides only. Times are milliseconds of wall time, as the holds' ends mean the same to all daemons; a clock that
  * differs by up to {@link #CLOCKS} is allowed for.
  */
-public final class Naming {
+public final class KeyHoldAnnouncement {
     /** Keys that one word names. */
     public static final int BATCH = 2_048;
     /** How far the wall clocks of two daemons may differ, and what a call out may take beyond its deadline. */
     public static final long CLOCKS = 1_000;
 
     /** So many keys in one word, held until the latest of their ends. */
-    public record Batch(int number, List<Long> keys, long until) {}
+    public record KeyBatch(int number, List<Long> keys, long until) {}
 
     private final Map<Long, Long> ends;
     private final Map<Long, Integer> batchOf = new HashMap<>();
-    private final List<Batch> batches = new ArrayList<>();
+    private final List<KeyBatch> batches = new ArrayList<>();
     private final Map<String, Set<Integer>> missing = new LinkedHashMap<>();
     private final long since;
     private final long patience;
 
     /** {@code ends} has each ordered key that is held and when the last of its messages is surely over. */
-    public Naming(long wall, Collection<String> peers, Map<Long, Long> ends, long patience) {
+    public KeyHoldAnnouncement(long wall, Collection<String> peers, Map<Long, Long> ends, long patience) {
         this.ends = new HashMap<>(ends);
         since = wall;
         this.patience = patience;
@@ -47,7 +47,7 @@
             List<Long> keys = List.copyOf(all.subList(from, Math.min(all.size(), from + BATCH)));
             int number = batches.size();
             keys.forEach(key -> batchOf.put(key, number));
-            batches.add(new Batch(
+            batches.add(new KeyBatch(
                     number, keys, keys.stream().mapToLong(ends::get).max().orElse(wall) + CLOCKS));
         }
         for (String peer : peers) {
@@ -58,10 +58,10 @@
     }
 
     /** What this peer has not answered yet, without what is done: to be said, and said again. */
-    public List<Batch> unanswered(String peer) {
+    public List<KeyBatch> unanswered(String peer) {
         return batches.stream()
                 .filter(b -> missing.getOrDefault(peer, Set.of()).contains(b.number()))
-                .map(b -> new Batch(
+                .map(b -> new KeyBatch(
                         b.number(), b.keys().stream().filter(ends::containsKey).toList(), b.until()))
                 .toList();
     }
--- a/handover/src/main/java/amberroute/handover/KeyHolds.java
+++ b/handoff/src/main/java/amberroute/handoff/KeyHolds.java
@@ -1,4 +1,4 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -21,7 +21,7 @@
     public static final int MOST = 65_536;
 
     /** One origin's hold on one key, until a wall time in milliseconds. */
-    public record Hold(String origin, long key, long until) {}
+    public record KeyHold(String origin, long key, long until) {}
 
     private final Map<Long, Map<String, Long>> holds = new HashMap<>();
     private int size;
@@ -96,9 +96,9 @@
     }
 
     /** All holds, for a journal that is written anew. */
-    public List<Hold> all() {
-        List<Hold> all = new ArrayList<>(size);
-        holds.forEach((key, of) -> of.forEach((origin, until) -> all.add(new Hold(origin, key, until))));
+    public List<KeyHold> all() {
+        List<KeyHold> all = new ArrayList<>(size);
+        holds.forEach((key, of) -> of.forEach((origin, until) -> all.add(new KeyHold(origin, key, until))));
         return all;
     }
 
--- a/handover/src/main/java/amberroute/handover/Ownership.java
+++ b/handoff/src/main/java/amberroute/handoff/Ownership.java
@@ -1,4 +1,4 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import java.util.List;
 
@@ -39,30 +39,35 @@
     // ---- The leaver. ----
 
     /** Offers an owned lot: the record first, then the word. Nothing where it is not owned. */
-    public List<Effect> offer(String lot, String heir) {
+    public List<HandoffEffect> offer(String lot, String heir) {
         if (!mine()) {
             return List.of();
         }
         Ownership next = new Ownership(generation + 1, Status.OFFERED, heir);
         return List.of(
-                new Effect.Write(lot, next), new Effect.Send(heir, new Word(Word.Kind.OFFER, lot, next.generation)));
+                new HandoffEffect.PersistOwnership(lot, next),
+                new HandoffEffect.SendMessage(
+                        heir, new HandoffMessage(HandoffMessage.Kind.OFFER, lot, next.generation)));
     }
 
     /** Asks again for an answer that has not come, or asks to have the lot back; only the heir can tell whose it is. */
-    public List<Effect> ask(String lot, boolean back) {
+    public List<HandoffEffect> ask(String lot, boolean back) {
         return status != Status.OFFERED
                 ? List.of()
-                : List.of(new Effect.Send(peer, new Word(back ? Word.Kind.CANCEL : Word.Kind.OFFER, lot, generation)));
+                : List.of(new HandoffEffect.SendMessage(
+                        peer,
+                        new HandoffMessage(
+                                back ? HandoffMessage.Kind.CANCEL : HandoffMessage.Kind.OFFER, lot, generation)));
     }
 
     /** The heir's answer; one that belongs to another offer or comes again changes nothing. */
-    public List<Effect> answered(String lot, String from, Word word) {
+    public List<HandoffEffect> answered(String lot, String from, HandoffMessage word) {
         if (status != Status.OFFERED || word.generation() != generation || !from.equals(peer)) {
             return List.of();
         }
         return switch (word.kind()) {
-            case YES -> List.of(new Effect.Write(lot, new Ownership(generation, Status.GIVEN, peer)));
-            case NO -> List.of(new Effect.Write(lot, new Ownership(generation, Status.OWNED, "")));
+            case YES -> List.of(new HandoffEffect.PersistOwnership(lot, new Ownership(generation, Status.GIVEN, peer)));
+            case NO -> List.of(new HandoffEffect.PersistOwnership(lot, new Ownership(generation, Status.OWNED, "")));
             default -> List.of();
         };
     }
@@ -71,18 +76,20 @@
      * The lot's time is up. Whoever owns it ends it as it likes; whoever waits for an answer may only say that it
      * failed, which promises nothing, as the heir may have carried it out.
      */
-    public List<Effect> end(String lot) {
+    public List<HandoffEffect> end(String lot) {
         return status == Status.OWNED || status == Status.OFFERED
-                ? List.of(new Effect.Write(lot, new Ownership(generation, Status.ENDED, "")))
+                ? List.of(new HandoffEffect.PersistOwnership(lot, new Ownership(generation, Status.ENDED, "")))
                 : List.of();
     }
 
     // ---- The heir. ----
 
     /** An offer or its withdrawal; {@code room} is whether this daemon would take it. Decided once, and kept. */
-    public List<Effect> offered(String lot, String from, Word word, boolean room) {
-        Effect yes = new Effect.Send(from, new Word(Word.Kind.YES, lot, word.generation()));
-        Effect no = new Effect.Send(from, new Word(Word.Kind.NO, lot, word.generation()));
+    public List<HandoffEffect> offered(String lot, String from, HandoffMessage word, boolean room) {
+        HandoffEffect yes = new HandoffEffect.SendMessage(
+                from, new HandoffMessage(HandoffMessage.Kind.YES, lot, word.generation()));
+        HandoffEffect no =
+                new HandoffEffect.SendMessage(from, new HandoffMessage(HandoffMessage.Kind.NO, lot, word.generation()));
         if (word.generation() < generation) {
             // Whoever still waits for this offer waits because it was adopted and has moved on since: had it been
             // refused, the lot would not have come to a later generation without its owner hearing so.
@@ -91,9 +98,10 @@
         if (word.generation() == generation) {
             return List.of(status == Status.REFUSED ? no : yes);
         }
-        boolean take = word.kind() == Word.Kind.OFFER && room;
+        boolean take = word.kind() == HandoffMessage.Kind.OFFER && room;
         return List.of(
-                new Effect.Write(lot, new Ownership(word.generation(), take ? Status.OWNED : Status.REFUSED, "")),
+                new HandoffEffect.PersistOwnership(
+                        lot, new Ownership(word.generation(), take ? Status.OWNED : Status.REFUSED, "")),
                 take ? yes : no);
     }
 }
--- a/handover/src/main/java/amberroute/handover/package-info.java
+++ b/handoff/src/main/java/amberroute/handoff/package-info.java
@@ -5,4 +5,4 @@
  * <p>It does no I/O and has no clock: whoever hosts it carries out the {@link amberroute.handover.Effect}s in their
  * order, each record on disk before the next word leaves. It knows neither journal nor sockets nor the sender.
  */
-package amberroute.handover;
+package amberroute.handoff;
--- a/handover/src/test/java/amberroute/handover/ExplorationTest.java
+++ b/handoff/src/test/java/amberroute/handoff/ExplorationTest.java
@@ -1,10 +1,10 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.handover.Ownership.Status;
+import amberroute.handoff.Ownership.Status;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -33,7 +33,7 @@
         TAKES_BACK_UNASKED
     }
 
-    private record Sent(String from, String to, Word word) implements Comparable<Sent> {
+    private record Sent(String from, String to, HandoffMessage word) implements Comparable<Sent> {
         @Override
         public int compareTo(Sent other) {
             return toString().compareTo(other.toString());
@@ -46,13 +46,13 @@
             return records.getOrDefault(daemon + lot, Ownership.NONE);
         }
 
-        World with(String daemon, List<Effect> effects, int upTo) {
+        World with(String daemon, List<HandoffEffect> effects, int upTo) {
             Map<String, Ownership> changed = new TreeMap<>(records);
             Set<Sent> words = new TreeSet<>(sent);
-            for (Effect effect : effects.subList(0, upTo)) {
-                if (effect instanceof Effect.Write write) {
+            for (HandoffEffect effect : effects.subList(0, upTo)) {
+                if (effect instanceof HandoffEffect.PersistOwnership write) {
                     changed.put(daemon + write.lot(), write.ownership());
-                } else if (effect instanceof Effect.Send send) {
+                } else if (effect instanceof HandoffEffect.SendMessage send) {
                     words.add(new Sent(daemon, send.to(), send.word()));
                 }
             }
@@ -92,27 +92,28 @@
                                 out,
                                 world,
                                 daemon,
-                                List.of(new Effect.Write(lot, new Ownership(own.generation(), Status.OWNED, ""))));
+                                List.of(new HandoffEffect.PersistOwnership(
+                                        lot, new Ownership(own.generation(), Status.OWNED, ""))));
                     }
                 }
             }
             for (Sent s : world.sent()) {
                 Ownership own = world.of(s.to(), s.word().lot());
-                Word word = s.word();
+                HandoffMessage word = s.word();
                 if (word.forHeir()) {
                     for (boolean room : new boolean[] {true, false}) {
-                        List<Effect> effects = own.offered(word.lot(), s.from(), word, room);
+                        List<HandoffEffect> effects = own.offered(word.lot(), s.from(), word, room);
                         if (host == Host.FORGETS_REFUSALS) {
                             effects = effects.stream()
-                                    .filter(e -> !(e instanceof Effect.Write w
+                                    .filter(e -> !(e instanceof HandoffEffect.PersistOwnership w
                                             && w.ownership().status() == Status.REFUSED))
                                     .toList();
                         }
                         cut(out, world, s.to(), wrong(effects, Host.ANSWERS_BEFORE_WRITING));
                     }
                 } else {
-                    Word heard = host == Host.IGNORES_GENERATIONS
-                            ? new Word(word.kind(), word.lot(), own.generation())
+                    HandoffMessage heard = host == Host.IGNORES_GENERATIONS
+                            ? new HandoffMessage(word.kind(), word.lot(), own.generation())
                             : word;
                     cut(out, world, s.to(), own.answered(word.lot(), s.from(), heard));
                 }
@@ -121,16 +122,16 @@
         }
 
         /** A mutant does the effects in the wrong order. */
-        private List<Effect> wrong(List<Effect> effects, Host mutant) {
+        private List<HandoffEffect> wrong(List<HandoffEffect> effects, Host mutant) {
             if (host != mutant) {
                 return effects;
             }
-            List<Effect> turned = new ArrayList<>(effects);
+            List<HandoffEffect> turned = new ArrayList<>(effects);
             java.util.Collections.reverse(turned);
             return turned;
         }
 
-        private static void cut(List<World> out, World world, String daemon, List<Effect> effects) {
+        private static void cut(List<World> out, World world, String daemon, List<HandoffEffect> effects) {
             for (int n = 1; n <= effects.size(); n++) {
                 out.add(world.with(daemon, effects, n));
             }
@@ -171,9 +172,9 @@
                     if (own.status() != Status.OFFERED) {
                         continue;
                     }
-                    Word cancel = new Word(Word.Kind.CANCEL, lot, own.generation());
-                    List<Effect> heir = world.of(own.peer(), lot).offered(lot, daemon, cancel, false);
-                    Effect.Send answer = (Effect.Send) heir.get(heir.size() - 1);
+                    HandoffMessage cancel = new HandoffMessage(HandoffMessage.Kind.CANCEL, lot, own.generation());
+                    List<HandoffEffect> heir = world.of(own.peer(), lot).offered(lot, daemon, cancel, false);
+                    HandoffEffect.SendMessage answer = (HandoffEffect.SendMessage) heir.get(heir.size() - 1);
                     if (own.answered(lot, own.peer(), answer.word()).isEmpty()) {
                         return daemon + " never learns whose lot " + lot + " is";
                     }
@@ -239,9 +240,9 @@
     @Test
     void aWordFromElsewhereChangesNothing() {
         Ownership offered = new Ownership(2, Status.OFFERED, "B");
-        assertEquals(List.of(), offered.answered("1", "C", new Word(Word.Kind.YES, "1", 2)));
-        assertEquals(List.of(), offered.answered("1", "B", new Word(Word.Kind.YES, "1", 1)));
-        assertEquals(List.of(), offered.answered("1", "B", new Word(Word.Kind.OFFER, "1", 2)));
+        assertEquals(List.of(), offered.answered("1", "C", new HandoffMessage(HandoffMessage.Kind.YES, "1", 2)));
+        assertEquals(List.of(), offered.answered("1", "B", new HandoffMessage(HandoffMessage.Kind.YES, "1", 1)));
+        assertEquals(List.of(), offered.answered("1", "B", new HandoffMessage(HandoffMessage.Kind.OFFER, "1", 2)));
         assertEquals(List.of(), offered.offer("1", "C"));
         assertEquals(1, offered.end("1").size());
         assertEquals(List.of(), new Ownership(2, Status.GIVEN, "B").end("1"));
--- a/handover/src/test/java/amberroute/handover/PlacementTest.java
+++ b/handoff/src/test/java/amberroute/handoff/HandoffPlacementTest.java
@@ -1,11 +1,11 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.handover.Placement.Group;
-import amberroute.handover.Placement.Lot;
-import amberroute.handover.Placement.No;
+import amberroute.handoff.HandoffPlacement.HandoffBatch;
+import amberroute.handoff.HandoffPlacement.MessageGroup;
+import amberroute.handoff.HandoffPlacement.RejectionReason;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -15,26 +15,26 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-class PlacementTest {
-    private static Group single(long number) {
-        return new Group(number, 0, 1, 1_100, 5_000);
+class HandoffPlacementTest {
+    private static MessageGroup single(long number) {
+        return new MessageGroup(number, 0, 1, 1_100, 5_000);
     }
 
-    private static Group keyed(long number, long key, int messages) {
-        return new Group(number, key, messages, messages * 1_100L, 5_000);
+    private static MessageGroup keyed(long number, long key, int messages) {
+        return new MessageGroup(number, key, messages, messages * 1_100L, 5_000);
     }
 
-    private static List<Long> firsts(List<Lot> lots) {
+    private static List<Long> firsts(List<HandoffBatch> lots) {
         return lots.stream()
                 .flatMap(l -> l.groups().stream())
-                .map(Group::first)
+                .map(MessageGroup::first)
                 .sorted()
                 .toList();
     }
 
     @Test
     void aKeyGoesWhereItsClientsTurnedUpElseByItsNumber() {
-        Placement placement = new Placement(List.of("a", "b", "c"));
+        HandoffPlacement placement = new HandoffPlacement(List.of("a", "b", "c"));
         assertEquals("b", placement.place(0, List.of(keyed(1, 4, 3)), 8).get(0).heir());
         placement.turnedUp(4, "c");
         placement.turnedUp(4, "nobody");
@@ -45,17 +45,17 @@
 
     @Test
     void lotsKeepTheirBoundsAndTakeAll() {
-        Placement placement = new Placement(List.of("a", "b"));
-        List<Group> groups = new ArrayList<>();
+        HandoffPlacement placement = new HandoffPlacement(List.of("a", "b"));
+        List<MessageGroup> groups = new ArrayList<>();
         for (int i = 1; i <= 1_000; i++) {
             groups.add(i % 3 == 0 ? keyed(i, i, 20) : single(i));
         }
-        List<Lot> lots = placement.place(0, groups, 1_000);
+        List<HandoffBatch> lots = placement.place(0, groups, 1_000);
         assertEquals(1_000, firsts(lots).size());
         assertEquals(1_000, new HashSet<>(firsts(lots)).size());
-        for (Lot lot : lots) {
-            assertTrue(lot.groups().stream().mapToInt(Group::messages).sum() <= Placement.MOST_MESSAGES);
-            assertTrue(lot.groups().stream().mapToLong(Group::bytes).sum() <= Placement.MOST_BYTES);
+        for (HandoffBatch lot : lots) {
+            assertTrue(lot.groups().stream().mapToInt(MessageGroup::messages).sum() <= HandoffPlacement.MOST_MESSAGES);
+            assertTrue(lot.groups().stream().mapToLong(MessageGroup::bytes).sum() <= HandoffPlacement.MOST_BYTES);
         }
         assertTrue(lots.size() < 200, lots.size() + " lots");
         assertEquals(3, placement.place(0, groups, 3).size());
@@ -63,14 +63,14 @@
 
     @Test
     void whatIsTooShortOrTooLargeStays() {
-        Placement placement = new Placement(List.of("a"));
+        HandoffPlacement placement = new HandoffPlacement(List.of("a"));
         assertEquals(
                 List.of(3L),
                 firsts(placement.place(
                         0,
                         List.of(
-                                new Group(1, 0, 1, 1_000, Placement.LEAST_LEFT - 1),
-                                new Group(2, 7, 200, Placement.LARGEST_GROUP + 1, 9_000),
+                                new MessageGroup(1, 0, 1, 1_000, HandoffPlacement.LEAST_LEFT - 1),
+                                new MessageGroup(2, 7, 200, HandoffPlacement.LARGEST_GROUP + 1, 9_000),
                                 single(3)),
                         8)));
     }
@@ -78,35 +78,35 @@
     /** One message that a peer cannot use costs its lot one more offer, and only that message goes elsewhere. */
     @Test
     void whatAPeerCannotUseIsFoundOneByOne() {
-        Placement placement = new Placement(List.of("a", "b"));
-        List<Group> groups = List.of(keyed(1, 2, 1), keyed(3, 4, 1), keyed(5, 6, 1));
-        Lot all = placement.place(0, groups, 8).get(0);
+        HandoffPlacement placement = new HandoffPlacement(List.of("a", "b"));
+        List<MessageGroup> groups = List.of(keyed(1, 2, 1), keyed(3, 4, 1), keyed(5, 6, 1));
+        HandoffBatch all = placement.place(0, groups, 8).get(0);
         assertEquals(3, all.groups().size());
         assertEquals("a", all.heir());
-        placement.refused(0, all, No.UNFIT);
-        List<Lot> alone = placement.place(1, groups, 8);
+        placement.refused(0, all, RejectionReason.UNFIT);
+        List<HandoffBatch> alone = placement.place(1, groups, 8);
         assertEquals(3, alone.size());
-        placement.refused(1, alone.get(1), No.UNFIT);
+        placement.refused(1, alone.get(1), RejectionReason.UNFIT);
         Map<Long, String> heirs = new TreeMap<>();
         placement.place(2, groups, 8).forEach(l -> heirs.put(l.groups().get(0).first(), l.heir()));
         assertEquals(Map.of(1L, "a", 3L, "b", 5L, "a"), heirs);
-        placement.refused(2, new Lot("b", List.of(groups.get(1))), No.UNFIT);
+        placement.refused(2, new HandoffBatch("b", List.of(groups.get(1))), RejectionReason.UNFIT);
         assertEquals(List.of(1L, 5L), firsts(placement.place(3, groups, 8)));
     }
 
     @Test
     void aPeerWithoutRoomIsAskedAgainLaterAndTheOthersMeanwhile() {
-        Placement placement = new Placement(List.of("a", "b"));
-        Lot lot = placement.place(0, List.of(keyed(1, 2, 1)), 8).get(0);
+        HandoffPlacement placement = new HandoffPlacement(List.of("a", "b"));
+        HandoffBatch lot = placement.place(0, List.of(keyed(1, 2, 1)), 8).get(0);
         assertEquals("a", lot.heir());
-        placement.refused(0, lot, No.ROOM);
+        placement.refused(0, lot, RejectionReason.ROOM);
         assertEquals("b", placement.place(1, List.of(keyed(1, 2, 1)), 8).get(0).heir());
-        placement.refused(1, new Lot("b", lot.groups()), No.ROOM);
+        placement.refused(1, new HandoffBatch("b", lot.groups()), RejectionReason.ROOM);
         assertEquals(0, placement.place(2, List.of(keyed(1, 2, 1)), 8).size());
         assertEquals(
                 "a",
                 placement
-                        .place(Placement.NO_ROOM, List.of(keyed(1, 2, 1)), 8)
+                        .place(HandoffPlacement.NO_ROOM, List.of(keyed(1, 2, 1)), 8)
                         .get(0)
                         .heir());
     }
@@ -116,27 +116,28 @@
     void offersEndWhateverPeersSay() {
         for (long seed = 1; seed <= 30; seed++) {
             Random random = new Random(seed);
-            Placement placement = new Placement(List.of("a", "b", "c"));
-            List<Group> groups = new ArrayList<>();
+            HandoffPlacement placement = new HandoffPlacement(List.of("a", "b", "c"));
+            List<MessageGroup> groups = new ArrayList<>();
             for (int i = 1; i <= 60; i++) {
                 groups.add(random.nextBoolean() ? single(i) : keyed(i, i, 1 + random.nextInt(10)));
             }
             long offered = 0;
             for (long now = 0; now < 60_000; now += 50) {
                 Set<Long> round = new HashSet<>();
-                for (Lot lot : placement.place(now, groups, 4)) {
-                    for (Group group : lot.groups()) {
+                for (HandoffBatch lot : placement.place(now, groups, 4)) {
+                    for (MessageGroup group : lot.groups()) {
                         offered++;
                         assertTrue(round.add(group.first()), "seed " + seed);
                     }
                     if (random.nextInt(3) == 0) {
                         placement.unreachable(now, lot.heir());
                     } else {
-                        placement.refused(now, lot, random.nextBoolean() ? No.ROOM : No.UNFIT);
+                        placement.refused(
+                                now, lot, random.nextBoolean() ? RejectionReason.ROOM : RejectionReason.UNFIT);
                     }
                 }
             }
-            assertTrue(offered <= 60L * Placement.MOST_OFFERS, "seed " + seed + ": " + offered);
+            assertTrue(offered <= 60L * HandoffPlacement.MOST_OFFERS, "seed " + seed + ": " + offered);
             assertEquals(0, placement.place(100_000, groups, 64).size(), "seed " + seed);
         }
     }
--- a/handover/src/test/java/amberroute/handover/NamingTest.java
+++ b/handoff/src/test/java/amberroute/handoff/KeyHoldAnnouncementTest.java
@@ -1,4 +1,4 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,16 +12,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class NamingTest {
+class KeyHoldAnnouncementTest {
     @Test
     void clientsMayGoOnlyWhenAllPeersHold() {
-        Naming naming = new Naming(1_000, List.of("a", "b"), Map.of(7L, 9_000L), 400);
+        KeyHoldAnnouncement naming = new KeyHoldAnnouncement(1_000, List.of("a", "b"), Map.of(7L, 9_000L), 400);
         assertFalse(naming.settled(1_100));
         naming.held("a", 0);
         naming.held("a", 0);
         naming.held("stranger", 0);
         assertFalse(naming.settled(1_100));
-        assertEquals(9_000 + Naming.CLOCKS - 1_100, naming.stayAway(1_100, 7));
+        assertEquals(9_000 + KeyHoldAnnouncement.CLOCKS - 1_100, naming.stayAway(1_100, 7));
         assertTrue(naming.settled(1_400), "patience is over");
         assertTrue(naming.stayAway(1_400, 7) > 0, "b may not know of it");
         naming.held("b", 0);
@@ -31,8 +31,8 @@
 
     @Test
     void aHoldOutlastsItsMessages() {
-        Naming naming = new Naming(0, List.of("a"), Map.of(1L, 5_000L, 2L, 6_000L), 400);
-        assertTrue(naming.unanswered("a").get(0).until() >= 6_000 + Naming.CLOCKS);
+        KeyHoldAnnouncement naming = new KeyHoldAnnouncement(0, List.of("a"), Map.of(1L, 5_000L, 2L, 6_000L), 400);
+        assertTrue(naming.unanswered("a").get(0).until() >= 6_000 + KeyHoldAnnouncement.CLOCKS);
         naming.done(List.of(2L));
         assertFalse(naming.named(2));
         assertEquals(0, naming.stayAway(10, 2));
@@ -44,8 +44,8 @@
         for (long key = 1; key <= 5_000; key++) {
             ends.put(key, 10_000L + key);
         }
-        Naming naming = new Naming(0, List.of("a"), ends, 400);
-        List<Naming.Batch> batches = naming.unanswered("a");
+        KeyHoldAnnouncement naming = new KeyHoldAnnouncement(0, List.of("a"), ends, 400);
+        List<KeyHoldAnnouncement.KeyBatch> batches = naming.unanswered("a");
         Set<Long> named = new HashSet<>();
         batches.forEach(b -> named.addAll(b.keys()));
         assertEquals(ends.keySet(), named);
--- a/handover/src/test/java/amberroute/handover/KeyOrderTest.java
+++ b/handoff/src/test/java/amberroute/handoff/KeyOrderTest.java
@@ -1,4 +1,4 @@
-package amberroute.handover;
+package amberroute.handoff;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/membership/src/main/java/amberroute/membership/Ranges.java
+++ b/membership/src/main/java/amberroute/membership/DatagramChecks.java
@@ -1,10 +1,10 @@
 package amberroute.membership;
 
 /** Checks of what a datagram says; whatever is out of range is an IllegalArgumentException, for which the datagram is passed over. */
-public final class Ranges {
+public final class DatagramChecks {
     private static final float MOST_RATE = 1e9f;
 
-    private Ranges() {}
+    private DatagramChecks() {}
 
     public static int within(int value, int least, int most) {
         if (value < least || value > most) {
--- a/membership/src/main/java/amberroute/membership/Beat.java
+++ b/membership/src/main/java/amberroute/membership/Heartbeat.java
@@ -18,8 +18,13 @@
  *
  * All numbers are big-endian. What is not so, or has values out of range, is no beat.
  */
-public record Beat(
-        String from, long incarnation, long number, FleetView.Phase phase, List<News> news, List<Loan> loans) {
+public record Heartbeat(
+        String from,
+        long incarnation,
+        long number,
+        MembershipView.Phase phase,
+        List<SlowStartUpdate> news,
+        List<QuotaLoan> loans) {
     /** Below what any link carries whole. */
     public static final int MOST_BYTES = 1_400;
 
@@ -44,7 +49,7 @@
      * there is none), messages a second that it answers this daemon now, what all together were answered at their best, and
      * how many messages wait for it here.
      */
-    public record News(
+    public record SlowStartUpdate(
             int destination,
             Health health,
             int outAgo,
@@ -55,7 +60,7 @@
             float waiting) {}
 
     /** A request for a part of a partner's limit, or its answer under the same number. */
-    public record Loan(boolean grant, int destination, long number, float part) {}
+    public record QuotaLoan(boolean grant, int destination, long number, float part) {}
 
     /** The bytes to send, from 0 to the limit. */
     public ByteBuffer write() {
@@ -71,7 +76,7 @@
                 .put((byte) name.length)
                 .put(name);
         out.putLong(incarnation).putLong(number).put((byte) news.size());
-        for (News n : news) {
+        for (SlowStartUpdate n : news) {
             out.putInt(n.destination)
                     .put((byte) n.health.ordinal())
                     .putInt(n.outAgo)
@@ -82,7 +87,7 @@
                     .putFloat(n.waiting);
         }
         out.put((byte) loans.size());
-        for (Loan l : loans) {
+        for (QuotaLoan l : loans) {
             out.put((byte) (l.grant ? 1 : 0))
                     .putInt(l.destination)
                     .putLong(l.number)
@@ -92,42 +97,45 @@
     }
 
     /** Reads a datagram; null where it is none of ours. */
-    public static Beat read(ByteBuffer in) {
+    public static Heartbeat read(ByteBuffer in) {
         try {
             if (in.get() != 'A' || in.get() != 'R' || in.get() != VERSION) {
                 return null;
             }
             int phase = in.get();
-            byte[] name = new byte[Ranges.within(in.get(), 1, LONGEST_NAME)];
+            byte[] name = new byte[DatagramChecks.within(in.get(), 1, LONGEST_NAME)];
             in.get(name);
             String from = new String(name, StandardCharsets.US_ASCII);
             long incarnation = in.getLong();
             long number = in.getLong();
-            List<News> news = new ArrayList<>();
-            for (int i = Ranges.within(in.get(), 0, MOST_NEWS); i > 0; i--) {
-                news.add(new News(
+            List<SlowStartUpdate> news = new ArrayList<>();
+            for (int i = DatagramChecks.within(in.get(), 0, MOST_NEWS); i > 0; i--) {
+                news.add(new SlowStartUpdate(
                         in.getInt(),
-                        Health.values()[Ranges.within(in.get(), 0, 3)],
+                        Health.values()[DatagramChecks.within(in.get(), 0, 3)],
                         age(in.getInt()),
                         age(in.getInt()),
                         age(in.getInt()),
-                        Ranges.rate(in.getFloat()),
-                        Ranges.rate(in.getFloat()),
-                        Ranges.rate(in.getFloat())));
+                        DatagramChecks.rate(in.getFloat()),
+                        DatagramChecks.rate(in.getFloat()),
+                        DatagramChecks.rate(in.getFloat())));
             }
-            List<Loan> loans = new ArrayList<>();
-            for (int i = Ranges.within(in.get(), 0, MOST_LOANS); i > 0; i--) {
-                loans.add(new Loan(
-                        Ranges.within(in.get(), 0, 1) == 1, in.getInt(), in.getLong(), Ranges.part(in.getFloat())));
+            List<QuotaLoan> loans = new ArrayList<>();
+            for (int i = DatagramChecks.within(in.get(), 0, MOST_LOANS); i > 0; i--) {
+                loans.add(new QuotaLoan(
+                        DatagramChecks.within(in.get(), 0, 1) == 1,
+                        in.getInt(),
+                        in.getLong(),
+                        DatagramChecks.part(in.getFloat())));
             }
             if (in.hasRemaining() || !from.matches("[A-Za-z0-9._-]+") || number < 0 || incarnation < 0) {
                 return null;
             }
-            return new Beat(
+            return new Heartbeat(
                     from,
                     incarnation,
                     number,
-                    FleetView.Phase.values()[Ranges.within(phase, 0, 2)],
+                    MembershipView.Phase.values()[DatagramChecks.within(phase, 0, 2)],
                     List.copyOf(news),
                     List.copyOf(loans));
         } catch (BufferUnderflowException | IllegalArgumentException e) {
@@ -136,6 +144,6 @@
     }
 
     private static int age(int value) {
-        return Ranges.within(value, -1, LONGEST_AGE);
+        return DatagramChecks.within(value, -1, LONGEST_AGE);
     }
 }
--- a/membership/src/main/java/amberroute/membership/Heartbeats.java
+++ b/membership/src/main/java/amberroute/membership/HeartbeatMonitor.java
@@ -11,7 +11,7 @@
  * those that the settings name count. A datagram that is older than one already heard, of an earlier life of its sender, or
  * that claims to be from this daemon itself changes nothing. Times are microseconds on the caller's clock.
  */
-public final class Heartbeats implements FleetView {
+public final class HeartbeatMonitor implements MembershipView {
     /** How often a daemon tells of itself when it has no news. */
     public static final long EVERY = 200_000;
     /** Who was not heard of for so long is taken to be away: four beats lost in a row, and some delay. */
@@ -30,13 +30,13 @@
     private long sentAt = Long.MIN_VALUE;
 
     /** {@code incarnation} is higher than that of any earlier process of this daemon; wall time will do. */
-    public Heartbeats(Collection<String> names, long incarnation) {
+    public HeartbeatMonitor(Collection<String> names, long incarnation) {
         this.incarnation = incarnation;
         names.forEach(name -> peers.put(name, new Peer()));
     }
 
     /** Whether a beat is new and its sender known: then it counts, and so does what else it tells. */
-    public boolean heard(long now, Beat beat) {
+    public boolean heard(long now, Heartbeat beat) {
         Peer peer = peers.get(beat.from());
         if (peer == null
                 || beat.incarnation() < peer.incarnation
@@ -56,14 +56,14 @@
     }
 
     /** The next beat for all peers. */
-    public Beat next(long now, String self, Phase phase, List<Beat.News> news) {
+    public Heartbeat next(long now, String self, Phase phase, List<Heartbeat.SlowStartUpdate> news) {
         sentAt = now;
-        return new Beat(self, incarnation, ++sent, phase, news, List.of());
+        return new Heartbeat(self, incarnation, ++sent, phase, news, List.of());
     }
 
     /** A beat for one peer, beside those for all. */
-    public Beat next(String self, Phase phase, List<Beat.Loan> loans) {
-        return new Beat(self, incarnation, ++sent, phase, List.of(), loans);
+    public Heartbeat next(String self, Phase phase, List<Heartbeat.QuotaLoan> loans) {
+        return new Heartbeat(self, incarnation, ++sent, phase, List.of(), loans);
     }
 
     @Override
--- a/membership/src/main/java/amberroute/membership/FleetView.java
+++ b/membership/src/main/java/amberroute/membership/MembershipView.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Who is there of those that the settings name. What it says may be old or wrong: see the package's note. */
-public interface FleetView {
+public interface MembershipView {
     /** What a daemon last said of itself. */
     enum Phase {
         STARTING,
--- a/membership/src/main/java/amberroute/membership/Swim.java
+++ b/membership/src/main/java/amberroute/membership/SwimMembership.java
@@ -23,7 +23,7 @@
  * slowly and waits longer, so it does not accuse others. Only those that the settings name count. Times are microseconds on the
  * caller's clock, chance comes from the caller. What was heard of is bounded by the names.
  */
-public final class Swim implements FleetView {
+public final class SwimMembership implements MembershipView {
     /** One member is asked in so long; what a member sends a second follows from it and not from the fleet's size. */
     public static final long PERIOD = 200_000;
     /** An answer that has not come by then is asked for through others; the rest of the period is theirs. */
@@ -42,39 +42,39 @@
     private static final int GONE_EVERY = 8;
 
     /** A datagram for a member. */
-    public record Out(String to, Probe probe) {}
+    public record OutgoingMessage(String to, SwimMessage probe) {}
 
     private static final class Peer {
-        Probe.State state = Probe.State.SUSPECT;
+        SwimMessage.MemberState state = SwimMessage.MemberState.SUSPECT;
         long incarnation = -1;
-        FleetView.Phase phase = FleetView.Phase.STARTING;
+        MembershipView.Phase phase = MembershipView.Phase.STARTING;
         String zone = "";
         long heardAt = Long.MIN_VALUE;
         long suspectUntil = Long.MAX_VALUE;
     }
 
-    private static final class Told {
-        final Probe.News news;
+    private static final class DisseminatedUpdate {
+        final SwimMessage.MemberUpdate news;
         int times;
 
-        Told(Probe.News news) {
+        DisseminatedUpdate(SwimMessage.MemberUpdate news) {
             this.news = news;
         }
     }
 
     /** Asked on behalf of somebody, under the number that the asker gave. */
-    private record Asked(String by, long number, long until) {}
+    private record IndirectProbe(String by, long number, long until) {}
 
     private final String self;
     private final String zone;
     private final RandomGenerator random;
     private final Map<String, Peer> peers = new LinkedHashMap<>();
-    private final Map<String, Told> telling = new LinkedHashMap<>();
-    private final Map<Long, Asked> asked = new HashMap<>();
+    private final Map<String, DisseminatedUpdate> telling = new LinkedHashMap<>();
+    private final Map<Long, IndirectProbe> asked = new HashMap<>();
     private final Set<String> nacks = new HashSet<>();
     private final List<String> turn = new ArrayList<>();
     private long incarnation;
-    private FleetView.Phase phase = FleetView.Phase.STARTING;
+    private MembershipView.Phase phase = MembershipView.Phase.STARTING;
     private long number;
     private long questions;
     private int unwell;
@@ -91,7 +91,8 @@
     private boolean second;
 
     /** {@code incarnation} is higher than that of earlier processes where it can be; wall time will do, as a lower one is refuted. */
-    public Swim(String self, String zone, Collection<String> names, long incarnation, RandomGenerator random) {
+    public SwimMembership(
+            String self, String zone, Collection<String> names, long incarnation, RandomGenerator random) {
         this.self = self;
         this.zone = zone;
         this.incarnation = incarnation;
@@ -100,10 +101,10 @@
     }
 
     /** What this daemon says of itself from now on. */
-    public void phase(FleetView.Phase next) {
+    public void phase(MembershipView.Phase next) {
         if (next != phase) {
             phase = next;
-            tell(new Probe.News(self, Probe.State.ALIVE, incarnation, phase, zone));
+            tell(new SwimMessage.MemberUpdate(self, SwimMessage.MemberState.ALIVE, incarnation, phase, zone));
         }
     }
 
@@ -115,7 +116,7 @@
     /** Whether a member has been taken for gone: it was suspected and has not refuted it. */
     public boolean gone(String name) {
         Peer peer = peers.get(name);
-        return peer != null && peer.state == Probe.State.GONE;
+        return peer != null && peer.state == SwimMessage.MemberState.GONE;
     }
 
     /** What a member last said of where it is, empty where that is not known. */
@@ -128,8 +129,8 @@
     }
 
     /** To be called some ten times a period: with five a fifth of the datagrams lost make members accuse each other; returns what is to be sent. */
-    public List<Out> tick(long now) {
-        List<Out> out = new ArrayList<>();
+    public List<OutgoingMessage> tick(long now) {
+        List<OutgoingMessage> out = new ArrayList<>();
         if (!begun) {
             begun = true;
             begunAt = now;
@@ -146,16 +147,17 @@
             next(now, again ? target : null, out);
         }
         peers.forEach((name, peer) -> {
-            if (peer.state == Probe.State.SUSPECT && now >= peer.suspectUntil) {
-                peer.state = Probe.State.GONE;
-                tell(new Probe.News(name, Probe.State.GONE, Math.max(0, peer.incarnation), peer.phase, peer.zone));
+            if (peer.state == SwimMessage.MemberState.SUSPECT && now >= peer.suspectUntil) {
+                peer.state = SwimMessage.MemberState.GONE;
+                tell(new SwimMessage.MemberUpdate(
+                        name, SwimMessage.MemberState.GONE, Math.max(0, peer.incarnation), peer.phase, peer.zone));
             }
         });
         return out;
     }
 
     /** The one given is asked, else the next in turn; those that are gone seldom. */
-    private void next(long now, String given, List<Out> out) {
+    private void next(long now, String given, List<OutgoingMessage> out) {
         targetSince = now;
         helped = false;
         helpers = 0;
@@ -179,23 +181,23 @@
         }
         if (target != null) {
             targetNumber = ++number;
-            out.add(new Out(target, probe(Probe.Kind.PING, targetNumber, "", target)));
+            out.add(new OutgoingMessage(target, probe(SwimMessage.Kind.PING, targetNumber, "", target)));
         }
     }
 
-    private void askOthers(List<Out> out) {
+    private void askOthers(List<OutgoingMessage> out) {
         List<String> others = new ArrayList<>(peers.entrySet().stream()
-                .filter(e ->
-                        e.getValue().state == Probe.State.ALIVE && !e.getKey().equals(target))
+                .filter(e -> e.getValue().state == SwimMessage.MemberState.ALIVE
+                        && !e.getKey().equals(target))
                 .map(Map.Entry::getKey)
                 .toList());
         Collections.shuffle(others, new java.util.Random(random.nextLong()));
         for (String other : others.subList(0, Math.min(HELPERS, others.size()))) {
             helpers++;
-            out.add(new Out(other, probe(Probe.Kind.ASK, targetNumber, target, other)));
+            out.add(new OutgoingMessage(other, probe(SwimMessage.Kind.ASK, targetNumber, target, other)));
         }
         // Over a way that loses datagrams the second of two questions may do.
-        out.add(new Out(target, probe(Probe.Kind.PING, targetNumber, "", target)));
+        out.add(new OutgoingMessage(target, probe(SwimMessage.Kind.PING, targetNumber, "", target)));
     }
 
     /**
@@ -205,14 +207,14 @@
      */
     private boolean failed(long now) {
         Peer peer = peers.get(target);
-        if (peer.state == Probe.State.GONE) {
+        if (peer.state == SwimMessage.MemberState.GONE) {
             return false;
         }
         unwell = Math.min(MOST_UNWELL, unwell + (helpers == 0 || nacks.size() < helpers ? 1 : 0));
         // Of a large fleet not all have been heard of when that time is over, so silence alone tells nothing: only who
         // was asked in vain.
         boolean never = peer.incarnation < 0;
-        if (peer.state != Probe.State.ALIVE && !(never && now - begunAt >= FIRST)) {
+        if (peer.state != SwimMessage.MemberState.ALIVE && !(never && now - begunAt >= FIRST)) {
             return false;
         }
         if (!second) {
@@ -228,40 +230,45 @@
     }
 
     private void suspect(long now, String name, Peer peer, long of) {
-        peer.state = Probe.State.SUSPECT;
+        peer.state = SwimMessage.MemberState.SUSPECT;
         peer.incarnation = of;
         peer.suspectUntil = now + (long) (SUSPICION * tenfolds() * PERIOD * (1 + unwell));
-        tell(new Probe.News(name, Probe.State.SUSPECT, of, peer.phase, peer.zone));
+        tell(new SwimMessage.MemberUpdate(name, SwimMessage.MemberState.SUSPECT, of, peer.phase, peer.zone));
     }
 
     /** A datagram came from a member; returns what is to be sent for it. */
-    public List<Out> heard(long now, Probe probe) {
+    public List<OutgoingMessage> heard(long now, SwimMessage probe) {
         Peer peer = peers.get(probe.from());
         if (peer == null) {
             return List.of();
         }
-        List<Out> out = new ArrayList<>();
+        List<OutgoingMessage> out = new ArrayList<>();
         peer.heardAt = now;
-        told(now, new Probe.News(probe.from(), Probe.State.ALIVE, probe.incarnation(), probe.phase(), probe.zone()));
+        told(
+                now,
+                new SwimMessage.MemberUpdate(
+                        probe.from(), SwimMessage.MemberState.ALIVE, probe.incarnation(), probe.phase(), probe.zone()));
         probe.news().forEach(news -> told(now, news));
         switch (probe.kind()) {
-            case PING -> out.add(new Out(probe.from(), probe(Probe.Kind.ACK, probe.number(), "", probe.from())));
+            case PING -> out.add(
+                    new OutgoingMessage(probe.from(), probe(SwimMessage.Kind.ACK, probe.number(), "", probe.from())));
             case ASK -> {
                 if (peers.containsKey(probe.target())) {
                     long own = ++number;
                     if (asked.size() < peers.size() + HELPERS) {
-                        asked.put(own, new Asked(probe.from(), probe.number(), now + PERIOD * (2 + MOST_UNWELL)));
+                        asked.put(
+                                own, new IndirectProbe(probe.from(), probe.number(), now + PERIOD * (2 + MOST_UNWELL)));
                     }
-                    out.add(new Out(probe.target(), probe(Probe.Kind.PING, own, "", probe.target())));
+                    out.add(new OutgoingMessage(probe.target(), probe(SwimMessage.Kind.PING, own, "", probe.target())));
                     // That this helper is there is told at once; an answer of the target follows if it comes.
-                    out.add(new Out(
-                            probe.from(), probe(Probe.Kind.NACK, probe.number(), probe.target(), probe.from())));
+                    out.add(new OutgoingMessage(
+                            probe.from(), probe(SwimMessage.Kind.NACK, probe.number(), probe.target(), probe.from())));
                 }
             }
             case ACK -> {
-                Asked by = asked.remove(probe.number());
+                IndirectProbe by = asked.remove(probe.number());
                 if (by != null) {
-                    out.add(new Out(by.by, probe(Probe.Kind.ACK, by.number, probe.from(), by.by)));
+                    out.add(new OutgoingMessage(by.by, probe(SwimMessage.Kind.ACK, by.number, probe.from(), by.by)));
                 } else if (probe.number() == targetNumber && target != null) {
                     target = null;
                     unwell = Math.max(0, unwell - 1);
@@ -276,13 +283,13 @@
         return out;
     }
 
-    private void told(long now, Probe.News news) {
+    private void told(long now, SwimMessage.MemberUpdate news) {
         if (news.name().equals(self)) {
-            if (news.state() != Probe.State.ALIVE && news.incarnation() >= incarnation) {
+            if (news.state() != SwimMessage.MemberState.ALIVE && news.incarnation() >= incarnation) {
                 // Not so: said with a higher incarnation, which only this daemon may give itself.
                 incarnation = news.incarnation() + 1;
                 unwell = Math.min(MOST_UNWELL, unwell + 1);
-                tell(new Probe.News(self, Probe.State.ALIVE, incarnation, phase, zone));
+                tell(new SwimMessage.MemberUpdate(self, SwimMessage.MemberState.ALIVE, incarnation, phase, zone));
             }
             return;
         }
@@ -292,25 +299,28 @@
         }
         boolean later = news.incarnation() > peer.incarnation;
         boolean worse = news.incarnation() == peer.incarnation && news.state().compareTo(peer.state) > 0;
-        boolean firstSign = peer.incarnation < 0 && news.state() != Probe.State.ALIVE;
-        if (!later && !worse || firstSign && news.state() == Probe.State.SUSPECT) {
+        boolean firstSign = peer.incarnation < 0 && news.state() != SwimMessage.MemberState.ALIVE;
+        if (!later && !worse || firstSign && news.state() == SwimMessage.MemberState.SUSPECT) {
             boolean changed = news.incarnation() == peer.incarnation
-                    && news.state() == Probe.State.ALIVE
-                    && peer.state == Probe.State.ALIVE
+                    && news.state() == SwimMessage.MemberState.ALIVE
+                    && peer.state == SwimMessage.MemberState.ALIVE
                     && news.phase().compareTo(peer.phase) > 0;
             if (changed) {
                 peer.phase = news.phase();
                 tell(news);
-            } else if (news.state() == Probe.State.ALIVE && peer.state == Probe.State.GONE && !later) {
+            } else if (news.state() == SwimMessage.MemberState.ALIVE
+                    && peer.state == SwimMessage.MemberState.GONE
+                    && !later) {
                 // Whoever still speaks has to hear what is said of it, or it could not refute that.
-                tell(new Probe.News(news.name(), peer.state, Math.max(0, peer.incarnation), peer.phase, peer.zone));
+                tell(new SwimMessage.MemberUpdate(
+                        news.name(), peer.state, Math.max(0, peer.incarnation), peer.phase, peer.zone));
             }
             return;
         }
         peer.incarnation = news.incarnation();
         peer.phase = news.phase();
         peer.zone = news.zone();
-        if (news.state() == Probe.State.SUSPECT) {
+        if (news.state() == SwimMessage.MemberState.SUSPECT) {
             suspect(now, news.name(), peer, news.incarnation());
         } else {
             peer.state = news.state();
@@ -319,26 +329,30 @@
         }
     }
 
-    private void tell(Probe.News news) {
-        telling.put(news.name(), new Told(news));
+    private void tell(SwimMessage.MemberUpdate news) {
+        telling.put(news.name(), new DisseminatedUpdate(news));
     }
 
     /** With the news that were told least so far; the one asked first hears what is said of itself. */
-    private Probe probe(Probe.Kind kind, long of, String about, String to) {
-        List<Told> some = new ArrayList<>(telling.values());
+    private SwimMessage probe(SwimMessage.Kind kind, long of, String about, String to) {
+        List<DisseminatedUpdate> some = new ArrayList<>(telling.values());
         some.sort(Comparator.comparingInt(t -> t.news.name().equals(to) ? -1 : t.times));
-        List<Probe.News> news = new ArrayList<>();
-        int room = Probe.NEWS_BYTES;
+        List<SwimMessage.MemberUpdate> news = new ArrayList<>();
+        int room = SwimMessage.NEWS_BYTES;
         int most = (int) Math.ceil(TELLINGS * tenfolds());
         Peer peer = peers.get(to);
-        if (peer != null && peer.state != Probe.State.ALIVE && peer.incarnation >= 0 && !telling.containsKey(to)) {
+        if (peer != null
+                && peer.state != SwimMessage.MemberState.ALIVE
+                && peer.incarnation >= 0
+                && !telling.containsKey(to)) {
             // However often it was told already: whoever is accused has to be able to refute it.
-            Probe.News accused = new Probe.News(to, peer.state, peer.incarnation, peer.phase, peer.zone);
+            SwimMessage.MemberUpdate accused =
+                    new SwimMessage.MemberUpdate(to, peer.state, peer.incarnation, peer.phase, peer.zone);
             news.add(accused);
             room -= accused.bytes();
         }
-        for (Iterator<Told> each = some.iterator(); each.hasNext() && news.size() < 60; ) {
-            Told told = each.next();
+        for (Iterator<DisseminatedUpdate> each = some.iterator(); each.hasNext() && news.size() < 60; ) {
+            DisseminatedUpdate told = each.next();
             if (told.news.bytes() > room) {
                 break;
             }
@@ -348,7 +362,7 @@
                 telling.remove(told.news.name());
             }
         }
-        return new Probe(kind, of, self, incarnation, phase, zone, about, List.copyOf(news));
+        return new SwimMessage(kind, of, self, incarnation, phase, zone, about, List.copyOf(news));
     }
 
     @Override
@@ -356,7 +370,7 @@
         List<Member> out = new ArrayList<>();
         peers.forEach((name, peer) -> out.add(new Member(
                 name,
-                peer.state != Probe.State.GONE && peer.incarnation >= 0,
+                peer.state != SwimMessage.MemberState.GONE && peer.incarnation >= 0,
                 peer.phase,
                 peer.heardAt == Long.MIN_VALUE ? -1 : now - peer.heardAt,
                 peer.incarnation)));
--- a/membership/src/main/java/amberroute/membership/Probe.java
+++ b/membership/src/main/java/amberroute/membership/SwimMessage.java
@@ -9,7 +9,7 @@
 
 /**
  * One datagram of the membership protocol: a question, its answer or a request to ask somebody else, with news of members. At
- * most {@value Beat#MOST_BYTES} bytes. The form is ours, the version tells it from a {@link Beat}:
+ * most {@value Heartbeat#MOST_BYTES} bytes. The form is ours, the version tells it from a {@link Heartbeat}:
  *
  * <pre>
  * "AR", version 2, kind, number (8), the sender's incarnation (8), phase,
@@ -17,15 +17,15 @@
  * count and news: state (1), phase (1), incarnation (8), name and zone as texts
  * </pre>
  */
-public record Probe(
+public record SwimMessage(
         Kind kind,
         long number,
         String from,
         long incarnation,
-        FleetView.Phase phase,
+        MembershipView.Phase phase,
         String zone,
         String target,
-        List<News> news) {
+        List<MemberUpdate> news) {
     private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9._-]*");
     /** What it wants: an answer, is one, wants the target to be asked, or says that the target did not answer. */
     public enum Kind {
@@ -36,21 +36,22 @@
     }
 
     /** What is said of a member. */
-    public enum State {
+    public enum MemberState {
         ALIVE,
         SUSPECT,
         GONE
     }
 
     /** Of one member; the higher incarnation counts, and of the same one the worse state. */
-    public record News(String name, State state, long incarnation, FleetView.Phase phase, String zone) {
+    public record MemberUpdate(
+            String name, MemberState state, long incarnation, MembershipView.Phase phase, String zone) {
         int bytes() {
             return 12 + name.length() + zone.length();
         }
     }
 
     /** Room for news in one datagram, whatever the names before them. */
-    static final int NEWS_BYTES = Beat.MOST_BYTES - 256;
+    static final int NEWS_BYTES = Heartbeat.MOST_BYTES - 256;
 
     private static final byte VERSION = 2;
     private static final int LONGEST = 64;
@@ -58,7 +59,7 @@
 
     /** The bytes to send, from 0 to the limit. */
     public ByteBuffer write() {
-        ByteBuffer out = ByteBuffer.allocate(Beat.MOST_BYTES);
+        ByteBuffer out = ByteBuffer.allocate(Heartbeat.MOST_BYTES);
         out.put((byte) 'A')
                 .put((byte) 'R')
                 .put(VERSION)
@@ -70,7 +71,7 @@
         text(out, zone);
         text(out, target);
         out.put((byte) news.size());
-        for (News n : news) {
+        for (MemberUpdate n : news) {
             out.put((byte) n.state.ordinal()).put((byte) n.phase.ordinal()).putLong(n.incarnation);
             text(out, n.name);
             text(out, n.zone);
@@ -87,42 +88,44 @@
     }
 
     /** Reads a datagram; null where it is none of this kind. */
-    public static Probe read(ByteBuffer in) {
+    public static SwimMessage read(ByteBuffer in) {
         try {
             if (in.get() != 'A' || in.get() != 'R' || in.get() != VERSION) {
                 return null;
             }
-            Kind kind = Kind.values()[Ranges.within(in.get(), 0, Kind.values().length - 1)];
+            Kind kind = Kind.values()[DatagramChecks.within(in.get(), 0, Kind.values().length - 1)];
             long number = in.getLong();
             long incarnation = in.getLong();
-            FleetView.Phase phase = phase(in);
+            MembershipView.Phase phase = phase(in);
             String from = text(in);
             String zone = text(in);
             String target = text(in);
-            List<News> news = new ArrayList<>();
-            for (int i = Ranges.within(in.get(), 0, MOST_NEWS); i > 0; i--) {
-                State state = State.values()[Ranges.within(in.get(), 0, State.values().length - 1)];
-                FleetView.Phase theirs = phase(in);
+            List<MemberUpdate> news = new ArrayList<>();
+            for (int i = DatagramChecks.within(in.get(), 0, MOST_NEWS); i > 0; i--) {
+                MemberState state =
+                        MemberState.values()[DatagramChecks.within(in.get(), 0, MemberState.values().length - 1)];
+                MembershipView.Phase theirs = phase(in);
                 long of = in.getLong();
-                news.add(new News(text(in), state, of, theirs, text(in)));
+                news.add(new MemberUpdate(text(in), state, of, theirs, text(in)));
             }
             return in.hasRemaining()
                             || from.isEmpty()
                             || incarnation < 0
                             || news.stream().anyMatch(n -> n.incarnation < 0)
                     ? null
-                    : new Probe(kind, number, from, incarnation, phase, zone, target, List.copyOf(news));
+                    : new SwimMessage(kind, number, from, incarnation, phase, zone, target, List.copyOf(news));
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
     }
 
-    private static FleetView.Phase phase(ByteBuffer in) {
-        return FleetView.Phase.values()[Ranges.within(in.get(), 0, FleetView.Phase.values().length - 1)];
+    private static MembershipView.Phase phase(ByteBuffer in) {
+        return MembershipView.Phase.values()[
+                DatagramChecks.within(in.get(), 0, MembershipView.Phase.values().length - 1)];
     }
 
     private static String text(ByteBuffer in) {
-        byte[] bytes = new byte[Ranges.within(in.get(), 0, LONGEST)];
+        byte[] bytes = new byte[DatagramChecks.within(in.get(), 0, LONGEST)];
         in.get(bytes);
         String text = new String(bytes, StandardCharsets.US_ASCII);
         if (!PLAIN.matcher(text).matches()) {
--- a/membership/src/test/java/amberroute/membership/SwimTest.java
+++ b/membership/src/test/java/amberroute/membership/SwimMembershipTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Fleets in virtual time: every datagram goes through bytes, a way that delays and loses, and members that stop. */
-class SwimTest {
+class SwimMembershipTest {
     private static final long STEP = 20_000;
 
     private record Flying(long due, long order, String to, ByteBuffer bytes) {}
 
     private static final class Fleet {
         final List<String> names = new ArrayList<>();
-        final List<Swim> members = new ArrayList<>();
+        final List<SwimMembership> members = new ArrayList<>();
         final PriorityQueue<Flying> ways = new PriorityQueue<>(
                 (a, b) -> a.due() != b.due() ? Long.compare(a.due(), b.due()) : Long.compare(a.order(), b.order()));
         final Set<String> stopped = new HashSet<>();
@@ -42,8 +42,9 @@
                 names.add("m" + i);
             }
             for (int i = 0; i < size; i++) {
-                Swim swim = new Swim("m" + i, "z" + i % 3, names, 1_000, new SplittableRandom(seed + i));
-                swim.phase(FleetView.Phase.READY);
+                SwimMembership swim =
+                        new SwimMembership("m" + i, "z" + i % 3, names, 1_000, new SplittableRandom(seed + i));
+                swim.phase(MembershipView.Phase.READY);
                 members.add(swim);
             }
         }
@@ -55,7 +56,7 @@
                 while (!ways.isEmpty() && ways.peek().due() <= now) {
                     Flying f = ways.poll();
                     if (!stopped.contains(f.to())) {
-                        Probe probe = Probe.read(f.bytes());
+                        SwimMessage probe = SwimMessage.read(f.bytes());
                         send(members.get(Integer.parseInt(f.to().substring(1))).heard(f.due(), probe));
                     }
                 }
@@ -67,8 +68,8 @@
             }
         }
 
-        private void send(List<Swim.Out> out) {
-            for (Swim.Out o : out) {
+        private void send(List<SwimMembership.OutgoingMessage> out) {
+            for (SwimMembership.OutgoingMessage o : out) {
                 ByteBuffer written = o.probe().write();
                 sent++;
                 bytes += written.remaining();
@@ -110,7 +111,7 @@
             Fleet fleet = new Fleet(size, 7);
             fleet.run(10_000_000);
             assertEquals(0, fleet.falselyGone());
-            assertTrue(fleet.members.get(0).members(fleet.now).stream().allMatch(FleetView.Member::serves));
+            assertTrue(fleet.members.get(0).members(fleet.now).stream().allMatch(MembershipView.Member::serves));
             long before = fleet.sent;
             fleet.run(10_000_000);
             each[at++] = (fleet.sent - before) / 10.0 / size;
@@ -123,7 +124,7 @@
                     + fleet.largest + ", known to all after ms " + (fleet.now - since) / 1_000);
             assertTrue(fleet.now - since < 6_000_000, "known to all after " + (fleet.now - since));
             assertEquals(0, fleet.falselyGone());
-            assertTrue(fleet.largest <= Beat.MOST_BYTES);
+            assertTrue(fleet.largest <= Heartbeat.MOST_BYTES);
         }
         assertTrue(each[1] < 1.3 * each[0], each[0] + " to " + each[1]);
     }
@@ -147,7 +148,7 @@
         assertTrue(each < 14, each + " datagrams a member a second");
         assertTrue(fleet.now - since < 30_000_000);
         assertEquals(0, fleet.falselyGone());
-        assertTrue(fleet.largest <= Beat.MOST_BYTES);
+        assertTrue(fleet.largest <= Heartbeat.MOST_BYTES);
     }
 
     @Test
@@ -195,30 +196,31 @@
     @Test
     void whatIsNoProbeIsPassedOver() {
         Random random = new Random(5);
-        Probe probe = new Probe(
-                Probe.Kind.ASK,
+        SwimMessage probe = new SwimMessage(
+                SwimMessage.Kind.ASK,
                 7,
                 "m1",
                 9,
-                FleetView.Phase.READY,
+                MembershipView.Phase.READY,
                 "z",
                 "m2",
-                List.of(new Probe.News("m3", Probe.State.SUSPECT, 4, FleetView.Phase.READY, "")));
-        assertEquals(probe, Probe.read(probe.write()));
+                List.of(new SwimMessage.MemberUpdate(
+                        "m3", SwimMessage.MemberState.SUSPECT, 4, MembershipView.Phase.READY, "")));
+        assertEquals(probe, SwimMessage.read(probe.write()));
         byte[] good = new byte[probe.write().remaining()];
         probe.write().get(good);
         for (int i = 0; i < good.length; i++) {
-            assertNull(Probe.read(ByteBuffer.wrap(good, 0, i)));
+            assertNull(SwimMessage.read(ByteBuffer.wrap(good, 0, i)));
         }
         int read = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] bad = new byte[random.nextInt(100)];
             random.nextBytes(bad);
-            read += Probe.read(ByteBuffer.wrap(bad)) == null ? 0 : 1;
+            read += SwimMessage.read(ByteBuffer.wrap(bad)) == null ? 0 : 1;
         }
         assertEquals(0, read);
-        assertNull(Beat.read(probe.write()));
-        assertFalse(new Swim("a", "", List.of("a", "b"), 1, new SplittableRandom(1))
+        assertNull(Heartbeat.read(probe.write()));
+        assertFalse(new SwimMembership("a", "", List.of("a", "b"), 1, new SplittableRandom(1))
                 .heard(0, probe)
                 .iterator()
                 .hasNext());
--- a/overload/src/main/java/amberroute/overload/Price.java
+++ b/overload/src/main/java/amberroute/overload/AdmissionPrice.java
@@ -5,18 +5,18 @@
  * up to {@code upTo} it can do this {@code share}. {@code again} is when what was turned away had better come again, in
  * microseconds.
  */
-public record Price(int destination, double worth, double upTo, double share, long again) {
+public record AdmissionPrice(int destination, double worth, double upTo, double share, long again) {
     /** The more is asked above what can be done the later; at first when figures may be new, at last a few times that. */
     private static final double AGAIN = 5e5;
 
     private static final double MOST_AGAIN = 4;
 
-    static Price none(int destination) {
-        return new Price(destination, 0, 0, 1, 0);
+    static AdmissionPrice none(int destination) {
+        return new AdmissionPrice(destination, 0, 0, 1, 0);
     }
 
     /** The worth at which demand from above fits what may be taken on a second. */
-    static Price of(int destination, double[] demand, double room) {
+    static AdmissionPrice of(int destination, double[] demand, double room) {
         double above = 0;
         for (int step = demand.length - 1; step >= 0; step--) {
             if (above + demand[step] > room) {
@@ -24,10 +24,10 @@
                 for (double d : demand) {
                     asked += d;
                 }
-                return new Price(
+                return new AdmissionPrice(
                         destination,
-                        Worths.floor(step),
-                        Worths.floor(step + 1),
+                        PriorityBands.floor(step),
+                        PriorityBands.floor(step + 1),
                         Math.max(0, (room - above) / demand[step]),
                         (long) (AGAIN * Math.max(1, Math.min(MOST_AGAIN, asked / Math.max(1e-3, room)))));
             }
@@ -37,7 +37,7 @@
     }
 
     /** Whether it is about as before, so that nobody need hear of it. */
-    boolean like(Price other) {
+    boolean like(AdmissionPrice other) {
         return worth == other.worth
                 && Math.abs(share - other.share) < 0.03
                 && Math.abs(again - other.again) < AGAIN / 4;
--- a/overload/src/main/java/amberroute/overload/Capacity.java
+++ b/overload/src/main/java/amberroute/overload/CapacityEstimate.java
@@ -6,7 +6,7 @@
  * From there it is taken to be able to do a little more all the time, until it shows again that it is not, or until demand is
  * well below. What is out altogether tells nothing of what it can do.
  */
-final class Capacity {
+final class CapacityEstimate {
     /** Share of calls refused from which it is at its limit: less is chance where senders do not know of one another's moments. */
     private static final double REFUSED = 0.03;
     /** Seconds of its work that wait from which it is behind. */
@@ -58,12 +58,12 @@
     private long at;
 
     /** {@code held}: calls are held to what is known of it. */
-    Capacity(boolean held) {
+    CapacityEstimate(boolean held) {
         this.held = held;
     }
 
     /** Takes what all have to do with it just now; returns what may be taken on a second, infinite for anything. */
-    double next(long now, Load all) {
+    double next(long now, DestinationLoad all) {
         double seconds = Math.max(0, Math.min(1, (now - at) / 1e6));
         at = now;
         boolean known = Double.isFinite(perSecond);
--- a/overload/src/main/java/amberroute/overload/Overload.java
+++ b/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
@@ -1,7 +1,7 @@
 package amberroute.overload;
 
-import amberroute.shares.Lending;
-import amberroute.shares.Share;
+import amberroute.quota.QuotaLending;
+import amberroute.quota.QuotaShare;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -19,7 +19,7 @@
  * <p>What one sender tells a second does not grow with the fleet: {@value #FAN} datagrams in each round. Times are microseconds on
  * the caller's clock; at most {@value #MOST} destinations.
  */
-public final class Overload {
+public final class FleetAdmissionControl {
     static final int MOST = 1_024;
     /** So many peers are told in a round, taken by chance; four reach all of forty while a digest counts. */
     static final int FAN = 4;
@@ -27,32 +27,32 @@
     public static final long ROUND = 200_000;
 
     /** A datagram for a peer. */
-    public record Out(String to, Digest digest) {}
+    public record OutgoingReport(String to, LoadReport digest) {}
 
     /** The calls a second that this daemon may make from now on; infinite for any. */
-    public record Ceiling(int destination, double perSecond) {}
+    public record RateLimit(int destination, double perSecond) {}
 
     /** For operators: what all have to do with a destination, what it is taken to be able to do, and the price. */
-    public record Row(
+    public record DestinationReport(
             int destination,
             double asked,
             double served,
             double full,
             double waiting,
             double capacity,
-            Price price,
+            AdmissionPrice price,
             double part) {}
 
     private final String self;
     private final List<String> peers;
     private final long incarnation;
     private final RandomGenerator random;
-    private final Picture picture;
-    private final Map<Integer, Tally> tallies = new LinkedHashMap<>();
-    private final Map<Integer, Capacity> capacities = new LinkedHashMap<>();
-    private final Map<Integer, Price> prices = new LinkedHashMap<>();
-    private final List<Row> rows = new ArrayList<>();
-    private final Map<Integer, Parts> parts = new LinkedHashMap<>();
+    private final FleetLoadEstimate picture;
+    private final Map<Integer, LocalLoadCounter> tallies = new LinkedHashMap<>();
+    private final Map<Integer, CapacityEstimate> capacities = new LinkedHashMap<>();
+    private final Map<Integer, AdmissionPrice> prices = new LinkedHashMap<>();
+    private final List<DestinationReport> rows = new ArrayList<>();
+    private final Map<Integer, RateShare> parts = new LinkedHashMap<>();
     private final int daemons;
     private final boolean held;
     private final long quietUntil;
@@ -64,7 +64,7 @@
      * many a limit is divided where calls are {@code held} to parts of it: at least as many as can run. An earlier process may
      * have lent all that it had, so at first nothing is used of what is limited.
      */
-    public Overload(
+    public FleetAdmissionControl(
             long now,
             String self,
             List<String> peers,
@@ -74,19 +74,19 @@
             RandomGenerator random) {
         this.held = held;
         this.daemons = Math.max(daemons, peers.size());
-        quietUntil = now + Share.quiet(Parts.LEASE);
+        quietUntil = now + QuotaShare.quiet(RateShare.LEASE);
         this.self = self;
         this.peers = new ArrayList<>(peers);
         this.peers.remove(self);
         this.incarnation = incarnation;
         this.random = random;
-        picture = new Picture(this.peers, FAN, (double) Picture.FRESH / ROUND);
+        picture = new FleetLoadEstimate(this.peers, FAN, (double) FleetLoadEstimate.FRESH / ROUND);
     }
 
-    private Tally tally(int destination) {
-        Tally tally = tallies.get(destination);
+    private LocalLoadCounter tally(int destination) {
+        LocalLoadCounter tally = tallies.get(destination);
         if (tally == null && tallies.size() < MOST) {
-            tally = new Tally();
+            tally = new LocalLoadCounter();
             tallies.put(destination, tally);
         }
         return tally;
@@ -94,7 +94,7 @@
 
     /** Somebody came with a message of this worth, whatever becomes of it. */
     public void asked(long now, int destination, double worth) {
-        Tally tally = tally(destination);
+        LocalLoadCounter tally = tally(destination);
         if (tally != null) {
             tally.asked(now, worth);
         }
@@ -102,7 +102,7 @@
 
     /** A message was answered as done. */
     public void served(long now, int destination) {
-        Tally tally = tally(destination);
+        LocalLoadCounter tally = tally(destination);
         if (tally != null) {
             tally.served(now);
         }
@@ -110,27 +110,27 @@
 
     /** A message was refused there for want of room. */
     public void full(long now, int destination) {
-        Tally tally = tally(destination);
+        LocalLoadCounter tally = tally(destination);
         if (tally != null) {
             tally.full(now);
         }
     }
 
-    private Parts parts(long now, int destination) {
-        return parts.computeIfAbsent(destination, d -> new Parts(now, incarnation, daemons, now < quietUntil));
+    private RateShare parts(long now, int destination) {
+        return parts.computeIfAbsent(destination, d -> new RateShare(now, incarnation, daemons, now < quietUntil));
     }
 
     /** A peer's word; returns what is to be said to it, null for nothing. */
-    public Out heard(long now, Digest digest) {
+    public OutgoingReport heard(long now, LoadReport digest) {
         if (!picture.heard(now, digest)) {
             return null;
         }
-        List<Digest.Loan> answers = new ArrayList<>();
-        for (Digest.Loan loan : digest.loans()) {
+        List<LoadReport.QuotaLoan> answers = new ArrayList<>();
+        for (LoadReport.QuotaLoan loan : digest.loans()) {
             if (!parts.containsKey(loan.destination()) && parts.size() >= MOST) {
                 continue;
             }
-            Parts ours = parts(now, loan.destination());
+            RateShare ours = parts(now, loan.destination());
             if (loan.grant()) {
                 ours.granted(now, digest.from(), loan);
             } else {
@@ -139,16 +139,16 @@
         }
         return answers.isEmpty()
                 ? null
-                : new Out(digest.from(), new Digest(self, incarnation, ++number, Map.of(), answers));
+                : new OutgoingReport(digest.from(), new LoadReport(self, incarnation, ++number, Map.of(), answers));
     }
 
     /** To be called behind {@link #round}: the ceilings that have changed. */
-    public List<Ceiling> ceilings(long now) {
-        List<Ceiling> out = new ArrayList<>();
+    public List<RateLimit> ceilings(long now) {
+        List<RateLimit> out = new ArrayList<>();
         capacities.forEach((destination, capacity) -> {
             double rate = parts(now, destination).changed(now, capacity.limit());
             if (rate >= 0) {
-                out.add(new Ceiling(destination, rate));
+                out.add(new RateLimit(destination, rate));
             }
         });
         return out;
@@ -160,53 +160,56 @@
     }
 
     /** Requests for parts of what is limited, by peer. */
-    public List<Out> asks(long now) {
-        Map<String, List<Digest.Loan>> to = new LinkedHashMap<>();
+    public List<OutgoingReport> asks(long now) {
+        Map<String, List<LoadReport.QuotaLoan>> to = new LinkedHashMap<>();
         capacities.forEach((destination, capacity) -> {
             if (Double.isFinite(capacity.limit())) {
-                Parts ours = parts(now, destination);
-                for (Lending.Request r :
+                RateShare ours = parts(now, destination);
+                for (QuotaLending.Request r :
                         ours.asks(now, picture.below(now, destination, ours.owned() * capacity.perSecond()))) {
                     to.computeIfAbsent(r.peer(), p -> new ArrayList<>())
-                            .add(new Digest.Loan(false, destination, r.number(), r.part()));
+                            .add(new LoadReport.QuotaLoan(false, destination, r.number(), r.part()));
                 }
             }
         });
-        List<Out> out = new ArrayList<>();
+        List<OutgoingReport> out = new ArrayList<>();
         to.forEach((peer, loans) -> {
-            for (int from = 0; from < loans.size(); from += Digest.MOST_LOANS) {
-                out.add(new Out(
+            for (int from = 0; from < loans.size(); from += LoadReport.MOST_LOANS) {
+                out.add(new OutgoingReport(
                         peer,
-                        new Digest(
+                        new LoadReport(
                                 self,
                                 incarnation,
                                 ++number,
                                 Map.of(),
-                                List.copyOf(loans.subList(from, Math.min(loans.size(), from + Digest.MOST_LOANS))))));
+                                List.copyOf(
+                                        loans.subList(from, Math.min(loans.size(), from + LoadReport.MOST_LOANS))))));
             }
         });
         return out;
     }
 
     /** To be called once a round; {@code waiting} tells what is held here for a destination. Returns prices that have changed. */
-    public List<Price> round(long now, IntToDoubleFunction waiting) {
-        List<Price> changed = new ArrayList<>();
+    public List<AdmissionPrice> round(long now, IntToDoubleFunction waiting) {
+        List<AdmissionPrice> changed = new ArrayList<>();
         rows.clear();
         tallies.forEach((destination, tally) -> {
             tally.waiting(waiting.applyAsDouble(destination));
-            Load own = tally.load(now);
-            Load all = picture.all(now, destination, own);
-            Capacity capacity = capacities.computeIfAbsent(destination, d -> new Capacity(held));
+            DestinationLoad own = tally.load(now);
+            DestinationLoad all = picture.all(now, destination, own);
+            CapacityEstimate capacity = capacities.computeIfAbsent(destination, d -> new CapacityEstimate(held));
             double room = capacity.next(now, all);
-            Price price = Double.isInfinite(room) ? Price.none(destination) : Price.of(destination, all.demand(), room);
-            Parts ours = parts(now, destination);
+            AdmissionPrice price = Double.isInfinite(room)
+                    ? AdmissionPrice.none(destination)
+                    : AdmissionPrice.of(destination, all.demand(), room);
+            RateShare ours = parts(now, destination);
             ours.need(own, price, capacity.perSecond());
-            Price before = prices.getOrDefault(destination, Price.none(destination));
+            AdmissionPrice before = prices.getOrDefault(destination, AdmissionPrice.none(destination));
             if (!price.like(before)) {
                 prices.put(destination, price);
                 changed.add(price);
             }
-            rows.add(new Row(
+            rows.add(new DestinationReport(
                     destination,
                     all.asked(),
                     all.served(),
@@ -220,36 +223,39 @@
     }
 
     /** What to tell in this round, and whom. */
-    public List<Out> tell(long now) {
+    public List<OutgoingReport> tell(long now) {
         if (peers.isEmpty()) {
             return List.of();
         }
-        Digest digest = digest(now);
+        LoadReport digest = digest(now);
         Collections.shuffle(peers, new java.util.Random(random.nextLong()));
-        return peers.stream().limit(FAN).map(peer -> new Out(peer, digest)).toList();
+        return peers.stream()
+                .limit(FAN)
+                .map(peer -> new OutgoingReport(peer, digest))
+                .toList();
     }
 
     /** As many destinations as fit, the next ones in the next round. */
-    private Digest digest(long now) {
+    private LoadReport digest(long now) {
         List<Integer> all = new ArrayList<>(tallies.keySet());
-        Map<Integer, Load> loads = new LinkedHashMap<>();
-        int bytes = Digest.head(self);
+        Map<Integer, DestinationLoad> loads = new LinkedHashMap<>();
+        int bytes = LoadReport.head(self);
         int from = all.isEmpty() ? 0 : turn % all.size();
         for (int i = 0; i < all.size(); i++) {
             int destination = all.get((from + i) % all.size());
-            Load load = tallies.get(destination).load(now);
-            if (!Digest.fits(bytes, loads.size(), load)) {
+            DestinationLoad load = tallies.get(destination).load(now);
+            if (!LoadReport.fits(bytes, loads.size(), load)) {
                 turn = from + i;
                 break;
             }
-            bytes += Digest.bytes(load);
+            bytes += LoadReport.bytes(load);
             loads.put(destination, load);
         }
-        return new Digest(self, incarnation, ++number, loads, List.of());
+        return new LoadReport(self, incarnation, ++number, loads, List.of());
     }
 
     /** As of the last round. */
-    public List<Row> rows() {
+    public List<DestinationReport> rows() {
         return List.copyOf(rows);
     }
 
--- a/overload/src/main/java/amberroute/overload/Picture.java
+++ b/overload/src/main/java/amberroute/overload/FleetLoadEstimate.java
@@ -14,17 +14,17 @@
  * <p>No peer counts for more than all others together, whatever it says: half of the traffic may be at one sender, and one
  * that tells nonsense can at most double what the fleet believes.
  */
-final class Picture {
+final class FleetLoadEstimate {
     /** A digest counts for so long, in microseconds. */
     static final long FRESH = 2_000_000;
 
-    private record Heard(long at, Load load) {}
+    private record ReceivedReport(long at, DestinationLoad load) {}
 
     private static final class Peer {
         long incarnation = -1;
         long number = -1;
         long heardAt = Long.MIN_VALUE;
-        final Map<Integer, Heard> loads = new HashMap<>();
+        final Map<Integer, ReceivedReport> loads = new HashMap<>();
     }
 
     private final Map<String, Peer> peers = new HashMap<>();
@@ -32,13 +32,13 @@
     private final double chance;
 
     /** {@code fan} peers are told in each of {@code rounds} while a digest counts. */
-    Picture(List<String> names, int fan, double rounds) {
+    FleetLoadEstimate(List<String> names, int fan, double rounds) {
         names.forEach(name -> peers.put(name, new Peer()));
         chance = names.isEmpty() ? 1 : 1 - Math.pow(1 - Math.min(1, (double) fan / names.size()), rounds);
     }
 
     /** False for one that is older than what is known, from a stranger, or of an earlier process. */
-    boolean heard(long now, Digest digest) {
+    boolean heard(long now, LoadReport digest) {
         Peer peer = peers.get(digest.from());
         if (peer == null
                 || digest.incarnation() < peer.incarnation
@@ -52,32 +52,32 @@
         peer.number = digest.number();
         peer.heardAt = now;
         digest.loads().forEach((destination, load) -> {
-            if (peer.loads.containsKey(destination) || peer.loads.size() < Overload.MOST) {
-                peer.loads.put(destination, new Heard(now, load));
+            if (peer.loads.containsKey(destination) || peer.loads.size() < FleetAdmissionControl.MOST) {
+                peer.loads.put(destination, new ReceivedReport(now, load));
             }
         });
         return true;
     }
 
     /** With this sender's own load. */
-    Load all(long now, int destination, Load own) {
-        List<Load> heard = new ArrayList<>();
+    DestinationLoad all(long now, int destination, DestinationLoad own) {
+        List<DestinationLoad> heard = new ArrayList<>();
         for (Peer peer : peers.values()) {
-            Heard h = peer.loads.get(destination);
+            ReceivedReport h = peer.loads.get(destination);
             if (h != null && now - h.at() < FRESH) {
                 heard.add(h.load());
             }
         }
-        Load sum = own;
-        for (Load load : heard) {
+        DestinationLoad sum = own;
+        for (DestinationLoad load : heard) {
             sum = sum.plus(load, 1 / chance);
         }
         if (heard.size() > 1) {
             // Two cannot tell which of them tells nonsense.
-            Load all = sum;
-            for (Load load : heard) {
-                Load rest = all.plus(load, -1 / chance);
-                Load most = load.within(rest, chance);
+            DestinationLoad all = sum;
+            for (DestinationLoad load : heard) {
+                DestinationLoad rest = all.plus(load, -1 / chance);
+                DestinationLoad most = load.within(rest, chance);
                 sum = sum.plus(load, -1 / chance).plus(most, 1 / chance);
             }
         }
@@ -88,7 +88,7 @@
     List<String> below(long now, int destination, double perSecond) {
         List<String> out = new ArrayList<>();
         peers.forEach((name, peer) -> {
-            Heard h = peer.loads.get(destination);
+            ReceivedReport h = peer.loads.get(destination);
             boolean there = peer.heardAt != Long.MIN_VALUE && now - peer.heardAt < FRESH;
             if (there
                     && (h == null
--- a/overload/src/main/java/amberroute/overload/Digest.java
+++ b/overload/src/main/java/amberroute/overload/LoadReport.java
@@ -1,6 +1,6 @@
 package amberroute.overload;
 
-import amberroute.membership.Ranges;
+import amberroute.membership.DatagramChecks;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -22,9 +22,10 @@
  *
  * What is not so, or has values out of range, is none.
  */
-public record Digest(String from, long incarnation, long number, Map<Integer, Load> loads, List<Loan> loans) {
+public record LoadReport(
+        String from, long incarnation, long number, Map<Integer, DestinationLoad> loads, List<QuotaLoan> loans) {
     /** A request for a part of what a destination can take, or its answer under the same number. */
-    public record Loan(boolean grant, int destination, long number, float part) {}
+    public record QuotaLoan(boolean grant, int destination, long number, float part) {}
 
     /** Below what any link carries whole. */
     public static final int MOST_BYTES = 1_400;
@@ -46,7 +47,7 @@
         return 22 + from.length();
     }
 
-    static int bytes(Load load) {
+    static int bytes(DestinationLoad load) {
         int steps = 0;
         for (double d : load.demand()) {
             steps += d > 0 ? 1 : 0;
@@ -55,7 +56,7 @@
     }
 
     /** Whether one more fits. */
-    static boolean fits(int bytes, int loads, Load load) {
+    static boolean fits(int bytes, int loads, DestinationLoad load) {
         return loads < MOST_LOADS && bytes + bytes(load) <= MOST_BYTES;
     }
 
@@ -71,7 +72,7 @@
                     .putFloat((float) load.full())
                     .putFloat((float) load.waiting());
             out.put((byte) ((bytes(load) - LOAD_BYTES) / STEP_BYTES));
-            for (int step = 0; step < Worths.STEPS; step++) {
+            for (int step = 0; step < PriorityBands.STEPS; step++) {
                 if (load.demand()[step] > 0) {
                     out.put((byte) step).putFloat((float) load.demand()[step]);
                 }
@@ -86,36 +87,40 @@
     }
 
     /** Reads a datagram; null where it is none of ours. */
-    public static Digest read(ByteBuffer in) {
+    public static LoadReport read(ByteBuffer in) {
         try {
             if (in.get() != 'A' || in.get() != 'L' || in.get() != VERSION) {
                 return null;
             }
-            byte[] name = new byte[Ranges.within(in.get(), 1, LONGEST_NAME)];
+            byte[] name = new byte[DatagramChecks.within(in.get(), 1, LONGEST_NAME)];
             in.get(name);
             String from = new String(name, StandardCharsets.US_ASCII);
             long incarnation = in.getLong();
             long number = in.getLong();
-            Map<Integer, Load> loads = new LinkedHashMap<>();
-            for (int i = Ranges.within(in.get(), 0, MOST_LOADS); i > 0; i--) {
+            Map<Integer, DestinationLoad> loads = new LinkedHashMap<>();
+            for (int i = DatagramChecks.within(in.get(), 0, MOST_LOADS); i > 0; i--) {
                 int destination = in.getInt();
-                float served = Ranges.rate(in.getFloat());
-                float full = Ranges.rate(in.getFloat());
-                float waiting = Ranges.rate(in.getFloat());
-                double[] demand = new double[Worths.STEPS];
-                for (int steps = Ranges.within(in.get(), 0, Worths.STEPS); steps > 0; steps--) {
-                    demand[Ranges.within(in.get(), 0, Worths.STEPS - 1)] = Ranges.rate(in.getFloat());
+                float served = DatagramChecks.rate(in.getFloat());
+                float full = DatagramChecks.rate(in.getFloat());
+                float waiting = DatagramChecks.rate(in.getFloat());
+                double[] demand = new double[PriorityBands.STEPS];
+                for (int steps = DatagramChecks.within(in.get(), 0, PriorityBands.STEPS); steps > 0; steps--) {
+                    demand[DatagramChecks.within(in.get(), 0, PriorityBands.STEPS - 1)] =
+                            DatagramChecks.rate(in.getFloat());
                 }
-                loads.put(destination, new Load(demand, served, full, waiting));
+                loads.put(destination, new DestinationLoad(demand, served, full, waiting));
             }
-            List<Loan> loans = new ArrayList<>();
-            for (int i = Ranges.within(in.get(), 0, MOST_LOANS); i > 0; i--) {
-                loans.add(new Loan(
-                        Ranges.within(in.get(), 0, 1) == 1, in.getInt(), in.getLong(), Ranges.part(in.getFloat())));
+            List<QuotaLoan> loans = new ArrayList<>();
+            for (int i = DatagramChecks.within(in.get(), 0, MOST_LOANS); i > 0; i--) {
+                loans.add(new QuotaLoan(
+                        DatagramChecks.within(in.get(), 0, 1) == 1,
+                        in.getInt(),
+                        in.getLong(),
+                        DatagramChecks.part(in.getFloat())));
             }
             return in.hasRemaining() || !NAME.matcher(from).matches() || number < 0 || incarnation < 0
                     ? null
-                    : new Digest(from, incarnation, number, loads, loans);
+                    : new LoadReport(from, incarnation, number, loads, loans);
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
--- a/overload/src/main/java/amberroute/overload/Tally.java
+++ b/overload/src/main/java/amberroute/overload/LocalLoadCounter.java
@@ -1,21 +1,22 @@
 package amberroute.overload;
 
-import amberroute.shares.Rate;
+import amberroute.quota.DecayingRate;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** What this sender itself has to do with one destination. */
-final class Tally {
+final class LocalLoadCounter {
     /** Short enough to follow a spike, long enough that some tens of messages a second are no noise. */
     private static final double SPAN = 1_000_000;
 
-    private final Map<Integer, Rate> demand = new TreeMap<>();
-    private final Rate served = new Rate(SPAN);
-    private final Rate full = new Rate(SPAN);
+    private final Map<Integer, DecayingRate> demand = new TreeMap<>();
+    private final DecayingRate served = new DecayingRate(SPAN);
+    private final DecayingRate full = new DecayingRate(SPAN);
     private double waiting;
 
     void asked(long now, double worth) {
-        demand.computeIfAbsent(Worths.step(worth), s -> new Rate(SPAN)).add(now, 1);
+        demand.computeIfAbsent(PriorityBands.step(worth), s -> new DecayingRate(SPAN))
+                .add(now, 1);
     }
 
     void served(long now) {
@@ -30,9 +31,9 @@
         waiting = messages;
     }
 
-    Load load(long now) {
-        double[] steps = new double[Worths.STEPS];
+    DestinationLoad load(long now) {
+        double[] steps = new double[PriorityBands.STEPS];
         demand.forEach((step, meter) -> steps[step] = meter.perSecond(now));
-        return new Load(steps, served.perSecond(now), full.perSecond(now), waiting);
+        return new DestinationLoad(steps, served.perSecond(now), full.perSecond(now), waiting);
     }
 }
--- a/overload/src/main/java/amberroute/overload/Worths.java
+++ b/overload/src/main/java/amberroute/overload/PriorityBands.java
@@ -4,13 +4,13 @@
  * Worth in steps of a quarter of a doubling: fine enough that classes which differ by a fifth stand apart, coarse enough that a
  * summary of all of them is short. What is worth less than the first step counts as that, what is worth more as the last.
  */
-final class Worths {
+final class PriorityBands {
     static final int STEPS = 64;
     private static final double A_DOUBLING = 4;
     /** The step of a worth of 1, in the middle. */
     private static final int ONE = STEPS / 2;
 
-    private Worths() {}
+    private PriorityBands() {}
 
     static int step(double worth) {
         if (!(worth > 0)) {
--- a/overload/src/test/java/amberroute/overload/OverloadTest.java
+++ b/overload/src/test/java/amberroute/overload/FleetAdmissionControlTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.Test;
 
 /** What senders believe of the whole, what they take a destination to be able to do, and what a call costs. */
-class OverloadTest {
-    private static Load load(double dear, double cheap, double served, double full, double waiting) {
-        double[] demand = new double[Worths.STEPS];
-        demand[Worths.step(4)] = dear;
-        demand[Worths.step(1)] = cheap;
-        return new Load(demand, served, full, waiting);
+class FleetAdmissionControlTest {
+    private static DestinationLoad load(double dear, double cheap, double served, double full, double waiting) {
+        double[] demand = new double[PriorityBands.STEPS];
+        demand[PriorityBands.step(4)] = dear;
+        demand[PriorityBands.step(1)] = cheap;
+        return new DestinationLoad(demand, served, full, waiting);
     }
 
     private static double[] played(int size, boolean priced, boolean skewed, boolean parts, double loss, long delay) {
-        FleetPlay play = new FleetPlay(size, 3, priced, skewed, parts);
+        FleetSimulation play = new FleetSimulation(size, 3, priced, skewed, parts);
         play.loss = loss;
         play.delay = delay;
         play.run(8_000_000);
@@ -90,7 +90,7 @@
     /** Three times the load for ten seconds, then what it can do, with clients that come again all along. */
     @Test
     void behindASpikeItIsBackWithinSeconds() {
-        FleetPlay play = new FleetPlay(12, 9, true, false, false);
+        FleetSimulation play = new FleetSimulation(12, 9, true, false, false);
         play.load = 0.9;
         play.run(8_000_000);
         play.load = 3;
@@ -110,34 +110,35 @@
         for (int i = 0; i < 5; i++) {
             names.add("s" + i);
         }
-        Overload overload = new Overload(0, "s0", names, 6, false, 1, new SplittableRandom(1));
+        FleetAdmissionControl overload =
+                new FleetAdmissionControl(0, "s0", names, 6, false, 1, new SplittableRandom(1));
         long now = 1_000_000;
         for (int i = 0; i < 60; i++) {
             overload.asked(now, 1, 1);
             overload.served(now, 1);
         }
         for (int i = 1; i < 5; i++) {
-            overload.heard(now, new Digest("s" + i, 1, 1, Map.of(1, load(0, 60, 50, 10, 0)), List.of()));
+            overload.heard(now, new LoadReport("s" + i, 1, 1, Map.of(1, load(0, 60, 50, 10, 0)), List.of()));
         }
-        overload.heard(now, new Digest("liar", 1, 1, Map.of(1, load(1e9, 0, 0, 1e9, 1e9)), List.of()));
+        overload.heard(now, new LoadReport("liar", 1, 1, Map.of(1, load(1e9, 0, 0, 1e9, 1e9)), List.of()));
         overload.round(now, d -> 0);
-        Overload.Row row = overload.rows().get(0);
+        FleetAdmissionControl.DestinationReport row = overload.rows().get(0);
         // Its word at most doubles what is asked: of the cheap messages that all others have about half still go.
         assertTrue(row.asked() < 2.2 * 300, row.toString());
         assertTrue(row.price().worth() <= 4 && row.full() < 200, row.toString());
         // Older words, and those of a stranger, change nothing.
-        overload.heard(now, new Digest("s1", 1, 1, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
-        overload.heard(now, new Digest("who", 1, 9, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
+        overload.heard(now, new LoadReport("s1", 1, 1, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
+        overload.heard(now, new LoadReport("who", 1, 9, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
         overload.round(now, d -> 0);
         assertEquals(row.asked(), overload.rows().get(0).asked(), 1e-6);
         // And after a while nobody's.
-        overload.round(now + Picture.FRESH, d -> 0);
+        overload.round(now + FleetLoadEstimate.FRESH, d -> 0);
         assertTrue(overload.rows().get(0).asked() < 60);
     }
 
     @Test
     void whatIsOutTellsNothingOfWhatItCanDo() {
-        Capacity capacity = new Capacity(false);
+        CapacityEstimate capacity = new CapacityEstimate(false);
         assertEquals(Double.POSITIVE_INFINITY, capacity.next(1, load(0, 500, 0, 0, 3_000)));
         assertEquals(Double.POSITIVE_INFINITY, capacity.next(3_200_000, load(0, 500, 100, 0, 0)));
         // Averages have not settled; then what it refuses shows.
@@ -155,7 +156,7 @@
     /** What was idle without a limit for long takes on no more than others once there is one. */
     @Test
     void anEasyTimeLiftsNothing() {
-        Capacity capacity = new Capacity(false);
+        CapacityEstimate capacity = new CapacityEstimate(false);
         for (long at = 1; at < 20_000_000; at += 200_000) {
             assertEquals(Double.POSITIVE_INFINITY, capacity.next(at, load(0, 20, 20, 0, 0)));
         }
@@ -164,30 +165,33 @@
 
     @Test
     void thePriceIsTheWorthAboveWhichDemandFits() {
-        Price price = Price.of(1, load(50, 200, 0, 0, 0).demand(), 150);
+        AdmissionPrice price = AdmissionPrice.of(1, load(50, 200, 0, 0, 0).demand(), 150);
         assertTrue(price.worth() <= 1 && price.upTo() > 1 && price.upTo() < 1.3, price.toString());
         assertEquals(0.5, price.share(), 1e-6);
-        Price dear = Price.of(1, load(200, 200, 0, 0, 0).demand(), 150);
+        AdmissionPrice dear = AdmissionPrice.of(1, load(200, 200, 0, 0, 0).demand(), 150);
         assertTrue(dear.worth() > 1 && dear.worth() <= 4 && dear.upTo() > 4, dear.toString());
         assertTrue(dear.again() > price.again());
-        assertEquals(Price.none(1), Price.of(1, load(50, 50, 0, 0, 0).demand(), 150));
+        assertEquals(
+                AdmissionPrice.none(1),
+                AdmissionPrice.of(1, load(50, 50, 0, 0, 0).demand(), 150));
         // Every worth is at or above the floor of its step and below the next.
         Random random = new Random(4);
         for (int i = 0; i < 10_000; i++) {
             double worth = Math.exp(random.nextDouble() * 10 - 5);
             assertTrue(
-                    worth >= Worths.floor(Worths.step(worth)) && worth < Worths.floor(Worths.step(worth) + 1),
+                    worth >= PriorityBands.floor(PriorityBands.step(worth))
+                            && worth < PriorityBands.floor(PriorityBands.step(worth) + 1),
                     "worth " + worth);
         }
     }
 
     @Test
     void whatIsNoDigestIsDropped() {
-        Digest digest = new Digest("s1", 7, 8, Map.of(3, load(1, 2, 3, 4, 5)), List.of());
+        LoadReport digest = new LoadReport("s1", 7, 8, Map.of(3, load(1, 2, 3, 4, 5)), List.of());
         ByteBuffer bytes = digest.write();
-        Digest read = Digest.read(bytes.duplicate());
+        LoadReport read = LoadReport.read(bytes.duplicate());
         assertEquals(3.0, read.loads().get(3).served());
-        assertEquals(2.0, read.loads().get(3).demand()[Worths.step(1)]);
+        assertEquals(2.0, read.loads().get(3).demand()[PriorityBands.step(1)]);
         Random random = new Random(2);
         int none = 0;
         for (int i = 0; i < 20_000; i++) {
@@ -196,22 +200,23 @@
             for (int flips = random.nextInt(3); spoilt.length > 0 && flips > 0; flips--) {
                 spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
             }
-            Digest other = Digest.read(ByteBuffer.wrap(spoilt));
+            LoadReport other = LoadReport.read(ByteBuffer.wrap(spoilt));
             none += other == null ? 1 : 0;
             assertTrue(
                     other == null || other.loads().values().stream().allMatch(l -> l.asked() >= 0 && l.asked() < 1e12));
         }
         assertTrue(none > 10_000, "only " + none);
-        assertNull(Digest.read(ByteBuffer.allocate(0)));
+        assertNull(LoadReport.read(ByteBuffer.allocate(0)));
         // Of more destinations than fit in one the others are told next.
-        Overload overload = new Overload(0, "a", List.of("a", "b"), 2, false, 1, new SplittableRandom(1));
+        FleetAdmissionControl overload =
+                new FleetAdmissionControl(0, "a", List.of("a", "b"), 2, false, 1, new SplittableRandom(1));
         for (int d = 0; d < 200; d++) {
             overload.asked(1, d, 1);
         }
         List<Integer> told = new ArrayList<>();
         for (int round = 0; round < 5; round++) {
-            Digest next = overload.tell(1).get(0).digest();
-            assertTrue(next.write().remaining() <= Digest.MOST_BYTES);
+            LoadReport next = overload.tell(1).get(0).digest();
+            assertTrue(next.write().remaining() <= LoadReport.MOST_BYTES);
             told.addAll(next.loads().keySet());
         }
         assertEquals(200, told.stream().distinct().count());
--- a/overload/src/test/java/amberroute/overload/FleetPlay.java
+++ b/overload/src/test/java/amberroute/overload/FleetSimulation.java
@@ -12,7 +12,7 @@
  * A fleet in virtual time before one destination that answers so many messages a second and refuses what is above. Senders take on by
  * the price that each computes, and hand over what they hold the dearest first; what was turned away comes again as told, somewhere.
  */
-final class FleetPlay {
+final class FleetSimulation {
     static final double[] WORTH = {4, 2, 1};
     private static final double[] SHARE = {0.2, 0.45, 0.35};
     private static final int STEP = 10_000;
@@ -24,13 +24,13 @@
 
     private record Message(int kind, long due) {}
 
-    private record Flying(long at, long order, int to, Digest digest) {}
+    private record Flying(long at, long order, int to, LoadReport digest) {}
 
     private record Again(long at, long order, Message message) {}
 
     static final class Sender {
-        Overload overload;
-        Price price = Price.none(1);
+        FleetAdmissionControl overload;
+        AdmissionPrice price = AdmissionPrice.none(1);
         final List<Deque<Message>> held = List.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
         long pausedUntil;
         double weight;
@@ -74,7 +74,7 @@
     double mostParts;
 
     /** {@code skewed}: half of the senders are asked for a tenth of what the rest is; of twelve, one for as much as all others. */
-    FleetPlay(int size, long seed, boolean priced, boolean skewed, boolean parts) {
+    FleetSimulation(int size, long seed, boolean priced, boolean skewed, boolean parts) {
         random = new Random(seed);
         this.parts = parts;
         this.priced = priced;
@@ -84,7 +84,7 @@
         }
         for (int i = 0; i < size; i++) {
             Sender s = new Sender();
-            s.overload = new Overload(0, "s" + i, names, size, parts, 1, new SplittableRandom(seed + i));
+            s.overload = new FleetAdmissionControl(0, "s" + i, names, size, parts, 1, new SplittableRandom(seed + i));
             s.weight = !skewed ? 1 : i == 0 && size == 12 ? size : i < size / 2 ? 0.18 : 1.8;
             weights += s.weight;
             senders.add(s);
@@ -99,14 +99,15 @@
             idealTokens = Math.min(capacity / 10, idealTokens + capacity * STEP / 1e6);
             arrive();
             for (int i = 0; i < senders.size(); i++) {
-                if ((now + i * 7L * STEP) % Overload.ROUND < STEP) {
+                if ((now + i * 7L * STEP) % FleetAdmissionControl.ROUND < STEP) {
                     round(senders.get(i));
                 }
             }
             observeParts();
             while (!ways.isEmpty() && ways.peek().at() <= now) {
                 Flying f = ways.poll();
-                Overload.Out answer = senders.get(f.to()).overload.heard(now, f.digest());
+                FleetAdmissionControl.OutgoingReport answer =
+                        senders.get(f.to()).overload.heard(now, f.digest());
                 if (answer != null) {
                     send(answer);
                 }
@@ -121,7 +122,7 @@
     }
 
     private void round(Sender s) {
-        for (Price p :
+        for (AdmissionPrice p :
                 s.overload.round(now, d -> s.held.stream().mapToInt(Deque::size).sum())) {
             s.price = p;
         }
@@ -144,14 +145,14 @@
         mostParts = Math.max(mostParts, sum);
     }
 
-    private void send(Overload.Out out) {
+    private void send(FleetAdmissionControl.OutgoingReport out) {
         bytes += out.digest().write().remaining();
         if (random.nextDouble() >= loss) {
             ways.add(new Flying(
                     now + 1_000 + (long) (random.nextDouble() * delay),
                     order++,
                     Integer.parseInt(out.to().substring(1)),
-                    Digest.read(out.digest().write())));
+                    LoadReport.read(out.digest().write())));
         }
     }
 
--- a/shares/src/main/java/amberroute/shares/Rate.java
+++ b/quota/src/main/java/amberroute/quota/DecayingRate.java
@@ -1,12 +1,12 @@
-package amberroute.shares;
+package amberroute.quota;
 
 /** An exponentially averaged rate; times in microseconds. */
-public final class Rate {
+public final class DecayingRate {
     private final double span;
     private double sum;
     private long at;
 
-    public Rate(double span) {
+    public DecayingRate(double span) {
         this.span = span;
     }
 
--- a/shares/src/main/java/amberroute/shares/Lending.java
+++ b/quota/src/main/java/amberroute/quota/QuotaLending.java
@@ -1,4 +1,4 @@
-package amberroute.shares;
+package amberroute.quota;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,22 +6,22 @@
 import java.util.Map;
 
 /**
- * One daemon's {@link Share} of a limit with the asking for more: whom, how often and for how much. What is lent is rounded down as
+ * One daemon's {@link QuotaShare} of a limit with the asking for more: whom, how often and for how much. What is lent is rounded down as
  * it travels, so that what the lender counts as gone covers what the borrower uses. Times are microseconds.
  */
-public final class Lending {
+public final class QuotaLending {
     /** Peers that are asked at one moment. */
     private static final int ASKED_AT_ONCE = 4;
 
     /** A request to a peer. */
     public record Request(String peer, long number, float part) {}
 
-    private final Share share;
+    private final QuotaShare share;
     private final long pause;
     private final Map<String, Long> askedAt = new HashMap<>();
 
     /** One peer is not asked again before a pause is over. */
-    public Lending(Share share, long pause) {
+    public QuotaLending(QuotaShare share, long pause) {
         this.share = share;
         this.pause = pause;
     }
@@ -57,12 +57,13 @@
 
     /** A peer asks, while this daemon itself needs a part; returns what it is lent, 0 for nothing. */
     public float asked(long now, String peer, long number, float part, double need) {
-        return down(share.asked(now, peer, new Share.Ask(number, part), need).part());
+        return down(share.asked(now, peer, new QuotaShare.LoanRequest(number, part), need)
+                .part());
     }
 
     /** A peer's answer. */
     public void granted(long now, String peer, long number, float part) {
-        share.granted(now, peer, new Share.Grant(number, part));
+        share.granted(now, peer, new QuotaShare.LoanGrant(number, part));
     }
 
     private static float down(double part) {
--- a/shares/src/main/java/amberroute/shares/Share.java
+++ b/quota/src/main/java/amberroute/quota/QuotaShare.java
@@ -1,4 +1,4 @@
-package amberroute.shares;
+package amberroute.quota;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -15,17 +15,17 @@
  * of its own, so it uses nothing before {@link #quiet} is over. Times are microseconds on the daemon's own monotonic
  * clock; parts are shares of the whole, 0 to 1. At most {@value #MOST_PEERS} peers are dealt with.
  */
-public final class Share {
+public final class QuotaShare {
     /** A clock may be so much fast or slow. */
     public static final double DRIFT = 0.02;
 
     private static final int MOST_PEERS = 4_096;
 
     /** What a peer is asked for. The number is the asker's and grows with each request. */
-    public record Ask(long number, double part) {}
+    public record LoanRequest(long number, double part) {}
 
     /** What was lent, for the lease that both know from the settings; 0 is a no. */
-    public record Grant(long number, double part) {}
+    public record LoanGrant(long number, double part) {}
 
     private record Loan(double part, long until) {}
 
@@ -37,7 +37,7 @@
 
     private final Map<String, Long> lastAsked = new HashMap<>();
     private final Map<String, Loan> borrowed = new HashMap<>();
-    private final Map<String, Ask> asked = new HashMap<>();
+    private final Map<String, LoanRequest> asked = new HashMap<>();
     private final Map<String, Long> askedAt = new HashMap<>();
     private long numbers;
 
@@ -45,7 +45,7 @@
      * {@code number} is higher than any that an earlier process of this daemon used for its asks, wall time will do;
      * {@code daemons} is how many there are by the settings.
      */
-    public Share(long now, long number, int daemons, long lease, boolean restarted) {
+    public QuotaShare(long now, long number, int daemons, long lease, boolean restarted) {
         if (daemons < 1 || lease < 1_000) {
             throw new IllegalArgumentException("no daemons or no lease");
         }
@@ -92,11 +92,11 @@
     }
 
     /** Asks a peer for a part; the request may be sent again as it is, and replaces one that was not answered. */
-    public Ask ask(long now, String peer, double part) {
+    public LoanRequest ask(long now, String peer, double part) {
         if (!asked.containsKey(peer) && asked.size() >= MOST_PEERS) {
             throw new IllegalStateException("more than " + MOST_PEERS + " peers");
         }
-        Ask ask = new Ask(++numbers, part);
+        LoanRequest ask = new LoanRequest(++numbers, part);
         asked.put(peer, ask);
         askedAt.put(peer, now);
         return ask;
@@ -106,26 +106,26 @@
      * A peer asks; {@code need} is the part that this daemon wants for itself. An old or repeated request gets a no: its
      * first answer may be on the way, and nobody may get a loan twice.
      */
-    public Grant asked(long now, String peer, Ask ask, double need) {
+    public LoanGrant asked(long now, String peer, LoanRequest ask, double need) {
         boolean known = lastAsked.containsKey(peer);
         if (now < quietUntil
                 || known && ask.number() <= lastAsked.get(peer)
                 || !known && lastAsked.size() >= MOST_PEERS
                 || !(ask.part() > 0)) {
-            return new Grant(ask.number(), 0);
+            return new LoanGrant(ask.number(), 0);
         }
         lastAsked.put(peer, ask.number());
         double part = Math.min(ask.part(), own - lent(now) - Math.max(0, need));
         if (part <= 0) {
-            return new Grant(ask.number(), 0);
+            return new LoanGrant(ask.number(), 0);
         }
         lent.computeIfAbsent(peer, p -> new HashMap<>()).put(ask.number(), new Loan(part, now + lease));
-        return new Grant(ask.number(), part);
+        return new LoanGrant(ask.number(), part);
     }
 
     /** A peer's answer; it counts from when it was asked for, so one that was long on the way is worth little. */
-    public void granted(long now, String peer, Grant grant) {
-        Ask ask = asked.get(peer);
+    public void granted(long now, String peer, LoanGrant grant) {
+        LoanRequest ask = asked.get(peer);
         if (ask == null || ask.number() != grant.number() || !(grant.part() > 0) || grant.part() > ask.part()) {
             return;
         }
--- a/shares/src/main/java/amberroute/shares/ColdLimit.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimit.java
@@ -1,15 +1,15 @@
-package amberroute.shares;
+package amberroute.quota;
 
-import amberroute.membership.Beat;
-import amberroute.membership.Beat.Health;
-import amberroute.membership.Beat.News;
+import amberroute.membership.Heartbeat;
+import amberroute.membership.Heartbeat.Health;
+import amberroute.membership.Heartbeat.SlowStartUpdate;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
  * What this daemon may give one partner: nothing limits that while the partner is well; while it is out, cold, or nothing
- * is known of it, all daemons together have a limit, of which this one has its {@link Share}.
+ * is known of it, all daemons together have a limit, of which this one has its {@link QuotaShare}.
  *
  * <p><b>Whether there is a limit.</b> By what the decision module saw here, and by what peers tell: a partner that came
  * back to any of them is cold for all, as news of one trial serves everybody. A peer's word is passed over where this
@@ -24,7 +24,7 @@
  *
  * <p>Times are microseconds on the daemon's monotonic clock. At most {@value #MOST_PEERS} peers count.
  */
-public final class ColdLimit {
+public final class SlowStartLimit {
     /** Share of the permitted push that is used by what it did when warm: endpoints do not get even parts. */
     public static final double SAFETY = 0.85;
     /** The same by what it answers now, which averages over a while that is past. */
@@ -54,9 +54,9 @@
     public record Rules(double from, long span, double multiple, long window, double first) {}
 
     /** A request to a peer. */
-    public record Ask(String peer, Beat.Loan loan) {}
+    public record LoanRequest(String peer, Heartbeat.QuotaLoan loan) {}
 
-    private record Told(News news, long at) {
+    private record PeerReport(SlowStartUpdate news, long at) {
         long ago(int millis, long now) {
             return millis < 0 ? -1 : at - millis * 1_000L;
         }
@@ -64,10 +64,10 @@
 
     private final int destination;
     private final Rules rules;
-    private final Lending lending;
-    private final Rate served = new Rate(1e6);
-    private final Rate pace = new Rate(8e6);
-    private final Map<String, Told> told = new HashMap<>();
+    private final QuotaLending lending;
+    private final DecayingRate served = new DecayingRate(1e6);
+    private final DecayingRate pace = new DecayingRate(8e6);
+    private final Map<String, PeerReport> told = new HashMap<>();
     private final boolean[] answered = new boolean[SLOTS];
     private long slot = Long.MIN_VALUE;
     private Health mine = Health.NEW;
@@ -80,10 +80,10 @@
     private long smoothAt;
     private double waiting;
 
-    ColdLimit(int destination, Rules rules, Share share, long lease) {
+    SlowStartLimit(int destination, Rules rules, QuotaShare share, long lease) {
         this.destination = destination;
         this.rules = rules;
-        lending = new Lending(share, lease / 2);
+        lending = new QuotaLending(share, lease / 2);
     }
 
     // ---- What is seen here. ----
@@ -125,18 +125,18 @@
     // ---- What peers tell. ----
 
     /** True where a peer was just answered by a partner that is out for this daemon. */
-    boolean told(long now, String peer, News news) {
+    boolean told(long now, String peer, SlowStartUpdate news) {
         if (!told.containsKey(peer) && told.size() >= MOST_PEERS) {
             return false;
         }
-        Told before = told.put(peer, new Told(news, now));
+        PeerReport before = told.put(peer, new PeerReport(news, now));
         boolean well = news.health() == Health.WELL || news.health() == Health.COLD;
         boolean wasWell =
                 before != null && now - before.at() < FRESH && before.news().health() == news.health();
         return mine == Health.OUT && well && !wasWell && news.okAgo() >= 0 && now - news.okAgo() * 1_000L > outAt;
     }
 
-    private boolean fresh(long now, Told t) {
+    private boolean fresh(long now, PeerReport t) {
         return now - t.at() < FRESH;
     }
 
@@ -151,7 +151,7 @@
     /** Since when it is cold by peers' word, -1 where no word stands against what was seen here. */
     private long coldSince(long now) {
         long latest = -1;
-        for (Told t : told.values()) {
+        for (PeerReport t : told.values()) {
             long back = t.ago(t.news().backAgo(), now);
             if (fresh(now, t)
                     && t.news().health() == Health.COLD
@@ -232,7 +232,7 @@
     /** Answered a second now, here and at all peers that tell of it. */
     private double together(long now, boolean present) {
         double sum = (present ? served : pace).perSecond(now);
-        for (Told t : told.values()) {
+        for (PeerReport t : told.values()) {
             sum += fresh(now, t) ? t.news().served() : 0;
         }
         return sum;
@@ -241,7 +241,7 @@
     /** The most that was answered at one time, as far as anybody remembers; short peaks count for little. */
     double best(long now) {
         double told = 0;
-        for (Told t : this.told.values()) {
+        for (PeerReport t : this.told.values()) {
             told = fresh(now, t) ? Math.max(told, t.news().usual()) : told;
         }
         smooth += (together(now, false) - smooth) * -Math.expm1((smoothAt - now) / SMOOTH);
@@ -261,7 +261,7 @@
     }
 
     /** Requests to peers that are there and seem to have parts to spare. */
-    List<Ask> asks(long now, List<String> alive) {
+    List<LoanRequest> asks(long now, List<String> alive) {
         double missing = limited(now) ? need(now) - lending.ceiling(now) : 0;
         if (missing <= 0) {
             return List.of();
@@ -269,7 +269,7 @@
         double whole = whole(now);
         List<String> able = alive.stream()
                 .filter(peer -> {
-                    Told t = told.get(peer);
+                    PeerReport t = told.get(peer);
                     double use = t == null
                             ? 0
                             : (t.news().waiting() * 1e6 / HORIZON + t.news().served()) / whole;
@@ -277,27 +277,27 @@
                 })
                 .toList();
         return lending.asks(now, missing, able).stream()
-                .map(r -> new Ask(r.peer(), new Beat.Loan(false, destination, r.number(), r.part())))
+                .map(r -> new LoanRequest(r.peer(), new Heartbeat.QuotaLoan(false, destination, r.number(), r.part())))
                 .toList();
     }
 
     /** A peer asks: its answer. Who has no limit uses its part itself. */
-    Beat.Loan asked(long now, String peer, Beat.Loan loan) {
-        return new Beat.Loan(
+    Heartbeat.QuotaLoan asked(long now, String peer, Heartbeat.QuotaLoan loan) {
+        return new Heartbeat.QuotaLoan(
                 true, destination, loan.number(), lending.asked(now, peer, loan.number(), loan.part(), need(now)));
     }
 
-    void granted(long now, String peer, Beat.Loan loan) {
+    void granted(long now, String peer, Heartbeat.QuotaLoan loan) {
         lending.granted(now, peer, loan.number(), loan.part());
     }
 
     // ---- What is told. ----
 
-    News news(long now) {
+    SlowStartUpdate news(long now) {
         // An end of the cold span is noticed by looking.
         from(now);
         long since = mine == Health.COLD || mine == Health.WELL ? backAt : -1;
-        return new News(
+        return new SlowStartUpdate(
                 destination,
                 mine,
                 ago(now, outAt),
@@ -309,7 +309,7 @@
     }
 
     private static int ago(long now, long at) {
-        return at < 0 ? -1 : (int) Math.max(0, Math.min(Beat.LONGEST_AGE, (now - at) / 1_000));
+        return at < 0 ? -1 : (int) Math.max(0, Math.min(Heartbeat.LONGEST_AGE, (now - at) / 1_000));
     }
 
     Health health() {
--- a/shares/src/main/java/amberroute/shares/ColdLimits.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimits.java
@@ -1,8 +1,8 @@
-package amberroute.shares;
+package amberroute.quota;
 
-import amberroute.membership.Beat;
-import amberroute.membership.Beat.Health;
-import amberroute.membership.FleetView;
+import amberroute.membership.Heartbeat;
+import amberroute.membership.Heartbeat.Health;
+import amberroute.membership.MembershipView;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,38 +15,38 @@
  * The limits of all partners of one daemon: takes what is seen and told, and says what has changed. At most
  * {@value #MOST} partners are kept; further ones have no limit, as without this package.
  */
-public final class ColdLimits {
+public final class SlowStartLimits {
     static final int MOST = 1_024;
     /** A rate that changes by less is not worth telling. */
     private static final double STEP = 0.02;
 
     /** What daemons are told in the settings; times in microseconds. */
-    public record Fleet(int daemons, int index, long lease, ColdLimit.Rules rules) {}
+    public record FleetParameters(int daemons, int index, long lease, SlowStartLimit.Rules rules) {}
 
     /** What holds from now on: messages a second, what is saved up of the first one, whether it answered another daemon. */
-    public record Ceiling(int destination, double perSecond, double first, boolean back) {}
+    public record RateLimit(int destination, double perSecond, double first, boolean back) {}
 
-    private final Fleet fleet;
+    private final FleetParameters fleet;
     private final long numbers;
     private final long quietUntil;
-    private final Map<Integer, ColdLimit> limits = new LinkedHashMap<>();
+    private final Map<Integer, SlowStartLimit> limits = new LinkedHashMap<>();
     private final Map<Integer, Double> last = new HashMap<>();
     private int turn;
 
     /** {@code numbers} is higher than any that an earlier process used; wall time in microseconds will do. */
-    public ColdLimits(long now, Fleet fleet, long numbers) {
+    public SlowStartLimits(long now, FleetParameters fleet, long numbers) {
         this.fleet = fleet;
         this.numbers = numbers;
-        quietUntil = now + Share.quiet(fleet.lease());
+        quietUntil = now + QuotaShare.quiet(fleet.lease());
     }
 
-    private ColdLimit limit(long now, int destination) {
-        ColdLimit known = limits.get(destination);
+    private SlowStartLimit limit(long now, int destination) {
+        SlowStartLimit known = limits.get(destination);
         if (known == null && limits.size() < MOST) {
-            known = new ColdLimit(
+            known = new SlowStartLimit(
                     destination,
                     fleet.rules(),
-                    new Share(now, numbers, fleet.daemons(), fleet.lease(), now < quietUntil),
+                    new QuotaShare(now, numbers, fleet.daemons(), fleet.lease(), now < quietUntil),
                     fleet.lease());
             limits.put(destination, known);
         }
@@ -54,15 +54,15 @@
     }
 
     /** There is such a partner; its ceiling where that is news, else null. To be asked before anything is sent to it. */
-    public Ceiling known(long now, int destination) {
+    public RateLimit known(long now, int destination) {
         boolean fresh = !limits.containsKey(destination);
-        ColdLimit limit = limit(now, destination);
+        SlowStartLimit limit = limit(now, destination);
         return fresh && limit != null ? ceiling(now, destination, limit, false) : null;
     }
 
     /** A message was answered as done; true where others had better hear of it at once. */
     public boolean answered(long now, int destination) {
-        ColdLimit limit = limit(now, destination);
+        SlowStartLimit limit = limit(now, destination);
         if (limit == null) {
             return false;
         }
@@ -73,17 +73,17 @@
 
     /** What the decision module has found of a partner, since when. */
     public void found(long now, int destination, Health health, long since) {
-        ColdLimit limit = limit(now, destination);
+        SlowStartLimit limit = limit(now, destination);
         if (limit != null) {
             limit.found(now, health, since);
         }
     }
 
     /** A peer's news; returns the ceilings of partners that it was answered by and this daemon takes to be out. */
-    public List<Ceiling> told(long now, String peer, List<Beat.News> news) {
-        List<Ceiling> back = new ArrayList<>();
-        for (Beat.News n : news) {
-            ColdLimit limit = limit(now, n.destination());
+    public List<RateLimit> told(long now, String peer, List<Heartbeat.SlowStartUpdate> news) {
+        List<RateLimit> back = new ArrayList<>();
+        for (Heartbeat.SlowStartUpdate n : news) {
+            SlowStartLimit limit = limit(now, n.destination());
             if (limit != null && limit.told(now, peer, n)) {
                 back.add(ceiling(now, n.destination(), limit, true));
             }
@@ -92,10 +92,10 @@
     }
 
     /** Answers a peer's requests; grants that it gives are taken. */
-    public List<Beat.Loan> loans(long now, String peer, List<Beat.Loan> loans) {
-        List<Beat.Loan> answers = new ArrayList<>();
-        for (Beat.Loan loan : loans) {
-            ColdLimit limit = limits.get(loan.destination());
+    public List<Heartbeat.QuotaLoan> loans(long now, String peer, List<Heartbeat.QuotaLoan> loans) {
+        List<Heartbeat.QuotaLoan> answers = new ArrayList<>();
+        for (Heartbeat.QuotaLoan loan : loans) {
+            SlowStartLimit limit = limits.get(loan.destination());
             if (limit == null) {
                 continue;
             }
@@ -109,8 +109,8 @@
     }
 
     /** To be called often: the ceilings that have changed. {@code waiting} tells what is held for a partner. */
-    public List<Ceiling> tick(long now, IntToDoubleFunction waiting) {
-        List<Ceiling> changed = new ArrayList<>();
+    public List<RateLimit> tick(long now, IntToDoubleFunction waiting) {
+        List<RateLimit> changed = new ArrayList<>();
         limits.forEach((destination, limit) -> {
             limit.waiting(waiting.applyAsDouble(destination));
             limit.best(now);
@@ -124,24 +124,24 @@
         return changed;
     }
 
-    private Ceiling ceiling(long now, int destination, ColdLimit limit, boolean back) {
+    private RateLimit ceiling(long now, int destination, SlowStartLimit limit, boolean back) {
         double rate = limit.perSecond(now);
         last.put(destination, rate);
         // Daemons that begin together begin one after another.
-        return new Ceiling(destination, rate, (double) fleet.index() / fleet.daemons(), back);
+        return new RateLimit(destination, rate, (double) fleet.index() / fleet.daemons(), back);
     }
 
     /** Requests for more of what is limited, by peer. */
-    public Map<String, List<Beat.Loan>> asks(long now, FleetView view) {
+    public Map<String, List<Heartbeat.QuotaLoan>> asks(long now, MembershipView view) {
         List<String> alive = view.members(now).stream()
-                .filter(FleetView.Member::alive)
-                .map(FleetView.Member::name)
+                .filter(MembershipView.Member::alive)
+                .map(MembershipView.Member::name)
                 .toList();
-        Map<String, List<Beat.Loan>> out = new LinkedHashMap<>();
+        Map<String, List<Heartbeat.QuotaLoan>> out = new LinkedHashMap<>();
         limits.forEach((destination, limit) -> {
-            for (ColdLimit.Ask ask : limit.asks(now, alive)) {
-                List<Beat.Loan> to = out.computeIfAbsent(ask.peer(), p -> new ArrayList<>());
-                if (to.size() < Beat.MOST_LOANS) {
+            for (SlowStartLimit.LoanRequest ask : limit.asks(now, alive)) {
+                List<Heartbeat.QuotaLoan> to = out.computeIfAbsent(ask.peer(), p -> new ArrayList<>());
+                if (to.size() < Heartbeat.MOST_LOANS) {
                     to.add(ask.loan());
                 }
             }
@@ -150,18 +150,18 @@
     }
 
     /** What to tell: partners in trouble first, then by turns. */
-    public List<Beat.News> news(long now) {
-        List<Map.Entry<Integer, ColdLimit>> all = new ArrayList<>(limits.entrySet());
-        if (all.size() > Beat.MOST_NEWS) {
-            int from = turn = (turn + Beat.MOST_NEWS / 2) % all.size();
-            List<Map.Entry<Integer, ColdLimit>> turned = new ArrayList<>(all.subList(from, all.size()));
+    public List<Heartbeat.SlowStartUpdate> news(long now) {
+        List<Map.Entry<Integer, SlowStartLimit>> all = new ArrayList<>(limits.entrySet());
+        if (all.size() > Heartbeat.MOST_NEWS) {
+            int from = turn = (turn + Heartbeat.MOST_NEWS / 2) % all.size();
+            List<Map.Entry<Integer, SlowStartLimit>> turned = new ArrayList<>(all.subList(from, all.size()));
             turned.addAll(all.subList(0, from));
             all = turned;
             all.sort(Comparator.comparing(
                     e -> e.getValue().health() == Health.OUT || e.getValue().health() == Health.COLD ? 0 : 1));
         }
         return all.stream()
-                .limit(Beat.MOST_NEWS)
+                .limit(Heartbeat.MOST_NEWS)
                 .map(e -> e.getValue().news(now))
                 .toList();
     }
--- a/shares/src/test/java/amberroute/shares/ShareTest.java
+++ b/quota/src/test/java/amberroute/quota/QuotaShareTest.java
@@ -1,10 +1,10 @@
-package amberroute.shares;
+package amberroute.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.shares.Share.Ask;
-import amberroute.shares.Share.Grant;
+import amberroute.quota.QuotaShare.LoanGrant;
+import amberroute.quota.QuotaShare.LoanRequest;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ShareTest {
+class QuotaShareTest {
     private static final long LEASE = 1_000_000;
 
-    private static Share fresh(int daemons) {
-        return new Share(0, 0, daemons, LEASE, false);
+    private static QuotaShare fresh(int daemons) {
+        return new QuotaShare(0, 0, daemons, LEASE, false);
     }
 
     @Test
@@ -26,25 +26,25 @@
 
     @Test
     void lendsAndGetsBackByTime() {
-        Share lender = fresh(4);
-        Share borrower = fresh(4);
-        Ask ask = borrower.ask(0, "lender", 0.2);
-        Grant grant = lender.asked(100, "borrower", ask, 0.1);
+        QuotaShare lender = fresh(4);
+        QuotaShare borrower = fresh(4);
+        LoanRequest ask = borrower.ask(0, "lender", 0.2);
+        LoanGrant grant = lender.asked(100, "borrower", ask, 0.1);
         assertEquals(0.15, grant.part(), 1e-12);
         borrower.granted(200, "lender", grant);
         assertEquals(0.4, borrower.ceiling(200), 1e-12);
         assertEquals(0.1, lender.ceiling(200), 1e-12);
-        assertEquals(0.25, borrower.ceiling(Share.usable(LEASE)), 1e-12);
+        assertEquals(0.25, borrower.ceiling(QuotaShare.usable(LEASE)), 1e-12);
         assertEquals(0.1, lender.ceiling(LEASE), 1e-12);
         assertEquals(0.25, lender.ceiling(100 + LEASE), 1e-12);
     }
 
     @Test
     void aRepeatedRequestGetsNothingMore() {
-        Share lender = fresh(2);
-        Share borrower = fresh(2);
-        Ask ask = borrower.ask(0, "lender", 0.2);
-        Grant first = lender.asked(0, "borrower", ask, 0);
+        QuotaShare lender = fresh(2);
+        QuotaShare borrower = fresh(2);
+        LoanRequest ask = borrower.ask(0, "lender", 0.2);
+        LoanGrant first = lender.asked(0, "borrower", ask, 0);
         assertEquals(0, lender.asked(10, "borrower", ask, 0).part());
         borrower.granted(10, "lender", first);
         borrower.granted(20, "lender", first);
@@ -54,31 +54,32 @@
 
     @Test
     void anAnswerThatCameTooLateIsWorthNothing() {
-        Share borrower = fresh(2);
-        Ask ask = borrower.ask(0, "lender", 0.2);
-        borrower.granted(LEASE, "lender", new Grant(ask.number(), 0.2));
+        QuotaShare borrower = fresh(2);
+        LoanRequest ask = borrower.ask(0, "lender", 0.2);
+        borrower.granted(LEASE, "lender", new LoanGrant(ask.number(), 0.2));
         assertEquals(0.5, borrower.ceiling(LEASE), 1e-12);
     }
 
     @Test
     void whoRestartsWaitsUntilItsLoansAreOver() {
-        Share again = new Share(0, 5, 2, LEASE, true);
-        assertEquals(0, again.ceiling(Share.quiet(LEASE) - 1), 1e-12);
-        assertEquals(0, again.asked(0, "peer", new Ask(1, 0.1), 0).part());
-        assertEquals(0.5, again.ceiling(Share.quiet(LEASE)), 1e-12);
+        QuotaShare again = new QuotaShare(0, 5, 2, LEASE, true);
+        assertEquals(0, again.ceiling(QuotaShare.quiet(LEASE) - 1), 1e-12);
+        assertEquals(0, again.asked(0, "peer", new LoanRequest(1, 0.1), 0).part());
+        assertEquals(0.5, again.ceiling(QuotaShare.quiet(LEASE)), 1e-12);
     }
 
     @Test
     void takesNoPartThatWasNotAskedFor() {
-        Share borrower = fresh(2);
-        Ask ask = borrower.ask(0, "lender", 0.2);
+        QuotaShare borrower = fresh(2);
+        LoanRequest ask = borrower.ask(0, "lender", 0.2);
         for (double part : new double[] {-1, 0.3, Double.NaN, Double.POSITIVE_INFINITY}) {
-            borrower.granted(1, "lender", new Grant(ask.number(), part));
+            borrower.granted(1, "lender", new LoanGrant(ask.number(), part));
         }
-        borrower.granted(1, "other", new Grant(ask.number(), 0.2));
+        borrower.granted(1, "other", new LoanGrant(ask.number(), 0.2));
         assertEquals(0.5, borrower.ceiling(1), 1e-12);
-        assertEquals(0, fresh(2).asked(0, "p", new Ask(1, Double.NaN), 0).part());
-        assertEquals(0, fresh(2).asked(0, "p", new Ask(1, -1), 0).part());
+        assertEquals(
+                0, fresh(2).asked(0, "p", new LoanRequest(1, Double.NaN), 0).part());
+        assertEquals(0, fresh(2).asked(0, "p", new LoanRequest(1, -1), 0).part());
     }
 
     /** One daemon of a simulated fleet, with a clock of its own rate. */
@@ -86,14 +87,14 @@
         final String name;
         final double rate;
         final long offset;
-        Share share;
+        QuotaShare share;
         boolean alive = true;
 
         Node(String name, double rate, long offset, int daemons) {
             this.name = name;
             this.rate = rate;
             this.offset = offset;
-            share = new Share(clock(0), 0, daemons, LEASE, false);
+            share = new QuotaShare(clock(0), 0, daemons, LEASE, false);
         }
 
         long clock(long real) {
@@ -123,8 +124,8 @@
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < daemons; i++) {
             double rate = i == 0
-                    ? 1 + Share.DRIFT
-                    : i == 1 ? 1 - Share.DRIFT : 1 + Share.DRIFT * (2 * random.nextDouble() - 1);
+                    ? 1 + QuotaShare.DRIFT
+                    : i == 1 ? 1 - QuotaShare.DRIFT : 1 + QuotaShare.DRIFT * (2 * random.nextDouble() - 1);
             nodes.add(new Node("d" + i, rate, random.nextInt(1_000_000), daemons));
         }
         List<Mail> mails = new ArrayList<>();
@@ -145,7 +146,7 @@
                 }
                 Node peer = nodes.get(random.nextInt(daemons));
                 if (peer != node) {
-                    Ask ask = node.share.ask(node.clock(now), peer.name, random.nextDouble() / daemons);
+                    LoanRequest ask = node.share.ask(node.clock(now), peer.name, random.nextDouble() / daemons);
                     post(
                             random,
                             mails,
@@ -160,7 +161,7 @@
                 Node node = nodes.get(random.nextInt(daemons));
                 node.alive = !node.alive;
                 if (node.alive) {
-                    node.share = new Share(node.clock(now), now, daemons, LEASE, true);
+                    node.share = new QuotaShare(node.clock(now), now, daemons, LEASE, true);
                 }
             }
             double sum = 0;
@@ -176,10 +177,10 @@
 
     private static void deliver(Random random, List<Mail> mails, long now, Mail mail) {
         Node to = mail.to();
-        if (mail.content() instanceof Ask ask) {
-            Grant grant = to.share.asked(to.clock(now), mail.from().name, ask, 0.2 * random.nextDouble() / 40);
+        if (mail.content() instanceof LoanRequest ask) {
+            LoanGrant grant = to.share.asked(to.clock(now), mail.from().name, ask, 0.2 * random.nextDouble() / 40);
             post(random, mails, now, to, mail.from(), grant, false);
-        } else if (mail.content() instanceof Grant grant) {
+        } else if (mail.content() instanceof LoanGrant grant) {
             to.share.granted(to.clock(now), mail.from().name, grant);
         }
     }
--- a/shares/src/test/java/amberroute/shares/ColdFleetTest.java
+++ b/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
@@ -1,12 +1,12 @@
-package amberroute.shares;
+package amberroute.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.membership.Beat;
-import amberroute.membership.Beat.Health;
-import amberroute.membership.FleetView;
-import amberroute.membership.Heartbeats;
+import amberroute.membership.Heartbeat;
+import amberroute.membership.Heartbeat.Health;
+import amberroute.membership.HeartbeatMonitor;
+import amberroute.membership.MembershipView;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -23,8 +23,8 @@
  * daemons die, clocks differ. What is counted is the largest load that the partner had over any window of the rule, as a
  * share of what brings it down.
  */
-class ColdFleetTest {
-    private static final ColdLimit.Rules RULES = new ColdLimit.Rules(0.15, 14_000_000, 2.5, 1_500_000, 20);
+class SlowStartFleetTest {
+    private static final SlowStartLimit.Rules RULES = new SlowStartLimit.Rules(0.15, 14_000_000, 2.5, 1_500_000, 20);
     private static final long LEASE = 500_000;
     private static final long STEP = 2_000;
     private static final int PARTNER = 7;
@@ -75,7 +75,7 @@
         }
     }
 
-    private record Packet(long at, long order, int to, Beat beat) {}
+    private record Packet(long at, long order, int to, Heartbeat beat) {}
 
     /** How a run is disturbed. */
     private record Trouble(double loss, long delay, boolean split, boolean ceilings, double fastest, int dying) {
@@ -89,8 +89,8 @@
         final String name;
         final double rate;
         final long offset;
-        ColdLimits limits;
-        Heartbeats beats;
+        SlowStartLimits limits;
+        HeartbeatMonitor beats;
         double ceiling = Double.POSITIVE_INFINITY;
         double saved;
         long savedAt;
@@ -130,10 +130,10 @@
         for (int i = 0; i < daemons; i++) {
             Daemon d = new Daemon(i, 1 + (trouble.fastest() - 1) * random.nextDouble(), 1_000_000_000L * (i + 1));
             long now = d.clock(0);
-            d.limits = new ColdLimits(now, new ColdLimits.Fleet(daemons, i, LEASE, RULES), 1);
+            d.limits = new SlowStartLimits(now, new SlowStartLimits.FleetParameters(daemons, i, LEASE, RULES), 1);
             List<String> peers = new ArrayList<>(names);
             peers.remove(d.name);
-            d.beats = new Heartbeats(peers, 1);
+            d.beats = new HeartbeatMonitor(peers, 1);
             d.backlog = backlog / daemons;
             if (!fresh) {
                 // It has seen the outage, and what the partner did before.
@@ -145,7 +145,7 @@
         }
     }
 
-    private void set(Daemon d, long now, ColdLimits.Ceiling c) {
+    private void set(Daemon d, long now, SlowStartLimits.RateLimit c) {
         if (c == null) {
             return;
         }
@@ -163,17 +163,20 @@
         d.savedAt = now;
     }
 
-    private void send(long at, Daemon from, int to, Beat beat) {
+    private void send(long at, Daemon from, int to, Heartbeat beat) {
         boolean apart = trouble.split() && from.index % 2 != to % 2;
         int copies = random.nextDouble() < trouble.loss() || apart ? 0 : random.nextDouble() < trouble.loss() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             wire.add(new Packet(
-                    at + 200 + random.nextLong(Math.max(1, trouble.delay())), order++, to, Beat.read(beat.write())));
+                    at + 200 + random.nextLong(Math.max(1, trouble.delay())),
+                    order++,
+                    to,
+                    Heartbeat.read(beat.write())));
         }
     }
 
     private void tell(long at, Daemon d) {
-        Beat beat = d.beats.next(d.clock(at), d.name, FleetView.Phase.READY, d.limits.news(d.clock(at)));
+        Heartbeat beat = d.beats.next(d.clock(at), d.name, MembershipView.Phase.READY, d.limits.news(d.clock(at)));
         for (Daemon other : fleet) {
             if (other != d) {
                 send(at, d, other.index, beat);
@@ -215,14 +218,14 @@
             return;
         }
         d.limits.told(now, packet.beat().from(), packet.beat().news()).forEach(c -> set(d, now, c));
-        List<Beat.Loan> answers =
+        List<Heartbeat.QuotaLoan> answers =
                 d.limits.loans(now, packet.beat().from(), packet.beat().loans());
         if (!answers.isEmpty()) {
             send(
                     at,
                     d,
                     Integer.parseInt(packet.beat().from().substring(1)),
-                    d.beats.next(d.name, FleetView.Phase.READY, answers));
+                    d.beats.next(d.name, MembershipView.Phase.READY, answers));
         }
     }
 
@@ -236,7 +239,7 @@
                             at,
                             d,
                             Integer.parseInt(peer.substring(1)),
-                            d.beats.next(d.name, FleetView.Phase.READY, loans)));
+                            d.beats.next(d.name, MembershipView.Phase.READY, loans)));
         }
         if (d.beats.due(now)) {
             tell(at, d);
@@ -332,43 +335,44 @@
         assertTrue(with > 2 * partner.answered, with + " with lending, " + partner.answered + " without");
     }
 
-    private static Beat.News well(int okAgo) {
-        return new Beat.News(PARTNER, Health.WELL, -1, -1, okAgo, 100, 100, 0);
+    private static Heartbeat.SlowStartUpdate well(int okAgo) {
+        return new Heartbeat.SlowStartUpdate(PARTNER, Health.WELL, -1, -1, okAgo, 100, 100, 0);
     }
 
-    private static ColdLimit limit(int daemons) {
-        return new ColdLimit(PARTNER, RULES, new Share(0, 1, daemons, LEASE, false), LEASE);
+    private static SlowStartLimit limit(int daemons) {
+        return new SlowStartLimit(PARTNER, RULES, new QuotaShare(0, 1, daemons, LEASE, false), LEASE);
     }
 
     @Test
     void aPartnerThatIsWellForAPeerIsWellForOneThatHasJustStarted() {
-        ColdLimit limit = limit(10);
+        SlowStartLimit limit = limit(10);
         assertTrue(limit.limited(1_000));
         limit.told(2_000, "b", well(100));
         assertTrue(Double.isInfinite(limit.perSecond(3_000)));
         limit.answered(4_000);
         assertEquals(Health.WELL, limit.health());
         // A word that is old or of an answer long ago says nothing.
-        ColdLimit other = limit(10);
+        SlowStartLimit other = limit(10);
         other.told(2_000, "b", well(6_000));
         assertTrue(other.limited(3_000));
         other.told(3_000, "b", well(100));
-        assertTrue(other.limited(3_000 + ColdLimit.FRESH));
+        assertTrue(other.limited(3_000 + SlowStartLimit.FRESH));
     }
 
     /** An outage that only a peer has seen, while this daemon was answered all along, is that peer's own. */
     @Test
     void aPeersOwnTroubleSlowsNobodyElse() {
-        ColdLimit limit = limit(10);
+        SlowStartLimit limit = limit(10);
         limit.told(0, "c", well(100));
         for (long now = 0; now < 20_000_000; now += 50_000) {
             limit.answered(now);
         }
-        Beat.News claims = new Beat.News(PARTNER, Health.COLD, 8_000, 500, 100, 5, 100, 0);
+        Heartbeat.SlowStartUpdate claims =
+                new Heartbeat.SlowStartUpdate(PARTNER, Health.COLD, 8_000, 500, 100, 5, 100, 0);
         limit.told(20_000_000, "b", claims);
         assertTrue(Double.isInfinite(limit.perSecond(20_000_000)));
         // One that was answered by nobody here meanwhile is believed.
-        ColdLimit silent = limit(10);
+        SlowStartLimit silent = limit(10);
         silent.told(0, "c", well(100));
         for (long now = 0; now < 11_000_000; now += 50_000) {
             silent.answered(now);
@@ -379,12 +383,12 @@
 
     @Test
     void theNewsOfAReturnIsPassedOnOnce() {
-        ColdLimit limit = limit(10);
+        SlowStartLimit limit = limit(10);
         limit.told(0, "c", well(100));
         limit.answered(1_000);
         limit.found(2_000_000, Health.OUT, 2_000_000);
         assertTrue(!limit.told(2_100_000, "b", well(3_000)), "its answer is older than the outage");
-        Beat.News back = new Beat.News(PARTNER, Health.COLD, 4_000, 10, 10, 5, 100, 0);
+        Heartbeat.SlowStartUpdate back = new Heartbeat.SlowStartUpdate(PARTNER, Health.COLD, 4_000, 10, 10, 5, 100, 0);
         assertTrue(limit.told(8_000_000, "b", back));
         assertTrue(!limit.told(8_200_000, "b", back));
         assertTrue(limit.limited(8_200_000));
@@ -393,7 +397,7 @@
     /** The cold span over, nothing is limited any more, and what is told of it is the same. */
     @Test
     void aLimitEndsWithTheColdSpan() {
-        ColdLimit limit = limit(4);
+        SlowStartLimit limit = limit(4);
         limit.found(1_000_000, Health.OUT, 1_000_000);
         limit.found(5_000_000, Health.COLD, 5_000_000);
         double before = 0;
--- a/survival/src/main/java/amberroute/survival/Claim.java
+++ b/replication/src/main/java/amberroute/replication/Candidacy.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -7,16 +7,16 @@
  * One attempt to become the owner of an estate for a term. Whoever claims has granted the term to itself, on disk, before
  * it asks others. It wins with a majority of the group that its own copy names.
  */
-public final class Claim {
+public final class Candidacy {
     private final String self;
-    private final Group group;
-    private final Holding holding;
+    private final ReplicaSet group;
+    private final ReplicaState holding;
     private final Set<String> granted = new HashSet<>();
     private final Set<String> refused = new HashSet<>();
     private long highest;
 
     /** {@code holding} is the claimant's own, with the term that it claims granted to itself. */
-    public Claim(String self, Group group, Holding holding) {
+    public Candidacy(String self, ReplicaSet group, ReplicaState holding) {
         if (!holding.granted(holding.term(), self)) {
             throw new IllegalArgumentException("a term that was not granted by its claimant");
         }
@@ -32,11 +32,11 @@
     }
 
     /** How far the claimant's own copy reaches. */
-    public Position copy() {
+    public LogPosition copy() {
         return holding.copy();
     }
 
-    public Group group() {
+    public ReplicaSet group() {
         return group;
     }
 
--- a/survival/src/main/java/amberroute/survival/Steps.java
+++ b/replication/src/main/java/amberroute/replication/ElectionSchedule.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,20 +7,20 @@
 import java.util.function.UnaryOperator;
 
 /** When to try for an estate, and who is to hold one. None of it matters for safety: a wrong answer costs time or work. */
-public final class Steps {
+public final class ElectionSchedule {
     /**
      * What a holder sees of an estate's owner: whether that is itself (its process was restarted), whether membership takes
      * it for gone, and how long nothing was heard of the estate.
      */
-    public record Seen(boolean self, boolean gone, long silent) {}
+    public record OwnerObservation(boolean self, boolean gone, long silent) {}
 
-    private Steps() {}
+    private ElectionSchedule() {}
 
     /**
      * Whether to ask the group for the next term. {@code quiet} is how long nothing has to be heard of the estate from an owner that
      * is taken for gone, {@code longer} from one that is not: a process that lost its folder is there and owns nothing.
      */
-    public static boolean shouldTry(Seen seen, long quiet, long longer) {
+    public static boolean shouldTry(OwnerObservation seen, long quiet, long longer) {
         return seen.self() || seen.gone() && seen.silent() >= quiet || seen.silent() >= longer;
     }
 
--- a/survival/src/main/java/amberroute/survival/Tenure.java
+++ b/replication/src/main/java/amberroute/replication/LeaderTerm.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import java.util.HashMap;
 import java.util.List;
@@ -11,19 +11,19 @@
  * <p>Of earlier terms nothing counts by itself: a holder is counted for what it has of this one, which begins with the
  * whole. Changes of the group are changes like others; the next one waits until the last is agreed on.
  */
-public final class Tenure {
+public final class LeaderTerm {
     private final String self;
     private final long term;
     /** Up to where each holder has it in this term; those without the whole are not there. */
     private final Map<String, Long> has = new HashMap<>();
 
-    private Group group;
+    private ReplicaSet group;
     private long groupAt;
     private long last;
     private boolean over;
 
     /** {@code last} is the number of the owner's last change so far; the group is the one that its copy names. */
-    public Tenure(String self, long term, long last, Group group) {
+    public LeaderTerm(String self, long term, long last, ReplicaSet group) {
         this.self = self;
         this.term = term;
         this.last = last;
@@ -35,7 +35,7 @@
         return term;
     }
 
-    public Group group() {
+    public ReplicaSet group() {
         return group;
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** The change that was written last is one of the group, which counts from then on. */
-    public void regrouped(Group next) {
+    public void regrouped(ReplicaSet next) {
         if (!settled()) {
             throw new IllegalStateException("the last change of the group is not agreed on");
         }
--- a/survival/src/main/java/amberroute/survival/Group.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSet.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -9,11 +9,11 @@
  * or takes one away, never both: then any majority of before and any of after have somebody in common, so two groups can
  * never decide apart.
  */
-public record Group(long version, List<String> holders) {
+public record ReplicaSet(long version, List<String> holders) {
     /** More would make each message slower and the fleet no safer against what happens to it. */
     public static final int MOST = 7;
 
-    public Group {
+    public ReplicaSet {
         holders = List.copyOf(holders);
         if (holders.size() > MOST || holders.stream().distinct().count() != holders.size()) {
             throw new IllegalArgumentException("no group: " + holders);
@@ -26,15 +26,15 @@
     }
 
     /** The next version with one more. */
-    public Group with(String name) {
+    public ReplicaSet with(String name) {
         List<String> more = new ArrayList<>(holders);
         more.add(name);
-        return new Group(version + 1, more);
+        return new ReplicaSet(version + 1, more);
     }
 
     /** The next version without one. */
-    public Group without(String name) {
-        return new Group(
+    public ReplicaSet without(String name) {
+        return new ReplicaSet(
                 version + 1, holders.stream().filter(h -> !h.equals(name)).toList());
     }
 }
--- a/survival/src/main/java/amberroute/survival/Regrouping.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import java.util.HashMap;
 import java.util.List;
@@ -11,7 +11,7 @@
  * once another has taken its place, and whoever is to join is brought up to date first. One step at a time; whoever carries
  * it out asks again when it is agreed on. Times are nanoseconds on the caller's clock.
  */
-public final class Regrouping {
+public final class ReplicaSetChange {
     /** What to do with somebody; NONE names nobody. */
     public enum Kind {
         NONE,
@@ -42,14 +42,14 @@
     private String learner = "";
 
     /** A group of so many; a holder that is gone for longer than {@code patience} is replaced. */
-    public Regrouping(String self, int size, long patience) {
+    public ReplicaSetChange(String self, int size, long patience) {
         this.self = self;
         this.size = size;
         this.patience = patience;
     }
 
     /** The next step for a group that has settled. */
-    public Step next(long now, Group group, View view) {
+    public Step next(long now, ReplicaSet group, View view) {
         List<String> others =
                 group.holders().stream().filter(h -> !h.equals(self)).toList();
         awaySince.keySet().retainAll(others);
@@ -81,7 +81,7 @@
             List<String> free = view.alive().stream()
                     .filter(n -> !group.holders().contains(n))
                     .toList();
-            List<String> next = Steps.holders(self, view.zones().apply(self), 2, free, view.zones());
+            List<String> next = ElectionSchedule.holders(self, view.zones().apply(self), 2, free, view.zones());
             if (next.size() < 2) {
                 return Step.NONE;
             }
--- a/survival/src/main/java/amberroute/survival/Holding.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaState.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 /**
  * What one holder has of one estate: the highest term that it has granted or taken copies of, to whom that belongs, and how
@@ -12,20 +12,20 @@
  * {@link #LEARNS} for one that has met a group without it: the next one with it makes it count. An owner whose term is over cannot
  * bring that about, as each change of the group takes a majority that does not count this one.
  */
-public record Holding(long term, String owner, Position copy, int fresh) {
+public record ReplicaState(long term, String owner, LogPosition copy, int fresh) {
     public static final int LEARNS = 1;
     public static final int NAMED = 2;
     /** Of one that never heard of the estate. */
-    public static final Holding NONE = new Holding(0, "", Position.NONE, 0);
+    public static final ReplicaState NONE = new ReplicaState(0, "", LogPosition.NONE, 0);
 
     /** Of one that has kept its promises. */
-    public Holding(long term, String owner, Position copy) {
+    public ReplicaState(long term, String owner, LogPosition copy) {
         this(term, owner, copy, 0);
     }
 
     /** The same with a copy that reaches as far as this one's file says. */
-    public Holding reaching(Position at) {
-        return new Holding(term, owner, at, fresh);
+    public ReplicaState reaching(LogPosition at) {
+        return new ReplicaState(term, owner, at, fresh);
     }
 
     /** Whether what it has and grants counts. */
@@ -37,10 +37,10 @@
      * Told by its owner that it had all up to a number in this term. Where it has not, its folder is an old one that was put
      * back: what it promised since is gone, as with one that comes without any.
      */
-    public Holding reminded(long said, String by, long had) {
-        return over(said, by) || copy.compareTo(new Position(said, had)) >= 0 || had <= 0
+    public ReplicaState reminded(long said, String by, long had) {
+        return over(said, by) || copy.compareTo(new LogPosition(said, had)) >= 0 || had <= 0
                 ? this
-                : new Holding(said, by, Position.NONE, NAMED);
+                : new ReplicaState(said, by, LogPosition.NONE, NAMED);
     }
 
     /**
@@ -48,11 +48,11 @@
      * what has to be on disk before the yes. The same asker may ask again. Whoever never heard of the estate grants only its
      * very beginning, when there is nothing to know.
      */
-    public Holding asked(long asked, String candidate, Position theirs) {
-        if (!counts() || term == 0 && !theirs.equals(Position.NONE)) {
+    public ReplicaState asked(long asked, String candidate, LogPosition theirs) {
+        if (!counts() || term == 0 && !theirs.equals(LogPosition.NONE)) {
             return this;
         }
-        return asked > term && theirs.compareTo(copy) >= 0 ? new Holding(asked, candidate, copy) : this;
+        return asked > term && theirs.compareTo(copy) >= 0 ? new ReplicaState(asked, candidate, copy) : this;
     }
 
     /** Whether it has granted this term to this one. */
@@ -66,34 +66,34 @@
     }
 
     /** Another owns a term that is not over here: from now on nothing of an older one is taken. */
-    public Holding heard(long said, String by) {
-        return over(said, by) || term == 0 ? this : new Holding(said, by, copy, fresh);
+    public ReplicaState heard(long said, String by) {
+        return over(said, by) || term == 0 ? this : new ReplicaState(said, by, copy, fresh);
     }
 
     /**
      * Changes that follow one another from {@code behind} on, in a term that is not over here. Where its copy does not end
      * right there the result is this very holding: it needs the whole.
      */
-    public Holding copied(long said, String by, long behind, long upTo) {
-        return over(said, by) || !copy.equals(new Position(said, behind)) || upTo < behind
+    public ReplicaState copied(long said, String by, long behind, long upTo) {
+        return over(said, by) || !copy.equals(new LogPosition(said, behind)) || upTo < behind
                 ? this
-                : new Holding(said, by, new Position(said, upTo), fresh);
+                : new ReplicaState(said, by, new LogPosition(said, upTo), fresh);
     }
 
     /**
      * All of the estate as it stands at a number: takes the place of any copy of an earlier term, or a shorter one.
      * {@code named} is whether the group names this holder.
      */
-    public Holding whole(long said, String by, long at, boolean named) {
-        Position next = new Position(said, at);
+    public ReplicaState whole(long said, String by, long at, boolean named) {
+        LogPosition next = new LogPosition(said, at);
         return over(said, by) || next.compareTo(copy) < 0
                 ? this
-                : new Holding(said, by, next, term > 0 ? fresh : named ? NAMED : LEARNS);
+                : new ReplicaState(said, by, next, term > 0 ? fresh : named ? NAMED : LEARNS);
     }
 
     /** The group of the copy that it has now names this holder, or does not. */
-    public Holding named(boolean named) {
+    public ReplicaState named(boolean named) {
         int next = named ? (fresh == LEARNS ? 0 : fresh) : fresh == NAMED ? LEARNS : fresh;
-        return next == fresh ? this : new Holding(term, owner, copy, next);
+        return next == fresh ? this : new ReplicaState(term, owner, copy, next);
     }
 }
--- a/survival/src/main/java/amberroute/survival/package-info.java
+++ b/replication/src/main/java/amberroute/replication/package-info.java
@@ -3,7 +3,7 @@
  * group of holders, terms of ownership that a majority grants, and the claim to the next one. {@code docs/survival.md} has
  * the invariant and its proof.
  *
- * <p>It does no I/O and has no clock: whoever hosts it has each {@link amberroute.survival.Holding} on disk before the
+ * <p>It does no I/O and has no clock: whoever hosts it has each {@link amberroute.survival.ReplicaState} on disk before the
  * answer that follows from it leaves. It knows neither journal nor sockets nor the sender.
  */
-package amberroute.survival;
+package amberroute.replication;
--- a/survival/src/test/java/amberroute/survival/StepsTest.java
+++ b/replication/src/test/java/amberroute/replication/ElectionScheduleTest.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When to try, who is to hold, and how holders are counted. */
-class StepsTest {
+class ElectionScheduleTest {
     @Test
     void holdersStandInDifferentZonesAndEachHoldsForAboutAsMany() {
         List<String> names = new ArrayList<>();
@@ -22,9 +22,10 @@
         }
         Map<String, Integer> holds = new HashMap<>();
         for (String name : names) {
-            List<String> group = Steps.holders(name, zone(name), 3, names, StepsTest::zone);
+            List<String> group = ElectionSchedule.holders(name, zone(name), 3, names, ElectionScheduleTest::zone);
             assertEquals(name, group.get(0));
-            assertEquals(3, group.stream().map(StepsTest::zone).distinct().count(), group.toString());
+            assertEquals(
+                    3, group.stream().map(ElectionScheduleTest::zone).distinct().count(), group.toString());
             group.forEach(h -> holds.merge(h, 1, Integer::sum));
         }
         assertTrue(holds.values().stream().allMatch(n -> n >= 2 && n <= 4), holds.toString());
@@ -36,22 +37,22 @@
 
     @Test
     void withFewZonesOrFewPeersAsManyAsThereAre() {
-        assertEquals(List.of("b", "c", "a"), Steps.holders("b", "", 3, List.of("a", "b", "c"), n -> ""));
-        assertEquals(List.of("b", "c"), Steps.holders("b", "", 3, List.of("c"), n -> ""));
+        assertEquals(List.of("b", "c", "a"), ElectionSchedule.holders("b", "", 3, List.of("a", "b", "c"), n -> ""));
+        assertEquals(List.of("b", "c"), ElectionSchedule.holders("b", "", 3, List.of("c"), n -> ""));
     }
 
     @Test
     void anOwnerThatIsHeardIsLeftAlone() {
-        assertFalse(Steps.shouldTry(new Steps.Seen(false, true, 5), 6, 12));
-        assertTrue(Steps.shouldTry(new Steps.Seen(false, true, 6), 6, 12));
-        assertFalse(Steps.shouldTry(new Steps.Seen(false, false, 11), 6, 12));
-        assertTrue(Steps.shouldTry(new Steps.Seen(false, false, 12), 6, 12));
-        assertTrue(Steps.shouldTry(new Steps.Seen(true, false, 0), 6, 12));
+        assertFalse(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, true, 5), 6, 12));
+        assertTrue(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, true, 6), 6, 12));
+        assertFalse(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, false, 11), 6, 12));
+        assertTrue(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, false, 12), 6, 12));
+        assertTrue(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(true, false, 0), 6, 12));
     }
 
     @Test
     void whatAMajorityHasIsAgreedOnAndAChangeOfTheGroupWaitsForTheLast() {
-        Tenure tenure = new Tenure("a", 3, 10, new Group(0, List.of("a", "b", "c")));
+        LeaderTerm tenure = new LeaderTerm("a", 3, 10, new ReplicaSet(0, List.of("a", "b", "c")));
         assertEquals(-1, tenure.agreed());
         assertEquals(11, tenure.wrote());
         tenure.has("b", 10);
@@ -81,8 +82,8 @@
 
     @Test
     void aClaimIsWonByAMajorityAndLostWhereNoneIsLeft() {
-        Holding own = new Holding(2, "b", new Position(1, 7)).asked(3, "a", new Position(1, 7));
-        Claim claim = new Claim("a", new Group(0, List.of("a", "b", "c")), own);
+        ReplicaState own = new ReplicaState(2, "b", new LogPosition(1, 7)).asked(3, "a", new LogPosition(1, 7));
+        Candidacy claim = new Candidacy("a", new ReplicaSet(0, List.of("a", "b", "c")), own);
         assertEquals(Set.of("b", "c"), claim.unanswered());
         claim.answered("x", 3, true, 3);
         claim.answered("b", 2, true, 3);
@@ -92,6 +93,6 @@
         claim.answered("c", 3, false, 3);
         assertTrue(claim.lost());
         assertEquals(9, claim.next());
-        assertThrows(IllegalArgumentException.class, () -> new Claim("c", claim.group(), own));
+        assertThrows(IllegalArgumentException.class, () -> new Candidacy("c", claim.group(), own));
     }
 }
--- a/survival/src/test/java/amberroute/survival/ExplorationTest.java
+++ b/replication/src/test/java/amberroute/replication/ExplorationTest.java
@@ -1,4 +1,4 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -48,13 +48,13 @@
     }
 
     /** {@code log} are the changes up to the word's position, or what the asker has. */
-    private record Word(Kind kind, String from, String to, Position position, List<String> log, Group group) {}
+    private record Word(Kind kind, String from, String to, LogPosition position, List<String> log, ReplicaSet group) {}
 
     /** What one process has in memory: a claim (granted by these) or a tenure (held by these), or neither. */
     private record Role(long term, boolean owner, Set<String> granted, Map<String, Long> has) {}
 
-    private record Daemon(Holding holding, List<String> log, Group group, Role role) {
-        Daemon with(Holding next, List<String> changes, Group now) {
+    private record Daemon(ReplicaState holding, List<String> log, ReplicaSet group, Role role) {
+        Daemon with(ReplicaState next, List<String> changes, ReplicaSet now) {
             return new Daemon(next, changes, now, role);
         }
 
@@ -163,14 +163,14 @@
         private void forget(List<World> out, World world, String name, Daemon d) {
             // B is as C.
             if (!world.forgot() && d.role() == null && !regroups && name.equals("C")) {
-                World after = world.with(name, new Daemon(Holding.NONE, List.of(), d.group(), null), List.of());
+                World after = world.with(name, new Daemon(ReplicaState.NONE, List.of(), d.group(), null), List.of());
                 out.add(new World(after.daemons(), after.words(), after.effects(), true));
             }
         }
 
         private void claim(List<World> out, World world, String name, Daemon d) {
             long term = d.holding().term() + 1;
-            Holding own = d.holding().asked(term, name, d.holding().copy());
+            ReplicaState own = d.holding().asked(term, name, d.holding().copy());
             // With changes of the group B is as C, and A would claim what it has: that keeps their walk within its
             // bound.
             if (!own.granted(term, name)) {
@@ -189,7 +189,7 @@
                             Kind.ASK,
                             name,
                             holder,
-                            new Position(term, 0),
+                            new LogPosition(term, 0),
                             List.of(d.holding().copy().toString()),
                             null));
                 }
@@ -208,19 +208,20 @@
             if (d.log().size() < changes) {
                 out.add(write(world, name, d, role.term() + "." + (d.log().size() + 1), d.group()));
             }
-            Tenure tenure = tenure(name, d);
+            LeaderTerm tenure = tenure(name, d);
             if (regroups && tenure.settled()) {
                 Set<String> others = new TreeSet<>(world.daemons().keySet());
                 others.removeAll(d.group().holders());
                 for (String other : others) {
                     if (d.group().holders().size() == 3 && d.group().version() < 2) {
-                        Group next = d.group().with(other);
+                        ReplicaSet next = d.group().with(other);
                         if (host == Host.SWAPS_HOLDERS) {
                             String out1 = d.group().holders().stream()
                                     .filter(h -> !h.equals(name))
                                     .findFirst()
                                     .orElseThrow();
-                            next = new Group(next.version(), next.without(out1).holders());
+                            next = new ReplicaSet(
+                                    next.version(), next.without(out1).holders());
                         }
                         out.add(write(
                                 world, name, d, role.term() + ".g" + (d.log().size() + 1), next));
@@ -241,12 +242,12 @@
             }
         }
 
-        private World write(World world, String name, Daemon d, String change, Group group) {
+        private World write(World world, String name, Daemon d, String change, ReplicaSet group) {
             Role role = d.role();
             List<String> log = new ArrayList<>(d.log());
             log.add(change);
             long number = log.size();
-            Holding next = d.holding().copied(role.term(), name, number - 1, number);
+            ReplicaState next = d.holding().copied(role.term(), name, number - 1, number);
             List<Word> words = new ArrayList<>();
             for (String holder : world.daemons().keySet()) {
                 if (!holder.equals(name)) {
@@ -260,12 +261,12 @@
             long term = w.position().term();
             switch (w.kind()) {
                 case ASK -> {
-                    Position theirs = host == Host.GRANTS_TO_SHORTER
-                            ? new Position(Long.MAX_VALUE, 0)
+                    LogPosition theirs = host == Host.GRANTS_TO_SHORTER
+                            ? new LogPosition(Long.MAX_VALUE, 0)
                             : position(w.log().get(0));
-                    Holding next = d.holding().asked(term, w.from(), theirs);
+                    ReplicaState next = d.holding().asked(term, w.from(), theirs);
                     if (host == Host.EMPTY_FOLDER_GRANTS && d.holding().term() == 0) {
-                        next = new Holding(term, w.from(), Position.NONE);
+                        next = new ReplicaState(term, w.from(), LogPosition.NONE);
                     }
                     boolean yes = next.granted(term, w.from())
                             || host == Host.GRANTS_TWICE && next.term() == term && theirs.compareTo(next.copy()) >= 0;
@@ -275,7 +276,7 @@
                                 w.to(),
                                 written,
                                 List.of(new Word(
-                                        Kind.GRANT, w.to(), w.from(), new Position(term, 0), List.of(), null))));
+                                        Kind.GRANT, w.to(), w.from(), new LogPosition(term, 0), List.of(), null))));
                     }
                 }
                 case GRANT -> {
@@ -286,11 +287,12 @@
                             || d.holding().over(term, w.to())) {
                         return;
                     }
-                    Claim claim = new Claim(w.to(), d.group(), d.holding());
+                    Candidacy claim = new Candidacy(w.to(), d.group(), d.holding());
                     role.granted().forEach(from -> claim.answered(from, term, true, term));
                     claim.answered(w.from(), term, true, term);
                     if (claim.won()) {
-                        Holding begun = d.holding().whole(term, w.to(), d.log().size(), true);
+                        ReplicaState begun =
+                                d.holding().whole(term, w.to(), d.log().size(), true);
                         List<Word> words = new ArrayList<>();
                         for (String holder : world.daemons().keySet()) {
                             if (!holder.equals(w.to())) {
@@ -311,8 +313,8 @@
                 case COPY -> {
                     boolean late = host == Host.COPIES_AFTER_GRANT
                             && term < d.holding().term();
-                    Holding at = late
-                            ? new Holding(
+                    ReplicaState at = late
+                            ? new ReplicaState(
                                     term,
                                     w.from(),
                                     d.holding().copy(),
@@ -320,14 +322,14 @@
                             : d.holding();
                     long number = w.position().number();
                     boolean in = w.group().holders().contains(w.to());
-                    Holding next = at.whole(term, w.from(), number, in).named(in);
-                    Holding alone = at.copied(term, w.from(), number - 1, number);
+                    ReplicaState next = at.whole(term, w.from(), number, in).named(in);
+                    ReplicaState alone = at.copied(term, w.from(), number - 1, number);
                     assertTrue(alone == at || alone.copy().equals(next.copy()), () -> at + " takes " + w);
                     if (next.equals(at)) {
                         return;
                     }
                     if (late) {
-                        next = new Holding(d.holding().term(), d.holding().owner(), next.copy(), next.fresh());
+                        next = new ReplicaState(d.holding().term(), d.holding().owner(), next.copy(), next.fresh());
                     }
                     World after = world.with(w.to(), d.with(next, w.log(), w.group()), List.of());
                     out.add(after);
@@ -345,19 +347,19 @@
             }
         }
 
-        private Position position(String text) {
+        private LogPosition position(String text) {
             String[] parts = text.replaceAll("[^0-9,]", "").split(",");
-            return new Position(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
+            return new LogPosition(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
         }
 
-        private Tenure tenure(String name, Daemon d) {
+        private LeaderTerm tenure(String name, Daemon d) {
             // The last change of the group may be its last change at all: a tenure takes it for that, which is
             // stricter.
             int groupAt = 0;
             for (int i = 0; i < d.log().size(); i++) {
                 groupAt = d.log().get(i).contains("g") ? i + 1 : groupAt;
             }
-            Tenure tenure = new Tenure(name, d.role().term(), groupAt, d.group());
+            LeaderTerm tenure = new LeaderTerm(name, d.role().term(), groupAt, d.group());
             for (int i = groupAt; i < d.log().size(); i++) {
                 tenure.wrote();
             }
@@ -421,11 +423,11 @@
         /** Null where every reachable state is good; else what broke first. */
         String explore() {
             Map<String, Daemon> begin = new TreeMap<>();
-            Group group = new Group(0, List.of("A", "B", "C"));
+            ReplicaSet group = new ReplicaSet(0, List.of("A", "B", "C"));
             List<String> base = List.of("1.1");
             for (String name : regroups ? List.of("A", "B", "C", "D") : group.holders()) {
                 boolean holds = group.holders().contains(name);
-                Holding holding = holds ? new Holding(1, "A", new Position(1, 1)) : Holding.NONE;
+                ReplicaState holding = holds ? new ReplicaState(1, "A", new LogPosition(1, 1)) : ReplicaState.NONE;
                 begin.put(
                         name,
                         new Daemon(
--- a/survival/src/test/java/amberroute/survival/RegroupingTest.java
+++ b/replication/src/test/java/amberroute/replication/ReplicaSetChangeTest.java
@@ -1,10 +1,10 @@
-package amberroute.survival;
+package amberroute.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.survival.Regrouping.Kind;
-import amberroute.survival.Regrouping.Step;
+import amberroute.replication.ReplicaSetChange.Kind;
+import amberroute.replication.ReplicaSetChange.Step;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.Test;
 
 /** Which change of a group comes next, step by step as its host carries them out. */
-class RegroupingTest {
+class ReplicaSetChangeTest {
     private static final long PATIENCE = 10;
     private final Set<String> gone = new HashSet<>();
     private final Set<String> fresh = new HashSet<>();
     private final Set<String> taught = new HashSet<>();
     private final List<String> all = new ArrayList<>(List.of("b", "c", "d", "e"));
-    private final Regrouping regrouping = new Regrouping("a", 3, PATIENCE);
-    private Group group = new Group(0, List.of("a", "b", "c"));
+    private final ReplicaSetChange regrouping = new ReplicaSetChange("a", 3, PATIENCE);
+    private ReplicaSet group = new ReplicaSet(0, List.of("a", "b", "c"));
 
     private Step next(long now) {
         List<String> alive = all.stream().filter(n -> !gone.contains(n)).toList();
         Step step = regrouping.next(
                 now,
                 group,
-                new Regrouping.View(
+                new ReplicaSetChange.View(
                         gone::contains, fresh::contains, taught::contains, alive, n -> n.equals("e") ? "far" : "near"));
         switch (step.kind()) {
             case WITHOUT -> {
@@ -101,7 +101,7 @@
             gone.clear();
             fresh.clear();
             taught.clear();
-            group = new Group(0, List.of("a", "b", "c"));
+            group = new ReplicaSet(0, List.of("a", "b", "c"));
             long now = 0;
             for (int i = 0; i < 200; i++) {
                 now += random.nextInt(8);
--- a/sender/src/main/java/amberroute/sender/Copying.java
+++ b/sender/src/main/java/amberroute/sender/Copying.java
@@ -1,9 +1,9 @@
 package amberroute.sender;
 
+import amberroute.replication.LeaderTerm;
+import amberroute.replication.LogPosition;
+import amberroute.replication.ReplicaSet;
 import amberroute.storage.Batch;
-import amberroute.survival.Group;
-import amberroute.survival.Position;
-import amberroute.survival.Tenure;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
@@ -32,7 +32,7 @@
 
 /**
  * The owner's side of one estate: takes each change of its journal on to the holders of its group, and lets an effect
- * happen once the change that allows it is at a majority, as {@link Tenure} counts. The changes of one pass of the loop travel
+ * happen once the change that allows it is at a majority, as {@link LeaderTerm} counts. The changes of one pass of the loop travel
  * together. A holder whose connection is new gets the whole first, a slice at a time, with the changes of meanwhile between.
  *
  * <p>What waits for a holder is bounded by {@value #MOST_PENDING} bytes, beyond which its connection is closed and it gets
@@ -92,7 +92,7 @@
 
     private final ScheduledFuture<?> steps;
     /** Null until the term is won. */
-    private Tenure tenure;
+    private LeaderTerm tenure;
 
     private long reached = -1;
     private boolean flushDue;
@@ -122,8 +122,8 @@
     }
 
     /** The term is this daemon's; false where that cannot be written. */
-    boolean begin(long term, Position at, Group group) {
-        tenure = new Tenure(self, term, at.number(), group);
+    boolean begin(long term, LogPosition at, ReplicaSet group) {
+        tenure = new LeaderTerm(self, term, at.number(), group);
         if (!journal.holders(EstateLine.group(estate, group))) {
             tenure = null;
             return false;
@@ -133,7 +133,7 @@
     }
 
     /** A change of the group, one more or one less; not before the last one is agreed on. */
-    boolean regroup(Group next) {
+    boolean regroup(ReplicaSet next) {
         if (tenure == null || !tenure.settled() || !journal.holders(EstateLine.group(estate, next))) {
             return false;
         }
@@ -179,13 +179,13 @@
     }
 
     /** Null before the term is won. */
-    Tenure tenure() {
+    LeaderTerm tenure() {
         return tenure;
     }
 
     /** How far this daemon's own record has come, null before the term is won. */
-    Position at() {
-        return tenure == null ? null : new Position(tenure.term(), tenure.last());
+    LogPosition at() {
+        return tenure == null ? null : new LogPosition(tenure.term(), tenure.last());
     }
 
     /** Whether what is taken on now can be copied: a majority has the whole. */
@@ -244,7 +244,7 @@
     public byte[] place() {
         return tenure == null || tenure.over()
                 ? null
-                : EstateLine.place(new Position(tenure.term(), tenure.last() + 1));
+                : EstateLine.place(new LogPosition(tenure.term(), tenure.last() + 1));
     }
 
     @Override
--- a/sender/src/main/java/amberroute/sender/EstateLine.java
+++ b/sender/src/main/java/amberroute/sender/EstateLine.java
@@ -1,8 +1,8 @@
 package amberroute.sender;
 
+import amberroute.replication.LogPosition;
+import amberroute.replication.ReplicaSet;
 import amberroute.storage.Batch;
-import amberroute.survival.Group;
-import amberroute.survival.Position;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -40,15 +40,15 @@
         line.add("batches", list);
     }
 
-    static void add(JsonObject line, Group group) {
+    static void add(JsonObject line, ReplicaSet group) {
         line.add("holders", PeerLine.names(group.holders()));
         line.addProperty("version", group.version());
     }
 
-    static Group group(JsonObject line) {
+    static ReplicaSet group(JsonObject line) {
         List<String> holders = new ArrayList<>();
         line.getAsJsonArray("holders").forEach(name -> holders.add(PeerLine.plain(name.getAsString())));
-        return new Group(line.get("version").getAsLong(), holders);
+        return new ReplicaSet(line.get("version").getAsLong(), holders);
     }
 
     static List<Batch> batches(JsonObject line) {
@@ -59,23 +59,23 @@
         return out;
     }
 
-    static byte[] place(Position at) {
+    static byte[] place(LogPosition at) {
         return Journal.bytes(out -> {
             out.writeLong(at.term());
             out.writeLong(at.number());
         });
     }
 
-    static Position place(byte[] bytes) throws IOException {
+    static LogPosition place(byte[] bytes) throws IOException {
         if (bytes == null) {
-            return Position.NONE;
+            return LogPosition.NONE;
         }
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        return new Position(in.readLong(), in.readLong());
+        return new LogPosition(in.readLong(), in.readLong());
     }
 
     /** With the estate's name, which a folder keeps for as long as what is in it is one estate. */
-    static byte[] group(String estate, Group group) {
+    static byte[] group(String estate, ReplicaSet group) {
         return Journal.bytes(out -> {
             out.writeUTF(estate);
             out.writeLong(group.version());
@@ -90,7 +90,7 @@
         return new DataInputStream(new ByteArrayInputStream(bytes)).readUTF();
     }
 
-    static Group group(byte[] bytes) throws IOException {
+    static ReplicaSet group(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         in.readUTF();
         long version = in.readLong();
@@ -98,6 +98,6 @@
         for (int i = in.readByte(); i > 0; i--) {
             holders.add(in.readUTF());
         }
-        return new Group(version, holders);
+        return new ReplicaSet(version, holders);
     }
 }
--- a/sender/src/main/java/amberroute/sender/EstateStore.java
+++ b/sender/src/main/java/amberroute/sender/EstateStore.java
@@ -1,11 +1,11 @@
 package amberroute.sender;
 
+import amberroute.replication.LogPosition;
+import amberroute.replication.ReplicaSet;
+import amberroute.replication.ReplicaState;
 import amberroute.storage.Batch;
 import amberroute.storage.FolderDisk;
 import amberroute.storage.SegmentLog;
-import amberroute.survival.Group;
-import amberroute.survival.Holding;
-import amberroute.survival.Position;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -38,9 +38,9 @@
     static final class Kept {
         final String estate;
         final Path folder;
-        Holding holding = Holding.NONE;
+        ReplicaState holding = ReplicaState.NONE;
         /** As the copy names it; null where there is none. */
-        Group group;
+        ReplicaSet group;
         /** Nothing is owed of it any more; only the term is kept, so that nobody can begin it again. */
         boolean done;
         /** Name of the copy's folder in this one's, empty where there is no whole copy. */
@@ -112,10 +112,10 @@
                     JsonParser.parseString(Files.readString(each.resolve(FILE))).getAsJsonObject();
             kept.copy = json.get("copy").getAsString();
             kept.done = json.get("done").getAsBoolean();
-            kept.holding = new Holding(
+            kept.holding = new ReplicaState(
                     json.get("term").getAsLong(),
                     json.get("owner").getAsString(),
-                    Position.NONE,
+                    LogPosition.NONE,
                     json.get("fresh").getAsInt());
         } catch (IOException | RuntimeException e) {
             Log.warn("survival: " + each.resolve(FILE) + " cannot be read, nothing is held of " + kept.estate + ": "
@@ -131,8 +131,8 @@
         all.put(kept.estate, kept);
     }
 
-    private static Holding done(Holding holding) {
-        return holding.reaching(new Position(Long.MAX_VALUE, 0));
+    private static ReplicaState done(ReplicaState holding) {
+        return holding.reaching(new LogPosition(Long.MAX_VALUE, 0));
     }
 
     /** Reads how far the copy reaches; one that is damaged is none. */
@@ -176,7 +176,8 @@
         kept.log = null;
         kept.copy = "";
         // What it had counted; without it this holder is as one that never heard of the estate.
-        kept.holding = new Holding(kept.holding.term(), kept.holding.owner(), Position.NONE, Holding.NAMED);
+        kept.holding =
+                new ReplicaState(kept.holding.term(), kept.holding.owner(), LogPosition.NONE, ReplicaState.NAMED);
     }
 
     private static void close(SegmentLog log) {
@@ -221,7 +222,7 @@
     }
 
     /** Has the term on disk; false where it cannot be written, and nothing has changed. */
-    boolean promise(Kept kept, Holding next) {
+    boolean promise(Kept kept, ReplicaState next) {
         boolean same = next.term() == kept.holding.term()
                 && next.owner().equals(kept.holding.owner())
                 && next.fresh() == kept.holding.fresh();
@@ -232,7 +233,7 @@
         return false;
     }
 
-    private boolean write(Kept kept, Holding holding, String copy) {
+    private boolean write(Kept kept, ReplicaState holding, String copy) {
         JsonObject json = new JsonObject();
         json.addProperty("term", holding.term());
         json.addProperty("owner", holding.owner());
@@ -281,7 +282,7 @@
     }
 
     /** The whole is all there: it takes the place of the copy that was. */
-    boolean whole(Kept kept, Holding next) {
+    boolean whole(Kept kept, ReplicaState next) {
         if (!write(kept, next, kept.staging.getFileName().toString())) {
             return false;
         }
@@ -297,7 +298,7 @@
     }
 
     /** Changes that follow what is there; false where they could not be written, and the copy counts for what it had. */
-    boolean changes(Kept kept, Holding next, List<Batch> batches) {
+    boolean changes(Kept kept, ReplicaState next, List<Batch> batches) {
         if (kept.log == null || !promise(kept, next.reaching(kept.holding.copy()))) {
             return false;
         }
