--- a/sender/src/main/java/amberroute/sender/FleetLoad.java
+++ b/sender/src/main/java/amberroute/sender/FleetLoad.java
@@ -1,9 +1,9 @@
 package amberroute.sender;
 
 import amberroute.decisions.DeliveryScheduler;
-import amberroute.overload.Digest;
-import amberroute.overload.Overload;
-import amberroute.overload.Price;
+import amberroute.overload.AdmissionPrice;
+import amberroute.overload.FleetAdmissionControl;
+import amberroute.overload.LoadReport;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import io.netty.buffer.Unpooled;
@@ -31,7 +31,7 @@
     private final IntToDoubleFunction waiting;
     private final Consumer<DeliveryScheduler.Event> events;
     private final SplittableRandom random = new SplittableRandom();
-    private final Overload overload;
+    private final FleetAdmissionControl overload;
     /** Whether calls are held to this daemon's part. */
     private final boolean parts;
 
@@ -54,7 +54,7 @@
         this.clock = clock;
         this.waiting = waiting;
         this.events = events;
-        overload = new Overload(
+        overload = new FleetAdmissionControl(
                 clock.getAsLong(),
                 name,
                 List.copyOf(peers.keySet()),
@@ -67,17 +67,18 @@
     /** Begins to tell, and to compute prices. */
     void begin(Channel shared) {
         channel = shared;
-        loop.scheduleWithFixedDelay(() -> Log.guarded("prices", this::round), 0, Overload.ROUND, TimeUnit.MICROSECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> Log.guarded("prices", this::round), 0, FleetAdmissionControl.ROUND, TimeUnit.MICROSECONDS);
     }
 
     private void round() {
         long now = clock.getAsLong();
-        for (Price p : overload.round(now, waiting)) {
+        for (AdmissionPrice p : overload.round(now, waiting)) {
             events.accept(new DeliveryScheduler.Event.AdmissionPriceChanged(
                     p.destination(), p.worth(), p.upTo(), p.share(), p.again()));
         }
         if (parts) {
-            for (Overload.Ceiling c : overload.ceilings(now)) {
+            for (FleetAdmissionControl.RateLimit c : overload.ceilings(now)) {
                 // Daemons that are given a rate at one moment begin at different ones.
                 events.accept(new DeliveryScheduler.Event.FleetRateLimitChanged(
                         c.destination(), c.perSecond(), random.nextDouble(), false));
@@ -87,7 +88,7 @@
         overload.tell(now).forEach(this::send);
     }
 
-    private void send(Overload.Out out) {
+    private void send(FleetAdmissionControl.OutgoingReport out) {
         // A digest may ask for something before the socket is shared; it asks again.
         if (channel != null && channel.isActive()) {
             channel.writeAndFlush(
@@ -97,9 +98,9 @@
 
     /** A datagram that is no heartbeat. */
     void heard(DatagramPacket packet) {
-        Digest digest = Digest.read(packet.content().nioBuffer());
+        LoadReport digest = LoadReport.read(packet.content().nioBuffer());
         if (digest != null && packet.sender().equals(peers.get(digest.from()))) {
-            Overload.Out answer = overload.heard(clock.getAsLong(), digest);
+            FleetAdmissionControl.OutgoingReport answer = overload.heard(clock.getAsLong(), digest);
             if (answer != null) {
                 send(answer);
             }
@@ -126,7 +127,7 @@
         answer.addProperty("heard_of", overload.heardOf(clock.getAsLong()));
         answer.addProperty("peers", peers.size());
         JsonArray rows = new JsonArray();
-        for (Overload.Row row : overload.rows()) {
+        for (FleetAdmissionControl.DestinationReport row : overload.rows()) {
             JsonObject one = new JsonObject();
             one.addProperty("destination", row.destination());
             one.addProperty("asked", row.asked());
--- a/sender/src/main/java/amberroute/sender/HandOver.java
+++ b/sender/src/main/java/amberroute/sender/HandOver.java
@@ -1,11 +1,11 @@
 package amberroute.sender;
 
-import amberroute.handover.Effect;
-import amberroute.handover.KeyHolds;
-import amberroute.handover.Naming;
-import amberroute.handover.Ownership;
-import amberroute.handover.Placement;
-import amberroute.handover.Word;
+import amberroute.handoff.HandoffEffect;
+import amberroute.handoff.HandoffMessage;
+import amberroute.handoff.HandoffPlacement;
+import amberroute.handoff.KeyHoldAnnouncement;
+import amberroute.handoff.KeyHolds;
+import amberroute.handoff.Ownership;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
@@ -39,7 +39,7 @@
 
 /**
  * Carries the words of the hand-over protocol between daemons and its records to the journal; what they mean is decided
- * by {@link Ownership}, who is offered what by {@link Placement}, and which clients may go elsewhere by {@link Naming}.
+ * by {@link Ownership}, who is offered what by {@link HandoffPlacement}, and which clients may go elsewhere by {@link KeyHoldAnnouncement}.
  * One JSON object a line ({@link PeerLine}), over TCP; answers come back on the connection of what they answer. At most
  * {@value #LEAST_PEERS} connections and {@value #EACH_PEER} for each configured peer are served, lines of at most
  * {@value #LONGEST_LINE} bytes, and {@value #MOST_OUT} lots are offered at a time. Lives on the event loop.
@@ -91,7 +91,7 @@
         boolean record(String lot, Ownership ownership, List<Held> messages);
 
         /** Null where there is room for these messages and time to deliver them, and their classes mean the same here. */
-        Placement.No refuses(List<Held> messages, JsonObject classes);
+        HandoffPlacement.RejectionReason refuses(List<Held> messages, JsonObject classes);
 
         /** Writes messages and ownership as one and goes on with them; false where the disk has no room. */
         boolean adopt(String lot, Ownership ownership, List<Held> messages, String origin);
@@ -119,7 +119,7 @@
     private static final class Offer {
         final String lot;
         final List<Held> messages;
-        final Placement.Lot placed;
+        final HandoffPlacement.HandoffBatch placed;
         Ownership ownership;
         boolean back;
         /** The end of this daemon's own hold on the keys of the lot, 0 where an earlier process offered it. */
@@ -128,7 +128,7 @@
         Channel sentOn;
         long sentAt;
 
-        Offer(String lot, Ownership ownership, List<Held> messages, Placement.Lot placed) {
+        Offer(String lot, Ownership ownership, List<Held> messages, HandoffPlacement.HandoffBatch placed) {
             this.lot = lot;
             this.ownership = ownership;
             this.messages = messages;
@@ -144,7 +144,7 @@
     /** Milliseconds, as deadlines and holds are told. */
     private final LongSupplier clock;
 
-    private final Placement placement;
+    private final HandoffPlacement placement;
     private final Map<String, Link> links = new HashMap<>();
     private final Map<String, Offer> offers = new LinkedHashMap<>();
     /** Where each peer last spoke from, for words to those that no address is known of. */
@@ -166,7 +166,7 @@
     /** Takes lines about estates; null where nothing is copied. */
     private Estates estates;
 
-    private Naming naming;
+    private KeyHoldAnnouncement naming;
     private Channel server;
     private final int mostPeers;
     private int connections;
@@ -190,7 +190,7 @@
         this.host = host;
         this.journal = journal;
         mostPeers = LEAST_PEERS + EACH_PEER * this.peers.size();
-        placement = new Placement(this.peers.keySet());
+        placement = new HandoffPlacement(this.peers.keySet());
         this.clock = clock;
         counter = clock.getAsLong() * 1_000;
     }
@@ -230,7 +230,8 @@
                         lot,
                         kept.ownership(),
                         messages,
-                        new Placement.Lot(kept.ownership().peer(), List.of(group(messages, clock.getAsLong()))));
+                        new HandoffPlacement.HandoffBatch(
+                                kept.ownership().peer(), List.of(group(messages, clock.getAsLong()))));
                 offer.back = true;
                 offers.put(lot, offer);
             }
@@ -250,16 +251,16 @@
         }
         long now = clock.getAsLong();
         Map<Long, List<Held>> byFirst = new LinkedHashMap<>();
-        List<Placement.Group> groups = new ArrayList<>();
+        List<HandoffPlacement.MessageGroup> groups = new ArrayList<>();
         for (List<Held> messages : host.movable()) {
-            Placement.Group group = group(messages, now);
+            HandoffPlacement.MessageGroup group = group(messages, now);
             groups.add(group);
             byFirst.put(group.first(), messages);
             if (groups.size() >= MOST_GROUPS) {
                 break;
             }
         }
-        for (Placement.Lot lot : placement.place(millis(), groups, MOST_OUT - offers.size())) {
+        for (HandoffPlacement.HandoffBatch lot : placement.place(millis(), groups, MOST_OUT - offers.size())) {
             Link link = link(lot.heir());
             if (!link.ready()) {
                 continue;
@@ -273,11 +274,11 @@
         }
     }
 
-    private static Placement.Group group(List<Held> messages, long now) {
+    private static HandoffPlacement.MessageGroup group(List<Held> messages, long now) {
         Held first = messages.get(0);
         long bytes = messages.stream().mapToLong(m -> m.body.length + 1_024L).sum();
         long left = messages.stream().mapToLong(m -> m.deadline).min().orElse(now) - now;
-        return new Placement.Group(first.number, first.key, messages.size(), bytes, left);
+        return new HandoffPlacement.MessageGroup(first.number, first.key, messages.size(), bytes, left);
     }
 
     private List<Long> orderedKeys(List<Held> messages) {
@@ -289,7 +290,7 @@
     }
 
     private static long until(List<Held> messages) {
-        return messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + Naming.CLOCKS;
+        return messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + KeyHoldAnnouncement.CLOCKS;
     }
 
     /** Messages whose heir has not answered. */
@@ -319,8 +320,8 @@
     private void giveUp(Offer offer) {
         host.failed(offer.messages);
         offers.remove(offer.lot);
-        for (Effect effect : offer.ownership.end(offer.lot)) {
-            if (effect instanceof Effect.Write write) {
+        for (HandoffEffect effect : offer.ownership.end(offer.lot)) {
+            if (effect instanceof HandoffEffect.PersistOwnership write) {
                 host.record(offer.lot, write.ownership(), offer.messages);
             }
         }
@@ -345,7 +346,7 @@
         if (naming != null) {
             return;
         }
-        naming = new Naming(clock.getAsLong(), peers.keySet(), ends, NAMING_MS);
+        naming = new KeyHoldAnnouncement(clock.getAsLong(), peers.keySet(), ends, NAMING_MS);
         naming.absent(absent);
         peers.keySet().forEach(this::nameTo);
     }
@@ -416,7 +417,7 @@
             if (over.size() < mostPeers || over.containsKey(origin)) {
                 Map<Long, Long> known = over.computeIfAbsent(origin, o -> new LinkedHashMap<>());
                 keys.forEach(key -> known.put(key, heldUntil.getOrDefault(key, 0L)));
-                while (known.size() > Naming.BATCH) {
+                while (known.size() > KeyHoldAnnouncement.BATCH) {
                     known.remove(known.keySet().iterator().next());
                 }
             }
@@ -427,9 +428,9 @@
 
     /** A daemon that gave keys away and was restarted meanwhile has not heard of what came of them: it asks. */
     private void askWhetherOver() {
-        List<KeyHolds.Hold> given = journal.holds().all().stream()
+        List<KeyHolds.KeyHold> given = journal.holds().all().stream()
                 .filter(hold -> hold.origin().equals(name))
-                .limit(Naming.BATCH)
+                .limit(KeyHoldAnnouncement.BATCH)
                 .toList();
         if (!given.isEmpty()) {
             JsonObject line = PeerLine.whether(name, given);
@@ -438,9 +439,9 @@
     }
 
     private void tellReleased(String origin, List<Long> keys) {
-        for (int from = 0; from < keys.size(); from += Naming.BATCH) {
-            JsonObject line =
-                    PeerLine.release(name, origin, keys.subList(from, Math.min(keys.size(), from + Naming.BATCH)));
+        for (int from = 0; from < keys.size(); from += KeyHoldAnnouncement.BATCH) {
+            JsonObject line = PeerLine.release(
+                    name, origin, keys.subList(from, Math.min(keys.size(), from + KeyHoldAnnouncement.BATCH)));
             peers.keySet().forEach(peer -> link(peer).say(line));
             spoke.forEach((peer, channel) -> {
                 if (!peers.containsKey(peer) && channel.isWritable()) {
@@ -452,7 +453,7 @@
 
     /** A message of this key has come here while others have some: they had better give them to this daemon. */
     void turnedUp(long key) {
-        if (wanted.size() > Naming.BATCH || !wanted.add(key)) {
+        if (wanted.size() > KeyHoldAnnouncement.BATCH || !wanted.add(key)) {
             return;
         }
         JsonObject line = PeerLine.want(name, key);
@@ -473,9 +474,9 @@
 
     // ---- The leaver. ----
 
-    private void carryOut(Offer offer, List<Effect> effects) {
-        for (Effect effect : effects) {
-            if (effect instanceof Effect.Write write) {
+    private void carryOut(Offer offer, List<HandoffEffect> effects) {
+        for (HandoffEffect effect : effects) {
+            if (effect instanceof HandoffEffect.PersistOwnership write) {
                 boolean written = write.ownership().status() == Ownership.Status.OFFERED
                         ? host.offer(
                                 offer.lot, write.ownership(), offer.messages, orderedKeys(offer.messages), offer.until)
@@ -496,7 +497,7 @@
                     }
                     default -> offers.remove(offer.lot);
                 }
-            } else if (effect instanceof Effect.Send send) {
+            } else if (effect instanceof HandoffEffect.SendMessage send) {
                 Link link = link(send.to());
                 if (link.ready()) {
                     offer.sentOn = link.channel;
@@ -533,13 +534,13 @@
         }
     }
 
-    private void answered(String from, Word word, Placement.No why) {
+    private void answered(String from, HandoffMessage word, HandoffPlacement.RejectionReason why) {
         Offer offer = offers.get(word.lot());
         if (offer == null) {
             return;
         }
-        List<Effect> effects = offer.ownership.answered(word.lot(), from, word);
-        if (!effects.isEmpty() && word.kind() == Word.Kind.NO) {
+        List<HandoffEffect> effects = offer.ownership.answered(word.lot(), from, word);
+        if (!effects.isEmpty() && word.kind() == HandoffMessage.Kind.NO) {
             placement.refused(millis(), offer.placed, why);
         }
         carryOut(offer, effects);
@@ -620,10 +621,10 @@
             }
         }
 
-        void send(Word word, Offer offer) {
+        void send(HandoffMessage word, Offer offer) {
             List<Held> messages = offer.messages;
             JsonObject line = PeerLine.of(word, name);
-            if (word.kind() == Word.Kind.OFFER) {
+            if (word.kind() == HandoffMessage.Kind.OFFER) {
                 PeerLine.add(line, messages, host.classes(messages));
                 JsonObject origins = new JsonObject();
                 for (long key : orderedKeys(messages)) {
@@ -658,14 +659,15 @@
                 case "WANT" -> placement.turnedUp(PeerLine.key(line.get("key").getAsString()), peer);
                 case "RELEASE" -> released(line);
                 default -> {
-                    Word word = PeerLine.word(line);
+                    HandoffMessage word = PeerLine.word(line);
                     if (!word.forHeir()) {
                         answered(
                                 peer,
                                 word,
                                 line.has("why")
-                                        ? Placement.No.valueOf(line.get("why").getAsString())
-                                        : Placement.No.ROOM);
+                                        ? HandoffPlacement.RejectionReason.valueOf(
+                                                line.get("why").getAsString())
+                                        : HandoffPlacement.RejectionReason.ROOM);
                     }
                 }
             }
@@ -719,7 +721,7 @@
                     List<Long> known = PeerLine.holds(line, from).stream()
                             .filter(hold ->
                                     over.getOrDefault(from, Map.of()).getOrDefault(hold.key(), -1L) == hold.until())
-                            .map(KeyHolds.Hold::key)
+                            .map(KeyHolds.KeyHold::key)
                             .toList();
                     if (!known.isEmpty()) {
                         context.writeAndFlush(PeerLine.bytes(PeerLine.release(name, from, known)));
@@ -734,23 +736,29 @@
         }
 
         private void word(ChannelHandlerContext context, JsonObject line, String from) {
-            Word word = PeerLine.word(line);
+            HandoffMessage word = PeerLine.word(line);
             PeerLine.plain(word.lot());
             if (!word.forHeir()) {
                 throw new IllegalArgumentException("no word for an heir");
             }
             List<Held> messages =
-                    word.kind() == Word.Kind.OFFER ? PeerLine.messages(line, host::nextNumber) : List.of();
+                    word.kind() == HandoffMessage.Kind.OFFER ? PeerLine.messages(line, host::nextNumber) : List.of();
             Ownership known = journal.lots().containsKey(word.lot())
                     ? journal.lots().get(word.lot()).ownership()
                     : Ownership.NONE;
-            Placement.No refusal = messages.isEmpty()
-                    ? Placement.No.UNFIT
+            HandoffPlacement.RejectionReason refusal = messages.isEmpty()
+                    ? HandoffPlacement.RejectionReason.UNFIT
                     : host.refuses(messages, line.has("classes") ? line.getAsJsonObject("classes") : new JsonObject());
             if (!decide(
                     context, line, known.offered(word.lot(), from, word, refusal == null), messages, from, refusal)) {
                 // The disk has no room for the messages; where it has some for a no, their owner hears it at once.
-                decide(context, line, known.offered(word.lot(), from, word, false), messages, from, Placement.No.ROOM);
+                decide(
+                        context,
+                        line,
+                        known.offered(word.lot(), from, word, false),
+                        messages,
+                        from,
+                        HandoffPlacement.RejectionReason.ROOM);
             }
         }
 
@@ -758,18 +766,18 @@
         private boolean decide(
                 ChannelHandlerContext context,
                 JsonObject line,
-                List<Effect> effects,
+                List<HandoffEffect> effects,
                 List<Held> messages,
                 String from,
-                Placement.No refusal) {
-            for (Effect effect : effects) {
-                if (effect instanceof Effect.Send send) {
+                HandoffPlacement.RejectionReason refusal) {
+            for (HandoffEffect effect : effects) {
+                if (effect instanceof HandoffEffect.SendMessage send) {
                     JsonObject answer = PeerLine.of(send.word(), null);
-                    if (send.word().kind() == Word.Kind.NO && refusal != null) {
+                    if (send.word().kind() == HandoffMessage.Kind.NO && refusal != null) {
                         answer.addProperty("why", refusal.name());
                     }
                     journal.whenSafe(() -> context.writeAndFlush(PeerLine.bytes(answer)), IGNORED);
-                } else if (effect instanceof Effect.Write write) {
+                } else if (effect instanceof HandoffEffect.PersistOwnership write) {
                     boolean mine = write.ownership().mine();
                     boolean written = mine
                             ? host.adopt(write.lot(), write.ownership(), messages, from)
--- a/sender/src/main/java/amberroute/sender/Journal.java
+++ b/sender/src/main/java/amberroute/sender/Journal.java
@@ -1,8 +1,8 @@
 package amberroute.sender;
 
 import amberroute.decisions.DeliveryScheduler;
-import amberroute.handover.KeyHolds;
-import amberroute.handover.Ownership;
+import amberroute.handoff.KeyHolds;
+import amberroute.handoff.Ownership;
 import amberroute.storage.Batch;
 import amberroute.storage.Disk;
 import amberroute.storage.FolderDisk;
@@ -536,7 +536,8 @@
     }
 
     private void failed(IOException e) {
-        String now = e instanceof SegmentLog.Full ? "the disk budget is spent" : String.valueOf(e.getMessage());
+        String now =
+                e instanceof SegmentLog.LogFullException ? "the disk budget is spent" : String.valueOf(e.getMessage());
         if (!now.equals(trouble)) {
             Log.warn("journal: cannot be written: " + e);
         }
@@ -1116,13 +1117,13 @@
     /** Ends holds whose time is up; where that cannot be written their time stands with them. */
     List<Long> expireHolds(long wall) {
         int before = holds.size();
-        List<KeyHolds.Hold> over =
+        List<KeyHolds.KeyHold> over =
                 holds.all().stream().filter(hold -> hold.until() <= wall).toList();
         if (over.isEmpty()) {
             return List.of();
         }
         Batch batch = new Batch();
-        for (KeyHolds.Hold hold : over) {
+        for (KeyHolds.KeyHold hold : over) {
             letGo(batch, hold.origin(), hold.key());
             numbers.remove(hold(hold.origin(), hold.key()));
         }
@@ -1338,7 +1339,7 @@
                     ? new Batch().put(numberOf("place " + place), MEMORY, remembered(memories.get(place)))
                     : new Batch());
         }
-        for (KeyHolds.Hold hold : holds.all()) {
+        for (KeyHolds.KeyHold hold : holds.all()) {
             parts.add(() -> {
                 Batch batch = new Batch();
                 if (holds.origins(hold.key()).contains(hold.origin())) {
--- a/sender/src/main/java/amberroute/sender/OldJournal.java
+++ b/sender/src/main/java/amberroute/sender/OldJournal.java
@@ -1,8 +1,8 @@
 package amberroute.sender;
 
 import amberroute.decisions.DeliveryScheduler;
-import amberroute.handover.KeyHolds;
-import amberroute.handover.Ownership;
+import amberroute.handoff.KeyHolds;
+import amberroute.handoff.Ownership;
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/sender/src/main/java/amberroute/sender/PeerBeats.java
+++ b/sender/src/main/java/amberroute/sender/PeerBeats.java
@@ -1,9 +1,9 @@
 package amberroute.sender;
 
-import amberroute.membership.Beat;
-import amberroute.membership.FleetView;
-import amberroute.membership.Heartbeats;
-import amberroute.shares.ColdLimits;
+import amberroute.membership.Heartbeat;
+import amberroute.membership.HeartbeatMonitor;
+import amberroute.membership.MembershipView;
+import amberroute.quota.SlowStartLimits;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -29,11 +29,11 @@
     private final String name;
     private final Map<String, InetSocketAddress> peers;
     private final LongSupplier clock;
-    private final Heartbeats heartbeats;
-    private final ColdLimits limits;
-    private final Supplier<FleetView.Phase> phase;
+    private final HeartbeatMonitor heartbeats;
+    private final SlowStartLimits limits;
+    private final Supplier<MembershipView.Phase> phase;
     private final IntToDoubleFunction waiting;
-    private final Consumer<ColdLimits.Ceiling> ceilings;
+    private final Consumer<SlowStartLimits.RateLimit> ceilings;
     private Channel channel;
     private boolean newsDue;
     /** Takes what is no beat; null where nobody wants it. */
@@ -46,10 +46,10 @@
             Map<String, InetSocketAddress> peers,
             LongSupplier clock,
             long incarnation,
-            ColdLimits limits,
-            Supplier<FleetView.Phase> phase,
+            SlowStartLimits limits,
+            Supplier<MembershipView.Phase> phase,
             IntToDoubleFunction waiting,
-            Consumer<ColdLimits.Ceiling> ceilings) {
+            Consumer<SlowStartLimits.RateLimit> ceilings) {
         this.loop = loop;
         this.name = name;
         this.peers = Map.copyOf(peers);
@@ -58,7 +58,7 @@
         this.phase = phase;
         this.waiting = waiting;
         this.ceilings = ceilings;
-        heartbeats = new Heartbeats(peers.keySet(), incarnation);
+        heartbeats = new HeartbeatMonitor(peers.keySet(), incarnation);
     }
 
     /** Listens and begins to tell of this daemon. */
@@ -74,7 +74,7 @@
     }
 
     /** Who is there, as far as this daemon can tell. */
-    FleetView view() {
+    MembershipView view() {
         return heartbeats;
     }
 
@@ -98,20 +98,22 @@
     private void tellAll() {
         newsDue = false;
         long now = clock.getAsLong();
-        Beat beat = heartbeats.next(now, name, phase.get(), limits.news(now));
+        Heartbeat beat = heartbeats.next(now, name, phase.get(), limits.news(now));
         peers.values().forEach(address -> send(beat, address));
     }
 
-    private void tell(String peer, List<Beat.Loan> loans) {
-        for (int from = 0; from < loans.size(); from += Beat.MOST_LOANS) {
+    private void tell(String peer, List<Heartbeat.QuotaLoan> loans) {
+        for (int from = 0; from < loans.size(); from += Heartbeat.MOST_LOANS) {
             send(
                     heartbeats.next(
-                            name, phase.get(), loans.subList(from, Math.min(loans.size(), from + Beat.MOST_LOANS))),
+                            name,
+                            phase.get(),
+                            loans.subList(from, Math.min(loans.size(), from + Heartbeat.MOST_LOANS))),
                     peers.get(peer));
         }
     }
 
-    private void send(Beat beat, InetSocketAddress address) {
+    private void send(Heartbeat beat, InetSocketAddress address) {
         if (channel != null && channel.isActive()) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(beat.write()), address));
         }
@@ -124,7 +126,7 @@
     }
 
     private void heard(DatagramPacket packet) {
-        Beat beat = Beat.read(packet.content().nioBuffer());
+        Heartbeat beat = Heartbeat.read(packet.content().nioBuffer());
         if (beat == null && others != null) {
             others.accept(packet);
         }
@@ -136,7 +138,7 @@
             return;
         }
         limits.told(now, beat.from(), beat.news()).forEach(ceilings);
-        List<Beat.Loan> answers = limits.loans(now, beat.from(), beat.loans());
+        List<Heartbeat.QuotaLoan> answers = limits.loans(now, beat.from(), beat.loans());
         if (!answers.isEmpty()) {
             tell(beat.from(), answers);
         }
--- a/sender/src/main/java/amberroute/sender/PeerLine.java
+++ b/sender/src/main/java/amberroute/sender/PeerLine.java
@@ -1,8 +1,8 @@
 package amberroute.sender;
 
-import amberroute.handover.KeyHolds;
-import amberroute.handover.Naming;
-import amberroute.handover.Word;
+import amberroute.handoff.HandoffMessage;
+import amberroute.handoff.KeyHoldAnnouncement;
+import amberroute.handoff.KeyHolds;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -38,7 +38,7 @@
     }
 
     /** {@code from} is null for an answer, whose connection tells it. */
-    static JsonObject of(Word word, String from) {
+    static JsonObject of(HandoffMessage word, String from) {
         JsonObject line = new JsonObject();
         line.addProperty("word", word.kind().name());
         line.addProperty("lot", word.lot());
@@ -49,14 +49,14 @@
         return line;
     }
 
-    static Word word(JsonObject line) {
-        return new Word(
-                Word.Kind.valueOf(line.get("word").getAsString()),
+    static HandoffMessage word(JsonObject line) {
+        return new HandoffMessage(
+                HandoffMessage.Kind.valueOf(line.get("word").getAsString()),
                 line.get("lot").getAsString(),
                 line.get("generation").getAsLong());
     }
 
-    static JsonObject hold(String from, Naming.Batch batch) {
+    static JsonObject hold(String from, KeyHoldAnnouncement.KeyBatch batch) {
         JsonObject line = said("HOLD", from);
         line.addProperty("batch", batch.number());
         line.addProperty("until", batch.until());
@@ -79,21 +79,21 @@
     }
 
     /** Asks which of these keys, which the asker gave away, are over. */
-    static JsonObject whether(String from, List<KeyHolds.Hold> holds) {
+    static JsonObject whether(String from, List<KeyHolds.KeyHold> holds) {
         JsonObject line = said("OVER", from);
-        line.add("keys", keys(holds.stream().map(KeyHolds.Hold::key).toList()));
+        line.add("keys", keys(holds.stream().map(KeyHolds.KeyHold::key).toList()));
         JsonArray untils = new JsonArray();
         holds.forEach(hold -> untils.add(hold.until()));
         line.add("untils", untils);
         return line;
     }
 
-    static List<KeyHolds.Hold> holds(JsonObject line, String origin) {
+    static List<KeyHolds.KeyHold> holds(JsonObject line, String origin) {
         List<Long> keys = keys(line.getAsJsonArray("keys"));
         JsonArray untils = line.getAsJsonArray("untils");
-        List<KeyHolds.Hold> holds = new ArrayList<>();
+        List<KeyHolds.KeyHold> holds = new ArrayList<>();
         for (int i = 0; i < keys.size(); i++) {
-            holds.add(new KeyHolds.Hold(origin, keys.get(i), untils.get(i).getAsLong()));
+            holds.add(new KeyHolds.KeyHold(origin, keys.get(i), untils.get(i).getAsLong()));
         }
         return holds;
     }
@@ -118,7 +118,7 @@
     }
 
     static List<Long> keys(JsonArray list) {
-        if (list.size() > Naming.BATCH) {
+        if (list.size() > KeyHoldAnnouncement.BATCH) {
             throw new IllegalArgumentException("too many keys");
         }
         List<Long> keys = new ArrayList<>(list.size());
--- a/sender/src/main/java/amberroute/sender/PeerProbes.java
+++ b/sender/src/main/java/amberroute/sender/PeerProbes.java
@@ -1,8 +1,8 @@
 package amberroute.sender;
 
-import amberroute.membership.FleetView;
-import amberroute.membership.Probe;
-import amberroute.membership.Swim;
+import amberroute.membership.MembershipView;
+import amberroute.membership.SwimMembership;
+import amberroute.membership.SwimMessage;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -17,7 +17,7 @@
 
 /**
  * Carries the membership protocol's datagrams over UDP, on the heartbeats' socket where there is one. What they mean is
- * decided by {@link Swim}. One is taken from a configured peer's address only; what cannot be read is dropped without a
+ * decided by {@link SwimMembership}. One is taken from a configured peer's address only; what cannot be read is dropped without a
  * word. Lives on the event loop.
  */
 final class PeerProbes {
@@ -26,8 +26,8 @@
     private final EventLoop loop;
     private final Map<String, InetSocketAddress> peers;
     private final LongSupplier clock;
-    private final Supplier<FleetView.Phase> phase;
-    private final Swim swim;
+    private final Supplier<MembershipView.Phase> phase;
+    private final SwimMembership swim;
     private Channel channel;
 
     /** {@code clock} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one. */
@@ -38,15 +38,15 @@
             Map<String, InetSocketAddress> peers,
             LongSupplier clock,
             long incarnation,
-            Supplier<FleetView.Phase> phase) {
+            Supplier<MembershipView.Phase> phase) {
         this.loop = loop;
         this.peers = Map.copyOf(peers);
         this.clock = clock;
         this.phase = phase;
-        swim = new Swim(name, zone, peers.keySet(), incarnation, new SplittableRandom());
+        swim = new SwimMembership(name, zone, peers.keySet(), incarnation, new SplittableRandom());
     }
 
-    Swim view() {
+    SwimMembership view() {
         return swim;
     }
 
@@ -65,14 +65,14 @@
 
     /** A datagram that is no heartbeat. */
     void heard(DatagramPacket packet) {
-        Probe probe = Probe.read(packet.content().nioBuffer());
+        SwimMessage probe = SwimMessage.read(packet.content().nioBuffer());
         if (probe != null && packet.sender().equals(peers.get(probe.from()))) {
             send(swim.heard(clock.getAsLong(), probe));
         }
     }
 
-    private void send(List<Swim.Out> out) {
-        for (Swim.Out o : out) {
+    private void send(List<SwimMembership.OutgoingMessage> out) {
+        for (SwimMembership.OutgoingMessage o : out) {
             if (channel != null && channel.isActive()) {
                 channel.writeAndFlush(
                         new DatagramPacket(Unpooled.wrappedBuffer(o.probe().write()), peers.get(o.to())));
--- a/sender/src/main/java/amberroute/sender/PeerSocket.java
+++ b/sender/src/main/java/amberroute/sender/PeerSocket.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import amberroute.membership.Beat;
+import amberroute.membership.Heartbeat;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -28,11 +28,11 @@
                 .channel(NioDatagramChannel.class)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(Beat.MOST_BYTES + 1).maxMessagesPerRead(MOST_READ))
+                        new FixedRecvByteBufAllocator(Heartbeat.MOST_BYTES + 1).maxMessagesPerRead(MOST_READ))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                        if (packet.content().readableBytes() <= Beat.MOST_BYTES) {
+                        if (packet.content().readableBytes() <= Heartbeat.MOST_BYTES) {
                             reader.accept(packet);
                         }
                     }
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -6,10 +6,12 @@
 import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
 import amberroute.decisions.DeliveryScheduler.Event;
 import amberroute.decisions.settings.InvalidSettingsException;
-import amberroute.handover.Ownership;
-import amberroute.handover.Placement;
-import amberroute.membership.Beat;
-import amberroute.membership.FleetView;
+import amberroute.handoff.HandoffPlacement;
+import amberroute.handoff.Ownership;
+import amberroute.membership.Heartbeat;
+import amberroute.membership.MembershipView;
+import amberroute.quota.SlowStartLimit;
+import amberroute.quota.SlowStartLimits;
 import amberroute.sender.Action.Cancel;
 import amberroute.sender.Action.CloseIdle;
 import amberroute.sender.Action.Fail;
@@ -18,8 +20,6 @@
 import amberroute.sender.Action.Remember;
 import amberroute.sender.Action.Send;
 import amberroute.sender.Action.Wake;
-import amberroute.shares.ColdLimit;
-import amberroute.shares.ColdLimits;
 import amberroute.storage.FolderDisk;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -174,7 +174,7 @@
     /** Null unless daemons tell one another of their load. */
     private FleetLoad load;
 
-    private ColdLimits limits;
+    private SlowStartLimits limits;
     /** How many messages are held for each destination, as last counted. */
     private Map<Integer, Integer> heldFor = Map.of();
 
@@ -772,13 +772,13 @@
         names.sort(null);
         DeliveryScheduler.Rules rules = settings.rules();
         int daemons = Math.max(settings.senders(), names.size());
-        limits = new ColdLimits(
+        limits = new SlowStartLimits(
                 now(),
-                new ColdLimits.Fleet(
+                new SlowStartLimits.FleetParameters(
                         daemons,
                         names.indexOf(config.name()),
                         alone.lease(),
-                        new ColdLimit.Rules(
+                        new SlowStartLimit.Rules(
                                 rules.startCapacity(),
                                 rules.coldSpan(),
                                 rules.fallMultiple(),
@@ -809,13 +809,13 @@
         return heldFor.getOrDefault(destination, 0);
     }
 
-    private void ceiling(ColdLimits.Ceiling c) {
+    private void ceiling(SlowStartLimits.RateLimit c) {
         note(new Event.FleetRateLimitChanged(c.destination(), c.perSecond(), c.first(), c.back()));
     }
 
     private void found(int destination, DeliveryScheduler.UpstreamStatus health, long since) {
         if (limits != null) {
-            limits.found(now(), destination, Beat.Health.valueOf(health.name()), since);
+            limits.found(now(), destination, Heartbeat.Health.valueOf(health.name()), since);
             beats.hurry();
         }
     }
@@ -1299,11 +1299,11 @@
         return null;
     }
 
-    private FleetView.Phase fleetPhase() {
+    private MembershipView.Phase fleetPhase() {
         return switch (phase) {
-            case STARTING -> FleetView.Phase.STARTING;
-            case READY -> FleetView.Phase.READY;
-            default -> FleetView.Phase.DRAINING;
+            case STARTING -> MembershipView.Phase.STARTING;
+            case READY -> MembershipView.Phase.READY;
+            default -> MembershipView.Phase.DRAINING;
         };
     }
 
@@ -1758,7 +1758,7 @@
         receivers.closeIdle(directory::gone);
         if (limits != null) {
             for (DeliveryScheduler.EndpointEntry entry : entries) {
-                ColdLimits.Ceiling c = limits.known(now(), entry.destination());
+                SlowStartLimits.RateLimit c = limits.known(now(), entry.destination());
                 if (c != null) {
                     ceiling(c);
                 }
@@ -2460,22 +2460,22 @@
         }
 
         @Override
-        public Placement.No refuses(List<Held> messages, JsonObject theirs) {
+        public HandoffPlacement.RejectionReason refuses(List<Held> messages, JsonObject theirs) {
             if (drain != null
                     || phase != Phase.READY
                     || held.size() + arriving.size() + messages.size()
                             > settings.limits().openMessages()) {
-                return Placement.No.ROOM;
+                return HandoffPlacement.RejectionReason.ROOM;
             }
             for (Held m : messages) {
                 int type = classes.number(m.className);
                 if (type < 0
                         || !directory.listed(m.destination)
-                        || m.deadline - steady() < Placement.LEAST_LEFT
+                        || m.deadline - steady() < HandoffPlacement.LEAST_LEFT
                         || !theirs.has(m.className)
                         || !theirs.get(m.className).getAsString().equals(meaning(type))
                         || wouldBeLost(m, classes.type(type))) {
-                    return Placement.No.UNFIT;
+                    return HandoffPlacement.RejectionReason.UNFIT;
                 }
             }
             return null;
--- a/sender/src/main/java/amberroute/sender/Survival.java
+++ b/sender/src/main/java/amberroute/sender/Survival.java
@@ -1,14 +1,14 @@
 package amberroute.sender;
 
-import amberroute.membership.FleetView;
-import amberroute.membership.Swim;
-import amberroute.survival.Claim;
-import amberroute.survival.Group;
-import amberroute.survival.Holding;
-import amberroute.survival.Position;
-import amberroute.survival.Regrouping;
-import amberroute.survival.Steps;
-import amberroute.survival.Tenure;
+import amberroute.membership.MembershipView;
+import amberroute.membership.SwimMembership;
+import amberroute.replication.Candidacy;
+import amberroute.replication.ElectionSchedule;
+import amberroute.replication.LeaderTerm;
+import amberroute.replication.LogPosition;
+import amberroute.replication.ReplicaSet;
+import amberroute.replication.ReplicaSetChange;
+import amberroute.replication.ReplicaState;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -100,7 +100,7 @@
         /** First it is only asked whether it could be won, which changes nothing anywhere. */
         boolean trying = true;
 
-        Claim claim;
+        Candidacy claim;
         long askedAt;
         /** An operator wants it. */
         boolean byHand;
@@ -109,20 +109,20 @@
         /** Somebody knows of an earlier estate of this daemon whose keys it does not hold back yet. */
         boolean former;
 
-        Attempt(EstateStore.Kept kept, Claim claim) {
+        Attempt(EstateStore.Kept kept, Candidacy claim) {
             this.kept = kept;
             this.claim = claim;
         }
     }
 
     private static final class Care {
-        final Regrouping regrouping;
+        final ReplicaSetChange regrouping;
         Caretaker taker;
         long idleSince = -1;
         int taken;
         final long took = System.nanoTime();
 
-        Care(Regrouping regrouping) {
+        Care(ReplicaSetChange regrouping) {
             this.regrouping = regrouping;
         }
     }
@@ -132,7 +132,7 @@
     private final Map<String, InetSocketAddress> peers;
     private final int copies;
     private final long replaceNanos;
-    private final Regrouping regrouping;
+    private final ReplicaSetChange regrouping;
     private final Host host;
     private final EstateStore store;
     private final PeerProbes probes;
@@ -143,7 +143,7 @@
     private final Map<String, Care> cares = new LinkedHashMap<>();
     private final long started = System.nanoTime();
     private final boolean newborn;
-    private Group chosen;
+    private ReplicaSet chosen;
     private boolean over;
 
     Survival(EventLoop loop, Config config, Journal journal, PeerProbes probes, Host host) throws IOException {
@@ -154,7 +154,7 @@
         peers.remove(self);
         copies = alone.survive().copies();
         replaceNanos = alone.survive().replaceMillis() * 1_000_000;
-        regrouping = new Regrouping(self, copies, replaceNanos);
+        regrouping = new ReplicaSetChange(self, copies, replaceNanos);
         this.host = host;
         this.probes = probes;
         store = new EstateStore(config.state().resolve("copies"), config.diskBytes());
@@ -207,9 +207,9 @@
     }
 
     /** With how far the record has come, which a running journal knows better than its file. */
-    private Holding now(EstateStore.Kept kept) {
+    private ReplicaState now(EstateStore.Kept kept) {
         Copying running = copying(kept);
-        Position at = running == null ? null : running.at();
+        LogPosition at = running == null ? null : running.at();
         return at == null || kept.done ? kept.holding : kept.holding.reaching(at);
     }
 
@@ -291,7 +291,8 @@
 
     private boolean copied(JsonObject line, String from, EstateStore.Kept kept, long term, Channel on) {
         if (line.has("had")) {
-            Holding reminded = kept.holding.reminded(term, from, line.get("had").getAsLong());
+            ReplicaState reminded =
+                    kept.holding.reminded(term, from, line.get("had").getAsLong());
             if (reminded != kept.holding) {
                 Log.warn("survival: this folder is older than what it promised of " + kept.estate
                         + ": no holder until it has a copy");
@@ -317,13 +318,13 @@
         }
         long behind = line.get("behind").getAsLong();
         long upTo = line.get("upto").getAsLong();
-        if (kept.copyFrom != on || !kept.holding.copy().equals(new Position(term, behind))) {
+        if (kept.copyFrom != on || !kept.holding.copy().equals(new LogPosition(term, behind))) {
             return false;
         }
         if (line.has("holders")) {
             kept.group = EstateLine.group(line);
         }
-        Holding next = kept.holding
+        ReplicaState next = kept.holding
                 .copied(term, from, behind, upTo)
                 .named(kept.group.holders().contains(self));
         return upTo == behind ? store.promise(kept, next) : store.changes(kept, next, EstateLine.batches(line));
@@ -331,14 +332,14 @@
 
     private void claimed(
             ChannelHandlerContext context, JsonObject line, String from, EstateStore.Kept kept, long term) {
-        Position theirs = new Position(
+        LogPosition theirs = new LogPosition(
                 line.get("copy_term").getAsLong(), line.get("copy_number").getAsLong());
-        Holding now = now(kept);
-        Holding next = now.asked(term, from, theirs);
+        ReplicaState now = now(kept);
+        ReplicaState next = now.asked(term, from, theirs);
         boolean yes = next.granted(term, from);
         boolean former = false;
         if (line.get("try").getAsBoolean()) {
-            former = from.equals(kept.origin()) && theirs.equals(Position.NONE) && formerOpen(kept, from);
+            former = from.equals(kept.origin()) && theirs.equals(LogPosition.NONE) && formerOpen(kept, from);
             yes &= !former && (from.equals(now.owner()) || !hears(kept));
         } else if (yes) {
             yes = store.promise(kept, next);
@@ -458,15 +459,16 @@
         }
         String owner = kept.holding.owner();
         long silent = now - kept.heardAt;
-        Steps.Seen seen = new Steps.Seen(owner.equals(self), probes.view().gone(owner), silent);
-        return Steps.shouldTry(seen, SILENT_NANOS, LONG_SILENT_NANOS);
+        ElectionSchedule.OwnerObservation seen = new ElectionSchedule.OwnerObservation(
+                owner.equals(self), probes.view().gone(owner), silent);
+        return ElectionSchedule.shouldTry(seen, SILENT_NANOS, LONG_SILENT_NANOS);
     }
 
     /** A first question to the group, or, where that was answered by a majority, the claim itself, on disk before it is said. */
     private void claim(EstateStore.Kept kept, boolean trying, long least) {
-        Holding now = now(kept);
-        Holding next = now.asked(Math.max(least, now.term() + 1), self, now.copy());
-        Group group = kept == own ? chosen : kept.group;
+        ReplicaState now = now(kept);
+        ReplicaState next = now.asked(Math.max(least, now.term() + 1), self, now.copy());
+        ReplicaSet group = kept == own ? chosen : kept.group;
         if (!next.granted(next.term(), self)) {
             // Its own promises are not here any more: the others have what was agreed on, and one of them goes on with
             // it.
@@ -480,14 +482,14 @@
             attempts.remove(kept.estate);
             return;
         }
-        Attempt attempt = new Attempt(kept, new Claim(self, group, next));
+        Attempt attempt = new Attempt(kept, new Candidacy(self, group, next));
         attempt.trying = trying;
         attempts.put(kept.estate, attempt);
         ask(attempt);
     }
 
     private void attempt(Attempt a, long now) {
-        boolean birth = a.trying && a.claim.copy().equals(Position.NONE);
+        boolean birth = a.trying && a.claim.copy().equals(LogPosition.NONE);
         String owner = a.kept.holding.owner();
         // An owner that is there is waited for as well: it may have more than all who have answered, should a folder be
         // an old one.
@@ -601,7 +603,7 @@
             }
             return;
         }
-        Care care = new Care(new Regrouping(self, copies, replaceNanos));
+        Care care = new Care(new ReplicaSetChange(self, copies, replaceNanos));
         cares.put(kept.estate, care);
         String before = kept.holding.owner();
         Path folder = store.lend(kept);
@@ -637,7 +639,7 @@
         if (!cares.containsKey(kept.estate)) {
             throw new IOException("the term is over");
         }
-        Position at = EstateLine.place(taker.journal().place());
+        LogPosition at = EstateLine.place(taker.journal().place());
         Copying running =
                 new Copying(loop, self, kept.estate, taker.journal(), peers, (t, owner) -> lose(kept, t, owner));
         taker.journal().copyTo(running);
@@ -672,19 +674,19 @@
     // ---- The group. ----
 
     private void choose() {
-        List<FleetView.Member> alive = probes.view().members(System.nanoTime() / 1_000).stream()
-                .filter(FleetView.Member::alive)
+        List<MembershipView.Member> alive = probes.view().members(System.nanoTime() / 1_000).stream()
+                .filter(MembershipView.Member::alive)
                 .toList();
         boolean waited = System.nanoTime() - started > CHOOSE_NANOS;
         if (alive.size() >= (waited ? copies - 1 : peers.size())) {
-            Swim view = probes.view();
-            chosen = new Group(
+            SwimMembership view = probes.view();
+            chosen = new ReplicaSet(
                     0,
-                    Steps.holders(
+                    ElectionSchedule.holders(
                             self,
                             view.zone(self),
                             copies,
-                            alive.stream().map(FleetView.Member::name).toList(),
+                            alive.stream().map(MembershipView.Member::name).toList(),
                             view::zone));
         }
     }
@@ -701,21 +703,21 @@
         });
     }
 
-    private void regroup(Copying running, Regrouping decides) {
-        Tenure tenure = running.tenure();
+    private void regroup(Copying running, ReplicaSetChange decides) {
+        LeaderTerm tenure = running.tenure();
         if (tenure == null || !running.ready() || !tenure.settled()) {
             return;
         }
         long now = System.nanoTime();
-        Swim swim = probes.view();
+        SwimMembership swim = probes.view();
         List<String> alive = swim.members(now / 1_000).stream()
-                .filter(FleetView.Member::alive)
-                .map(FleetView.Member::name)
+                .filter(MembershipView.Member::alive)
+                .map(MembershipView.Member::name)
                 .toList();
-        Regrouping.Step step = decides.next(
+        ReplicaSetChange.Step step = decides.next(
                 now,
                 tenure.group(),
-                new Regrouping.View(swim::gone, running::fresh, running::taught, alive, swim::zone));
+                new ReplicaSetChange.View(swim::gone, running::fresh, running::taught, alive, swim::zone));
         switch (step.kind()) {
             case WITHOUT -> {
                 Log.warn("survival: " + step.name()
@@ -741,7 +743,7 @@
         JsonArray out = new JsonArray();
         for (EstateStore.Kept kept : store.all().values()) {
             JsonObject one = new JsonObject();
-            Holding now = now(kept);
+            ReplicaState now = now(kept);
             one.addProperty("estate", kept.estate);
             one.addProperty("owner", now.owner());
             one.addProperty("term", now.term());
@@ -754,7 +756,7 @@
                                     : kept.open ? "taken over" : kept.copy.isEmpty() ? "promised" : "copy");
             one.addProperty("number", kept.done ? 0 : now.copy().number());
             Copying running = copying(kept);
-            Group group = running != null && running.tenure() != null
+            ReplicaSet group = running != null && running.tenure() != null
                     ? running.tenure().group()
                     : kept.group;
             one.add("holders", PeerLine.names(group == null ? List.of() : group.holders()));
--- a/sender/src/test/java/amberroute/sender/AdoptionTest.java
+++ b/sender/src/test/java/amberroute/sender/AdoptionTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.decisions.settings.InvalidSettingsException;
-import amberroute.handover.Ownership;
+import amberroute.handoff.Ownership;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.BufferedReader;
--- a/sender/src/test/java/amberroute/sender/CopyingTest.java
+++ b/sender/src/test/java/amberroute/sender/CopyingTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.replication.LogPosition;
+import amberroute.replication.ReplicaSet;
 import amberroute.storage.Batch;
-import amberroute.survival.Group;
-import amberroute.survival.Position;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.channel.EventLoop;
@@ -109,7 +109,7 @@
                             Map.of("two", two.address(), "three", three.address()),
                             (term, owner) -> {});
                     journal.copyTo(copying);
-                    assertTrue(copying.begin(1, Position.NONE, new Group(0, List.of("one", "two", "three"))));
+                    assertTrue(copying.begin(1, LogPosition.NONE, new ReplicaSet(0, List.of("one", "two", "three"))));
                 })
                 .sync();
         await(() -> two.whole && three.whole && call(copying::ready));
--- a/sender/src/test/java/amberroute/sender/EstateStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/EstateStoreTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.replication.LogPosition;
+import amberroute.replication.ReplicaSet;
+import amberroute.replication.ReplicaState;
 import amberroute.storage.Batch;
-import amberroute.survival.Group;
-import amberroute.survival.Holding;
-import amberroute.survival.Position;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -34,12 +34,12 @@
         Owner() throws IOException {
             journal = Journal.open(folder.resolve("owner"), BUDGET);
             journal.copyTo(this);
-            journal.holders(EstateLine.group(ESTATE, new Group(1, List.of("s1", "s2", "s3"))));
+            journal.holders(EstateLine.group(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
         }
 
         @Override
         public byte[] place() {
-            return EstateLine.place(new Position(1, number + 1));
+            return EstateLine.place(new LogPosition(1, number + 1));
         }
 
         @Override
@@ -106,7 +106,7 @@
 
             EstateStore again = store();
             EstateStore.Kept read = again.all().get(ESTATE);
-            assertEquals(new Position(1, owner.number), read.holding.copy());
+            assertEquals(new LogPosition(1, owner.number), read.holding.copy());
             assertEquals(List.of("s1", "s2", "s3"), read.group.holders());
             try (Journal copy = Journal.open(again.lend(read), BUDGET)) {
                 assertEquals(
@@ -114,7 +114,7 @@
                         copy.live().stream().map(m -> m.id).toList());
                 assertTrue(copy.live().iterator().next().out);
                 assertTrue(copy.knows("over"));
-                assertEquals(new Position(1, owner.number), EstateLine.place(copy.place()));
+                assertEquals(new LogPosition(1, owner.number), EstateLine.place(copy.place()));
             }
         }
     }
@@ -143,9 +143,9 @@
             EstateStore store = store();
             EstateStore.Kept kept = whole(store, owner, this);
             // It came to a group that named it already: out and in again before it counts.
-            assertEquals(Holding.NAMED, kept.holding.fresh());
+            assertEquals(ReplicaState.NAMED, kept.holding.fresh());
             assertTrue(store.promise(kept, kept.holding.named(false).named(true)));
-            assertTrue(store.promise(kept, kept.holding.asked(4, "s3", new Position(2, 1))));
+            assertTrue(store.promise(kept, kept.holding.asked(4, "s3", new LogPosition(2, 1))));
             store.close();
             EstateStore again = store();
             assertTrue(again.all().get(ESTATE).holding.granted(4, "s3"));
@@ -163,7 +163,7 @@
             }
             EstateStore damaged = store();
             EstateStore.Kept read = damaged.all().get(ESTATE);
-            assertEquals(Position.NONE, read.holding.copy());
+            assertEquals(LogPosition.NONE, read.holding.copy());
             assertFalse(read.holding.counts());
             assertEquals(4, read.holding.term());
             damaged.close();
@@ -176,13 +176,13 @@
             EstateStore store = store();
             EstateStore.Kept kept = whole(store, owner, this);
             assertTrue(store.promise(kept, kept.holding.named(false).named(true)));
-            assertTrue(kept.holding.asked(9, "s1", new Position(8, 1_000)).granted(9, "s1"));
+            assertTrue(kept.holding.asked(9, "s1", new LogPosition(8, 1_000)).granted(9, "s1"));
             store.finish(kept);
             store.close();
             EstateStore again = store();
-            Holding holding = again.all().get(ESTATE).holding;
+            ReplicaState holding = again.all().get(ESTATE).holding;
             assertTrue(holding.counts());
-            assertFalse(holding.asked(9, "s1", new Position(8, 1_000)).granted(9, "s1"));
+            assertFalse(holding.asked(9, "s1", new LogPosition(8, 1_000)).granted(9, "s1"));
             again.close();
         }
     }
@@ -194,7 +194,7 @@
             owner.accept("first");
             EstateStore store = new EstateStore(folder.resolve("copies"), 96 << 10);
             EstateStore.Kept kept = whole(store, owner, this);
-            Position had = kept.holding.copy();
+            LogPosition had = kept.holding.copy();
             Held large = new Held(
                     owner.journal.nextNumber(),
                     "large",
@@ -220,7 +220,7 @@
         EstateStore store = new EstateStore(folder.resolve("copies"), BUDGET, 256);
         for (int i = 0; i < 300; i++) {
             EstateStore.Kept kept = store.of("s1.e" + i);
-            assertTrue(store.promise(kept, new Holding(1, "s1", Position.NONE)));
+            assertTrue(store.promise(kept, new ReplicaState(1, "s1", LogPosition.NONE)));
             store.finish(kept);
         }
         assertTrue(store.all().size() <= 256
--- a/sender/src/test/java/amberroute/sender/GentleTest.java
+++ b/sender/src/test/java/amberroute/sender/GentleTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.membership.Beat;
-import amberroute.membership.Beat.Health;
-import amberroute.membership.FleetView;
+import amberroute.membership.Heartbeat;
+import amberroute.membership.Heartbeat.Health;
+import amberroute.membership.MembershipView;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -79,12 +79,12 @@
         world.close();
     }
 
-    private Beat read(Predicate<Beat> wanted) throws IOException {
-        byte[] bytes = new byte[Beat.MOST_BYTES];
+    private Heartbeat read(Predicate<Heartbeat> wanted) throws IOException {
+        byte[] bytes = new byte[Heartbeat.MOST_BYTES];
         for (int i = 0; i < 200; i++) {
             DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
             peer.receive(packet);
-            Beat beat = Beat.read(ByteBuffer.wrap(bytes, 0, packet.getLength()));
+            Heartbeat beat = Heartbeat.read(ByteBuffer.wrap(bytes, 0, packet.getLength()));
             if (beat != null && wanted.test(beat)) {
                 return beat;
             }
@@ -92,8 +92,8 @@
         throw new AssertionError("no such beat came");
     }
 
-    private void tell(List<Beat.News> news, List<Beat.Loan> loans) throws IOException {
-        Beat beat = new Beat("two", 1, ++number, FleetView.Phase.READY, news, loans);
+    private void tell(List<Heartbeat.SlowStartUpdate> news, List<Heartbeat.QuotaLoan> loans) throws IOException {
+        Heartbeat beat = new Heartbeat("two", 1, ++number, MembershipView.Phase.READY, news, loans);
         byte[] bytes = new byte[beat.write().remaining()];
         beat.write().get(bytes);
         InetSocketAddress to = sender.handOverAddress();
@@ -130,7 +130,7 @@
     void aPeersWordThatItIsWellLiftsTheCeiling() throws Exception {
         hand(0, 16);
         assertTrue(sender.owed() > 5);
-        tell(List.of(new Beat.News(7, Health.WELL, -1, -1, 10, 50, 50, 0)), List.of());
+        tell(List.of(new Heartbeat.SlowStartUpdate(7, Health.WELL, -1, -1, 10, 50, 50, 0)), List.of());
         await(() -> sender.owed() == 0);
         assertEquals(16, answered());
     }
@@ -139,15 +139,15 @@
     @Test
     void anIdleDaemonLendsItsPart() throws Exception {
         read(beat -> beat.from().equals("one"));
-        Beat.Loan ask = new Beat.Loan(false, 7, 1_000, 0.5f);
-        List<Beat.Loan> answers = new ArrayList<>();
+        Heartbeat.QuotaLoan ask = new Heartbeat.QuotaLoan(false, 7, 1_000, 0.5f);
+        List<Heartbeat.QuotaLoan> answers = new ArrayList<>();
         // For a while after its start it may have lent all in an earlier life.
         await(() -> {
             if (!answers.isEmpty() && answers.get(answers.size() - 1).part() > 0) {
                 return true;
             }
             try {
-                tell(List.of(), List.of(new Beat.Loan(false, 7, ask.number() + answers.size(), ask.part())));
+                tell(List.of(), List.of(new Heartbeat.QuotaLoan(false, 7, ask.number() + answers.size(), ask.part())));
                 answers.add(read(beat ->
                                 !beat.loans().isEmpty() && beat.loans().get(0).grant())
                         .loans()
@@ -160,7 +160,7 @@
         assertEquals(0.5f, answers.get(answers.size() - 1).part());
         assertTrue(answers.size() > 1, "it lent at once, though it may have lent all before its start");
         long lent = answers.get(answers.size() - 1).number();
-        tell(List.of(), List.of(new Beat.Loan(false, 7, lent, 0.5f)));
+        tell(List.of(), List.of(new Heartbeat.QuotaLoan(false, 7, lent, 0.5f)));
         assertEquals(0, read(beat -> !beat.loans().isEmpty()).loans().get(0).part());
     }
 
@@ -169,11 +169,11 @@
     void itTellsWhatItSeesAndAsksForMore() throws Exception {
         tell(List.of(), List.of());
         hand(0, 16);
-        Beat.Loan ask = read(beat -> beat.loans().stream().anyMatch(l -> !l.grant() && l.destination() == 7))
+        Heartbeat.QuotaLoan ask = read(beat -> beat.loans().stream().anyMatch(l -> !l.grant() && l.destination() == 7))
                 .loans()
                 .get(0);
         assertTrue(ask.part() > 0);
-        Beat.News news =
+        Heartbeat.SlowStartUpdate news =
                 read(beat -> beat.news().stream().anyMatch(n -> n.destination() == 7 && n.okAgo() >= 0)).news().stream()
                         .filter(n -> n.destination() == 7)
                         .findFirst()
@@ -190,13 +190,13 @@
         java.util.SplittableRandom random = new java.util.SplittableRandom(3);
         try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             stranger.setSoTimeout(300);
-            Beat forged = new Beat(
+            Heartbeat forged = new Heartbeat(
                     "two",
                     9,
                     99,
-                    FleetView.Phase.READY,
-                    List.of(new Beat.News(7, Health.WELL, -1, -1, 10, 50, 50, 0)),
-                    List.of(new Beat.Loan(false, 7, 5, 0.5f)));
+                    MembershipView.Phase.READY,
+                    List.of(new Heartbeat.SlowStartUpdate(7, Health.WELL, -1, -1, 10, 50, 50, 0)),
+                    List.of(new Heartbeat.QuotaLoan(false, 7, 5, 0.5f)));
             byte[] bytes = new byte[forged.write().remaining()];
             forged.write().get(bytes);
             stranger.send(new DatagramPacket(bytes, bytes.length, to));
--- a/sender/src/test/java/amberroute/sender/HandOverTest.java
+++ b/sender/src/test/java/amberroute/sender/HandOverTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.handover.Ownership;
+import amberroute.handoff.Ownership;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/sender/src/test/java/amberroute/sender/JournalLotsTest.java
+++ b/sender/src/test/java/amberroute/sender/JournalLotsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.handover.Ownership;
-import amberroute.handover.Ownership.Status;
+import amberroute.handoff.Ownership;
+import amberroute.handoff.Ownership.Status;
 import amberroute.storage.SegmentLog;
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/sender/src/test/java/amberroute/sender/OldJournalTest.java
+++ b/sender/src/test/java/amberroute/sender/OldJournalTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.decisions.DeliveryScheduler;
-import amberroute.handover.Ownership;
+import amberroute.handoff.Ownership;
 import amberroute.storage.SegmentLog;
 import java.io.IOException;
 import java.io.InputStream;
--- a/sender/src/test/java/amberroute/sender/SurvivalTest.java
+++ b/sender/src/test/java/amberroute/sender/SurvivalTest.java
@@ -7,11 +7,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.membership.FleetView;
+import amberroute.membership.MembershipView;
+import amberroute.replication.LogPosition;
+import amberroute.replication.ReplicaSet;
+import amberroute.replication.ReplicaState;
 import amberroute.storage.Batch;
-import amberroute.survival.Group;
-import amberroute.survival.Holding;
-import amberroute.survival.Position;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.buffer.ByteBuf;
@@ -44,7 +44,7 @@
 /** What one daemon says to its peers' words about estates, and what it does with what it finds on its disk. */
 class SurvivalTest {
     private static final String ESTATE = "two.abc";
-    private static final Group THREE = new Group(1, List.of("two", "one", "three"));
+    private static final ReplicaSet THREE = new ReplicaSet(1, List.of("two", "one", "three"));
 
     @TempDir
     Path folder;
@@ -96,7 +96,7 @@
                 config.standalone().peers(),
                 () -> System.nanoTime() / 1_000,
                 1,
-                () -> FleetView.Phase.READY);
+                () -> MembershipView.Phase.READY);
         survival = loop.submit(() -> new Survival(loop, config, journal, probes, new Survival.Host() {
                     @Override
                     public void fenced(String why) {
@@ -148,7 +148,7 @@
         return answer == null ? "" : answer.get("word").getAsString();
     }
 
-    private static JsonObject claim(String from, long term, boolean trying, Position copy) {
+    private static JsonObject claim(String from, long term, boolean trying, LogPosition copy) {
         JsonObject line = EstateLine.of("CLAIM", from, ESTATE, term);
         line.addProperty("try", trying);
         line.addProperty("copy_term", copy.term());
@@ -156,7 +156,7 @@
         return line;
     }
 
-    private static JsonObject whole(long term, long upTo, Group holders) {
+    private static JsonObject whole(long term, long upTo, ReplicaSet holders) {
         JsonObject line = EstateLine.of("WHOLE", "two", ESTATE, term);
         line.addProperty("first", true);
         line.addProperty("last", true);
@@ -166,7 +166,7 @@
         return line;
     }
 
-    private static JsonObject copy(long term, long behind, Group holders) {
+    private static JsonObject copy(long term, long behind, ReplicaSet holders) {
         JsonObject line = EstateLine.of("COPY", "two", ESTATE, term);
         line.addProperty("behind", behind);
         line.addProperty("upto", behind + 1);
@@ -175,16 +175,16 @@
         return line;
     }
 
-    private static Batch change(long term, long number, Group holders) {
+    private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.PLACE, EstateLine.place(new Position(term, number)))
+                .put(1, Journal.PLACE, EstateLine.place(new LogPosition(term, number)))
                 .put(1, Journal.GROUP, EstateLine.group(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
     private void hold(long upTo) throws Exception {
         survival();
-        assertEquals("GRANT", word("two", claim("two", 1, false, Position.NONE)));
+        assertEquals("GRANT", word("two", claim("two", 1, false, LogPosition.NONE)));
         JsonObject have = say(connection, "two", whole(1, upTo, THREE));
         assertEquals("HAVE", have.get("word").getAsString());
         assertTrue(have.get("counts").getAsBoolean());
@@ -208,16 +208,16 @@
     @Test
     void anOwnerThatIsHeardIsNotUnseatedAndALaterTermOutranksIt() throws Exception {
         hold(5);
-        assertEquals("DENY", word("three", claim("three", 2, true, new Position(1, 9))));
+        assertEquals("DENY", word("three", claim("three", 2, true, new LogPosition(1, 9))));
         long from = System.nanoTime();
         await(() -> System.nanoTime() - from > 700_000_000);
-        assertEquals("DENY", word("three", claim("three", 2, true, new Position(1, 4))));
-        assertEquals("GRANT", word("three", claim("three", 2, true, new Position(1, 5))));
+        assertEquals("DENY", word("three", claim("three", 2, true, new LogPosition(1, 4))));
+        assertEquals("GRANT", word("three", claim("three", 2, true, new LogPosition(1, 5))));
         // Asking whether it would win promised nothing.
         assertEquals("HAVE", word("two", copy(1, 5, THREE)));
-        assertEquals("GRANT", word("three", claim("three", 2, false, new Position(1, 6))));
-        assertEquals("GRANT", word("three", claim("three", 2, false, new Position(1, 6))));
-        assertEquals("DENY", word("two", claim("two", 2, false, new Position(1, 6))));
+        assertEquals("GRANT", word("three", claim("three", 2, false, new LogPosition(1, 6))));
+        assertEquals("GRANT", word("three", claim("three", 2, false, new LogPosition(1, 6))));
+        assertEquals("DENY", word("two", claim("two", 2, false, new LogPosition(1, 6))));
         JsonObject over = say(connection, "two", copy(1, 6, THREE));
         assertEquals("OVER", over.get("word").getAsString());
         assertEquals("three", over.get("owner").getAsString());
@@ -231,18 +231,18 @@
         assertEquals("", word("two", away));
         long from = System.nanoTime();
         await(() -> System.nanoTime() - from > 900_000_000);
-        assertEquals("DENY", word("three", claim("three", 2, true, new Position(1, 5))));
+        assertEquals("DENY", word("three", claim("three", 2, true, new LogPosition(1, 5))));
         // The daemon itself is back and goes on.
-        assertEquals("GRANT", word("two", claim("two", 2, true, new Position(1, 5))));
+        assertEquals("GRANT", word("two", claim("two", 2, true, new LogPosition(1, 5))));
     }
 
     @Test
     void whatIsDoneIsOverForGoodAndAStrangerIsNotAnswered() throws Exception {
         hold(5);
-        assertEquals("", word("nobody", claim("nobody", 9, false, new Position(8, 9))));
+        assertEquals("", word("nobody", claim("nobody", 9, false, new LogPosition(8, 9))));
         assertEquals("", word("two", EstateLine.of("DONE", "two", ESTATE, 1)));
         assertEquals("OVER", word("two", copy(1, 5, THREE)));
-        assertEquals("DENY", word("three", claim("three", 7, false, new Position(6, 100))));
+        assertEquals("DENY", word("three", claim("three", 7, false, new LogPosition(6, 100))));
         assertThrows(
                 RuntimeException.class, () -> say(connection, "two", EstateLine.of("COPY", "two", "two.other", 1)));
     }
@@ -254,20 +254,20 @@
         JsonObject line = whole(1, 9, THREE);
         line.addProperty("had", 8);
         assertFalse(say(connection, "two", line).get("counts").getAsBoolean());
-        assertEquals("DENY", word("three", claim("three", 2, false, new Position(1, 9))));
-        Group without = THREE.without("one");
+        assertEquals("DENY", word("three", claim("three", 2, false, new LogPosition(1, 9))));
+        ReplicaSet without = THREE.without("one");
         assertFalse(say(connection, "two", whole(1, 10, without)).get("counts").getAsBoolean());
         assertTrue(say(connection, "two", copy(1, 10, without.with("one")))
                 .get("counts")
                 .getAsBoolean());
-        assertEquals("GRANT", word("three", claim("three", 2, false, new Position(1, 11))));
+        assertEquals("GRANT", word("three", claim("three", 2, false, new LogPosition(1, 11))));
     }
 
     /** Its keys would be served anew where clients know them, ahead of what it had of them. */
     @Test
     void aDaemonThatLostItsFolderBeginsAnewOnlyBehindWhatItHad() throws Exception {
         hold(5);
-        JsonObject fresh = claim("two", 1, true, Position.NONE);
+        JsonObject fresh = claim("two", 1, true, LogPosition.NONE);
         fresh.addProperty("estate", "two.new");
         assertEquals("DENY", word("two", fresh));
         // It is over for good once nothing of it can be in time any more.
@@ -275,7 +275,7 @@
         await(() -> System.nanoTime() - from > 2_300_000_000L);
         assertEquals("GRANT", word("two", fresh));
         // Another daemon's is no matter.
-        JsonObject other = claim("three", 1, true, Position.NONE);
+        JsonObject other = claim("three", 1, true, LogPosition.NONE);
         other.addProperty("estate", "three.new");
         assertEquals("GRANT", word("three", other));
     }
@@ -285,7 +285,7 @@
     void whoLeavesTheGroupNeitherGrantsNorTries() throws Exception {
         hold(5);
         assertEquals("", word("two", EstateLine.of("LEAVE", "two", ESTATE, 1)));
-        assertEquals("DENY", word("three", claim("three", 2, false, new Position(1, 5))));
+        assertEquals("DENY", word("three", claim("three", 2, false, new LogPosition(1, 5))));
         assertEquals(
                 "there is no copy of it here",
                 loop.submit(() -> survival.take(ESTATE)).sync().getNow());
@@ -299,7 +299,7 @@
         journal.copyTo(new Journal.Copies() {
             @Override
             public byte[] place() {
-                return EstateLine.place(new Position(3, 8));
+                return EstateLine.place(new LogPosition(3, 8));
             }
 
             @Override
@@ -308,7 +308,7 @@
             @Override
             public void whenAgreed(Runnable effect, Runnable failed) {}
         });
-        assertTrue(journal.holders(EstateLine.group("one.abc", new Group(2, List.of("one", "two", "three")))));
+        assertTrue(journal.holders(EstateLine.group("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
@@ -329,10 +329,10 @@
         listening.start();
         // Its own estate is known, so that its claims tell that it goes on trying.
         EstateStore store = new EstateStore(config.state().resolve("copies"), 1 << 20);
-        assertTrue(store.promise(store.of("one.abc"), new Holding(1, "one", Position.NONE)));
+        assertTrue(store.promise(store.of("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
-        journal.holders(EstateLine.group("one.abc", new Group(0, List.of("one", "two", "three"))));
+        journal.holders(EstateLine.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -72,10 +72,10 @@
     }
 
     /** The budget has no room for it, also after all that can be retired has been. */
-    public static final class Full extends IOException {
+    public static final class LogFullException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Full(String message) {
+        LogFullException(String message) {
             super(message);
         }
     }
@@ -155,7 +155,7 @@
     }
 
     /** Sums over all segments, kept as they change: they are asked for with each write. */
-    private static final class Sums {
+    private static final class SegmentTotals {
         long rounded;
         long live;
         int suspects;
@@ -163,7 +163,7 @@
 
     /** A segment's file. */
     static final class Part {
-        private final Sums sums;
+        private final SegmentTotals sums;
         final String name;
         final long number;
         final long salt;
@@ -188,7 +188,7 @@
         boolean ready;
         long moved;
 
-        Part(Sums sums, String name) {
+        Part(SegmentTotals sums, String name) {
             this.sums = sums;
             this.name = name;
             number = numberOf(name);
@@ -264,7 +264,7 @@
     private final Disk disk;
     private final Limits limits;
     private final LongSupplier salts;
-    private final Sums sums = new Sums();
+    private final SegmentTotals sums = new SegmentTotals();
     private final Map<Long, Owned> owners = new HashMap<>();
     private final TreeMap<Long, Part> parts = new TreeMap<>();
     /** Bytes of segments between opening and the one reading that follows it. */
@@ -748,11 +748,12 @@
     /** Retires until so many bytes fit beside what copying needs. */
     private void room(long bytes) throws IOException {
         if (bytes + 2 * Segment.HEAD > limits.segment) {
-            throw new Full("a batch of " + bytes + " bytes; segments have " + limits.segment);
+            throw new LogFullException("a batch of " + bytes + " bytes; segments have " + limits.segment);
         }
         while (used() + rounded(bytes) + 2 * BLOCK + limits.segment > limits.budget) {
             if (!compact(limits.segment)) {
-                throw new Full(used() + " of " + limits.budget + " bytes are used, " + liveBytes() + " of them live");
+                throw new LogFullException(
+                        used() + " of " + limits.budget + " bytes are used, " + liveBytes() + " of them live");
             }
         }
     }
--- a/storage/src/test/java/amberroute/storage/SegmentLogTest.java
+++ b/storage/src/test/java/amberroute/storage/SegmentLogTest.java
@@ -26,12 +26,12 @@
 
     private static TreeMap<Long, byte[]> read(Disk disk) throws IOException {
         TreeMap<Long, byte[]> all = new TreeMap<>();
-        SegmentLog.peek(disk).read((owner, kind, version, content) -> all.put(owner, Play.bytes(content)));
+        SegmentLog.peek(disk).read((owner, kind, version, content) -> all.put(owner, StorageScenario.bytes(content)));
         return all;
     }
 
     private static SegmentLog open(Disk disk, long seed) throws IOException {
-        return Play.normal(disk, SMALL, seed);
+        return StorageScenario.normal(disk, SMALL, seed);
     }
 
     /** Lives on one disk, each killed at another operation, with contents that come, change, end and are moved on. */
@@ -40,7 +40,7 @@
         long retired = 0;
         long written = 0;
         for (long run = 1; run <= 1_500; run++) {
-            Play play = new Play(SMALL, run, Play::normal);
+            StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
             for (int life = 0; life < 4; life++) {
                 String at = "run " + run + ", life " + life;
                 play.disk.restart(run * 7 + life, SimulatedDisk.Fault.KILL, 4 + run % 300);
@@ -59,7 +59,7 @@
         for (SimulatedDisk.Fault fault :
                 List.of(SimulatedDisk.Fault.FAIL, SimulatedDisk.Fault.FAIL_AND_TRUNCATE_FAILS)) {
             for (long run = 0; run < 2_500; run++) {
-                Play play = new Play(SMALL, run, Play::normal);
+                StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
                 play.disk.restart(run, fault, 3 + run % 160);
                 String at = fault + ", run " + run;
                 play.live(100, 6, at);
@@ -80,7 +80,7 @@
     void aFullOrReadOnlyDiskRefusesLosesNothingAndGoesOnWhenItHasRoom() throws Exception {
         for (SimulatedDisk.Fault fault : List.of(SimulatedDisk.Fault.FULL, SimulatedDisk.Fault.READ_ONLY)) {
             for (long run = 0; run < 500; run++) {
-                Play play = new Play(SMALL, run, Play::normal);
+                StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
                 String at = fault + ", run " + run;
                 play.disk.restart(run, fault, 3 + run % 120);
                 play.live(90, 10, at);
@@ -101,7 +101,7 @@
     @Test
     void roomThatReturnsIsUsedByTheSameProcess() throws Exception {
         for (long run = 0; run < 500; run++) {
-            Play play = new Play(SMALL, run, Play::normal);
+            StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
             play.disk.restart(
                     run, run % 2 == 0 ? SimulatedDisk.Fault.FULL : SimulatedDisk.Fault.READ_ONLY, 10 + run % 100);
             play.disk.until(60 + run % 100);
@@ -118,7 +118,7 @@
     void whatWasForcedOutlastsALossOfPower() throws Exception {
         long retired = 0;
         for (long run = 1; run <= 2_000; run++) {
-            Play play = new Play(SYNCED, run, Play::normal);
+            StorageScenario play = new StorageScenario(SYNCED, run, StorageScenario::normal);
             for (int life = 0; life < 3; life++) {
                 String at = "run " + run + ", life " + life;
                 play.disk.restart(run * 3 + life, SimulatedDisk.Fault.KILL, 10 + run % 400);
@@ -134,7 +134,7 @@
     @Test
     void aFailedForceIsMadeGoodFromCopies() throws Exception {
         for (long run = 0; run < 600; run++) {
-            Play play = new Play(SYNCED, run, Play::normal);
+            StorageScenario play = new StorageScenario(SYNCED, run, StorageScenario::normal);
             play.disk.restart(run, SimulatedDisk.Fault.FAIL_FORCES, 20 + run % 60);
             play.disk.until(100 + run % 60);
             play.live(40, 12, "run " + run);
@@ -204,7 +204,7 @@
     @Test
     void slicesAreSmall() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
-        SegmentLog log = Play.normal(disk, new SegmentLog.Limits(64 << 20, 128 << 10, 0, false), 1);
+        SegmentLog log = StorageScenario.normal(disk, new SegmentLog.Limits(64 << 20, 128 << 10, 0, false), 1);
         for (int i = 0; i < 4_000; i++) {
             log.write(new Batch().put(log.nextOwner(), 1, new byte[200]));
         }
@@ -225,7 +225,7 @@
         SplittableRandom random = new SplittableRandom(3);
         SimulatedDisk disk = new SimulatedDisk();
         SegmentLog.Limits one = new SegmentLog.Limits(4 << 20, 1 << 20, 0, false);
-        SegmentLog log = Play.normal(disk, one, 1);
+        SegmentLog log = StorageScenario.normal(disk, one, 1);
         for (int i = 0; i < 200; i++) {
             byte[] content = new byte[random.nextInt(60)];
             random.nextBytes(content);
@@ -251,7 +251,7 @@
         byte[] bad = good.clone();
         bad[good.length / 2] ^= 1;
         disk.put(name, bad);
-        SegmentLog again = Play.normal(disk, one, 2);
+        SegmentLog again = StorageScenario.normal(disk, one, 2);
         again.write(new Batch().end(1));
         while (again.segments() > 1 && again.compact(1 << 20)) {
             // Until the damaged one has been retired.
@@ -400,7 +400,7 @@
         Map<String, String> all = new TreeMap<>();
         log.read((owner, kind, version, content) -> assertEquals(
                 null,
-                all.put(owner + "/" + kind, Arrays.toString(Play.bytes(content))),
+                all.put(owner + "/" + kind, Arrays.toString(StorageScenario.bytes(content))),
                 "two of " + owner + "/" + kind));
         return all;
     }
--- a/storage/src/test/java/amberroute/storage/Play.java
+++ b/storage/src/test/java/amberroute/storage/StorageScenario.java
@@ -17,7 +17,7 @@
  * Random batches on a log on a disk that fails, beside a model that never saw the disk. What a batch that was cut short may
  * have done is all of it or nothing.
  */
-final class Play {
+final class StorageScenario {
     interface Opener {
         SegmentLog open(Disk disk, SegmentLog.Limits limits, long seed) throws IOException;
     }
@@ -40,7 +40,7 @@
     long written;
     long retired;
 
-    Play(SegmentLog.Limits limits, long seed, Opener opener) {
+    StorageScenario(SegmentLog.Limits limits, long seed, Opener opener) {
         this.limits = limits;
         this.opener = opener;
         random = new SplittableRandom(seed);
