--- a/cli/src/main/java/amberroute/cli/CheckCommand.java
+++ b/cli/src/main/java/amberroute/cli/CheckCommand.java
@@ -1,7 +1,7 @@
 package amberroute.cli;
 
 import amberroute.fleet.Definition;
-import amberroute.sender.StandaloneConfig;
+import amberroute.sender.config.StandaloneConfig;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/cli/src/main/java/amberroute/cli/FleetCommand.java
+++ b/cli/src/main/java/amberroute/cli/FleetCommand.java
@@ -4,8 +4,8 @@
 import amberroute.fleet.FleetClient;
 import amberroute.fleet.Supervision;
 import amberroute.fleet.Supervisor;
-import amberroute.sender.ServiceNotify;
-import amberroute.sender.SignalHook;
+import amberroute.sender.lifecycle.ServiceManagerNotifier;
+import amberroute.sender.lifecycle.SignalHandlers;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.io.IOException;
@@ -74,10 +74,10 @@
         public Integer call() throws Exception {
             try (Supervisor supervisor = new Supervisor(definition(), System.err)) {
                 Runnable stop = () -> supervisor.stop(Supervision.Mode.RESTART);
-                SignalHook.install("TERM").then(stop);
-                SignalHook.install("INT").then(stop);
-                SignalHook.install("HUP").then(supervisor::reload);
-                ServiceNotify notify = new ServiceNotify(System.getenv());
+                SignalHandlers.install("TERM").then(stop);
+                SignalHandlers.install("INT").then(stop);
+                SignalHandlers.install("HUP").then(supervisor::reload);
+                ServiceManagerNotifier notify = new ServiceManagerNotifier(System.getenv());
                 supervisor.whenReady(() -> notify.tell("READY=1"));
                 return supervisor.run();
             }
--- a/cli/src/main/java/amberroute/cli/JournalCommand.java
+++ b/cli/src/main/java/amberroute/cli/JournalCommand.java
@@ -1,6 +1,6 @@
 package amberroute.cli;
 
-import amberroute.sender.JournalView;
+import amberroute.sender.journal.JournalView;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
--- a/cli/src/main/java/amberroute/cli/JournalCrashRig.java
+++ b/cli/src/main/java/amberroute/cli/JournalCrashRig.java
@@ -1,6 +1,6 @@
 package amberroute.cli;
 
-import amberroute.sender.JournalTrial;
+import amberroute.sender.journal.JournalTrial;
 import com.google.gson.JsonObject;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/sender/src/main/java/amberroute/sender/Main.java
+++ b/sender/src/main/java/amberroute/sender/Main.java
@@ -2,6 +2,7 @@
 
 import amberroute.config.ConfigException;
 import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.sender.lifecycle.SignalHandlers;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -22,7 +23,7 @@
             System.exit(2);
         }
         // First of all: without a handler the signal would end the process.
-        SignalHook hangup = SignalHook.install();
+        SignalHandlers hangup = SignalHandlers.install();
         Map<String, String> environment = new HashMap<>(System.getenv());
         if (file) {
             environment.put("GW_CONFIG", Path.of(args[2]).toAbsolutePath().toString());
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -12,14 +12,61 @@
 import amberroute.membership.MembershipView;
 import amberroute.quota.SlowStartLimit;
 import amberroute.quota.SlowStartLimits;
-import amberroute.sender.Action.Cancel;
-import amberroute.sender.Action.CloseIdle;
-import amberroute.sender.Action.Fail;
-import amberroute.sender.Action.Note;
-import amberroute.sender.Action.Refuse;
-import amberroute.sender.Action.Remember;
-import amberroute.sender.Action.Send;
-import amberroute.sender.Action.Wake;
+import amberroute.sender.admin.AdminServer;
+import amberroute.sender.admin.ControlSocket;
+import amberroute.sender.admin.LateCompletionReporter;
+import amberroute.sender.admin.SenderMetrics;
+import amberroute.sender.client.ClientServer;
+import amberroute.sender.client.ConnectionDraining;
+import amberroute.sender.config.Durability;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.config.StandaloneConfig;
+import amberroute.sender.decision.ActionRecorder;
+import amberroute.sender.decision.DecisionTrace;
+import amberroute.sender.decision.SchedulerAction;
+import amberroute.sender.decision.SchedulerAction.Cancel;
+import amberroute.sender.decision.SchedulerAction.CloseIdle;
+import amberroute.sender.decision.SchedulerAction.Fail;
+import amberroute.sender.decision.SchedulerAction.Note;
+import amberroute.sender.decision.SchedulerAction.Refuse;
+import amberroute.sender.decision.SchedulerAction.Remember;
+import amberroute.sender.decision.SchedulerAction.Send;
+import amberroute.sender.decision.SchedulerAction.Wake;
+import amberroute.sender.discovery.EndpointFile;
+import amberroute.sender.discovery.EndpointWatch;
+import amberroute.sender.eventloop.EventLoopStallDetector;
+import amberroute.sender.eventloop.MillisecondSelectStrategy;
+import amberroute.sender.journal.FencingToken;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalView;
+import amberroute.sender.journal.StateLock;
+import amberroute.sender.journal.SteadyClock;
+import amberroute.sender.lifecycle.FolderReclaim;
+import amberroute.sender.lifecycle.HeapReserve;
+import amberroute.sender.lifecycle.IncomingTransfer;
+import amberroute.sender.lifecycle.OrphanedJournalRecovery;
+import amberroute.sender.lifecycle.OutgoingTransfer;
+import amberroute.sender.lifecycle.ServiceManagerNotifier;
+import amberroute.sender.lifecycle.ShutdownSequence;
+import amberroute.sender.lifecycle.SignalHandlers;
+import amberroute.sender.lifecycle.TransferChannel;
+import amberroute.sender.lifecycle.TransferredState;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.MessageClassRegistry;
+import amberroute.sender.notification.FailureNotifier;
+import amberroute.sender.peer.HandoffCoordinator;
+import amberroute.sender.peer.HeartbeatTransport;
+import amberroute.sender.peer.JournalReplicator;
+import amberroute.sender.peer.LoadReportTransport;
+import amberroute.sender.peer.PeerSocket;
+import amberroute.sender.peer.ReplicaStore;
+import amberroute.sender.peer.ReplicationCoordinator;
+import amberroute.sender.peer.SupersededReplicas;
+import amberroute.sender.peer.SwimTransport;
+import amberroute.sender.upstream.CallBatching;
+import amberroute.sender.upstream.IdempotencyWindow;
+import amberroute.sender.upstream.UpstreamClient;
+import amberroute.sender.util.Log;
 import amberroute.storage.FolderDisk;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -72,7 +119,7 @@
 
     private static final long DRAIN_STEP_MS = 10;
     /** No message lives longer, so that an offer that was refused cannot come again behind this. */
-    static final long LONGEST_LIFE_MS = 3_600_000;
+    public static final long LONGEST_LIFE_MS = 3_600_000;
     /** Exit code of a process whose memory is ahead of what its disk keeps. */
     private static final int UNSAFE = 6;
     /** How soon what the disk did not take is tried again, and room is won back though there are no turns. */
@@ -98,7 +145,7 @@
         NETTY.setLevel(Level.OFF);
     }
 
-    private final Config config;
+    private final SenderConfig config;
     /** The socket for clients that was passed down, null for one of this process's own. */
     private final ServerSocketChannel inherited;
     /** Null where this process can give its place to no other. */
@@ -121,7 +168,7 @@
     /** Null while another process still has the state folder, and from when one has it again. */
     private volatile StateLock lock;
 
-    private final Control control;
+    private final ControlSocket control;
     private final EventLoopGroup group;
     private final EventLoop loop;
     /** Null until the state folder is this process's. */
@@ -130,29 +177,29 @@
     private SteadyClock clock;
     private DeliveryScheduler module;
     private final ActionRecorder recorder = new ActionRecorder(NO_LIMIT);
-    private final Directory directory;
-    private final Receivers receivers;
-    private final Notices notices;
+    private final EndpointWatch directory;
+    private final UpstreamClient receivers;
+    private final FailureNotifier notices;
     private final ClientServer clients;
-    private final Map<Long, Held> held = new HashMap<>();
-    private ClassBook classes = new ClassBook();
+    private final Map<Long, AcceptedMessage> held = new HashMap<>();
+    private MessageClassRegistry classes = new MessageClassRegistry();
     /** The configuration that counts now. */
-    private Config inForce;
+    private SenderConfig inForce;
     /** Which text of its file this process has read last. */
     private volatile long configurationRead;
 
-    private final Figures figures = new Figures();
+    private final SenderMetrics figures = new SenderMetrics();
     /** Published for the operators' door, which has a thread of its own. */
-    private volatile Figures.Snapshot shown = figures.snapshot(new Figures.Now(0, 0, 0));
+    private volatile SenderMetrics.Snapshot shown = figures.snapshot(new SenderMetrics.Now(0, 0, 0));
     /** Null where no address is configured. */
-    private OpsServer ops;
+    private AdminServer ops;
     /** Those that count now. */
     private DeliveryScheduler.Settings settings;
     /** Messages handed in since the last turn, with their waiting clients. */
-    private final Map<Long, Arriving> arriving = new LinkedHashMap<>();
+    private final Map<Long, PendingAcceptance> arriving = new LinkedHashMap<>();
 
     private final Set<String> arrivingIds = new HashSet<>();
-    private final List<Noted> events = new ArrayList<>();
+    private final List<TimedEvent> events = new ArrayList<>();
     /** Spreads those who are turned away; nothing that has to be repeated depends on it. */
     private final SplittableRandom random = new SplittableRandom();
 
@@ -166,13 +213,13 @@
     private InetSocketAddress bound;
     private EndpointFile endpointFile;
     /** Null where neither peers nor a listener for them are configured. */
-    private HandOver handOver;
+    private HandoffCoordinator handOver;
 
     private InetSocketAddress handOverBound;
     /** Null unless daemons agree on what they give partners that are cold; the limits with it. */
-    private PeerBeats beats;
+    private HeartbeatTransport beats;
     /** Null unless daemons tell one another of their load. */
-    private FleetLoad load;
+    private LoadReportTransport load;
 
     private SlowStartLimits limits;
     /** How many messages are held for each destination, as last counted. */
@@ -182,17 +229,17 @@
     /** Of each key that others hold: the number under which the module takes it for a message that is not over. */
     private final Map<Long, Long> phantoms = new HashMap<>();
     /** Clients of ordered keys that are told where to go as soon as that is known. */
-    private final List<Undecided> undecided = new ArrayList<>();
+    private final List<DeferredSubmission> undecided = new ArrayList<>();
     /** Of client connections that are closed in each step of a stop after which others serve them. */
     private int clientsAStep;
     /** What the control socket's commands read again; null in tests that do without. */
     private Map<String, String> environment;
 
-    private ServiceNotify serviceNotify = new ServiceNotify(Map.of());
+    private ServiceManagerNotifier serviceNotify = new ServiceManagerNotifier(Map.of());
     private volatile Phase phase = Phase.STARTING;
     private volatile long phaseSince = System.nanoTime();
     /** The stop that is under way, null while none is; and whether calls are over and what is left is being ended. */
-    private DrainPlan drain;
+    private ShutdownSequence drain;
 
     private boolean endingAll;
     private Future<?> drainSteps;
@@ -212,54 +259,55 @@
     }
 
     /** What the module is to be told, and when it happened. */
-    private record Noted(long at, Event event) {}
+    private record TimedEvent(long at, Event event) {}
 
-    private record Arriving(Held message, ClientServer.Answer reply) {}
+    private record PendingAcceptance(AcceptedMessage message, ClientServer.Answer reply) {}
 
-    private record Undecided(ClientServer.Submission submission, ClientServer.Answer reply) {}
+    private record DeferredSubmission(ClientServer.Submission submission, ClientServer.Answer reply) {}
 
     private static final int MOST_UNDECIDED = 4_096;
     /** When a client is to come again that found too few holders of copies: they are looked for all the time. */
     private static final long UNCOPIED_MS = 500;
 
-    private final LoopLooks looks;
+    private final EventLoopStallDetector looks;
     /** Null unless peers hold copies of what is in hand here; and of an estate that goes on here, its copies. */
-    private Survival survival;
+    private ReplicationCoordinator survival;
 
-    private PeerProbes probes;
-    private Copying copying;
+    private SwimTransport probes;
+    private JournalReplicator copying;
     /** Null but in an estate that goes on in another sender's process, and on its loop. */
     private final Sender around;
 
     private final List<Future<?>> repeating = new ArrayList<>();
-    private final LateEnds endedLate = new LateEnds("were given up on");
-    private final LateEnds answeredLate = new LateEnds("had their notice answered");
+    private final LateCompletionReporter endedLate = new LateCompletionReporter("were given up on");
+    private final LateCompletionReporter answeredLate = new LateCompletionReporter("had their notice answered");
     /** Attempts that were called off while they waited for their record to be forced; at most one for each message. */
-    private final Set<Receivers.Item> calledOff = new HashSet<>();
+    private final Set<UpstreamClient.CallMessage> calledOff = new HashSet<>();
 
     /** {@code inherited} is the socket that clients connect to, null if this process is to open one. */
-    private Sender(Config config, ServerSocketChannel inherited) throws IOException {
+    private Sender(SenderConfig config, ServerSocketChannel inherited) throws IOException {
         this(config, inherited, null);
     }
 
-    private Sender(Config config, ServerSocketChannel inherited, Sender around) throws IOException {
+    private Sender(SenderConfig config, ServerSocketChannel inherited, Sender around) throws IOException {
         this.config = config;
         this.inherited = inherited;
         this.around = around;
-        looks = around == null ? new LoopLooks() : around.looks;
+        looks = around == null ? new EventLoopStallDetector() : around.looks;
         inForce = config;
         settings = config.settings();
-        module = ModuleTrace.around(checked(settings), settings);
-        boolean succeeds = inherited != null && TransferLine.possible(config.state());
+        module = DecisionTrace.around(checked(settings), settings);
+        boolean succeeds = inherited != null && TransferChannel.possible(config.state());
         lock = succeeds
                 ? StateLock.tryOwn(config.state(), config.standalone() != null)
                 : StateLock.take(config.state(), config.standalone() != null);
         group = around != null
                 ? around.group
                 : new MultiThreadIoEventLoopGroup(
-                        1, WholeMillisecondWaits.around(NioIoHandler.newFactory(SelectorProvider.provider(), looks)));
+                        1,
+                        MillisecondSelectStrategy.around(NioIoHandler.newFactory(SelectorProvider.provider(), looks)));
         loop = around != null ? around.loop : group.next();
-        control = new Control(loop, this::onControl);
+        control = new ControlSocket(loop, this::onControl);
         outgoingTransfer = succeeds ? new OutgoingTransfer(loop, new OutgoingHost()) : null;
         if (lock != null) {
             try {
@@ -273,8 +321,8 @@
                 throw e;
             }
         }
-        directory = new Directory(loop, config, this::onListing);
-        receivers = new Receivers(
+        directory = new EndpointWatch(loop, config, this::onListing);
+        receivers = new UpstreamClient(
                 loop,
                 looks,
                 new CallEvents(),
@@ -282,13 +330,13 @@
                 settings.limits().idleConnectionLife(),
                 config.mostToReceivers(),
                 config.reportNames());
-        notices = new Notices(loop, config.notices(), config.settings().seed() + 1, this::onNoticeAnswered);
+        notices = new FailureNotifier(loop, config.notices(), config.settings().seed() + 1, this::onNoticeAnswered);
         clients = new ClientServer(loop, this::onSubmission, config.mostClients(), config.requestBytes());
     }
 
     /** What only the holder of the folder's lock may open. Not on the event loop. */
     private void open() throws IOException {
-        Fence fence = Fence.read(config.state());
+        FencingToken fence = FencingToken.read(config.state());
         if (fence != null) {
             throw new InvalidSettingsException("state folder " + config.state() + " was taken over by " + fence.by()
                     + "; this instance needs another one");
@@ -297,7 +345,7 @@
             control.listen(config.standalone().control());
         }
         if (config.standalone() != null && config.standalone().survive() != null) {
-            OldEstates.putAside(config.state());
+            SupersededReplicas.putAside(config.state());
         }
         clock = SteadyClock.open(config.state());
         Durability durability = config.standalone() == null
@@ -340,12 +388,13 @@
     }
 
     /** Serves until the process is told to end; {@code hangup} tells when to read the configuration again. */
-    public static void run(Map<String, String> environment, SignalHook hangup) throws IOException {
-        long fingerprint = Config.fingerprint(environment);
-        Sender sender = new Sender(Config.read(environment), Config.inherits(environment) ? inheritedSocket() : null);
+    public static void run(Map<String, String> environment, SignalHandlers hangup) throws IOException {
+        long fingerprint = SenderConfig.fingerprint(environment);
+        Sender sender = new Sender(
+                SenderConfig.read(environment), SenderConfig.inherits(environment) ? inheritedSocket() : null);
         sender.environment = environment;
         sender.configurationRead = fingerprint;
-        sender.serviceNotify = new ServiceNotify(environment);
+        sender.serviceNotify = new ServiceManagerNotifier(environment);
         if (sender.config.standalone() != null) {
             sender.stopped.thenAccept(code -> new Thread(
                             () -> {
@@ -355,9 +404,9 @@
                             "exit")
                     .start());
             Runnable stop = () -> sender.loop.execute(() -> sender.beginStop(
-                    DrainPlan.Mode.RESTART, sender.config.standalone().stopMillis()));
-            SignalHook.install("TERM").then(stop);
-            SignalHook.install("INT").then(stop);
+                    ShutdownSequence.Mode.RESTART, sender.config.standalone().stopMillis()));
+            SignalHandlers.install("TERM").then(stop);
+            SignalHandlers.install("INT").then(stop);
         }
         if (sender.lock != null) {
             HeapReserve.commit();
@@ -388,12 +437,12 @@
     }
 
     /** Starts on its own loop; tests use it too. */
-    static Sender start(Config config) throws IOException {
+    static Sender start(SenderConfig config) throws IOException {
         return start(config, null);
     }
 
     /** The same with a socket that listens already, which others may accept from as well. */
-    static Sender start(Config config, ServerSocketChannel inherited) throws IOException {
+    static Sender start(SenderConfig config, ServerSocketChannel inherited) throws IOException {
         Sender sender = new Sender(config, inherited);
         sender.start();
         return sender;
@@ -402,10 +451,10 @@
     private void start() throws IOException {
         try {
             if (config.ops() != null) {
-                ops = new OpsServer(() -> phase == Phase.READY, () -> shown.text());
+                ops = new AdminServer(() -> phase == Phase.READY, () -> shown.text());
                 ops.listen(config.ops());
                 Log.warn("operators ask at " + ops.address());
-                loop.scheduleWithFixedDelay(this::show, 0, Figures.EVERY_MS, TimeUnit.MILLISECONDS);
+                loop.scheduleWithFixedDelay(this::show, 0, SenderMetrics.EVERY_MS, TimeUnit.MILLISECONDS);
             }
             if (lock == null) {
                 takeOver();
@@ -497,7 +546,8 @@
     }
 
     private void show() {
-        shown = figures.snapshot(new Figures.Now(transferred ? 0 : held.size(), directory.size(), module.avoided()));
+        shown = figures.snapshot(
+                new SenderMetrics.Now(transferred ? 0 : held.size(), directory.size(), module.avoided()));
     }
 
     InetSocketAddress address() {
@@ -616,7 +666,7 @@
             Set<String> called = new HashSet<>();
             transferredState.out().forEach(call -> called.add(call.uid()));
             leaving = directory.takeOver(transferredState.list(), called);
-            for (TransferredState.Out call : transferredState.out()) {
+            for (TransferredState.CallInFlight call : transferredState.out()) {
                 if (directory.listed(call.uid())) {
                     transferredCalls.addAll(call.numbers());
                 } else {
@@ -650,11 +700,11 @@
         configure(inForce);
         journal.expireHolds(steady());
         holdBack(journal.holds().keys());
-        for (Held m : List.copyOf(journal.live())) {
+        for (AcceptedMessage m : List.copyOf(journal.live())) {
             m.type = classes.version(m.type) == null ? classes.number(m.className) : m.type;
             if (m.notice == null && m.type < 0) {
                 journal.end(m, m.failed());
-                figures.ended(m.className, Figures.End.ERRORS);
+                figures.ended(m.className, SenderMetrics.End.ERRORS);
             }
             if (m.notice != null) {
                 if (m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder()) {
@@ -687,7 +737,8 @@
                         || !alone.peers().isEmpty()
                         || !journal.lots().isEmpty()
                         || journal.holds().size() > 0)) {
-            handOver = new HandOver(loop, config.name(), alone.peers(), new HandOverHost(), journal, this::steady);
+            handOver = new HandoffCoordinator(
+                    loop, config.name(), alone.peers(), new HandoffHost(), journal, this::steady);
             handOver.recover();
             repeating.add(loop.scheduleWithFixedDelay(
                     () -> {
@@ -720,7 +771,7 @@
      * Takes settings that have been checked: from the next event on they count, and what is held keeps its class.
      * Returns null, or why they are not taken; then nothing has changed.
      */
-    private String configure(Config read) {
+    private String configure(SenderConfig read) {
         DeliveryScheduler.Settings fresh = read.settings();
         Set<Integer> needed = new HashSet<>();
         journal.live().forEach(m -> needed.add(m.type));
@@ -752,7 +803,7 @@
         if (alone != null && alone.overload()) {
             Map<String, InetSocketAddress> others = new LinkedHashMap<>(alone.peers());
             others.remove(config.name());
-            load = new FleetLoad(
+            load = new LoadReportTransport(
                     loop,
                     config.name(),
                     others,
@@ -787,7 +838,7 @@
                 steady() * 1_000);
         Map<String, InetSocketAddress> peers = new LinkedHashMap<>(alone.peers());
         peers.remove(config.name());
-        beats = new PeerBeats(
+        beats = new HeartbeatTransport(
                 loop,
                 config.name(),
                 peers,
@@ -820,7 +871,7 @@
         }
     }
 
-    private void resume(Held m, boolean cutOff) {
+    private void resume(AcceptedMessage m, boolean cutOff) {
         long age = m.doubtSince == 0
                 ? -1
                 : clock.interrupted(m.doubtSince) ? NO_LIMIT : Math.max(0, (steady() - m.doubtSince) * 1_000);
@@ -916,7 +967,7 @@
         try (Journal now = Journal.peek(config.state())) {
             DeliveryScheduler trial = checked(config.settings());
             long at = now();
-            for (Held m : now.live()) {
+            for (AcceptedMessage m : now.live()) {
                 trial.step(
                         at,
                         new Event.MessageRecovered(
@@ -940,7 +991,7 @@
     private void resumeCalls() {
         long passed = Math.max(0, (System.nanoTime() - transferredState.at()) / 1_000);
         transferredState.learned().forEach(l -> note(new Event.UpstreamStateTransferred(l)));
-        for (TransferredState.Out call : transferredState.out()) {
+        for (TransferredState.CallInFlight call : transferredState.out()) {
             note(new Event.CallInFlight(call.numbers(), directory.number(call.uid()), call.sentAgo() + passed));
         }
         transferredState.rests().forEach(rest -> note(new Event.KeyPaused(rest)));
@@ -949,12 +1000,12 @@
     private final class IncomingHost implements IncomingTransfer.Host {
         @Override
         public void outcome(long number, String uid, AttemptOutcome ending, JsonObject told) {
-            Held m = held.get(number);
+            AcceptedMessage m = held.get(number);
             if (m == null) {
                 return;
             }
             if (told == null) {
-                onResult(new Receivers.Result(
+                onResult(new UpstreamClient.Result(
                         m,
                         m.attempts - 1,
                         directory.number(m.sentTo),
@@ -968,13 +1019,13 @@
             }
             long endpoint = directory.number(uid);
             long wait = told.get("wait").getAsLong();
-            Receivers.Route from = directory.route(endpoint);
+            UpstreamClient.Route from = directory.route(endpoint);
             if (wait > 0 && from != null) {
                 receivers.bar(route -> route.waitGroup().equals(from.waitGroup()));
             }
             List<Double> report = new ArrayList<>();
             told.getAsJsonArray("report").forEach(value -> report.add(value.getAsDouble()));
-            onResult(new Receivers.Result(
+            onResult(new UpstreamClient.Result(
                     m,
                     m.attempts - 1,
                     endpoint,
@@ -1047,7 +1098,7 @@
         /** Nobody ends messages from here to the first turn of the next process, which may be short of CPU time. */
         private void endDueSoon() {
             long until = steady() + TRANSFER_MS;
-            for (Held m : List.copyOf(held.values())) {
+            for (AcceptedMessage m : List.copyOf(held.values())) {
                 if (!m.out && m.deadline < until) {
                     endUndelivered(m);
                 }
@@ -1068,7 +1119,7 @@
 
         @Override
         public void cancel(long number) {
-            Held m = held.get(number);
+            AcceptedMessage m = held.get(number);
             if (m != null) {
                 receivers.cancel(m, m.attempts - 1);
             }
@@ -1105,12 +1156,12 @@
             List<DeliveryScheduler.UpstreamSnapshot> learned = module.learned(now());
             List<DeliveryScheduler.KeyPause> rests = module.rests(now());
             forgetOwned();
-            OutgoingTransfer.Unsettled unsettled = outgoingTransfer.takeBack();
+            OutgoingTransfer.UnacknowledgedWork unsettled = outgoingTransfer.takeBack();
             JsonArray leaving = directory.resume(calledNow()::contains);
-            Map<Long, Held> live = new HashMap<>();
+            Map<Long, AcceptedMessage> live = new HashMap<>();
             journal.live().forEach(m -> live.put(m.number, m));
             receivers.rebind(item -> presentAttempt(live, item.message()));
-            List<Receivers.Result> outcomes = unsettled.outcomes().stream()
+            List<UpstreamClient.Result> outcomes = unsettled.outcomes().stream()
                     .map(r -> presentOutcome(live, r))
                     .filter(Objects::nonNull)
                     .toList();
@@ -1132,8 +1183,8 @@
 
         /** Nothing that was known of messages counts any more: the journal says what is owed. */
         private void forgetOwned() {
-            module = ModuleTrace.around(checked(settings), settings);
-            classes = new ClassBook();
+            module = DecisionTrace.around(checked(settings), settings);
+            classes = new MessageClassRegistry();
             recorder.drain();
             held.clear();
             arriving.clear();
@@ -1151,22 +1202,22 @@
         }
 
         /** Null where the successor has gone on with the message, or where it is over. */
-        private Receivers.Item presentAttempt(Map<Long, Held> live, Held before) {
-            Held now = live.get(before.number);
+        private UpstreamClient.CallMessage presentAttempt(Map<Long, AcceptedMessage> live, AcceptedMessage before) {
+            AcceptedMessage now = live.get(before.number);
             boolean present = now != null
                     && now.notice == null
                     && now.out
                     && now.attempts == before.attempts
                     && now.sentTo.equals(before.sentTo);
-            return present ? new Receivers.Item(now, now.attempts - 1) : null;
+            return present ? new UpstreamClient.CallMessage(now, now.attempts - 1) : null;
         }
 
         /** An outcome that the successor was told and has not recorded, null where it has. */
-        private Receivers.Result presentOutcome(Map<Long, Held> live, Receivers.Result r) {
-            Receivers.Item present = presentAttempt(live, r.message());
+        private UpstreamClient.Result presentOutcome(Map<Long, AcceptedMessage> live, UpstreamClient.Result r) {
+            UpstreamClient.CallMessage present = presentAttempt(live, r.message());
             return present == null
                     ? null
-                    : new Receivers.Result(
+                    : new UpstreamClient.Result(
                             present.message(),
                             present.attempt(),
                             r.endpoint(),
@@ -1178,10 +1229,10 @@
                             r.idle());
         }
 
-        private List<TransferredState.Out> callsOut(List<Receivers.Result> outcomes) {
-            List<TransferredState.Out> out = new ArrayList<>(Sender.this.callsOut());
-            outcomes.forEach(r -> out.add(
-                    new TransferredState.Out(List.of(r.message().number), directory.uid(r.endpoint()), r.took())));
+        private List<TransferredState.CallInFlight> callsOut(List<UpstreamClient.Result> outcomes) {
+            List<TransferredState.CallInFlight> out = new ArrayList<>(Sender.this.callsOut());
+            outcomes.forEach(r -> out.add(new TransferredState.CallInFlight(
+                    List.of(r.message().number), directory.uid(r.endpoint()), r.took())));
             return out;
         }
 
@@ -1194,7 +1245,7 @@
             if (draining != null) {
                 stopWithin(draining.left(millisNow()));
             }
-            if (environment != null && Config.fingerprint(environment) != configurationRead) {
+            if (environment != null && SenderConfig.fingerprint(environment) != configurationRead) {
                 // The one that is gone may have been told of it.
                 new Thread(() -> reload(environment), "reload").start();
             }
@@ -1219,16 +1270,16 @@
         if (config.standalone() == null) {
             note(new Event.ShutdownStarted(left * 1_000));
         } else {
-            beginStop(DrainPlan.Mode.RESTART, left);
+            beginStop(ShutdownSequence.Mode.RESTART, left);
         }
     }
 
-    private List<TransferredState.Out> callsOut() {
+    private List<TransferredState.CallInFlight> callsOut() {
         return receivers.out().stream()
-                .map(call -> new TransferredState.Out(
+                .map(call -> new TransferredState.CallInFlight(
                         call.items.stream().map(item -> item.message().number).toList(),
                         directory.uid(call.route.endpoint()),
-                        Receivers.took(call)))
+                        UpstreamClient.took(call)))
                 .toList();
     }
 
@@ -1294,8 +1345,8 @@
                     + ": what is in hand is in this folder alone, and waits for it when it is lost");
             return null;
         }
-        probes = new PeerProbes(loop, config.name(), alone.zone(), others, Sender::now, steady(), this::fleetPhase);
-        survival = new Survival(loop, config, journal, probes, new SurvivalHost());
+        probes = new SwimTransport(loop, config.name(), alone.zone(), others, Sender::now, steady(), this::fleetPhase);
+        survival = new ReplicationCoordinator(loop, config, journal, probes, new ReplicationHost());
         return null;
     }
 
@@ -1307,23 +1358,24 @@
         };
     }
 
-    private final class SurvivalHost implements Survival.Host {
+    private final class ReplicationHost implements ReplicationCoordinator.Host {
         @Override
         public void fenced(String why) {
             Log.warn("survival: this estate is over here: " + why
                     + "; this process ends, and the next one begins a new estate");
-            OldEstates.mark(config.state());
+            SupersededReplicas.mark(config.state());
             Runtime.getRuntime().halt(OVER);
         }
 
         @Override
-        public Survival.Caretaker takeOver(EstateStore.Kept kept, Path folder, long term) throws IOException {
+        public ReplicationCoordinator.Failover takeOver(ReplicaStore.StoredReplica kept, Path folder, long term)
+                throws IOException {
             Map<String, InetSocketAddress> others =
                     new LinkedHashMap<>(config.standalone().peers());
             others.put(config.name(), handOverBound);
             // Under the estate's name: the daemon that had it may be there again, and has to hold its keys like any
             // peer.
-            return new Heir(
+            return new FailoverSender(
                     new Sender(
                             config.caretaker(
                                     kept.estate, folder, config.standalone().caretaker(others)),
@@ -1344,10 +1396,10 @@
     }
 
     /** An estate that goes on in this process, as though its own had been started again: a sender without a door. */
-    private final class Heir implements Survival.Caretaker {
+    private final class FailoverSender implements ReplicationCoordinator.Failover {
         private final Sender sender;
 
-        Heir(Sender sender, EstateStore.Kept kept, long term) throws IOException {
+        FailoverSender(Sender sender, ReplicaStore.StoredReplica kept, long term) throws IOException {
             this.sender = sender;
             try {
                 loop.submit(() -> {
@@ -1374,7 +1426,7 @@
         }
 
         @Override
-        public Copying copying() {
+        public JournalReplicator copying() {
             return sender.copying;
         }
 
@@ -1419,9 +1471,9 @@
         }
     }
 
-    private final class CallEvents implements Receivers.Listener {
+    private final class CallEvents implements UpstreamClient.Listener {
         @Override
-        public void ended(Receivers.Result result) {
+        public void ended(UpstreamClient.Result result) {
             if (transferred && outgoingTransfer == null) {
                 // An estate that goes on elsewhere: its new owner takes this call for one that may have run.
                 return;
@@ -1479,7 +1531,7 @@
                 throw new InvalidSettingsException(
                         "no room for " + expected + " messages, only for " + Math.max(0, room));
             }
-            return adoptBehind(Fence.raise(folder, config.name(), config.state()), folder);
+            return adoptBehind(FencingToken.raise(folder, config.name(), config.state()), folder);
         } finally {
             if (theirs != null) {
                 theirs.close();
@@ -1494,7 +1546,7 @@
             Log.warn("no journal in " + folder + ", nothing to take over");
             return;
         }
-        Fence fence = Fence.read(folder);
+        FencingToken fence = FencingToken.read(folder);
         if (fence != null && fence.done()) {
             return;
         }
@@ -1502,12 +1554,13 @@
     }
 
     /** Nobody has an effect out of the folder any more; what its journal has now is all that it ever will. */
-    private JsonObject adoptBehind(Fence fence, Path folder) throws IOException {
+    private JsonObject adoptBehind(FencingToken fence, Path folder) throws IOException {
         int messages = 0;
         int again = 0;
         try (Journal journalThere = Journal.peek(folder)) {
-            for (Map.Entry<String, List<Held>> lot :
-                    Adoption.lots(fence.lots(), journalThere.live(), steady()).entrySet()) {
+            for (Map.Entry<String, List<AcceptedMessage>> lot : OrphanedJournalRecovery.lots(
+                            fence.lots(), journalThere.live(), steady())
+                    .entrySet()) {
                 Integer taken = loop.submit(() -> takeIn(lot.getKey(), lot.getValue()))
                         .syncUninterruptibly()
                         .getNow();
@@ -1519,8 +1572,9 @@
                 again += taken == 0 ? lot.getValue().size() : 0;
             }
             // What that process had taken over itself and not finished goes on here.
-            for (Map.Entry<String, Journal.Lot> lot : journalThere.lots().entrySet()) {
-                if (lot.getKey().startsWith(Adoption.PREFIX)) {
+            for (Map.Entry<String, Journal.HandoffBatchRecord> lot :
+                    journalThere.lots().entrySet()) {
+                if (lot.getKey().startsWith(OrphanedJournalRecovery.PREFIX)) {
                     loop.submit(() -> journal.lots().containsKey(lot.getKey())
                                     || journal.lot(
                                             lot.getKey(),
@@ -1533,29 +1587,31 @@
         }
         fence.finish(folder);
         Log.warn("took over " + messages + " messages from " + folder + (again > 0 ? ", " + again + " before" : ""));
-        JsonObject answer = Control.answer(true, null);
+        JsonObject answer = ControlSocket.answer(true, null);
         answer.addProperty("adopted", messages);
         answer.addProperty("adopted_before", again);
         return answer;
     }
 
     /** How many messages are this process's now, 0 where the lot had been taken before, -1 where there is no room. */
-    private int takeIn(String lot, List<Held> theirs) {
+    private int takeIn(String lot, List<AcceptedMessage> theirs) {
         if (journal.lots().containsKey(lot)) {
             return 0;
         }
-        List<Held> messages =
-                theirs.stream().map(m -> Adoption.copy(m, journal::nextNumber)).toList();
+        List<AcceptedMessage> messages = theirs.stream()
+                .map(m -> OrphanedJournalRecovery.copy(m, journal::nextNumber))
+                .toList();
         messages.forEach(m -> m.type = classes.number(m.className));
         // A class that is not known here: nobody can say whether trying again does harm.
         messages.stream().filter(m -> m.type < 0 && m.notice == null).forEach(m -> m.end(m.failed()));
-        long until = messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + Adoption.FORGOTTEN_MS;
+        long until =
+                messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + OrphanedJournalRecovery.FORGOTTEN_MS;
         if (transferred || !journal.adopt(lot, new Ownership(1, Ownership.Status.OWNED, ""), until, messages)) {
             return -1;
         }
         safeOrEnd();
         for (int i = 0; i < messages.size(); i++) {
-            Held m = messages.get(i);
+            AcceptedMessage m = messages.get(i);
             if (m.notice != null) {
                 if (m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder()) {
                     note(new Event.CompletedMessageRecovered(m.number, m.key));
@@ -1571,7 +1627,8 @@
 
     private void onAdopt(JsonObject request, Consumer<JsonObject> answer) {
         if (reloading || phase != Phase.READY) {
-            answer.accept(Control.answer(false, reloading ? "a reload or an adoption is under way" : "not serving"));
+            answer.accept(
+                    ControlSocket.answer(false, reloading ? "a reload or an adoption is under way" : "not serving"));
             return;
         }
         reloading = true;
@@ -1584,9 +1641,9 @@
                                         request.has("fence")
                                                 && request.get("fence").getAsBoolean());
                             } catch (InvalidSettingsException | IOException e) {
-                                result = Control.answer(false, e.getMessage());
+                                result = ControlSocket.answer(false, e.getMessage());
                             } catch (RuntimeException e) {
-                                result = Control.answer(false, "adopt needs a folder: " + e);
+                                result = ControlSocket.answer(false, "adopt needs a folder: " + e);
                             }
                             JsonObject told = result;
                             loop.execute(() -> reloading = false);
@@ -1597,7 +1654,7 @@
     }
 
     private void busy(ClientServer.Answer reply, String className, long after) {
-        figures.ended(className, Figures.End.SHED);
+        figures.ended(className, SenderMetrics.End.SHED);
         reply.busy(after);
     }
 
@@ -1613,7 +1670,9 @@
         boolean known = journal.knows(s.id());
         if (known
                 && journal.differs(
-                        s.id(), Held.content(s.className(), s.key(), s.destination(), s.idempotencyKey(), s.body()))) {
+                        s.id(),
+                        AcceptedMessage.content(
+                                s.className(), s.key(), s.destination(), s.idempotencyKey(), s.body()))) {
             // Somebody used another client's id, before or after it: what is known is not what this client has.
             Log.warn("submission under an id that another message has: " + s.id());
             busy(reply, s.className(), 0);
@@ -1626,7 +1685,8 @@
         Journal elsewhere = survival == null ? null : survival.knowing(s.id());
         if (elsewhere != null) {
             if (elsewhere.differs(
-                    s.id(), Held.content(s.className(), s.key(), s.destination(), s.idempotencyKey(), s.body()))) {
+                    s.id(),
+                    AcceptedMessage.content(s.className(), s.key(), s.destination(), s.idempotencyKey(), s.body()))) {
                 busy(reply, s.className(), 0);
             } else {
                 told(elsewhere, reply);
@@ -1648,7 +1708,7 @@
             return;
         }
         if (!directory.listed(s.destination())) {
-            figures.ended(s.className(), Figures.End.ERRORS);
+            figures.ended(s.className(), SenderMetrics.End.ERRORS);
             reply.error("unknown destination");
             return;
         }
@@ -1665,7 +1725,7 @@
             busy(reply, s.className(), 0);
             return;
         }
-        Held m = new Held(
+        AcceptedMessage m = new AcceptedMessage(
                 journal.nextNumber(),
                 s.id(),
                 s.idempotencyKey(),
@@ -1678,7 +1738,7 @@
         if (inOrder(m) && journal.holds().held(m.key)) {
             handOver.turnedUp(m.key);
         }
-        arriving.put(m.number, new Arriving(m, reply));
+        arriving.put(m.number, new PendingAcceptance(m, reply));
         arrivingIds.add(m.id);
         note(new Event.MessageSubmitted(m.number, m.type, 0, s.key(), s.timeLeft() * 1_000, s.destination()));
     }
@@ -1698,14 +1758,14 @@
                 ? s.key()
                 : 0;
         if (handOver != null && key != 0 && handOver.undecided(key) && undecided.size() < MOST_UNDECIDED) {
-            undecided.add(new Undecided(s, reply));
+            undecided.add(new DeferredSubmission(s, reply));
             return;
         }
         long advice = drain.advice(now() / 1_000, clients.connections(), random.nextDouble());
         busy(reply, s.className(), Math.max(advice, handOver == null || key == 0 ? 0 : handOver.stayAway(key)));
     }
 
-    private boolean inOrder(Held m) {
+    private boolean inOrder(AcceptedMessage m) {
         return m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder();
     }
 
@@ -1734,7 +1794,7 @@
     }
 
     /** What came of these keys while others had them and has not been tried: it has to go behind what they had. */
-    private List<Held> heldBack(List<Long> keys) {
+    private List<AcceptedMessage> heldBack(List<Long> keys) {
         if (!arriving.isEmpty()) {
             // What is between the door and the module would come ahead.
             turnNow();
@@ -1767,15 +1827,15 @@
         note(new Event.EndpointListUpdated(kind, entries));
     }
 
-    private void onResult(Receivers.Result r) {
-        Held m = r.message();
+    private void onResult(UpstreamClient.Result r) {
+        AcceptedMessage m = r.message();
         if (load != null) {
             load.ended(m.destination, r.ending());
         }
         if (r.closed()) {
             journal.conclude(m);
             if (held.remove(m.number) != null && r.ending() == AttemptOutcome.OK) {
-                figures.ended(m.className, Figures.End.OK);
+                figures.ended(m.className, SenderMetrics.End.OK);
                 if (limits != null && limits.answered(now(), m.destination)) {
                     beats.hurry();
                 }
@@ -1790,7 +1850,7 @@
         note(outcomeOf(r));
     }
 
-    private static Event outcomeOf(Receivers.Result r) {
+    private static Event outcomeOf(UpstreamClient.Result r) {
         return new Event.AttemptCompleted(
                 r.message().number,
                 r.attempt(),
@@ -1803,7 +1863,7 @@
                 r.idle());
     }
 
-    private void onNoticeAnswered(Held m) {
+    private void onNoticeAnswered(AcceptedMessage m) {
         if (transferred) {
             return;
         }
@@ -1820,7 +1880,7 @@
         if (transferred) {
             return;
         }
-        events.add(new Noted(now(), event));
+        events.add(new TimedEvent(now(), event));
         turnSoon();
     }
 
@@ -1862,11 +1922,11 @@
             return;
         }
         long now = now();
-        List<Noted> batch = List.copyOf(events);
+        List<TimedEvent> batch = List.copyOf(events);
         events.clear();
         batch.forEach(noted -> step(noted.at(), noted.event()));
         step(now, new Event.Decide());
-        List<Action> actions = recorder.drain();
+        List<SchedulerAction> actions = recorder.drain();
         Log.guarded("taking on", () -> takeOn(actions));
         actions.forEach(action -> Log.guarded("answer", () -> answer(action)));
         if (!endingAll) {
@@ -1892,9 +1952,9 @@
     }
 
     /** Refusals in the arrival's own turn go to the waiting client; all others are taken on. */
-    private void takeOn(List<Action> actions) {
-        for (Action action : actions) {
-            Arriving refused = action instanceof Refuse r
+    private void takeOn(List<SchedulerAction> actions) {
+        for (SchedulerAction action : actions) {
+            PendingAcceptance refused = action instanceof Refuse r
                     ? arriving.remove(r.id())
                     : action instanceof Fail f ? arriving.remove(f.id()) : null;
             if (refused != null) {
@@ -1905,8 +1965,8 @@
                 note(new Event.CompletionAcknowledged(refused.message().number));
             }
         }
-        for (Arriving taken : arriving.values()) {
-            Held m = taken.message();
+        for (PendingAcceptance taken : arriving.values()) {
+            AcceptedMessage m = taken.message();
             if (taken.reply().wanted() && journal.accept(m)) {
                 held.put(m.number, m);
                 // It goes on, but nobody can say what a loss of power leaves of it: a failure promises nothing. While
@@ -1920,7 +1980,7 @@
             } else if (journal.uncertain()) {
                 // It may be found after all, by the next process: its end is not known, and a refusal would promise
                 // one.
-                figures.ended(m.className, Figures.End.ERRORS);
+                figures.ended(m.className, SenderMetrics.End.ERRORS);
                 taken.reply().error("the message could not be recorded, or may have been");
                 note(new Event.MessageCancelled(m.number));
             } else {
@@ -1932,23 +1992,23 @@
         arrivingIds.clear();
     }
 
-    private void answer(Action action) {
+    private void answer(SchedulerAction action) {
         if (action instanceof Refuse r && held.containsKey(r.id())) {
-            end(r.id(), held.get(r.id()).returned(millis(r.retryAfter())), Figures.End.SHED);
+            end(r.id(), held.get(r.id()).returned(millis(r.retryAfter())), SenderMetrics.End.SHED);
         } else if (action instanceof Fail f && held.containsKey(f.id())) {
-            end(f.id(), held.get(f.id()).failed(), Figures.End.ERRORS);
+            end(f.id(), held.get(f.id()).failed(), SenderMetrics.End.ERRORS);
         }
     }
 
-    private void tellLate(LateEnds point, Held m) {
+    private void tellLate(LateCompletionReporter point, AcceptedMessage m) {
         String line = point.passed(m, steady());
         if (line != null) {
             Log.warn(line);
         }
     }
 
-    private void end(long number, String notice, Figures.End as) {
-        Held m = held.remove(number);
+    private void end(long number, String notice, SenderMetrics.End as) {
+        AcceptedMessage m = held.remove(number);
         tellLate(endedLate, m);
         figures.ended(m.className, as);
         journal.end(m, notice, () -> tell(m));
@@ -1961,14 +2021,14 @@
      * Its time is up and the disk has not taken its end: whatever a restart finds of it, nobody calls it any more, so the notice may
      * go first.
      */
-    private void tellUnrecorded(Held m) {
+    private void tellUnrecorded(AcceptedMessage m) {
         if (!transferred && journal.owes(m)) {
             notices.send(m);
         }
     }
 
     /** Its end is written; it is told once that outlasts what it has to. */
-    private void tell(Held m) {
+    private void tell(AcceptedMessage m) {
         journal.whenSafe(() -> notices.send(m), survival == null && copying == null ? null : () -> untold(m));
     }
 
@@ -1976,7 +2036,7 @@
      * Its end could not be copied in time, so it may be another's by now: all that may be said is that it failed, which
      * promises nothing, as another may carry it out.
      */
-    private void untold(Held m) {
+    private void untold(AcceptedMessage m) {
         m.end(m.failed());
         notices.send(m);
     }
@@ -1985,26 +2045,26 @@
         return (micros + 999) / 1_000;
     }
 
-    /** Sends of one turn travel together as {@link CallGroups} says. */
-    private void startCalls(long now, List<Action> actions) {
+    /** Sends of one turn travel together as {@link CallBatching} says. */
+    private void startCalls(long now, List<SchedulerAction> actions) {
         List<Send> sends = new ArrayList<>();
         actions.forEach(action -> {
             if (action instanceof Send s) {
                 sends.add(s);
             }
         });
-        CallGroups.of(sends, directory::messagesPerCall).forEach(group -> startCall(now, group));
+        CallBatching.of(sends, directory::messagesPerCall).forEach(group -> startCall(now, group));
     }
 
     private void startCall(long now, List<Send> group) {
         long endpoint = group.get(0).endpoint();
-        Receivers.Route route = directory.route(endpoint);
-        List<Receivers.Item> items = new ArrayList<>();
+        UpstreamClient.Route route = directory.route(endpoint);
+        List<UpstreamClient.CallMessage> items = new ArrayList<>();
         long giveUpAt = group.get(0).giveUpAt();
         for (Send s : group) {
-            Held m = held.get(s.id());
+            AcceptedMessage m = held.get(s.id());
             if (m != null && route != null && recordAttempt(m, directory.uid(endpoint))) {
-                items.add(new Receivers.Item(m, m.attempts - 1));
+                items.add(new UpstreamClient.CallMessage(m, m.attempts - 1));
             } else if (m != null) {
                 m.attempts++;
                 note(new Event.AttemptCompleted(
@@ -2021,7 +2081,7 @@
     }
 
     /** What may be repeated is delivered also while the disk takes nothing, unless others are told of each record. */
-    private boolean recordAttempt(Held m, String uid) {
+    private boolean recordAttempt(AcceptedMessage m, String uid) {
         if (journal.attempt(m, uid, steady())) {
             return true;
         }
@@ -2033,25 +2093,30 @@
     }
 
     /** Their attempts are on the disk. What was called off meanwhile, or is over, does not go out any more. */
-    private void start(Receivers.Route route, List<Receivers.Item> items, long giveUpAt, long longestIdle) {
-        List<Receivers.Item> wanted = items.stream()
+    private void start(
+            UpstreamClient.Route route, List<UpstreamClient.CallMessage> items, long giveUpAt, long longestIdle) {
+        List<UpstreamClient.CallMessage> wanted = items.stream()
                 .filter(item -> held.containsKey(item.message().number) && !calledOff.contains(item))
                 .toList();
-        List<Receivers.Item> unwanted =
+        List<UpstreamClient.CallMessage> unwanted =
                 items.stream().filter(item -> !wanted.contains(item)).toList();
         if (!unwanted.isEmpty()) {
             callOff(route, unwanted);
         }
         if (!wanted.isEmpty()) {
             receivers.start(
-                    route, wanted, giveUpAt - now(), longestIdle, RepeatWindow.left(wanted, classes::type, steady()));
+                    route,
+                    wanted,
+                    giveUpAt - now(),
+                    longestIdle,
+                    IdempotencyWindow.left(wanted, classes::type, steady()));
         }
     }
 
     /** Calls that were recorded and not made. */
-    private void callOff(Receivers.Route route, List<Receivers.Item> items) {
-        for (Receivers.Item item : items) {
-            Held m = item.message();
+    private void callOff(UpstreamClient.Route route, List<UpstreamClient.CallMessage> items) {
+        for (UpstreamClient.CallMessage item : items) {
+            AcceptedMessage m = item.message();
             calledOff.remove(item);
             if (held.containsKey(m.number)) {
                 journal.outcome(m, false);
@@ -2069,7 +2134,7 @@
     }
 
     /** Runs the journal's forces beside the loop, one at a time. */
-    private final class Forcer implements Journal.Helper {
+    private final class Forcer implements Journal.BackgroundExecutor {
         private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> {
             Thread one = new Thread(work, "force");
             one.setDaemon(true);
@@ -2101,18 +2166,18 @@
         }
     }
 
-    private boolean repeatable(Held m) {
+    private boolean repeatable(AcceptedMessage m) {
         return classes.type(m.type).effect() != DeliveryScheduler.Effect.UNSAFE;
     }
 
-    private void other(Action action) {
+    private void other(SchedulerAction action) {
         if (action instanceof Cancel c && held.containsKey(c.id())) {
             if (incomingTransfer != null && incomingTransfer.has(c.id())) {
                 incomingTransfer.cancel(c.id());
             } else {
-                Held m = held.get(c.id());
+                AcceptedMessage m = held.get(c.id());
                 if (!receivers.cancel(m, c.attempt()) && journal.waiting() > 0) {
-                    calledOff.add(new Receivers.Item(m, c.attempt()));
+                    calledOff.add(new UpstreamClient.CallMessage(m, c.attempt()));
                 }
             }
         } else if (action instanceof CloseIdle c) {
@@ -2126,7 +2191,7 @@
         } else if (action instanceof Remember r) {
             DeliveryScheduler.HealthCheckpoint m = r.memory();
             found(m.destination(), m.health(), m.since());
-            journal.remember(new Journal.Memory(
+            journal.remember(new Journal.HealthRecord(
                     m.destination(),
                     directory.uid(m.endpoint()),
                     m.health(),
@@ -2148,11 +2213,11 @@
             case "status" -> answer.accept(status());
             case "stop" -> {
                 try {
-                    DrainPlan.Mode mode =
+                    ShutdownSequence.Mode mode =
                             switch (request.get("mode").getAsString()) {
-                                case "restart" -> DrainPlan.Mode.RESTART;
-                                case "final" -> DrainPlan.Mode.FINAL;
-                                case "move" -> DrainPlan.Mode.MOVE;
+                                case "restart" -> ShutdownSequence.Mode.RESTART;
+                                case "final" -> ShutdownSequence.Mode.FINAL;
+                                case "move" -> ShutdownSequence.Mode.MOVE;
                                 default -> throw new IllegalArgumentException("mode is restart, move or final");
                             };
                     long within = request.has("within_ms")
@@ -2164,16 +2229,16 @@
                         handOver.absent(names);
                     }
                     beginStop(mode, Math.max(0, Math.min(within, 3_600_000)));
-                    answer.accept(Control.answer(true, null));
+                    answer.accept(ControlSocket.answer(true, null));
                 } catch (RuntimeException e) {
-                    answer.accept(
-                            Control.answer(false, "stop needs a mode, restart, move or final, and a number within_ms"));
+                    answer.accept(ControlSocket.answer(
+                            false, "stop needs a mode, restart, move or final, and a number within_ms"));
                 }
             }
             case "reload" -> {
                 if (reloading || environment == null || phase == Phase.STARTING) {
-                    answer.accept(
-                            Control.answer(false, reloading ? "a reload is under way" : "nothing to read again yet"));
+                    answer.accept(ControlSocket.answer(
+                            false, reloading ? "a reload is under way" : "nothing to read again yet"));
                     return;
                 }
                 reloading = true;
@@ -2181,14 +2246,14 @@
                                 () -> {
                                     String error = reload(environment);
                                     loop.execute(() -> reloading = false);
-                                    answer.accept(Control.answer(error == null, error));
+                                    answer.accept(ControlSocket.answer(error == null, error));
                                 },
                                 "reload")
                         .start();
             }
             case "adopt" -> onAdopt(request, answer);
             case "estates" -> {
-                JsonObject told = Control.answer(
+                JsonObject told = ControlSocket.answer(
                         survival != null, survival == null ? "nothing is copied: survival.on is not set" : null);
                 if (survival != null) {
                     told.add("estates", survival.list());
@@ -2197,7 +2262,7 @@
             }
             case "overload" -> answer.accept(
                     load == null
-                            ? Control.answer(
+                            ? ControlSocket.answer(
                                     false, "daemons tell nothing of their load: fleet.overload is" + " not set")
                             : load.show());
             case "take", "release" -> {
@@ -2208,14 +2273,14 @@
                                 : what.equals("take")
                                         ? survival.take(request.get("estate").getAsString())
                                         : survival.release(request.get("estate").getAsString());
-                answer.accept(Control.answer(no == null, no));
+                answer.accept(ControlSocket.answer(no == null, no));
             }
-            default -> answer.accept(Control.answer(false, "no such command"));
+            default -> answer.accept(ControlSocket.answer(false, "no such command"));
         }
     }
 
     private JsonObject status() {
-        JsonObject status = Control.answer(true, null);
+        JsonObject status = ControlSocket.answer(true, null);
         status.addProperty("name", config.name());
         status.addProperty("pid", ProcessHandle.current().pid());
         status.addProperty("state", phase.name().toLowerCase(Locale.ROOT));
@@ -2238,7 +2303,7 @@
     // ---- The end. ----
 
     /** Begins a stop; one for good takes over from one for a restart, any other is under way already. */
-    void beginStop(DrainPlan.Mode mode, long within) {
+    void beginStop(ShutdownSequence.Mode mode, long within) {
         if (phase == Phase.STARTING) {
             earlyStop = () -> beginStop(mode, within);
             return;
@@ -2248,10 +2313,12 @@
             return;
         }
         if (drain != null
-                && (drain.mode() == mode || mode == DrainPlan.Mode.RESTART || drain.mode() == DrainPlan.Mode.FINAL)) {
+                && (drain.mode() == mode
+                        || mode == ShutdownSequence.Mode.RESTART
+                        || drain.mode() == ShutdownSequence.Mode.FINAL)) {
             return;
         }
-        drain = new DrainPlan(
+        drain = new ShutdownSequence(
                 mode,
                 now() / 1_000,
                 within,
@@ -2259,14 +2326,14 @@
         phase = Phase.DRAINING;
         serviceNotify.tell("STOPPING=1");
         phaseSince = System.nanoTime();
-        if (mode != DrainPlan.Mode.RESTART) {
+        if (mode != ShutdownSequence.Mode.RESTART) {
             clients.retireAnswered();
             clientsAStep = 1 + clients.connections() / RETIRE_STEPS;
             if (handOver != null) {
                 handOver.name(orderedKeys());
             }
         }
-        Log.warn("stop " + (mode == DrainPlan.Mode.FINAL ? "for good" : "for a restart") + " within " + within
+        Log.warn("stop " + (mode == ShutdownSequence.Mode.FINAL ? "for good" : "for a restart") + " within " + within
                 + " ms; holding " + held.size() + " messages");
         note(new Event.ShutdownStarted(drain.deliverLeft(now() / 1_000) * 1_000));
         if (drainSteps == null) {
@@ -2277,14 +2344,14 @@
     /** Of each ordered key of which something is here: when the last of it is surely over, in wall time. */
     private Map<Long, Long> orderedKeys() {
         Map<Long, Long> ends = new HashMap<>();
-        for (Held m : journal.live()) {
+        for (AcceptedMessage m : journal.live()) {
             if (inOrder(m)) {
                 ends.merge(
                         m.key, m.notice == null ? m.deadline : Math.max(m.deadline, steady() + NOTICE_MS), Math::max);
             }
         }
         arriving.values().stream()
-                .map(Arriving::message)
+                .map(PendingAcceptance::message)
                 .filter(this::inOrder)
                 .forEach(m -> ends.merge(m.key, m.deadline, Math::max));
         return ends;
@@ -2305,21 +2372,21 @@
 
     private void drainStep() {
         if (!undecided.isEmpty()) {
-            List<Undecided> again = List.copyOf(undecided);
+            List<DeferredSubmission> again = List.copyOf(undecided);
             undecided.clear();
             again.forEach(u -> turnAway(u.submission(), u.reply()));
-        } else if (drain.mode() != DrainPlan.Mode.RESTART) {
+        } else if (drain.mode() != ShutdownSequence.Mode.RESTART) {
             clients.retireSome(clientsAStep, LEFT_IDLE_MS);
         }
         int offered = handOver == null ? 0 : handOver.waiting();
-        DrainPlan.Load load = new DrainPlan.Load(
+        ShutdownSequence.Load load = new ShutdownSequence.Load(
                 held.size() + arriving.size() + undecided.size() + offered,
                 receivers.callsOut(),
                 notices.pending(),
                 clients.open());
         switch (drain.next(now() / 1_000, load)) {
             case DELIVER -> {
-                if (handOver != null && drain.mode() != DrainPlan.Mode.RESTART) {
+                if (handOver != null && drain.mode() != ShutdownSequence.Mode.RESTART) {
                     handOver.offerAll();
                 }
             }
@@ -2336,12 +2403,12 @@
             case DONE -> {
                 drainSteps.cancel(false);
                 boolean left = load.held() > 0 || load.noticesOut() > 0;
-                Log.warn("stopped: " + DrainPlan.summary(drain.mode(), held.values(), notices.pending())
+                Log.warn("stopped: " + ShutdownSequence.summary(drain.mode(), held.values(), notices.pending())
                         + (handOver == null ? "" : "; " + handOver.summary()));
-                if (survival != null && drain.mode() != DrainPlan.Mode.FINAL) {
+                if (survival != null && drain.mode() != ShutdownSequence.Mode.FINAL) {
                     survival.away(config.standalone().backMillis());
                 }
-                stopped.complete(left && drain.mode() == DrainPlan.Mode.FINAL ? LEFT_OVER : 0);
+                stopped.complete(left && drain.mode() == ShutdownSequence.Mode.FINAL ? LEFT_OVER : 0);
             }
         }
     }
@@ -2356,29 +2423,32 @@
     }
 
     /** Ends a message of which no call is out: handed back where it surely has not run or may be repeated. */
-    private void endUndelivered(Held m) {
+    private void endUndelivered(AcceptedMessage m) {
         DeliveryScheduler.MessageClass type = classes.type(m.type);
-        boolean returned = DrainPlan.mayReturn(
+        boolean returned = ShutdownSequence.mayReturn(
                 m.doubtSince != 0 || m.out,
                 type.effect() == DeliveryScheduler.Effect.SAFE,
                 type.effect() == DeliveryScheduler.Effect.KEYED
                         && type.keyScope() == DeliveryScheduler.KeyScope.DESTINATION);
         note(new Event.MessageCancelled(m.number));
-        end(m.number, returned ? m.returned(0) : m.failed(), returned ? Figures.End.SHED : Figures.End.ERRORS);
+        end(
+                m.number,
+                returned ? m.returned(0) : m.failed(),
+                returned ? SenderMetrics.End.SHED : SenderMetrics.End.ERRORS);
     }
 
     /** What hand-over asks of this sender. */
-    private final class HandOverHost implements HandOver.Host {
+    private final class HandoffHost implements HandoffCoordinator.Host {
         @Override
-        public List<List<Held>> movable() {
-            Map<Long, List<Held>> keyed = new LinkedHashMap<>();
-            List<List<Held>> groups = new ArrayList<>();
+        public List<List<AcceptedMessage>> movable() {
+            Map<Long, List<AcceptedMessage>> keyed = new LinkedHashMap<>();
+            List<List<AcceptedMessage>> groups = new ArrayList<>();
             if (!arriving.isEmpty()) {
                 return groups;
             }
             Set<Long> waiting = new HashSet<>(phantoms.keySet());
             // In the order of acceptance, which is that of each key.
-            for (Held m : journal.live()) {
+            for (AcceptedMessage m : journal.live()) {
                 boolean ordered = inOrder(m);
                 if (m.notice != null || m.frozen || m.out) {
                     // Of an ordered key nothing moves before that is over: the order passes on with it.
@@ -2400,16 +2470,17 @@
         }
 
         @Override
-        public boolean inOrder(Held m) {
+        public boolean inOrder(AcceptedMessage m) {
             return Sender.this.inOrder(m);
         }
 
-        private long end(List<Held> messages) {
+        private long end(List<AcceptedMessage> messages) {
             return messages.stream().mapToLong(m -> m.deadline).max().orElse(steady() + LONGEST_LIFE_MS);
         }
 
         @Override
-        public boolean offer(String lot, Ownership ownership, List<Held> messages, List<Long> keys, long holdUntil) {
+        public boolean offer(
+                String lot, Ownership ownership, List<AcceptedMessage> messages, List<Long> keys, long holdUntil) {
             if (!journal.offer(lot, ownership, end(messages), messages, config.name(), keys, holdUntil)) {
                 return false;
             }
@@ -2423,7 +2494,7 @@
         }
 
         @Override
-        public boolean record(String lot, Ownership ownership, List<Held> messages) {
+        public boolean record(String lot, Ownership ownership, List<AcceptedMessage> messages) {
             boolean written = ownership.mine()
                     ? takeBack(lot, ownership, messages)
                     : journal.lot(lot, ownership, end(messages), messages);
@@ -2434,13 +2505,13 @@
         }
 
         /** Nobody took them: they go on here, ahead of what has come of their keys since. */
-        private boolean takeBack(String lot, Ownership ownership, List<Held> messages) {
+        private boolean takeBack(String lot, Ownership ownership, List<AcceptedMessage> messages) {
             List<Long> keys = messages.stream()
                     .filter(this::inOrder)
                     .map(m -> m.key)
                     .distinct()
                     .toList();
-            List<Held> behind = heldBack(keys);
+            List<AcceptedMessage> behind = heldBack(keys);
             List<Long> free = journal.takeBack(lot, ownership, end(messages), messages, config.name(), keys);
             if (free == null) {
                 return false;
@@ -2450,9 +2521,9 @@
             return true;
         }
 
-        private void goOn(List<Held> messages, List<Held> behind) {
+        private void goOn(List<AcceptedMessage> messages, List<AcceptedMessage> behind) {
             behind.forEach(m -> note(new Event.MessageCancelled(m.number)));
-            for (Held m : messages) {
+            for (AcceptedMessage m : messages) {
                 held.put(m.number, m);
                 resume(m, false);
             }
@@ -2460,14 +2531,14 @@
         }
 
         @Override
-        public HandoffPlacement.RejectionReason refuses(List<Held> messages, JsonObject theirs) {
+        public HandoffPlacement.RejectionReason refuses(List<AcceptedMessage> messages, JsonObject theirs) {
             if (drain != null
                     || phase != Phase.READY
                     || held.size() + arriving.size() + messages.size()
                             > settings.limits().openMessages()) {
                 return HandoffPlacement.RejectionReason.ROOM;
             }
-            for (Held m : messages) {
+            for (AcceptedMessage m : messages) {
                 int type = classes.number(m.className);
                 if (type < 0
                         || !directory.listed(m.destination)
@@ -2482,7 +2553,7 @@
         }
 
         /** One in doubt that only the place where it may have run could take again, and that place is unknown here. */
-        private boolean wouldBeLost(Held m, DeliveryScheduler.MessageClass type) {
+        private boolean wouldBeLost(AcceptedMessage m, DeliveryScheduler.MessageClass type) {
             return m.doubtSince != 0
                     && type.effect() == DeliveryScheduler.Effect.KEYED
                     && type.keyScope() != DeliveryScheduler.KeyScope.DESTINATION
@@ -2496,14 +2567,14 @@
         }
 
         @Override
-        public JsonObject classes(List<Held> messages) {
+        public JsonObject classes(List<AcceptedMessage> messages) {
             JsonObject meanings = new JsonObject();
             messages.forEach(m -> meanings.addProperty(m.className, m.type < 0 ? "" : meaning(m.type)));
             return meanings;
         }
 
         @Override
-        public boolean adopt(String lot, Ownership ownership, List<Held> messages, String origin) {
+        public boolean adopt(String lot, Ownership ownership, List<AcceptedMessage> messages, String origin) {
             long begun = now();
             messages.forEach(m -> m.type = classes.number(m.className));
             List<Long> keys = messages.stream()
@@ -2511,7 +2582,7 @@
                     .map(m -> m.key)
                     .distinct()
                     .toList();
-            List<Held> behind = heldBack(keys);
+            List<AcceptedMessage> behind = heldBack(keys);
             if (!journal.adopt(lot, ownership, end(messages), messages, origin, behind)) {
                 return false;
             }
@@ -2543,9 +2614,9 @@
         }
 
         @Override
-        public void failed(List<Held> messages) {
-            for (Held m : messages) {
-                figures.ended(m.className, Figures.End.ERRORS);
+        public void failed(List<AcceptedMessage> messages) {
+            for (AcceptedMessage m : messages) {
+                figures.ended(m.className, SenderMetrics.End.ERRORS);
                 journal.end(m, m.failed(), () -> tell(m));
             }
         }
@@ -2583,8 +2654,8 @@
      */
     String reload(Map<String, String> environment) {
         try {
-            long fingerprint = Config.fingerprint(environment);
-            Config read = Config.reread(environment);
+            long fingerprint = SenderConfig.fingerprint(environment);
+            SenderConfig read = SenderConfig.reread(environment);
             if ((read.discovery() == null) != (config.discovery() == null)) {
                 throw new InvalidSettingsException(
                         "changing between discovery and a file of endpoints takes a restart");
--- a/sender/src/main/java/amberroute/sender/OpsServer.java
+++ b/sender/src/main/java/amberroute/sender/admin/AdminServer.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.admin;
 
+import amberroute.sender.eventloop.MillisecondSelectStrategy;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -36,8 +37,8 @@
  * At most {@value #MOST_CONNECTIONS} connections: a further one takes the place of the oldest, so that callers who never
  * finish a call keep nobody out. A call has {@value #CALL_MS} ms and a head of 4 KiB; none has a body.
  */
-final class OpsServer {
-    static final int MOST_CONNECTIONS = 24;
+public final class AdminServer {
+    public static final int MOST_CONNECTIONS = 24;
     static final long CALL_MS = 5_000;
     private static final int LONGEST_LINE = 1_024;
     private static final int LONGEST_HEAD = 4_096;
@@ -45,18 +46,18 @@
     private final BooleanSupplier ready;
     private final Supplier<String> metrics;
     private final EventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, WholeMillisecondWaits.around(NioIoHandler.newFactory()));
+            new MultiThreadIoEventLoopGroup(1, MillisecondSelectStrategy.around(NioIoHandler.newFactory()));
     private final Set<Channel> open = new LinkedHashSet<>();
     private InetSocketAddress bound;
 
     /** Both are asked on this server's own thread. */
-    OpsServer(BooleanSupplier ready, Supplier<String> metrics) {
+    public AdminServer(BooleanSupplier ready, Supplier<String> metrics) {
         this.ready = ready;
         this.metrics = metrics;
     }
 
     /** Listens; port 0 takes any. */
-    void listen(InetSocketAddress address) throws IOException {
+    public void listen(InetSocketAddress address) throws IOException {
         try {
             bound = (InetSocketAddress) new ServerBootstrap()
                     .group(group)
@@ -80,7 +81,7 @@
         }
     }
 
-    InetSocketAddress address() {
+    public InetSocketAddress address() {
         return bound;
     }
 
@@ -100,7 +101,7 @@
                         new Session());
     }
 
-    void close() {
+    public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
--- a/sender/src/main/java/amberroute/sender/Control.java
+++ b/sender/src/main/java/amberroute/sender/admin/ControlSocket.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.admin;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -32,10 +32,10 @@
  * <p>Requests have a {@code do}: {@code status}, {@code reload}, or {@code stop} with {@code mode} (restart or final)
  * and {@code within_ms}. Answers have {@code ok}, and an {@code error} where that is false.
  */
-final class Control {
+public final class ControlSocket {
     static final int MOST_CONNECTIONS = 16;
     /** A stop may name all those that are absent: 4,096 names of 60 characters. */
-    static final int LONGEST_LINE = 1 << 18;
+    public static final int LONGEST_LINE = 1 << 18;
 
     private static final int IDLE_MINUTES = 10;
 
@@ -46,7 +46,7 @@
     private int connections;
 
     /** The handler runs on the event loop and may answer later, from any thread. */
-    Control(EventLoop loop, BiConsumer<JsonObject, Consumer<JsonObject>> handler) {
+    public ControlSocket(EventLoop loop, BiConsumer<JsonObject, Consumer<JsonObject>> handler) {
         this.loop = loop;
         this.handler = handler;
     }
@@ -55,7 +55,7 @@
      * Listens, also anew; a socket that another process left behind is replaced, so the state folder's lock has to be held. Not on
      * the event loop.
      */
-    void listen(Path at) throws IOException {
+    public void listen(Path at) throws IOException {
         path = at;
         if (server != null) {
             server.close().awaitUninterruptibly();
@@ -92,7 +92,7 @@
         Files.setPosixFilePermissions(at, PosixFilePermissions.fromString("rw-------"));
     }
 
-    void close() {
+    public void close() {
         if (server != null) {
             server.close();
             try {
@@ -103,7 +103,7 @@
         }
     }
 
-    static JsonObject answer(boolean ok, String error) {
+    public static JsonObject answer(boolean ok, String error) {
         JsonObject answer = new JsonObject();
         answer.addProperty("ok", ok);
         if (error != null) {
--- a/sender/src/main/java/amberroute/sender/LateEnds.java
+++ b/sender/src/main/java/amberroute/sender/admin/LateCompletionReporter.java
@@ -1,11 +1,13 @@
-package amberroute.sender;
+package amberroute.sender.admin;
+
+import amberroute.sender.message.AcceptedMessage;
 
 /**
  * Tells operators of messages whose end came late, which is what a client may hold against a sender: how many, the worst, and at
  * which point, at most one line a second. A process that is short of CPU time shows here first. Times are wall time in
  * milliseconds, as deadlines are.
  */
-final class LateEnds {
+public final class LateCompletionReporter {
     /** Clients allow some 300 ms behind the deadline. */
     private static final long LATE_MS = 100;
 
@@ -16,12 +18,12 @@
     private long worst;
     private String worstId = "";
 
-    LateEnds(String point) {
+    public LateCompletionReporter(String point) {
         this.point = point;
     }
 
     /** A message reached this point at this time; returns what to tell, null for nothing yet. */
-    String passed(Held m, long wall) {
+    public String passed(AcceptedMessage m, long wall) {
         long late = wall - m.deadline;
         if (late > LATE_MS) {
             count++;
--- a/sender/src/main/java/amberroute/sender/Figures.java
+++ b/sender/src/main/java/amberroute/sender/admin/SenderMetrics.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.admin;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,28 +10,28 @@
  * where a {@link Snapshot} is taken every {@value #EVERY_MS} ms: a scrape reads the newest one and asks the loop nothing,
  * however busy that is. All counts start at 0 with the process.
  */
-final class Figures {
-    static final long EVERY_MS = 100;
+public final class SenderMetrics {
+    public static final long EVERY_MS = 100;
     /** Names of classes that are told apart; what comes under more is counted as {@value #OTHER}. */
     static final int MOST_NAMES = 1_024;
 
     static final String OTHER = "other";
 
     /** How a message ended. */
-    enum End {
+    public enum End {
         OK,
         SHED,
         ERRORS
     }
 
     /** What is counted of the moment and not of the past. */
-    record Now(int active, int poolSize, int poolEjected) {}
+    public record Now(int active, int poolSize, int poolEjected) {}
 
     /** All figures of one moment. */
-    record Snapshot(Map<String, List<Long>> ends, long tries, Now now, long applied, long rejected) {
+    public record Snapshot(Map<String, List<Long>> ends, long tries, Now now, long applied, long rejected) {
 
         /** In the text form that Prometheus reads. */
-        String text() {
+        public String text() {
             StringBuilder out = new StringBuilder("# TYPE svc_responses_total counter\n");
             ends.forEach((name, counts) -> {
                 for (End end : End.values()) {
@@ -77,7 +77,7 @@
     private long rejected;
 
     /** Shows a class from now on, with zeros until something of it ends. */
-    void name(String className) {
+    public void name(String className) {
         counts(className);
     }
 
@@ -86,24 +86,24 @@
         return ends.computeIfAbsent(name, n -> new long[End.values().length]);
     }
 
-    void ended(String className, End end) {
+    public void ended(String className, End end) {
         counts(className)[end.ordinal()]++;
     }
 
     /** A call with so many messages was written whole. */
-    void tried(int messages) {
+    public void tried(int messages) {
         tries += messages;
     }
 
-    void applied() {
+    public void applied() {
         applied++;
     }
 
-    void rejected() {
+    public void rejected() {
         rejected++;
     }
 
-    Snapshot snapshot(Now now) {
+    public Snapshot snapshot(Now now) {
         Map<String, List<Long>> copy = new TreeMap<>();
         ends.forEach((name, counts) -> copy.put(name, List.of(counts[0], counts[1], counts[2])));
         return new Snapshot(copy, tries, now, applied, rejected);
--- a/sender/src/main/java/amberroute/sender/ClientServer.java
+++ b/sender/src/main/java/amberroute/sender/client/ClientServer.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.client;
 
+import amberroute.sender.util.Log;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -26,7 +27,7 @@
 import java.util.stream.Stream;
 
 /** Serves clients: reads what they hand in and gives each request its answer, in order. */
-final class ClientServer {
+public final class ClientServer {
     /** Share of the connections that those have which have not sent a good request yet. */
     private static final double NEWCOMERS = 0.25;
     /** With so many requests unanswered a connection is not read on; with more, all from one read, it ends. */
@@ -63,38 +64,38 @@
     private static final int MOST_LOOKS = 64;
 
     /** A message as handed in; {@code timeLeft} in milliseconds, as of now: what it may have waited unread is off. */
-    record Submission(
+    public record Submission(
             long key, String id, String className, long timeLeft, int destination, String idempotencyKey, byte[] body) {
         /** The same so many milliseconds later. */
-        Submission after(long passed) {
+        public Submission after(long passed) {
             return new Submission(
                     key, id, className, Math.max(0, timeLeft - passed), destination, idempotencyKey, body);
         }
     }
 
     /** Takes submissions on; each gets exactly one answer. */
-    interface Acceptor {
+    public interface Acceptor {
         void submitted(Submission submission, Answer answer);
     }
 
     /** Where the one answer to a request goes. */
-    abstract static class Answer {
+    public abstract static class Answer {
         /** Whether anybody still waits: what a client that has left handed in counts for nothing. */
-        abstract boolean wanted();
+        public abstract boolean wanted();
 
         /** Gives the answer, a whole line as the protocol has it. */
-        abstract void line(String text);
+        public abstract void line(String text);
 
-        void ok() {
+        public void ok() {
             line("+OK\r\n");
         }
 
         /** The advice is in milliseconds, 0 for none. */
-        void busy(long after) {
+        public void busy(long after) {
             line(after > 0 ? "-BUSY " + after + "\r\n" : "-BUSY\r\n");
         }
 
-        void error(String reason) {
+        public void error(String reason) {
             line("-ERR " + reason + "\r\n");
         }
     }
@@ -105,7 +106,7 @@
     private final int mostConnections;
     private final OrderlyClose closing;
     private Set<String> classNames = Set.of();
-    private final Resp.Room room;
+    private final RespDecoder.Room room;
     private QueueingDelay queueingDelay;
     /** Null where this process listens itself: clients were refused while nobody did. */
     private OutageBacklog backlog;
@@ -132,23 +133,23 @@
     /** Requests that were read and not handed on, as their clients had given up waiting and closed. */
     private long abandoned;
 
-    ClientServer(EventLoop loop, Acceptor acceptor, int mostConnections, long roomBytes) {
+    public ClientServer(EventLoop loop, Acceptor acceptor, int mostConnections, long roomBytes) {
         this.loop = loop;
         this.acceptor = acceptor;
         mostOpen = mostConnections;
         this.mostConnections = Math.max(1, mostConnections - mostConnections / LINGERING);
         closing = new OrderlyClose(loop);
-        room = new Resp.Room(roomBytes);
+        room = new RespDecoder.Room(roomBytes);
         queueingDelay = new QueueingDelay(System.nanoTime());
     }
 
     /** Messages of these classes are taken from now on. */
-    void classes(Set<String> names) {
+    public void classes(Set<String> names) {
         classNames = names;
     }
 
     /** Binds; from then on the sender is ready. Returns the address bound, as port 0 takes any. */
-    InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
+    public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
         // Nobody can have waited before there was anywhere to connect to.
         queueingDelay = new QueueingDelay(System.nanoTime());
         server = bootstrap()
@@ -161,7 +162,7 @@
     }
 
     /** To be called before {@link #listen(ServerSocketChannel)}: another process served clients up to this monotonic moment, in nanoseconds. */
-    void servedUntil(long moment) {
+    public void servedUntil(long moment) {
         servedUntil = OptionalLong.of(moment);
     }
 
@@ -169,7 +170,7 @@
      * Takes clients from a socket that listens already, perhaps for other processes too. Its queue outlives processes, so those in it
      * may have waited since before this one began.
      */
-    InetSocketAddress listen(ServerSocketChannel inherited) throws InterruptedException {
+    public InetSocketAddress listen(ServerSocketChannel inherited) throws InterruptedException {
         passedDown = true;
         long now = System.nanoTime();
         queueingDelay = new QueueingDelay(now - TimeUnit.MILLISECONDS.toNanos(QueueingDelay.CLIENT_TIMEOUT_MS));
@@ -191,7 +192,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        Resp resp = new Resp(room);
+                        RespDecoder resp = new RespDecoder(room);
                         channel.pipeline().addLast(resp, new Session(resp, queueingDelay.accepted()));
                     }
                 });
@@ -238,7 +239,7 @@
      * Another process takes this one's place: it accepts no more, without closing the socket, which is the other's too.
      * Connections close behind their next answer; those on which nobody asks are left to {@link #retireSome}.
      */
-    void retire() {
+    public void retire() {
         retiring = true;
         accept(false);
     }
@@ -249,23 +250,23 @@
     }
 
     /** Serves on after {@link #retire}: connections stay, and new ones are accepted. */
-    void resume() {
+    public void resume() {
         retiring = false;
         accept(true);
     }
 
     /** Connections close behind their next answer, as this process leaves; new ones are still told so. */
-    void retireAnswered() {
+    public void retireAnswered() {
         retiring = true;
     }
 
     /** Closes so many connections on which nobody waits, the longest idle first. */
-    void retireSome(int most) {
+    public void retireSome(int most) {
         retireSome(most, 0);
     }
 
     /** The same, but for those in use within so many milliseconds: a request may be on its way. */
-    void retireSome(int most, long idle) {
+    public void retireSome(int most, long idle) {
         long since = System.nanoTime() - idle * 1_000_000;
         Stream.concat(unproven.stream(), usual.stream())
                 .filter(s -> s.resting() && s.lastUse - since <= 0)
@@ -275,7 +276,7 @@
     }
 
     /** To be called again and again while the process ends: lets go of connections as {@code draining} says. */
-    void drain(ConnectionDraining draining, long now) {
+    public void drain(ConnectionDraining draining, long now) {
         if (!draining.begun(now) || drained) {
             return;
         }
@@ -305,7 +306,7 @@
      * Takes no new connection from now on. Whoever is connected and waits to be accepted would be reset with the socket: they are
      * accepted first.
      */
-    void closeDoor() {
+    public void closeDoor() {
         if (server != null && !shutting) {
             shutting = true;
             closeDoorBehind(accepted, MOST_LOOKS);
@@ -327,7 +328,7 @@
     }
 
     /** Closes the connections on which nobody waits; a client whose request crosses that sends it once more. */
-    void closeIdle() {
+    public void closeIdle() {
         Stream.concat(unproven.stream(), usual.stream())
                 .filter(s -> s.waiting.isEmpty())
                 .toList()
@@ -369,17 +370,17 @@
     }
 
     /** Requests so far whose clients had given up before they were read. */
-    long abandoned() {
+    public long abandoned() {
         return abandoned;
     }
 
     /** Connections that are served. */
-    int connections() {
+    public int connections() {
         return unproven.size() + usual.size();
     }
 
     /** Connections that are served, and those that have ended and linger until their clients have read what they were told. */
-    int open() {
+    public int open() {
         return connections() + closing.lingering();
     }
 
@@ -396,21 +397,21 @@
         }
 
         @Override
-        boolean wanted() {
+        public boolean wanted() {
             return session.channel.isActive();
         }
 
         @Override
-        void line(String answer) {
+        public void line(String answer) {
             text = answer;
             session.answered(key);
             session.flush();
         }
     }
 
-    private final class Session extends SimpleChannelInboundHandler<Resp.Request> {
+    private final class Session extends SimpleChannelInboundHandler<RespDecoder.Request> {
         private final Deque<Reply> waiting = new ArrayDeque<>();
-        private final Resp resp;
+        private final RespDecoder resp;
         private Channel channel;
         private long lastUse = System.nanoTime();
         private Future<?> deadline;
@@ -423,7 +424,7 @@
 
         private long stopped;
 
-        Session(Resp resp, long unread) {
+        Session(RespDecoder resp, long unread) {
             this.resp = resp;
             this.unread = unread;
         }
@@ -510,7 +511,7 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, Resp.Request request) {
+        protected void channelRead0(ChannelHandlerContext context, RespDecoder.Request request) {
             if (ending || !channel.isActive()) {
                 return;
             }
--- a/sender/src/main/java/amberroute/sender/OrderlyClose.java
+++ b/sender/src/main/java/amberroute/sender/client/OrderlyClose.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.client;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
@@ -18,8 +18,8 @@
  * <p>A connection that lingers holds its descriptor until then; whoever needs that calls {@link #closeOldest}. Belongs to the
  * event loop.
  */
-final class OrderlyClose {
-    static final long LINGER_MS = 1_000;
+public final class OrderlyClose {
+    public static final long LINGER_MS = 1_000;
     private final EventLoop loop;
     private final Map<SocketChannel, Future<?>> lingering = new LinkedHashMap<>();
 
--- a/sender/src/main/java/amberroute/sender/OutageBacklog.java
+++ b/sender/src/main/java/amberroute/sender/client/OutageBacklog.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.client;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -14,13 +14,13 @@
  * <p>An outage is over some time after the last request that may have waited as long as clients wait. Times are of one monotonic
  * clock, in nanoseconds; reads no clock. Holds at most {@value #MOST_KEYS} keys, those answered last.
  */
-final class OutageBacklog {
+public final class OutageBacklog {
     static final int MOST_KEYS = 4_096;
     /**
      * The end of the process before may lie so long before the first look at the clock: the platform starts the next one 0.6 s
      * behind a kill (PROTOCOL, Figures), and the virtual machine has to start.
      */
-    static final long UNSEEN_MS = 1_500;
+    public static final long UNSEEN_MS = 1_500;
     /** A client that got no answer comes again within two seconds, so what waits behind its message comes by then. */
     static final long SETTLED_MS = 2_500;
     /** Whoever waits for the answer to the message before sends within this of it, also through a process short of CPU time. */
--- a/sender/src/main/java/amberroute/sender/QueueingDelay.java
+++ b/sender/src/main/java/amberroute/sender/client/QueueingDelay.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.client;
 
 /**
  * For how long a request may have lain unread. A client tells how much time its message has as of when it sent it, and
@@ -10,11 +10,11 @@
  * ticks. New connections are taken a batch at a time: as long as batches are full the queue may hold some from before the
  * first. Times are of one monotonic clock, in nanoseconds. Reads no clock.
  */
-final class QueueingDelay {
+public final class QueueingDelay {
     /** Small beside what times are told in, large beside what a tick costs (some 0.3% of half a core). */
-    static final long TICK_MS = 20;
+    public static final long TICK_MS = 20;
     /** Clients wait no longer for an answer: who has waited longer is gone, and its message counts for nothing. */
-    static final long CLIENT_TIMEOUT_MS = 400;
+    public static final long CLIENT_TIMEOUT_MS = 400;
 
     private long tick;
     private long before;
@@ -22,20 +22,20 @@
     private int batch;
     private boolean full;
 
-    QueueingDelay(long now) {
+    public QueueingDelay(long now) {
         tick = now;
         before = now;
         queued = now;
     }
 
     /** To be called every {@link #TICK_MS}, from the loop, behind what a pass of it reads. */
-    void tick(long now) {
+    public void tick(long now) {
         before = tick;
         tick = now;
     }
 
     /** A connection was accepted; returns since when it, and a request on it, may have waited. */
-    long accepted() {
+    public long accepted() {
         if (batch++ == 0 && !full) {
             queued = before;
         }
@@ -43,13 +43,13 @@
     }
 
     /** No more are accepted in this pass; with {@code most} of them there may be others that wait. */
-    void batchDone(int most) {
+    public void batchDone(int most) {
         full = batch >= most;
         batch = 0;
     }
 
     /** Milliseconds for which a request may have waited; {@code since} is its connection's first wait, 0 once it was read. */
-    long millis(long since, long now) {
+    public long millis(long since, long now) {
         long from = since != 0 && since - before < 0 ? since : before;
         return Math.max(0, Math.min(CLIENT_TIMEOUT_MS, (now - from) / 1_000_000));
     }
--- a/sender/src/main/java/amberroute/sender/Resp.java
+++ b/sender/src/main/java/amberroute/sender/client/RespDecoder.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,8 +11,8 @@
  * Reads RESP2 requests, arrays of bulk strings, within bounds. Netty's own codec lets a peer announce half
  * a gigabyte and buffers it, which a sender with little memory cannot afford.
  */
-final class Resp extends ByteToMessageDecoder {
-    static final int LARGEST_VALUE = 1 << 16;
+public final class RespDecoder extends ByteToMessageDecoder {
+    public static final int LARGEST_VALUE = 1 << 16;
     private static final int LARGEST_REQUEST = LARGEST_VALUE + 4_096;
     private static final int MOST_VALUES = 16;
     private static final int LONGEST_LINE = 4_096;
@@ -51,7 +51,7 @@
     private boolean dead;
     private long discarded;
 
-    Resp(Room room) {
+    RespDecoder(Room room) {
         this.room = room;
     }
 
--- a/sender/src/main/java/amberroute/sender/SubmitCommand.java
+++ b/sender/src/main/java/amberroute/sender/client/SubmitCommand.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.client;
 
+import amberroute.sender.util.StrictNumbers;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
@@ -10,7 +11,7 @@
  * The words of a client's SUBMIT command (PROTOCOL, "Clients to senders"): key, id, names and values, body. What makes no sense is
  * an {@link IllegalArgumentException} whose message may be told to the client.
  */
-final class SubmitCommand {
+public final class SubmitCommand {
     private static final int WORDS = 5;
     private static final int LONGEST_WORD = 1_024;
     private static final int LONGEST_NAME = 128;
@@ -51,7 +52,7 @@
     }
 
     /** What may stand in a header or on a line: at most 128 visible characters of ASCII. */
-    static boolean printable(String word) {
+    public static boolean printable(String word) {
         return word.length() <= LONGEST_NAME && word.chars().allMatch(c -> c > ' ' && c < 127);
     }
 
@@ -64,7 +65,7 @@
     }
 
     private static long number(String text, String name, long most) {
-        double value = Decimals.parse(text);
+        double value = StrictNumbers.parse(text);
         require(value >= 0 && value <= most, "bad number " + name);
         return (long) value;
     }
--- a/sender/src/main/java/amberroute/sender/Durability.java
+++ b/sender/src/main/java/amberroute/sender/config/Durability.java
@@ -1,7 +1,7 @@
-package amberroute.sender;
+package amberroute.sender.config;
 
 /** What of the journal outlasts a loss of power; what the process's own end leaves is all of it in any case. */
-enum Durability {
+public enum Durability {
     /** Nothing is forced: what the kernel has outlasts the process, and that is all. */
     NONE,
     /** What comes together is forced together, off the event loop; answers, calls and notices wait for it. */
--- a/sender/src/main/java/amberroute/sender/Config.java
+++ b/sender/src/main/java/amberroute/sender/config/SenderConfig.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.config;
 
 import amberroute.config.Units;
 import amberroute.decisions.DeliveryScheduler;
@@ -23,7 +23,7 @@
  * {@code ops} is the address for operators, null for none; {@code keys} what the file held, with the kind of each value,
  * empty for files that a schema checks.
  */
-record Config(
+public record SenderConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -50,7 +50,7 @@
     private static final double CLIENT_SHARE = 0.55;
 
     /** Bytes for requests that are not whole yet: a small part, as all else has to fit beside them. */
-    long requestBytes() {
+    public long requestBytes() {
         return memoryBytes / 32;
     }
 
@@ -58,8 +58,8 @@
      * Of an estate that goes on in this process: its name and folder, a quarter of the descriptors, and no door. Its slots are
      * those that its own process had, which is gone: the destinations get no more calls for it than before.
      */
-    Config caretaker(String theirs, Path folder, StandaloneConfig.Standalone there) {
-        return new Config(
+    public SenderConfig caretaker(String theirs, Path folder, StandaloneConfig.Standalone there) {
+        return new SenderConfig(
                 theirs,
                 null,
                 discovery,
@@ -79,16 +79,16 @@
     }
 
     /** Who is told of messages that end undelivered. */
-    InetSocketAddress notices() {
+    public InetSocketAddress notices() {
         return standalone == null ? discovery : standalone.notices();
     }
 
-    int mostClients() {
+    public int mostClients() {
         return (int) Math.max(1, CLIENT_SHARE * (sockets - OWN_DESCRIPTORS));
     }
 
     /** Connections to receivers, with and without a call. */
-    int mostToReceivers() {
+    public int mostToReceivers() {
         return Math.max(1, sockets - OWN_DESCRIPTORS - mostClients());
     }
 
@@ -96,7 +96,7 @@
      * Whether the socket that clients connect to is passed down as descriptor 0, so that another process can take this
      * one's place. A JVM can take over no other descriptor.
      */
-    static boolean inherits(Map<String, String> environment) {
+    public static boolean inherits(Map<String, String> environment) {
         String descriptor = environment.getOrDefault("GW_ACCEPT_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
             throw new InvalidSettingsException(
@@ -106,7 +106,7 @@
     }
 
     /** Reads the file that the environment names; where both tell something, the environment holds. */
-    static Config read(Map<String, String> environment) throws IOException {
+    public static SenderConfig read(Map<String, String> environment) throws IOException {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
             throw new InvalidSettingsException("GW_CONFIG names no configuration");
@@ -128,7 +128,7 @@
     }
 
     /** Tells one text of the configuration's file from another; 0 where it cannot be read. */
-    static long fingerprint(Map<String, String> environment) {
+    public static long fingerprint(Map<String, String> environment) {
         try {
             byte[] text = Files.readAllBytes(Path.of(environment.getOrDefault("GW_CONFIG", "")));
             CRC32 sum = new CRC32();
@@ -140,7 +140,7 @@
     }
 
     /** Reads the file again while the sender runs: what it says of discovery then holds over the environment. */
-    static Config reread(Map<String, String> environment) throws IOException {
+    public static SenderConfig reread(Map<String, String> environment) throws IOException {
         Map<String, String> file = new HashMap<>(environment);
         file.remove("GW_DISCOVERY");
         return read(file);
@@ -150,7 +150,7 @@
      * Whether this may take the place of the configuration in force: a file that lacks what that one told, or tells it
      * in another form, is half a file, and nothing of it is to be taken. Classes are compared by what all of them have.
      */
-    void checkAgainst(Config inForce) {
+    public void checkAgainst(SenderConfig inForce) {
         inForce.keys.forEach((key, kind) -> {
             if (!keys.containsKey(key)) {
                 throw new InvalidSettingsException(key + " is missing");
@@ -197,7 +197,7 @@
         }
     }
 
-    private static Config parse(JsonObject json, Map<String, String> environment) {
+    private static SenderConfig parse(JsonObject json, Map<String, String> environment) {
         for (String part : List.of("settings", "limits")) {
             if (!json.has(part) || !json.get(part).isJsonObject()) {
                 throw new InvalidSettingsException(part + " is missing");
@@ -212,7 +212,7 @@
             throw new InvalidSettingsException("GW_STATE names no folder");
         }
         JsonElement known = json.get("known");
-        return new Config(
+        return new SenderConfig(
                 environment.getOrDefault("GW_NAME", "sender"),
                 address(
                         environment.containsKey("GW_LISTEN")
@@ -278,7 +278,7 @@
     }
 
     /** An address in figures and a port; names are never looked up, as there is no DNS. */
-    static InetSocketAddress address(String text) {
+    public static InetSocketAddress address(String text) {
         try {
             return Units.address(text);
         } catch (IllegalArgumentException e) {
--- a/sender/src/main/java/amberroute/sender/StandaloneConfig.java
+++ b/sender/src/main/java/amberroute/sender/config/StandaloneConfig.java
@@ -1,10 +1,11 @@
-package amberroute.sender;
+package amberroute.sender.config;
 
 import amberroute.config.ConfigException;
 import amberroute.config.Schema;
 import amberroute.config.Settings;
 import amberroute.config.Units;
 import amberroute.decisions.DeliveryScheduler;
+import amberroute.sender.discovery.EndpointWatch;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -21,7 +22,7 @@
 
 /**
  * The sender's file outside the platform, {@code deploy/amberroute.toml}: every key with its type, bounds, default and
- * meaning, and how they become a {@link Config}. {@code GW_NAME}, {@code GW_LISTEN}, {@code GW_DISCOVERY} and
+ * meaning, and how they become a {@link SenderConfig}. {@code GW_NAME}, {@code GW_LISTEN}, {@code GW_DISCOVERY} and
  * {@code GW_STATE} hold over the file where they are set, so that one file serves many instances.
  */
 public final class StandaloneConfig {
@@ -142,7 +143,7 @@
      * What only a sender outside the platform has; spans in milliseconds. {@code endpoints} and {@code notices} may be
      * null.
      */
-    record Standalone(
+    public record Standalone(
             Path endpoints,
             InetSocketAddress notices,
             Path control,
@@ -155,12 +156,12 @@
             long lease,
             double first,
             Durability durability,
-            Survive survive,
+            ReplicationSettings survive,
             String zone,
             boolean overload,
             boolean parts) {
         /** Of an estate that goes on in another's process: its peers, and nothing that clients or operators could reach. */
-        Standalone caretaker(Map<String, InetSocketAddress> others) {
+        public Standalone caretaker(Map<String, InetSocketAddress> others) {
             return new Standalone(
                     endpoints,
                     notices,
@@ -182,13 +183,13 @@
     }
 
     /** How work in hand outlasts its machine (docs/survival.md); null for not at all. */
-    record Survive(int copies, long replaceMillis) {}
+    public record ReplicationSettings(int copies, long replaceMillis) {}
 
     private StandaloneConfig() {}
 
     /** Reads and checks a file and starts nothing; the summary is for people. */
     public static String check(Path file, Map<String, String> environment) throws IOException {
-        Config config = read(file, environment);
+        SenderConfig config = read(file, environment);
         return config.name() + " listens on " + config.listen().getAddress().getHostAddress() + ":"
                 + config.listen().getPort() + ", " + config.classes().size() + " classes, "
                 + (config.discovery() == null
@@ -197,7 +198,7 @@
                 + ", state in " + config.state();
     }
 
-    static Config read(Path file, Map<String, String> environment) throws IOException {
+    static SenderConfig read(Path file, Map<String, String> environment) throws IOException {
         Settings s = SCHEMA.read(file);
         Path base = file.toAbsolutePath().normalize().getParent();
         InetSocketAddress listen = address(s, "listen", environment.get("GW_LISTEN"));
@@ -277,7 +278,7 @@
             throw s.bad("fleet.overload", "needs handover.listen and handover.peers");
         }
         JsonObject known = new JsonObject();
-        Config config = new Config(
+        SenderConfig config = new SenderConfig(
                 environment.getOrDefault("GW_NAME", s.text("name")),
                 listen,
                 discovery,
@@ -305,7 +306,7 @@
      * Reads a list of endpoints in discovery's form. Unlike news from discovery it counts as a whole: one bad entry and
      * none of it is taken, as whoever wrote it can mend it.
      */
-    static JsonObject endpoints(Path file, Config config) {
+    public static JsonObject endpoints(Path file, SenderConfig config) {
         try {
             if (Files.size(file) > LONGEST_LIST) {
                 throw new ConfigException(file + ": longer than 16 MiB");
@@ -318,7 +319,7 @@
             int i = 0;
             for (var item : list.getAsJsonArray("targets")) {
                 try {
-                    Directory.Parsed entry = Directory.parse(item.getAsJsonObject(), config);
+                    EndpointWatch.EndpointListEntry entry = EndpointWatch.parse(item.getAsJsonObject(), config);
                     if (!uids.add(entry.uid())) {
                         throw new IllegalArgumentException("uid " + entry.uid() + " is there twice");
                     }
@@ -337,14 +338,15 @@
         }
     }
 
-    private static Survive survive(Settings s, InetSocketAddress handOver, Map<String, InetSocketAddress> peers) {
+    private static ReplicationSettings survive(
+            Settings s, InetSocketAddress handOver, Map<String, InetSocketAddress> peers) {
         if (!s.flag("survival.on")) {
             return null;
         }
         if (handOver == null || peers.isEmpty()) {
             throw s.bad("survival.on", "needs handover.listen and handover.peers");
         }
-        return new Survive(s.whole("survival.copies"), s.millis("survival.replace"));
+        return new ReplicationSettings(s.whole("survival.copies"), s.millis("survival.replace"));
     }
 
     private static String reason(RuntimeException e) {
--- a/sender/src/main/java/amberroute/sender/ActionRecorder.java
+++ b/sender/src/main/java/amberroute/sender/decision/ActionRecorder.java
@@ -1,54 +1,54 @@
-package amberroute.sender;
+package amberroute.sender.decision;
 
 import amberroute.decisions.DeliveryScheduler;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Collects what the decision module decides, until the sender carries it out. Bounded by what one turn decides. */
-final class ActionRecorder implements DeliveryScheduler.Actions {
-    private final List<Action> actions = new ArrayList<>();
+public final class ActionRecorder implements DeliveryScheduler.Actions {
+    private final List<SchedulerAction> actions = new ArrayList<>();
     private long longestTrustedIdle;
 
     /** {@code longestTrustedIdle} counts until the module says otherwise, in microseconds. */
-    ActionRecorder(long longestTrustedIdle) {
+    public ActionRecorder(long longestTrustedIdle) {
         this.longestTrustedIdle = longestTrustedIdle;
     }
 
     /** All that was decided since the last call, in order. */
-    List<Action> drain() {
-        List<Action> drained = List.copyOf(actions);
+    public List<SchedulerAction> drain() {
+        List<SchedulerAction> drained = List.copyOf(actions);
         actions.clear();
         return drained;
     }
 
     /** For how long a connection may have lain idle that carries a call which may not be repeated, in microseconds. */
-    long longestTrustedIdle() {
+    public long longestTrustedIdle() {
         return longestTrustedIdle;
     }
 
     @Override
     public void send(long id, long endpoint, long giveUpAt) {
-        actions.add(new Action.Send(id, endpoint, giveUpAt));
+        actions.add(new SchedulerAction.Send(id, endpoint, giveUpAt));
     }
 
     @Override
     public void refuse(long id, long retryAfter) {
-        actions.add(new Action.Refuse(id, retryAfter));
+        actions.add(new SchedulerAction.Refuse(id, retryAfter));
     }
 
     @Override
     public void fail(long id) {
-        actions.add(new Action.Fail(id));
+        actions.add(new SchedulerAction.Fail(id));
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        actions.add(new Action.Cancel(id, attempt));
+        actions.add(new SchedulerAction.Cancel(id, attempt));
     }
 
     @Override
     public void closeIdle(long endpoint) {
-        actions.add(new Action.CloseIdle(endpoint));
+        actions.add(new SchedulerAction.CloseIdle(endpoint));
     }
 
     /** Needs no place among the actions: it holds for the calls of this turn and all later ones. */
@@ -59,12 +59,12 @@
 
     @Override
     public void remember(DeliveryScheduler.HealthCheckpoint memory) {
-        actions.add(new Action.Remember(memory));
+        actions.add(new SchedulerAction.Remember(memory));
     }
 
     @Override
     public void wake(long delay, long token) {
-        actions.add(new Action.Wake(delay, token));
+        actions.add(new SchedulerAction.Wake(delay, token));
     }
 
     /** The directory is watched from the start, and again whenever that ends. */
@@ -73,6 +73,6 @@
 
     @Override
     public void log(String text) {
-        actions.add(new Action.Note(text));
+        actions.add(new SchedulerAction.Note(text));
     }
 }
--- a/sender/src/main/java/amberroute/sender/ModuleTrace.java
+++ b/sender/src/main/java/amberroute/sender/decision/DecisionTrace.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.decision;
 
 import amberroute.decisions.DeliveryScheduler;
 import java.io.PrintStream;
@@ -8,21 +8,21 @@
  * A module whose events and actions are written down, a line each, for {@code bin/fleet-ledger}: only for plays whose
  * loss is counted. It is asked for by the system property {@code amberroute.trace} and is not bounded.
  */
-final class ModuleTrace implements DeliveryScheduler {
+public final class DecisionTrace implements DeliveryScheduler {
     private final DeliveryScheduler inner;
     private final PrintStream out;
 
-    private ModuleTrace(DeliveryScheduler inner, PrintStream out) {
+    private DecisionTrace(DeliveryScheduler inner, PrintStream out) {
         this.inner = inner;
         this.out = out;
     }
 
     /** The module itself where no trace was asked for. */
-    static DeliveryScheduler around(DeliveryScheduler module, Settings settings) {
+    public static DeliveryScheduler around(DeliveryScheduler module, Settings settings) {
         if (!Boolean.getBoolean("amberroute.trace")) {
             return module;
         }
-        ModuleTrace trace = new ModuleTrace(module, System.err);
+        DecisionTrace trace = new DecisionTrace(module, System.err);
         trace.line("Z", settings);
         return trace;
     }
--- a/sender/src/main/java/amberroute/sender/Action.java
+++ b/sender/src/main/java/amberroute/sender/decision/SchedulerAction.java
@@ -1,30 +1,30 @@
-package amberroute.sender;
+package amberroute.sender.decision;
 
 import amberroute.decisions.DeliveryScheduler;
 
 /** What the decision module has decided in a turn, for the sender to carry out; spans in microseconds. */
-sealed interface Action {
+public sealed interface SchedulerAction {
     /** One attempt at a message; {@code giveUpAt} on the module's clock. */
-    record Send(long id, long endpoint, long giveUpAt) implements Action {}
+    record Send(long id, long endpoint, long giveUpAt) implements SchedulerAction {}
 
     /** The message did not run and is handed back, with advice when to come again, 0 for none. */
-    record Refuse(long id, long retryAfter) implements Action {}
+    record Refuse(long id, long retryAfter) implements SchedulerAction {}
 
     /** The message ends undelivered and may have run. */
-    record Fail(long id) implements Action {}
+    record Fail(long id) implements SchedulerAction {}
 
     /** An attempt that is out is given up. */
-    record Cancel(long id, int attempt) implements Action {}
+    record Cancel(long id, int attempt) implements SchedulerAction {}
 
     /** Connections to an endpoint that carry no call are closed. */
-    record CloseIdle(long endpoint) implements Action {}
+    record CloseIdle(long endpoint) implements SchedulerAction {}
 
     /** What a later process is to know of a place. */
-    record Remember(DeliveryScheduler.HealthCheckpoint memory) implements Action {}
+    record Remember(DeliveryScheduler.HealthCheckpoint memory) implements SchedulerAction {}
 
     /** The module's one timer, by its token. */
-    record Wake(long delay, long token) implements Action {}
+    record Wake(long delay, long token) implements SchedulerAction {}
 
     /** A line for the log. */
-    record Note(String text) implements Action {}
+    record Note(String text) implements SchedulerAction {}
 }
--- a/sender/src/main/java/amberroute/sender/EndpointFile.java
+++ b/sender/src/main/java/amberroute/sender/discovery/EndpointFile.java
@@ -1,6 +1,9 @@
-package amberroute.sender;
+package amberroute.sender.discovery;
 
 import amberroute.config.ConfigException;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.config.StandaloneConfig;
+import amberroute.sender.util.Log;
 import com.google.gson.JsonObject;
 import java.io.Closeable;
 import java.io.IOException;
@@ -15,13 +18,13 @@
  * inode, size or time of change differs, so whoever writes it should write aside and rename. One that cannot be used
  * changes nothing and is named once in the log.
  */
-final class EndpointFile implements Closeable {
+public final class EndpointFile implements Closeable {
     private static final long LOOK_MS = 250;
 
     private record Stamp(Object file, long size, long time) {}
 
     private final Path path;
-    private final Config config;
+    private final SenderConfig config;
     private final Consumer<JsonObject> taken;
     private final Thread thread;
     private final AtomicBoolean asked = new AtomicBoolean();
@@ -30,7 +33,7 @@
     private Stamp seen;
 
     /** {@code taken} is called on the follower's thread with each new list that can be used. */
-    EndpointFile(Path path, Config config, Consumer<JsonObject> taken) {
+    public EndpointFile(Path path, SenderConfig config, Consumer<JsonObject> taken) {
         this.path = path;
         this.config = config;
         this.taken = taken;
@@ -40,7 +43,7 @@
     }
 
     /** Reads the file again though it looks the same; from any thread. */
-    void ask() {
+    public void ask() {
         asked.set(true);
         thread.interrupt();
     }
--- a/sender/src/main/java/amberroute/sender/Directory.java
+++ b/sender/src/main/java/amberroute/sender/discovery/EndpointWatch.java
@@ -1,8 +1,12 @@
-package amberroute.sender;
+package amberroute.sender.discovery;
 
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.decisions.DeliveryScheduler.EndpointListKind;
 import amberroute.decisions.DeliveryScheduler.EndpointState;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.upstream.UpstreamClient;
+import amberroute.sender.util.Backoff;
+import amberroute.sender.util.Log;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -40,20 +44,20 @@
 import java.util.function.LongPredicate;
 
 /** Watches the list of receivers and gives each uid the number that the module knows it by. */
-final class Directory {
+public final class EndpointWatch {
     /** What discovery has counts as told so much later, whether or not it arrived, if it could be reached. */
-    static final long TOLD_MS = 6_000;
+    public static final long TOLD_MS = 6_000;
     /** An empty line comes every 2 s: a watch without a whole line for longer, from its opening on, is taken to be dead. */
     static final long SILENCE_MS = 3_000;
 
     static final long LOOK_MS = 100;
     static final long CONNECT_MS = 1_000;
     /** The least pause behind a watch that has ended, and by how much it is longer at most. */
-    static final long PAUSE_LEAST_MS = 100;
+    public static final long PAUSE_LEAST_MS = 100;
 
-    static final long PAUSE_MOST_MS = 1_000;
+    public static final long PAUSE_MOST_MS = 1_000;
     /** For the answer itself, and for a loop that is late. */
-    static final long ANSWER_MS = 500;
+    public static final long ANSWER_MS = 500;
 
     static {
         // In the worst phase a watch was opened just before discovery could be reached, and never hears a word; the
@@ -73,12 +77,12 @@
     private static final int LONGEST_UID = 128;
 
     /** News for the module. */
-    interface Listener {
+    public interface Listener {
         void listed(EndpointListKind kind, List<DeliveryScheduler.EndpointEntry> entries);
     }
 
     /** A receiver as listed. */
-    private record Target(long number, Parsed parsed) {
+    private record Target(long number, EndpointListEntry parsed) {
         String uid() {
             return parsed.uid();
         }
@@ -100,10 +104,10 @@
         }
 
         /** With the numbers that a fresh configuration has for the names of its kind and zone. */
-        Target under(Config former, Config fresh) {
+        Target under(SenderConfig former, SenderConfig fresh) {
             return new Target(
                     number,
-                    new Parsed(
+                    new EndpointListEntry(
                             parsed.uid(),
                             parsed.state(),
                             parsed.destination(),
@@ -115,7 +119,7 @@
     }
 
     private final EventLoop loop;
-    private Config config;
+    private SenderConfig config;
     private final Listener listener;
     private final Map<String, Long> numbers = new HashMap<>();
     private final Map<Long, Target> targets = new HashMap<>();
@@ -131,7 +135,7 @@
     private Watch watch;
 
     private Future<?> pause;
-    private final Pauses pauses;
+    private final Backoff pauses;
     private boolean stopped;
     /** Monotonic nanoseconds of the start, and of the first request for the list since, 0 before. */
     private long startedAt = System.nanoTime();
@@ -140,25 +144,25 @@
     /** Whether the first request has brought anything, if only its end. */
     private boolean heard;
 
-    Directory(EventLoop loop, Config config, Listener listener) {
+    public EndpointWatch(EventLoop loop, SenderConfig config, Listener listener) {
         this.loop = loop;
         this.config = config;
         this.listener = listener;
         address = config.discovery();
-        pauses =
-                new Pauses(PAUSE_LEAST_MS, 200, PAUSE_MOST_MS, config.settings().seed());
+        pauses = new Backoff(
+                PAUSE_LEAST_MS, 200, PAUSE_MOST_MS, config.settings().seed());
     }
 
     /** Kinds and zones are what this configuration says from now on, also of what is listed already. */
-    void configure(Config fresh) {
-        Config former = config;
+    public void configure(SenderConfig fresh) {
+        SenderConfig former = config;
         config = fresh;
         targets.replaceAll((number, target) -> target.under(former, fresh));
         gone.replaceAll((number, target) -> target.under(former, fresh));
     }
 
     /** Starts from the list that this sender last had, then watches. */
-    void start() {
+    public void start() {
         if (address == null) {
             take(config.known(), EndpointListKind.FULL);
             return;
@@ -169,7 +173,7 @@
     }
 
     /** Watches no more, unless {@link #resume} is called: the list is another's now. */
-    void stop() {
+    public void stop() {
         stopped = true;
         if (pause != null) {
             pause.cancel(false);
@@ -183,7 +187,7 @@
      * Watches again after {@link #stop}, from the list that was known then, which may be an old one. Returns those that have
      * left it and are listed for their calls alone, to be given to {@link #release} once the calls are known.
      */
-    JsonArray resume(LongPredicate called) {
+    public JsonArray resume(LongPredicate called) {
         stopped = false;
         heard = false;
         askedAt = 0;
@@ -208,7 +212,7 @@
      * from when it could be asked: so calls wait for its first word. It answers at once or has nothing to say, as while it is
      * away; what it has not said within {@link #WORD_NANOS} is not waited for, nor a connection that does not come up.
      */
-    boolean settled(long now) {
+    public boolean settled(long now) {
         return address == null
                 || heard
                 || askedAt != 0 && now - askedAt > WORD_NANOS
@@ -216,12 +220,12 @@
     }
 
     /** Whether the list has come from discovery itself. */
-    boolean current() {
+    public boolean current() {
         return current;
     }
 
     /** In discovery's form, with those that have left and are marked {@code gone} but are still called. */
-    JsonObject write(LongPredicate called) {
+    public JsonObject write(LongPredicate called) {
         JsonArray items = new JsonArray();
         targets.values().forEach(target -> items.add(write(target, false)));
         gone.values().stream()
@@ -235,7 +239,7 @@
     }
 
     private JsonObject write(Target target, boolean left) {
-        Parsed parsed = target.parsed();
+        EndpointListEntry parsed = target.parsed();
         JsonObject item = new JsonObject();
         item.addProperty("uid", parsed.uid());
         item.addProperty(
@@ -262,7 +266,7 @@
      * still calls and that are not on the list any more. Returns those that are listed for its calls alone, to be
      * given to {@link #release} once the calls are known.
      */
-    JsonArray takeOver(JsonObject list, Set<String> called) {
+    public JsonArray takeOver(JsonObject list, Set<String> called) {
         JsonArray leaving = new JsonArray();
         JsonArray missing = new JsonArray();
         for (JsonElement item : list.getAsJsonArray("targets")) {
@@ -283,7 +287,7 @@
         return leaving;
     }
 
-    void release(JsonArray leaving) {
+    public void release(JsonArray leaving) {
         leaving.forEach(item -> item.getAsJsonObject().addProperty("state", "Gone"));
         delta(leaving);
     }
@@ -297,17 +301,17 @@
     }
 
     /** Where to call an endpoint, null if it is no longer known. */
-    Receivers.Route route(long number) {
+    public UpstreamClient.Route route(long number) {
         Target target = targets.getOrDefault(number, gone.get(number));
         if (target == null) {
             return null;
         }
         List<DeliveryScheduler.DestinationKind> kinds = config.settings().kinds();
         boolean apart = target.kind() < kinds.size() && kinds.get(target.kind()).routesApart();
-        return new Receivers.Route(number, target.address(), apart ? "route " + number : target.destination());
+        return new UpstreamClient.Route(number, target.address(), apart ? "route " + number : target.destination());
     }
 
-    int messagesPerCall(long number) {
+    public int messagesPerCall(long number) {
         Target target = targets.getOrDefault(number, gone.get(number));
         List<DeliveryScheduler.DestinationKind> kinds = config.settings().kinds();
         return target == null || target.kind() >= kinds.size()
@@ -315,38 +319,38 @@
                 : Math.max(1, kinds.get(target.kind()).messagesPerCall());
     }
 
-    String uid(long number) {
+    public String uid(long number) {
         Target target = targets.getOrDefault(number, gone.get(number));
         return target == null ? "" : target.uid();
     }
 
     /** How many receivers the list has. */
-    int size() {
+    public int size() {
         return targets.size();
     }
 
-    boolean ready(long number) {
+    public boolean ready(long number) {
         Target target = targets.get(number);
         return target != null && target.ready();
     }
 
     /** Whether a receiver of this uid is on the list. */
-    boolean listed(String uid) {
+    public boolean listed(String uid) {
         return numbers.containsKey(uid) && targets.containsKey(numbers.get(uid));
     }
 
     /** Whether it has left the list. */
-    boolean gone(long number) {
+    public boolean gone(long number) {
         return !targets.containsKey(number);
     }
 
     /** Whether a destination is or was listed; before the first list has come any may turn out to be. */
-    boolean listed(int destination) {
+    public boolean listed(int destination) {
         return !current || destinations.contains(destination);
     }
 
     /** The number of a uid; the same for as long as the process lives. */
-    long number(String uid) {
+    public long number(String uid) {
         return numbers.computeIfAbsent(uid, u -> nextNumber++);
     }
 
@@ -377,7 +381,7 @@
     }
 
     /** An entry as the list has it, before anybody knows its number. */
-    record Parsed(
+    public record EndpointListEntry(
             String uid,
             EndpointState state,
             int destination,
@@ -387,12 +391,12 @@
             InetSocketAddress address) {}
 
     /** Takes a whole list from elsewhere than the watch. */
-    void replace(JsonObject list) {
+    public void replace(JsonObject list) {
         take(list, EndpointListKind.FULL);
     }
 
     /** Reads one entry; whatever is wrong with it ends in a RuntimeException. */
-    static Parsed parse(JsonObject item, Config config) {
+    public static EndpointListEntry parse(JsonObject item, SenderConfig config) {
         String uid = item.get("uid").getAsString();
         EndpointState state =
                 switch (item.get("state").getAsString()) {
@@ -405,15 +409,15 @@
         int kind = item.has("model") ? index(config.kinds(), item.get("model").getAsString()) : 0;
         int zone = item.has("az") ? index(config.zones(), item.get("az").getAsString()) : 0;
         double weight = item.has("capacity_hint") ? item.get("capacity_hint").getAsDouble() : 1;
-        InetSocketAddress address = Config.address(item.get("endpoint").getAsString());
+        InetSocketAddress address = SenderConfig.address(item.get("endpoint").getAsString());
         if (destination < 0 || destination > 0xffff || uid.length() > LONGEST_UID) {
             throw new IllegalArgumentException("bad destination or uid");
         }
-        return new Parsed(uid, state, destination, kind, zone, weight, address);
+        return new EndpointListEntry(uid, state, destination, kind, zone, weight, address);
     }
 
     private DeliveryScheduler.EndpointEntry entry(JsonObject item) {
-        Parsed parsed = parse(item, config);
+        EndpointListEntry parsed = parse(item, config);
         String uid = parsed.uid();
         EndpointState state = parsed.state();
         int destination = parsed.destination();
@@ -447,7 +451,7 @@
     // ---- The watch. ----
 
     /** Watches another address from now on; the list and its version are kept. */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         address = to;
         pauses.good();
         if (pause != null) {
@@ -513,7 +517,7 @@
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress to = address;
         private final ByteBuf pending = Unpooled.buffer(1_024);
-        private final ListText list = new ListText();
+        private final JsonObjectAssembler list = new JsonObjectAssembler();
         private Channel channel;
         /** When it last brought an empty line or a whole object that could be read; neither bytes nor lines of half of one count. */
         private long lastLine = System.nanoTime();
--- a/sender/src/main/java/amberroute/sender/ListText.java
+++ b/sender/src/main/java/amberroute/sender/discovery/JsonObjectAssembler.java
@@ -1,11 +1,11 @@
-package amberroute.sender;
+package amberroute.sender.discovery;
 
 /**
  * Puts one object of discovery's list together from the lines that it came in: usually one, several where it is indented. A blank
  * line, or one that opens an object at its first character, ends one that is not whole: it was cut short. How long an object may
  * be is for whoever adds lines to say ({@link #length}).
  */
-final class ListText {
+final class JsonObjectAssembler {
     private final StringBuilder text = new StringBuilder();
     private int depth;
     private boolean quoted;
--- a/sender/src/main/java/amberroute/sender/LoopLooks.java
+++ b/sender/src/main/java/amberroute/sender/eventloop/EventLoopStallDetector.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.eventloop;
 
 import io.netty.channel.DefaultSelectStrategyFactory;
 import io.netty.channel.EventLoop;
@@ -11,7 +11,7 @@
  * is short of CPU time is, would go on to write calls by what it knew before, though what came meanwhile lies unread: that a
  * receiver drains, or wants to be left alone. A turn that finds its look stale lets the loop look again first.
  */
-final class LoopLooks implements SelectStrategyFactory {
+public final class EventLoopStallDetector implements SelectStrategyFactory {
     /** A fraction of the shortest time that receivers allow for news to be read; a pass of the loop takes a millisecond or so. */
     private static final long STALE_NANOS = 60_000_000;
 
@@ -30,7 +30,7 @@
     }
 
     /** Runs it behind the loop's next look; a task that is only put behind others may run before that. */
-    void behind(EventLoop loop, Runnable task) {
+    public void behind(EventLoop loop, Runnable task) {
         loop.schedule(task, 1, TimeUnit.MILLISECONDS);
     }
 
@@ -38,7 +38,7 @@
      * Runs it behind what could be read by now: all that this pass found, and where the process stood still since it looked
      * also what the next pass finds.
      */
-    void behindReads(EventLoop loop, Runnable task) {
+    public void behindReads(EventLoop loop, Runnable task) {
         loop.execute(() -> {
             if (System.nanoTime() - looked > STALE_NANOS) {
                 behind(loop, task);
@@ -49,7 +49,7 @@
     }
 
     /** Whether the loop should look again before anything is done by what it knows; not twice in a row. */
-    boolean stale(long now) {
+    public boolean stale(long now) {
         again = !again && now - looked > STALE_NANOS;
         return again;
     }
--- a/sender/src/main/java/amberroute/sender/WholeMillisecondWaits.java
+++ b/sender/src/main/java/amberroute/sender/eventloop/MillisecondSelectStrategy.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.eventloop;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -12,17 +12,17 @@
  * least and goes round without sleeping while a timer is due in less than half of one: hundreds of times before each timer, and
  * without end where the clock that it reads does not move while it looks. Timers are up to a millisecond late by this.
  */
-final class WholeMillisecondWaits implements IoHandler {
+public final class MillisecondSelectStrategy implements IoHandler {
     private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
     private final IoHandler inner;
 
-    private WholeMillisecondWaits(IoHandler inner) {
+    private MillisecondSelectStrategy(IoHandler inner) {
         this.inner = inner;
     }
 
     /** Handlers of this factory, but for their waits. */
-    static IoHandlerFactory around(IoHandlerFactory factory) {
-        return executor -> new WholeMillisecondWaits(factory.newHandler(executor));
+    public static IoHandlerFactory around(IoHandlerFactory factory) {
+        return executor -> new MillisecondSelectStrategy(factory.newHandler(executor));
     }
 
     /** Nanoseconds rounded up; what is due, and a wait without end, stay as they are. */
--- a/sender/src/main/java/amberroute/sender/Fence.java
+++ b/sender/src/main/java/amberroute/sender/journal/FencingToken.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -16,7 +16,7 @@
  * never lowered: from then on no process may have an effect out of this folder. Raising goes by a hard link, which the
  * file system makes for one of several takers only.
  */
-record Fence(String by, Path into, String lots, boolean done) {
+public record FencingToken(String by, Path into, String lots, boolean done) {
     private static final String NAME = "fence";
     private static final int MOST_TAKERS = 10_000;
 
@@ -25,14 +25,14 @@
     }
 
     /** Null where the folder is not fenced. */
-    static Fence read(Path folder) throws IOException {
+    public static FencingToken read(Path folder) throws IOException {
         Path file = folder.resolve(NAME);
         if (!Files.exists(file)) {
             return null;
         }
         try {
             JsonObject json = JsonParser.parseString(Files.readString(file)).getAsJsonObject();
-            return new Fence(
+            return new FencingToken(
                     json.get("by").getAsString(),
                     Path.of(json.get("into").getAsString()),
                     json.get("lots").getAsString(),
@@ -47,18 +47,18 @@
      * where another was first. An earlier taker counts as the same once its own folder has been taken over whole into
      * this one, as the lots that it had taken are known here then.
      */
-    static Fence raise(Path folder, String by, Path into) throws IOException {
+    public static FencingToken raise(Path folder, String by, Path into) throws IOException {
         Path own = into.toAbsolutePath().normalize();
-        Fence fence = new Fence(by, own, UUID.randomUUID().toString(), false);
+        FencingToken fence = new FencingToken(by, own, UUID.randomUUID().toString(), false);
         Path aside = folder.resolve(NAME + "." + fence.lots());
         Files.writeString(aside, fence.text());
         try {
             Files.createLink(folder.resolve(NAME), aside);
             return fence;
         } catch (FileAlreadyExistsException e) {
-            Fence first = read(folder);
+            FencingToken first = read(folder);
             int steps = 0;
-            for (Fence at = first; at != null && !at.into().equals(own); ) {
+            for (FencingToken at = first; at != null && !at.into().equals(own); ) {
                 at = read(at.into());
                 // Two that took each other over lead in a circle.
                 if (at == null || !at.done() || ++steps > MOST_TAKERS) {
@@ -73,9 +73,9 @@
     }
 
     /** Notes that nothing is left in the folder to take. */
-    void finish(Path folder) throws IOException {
+    public void finish(Path folder) throws IOException {
         Path aside = folder.resolve(NAME + ".done");
-        Files.write(aside, new Fence(by, into, lots, true).text().getBytes(StandardCharsets.UTF_8));
+        Files.write(aside, new FencingToken(by, into, lots, true).text().getBytes(StandardCharsets.UTF_8));
         Files.move(aside, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
     }
 
--- a/sender/src/main/java/amberroute/sender/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -1,8 +1,14 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.handoff.KeyHolds;
 import amberroute.handoff.Ownership;
+import amberroute.sender.config.Durability;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.DeduplicationCache;
+import amberroute.sender.message.MessageClassRegistry;
+import amberroute.sender.util.Log;
+import amberroute.sender.util.ModifiedUtf8;
 import amberroute.storage.Batch;
 import amberroute.storage.Disk;
 import amberroute.storage.FolderDisk;
@@ -46,7 +52,7 @@
  * What could not be written is kept and tried again ({@link #retry}); a notice waits for that ({@link #end}), an attempt is
  * not made, and nothing is taken on meanwhile ({@link #trouble}).
  */
-final class Journal implements Closeable {
+public final class Journal implements Closeable {
     // What an owner has. Numbers are in files: never used for anything else.
     private static final int MESSAGE = 1;
     private static final int STANDING = 2;
@@ -56,9 +62,9 @@
     private static final int CLASS = 6;
     private static final int RANK = 7;
     /** How far the estate's record has come, and who holds copies of it; for whoever keeps copies. */
-    static final int PLACE = 8;
+    public static final int PLACE = 8;
 
-    static final int GROUP = 9;
+    public static final int GROUP = 9;
     // Forms of a message.
     private static final int WHOLE = 0;
     private static final int ENDED = 1;
@@ -104,7 +110,7 @@
     private static final int MOST_FORCES = 5;
 
     /** What the module wants to know of a place again, {@code uid} empty for a whole destination; wall time. */
-    record Memory(
+    public record HealthRecord(
             int destination,
             String uid,
             DeliveryScheduler.UpstreamStatus health,
@@ -120,13 +126,13 @@
      * What is known of a lot that moved or was to move: whose it is, until when that has to be kept (wall time), and the
      * numbers of its messages here.
      */
-    record Lot(Ownership ownership, long until, List<Long> numbers) {}
+    public record HandoffBatchRecord(Ownership ownership, long until, List<Long> numbers) {}
 
     /** What an owner has to have on the disk and has not yet; what then may follow. */
-    private record Owed(Batch batch, Runnable then) {}
+    private record PendingWrite(Batch batch, Runnable then) {}
 
     /** Lets slow work run beside the event loop. */
-    interface Helper {
+    public interface BackgroundExecutor {
         /** {@code work} on another thread, then {@code then} on the loop. */
         void beside(Runnable work, Runnable then);
 
@@ -135,7 +141,7 @@
     }
 
     /** Takes each change on to where copies of this journal are kept. */
-    interface Copies {
+    public interface ChangeListener {
         /** What stands with the next change of its place in the estate's record; null where that is not counted now. */
         byte[] place();
 
@@ -147,13 +153,13 @@
     }
 
     /** What may happen once all up to a record is on the disk for good; {@code failed} is null where it just waits on. */
-    private record Waiting(long sequence, Runnable effect, Runnable failed) {}
+    private record DeferredEffect(long sequence, Runnable effect, Runnable failed) {}
 
     private final Path folder;
     private final SegmentLog log;
     private final Durability durability;
-    private final Helper helper;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    private final BackgroundExecutor helper;
+    private final Deque<DeferredEffect> waiting = new ArrayDeque<>();
     private SegmentLog.Force forcing;
     private boolean forceDue;
     /** Of the force that is under way: that it has run, and what has to follow on the loop. */
@@ -163,26 +169,26 @@
     /** Live contents may have so many bytes. */
     private final long room;
 
-    private final Map<Long, Held> live = new LinkedHashMap<>();
+    private final Map<Long, AcceptedMessage> live = new LinkedHashMap<>();
     private final Map<String, Integer> liveIds = new HashMap<>();
-    private final RememberedIds remembered;
+    private final DeduplicationCache remembered;
     private final int mostMemories;
-    private final Map<String, Memory> memories = new LinkedHashMap<>();
-    private final Map<String, Lot> lots = new LinkedHashMap<>();
-    /** Versions of classes that were taken on in, by number: at most {@link ClassBook#MOST}. */
-    private final Map<Integer, ClassBook.Version> classes = new LinkedHashMap<>();
+    private final Map<String, HealthRecord> memories = new LinkedHashMap<>();
+    private final Map<String, HandoffBatchRecord> lots = new LinkedHashMap<>();
+    /** Versions of classes that were taken on in, by number: at most {@link MessageClassRegistry#MOST}. */
+    private final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
 
     private final KeyHolds holds = new KeyHolds();
     /** Owners' numbers of lots, holds, memories and classes, by what they are of. */
     private final Map<String, Long> numbers = new HashMap<>();
     /** By owner; at most one for each live message and place. */
-    private final Map<Long, Owed> owed = new LinkedHashMap<>();
+    private final Map<Long, PendingWrite> owed = new LinkedHashMap<>();
 
     private final LongSupplier clock = System::nanoTime;
     /** Looked for behind each record, null where nobody may take the folder over. */
     private File fence;
     /** Null where nobody keeps copies. */
-    private Copies copies;
+    private ChangeListener copies;
 
     private byte[] place;
     private byte[] holders;
@@ -197,7 +203,7 @@
     private String trouble = "";
     private boolean doubtful;
 
-    private Journal(Path folder, SegmentLog log, Durability durability, Helper helper) {
+    private Journal(Path folder, SegmentLog log, Durability durability, BackgroundExecutor helper) {
         this.folder = folder;
         this.log = log;
         this.durability = durability;
@@ -205,13 +211,13 @@
         long budget = log.limits().budget();
         room = budget - log.overhead();
         long most = Math.min(MOST_REMEMBERED, budget / REMEMBERED_SHARE);
-        remembered = new RememberedIds(most);
+        remembered = new DeduplicationCache(most);
         mostMemories = (int) Math.min(1 << 16, Math.max(LEAST_MEMORIES, budget / MEMORIES_SHARE / MEMORY_BYTES));
         reserved = most;
     }
 
     /** Opens or begins the journal; one that an earlier version wrote is moved into segments. Nothing is forced. */
-    static Journal open(Path folder, long budget) throws IOException {
+    public static Journal open(Path folder, long budget) throws IOException {
         return open(folder, new FolderDisk(folder), budget);
     }
 
@@ -221,13 +227,14 @@
     }
 
     /** {@code helper} forces off the event loop, for {@link Durability#BATCH}. */
-    static Journal open(Path folder, Disk disk, long budget, Durability durability, Helper helper) throws IOException {
+    public static Journal open(Path folder, Disk disk, long budget, Durability durability, BackgroundExecutor helper)
+            throws IOException {
         if (budget - 4_096 < SegmentLog.Limits.LEAST) {
             throw new IOException(
                     "the journal needs " + (SegmentLog.Limits.LEAST + 4_096) + " bytes of disk, and has " + budget);
         }
         SegmentLog.Limits limits = SegmentLog.Limits.of(budget - 4_096, durability != Durability.NONE);
-        OldJournal old = folder == null ? null : OldJournal.read(folder);
+        LegacyJournalReader old = folder == null ? null : LegacyJournalReader.read(folder);
         boolean moves = old != null && !old.moved;
         if (moves) {
             // What a move that was not finished left; the old file still has all of it.
@@ -247,9 +254,9 @@
                 throw new IOException("the journal in " + folder + " cannot be forced to the disk");
             }
             if (folder != null && (old == null || moves)) {
-                Path fresh = folder.resolve(OldJournal.NAME + ".new");
-                Files.write(fresh, OldJournal.mark());
-                Files.move(fresh, folder.resolve(OldJournal.NAME), StandardCopyOption.ATOMIC_MOVE);
+                Path fresh = folder.resolve(LegacyJournalReader.NAME + ".new");
+                Files.write(fresh, LegacyJournalReader.mark());
+                Files.move(fresh, folder.resolve(LegacyJournalReader.NAME), StandardCopyOption.ATOMIC_MOVE);
             }
         } catch (IOException | RuntimeException e) {
             journal.close();
@@ -260,10 +267,11 @@
     }
 
     /** Reads a folder's journal and leaves it as it is, also while its process writes; for looking only. */
-    static Journal peek(Path folder) throws IOException {
-        OldJournal old = OldJournal.read(folder);
+    public static Journal peek(Path folder) throws IOException {
+        LegacyJournalReader old = LegacyJournalReader.read(folder);
         if (old == null) {
-            throw new NoSuchFileException(folder.resolve(OldJournal.NAME).toString());
+            throw new NoSuchFileException(
+                    folder.resolve(LegacyJournalReader.NAME).toString());
         }
         for (int attempt = 1; ; attempt++) {
             try {
@@ -333,25 +341,25 @@
     }
 
     /** Bytes on the disk, and of them those that are wanted. */
-    long used() {
+    public long used() {
         return log.used();
     }
 
-    long liveBytes() {
+    public long liveBytes() {
         return log.liveBytes();
     }
 
     /**
-     * From now on a raised {@link Fence} is noticed behind each record and before any effect that it allows; then this is
+     * From now on a raised {@link FencingToken} is noticed behind each record and before any effect that it allows; then this is
      * run, which has to end the process.
      */
-    void guard(Runnable fenced) {
-        fence = Fence.file(folder);
+    public void guard(Runnable fenced) {
+        fence = FencingToken.file(folder);
         onFenced = fenced;
     }
 
     /** To be called right before an effect that comes later than its record. */
-    void checkFence() {
+    public void checkFence() {
         if (fence != null && fence.exists()) {
             onFenced.run();
             throw new IllegalStateException("this folder was taken over");
@@ -391,7 +399,7 @@
      * loss of the machine where copies are kept; at once where neither is. Where that fails, or takes too long, {@code failed}
      * runs in its place; with null it waits until what was written is safe by other ways.
      */
-    void whenSafe(Runnable effect, Runnable failed) {
+    public void whenSafe(Runnable effect, Runnable failed) {
         if (copies == null) {
             whenForced(effect, failed);
         } else {
@@ -404,7 +412,7 @@
             effect.run();
             return;
         }
-        waiting.add(new Waiting(log.sequence(), effect, failed));
+        waiting.add(new DeferredEffect(log.sequence(), effect, failed));
         if (!forceDue && helper != null) {
             forceDue = true;
             helper.soon(this::force);
@@ -460,9 +468,9 @@
         }
         failed(new IOException(
                 "forcing failed, what was written since the last one is written anew: " + error.getMessage()));
-        List<Waiting> all = List.copyOf(waiting);
+        List<DeferredEffect> all = List.copyOf(waiting);
         waiting.clear();
-        for (Waiting one : all) {
+        for (DeferredEffect one : all) {
             if (one.failed() == null) {
                 waiting.add(one);
             } else {
@@ -496,7 +504,7 @@
      * For what others are told at once, as between daemons: all that was written is on the disk for good when this returns
      * true, which takes a force, or several where one fails. Slow.
      */
-    boolean makeSafe() {
+    public boolean makeSafe() {
         if (durability == Durability.NONE) {
             return true;
         }
@@ -531,7 +539,7 @@
     }
 
     /** Effects that wait for a force. */
-    int waiting() {
+    public int waiting() {
         return waiting.size();
     }
 
@@ -545,12 +553,12 @@
     }
 
     /** Why nothing is taken on just now; empty while all is well. */
-    String trouble() {
+    public String trouble() {
         return trouble;
     }
 
     /** When a client that is turned away for it should come again, in milliseconds; 0 where nothing is in the way. */
-    long again() {
+    public long again() {
         return trouble.isEmpty() ? 0 : AGAIN_MS;
     }
 
@@ -558,7 +566,7 @@
      * Whether the message that was not taken on last may be found after all: then a refusal must not promise that coming
      * again is harmless.
      */
-    boolean uncertain() {
+    public boolean uncertain() {
         return doubtful;
     }
 
@@ -572,13 +580,13 @@
         if (owed.isEmpty() && write(batch)) {
             then.run();
         } else {
-            owed.put(number, new Owed(batch, then));
+            owed.put(number, new PendingWrite(batch, then));
             retry();
         }
     }
 
     /** Tries again what could not be written; to be called from time to time. */
-    void retry() {
+    public void retry() {
         if (log.unsafe() && forcing == null) {
             copyOn();
             force();
@@ -593,8 +601,8 @@
             return;
         }
         for (int i = 0; i < RETRIED && !owed.isEmpty(); i++) {
-            Iterator<Map.Entry<Long, Owed>> first = owed.entrySet().iterator();
-            Map.Entry<Long, Owed> next = first.next();
+            Iterator<Map.Entry<Long, PendingWrite>> first = owed.entrySet().iterator();
+            Map.Entry<Long, PendingWrite> next = first.next();
             if (!write(next.getValue().batch())) {
                 return;
             }
@@ -609,7 +617,7 @@
     }
 
     /** Copies a slice on, where room should be won back; to be called between turns. Returns whether there is more to do. */
-    boolean tidy() {
+    public boolean tidy() {
         if (!log.worthCompacting()) {
             return false;
         }
@@ -631,27 +639,27 @@
     // ---- Copies of it elsewhere. ----
 
     /** From now on each change goes on to copies, and effects wait for them. */
-    void copyTo(Copies to) {
+    public void copyTo(ChangeListener to) {
         copies = to;
     }
 
     /** Where the estate's record had come to when this journal was last written, null where it never was copied. */
-    byte[] place() {
+    public byte[] place() {
         return place;
     }
 
     /** Who holds copies, as last written; null where nobody ever did. */
-    byte[] holders() {
+    public byte[] holders() {
         return holders;
     }
 
     /** The place as a change of its own, for the end of a whole copy. */
-    Batch placed() {
+    public Batch placed() {
         return new Batch().put(numberOf("estate"), PLACE, place);
     }
 
     /** Writes who holds copies: a change like others. */
-    boolean holders(byte[] group) {
+    public boolean holders(byte[] group) {
         if (!write(new Batch().put(numberOf("estate"), GROUP, group))) {
             return false;
         }
@@ -662,27 +670,27 @@
     // ---- Messages. ----
 
     /** Messages that have not been concluded, in the order of acceptance. */
-    Collection<Held> live() {
+    public Collection<AcceptedMessage> live() {
         return live.values();
     }
 
-    long nextNumber() {
+    public long nextNumber() {
         return log.nextOwner();
     }
 
     /** Whether this id was taken on, now or not long ago. */
-    boolean knows(String id) {
+    public boolean knows(String id) {
         return liveIds.containsKey(id) || remembered.knows(id);
     }
 
     /** Whether what is known under this id is another message, as far as can be told. */
-    boolean differs(String id, int content) {
+    public boolean differs(String id, int content) {
         int known = liveIds.containsKey(id) ? liveIds.get(id) : remembered.content(id);
         return known != 0 && known != content;
     }
 
     /** Takes a message on; false where the budget or the disk has no room for it, or trouble is not over. */
-    boolean accept(Held m) {
+    public boolean accept(AcceptedMessage m) {
         doubtful = false;
         if (!fits(reserve(m)) || !owed.isEmpty() || log.uncertain() || log.unsafe()) {
             return false;
@@ -696,8 +704,8 @@
     }
 
     /** To be called before the attempt's first byte; false where it could not be written. */
-    boolean attempt(Held m, String uid, long wall) {
-        Held.Attempts before = m.attempts();
+    public boolean attempt(AcceptedMessage m, String uid, long wall) {
+        AcceptedMessage.Attempts before = m.attempts();
         m.attempt(uid, wall);
         // What is owed of it stands in this as well.
         if (owed.containsKey(m.number) && owed.get(m.number).then() != NOTHING
@@ -714,19 +722,19 @@
      * An attempt whose record the disk does not take now, of a message that may be repeated without harm: it is recorded as soon as it
      * can be, and a restart before that makes the attempt once more.
      */
-    void attemptUnrecorded(Held m, String uid, long wall) {
+    public void attemptUnrecorded(AcceptedMessage m, String uid, long wall) {
         m.attempt(uid, wall);
         mustWrite(m.number, new Batch().put(m.number, STANDING, standing(m)), NOTHING);
     }
 
     /** Whether a change of this message is not on the disk yet. */
-    boolean owes(Held m) {
+    public boolean owes(AcceptedMessage m) {
         return live.containsKey(m.number) && owed.containsKey(m.number);
     }
 
     private static final Runnable NOTHING = () -> {};
 
-    void outcome(Held m, boolean mayHaveRun) {
+    public void outcome(AcceptedMessage m, boolean mayHaveRun) {
         m.outcome(mayHaveRun);
         if (live.containsKey(m.number) && m.notice == null) {
             mustWrite(m.number, new Batch().put(m.number, STANDING, standing(m)), NOTHING);
@@ -734,19 +742,19 @@
     }
 
     /** The end is decided and its notice owed; {@code written} runs once that is on the disk, and sends it. */
-    void end(Held m, String notice, Runnable written) {
+    public void end(AcceptedMessage m, String notice, Runnable written) {
         reserved -= reserve(m);
         m.end(notice);
         reserved += reserve(m);
         mustWrite(m.number, new Batch().putSole(m.number, MESSAGE, ended(m)), written);
     }
 
-    void end(Held m, String notice) {
+    public void end(AcceptedMessage m, String notice) {
         end(m, notice, NOTHING);
     }
 
     /** Nothing more is owed: it was delivered, or its notice has been answered. */
-    void conclude(Held m) {
+    public void conclude(AcceptedMessage m) {
         if (live.containsKey(m.number)) {
             Batch batch = new Batch().putSole(m.number, MESSAGE, gone(m));
             drop(m).forEach(batch::end);
@@ -754,28 +762,28 @@
         }
     }
 
-    private void add(Held m) {
+    private void add(AcceptedMessage m) {
         live.put(m.number, m);
         liveIds.put(m.id, m.content);
         reserved += reserve(m);
     }
 
     /** Of a message that is over its id is left, for a while; returns what is forgotten for it. */
-    private List<Long> drop(Held m) {
+    private List<Long> drop(AcceptedMessage m) {
         live.remove(m.number);
         liveIds.remove(m.id);
         reserved -= reserve(m);
         return remembered.add(m.id, m.content, effect(m), m.number, clock.getAsLong());
     }
 
-    private DeliveryScheduler.Effect effect(Held m) {
-        ClassBook.Version version = classes.get(m.type);
+    private DeliveryScheduler.Effect effect(AcceptedMessage m) {
+        MessageClassRegistry.Version version = classes.get(m.type);
         return version == null
                 ? DeliveryScheduler.Effect.UNSAFE
                 : version.type().effect();
     }
 
-    private byte[] gone(Held m) {
+    private byte[] gone(AcceptedMessage m) {
         return gone(m.id, m.content, effect(m));
     }
 
@@ -788,7 +796,7 @@
         });
     }
 
-    private static long reserve(Held m) {
+    private static long reserve(AcceptedMessage m) {
         return 5 * ITEM
                 + m.body.length
                 + 3L * (m.id.length() + m.idempotencyKey.length() + m.className.length())
@@ -799,12 +807,12 @@
     // ---- Classes and places. ----
 
     /** The versions of classes that were defined, by number. */
-    Map<Integer, ClassBook.Version> classes() {
+    public Map<Integer, MessageClassRegistry.Version> classes() {
         return classes;
     }
 
     /** To be called before a message of this version is taken on; false where it could not be written. */
-    boolean define(int number, ClassBook.Version version) {
+    public boolean define(int number, MessageClassRegistry.Version version) {
         if (version.equals(classes.get(number))) {
             return true;
         }
@@ -815,12 +823,12 @@
         return true;
     }
 
-    private void keep(int number, ClassBook.Version version) {
-        ClassBook.Version before = classes.put(number, version);
+    private void keep(int number, MessageClassRegistry.Version version) {
+        MessageClassRegistry.Version before = classes.put(number, version);
         reserved += reserve(version) - (before == null ? 0 : reserve(before));
     }
 
-    private static long reserve(ClassBook.Version version) {
+    private static long reserve(MessageClassRegistry.Version version) {
         return 80 + ITEM + 3L * version.name().length();
     }
 
@@ -829,12 +837,12 @@
     }
 
     /** What was remembered of places, one for each. */
-    Collection<Memory> memories() {
+    public Collection<HealthRecord> memories() {
         return memories.values();
     }
 
     /** That a place is well need not be kept. */
-    void remember(Memory memory) {
+    public void remember(HealthRecord memory) {
         Batch batch = new Batch();
         long number = keep(memory, batch);
         if (!batch.isEmpty()) {
@@ -842,7 +850,7 @@
         }
     }
 
-    private long keep(Memory memory, Batch batch) {
+    private long keep(HealthRecord memory, Batch batch) {
         forget(memory.place(), batch);
         if (memory.health() == DeliveryScheduler.UpstreamStatus.WELL) {
             return 0;
@@ -858,7 +866,7 @@
     }
 
     private void forget(String place, Batch batch) {
-        Memory old = memories.remove(place);
+        HealthRecord old = memories.remove(place);
         if (old != null) {
             reserved -= MEMORY_BYTES + old.uid().length();
             long number = numbers.remove("place " + place);
@@ -870,12 +878,12 @@
     // ---- Lots. ----
 
     /** All lots of which something is known. */
-    Map<String, Lot> lots() {
+    public Map<String, HandoffBatchRecord> lots() {
         return lots;
     }
 
     /** Those of these messages that are still owed here, in the order given. */
-    List<Held> messages(List<Long> numbers) {
+    public List<AcceptedMessage> messages(List<Long> numbers) {
         return numbers.stream()
                 .map(live::get)
                 .filter(m -> m != null && m.notice == null)
@@ -883,17 +891,18 @@
     }
 
     /** Writes whose a lot is. One that is given drops its messages, as they are another's now. */
-    boolean lot(String name, Ownership ownership, long until, List<Held> messages) {
+    public boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
         return lot(name, ownership, until, messages, new Batch());
     }
 
-    private boolean lot(String name, Ownership ownership, long until, List<Held> messages, Batch more) {
-        Lot lot = new Lot(ownership, until, messages.stream().map(m -> m.number).toList());
+    private boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages, Batch more) {
+        HandoffBatchRecord lot = new HandoffBatchRecord(
+                ownership, until, messages.stream().map(m -> m.number).toList());
         if (!roomForLot(name) || !mayChange(lot)) {
             return false;
         }
         Batch batch = new Batch().and(more).put(numberOf("lot " + name), LOT, lotContent(name, lot));
-        List<Held> given = ownership.status() != Ownership.Status.GIVEN
+        List<AcceptedMessage> given = ownership.status() != Ownership.Status.GIVEN
                 ? List.of()
                 : lot.numbers().stream()
                         .filter(live::containsKey)
@@ -912,7 +921,7 @@
     }
 
     /** What is owed of its messages comes first. */
-    private boolean mayChange(Lot lot) {
+    private boolean mayChange(HandoffBatchRecord lot) {
         if (!owed.isEmpty()) {
             retry();
         }
@@ -923,11 +932,11 @@
      * Writes that a lot is offered, and in the same batch that what comes of its keys after a restart has to wait; false
      * without room for either.
      */
-    boolean offer(
+    public boolean offer(
             String name,
             Ownership ownership,
             long until,
-            List<Held> messages,
+            List<AcceptedMessage> messages,
             String origin,
             List<Long> keys,
             long holdUntil) {
@@ -944,8 +953,13 @@
     }
 
     /** Writes that a lot is this daemon's own again, and its keys with it; null where that could not be written. */
-    List<Long> takeBack(
-            String name, Ownership ownership, long until, List<Held> messages, String origin, List<Long> keys) {
+    public List<Long> takeBack(
+            String name,
+            Ownership ownership,
+            long until,
+            List<AcceptedMessage> messages,
+            String origin,
+            List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> letGo(batch, origin, key));
         return lot(name, ownership, until, messages, batch) ? dropHolds(origin, keys) : null;
@@ -955,9 +969,16 @@
      * Takes messages over from another daemon: they and whose they are stand in one batch, so never one alone. In the
      * same batch the origin's holds on the messages' keys end, and those that came here while they were held go behind.
      */
-    boolean adopt(String name, Ownership ownership, long until, List<Held> messages, String origin, List<Held> behind) {
+    public boolean adopt(
+            String name,
+            Ownership ownership,
+            long until,
+            List<AcceptedMessage> messages,
+            String origin,
+            List<AcceptedMessage> behind) {
         long more = messages.stream().mapToLong(Journal::reserve).sum();
-        Lot lot = new Lot(ownership, until, messages.stream().map(m -> m.number).toList());
+        HandoffBatchRecord lot = new HandoffBatchRecord(
+                ownership, until, messages.stream().map(m -> m.number).toList());
         List<Long> keys = messages.stream()
                 .map(m -> m.key)
                 .filter(key -> holds.origins(key).contains(origin))
@@ -967,7 +988,7 @@
             return false;
         }
         Batch batch = new Batch().put(numberOf("lot " + name), LOT, lotContent(name, lot));
-        for (Held m : messages) {
+        for (AcceptedMessage m : messages) {
             if (m.notice == null) {
                 batch.put(m.number, MESSAGE, whole(m));
                 batch.put(m.number, STANDING, standing(m));
@@ -987,7 +1008,7 @@
         messages.forEach(this::add);
         dropHolds(origin, keys);
         for (int i = 0; i < ranks.size(); i++) {
-            Held m = behind.get(i);
+            AcceptedMessage m = behind.get(i);
             m.rank = ranks.get(i);
             if (live.remove(m.number) != null) {
                 live.put(m.number, m);
@@ -998,7 +1019,7 @@
     }
 
     /** Without any key that another daemon may have. */
-    boolean adopt(String name, Ownership ownership, long until, List<Held> messages) {
+    public boolean adopt(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
         return adopt(name, ownership, until, messages, "", List.of());
     }
 
@@ -1011,7 +1032,7 @@
     }
 
     /** What nobody can ask for any more: a late offer of messages whose time is up is refused for that. */
-    void dropOldLots(long now) {
+    public void dropOldLots(long now) {
         told = now;
         List<String> old = lots.entrySet().stream()
                 .filter(lot -> lot.getValue().until() < now
@@ -1028,15 +1049,15 @@
         }
     }
 
-    private static long reserve(Lot lot) {
+    private static long reserve(HandoffBatchRecord lot) {
         return LOT_BYTES + 8L * lot.numbers().size();
     }
 
-    private void apply(String name, Lot lot) {
-        Lot before = lots.put(name, lot);
+    private void apply(String name, HandoffBatchRecord lot) {
+        HandoffBatchRecord before = lots.put(name, lot);
         reserved += reserve(lot) - (before == null ? 0 : reserve(before));
         for (long number : lot.numbers()) {
-            Held m = live.get(number);
+            AcceptedMessage m = live.get(number);
             if (m != null && lot.ownership().status() != Ownership.Status.ENDED) {
                 m.frozen = lot.ownership().status() == Ownership.Status.OFFERED;
             }
@@ -1045,12 +1066,12 @@
 
     // ---- Keys of which another daemon still has messages. ----
 
-    KeyHolds holds() {
+    public KeyHolds holds() {
         return holds;
     }
 
     /** Writes that these keys are held for the origin; false where there is no room for it, or for some of them. */
-    boolean hold(String origin, List<Long> keys, long until) {
+    public boolean hold(String origin, List<Long> keys, long until) {
         if (!roomForHolds(keys.size())) {
             return false;
         }
@@ -1093,7 +1114,7 @@
     }
 
     /** The origin has nothing of these keys any more. If that cannot be written the hold only lasts longer. */
-    List<Long> release(String origin, List<Long> keys) {
+    public List<Long> release(String origin, List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> letGo(batch, origin, key));
         write(batch);
@@ -1115,7 +1136,7 @@
     }
 
     /** Ends holds whose time is up; where that cannot be written their time stands with them. */
-    List<Long> expireHolds(long wall) {
+    public List<Long> expireHolds(long wall) {
         int before = holds.size();
         List<KeyHolds.KeyHold> over =
                 holds.all().stream().filter(hold -> hold.until() <= wall).toList();
@@ -1141,13 +1162,13 @@
     // ---- Reading. ----
 
     /** What was read of one owner, in whatever order its contents stand. */
-    private static final class Found {
+    private static final class RecoveredOwner {
         final long number;
-        Held message;
-        Standing standing;
+        AcceptedMessage message;
+        AttemptHistory standing;
         long rank;
 
-        Found(long number) {
+        RecoveredOwner(long number) {
             this.number = number;
         }
     }
@@ -1163,13 +1184,13 @@
 
     /** {@code mend}: contents that belong to nothing are ended. */
     private void read(boolean mend) throws IOException {
-        Map<Long, Found> found = new HashMap<>();
+        Map<Long, RecoveredOwner> found = new HashMap<>();
         TreeMap<Long, Object[]> lotsByVersion = new TreeMap<>();
-        TreeMap<Long, Memory> memoriesByVersion = new TreeMap<>();
-        TreeMap<Long, Gone> gone = new TreeMap<>();
+        TreeMap<Long, HealthRecord> memoriesByVersion = new TreeMap<>();
+        TreeMap<Long, CompletedRecord> gone = new TreeMap<>();
         // Contents of one owner mostly stand behind one another.
-        Found[] last = {new Found(0)};
-        Texts texts = new Texts();
+        RecoveredOwner[] last = {new RecoveredOwner(0)};
+        ModifiedUtf8 texts = new ModifiedUtf8();
         readAll((owner, kind, version, content) -> {
             if (kind <= STANDING || kind == RANK) {
                 if (kind == MESSAGE && content.get(0) == GONE) {
@@ -1177,7 +1198,7 @@
                     return;
                 }
                 if (last[0].number != owner) {
-                    last[0] = found.computeIfAbsent(owner, Found::new);
+                    last[0] = found.computeIfAbsent(owner, RecoveredOwner::new);
                 }
                 switch (kind) {
                     case MESSAGE -> last[0].message = readMessage(owner, content, texts);
@@ -1201,7 +1222,7 @@
                     keepHolds(origin, List.of(key), in.readLong());
                 }
                 case MEMORY -> {
-                    Memory memory = new Memory(
+                    HealthRecord memory = new HealthRecord(
                             in.readInt(),
                             in.readUTF(),
                             DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
@@ -1230,8 +1251,8 @@
             reserved += MEMORY_BYTES + memory.uid().length();
         });
         Batch orphans = new Batch();
-        List<Held> messages = new ArrayList<>(found.size());
-        for (Found f : found.values()) {
+        List<AcceptedMessage> messages = new ArrayList<>(found.size());
+        for (RecoveredOwner f : found.values()) {
             if (f.message == null) {
                 // Its acceptance was in a part that could not be read.
                 orphans.end(f.number);
@@ -1246,10 +1267,10 @@
         messages.sort(Comparator.comparingLong(m -> m.rank));
         messages.forEach(this::add);
         for (Object[] lot : lotsByVersion.values()) {
-            apply((String) lot[0], (Lot) lot[1]);
+            apply((String) lot[0], (HandoffBatchRecord) lot[1]);
         }
-        for (Map.Entry<Long, Gone> entry : gone.entrySet()) {
-            Gone g = entry.getValue();
+        for (Map.Entry<Long, CompletedRecord> entry : gone.entrySet()) {
+            CompletedRecord g = entry.getValue();
             remembered
                     .add(g.id(), g.content(), g.effect(), entry.getKey(), clock.getAsLong())
                     .forEach(orphans::end);
@@ -1261,11 +1282,11 @@
     }
 
     /** Everything that an earlier version's file has, as one owner after another. */
-    private void moveIn(OldJournal old) throws IOException {
+    private void moveIn(LegacyJournalReader old) throws IOException {
         Log.warn("journal: moves " + old.live.size() + " messages of an earlier version's file into segments");
         if (old.unread > 0) {
-            Path aside = folder.resolve(OldJournal.NAME + ".damaged");
-            Files.copy(folder.resolve(OldJournal.NAME), aside, StandardCopyOption.REPLACE_EXISTING);
+            Path aside = folder.resolve(LegacyJournalReader.NAME + ".damaged");
+            Files.copy(folder.resolve(LegacyJournalReader.NAME), aside, StandardCopyOption.REPLACE_EXISTING);
             Log.warn("journal: the last " + old.unread + " bytes of that file cannot be read; it is kept as " + aside);
         }
         take(old);
@@ -1287,7 +1308,7 @@
      */
     static void repair(Path from, Path into) throws IOException {
         Files.createDirectories(into);
-        if (Files.exists(into.resolve(OldJournal.NAME)) || SegmentLog.isThere(new FolderDisk(into).list())) {
+        if (Files.exists(into.resolve(LegacyJournalReader.NAME)) || SegmentLog.isThere(new FolderDisk(into).list())) {
             throw new IOException("there is a journal in " + into + " already");
         }
         try (Journal source = peek(from);
@@ -1300,7 +1321,7 @@
                     source.lots,
                     source.log.nextOwner());
             copy.writeAll();
-            for (RememberedIds.Known known : source.remembered.all()) {
+            for (DeduplicationCache.CompletedMessage known : source.remembered.all()) {
                 copy.log.write(new Batch()
                         .putSole(copy.log.nextOwner(), MESSAGE, gone(known.id(), known.content(), known.effect())));
             }
@@ -1318,9 +1339,9 @@
      * All that is wanted, an owner after another and each as it is when it is asked for, empty where it is gone by then:
      * whoever takes this and each change from now on in their order has all.
      */
-    List<Supplier<Batch>> contents() {
+    public List<Supplier<Batch>> contents() {
         List<Supplier<Batch>> parts = parts();
-        for (RememberedIds.Known known : remembered.all()) {
+        for (DeduplicationCache.CompletedMessage known : remembered.all()) {
             parts.add(() -> !remembered.knows(known.id())
                     ? new Batch()
                     : new Batch().putSole(known.number(), MESSAGE, gone(known.id(), known.content(), known.effect())));
@@ -1348,7 +1369,7 @@
                 return batch;
             });
         }
-        for (Held m : live.values()) {
+        for (AcceptedMessage m : live.values()) {
             parts.add(() -> !live.containsKey(m.number)
                     ? new Batch()
                     : m.notice != null
@@ -1366,25 +1387,25 @@
         return parts;
     }
 
-    private void take(OldJournal old) {
+    private void take(LegacyJournalReader old) {
         take(old.live.values(), old.classes, old.memories.values(), old.holds, old.lots, old.next);
     }
 
     private void take(
-            Collection<Held> messages,
-            Map<Integer, ClassBook.Version> versions,
-            Collection<Memory> places,
+            Collection<AcceptedMessage> messages,
+            Map<Integer, MessageClassRegistry.Version> versions,
+            Collection<HealthRecord> places,
             KeyHolds held,
-            Map<String, Lot> known,
+            Map<String, HandoffBatchRecord> known,
             long next) {
         versions.forEach(this::keep);
-        for (Memory memory : places) {
+        for (HealthRecord memory : places) {
             memories.put(memory.place(), memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         }
         held.all().forEach(hold -> keepHolds(hold.origin(), List.of(hold.key()), hold.until()));
         long rank = next;
-        for (Held m : messages) {
+        for (AcceptedMessage m : messages) {
             m.rank = rank++;
             add(m);
         }
@@ -1395,11 +1416,11 @@
 
     // ---- Contents. ----
 
-    interface Content {
+    public interface Content {
         void write(DataOutputStream out) throws IOException;
     }
 
-    static byte[] bytes(Content content) {
+    public static byte[] bytes(Content content) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             content.write(out);
@@ -1409,21 +1430,21 @@
         return bytes.toByteArray();
     }
 
-    private static byte[] whole(Held m) {
+    private static byte[] whole(AcceptedMessage m) {
         return message(m, WHOLE, out -> {
             out.writeInt(m.body.length);
             out.write(m.body);
         });
     }
 
-    private static byte[] ended(Held m) {
+    private static byte[] ended(AcceptedMessage m) {
         return message(m, ENDED, out -> {
             out.writeInt(m.attempts);
             out.writeUTF(m.notice == null ? "" : m.notice);
         });
     }
 
-    private static byte[] message(Held m, int form, Content rest) {
+    private static byte[] message(AcceptedMessage m, int form, Content rest) {
         return bytes(out -> {
             out.writeByte(form);
             out.writeUTF(m.id);
@@ -1439,10 +1460,10 @@
         });
     }
 
-    private static Held readMessage(long number, ByteBuffer in, Texts texts) throws IOException {
+    private static AcceptedMessage readMessage(long number, ByteBuffer in, ModifiedUtf8 texts) throws IOException {
         int form = in.get();
-        String id = Texts.read(in);
-        String idempotencyKey = Texts.read(in);
+        String id = ModifiedUtf8.read(in);
+        String idempotencyKey = ModifiedUtf8.read(in);
         String className = texts.shared(in);
         long key = in.getLong();
         int destination = in.getInt();
@@ -1459,26 +1480,27 @@
         }
         byte[] body = new byte[length];
         in.get(body);
-        Held m = new Held(number, id, idempotencyKey, className, key, destination, deadline, body, content);
+        AcceptedMessage m =
+                new AcceptedMessage(number, id, idempotencyKey, className, key, destination, deadline, body, content);
         m.type = type;
         m.rank = rank;
         if (form == ENDED) {
             m.attempts = in.getInt();
-            m.end(Texts.read(in));
+            m.end(ModifiedUtf8.read(in));
         }
         return m;
     }
 
     /** The id of a message that is over. */
-    private record Gone(String id, int content, DeliveryScheduler.Effect effect) {}
+    private record CompletedRecord(String id, int content, DeliveryScheduler.Effect effect) {}
 
-    private static Gone readGone(ByteBuffer in) throws IOException {
+    private static CompletedRecord readGone(ByteBuffer in) throws IOException {
         in.get();
-        return new Gone(Texts.read(in), in.getInt(), DeliveryScheduler.Effect.values()[in.get()]);
+        return new CompletedRecord(ModifiedUtf8.read(in), in.getInt(), DeliveryScheduler.Effect.values()[in.get()]);
     }
 
     /** All that attempts have left behind. */
-    private static byte[] standing(Held m) {
+    private static byte[] standing(AcceptedMessage m) {
         return bytes(out -> {
             out.writeInt(m.attempts);
             out.writeLong(m.doubtSince);
@@ -1490,8 +1512,9 @@
     }
 
     /** What attempts have left behind, as it was read. */
-    private record Standing(int attempts, long doubtSince, String doubtAt, boolean out, long sentAt, String sentTo) {
-        void apply(Held m) {
+    private record AttemptHistory(
+            int attempts, long doubtSince, String doubtAt, boolean out, long sentAt, String sentTo) {
+        void apply(AcceptedMessage m) {
             m.attempts = attempts;
             m.doubtSince = doubtSince;
             m.doubtAt = doubtAt;
@@ -1501,11 +1524,12 @@
         }
     }
 
-    private static Standing readStanding(ByteBuffer in, Texts texts) throws IOException {
-        return new Standing(in.getInt(), in.getLong(), texts.shared(in), in.get() != 0, in.getLong(), texts.shared(in));
+    private static AttemptHistory readStanding(ByteBuffer in, ModifiedUtf8 texts) throws IOException {
+        return new AttemptHistory(
+                in.getInt(), in.getLong(), texts.shared(in), in.get() != 0, in.getLong(), texts.shared(in));
     }
 
-    private static byte[] defined(int number, ClassBook.Version version) {
+    private static byte[] defined(int number, MessageClassRegistry.Version version) {
         DeliveryScheduler.MessageClass c = version.type();
         return bytes(out -> {
             out.writeInt(number);
@@ -1521,9 +1545,9 @@
         });
     }
 
-    static ClassBook.Version readVersion(DataInputStream in) throws IOException {
+    static MessageClassRegistry.Version readVersion(DataInputStream in) throws IOException {
         String name = in.readUTF();
-        return new ClassBook.Version(
+        return new MessageClassRegistry.Version(
                 name,
                 new DeliveryScheduler.MessageClass(
                         in.readDouble(),
@@ -1536,7 +1560,7 @@
                         in.readBoolean()));
     }
 
-    private static byte[] remembered(Memory memory) {
+    private static byte[] remembered(HealthRecord memory) {
         return bytes(out -> {
             out.writeInt(memory.destination());
             out.writeUTF(memory.uid());
@@ -1547,7 +1571,7 @@
         });
     }
 
-    private static byte[] lotContent(String name, Lot lot) {
+    private static byte[] lotContent(String name, HandoffBatchRecord lot) {
         return bytes(out -> {
             out.writeUTF(name);
             out.writeLong(lot.ownership().generation());
@@ -1561,13 +1585,13 @@
         });
     }
 
-    private static Lot readLot(DataInputStream in) throws IOException {
+    private static HandoffBatchRecord readLot(DataInputStream in) throws IOException {
         Ownership ownership = new Ownership(in.readLong(), Ownership.Status.valueOf(in.readUTF()), in.readUTF());
         long until = in.readLong();
         List<Long> numbers = new ArrayList<>();
         for (int i = in.readInt(); i > 0; i--) {
             numbers.add(in.readLong());
         }
-        return new Lot(ownership, until, numbers);
+        return new HandoffBatchRecord(ownership, until, numbers);
     }
 }
--- a/sender/src/main/java/amberroute/sender/JournalView.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalView.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
+import amberroute.sender.message.AcceptedMessage;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -8,13 +9,13 @@
 
 /** What a state folder owed at the moment of reading. Writes nothing, so it may be read beside a running daemon. */
 public final class JournalView {
-    private final List<Held> owed;
+    private final List<AcceptedMessage> owed;
     private final List<String> unread;
     private final boolean damaged;
     private final long used;
     private final long live;
 
-    private JournalView(List<Held> owed, List<String> unread, boolean damaged, long used, long live) {
+    private JournalView(List<AcceptedMessage> owed, List<String> unread, boolean damaged, long used, long live) {
         this.owed = owed;
         this.unread = unread;
         this.damaged = damaged;
@@ -41,7 +42,7 @@
     /** Each message on a line, in the order of acceptance: id, class, destination, time left, attempts and state. */
     public List<String> lines(long wallMillis) {
         List<String> out = new ArrayList<>();
-        for (Held m : owed) {
+        for (AcceptedMessage m : owed) {
             String state = m.notice != null
                     ? "ended, its notice is not answered: " + m.notice
                     : m.out
--- a/sender/src/main/java/amberroute/sender/OldJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -1,8 +1,10 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.handoff.KeyHolds;
 import amberroute.handoff.Ownership;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.MessageClassRegistry;
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -23,20 +25,20 @@
  * did. Writes nothing but the mark that stands in its place afterwards: an earlier version that meets the mark ends with an
  * error, instead of beginning an empty journal beside the messages that the segments hold.
  */
-final class OldJournal {
+final class LegacyJournalReader {
     private static final int HEAD = 8;
     private static final int LARGEST = 1 << 18;
     static final String NAME = "journal";
     /** A type that no version ever wrote; earlier ones end on it where its number is a message's. */
     private static final byte MOVED = '!';
 
-    final Map<Long, Held> live = new LinkedHashMap<>();
+    final Map<Long, AcceptedMessage> live = new LinkedHashMap<>();
     /** What ended under each id, 0 where that is no longer known. */
     final Map<String, Integer> ended = new LinkedHashMap<>();
 
-    final Map<String, Journal.Memory> memories = new LinkedHashMap<>();
-    final Map<String, Journal.Lot> lots = new LinkedHashMap<>();
-    final Map<Integer, ClassBook.Version> classes = new LinkedHashMap<>();
+    final Map<String, Journal.HealthRecord> memories = new LinkedHashMap<>();
+    final Map<String, Journal.HandoffBatchRecord> lots = new LinkedHashMap<>();
+    final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
     final KeyHolds holds = new KeyHolds();
     private final Map<String, Integer> ids = new HashMap<>();
     long next = 1;
@@ -46,12 +48,12 @@
     boolean moved;
 
     /** Null where there is no such file. */
-    static OldJournal read(Path folder) throws IOException {
+    static LegacyJournalReader read(Path folder) throws IOException {
         Path path = folder.resolve(NAME);
         if (!Files.isRegularFile(path)) {
             return null;
         }
-        OldJournal journal = new OldJournal();
+        LegacyJournalReader journal = new LegacyJournalReader();
         try (FileChannel file = FileChannel.open(path, StandardOpenOption.READ)) {
             journal.replayAll(file);
         }
@@ -134,7 +136,7 @@
             }
             case 'R' -> {
                 in.readLong();
-                Held m = live.get(in.readLong());
+                AcceptedMessage m = live.get(in.readLong());
                 if (m != null) {
                     live.remove(m.number);
                     live.put(m.number, m);
@@ -142,7 +144,7 @@
             }
             case 'W', 'F' -> replayHold(in, type == 'W');
             case 'M' -> {
-                Journal.Memory memory = new Journal.Memory(
+                Journal.HealthRecord memory = new Journal.HealthRecord(
                         in.readInt(),
                         in.readUTF(),
                         DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
@@ -162,7 +164,7 @@
         long number = in.readLong();
         next = Math.max(next, number + 1);
         if (type == 'A') {
-            Held m = new Held(
+            AcceptedMessage m = new AcceptedMessage(
                     number,
                     in.readUTF(),
                     in.readUTF(),
@@ -176,7 +178,7 @@
             ids.put(m.id, m.content);
             return;
         }
-        Held m = live.get(number);
+        AcceptedMessage m = live.get(number);
         if (m == null) {
             return;
         }
@@ -193,7 +195,7 @@
         }
     }
 
-    private void drop(Held m) {
+    private void drop(AcceptedMessage m) {
         live.remove(m.number);
         ids.remove(m.id);
         ended.put(m.id, m.content);
@@ -226,9 +228,9 @@
         for (int parts = told < 0 ? -told : 2 * told; parts > 0; parts--) {
             replay(in.readNBytes(in.readInt()));
         }
-        lots.put(name, new Journal.Lot(ownership, until, numbers));
+        lots.put(name, new Journal.HandoffBatchRecord(ownership, until, numbers));
         for (long number : numbers) {
-            Held m = live.get(number);
+            AcceptedMessage m = live.get(number);
             if (m != null && ownership.status() == Ownership.Status.GIVEN) {
                 drop(m);
             } else if (m != null && ownership.status() != Ownership.Status.ENDED) {
@@ -237,7 +239,7 @@
         }
     }
 
-    private static void readStanding(DataInputStream in, Held m) throws IOException {
+    private static void readStanding(DataInputStream in, AcceptedMessage m) throws IOException {
         m.attempts = in.readInt();
         m.doubtSince = in.readLong();
         m.doubtAt = in.readUTF();
--- a/sender/src/main/java/amberroute/sender/StateLock.java
+++ b/sender/src/main/java/amberroute/sender/journal/StateLock.java
@@ -1,6 +1,7 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.sender.util.Log;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -16,7 +17,7 @@
  * Holds a state folder for one process. It is a record lock of the kernel on the file {@code lock}: whatever ends the
  * process frees it, SIGKILL too, so nothing is ever left over. Where asked for, the file tells the process's id.
  */
-final class StateLock implements Closeable {
+public final class StateLock implements Closeable {
     private final FileChannel file;
 
     private StateLock(FileChannel file) {
@@ -24,7 +25,7 @@
     }
 
     /** Takes the lock or says who has it. */
-    static StateLock take(Path folder, boolean tellPid) throws IOException {
+    public static StateLock take(Path folder, boolean tellPid) throws IOException {
         StateLock lock = tryOwn(folder, tellPid);
         if (lock != null) {
             return lock;
@@ -33,7 +34,7 @@
     }
 
     /** As {@link #tryTake}, and the log says so: the folder is this sender's own from then on. */
-    static StateLock tryOwn(Path folder, boolean tellPid) throws IOException {
+    public static StateLock tryOwn(Path folder, boolean tellPid) throws IOException {
         StateLock lock = tryTake(folder, tellPid);
         if (lock != null) {
             Log.warn("lock: taken on " + folder);
@@ -42,7 +43,7 @@
     }
 
     /** Takes the lock; null where another process, or another sender of this one, has it. */
-    static StateLock tryTake(Path folder, boolean tellPid) throws IOException {
+    public static StateLock tryTake(Path folder, boolean tellPid) throws IOException {
         Files.createDirectories(folder);
         FileChannel file = FileChannel.open(
                 folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
@@ -67,15 +68,15 @@
     }
 
     /**
-     * Notes that the holder looks for a {@link Fence} behind each of its records, so that its folder may be taken over
+     * Notes that the holder looks for a {@link FencingToken} behind each of its records, so that its folder may be taken over
      * while it cannot be asked.
      */
-    void tellGuarded() throws IOException {
+    public void tellGuarded() throws IOException {
         file.write(ByteBuffer.wrap("guarded\n".getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Whether the last holder noted that. */
-    static boolean guarded(Path folder) throws IOException {
+    public static boolean guarded(Path folder) throws IOException {
         return Files.readString(folder.resolve("lock")).contains("guarded");
     }
 
--- a/sender/src/main/java/amberroute/sender/SteadyClock.java
+++ b/sender/src/main/java/amberroute/sender/journal/SteadyClock.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
+import amberroute.sender.util.Log;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -16,7 +17,7 @@
  * <p>Behind a boot, on another machine, or where that file cannot be read, nobody knows how long the folder lay still: the wall
  * clock is asked again, and {@link #interrupted} says that spans over the gap cannot be trusted.
  */
-final class SteadyClock {
+public final class SteadyClock {
     private static final String NAME = "clock";
     private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
 
@@ -38,7 +39,7 @@
      * The clock of this folder, whose lock has to be held. Times in a folder without a clock are of an earlier version of this
      * program, which told them by the wall clock.
      */
-    static SteadyClock open(Path folder) {
+    public static SteadyClock open(Path folder) {
         String boot = boot();
         String[] read = read(folder.resolve(NAME));
         if (read != null && read[0].equals(boot)) {
@@ -80,17 +81,17 @@
     }
 
     /** Milliseconds that only grow, about those of the wall clock where that was never stepped. */
-    long millis() {
+    public long millis() {
         return monotonic() + offset;
     }
 
     /** Whether an instant lies before a gap that nobody knows the length of. */
-    boolean interrupted(long instant) {
+    public boolean interrupted(long instant) {
         return instant < interruptedAt;
     }
 
     /** Tries again to write what a full or failing disk did not take; to be called from time to time by the folder's owner. */
-    void record() {
+    public void record() {
         if (recorded) {
             return;
         }
--- a/sender/src/main/java/amberroute/sender/FolderReclaim.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/FolderReclaim.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
+import amberroute.sender.util.Log;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
@@ -11,13 +12,13 @@
  * up at once. The lock is tried on, as that process may die too. Runs on a thread of its own, since opening a journal takes a
  * while; at most one runs for a sender.
  */
-final class FolderReclaim {
+public final class FolderReclaim {
     private static final long RETRY_MS = 100;
     /** A folder that nobody has and that cannot be opened for so long: the next process would not be able to either. */
     private static final long GIVE_UP_MS = 20_000;
 
     /** What has to be done; all but {@link #own} is called on the event loop. */
-    interface Host {
+    public interface Host {
         /** Takes the lock and opens the journal; false where another process has the lock. Not on the event loop. */
         boolean own() throws IOException;
 
@@ -37,23 +38,23 @@
     private volatile boolean cancelled;
     private volatile boolean abandoned;
 
-    FolderReclaim(EventLoop loop, Host host) {
+    public FolderReclaim(EventLoop loop, Host host) {
         this.loop = loop;
         this.host = host;
         thread.setDaemon(true);
     }
 
-    void start() {
+    public void start() {
         thread.start();
     }
 
     /** Whether the folder may be this process's within a moment, so that it must not end yet. */
-    boolean promising() {
+    public boolean promising() {
         return !abandoned && thread.isAlive();
     }
 
     /** Ends it and waits until it has ended. Not on the event loop. */
-    void cancel() {
+    public void cancel() {
         cancelled = true;
         try {
             thread.join(GIVE_UP_MS);
