--- a/sender/src/main/java/amberroute/sender/HeapReserve.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/HeapReserve.java
@@ -1,4 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
+
+import amberroute.sender.util.Log;
 
 /**
  * Brings the heap to its full size, so that the memory of a process does not grow while it serves. The JVM starts with a smaller
@@ -6,7 +8,7 @@
  * Asked for by the system property {@code amberroute.heap.commit}, as only whoever sets the heap's sizes knows that they are
  * meant so; without it nothing happens.
  */
-final class HeapReserve {
+public final class HeapReserve {
     private static final String PROPERTY = "amberroute.heap.commit";
     /** The heap of a configuration that says so is small: more than this is taken for a mistake. */
     private static final long MOST_BYTES = 1L << 28;
@@ -17,7 +19,7 @@
     private HeapReserve() {}
 
     /** Takes some tens of milliseconds, one collection among them. Not on the event loop. */
-    static void commit() {
+    public static void commit() {
         long missing = Runtime.getRuntime().maxMemory() - Runtime.getRuntime().totalMemory() - MARGIN_BYTES;
         if (!Boolean.getBoolean(PROPERTY) || missing <= 0 || missing > MOST_BYTES) {
             return;
--- a/sender/src/main/java/amberroute/sender/IncomingTransfer.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/IncomingTransfer.java
@@ -1,6 +1,8 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
 import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.sender.client.ClientServer;
+import amberroute.sender.util.Log;
 import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -22,12 +24,12 @@
  * it owns everything, and the other tells what its calls come to and what its clients still hand in. What is told before
  * {@link #open} waits until then. When the line ends, whatever was still out may have run, and nobody will tell.
  */
-final class IncomingTransfer {
+public final class IncomingTransfer {
     static final int VERSION = 1;
     private static final long ANSWER_MS = 3_000;
 
     /** Where news go, on the event loop. */
-    interface Host {
+    public interface Host {
         /** What became of a message's attempt that was out; {@code uid} is empty where nobody can tell. */
         void outcome(long number, String uid, AttemptOutcome ending, JsonObject told);
 
@@ -43,18 +45,18 @@
     private final CompletableFuture<JsonObject> estate = new CompletableFuture<>();
     private final Deque<JsonObject> early = new ArrayDeque<>();
     private final Set<Long> underway = new HashSet<>();
-    private final TransferLine.Line line = new TransferLine.Line(this::onWord, this::onEnd);
+    private final TransferChannel.Endpoint line = new TransferChannel.Endpoint(this::onWord, this::onEnd);
     private boolean opened;
     private boolean ended;
 
-    IncomingTransfer(EventLoop loop, Host host) {
+    public IncomingTransfer(EventLoop loop, Host host) {
         this.loop = loop;
         this.host = host;
     }
 
     /** Asks for the estate. Null where nobody gives it: then the folder's lock tells what to do. Not on the loop. */
-    JsonObject take(Path state) throws IOException {
-        if (!TransferLine.connect(loop, state, line)) {
+    public JsonObject take(Path state) throws IOException {
+        if (!TransferChannel.connect(loop, state, line)) {
             return null;
         }
         JsonObject word = word("take");
@@ -73,7 +75,7 @@
     }
 
     /** All that was taken over is in place: news count from now on, and these messages are out over there. */
-    void open(Set<Long> out) {
+    public void open(Set<Long> out) {
         underway.addAll(out);
         opened = true;
         while (!early.isEmpty()) {
@@ -85,20 +87,20 @@
     }
 
     /** Whether any call is out from the other process. */
-    boolean busy() {
+    public boolean busy() {
         return !underway.isEmpty();
     }
 
     /** Whether a message's call is out from the other process. */
-    boolean has(long number) {
+    public boolean has(long number) {
         return underway.contains(number);
     }
 
-    void close() {
+    public void close() {
         line.close();
     }
 
-    void cancel(long number) {
+    public void cancel(long number) {
         JsonObject word = word("cancel");
         word.addProperty("number", number);
         line.say(word);
@@ -143,7 +145,7 @@
                                 word.get("destination").getAsInt(),
                                 word.get("idempotency_key").getAsString(),
                                 Base64.getDecoder().decode(word.get("body").getAsString())),
-                        new Passed(word.get("asked").getAsLong()));
+                        new ForwardedAnswer(word.get("asked").getAsLong()));
             }
             default -> Log.warn("succession: unknown word");
         }
@@ -173,20 +175,20 @@
     }
 
     /** An answer that goes back over the line. */
-    private final class Passed extends ClientServer.Answer {
+    private final class ForwardedAnswer extends ClientServer.Answer {
         private final long asked;
 
-        Passed(long asked) {
+        ForwardedAnswer(long asked) {
             this.asked = asked;
         }
 
         @Override
-        boolean wanted() {
+        public boolean wanted() {
             return !ended;
         }
 
         @Override
-        void line(String text) {
+        public void line(String text) {
             JsonObject word = word("answer");
             word.addProperty("asked", asked);
             word.addProperty("line", text);
--- a/sender/src/main/java/amberroute/sender/Adoption.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/OrphanedJournalRecovery.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
+import amberroute.sender.message.AcceptedMessage;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -14,24 +15,24 @@
  * <p>The names of the lots depend on nothing but the fence and the journal, so that an adoption that was cut off goes on
  * where it stood: a lot whose name the adopter's journal knows has been taken.
  */
-final class Adoption {
+public final class OrphanedJournalRecovery {
     /** Of the names of lots that were adopted. */
-    static final String PREFIX = "adopted-";
+    public static final String PREFIX = "adopted-";
     /** Of one lot, so that its record stays within the journal's bound. */
-    static final int MOST_MESSAGES = 64;
+    public static final int MOST_MESSAGES = 64;
 
     static final long MOST_BYTES = 96 << 10;
     /** What no client waits for any more, and no notice can help, is left where it is. */
-    static final long FORGOTTEN_MS = 3_600_000;
+    public static final long FORGOTTEN_MS = 3_600_000;
 
-    private Adoption() {}
+    private OrphanedJournalRecovery() {}
 
     /** Lots in the order of acceptance; a key's messages may be in several, which come one behind the other. */
-    static Map<String, List<Held>> lots(String fence, Collection<Held> live, long wall) {
-        Map<String, List<Held>> lots = new LinkedHashMap<>();
-        List<Held> lot = new ArrayList<>();
+    public static Map<String, List<AcceptedMessage>> lots(String fence, Collection<AcceptedMessage> live, long wall) {
+        Map<String, List<AcceptedMessage>> lots = new LinkedHashMap<>();
+        List<AcceptedMessage> lot = new ArrayList<>();
         long bytes = 0;
-        for (Held m : live) {
+        for (AcceptedMessage m : live) {
             if (m.deadline + FORGOTTEN_MS < wall) {
                 continue;
             }
@@ -55,8 +56,8 @@
      * been offered to a peer may be that peer's by now, and only its old owner could ask: it has failed, which promises
      * nothing.
      */
-    static Held copy(Held m, LongSupplier numbers) {
-        Held own = new Held(
+    public static AcceptedMessage copy(AcceptedMessage m, LongSupplier numbers) {
+        AcceptedMessage own = new AcceptedMessage(
                 numbers.getAsLong(), m.id, m.idempotencyKey, m.className, m.key, m.destination, m.deadline, m.body);
         own.attempts = m.attempts;
         own.doubtSince = m.doubtSince;
--- a/sender/src/main/java/amberroute/sender/OutgoingTransfer.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/OutgoingTransfer.java
@@ -1,5 +1,8 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
+import amberroute.sender.client.ClientServer;
+import amberroute.sender.upstream.UpstreamClient;
+import amberroute.sender.util.Log;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import io.netty.channel.Channel;
@@ -18,11 +21,11 @@
  * most {@value #MOST_ASKED} submissions wait there; a further one is refused at once. When the successor dies, what was told to
  * it and what was asked of it is still here, for whoever owns the folder next in this process ({@link #takeBack}).
  */
-final class OutgoingTransfer {
+public final class OutgoingTransfer {
     static final int MOST_ASKED = 2_048;
 
     /** What giving away means to the sender; called on the event loop. */
-    interface Host {
+    public interface Host {
         /** Null if the sender may give itself away now, or why not. */
         String refusal();
 
@@ -37,23 +40,23 @@
     }
 
     /** A submission whose answer is still to come, and when it was passed on, in nanoseconds of the monotonic clock. */
-    private record Asked(ClientServer.Submission submission, ClientServer.Answer answer, long at) {}
+    private record ForwardedSubmission(ClientServer.Submission submission, ClientServer.Answer answer, long at) {}
 
     /** What the successor was told and asked; it may have acted on any part of it, which only the journal tells. */
-    record Unsettled(List<Receivers.Result> outcomes, List<Resubmission> submissions) {}
+    public record UnacknowledgedWork(List<UpstreamClient.Result> outcomes, List<Resubmission> submissions) {}
 
     /** A submission with the time that it has left now. */
-    record Resubmission(ClientServer.Submission submission, ClientServer.Answer answer) {}
+    public record Resubmission(ClientServer.Submission submission, ClientServer.Answer answer) {}
 
     private final EventLoop loop;
     private final Host host;
     private Channel server;
-    private final Map<Long, Asked> asked = new LinkedHashMap<>();
+    private final Map<Long, ForwardedSubmission> asked = new LinkedHashMap<>();
     /** Outcomes that the successor was told; at most one for each call that was out when it took over. */
-    private final List<Receivers.Result> told = new ArrayList<>();
+    private final List<UpstreamClient.Result> told = new ArrayList<>();
 
     private long nextAsked = 1;
-    private TransferLine.Line successor;
+    private TransferChannel.Endpoint successor;
     /** Its process id, 0 where it did not tell. */
     private long successorProcess;
 
@@ -61,25 +64,25 @@
     /** Nobody will answer what is asked here. */
     private boolean abandoned;
 
-    OutgoingTransfer(EventLoop loop, Host host) {
+    public OutgoingTransfer(EventLoop loop, Host host) {
         this.loop = loop;
         this.host = host;
     }
 
     /** Listens, also where another process did meanwhile; the folder's lock has to be held. Not on the event loop. */
-    void listen(Path state) throws IOException {
+    public void listen(Path state) throws IOException {
         if (server != null) {
             server.close().awaitUninterruptibly();
         }
-        server = TransferLine.listen(loop, state, () -> {
-            TransferLine.Line[] line = new TransferLine.Line[1];
-            line[0] = new TransferLine.Line(word -> onWord(line[0], word), () -> onEnd(line[0]));
+        server = TransferChannel.listen(loop, state, () -> {
+            TransferChannel.Endpoint[] line = new TransferChannel.Endpoint[1];
+            line[0] = new TransferChannel.Endpoint(word -> onWord(line[0], word), () -> onEnd(line[0]));
             return line[0];
         });
     }
 
     /** This process ends: that its line to the successor ends with it says nothing of the successor. */
-    void close() {
+    public void close() {
         gone = true;
         if (server != null) {
             server.close();
@@ -87,11 +90,11 @@
     }
 
     /** Submissions whose answer is still to come. */
-    int waiting() {
+    public int waiting() {
         return asked.size();
     }
 
-    private void onWord(TransferLine.Line line, JsonObject word) {
+    private void onWord(TransferChannel.Endpoint line, JsonObject word) {
         switch (word.get("do").getAsString()) {
             case "take" -> take(line, word);
             case "cancel" -> {
@@ -100,7 +103,7 @@
                 }
             }
             case "answer" -> {
-                Asked answered =
+                ForwardedSubmission answered =
                         line == successor ? asked.remove(word.get("asked").getAsLong()) : null;
                 if (answered != null) {
                     answered.answer().line(word.get("line").getAsString());
@@ -110,7 +113,7 @@
         }
     }
 
-    private void take(TransferLine.Line line, JsonObject word) {
+    private void take(TransferChannel.Endpoint line, JsonObject word) {
         String refusal = successor != null
                 ? "given away already"
                 : word.get("v").getAsInt() != IncomingTransfer.VERSION ? "another version of the line" : host.refusal();
@@ -128,7 +131,7 @@
         line.say(yours);
     }
 
-    private void onEnd(TransferLine.Line line) {
+    private void onEnd(TransferChannel.Endpoint line) {
         if (line != successor || gone) {
             return;
         }
@@ -139,16 +142,16 @@
     }
 
     /** Another process owns the folder and does not know this one: whether it took them on nobody can tell here. */
-    void abandon() {
+    public void abandon() {
         abandoned = true;
-        List<Asked> left = List.copyOf(asked.values());
+        List<ForwardedSubmission> left = List.copyOf(asked.values());
         asked.clear();
         left.forEach(one -> one.answer().error("the process that took over is gone"));
     }
 
     /** This process owns the folder again, and another may ask for it. */
-    Unsettled takeBack() {
-        Unsettled unsettled = new Unsettled(
+    public UnacknowledgedWork takeBack() {
+        UnacknowledgedWork unsettled = new UnacknowledgedWork(
                 List.copyOf(told),
                 asked.values().stream().map(OutgoingTransfer::again).toList());
         told.clear();
@@ -159,19 +162,19 @@
         return unsettled;
     }
 
-    private static Resubmission again(Asked one) {
+    private static Resubmission again(ForwardedSubmission one) {
         long passed = (System.nanoTime() - one.at()) / 1_000_000;
         return new Resubmission(one.submission().after(passed), one.answer());
     }
 
     /** Passes a submission on, whose answer follows; false where there is no room or nobody to ask. */
-    boolean submit(ClientServer.Submission s, ClientServer.Answer answer) {
+    public boolean submit(ClientServer.Submission s, ClientServer.Answer answer) {
         if (abandoned || asked.size() >= MOST_ASKED || !gone && successor.crowded()) {
             return false;
         }
         long number = nextAsked++;
         long now = System.nanoTime();
-        asked.put(number, new Asked(s, answer, now));
+        asked.put(number, new ForwardedSubmission(s, answer, now));
         JsonObject word = word("submit");
         word.addProperty("asked", number);
         word.addProperty("at", now);
@@ -186,7 +189,7 @@
         return true;
     }
 
-    void outcome(Receivers.Result r, String uid) {
+    public void outcome(UpstreamClient.Result r, String uid) {
         told.add(r);
         JsonObject word = word("outcome");
         word.addProperty("number", r.message().number);
--- a/sender/src/main/java/amberroute/sender/ServiceNotify.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ServiceManagerNotifier.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
+import amberroute.sender.util.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -21,13 +22,13 @@
  * so this is the one place that loads Netty's native transport, on a thread of its own, and only where that variable is
  * set. Whatever goes wrong is one line in the log: nobody must fail because nobody listens.
  */
-public final class ServiceNotify {
+public final class ServiceManagerNotifier {
     private static final long SEND_MS = 2_000;
 
     private final String socket;
 
     /** Takes {@code NOTIFY_SOCKET} from these variables. */
-    public ServiceNotify(Map<String, String> environment) {
+    public ServiceManagerNotifier(Map<String, String> environment) {
         socket = environment.get("NOTIFY_SOCKET");
     }
 
--- a/sender/src/main/java/amberroute/sender/DrainPlan.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ShutdownSequence.java
@@ -1,5 +1,7 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
+import amberroute.sender.client.OrderlyClose;
+import amberroute.sender.message.AcceptedMessage;
 import java.util.Collection;
 
 /**
@@ -11,16 +13,16 @@
  * next process owes. A stop for good gives every message its final answer: it delivers until {@link #CUT_SHARE} of its
  * time is gone, then calls off what is out, ends all that is left, and waits for the notices to be answered.
  */
-final class DrainPlan {
+public final class ShutdownSequence {
     /** What the next process may count on: all that is left, what no peer takes, or nothing, as there is none. */
-    enum Mode {
+    public enum Mode {
         RESTART,
         MOVE,
         FINAL
     }
 
     /** What to do now. */
-    enum Step {
+    public enum Step {
         /** Goes on as before, but takes nothing new. */
         DELIVER,
         /** Calls off all calls that are out, and starts none. */
@@ -36,7 +38,7 @@
     }
 
     /** What there is to do, as counted by the caller; {@code clients} are their connections, with those that still close. */
-    record Load(int held, int callsOut, int noticesOut, int clients) {}
+    public record Load(int held, int callsOut, int noticesOut, int clients) {}
 
     /** Of a final stop's time, what delivering may take; the rest is for calls to end and for notices. */
     static final double CUT_SHARE = 0.7;
@@ -45,7 +47,7 @@
     /** Clients of one that leaves for good come to others so many milliseconds apart, and within this time. */
     static final long SPREAD = 5;
 
-    static final long SPREAD_LONGEST = 1_000;
+    public static final long SPREAD_LONGEST = 1_000;
     /** The last answers and closes pass on the sockets before the process ends; those who are slow to read them have longer. */
     static final long LINGER = 60;
 
@@ -58,14 +60,14 @@
     private long quietSince = -1;
 
     /** {@code backAfter} is how long after its end a restarted sender serves again. */
-    DrainPlan(Mode mode, long now, long span, long backAfter) {
+    public ShutdownSequence(Mode mode, long now, long span, long backAfter) {
         this.mode = mode;
         this.backAfter = backAfter;
         deadline = now + span;
         cutAt = deadline - Math.min(CUT_MOST, (long) (span * (1 - CUT_SHARE)));
     }
 
-    Mode mode() {
+    public Mode mode() {
         return mode;
     }
 
@@ -74,7 +76,7 @@
     }
 
     /** How long calls may still take, for the decisions that look ahead. */
-    long deliverLeft(long now) {
+    public long deliverLeft(long now) {
         return Math.max(0, (mode == Mode.FINAL ? cutAt : deadline) - now);
     }
 
@@ -82,13 +84,13 @@
      * When whoever is turned away may come again: to this sender after a restart; after a last stop to others, spread over
      * {@link #SPREAD} for each of so many connections so that they are not rushed, by a random {@code place} from 0 to 1.
      */
-    long advice(long now, int connections, double place) {
+    public long advice(long now, int connections, double place) {
         return mode != Mode.FINAL
                 ? left(now) + backAfter
                 : (long) (place * Math.min(SPREAD_LONGEST, SPREAD * connections));
     }
 
-    Step next(long now, Load load) {
+    public Step next(long now, Load load) {
         boolean over = now >= deadline;
         if (load.held() > 0 && !over) {
             if (mode != Mode.FINAL || now < cutAt) {
@@ -110,12 +112,12 @@
      * How a message ends that no call may be made for any more. A refusal promises that handing it in again does no
      * harm: so only where it surely has not run, or where running twice does none.
      */
-    static boolean mayReturn(boolean mayHaveRun, boolean safe, boolean keyedEverywhere) {
+    public static boolean mayReturn(boolean mayHaveRun, boolean safe, boolean keyedEverywhere) {
         return !mayHaveRun || safe || keyedEverywhere;
     }
 
     /** In words, for the log and whoever asked for the stop. */
-    static String summary(Mode mode, Collection<Held> left, int notices) {
+    public static String summary(Mode mode, Collection<AcceptedMessage> left, int notices) {
         return left.isEmpty() && notices == 0
                 ? "nothing is owed"
                 : left.size() + " messages and " + notices + " notices are left in the journal"
--- a/sender/src/main/java/amberroute/sender/SignalHook.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/SignalHandlers.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
+import amberroute.sender.util.Log;
 import java.lang.reflect.Proxy;
 
 /**
@@ -7,25 +8,25 @@
  * interface for signals, {@code sun.misc.Signal}, makes the compiler warn wherever it is named, and no annotation
  * allows for that: it is looked up by its name, so that warnings stay errors everywhere.
  */
-public final class SignalHook {
+public final class SignalHandlers {
     private Runnable listener;
     private boolean missed;
 
-    private SignalHook() {}
+    private SignalHandlers() {}
 
     /** Handles SIGHUP from now on. */
-    public static SignalHook install() {
+    public static SignalHandlers install() {
         return install("HUP");
     }
 
     /** Handles the signal of this name, without its SIG, from now on. */
-    public static SignalHook install(String name) {
-        SignalHook hangup = new SignalHook();
+    public static SignalHandlers install(String name) {
+        SignalHandlers hangup = new SignalHandlers();
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object received = Proxy.newProxyInstance(
-                    SignalHook.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
+                    SignalHandlers.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
                         hangup.received();
                         return null;
                     });
--- a/sender/src/main/java/amberroute/sender/TransferLine.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/TransferChannel.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
+import amberroute.sender.util.Log;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
@@ -27,7 +28,7 @@
  * which only its owner may open, one JSON object a line. What is said on it, and what it means, is in
  * {@code docs/replacing.md}; this class only carries lines.
  */
-final class TransferLine {
+public final class TransferChannel {
     /** Of the words between the two; the one that passes the estate on is the longest. */
     static final int LONGEST_LINE = 8 << 20;
     /** From whoever connects, before it has taken over: its words are short but for answers to clients. */
@@ -35,23 +36,23 @@
     /** A Unix socket's path may be so long on Linux. */
     private static final int LONGEST_PATH = 107;
 
-    private TransferLine() {}
+    private TransferChannel() {}
 
     static Path socket(Path state) {
         return state.resolve("successor");
     }
 
-    static boolean possible(Path state) {
+    public static boolean possible(Path state) {
         return socket(state).toAbsolutePath().toString().getBytes(StandardCharsets.UTF_8).length <= LONGEST_PATH;
     }
 
     /** One end of the line; used on the event loop only. */
-    static final class Line extends SimpleChannelInboundHandler<ByteBuf> {
+    static final class Endpoint extends SimpleChannelInboundHandler<ByteBuf> {
         private final Consumer<JsonObject> words;
         private final Runnable ended;
         private Channel channel;
 
-        Line(Consumer<JsonObject> words, Runnable ended) {
+        Endpoint(Consumer<JsonObject> words, Runnable ended) {
             this.words = words;
             this.ended = ended;
         }
@@ -109,7 +110,8 @@
     }
 
     /** Whoever comes gets a line of its own; {@code welcome} makes it. The state folder's lock has to be held. */
-    static Channel listen(EventLoop loop, Path state, java.util.function.Supplier<Line> welcome) throws IOException {
+    static Channel listen(EventLoop loop, Path state, java.util.function.Supplier<Endpoint> welcome)
+            throws IOException {
         Path at = socket(state);
         Files.deleteIfExists(at);
         try {
@@ -137,7 +139,7 @@
     }
 
     /** Connects to the process that holds the folder; false where nobody listens. Not on the event loop. */
-    static boolean connect(EventLoop loop, Path state, Line line) throws IOException {
+    static boolean connect(EventLoop loop, Path state, Endpoint line) throws IOException {
         try {
             return new Bootstrap()
                     .group(loop)
--- a/sender/src/main/java/amberroute/sender/TransferredState.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/TransferredState.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
 import amberroute.decisions.DeliveryScheduler;
 import com.google.gson.JsonArray;
@@ -14,21 +14,21 @@
  * still has out, and what was learned. Receivers go by their uids, as each process numbers them itself; {@code at} is the
  * system's monotonic clock in nanoseconds, which all processes of a machine read alike. Does no I/O.
  */
-record TransferredState(
+public record TransferredState(
         long at,
         JsonObject list,
-        List<Out> out,
+        List<CallInFlight> out,
         List<DeliveryScheduler.UpstreamSnapshot> learned,
         List<DeliveryScheduler.KeyPause> rests) {
     /** A call that is out, with the numbers of its messages; {@code sentAgo} in microseconds at {@link #at}. */
-    record Out(List<Long> numbers, String uid, long sentAgo) {}
+    public record CallInFlight(List<Long> numbers, String uid, long sentAgo) {}
 
-    JsonObject write(LongFunction<String> uids) {
+    public JsonObject write(LongFunction<String> uids) {
         JsonObject json = new JsonObject();
         json.addProperty("at", at);
         json.add("list", list);
         JsonArray calls = new JsonArray();
-        for (Out call : out) {
+        for (CallInFlight call : out) {
             JsonObject one = new JsonObject();
             JsonArray numbers = new JsonArray();
             call.numbers().forEach(numbers::add);
@@ -57,13 +57,13 @@
     }
 
     /** Throws a RuntimeException where it cannot be read. */
-    static TransferredState read(JsonObject json, ToLongFunction<String> numbers) {
-        List<Out> out = new ArrayList<>();
+    public static TransferredState read(JsonObject json, ToLongFunction<String> numbers) {
+        List<CallInFlight> out = new ArrayList<>();
         for (JsonElement item : json.getAsJsonArray("out")) {
             JsonObject call = item.getAsJsonObject();
             List<Long> messages = new ArrayList<>();
             call.getAsJsonArray("numbers").forEach(n -> messages.add(n.getAsLong()));
-            out.add(new Out(
+            out.add(new CallInFlight(
                     messages,
                     call.get("uid").getAsString(),
                     call.get("sent_ago").getAsLong()));
--- a/sender/src/main/java/amberroute/sender/Held.java
+++ b/sender/src/main/java/amberroute/sender/message/AcceptedMessage.java
@@ -1,54 +1,54 @@
-package amberroute.sender;
+package amberroute.sender.message;
 
 import com.google.gson.JsonObject;
 import java.util.Arrays;
 import java.util.Objects;
 
 /** A message that this sender has taken on, and what must survive a restart to end it. */
-final class Held {
+public final class AcceptedMessage {
     private static final byte[] EMPTY = new byte[0];
 
     /** Number in the module and in the journal; grows in the order of acceptance. */
-    final long number;
+    public final long number;
 
-    final String id;
+    public final String id;
     /** Idempotency key, empty where the class has none. */
-    final String idempotencyKey;
+    public final String idempotencyKey;
 
-    final String className;
+    public final String className;
     /** Key of the order, 0 for none. */
-    final long key;
+    public final long key;
 
-    final int destination;
+    public final int destination;
     /** Wall time in milliseconds, as it must mean the same after a restart. */
-    final long deadline;
+    public final long deadline;
     /** Tells messages apart that came under one id; the body itself goes with the end. */
-    final int content;
+    public final int content;
 
-    byte[] body;
-    /** Number of the version of its class in the {@link ClassBook}, -1 where only the name is known. */
-    int type = -1;
+    public byte[] body;
+    /** Number of the version of its class in the {@link MessageClassRegistry}, -1 where only the name is known. */
+    public int type = -1;
 
-    int attempts;
+    public int attempts;
     /** Wall time at which the first attempt that may have run was sent, 0 where none may have, and where. */
-    long doubtSince;
+    public long doubtSince;
 
-    String doubtAt = "";
+    public String doubtAt = "";
     /** Whether an attempt is out; in a message read from the journal, whether one was at the end. */
-    boolean out;
+    public boolean out;
     /** Offered to another daemon whose answer is not known: nobody works on it here meanwhile. */
-    boolean frozen;
+    public boolean frozen;
     /** Came from another daemon, whose peers may hold its key until it is over. */
-    boolean adopted;
+    public boolean adopted;
 
-    long sentAt;
-    String sentTo = "";
+    public long sentAt;
+    public String sentTo = "";
     /** The notice that ends it, until it is answered; null while the message goes on. */
-    String notice;
+    public String notice;
     /** Place in the order of acceptance; its number, unless it went behind others. */
-    long rank;
+    public long rank;
 
-    Held(
+    public AcceptedMessage(
             long number,
             String id,
             String idempotencyKey,
@@ -70,7 +70,7 @@
     }
 
     /** One whose body is gone: {@code content} is of what it was. */
-    Held(
+    public AcceptedMessage(
             long number,
             String id,
             String idempotencyKey,
@@ -93,11 +93,11 @@
     }
 
     /** The same for what is the same; never 0. */
-    static int content(String className, long key, int destination, String idempotencyKey, byte[] body) {
+    public static int content(String className, long key, int destination, String idempotencyKey, byte[] body) {
         return Objects.hash(className, key, destination, idempotencyKey, Arrays.hashCode(body)) | 1;
     }
 
-    void attempt(String uid, long wall) {
+    public void attempt(String uid, long wall) {
         attempts++;
         out = true;
         sentAt = wall;
@@ -105,20 +105,20 @@
     }
 
     /** What attempts change, to be put back where one could not be recorded. */
-    record Attempts(int attempts, boolean out, long sentAt, String sentTo) {}
+    public record Attempts(int attempts, boolean out, long sentAt, String sentTo) {}
 
-    Attempts attempts() {
+    public Attempts attempts() {
         return new Attempts(attempts, out, sentAt, sentTo);
     }
 
-    void restore(Attempts before) {
+    public void restore(Attempts before) {
         attempts = before.attempts();
         out = before.out();
         sentAt = before.sentAt();
         sentTo = before.sentTo();
     }
 
-    void outcome(boolean mayHaveRun) {
+    public void outcome(boolean mayHaveRun) {
         out = false;
         if (mayHaveRun && doubtSince == 0) {
             doubtSince = sentAt;
@@ -127,17 +127,17 @@
     }
 
     /** An ended message keeps no body: only its notice is owed. */
-    void end(String line) {
+    public void end(String line) {
         notice = line;
         body = EMPTY;
     }
 
-    String failed() {
+    public String failed() {
         return status("failed").toString();
     }
 
     /** The advice is in milliseconds, 0 for none. */
-    String returned(long after) {
+    public String returned(long after) {
         JsonObject status = status("returned");
         if (after > 0) {
             status.addProperty("after_ms", after);
--- a/sender/src/main/java/amberroute/sender/RememberedIds.java
+++ b/sender/src/main/java/amberroute/sender/message/DeduplicationCache.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.message;
 
 import amberroute.decisions.DeliveryScheduler;
 import java.util.ArrayList;
@@ -13,13 +13,13 @@
  * oldest of a kind first; so a burst of what may be repeated pushes out nothing that may not. Times are of one monotonic
  * clock in nanoseconds and are not kept over a restart: what is found then has its whole reach again. Reads no clock.
  */
-final class RememberedIds {
+public final class DeduplicationCache {
     static final long REACH_NANOS = 600_000_000_000L;
     /** What one counts for beside its id, which is in ASCII. */
     private static final long BYTES = 48;
 
     /** One of them, as it is kept, with its number in the journal. */
-    record Known(String id, int content, DeliveryScheduler.Effect effect, long number) {}
+    public record CompletedMessage(String id, int content, DeliveryScheduler.Effect effect, long number) {}
 
     /** What the id's message was, 0 where that is not known, and its number in the journal. */
     private record Entry(String id, int content, long number, long at) {
@@ -35,7 +35,7 @@
     private final List<Map<String, Entry>> kinds = new ArrayList<>();
 
     /** All together count for so many bytes at most, which is what they may have on the disk. */
-    RememberedIds(long most) {
+    public DeduplicationCache(long most) {
         this.most = most;
         for (int i = 0; i < DeliveryScheduler.Effect.values().length; i++) {
             kinds.add(new LinkedHashMap<>());
@@ -43,7 +43,7 @@
     }
 
     /** Returns the numbers of those that are forgotten for it, and of an earlier one under the same id. */
-    List<Long> add(String id, int content, DeliveryScheduler.Effect effect, long number, long now) {
+    public List<Long> add(String id, int content, DeliveryScheduler.Effect effect, long number, long now) {
         List<Long> forgotten = expire(now);
         Entry entry = new Entry(id, content, number, now);
         Entry before = all.put(id, entry);
@@ -93,23 +93,24 @@
         return forgotten;
     }
 
-    boolean knows(String id) {
+    public boolean knows(String id) {
         return all.containsKey(id);
     }
 
     /** What was known of the message, 0 where nothing. */
-    int content(String id) {
+    public int content(String id) {
         Entry entry = all.get(id);
         return entry == null ? 0 : entry.content();
     }
 
     /** All of them, the oldest of each kind first. */
-    List<Known> all() {
-        List<Known> out = new ArrayList<>();
+    public List<CompletedMessage> all() {
+        List<CompletedMessage> out = new ArrayList<>();
         for (DeliveryScheduler.Effect effect : DeliveryScheduler.Effect.values()) {
             kinds.get(effect.ordinal())
                     .values()
-                    .forEach(entry -> out.add(new Known(entry.id(), entry.content(), effect, entry.number())));
+                    .forEach(entry ->
+                            out.add(new CompletedMessage(entry.id(), entry.content(), effect, entry.number())));
         }
         return out;
     }
--- a/sender/src/main/java/amberroute/sender/ClassBook.java
+++ b/sender/src/main/java/amberroute/sender/message/MessageClassRegistry.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.message;
 
 import amberroute.decisions.DeliveryScheduler.MessageClass;
 import java.util.ArrayList;
@@ -12,18 +12,18 @@
  * a name with its figures, has a number that stays its own for as long as a message of it is held; the numbers are the
  * module's indexes, so they are small, and one that nobody needs any more is given away again. Decides nothing.
  */
-final class ClassBook {
+public final class MessageClassRegistry {
     /** Versions at once, current ones and such as held messages still need. */
     static final int MOST = 64;
 
     /** One version of a class. */
-    record Version(String name, MessageClass type) {}
+    public record Version(String name, MessageClass type) {}
 
     private final List<Version> versions = new ArrayList<>();
     private Map<String, Integer> current = Map.of();
 
     /** Puts back a version that held messages of an earlier process need, under its number of then. */
-    void restore(int number, Version version) {
+    public void restore(int number, Version version) {
         while (versions.size() <= number) {
             versions.add(null);
         }
@@ -34,7 +34,7 @@
      * These classes count from now on. Returns false, and changes nothing, where there would be more versions than
      * {@link #MOST}; {@code held} tells whether a held message needs a number.
      */
-    boolean take(List<String> names, List<MessageClass> types, IntPredicate held) {
+    public boolean take(List<String> names, List<MessageClass> types, IntPredicate held) {
         List<Version> now = new ArrayList<>(versions);
         Map<String, Integer> next = new HashMap<>();
         List<Version> missing = new ArrayList<>();
@@ -74,31 +74,31 @@
     }
 
     /** Number of the version that counts under this name, -1 if there is none. */
-    int number(String name) {
+    public int number(String name) {
         return current.getOrDefault(name, -1);
     }
 
     /** The names that clients may use. */
-    java.util.Set<String> names() {
+    public java.util.Set<String> names() {
         return current.keySet();
     }
 
     /** Null for a number that nobody has. */
-    Version version(int number) {
+    public Version version(int number) {
         return number >= 0 && number < versions.size() ? versions.get(number) : null;
     }
 
-    MessageClass type(int number) {
+    public MessageClass type(int number) {
         return versions.get(number).type();
     }
 
     /** By number, for the module: a number that nobody has stands for a class that counts, as its times then add nothing. */
-    List<MessageClass> types() {
+    public List<MessageClass> types() {
         MessageClass any = type(current.values().iterator().next());
         return versions.stream().map(v -> v == null ? any : v.type()).toList();
     }
 
-    int size() {
+    public int size() {
         return versions.size();
     }
 }
--- a/sender/src/main/java/amberroute/sender/Notices.java
+++ b/sender/src/main/java/amberroute/sender/notification/FailureNotifier.java
@@ -1,5 +1,8 @@
-package amberroute.sender;
+package amberroute.sender.notification;
 
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.util.Backoff;
+import amberroute.sender.util.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -33,7 +36,7 @@
  * Tells the platform of messages that end without delivery, and repeats what is not answered. What is out
  * belongs to its connection: whatever ends that connection, at any moment, leads to the next post.
  */
-final class Notices {
+public final class FailureNotifier {
     private static final int MOST_LINES = 256;
     /** The longest wait for a connection and for an answer, and the longest pause. */
     private static final long ANSWER_MS = 1_000;
@@ -59,48 +62,48 @@
     }
 
     private final EventLoop loop;
-    private final Consumer<Held> answered;
-    private final Map<Long, Held> pending = new LinkedHashMap<>();
+    private final Consumer<AcceptedMessage> answered;
+    private final Map<Long, AcceptedMessage> pending = new LinkedHashMap<>();
     private InetSocketAddress address;
     /** The connection in use or being opened, null where there is none. */
-    private Line line;
+    private NotificationConnection line;
 
     private Future<?> pause;
     private boolean due;
     private boolean single;
-    private final Pauses pauses;
+    private final Backoff pauses;
     /** Connections in a row that said nothing, and milliseconds that the last answer took. */
     private int silences;
 
     private long lastTook;
 
-    Notices(EventLoop loop, InetSocketAddress address, long seed, Consumer<Held> answered) {
+    public FailureNotifier(EventLoop loop, InetSocketAddress address, long seed, Consumer<AcceptedMessage> answered) {
         this.loop = loop;
         this.address = address;
         this.answered = answered;
-        pauses = new Pauses(25, 50, ANSWER_MS, seed);
+        pauses = new Backoff(25, 50, ANSWER_MS, seed);
     }
 
     /** How many notices are not answered yet. */
-    int pending() {
+    public int pending() {
         return pending.size();
     }
 
     /** Sends the notice of an ended message until it is answered. */
-    void send(Held m) {
+    public void send(AcceptedMessage m) {
         pending.put(m.number, m);
         postSoon();
     }
 
     /** From now on notices go to this address; what the old one has not answered is repeated there. */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         address = to;
         pauses.good();
         if (pause != null) {
             pause.cancel(false);
             pause = null;
         }
-        Line old = line;
+        NotificationConnection old = line;
         line = null;
         if (old != null) {
             old.close();
@@ -109,9 +112,9 @@
     }
 
     /** Sends nothing any more: what is pending is another's now. */
-    void stop() {
+    public void stop() {
         pending.clear();
-        Line old = line;
+        NotificationConnection old = line;
         line = null;
         if (old != null) {
             old.close();
@@ -131,7 +134,7 @@
             return;
         }
         if (line == null) {
-            line = new Line();
+            line = new NotificationConnection();
             line.open();
         } else if (line.ready && line.out.isEmpty()) {
             line.write();
@@ -156,14 +159,14 @@
         }
     }
 
-    private void take(List<Held> told, int status) {
+    private void take(List<AcceptedMessage> told, int status) {
         if (status == 204 || status == 200 || status == 400 && told.size() == 1) {
             if (status == 400) {
                 Log.warn("notice cannot be read: " + told.get(0).notice);
             }
             single = single && pending.size() > told.size();
             pauses.good();
-            for (Held m : told) {
+            for (AcceptedMessage m : told) {
                 pending.remove(m.number);
                 answered.accept(m);
             }
@@ -175,13 +178,13 @@
     }
 
     /** One connection with at most one request out; it counts only while it is the current one. */
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class NotificationConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final InetSocketAddress to = address;
         private Channel channel;
         private boolean ready;
         private boolean silent;
         private long writtenAt;
-        private List<Held> out = List.of();
+        private List<AcceptedMessage> out = List.of();
         private Future<?> timer;
 
         void open() {
@@ -196,7 +199,10 @@
                         protected void initChannel(Channel fresh) {
                             channel = fresh;
                             fresh.pipeline()
-                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(65_536), Line.this);
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(65_536),
+                                            NotificationConnection.this);
                         }
                     })
                     .connect(to)
@@ -216,7 +222,7 @@
         void write() {
             out = new ArrayList<>();
             StringBuilder lines = new StringBuilder();
-            for (Held m : pending.values()) {
+            for (AcceptedMessage m : pending.values()) {
                 if (out.size() == (single ? 1 : MOST_LINES)) {
                     break;
                 }
@@ -292,7 +298,7 @@
             timer.cancel(false);
             silences = 0;
             lastTook = (System.nanoTime() - writtenAt) / 1_000_000;
-            List<Held> told = out;
+            List<AcceptedMessage> told = out;
             out = List.of();
             if (!HttpUtil.isKeepAlive(response)) {
                 line = null;
--- a/sender/src/main/java/amberroute/sender/HandOver.java
+++ b/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.handoff.HandoffEffect;
 import amberroute.handoff.HandoffMessage;
@@ -6,6 +6,10 @@
 import amberroute.handoff.KeyHoldAnnouncement;
 import amberroute.handoff.KeyHolds;
 import amberroute.handoff.Ownership;
+import amberroute.sender.Sender;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.util.Log;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
@@ -40,12 +44,12 @@
 /**
  * Carries the words of the hand-over protocol between daemons and its records to the journal; what they mean is decided
  * by {@link Ownership}, who is offered what by {@link HandoffPlacement}, and which clients may go elsewhere by {@link KeyHoldAnnouncement}.
- * One JSON object a line ({@link PeerLine}), over TCP; answers come back on the connection of what they answer. At most
+ * One JSON object a line ({@link PeerMessageCodec}), over TCP; answers come back on the connection of what they answer. At most
  * {@value #LEAST_PEERS} connections and {@value #EACH_PEER} for each configured peer are served, lines of at most
  * {@value #LONGEST_LINE} bytes, and {@value #MOST_OUT} lots are offered at a time. Lives on the event loop.
  */
-final class HandOver {
-    static final int LONGEST_LINE = 1 << 18;
+public final class HandoffCoordinator {
+    public static final int LONGEST_LINE = 1 << 18;
     /** Peers that are served at a time, and names of which something is kept: so many, and for each configured peer some more. */
     private static final int LEAST_PEERS = 128;
 
@@ -68,7 +72,7 @@
     private static final Runnable IGNORED = () -> {};
 
     /** Understands further words. */
-    interface Estates {
+    public interface ReplicationRequests {
         /** False where the line is none of its own. */
         boolean heard(ChannelHandlerContext context, JsonObject line, String from);
 
@@ -77,36 +81,36 @@
     }
 
     /** What the sender does for it. */
-    interface Host {
+    public interface Host {
         /** Messages that may move now, by groups: those of a key together and in order; none with a call out. */
-        List<List<Held>> movable();
+        List<List<AcceptedMessage>> movable();
 
         /**
          * Writes that a lot is offered, and that what comes of its keys after a restart has to wait until then, wherever
          * the lot is by that time; the sender drops its messages.
          */
-        boolean offer(String lot, Ownership ownership, List<Held> messages, List<Long> keys, long holdUntil);
+        boolean offer(String lot, Ownership ownership, List<AcceptedMessage> messages, List<Long> keys, long holdUntil);
 
         /** Writes what has become of a lot; the sender takes up its messages where they are its own again. */
-        boolean record(String lot, Ownership ownership, List<Held> messages);
+        boolean record(String lot, Ownership ownership, List<AcceptedMessage> messages);
 
         /** Null where there is room for these messages and time to deliver them, and their classes mean the same here. */
-        HandoffPlacement.RejectionReason refuses(List<Held> messages, JsonObject classes);
+        HandoffPlacement.RejectionReason refuses(List<AcceptedMessage> messages, JsonObject classes);
 
         /** Writes messages and ownership as one and goes on with them; false where the disk has no room. */
-        boolean adopt(String lot, Ownership ownership, List<Held> messages, String origin);
+        boolean adopt(String lot, Ownership ownership, List<AcceptedMessage> messages, String origin);
 
         /** These may be another's now, and their time is up: all that may be said here is that they failed. */
-        void failed(List<Held> messages);
+        void failed(List<AcceptedMessage> messages);
 
         /** A number for a message that comes from elsewhere. */
         long nextNumber();
 
         /** What the classes of these messages mean here. */
-        JsonObject classes(List<Held> messages);
+        JsonObject classes(List<AcceptedMessage> messages);
 
         /** Whether a message's key is one of an order. */
-        boolean inOrder(Held message);
+        boolean inOrder(AcceptedMessage message);
 
         /** Holds back what comes of these keys until they are released or the time is over; false without room. */
         boolean hold(String origin, List<Long> keys, long until);
@@ -118,7 +122,7 @@
     /** A lot that this daemon has offered and not heard of yet. */
     private static final class Offer {
         final String lot;
-        final List<Held> messages;
+        final List<AcceptedMessage> messages;
         final HandoffPlacement.HandoffBatch placed;
         Ownership ownership;
         boolean back;
@@ -128,7 +132,7 @@
         Channel sentOn;
         long sentAt;
 
-        Offer(String lot, Ownership ownership, List<Held> messages, HandoffPlacement.HandoffBatch placed) {
+        Offer(String lot, Ownership ownership, List<AcceptedMessage> messages, HandoffPlacement.HandoffBatch placed) {
             this.lot = lot;
             this.ownership = ownership;
             this.messages = messages;
@@ -145,7 +149,7 @@
     private final LongSupplier clock;
 
     private final HandoffPlacement placement;
-    private final Map<String, Link> links = new HashMap<>();
+    private final Map<String, PeerConnection> links = new HashMap<>();
     private final Map<String, Offer> offers = new LinkedHashMap<>();
     /** Where each peer last spoke from, for words to those that no address is known of. */
     private final Map<String, Channel> spoke = new HashMap<>();
@@ -164,7 +168,7 @@
     private final Set<String> absent = new HashSet<>();
     private final List<ScheduledFuture<?>> repeating = new ArrayList<>();
     /** Takes lines about estates; null where nothing is copied. */
-    private Estates estates;
+    private ReplicationRequests estates;
 
     private KeyHoldAnnouncement naming;
     private Channel server;
@@ -176,7 +180,7 @@
     private long lots;
 
     /** {@code clock} tells milliseconds as the journal's times have them. */
-    HandOver(
+    public HandoffCoordinator(
             EventLoop loop,
             String name,
             Map<String, InetSocketAddress> peers,
@@ -196,7 +200,7 @@
     }
 
     /** Listens for peers; returns the address bound. */
-    InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
+    public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
         server = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(NioServerSocketChannel.class)
@@ -209,7 +213,8 @@
                             channel.close();
                             return;
                         }
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE, true, true), new Heir());
+                        channel.pipeline()
+                                .addLast(new LineBasedFrameDecoder(LONGEST_LINE, true, true), new Successor());
                     }
                 })
                 .bind(address)
@@ -222,9 +227,9 @@
      * Takes up what an earlier process had offered: only its heirs can tell whose that is. Until then, and while an heir
      * has messages of a key, later ones of the key wait.
      */
-    void recover() {
+    public void recover() {
         journal.lots().forEach((lot, kept) -> {
-            List<Held> messages = journal.messages(kept.numbers());
+            List<AcceptedMessage> messages = journal.messages(kept.numbers());
             if (kept.ownership().status() == Ownership.Status.OFFERED && !messages.isEmpty()) {
                 Offer offer = new Offer(
                         lot,
@@ -240,19 +245,19 @@
         repeating.add(loop.scheduleWithFixedDelay(this::releaseDone, DONE_MS, DONE_MS, TimeUnit.MILLISECONDS));
     }
 
-    void estates(Estates understands) {
+    public void estates(ReplicationRequests understands) {
         estates = understands;
     }
 
     /** Offers what may move; to be called again and again while this daemon leaves. */
-    void offerAll() {
+    public void offerAll() {
         if (peers.isEmpty() || offers.size() > MOST_OUT / 2) {
             return;
         }
         long now = clock.getAsLong();
-        Map<Long, List<Held>> byFirst = new LinkedHashMap<>();
+        Map<Long, List<AcceptedMessage>> byFirst = new LinkedHashMap<>();
         List<HandoffPlacement.MessageGroup> groups = new ArrayList<>();
-        for (List<Held> messages : host.movable()) {
+        for (List<AcceptedMessage> messages : host.movable()) {
             HandoffPlacement.MessageGroup group = group(messages, now);
             groups.add(group);
             byFirst.put(group.first(), messages);
@@ -261,11 +266,11 @@
             }
         }
         for (HandoffPlacement.HandoffBatch lot : placement.place(millis(), groups, MOST_OUT - offers.size())) {
-            Link link = link(lot.heir());
+            PeerConnection link = link(lot.heir());
             if (!link.ready()) {
                 continue;
             }
-            List<Held> messages = new ArrayList<>();
+            List<AcceptedMessage> messages = new ArrayList<>();
             lot.groups().forEach(g -> messages.addAll(byFirst.get(g.first())));
             String id = name + "-" + Long.toString(counter++, 36);
             Offer offer = new Offer(id, Ownership.taken(), messages, lot);
@@ -274,14 +279,14 @@
         }
     }
 
-    private static HandoffPlacement.MessageGroup group(List<Held> messages, long now) {
-        Held first = messages.get(0);
+    private static HandoffPlacement.MessageGroup group(List<AcceptedMessage> messages, long now) {
+        AcceptedMessage first = messages.get(0);
         long bytes = messages.stream().mapToLong(m -> m.body.length + 1_024L).sum();
         long left = messages.stream().mapToLong(m -> m.deadline).min().orElse(now) - now;
         return new HandoffPlacement.MessageGroup(first.number, first.key, messages.size(), bytes, left);
     }
 
-    private List<Long> orderedKeys(List<Held> messages) {
+    private List<Long> orderedKeys(List<AcceptedMessage> messages) {
         return messages.stream()
                 .filter(host::inOrder)
                 .map(m -> m.key)
@@ -289,12 +294,12 @@
                 .toList();
     }
 
-    private static long until(List<Held> messages) {
+    private static long until(List<AcceptedMessage> messages) {
         return messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + KeyHoldAnnouncement.CLOCKS;
     }
 
     /** Messages whose heir has not answered. */
-    int waiting() {
+    public int waiting() {
         return offers.values().stream().mapToInt(o -> o.messages.size()).sum();
     }
 
@@ -304,12 +309,12 @@
     }
 
     /** What was moved, in words. */
-    String summary() {
+    public String summary() {
         return moved + " messages were handed over in " + lots + " lots, " + movedBytes + " bytes on the wire";
     }
 
     /** The offers that nobody has answered: all that their leaver may do any more is to say that they failed. */
-    void giveUp() {
+    public void giveUp() {
         List.copyOf(offers.values()).forEach(this::giveUp);
     }
 
@@ -327,12 +332,12 @@
         }
     }
 
-    void close() {
+    public void close() {
         repeating.forEach(each -> each.cancel(false));
         if (server != null) {
             server.close();
         }
-        List.copyOf(links.values()).forEach(Link::close);
+        List.copyOf(links.values()).forEach(PeerConnection::close);
     }
 
     private static long millis() {
@@ -342,7 +347,7 @@
     // ---- The leaver's clients. ----
 
     /** Names the ordered keys that are held to all peers; {@code ends} has when the last message of each is over. */
-    void name(Map<Long, Long> ends) {
+    public void name(Map<Long, Long> ends) {
         if (naming != null) {
             return;
         }
@@ -352,12 +357,12 @@
     }
 
     /** Whether this peer holds back what comes of all keys that were named. */
-    boolean heldBy(String peer) {
+    public boolean heldBy(String peer) {
         return naming != null && naming.unanswered(peer).isEmpty();
     }
 
     /** Those of the peers that nobody runs; told with a stop by whoever would start them. */
-    void absent(Collection<String> names) {
+    public void absent(Collection<String> names) {
         absent.clear();
         absent.addAll(names);
         if (naming != null) {
@@ -367,17 +372,17 @@
 
     private void nameTo(String peer) {
         if (naming != null) {
-            naming.unanswered(peer).forEach(batch -> link(peer).say(PeerLine.hold(name, batch)));
+            naming.unanswered(peer).forEach(batch -> link(peer).say(PeerMessageCodec.hold(name, batch)));
         }
     }
 
     /** Whether a client of this key has to be left without an answer for a moment. */
-    boolean undecided(long key) {
+    public boolean undecided(long key) {
         return naming != null && naming.named(key) && !naming.settled(clock.getAsLong());
     }
 
     /** How long a client of this key is to stay away from all others, in milliseconds. */
-    long stayAway(long key) {
+    public long stayAway(long key) {
         return naming == null ? 0 : naming.stayAway(clock.getAsLong(), key);
     }
 
@@ -388,7 +393,7 @@
         }
         Set<Long> alive = new HashSet<>();
         Set<Long> aliveAdopted = new HashSet<>();
-        for (Held m : journal.live()) {
+        for (AcceptedMessage m : journal.live()) {
             alive.add(m.key);
             if (m.adopted) {
                 aliveAdopted.add(m.key);
@@ -433,34 +438,34 @@
                 .limit(KeyHoldAnnouncement.BATCH)
                 .toList();
         if (!given.isEmpty()) {
-            JsonObject line = PeerLine.whether(name, given);
+            JsonObject line = PeerMessageCodec.whether(name, given);
             peers.keySet().forEach(peer -> link(peer).say(line));
         }
     }
 
     private void tellReleased(String origin, List<Long> keys) {
         for (int from = 0; from < keys.size(); from += KeyHoldAnnouncement.BATCH) {
-            JsonObject line = PeerLine.release(
+            JsonObject line = PeerMessageCodec.release(
                     name, origin, keys.subList(from, Math.min(keys.size(), from + KeyHoldAnnouncement.BATCH)));
             peers.keySet().forEach(peer -> link(peer).say(line));
             spoke.forEach((peer, channel) -> {
                 if (!peers.containsKey(peer) && channel.isWritable()) {
-                    channel.writeAndFlush(PeerLine.bytes(line));
+                    channel.writeAndFlush(PeerMessageCodec.bytes(line));
                 }
             });
         }
     }
 
     /** A message of this key has come here while others have some: they had better give them to this daemon. */
-    void turnedUp(long key) {
+    public void turnedUp(long key) {
         if (wanted.size() > KeyHoldAnnouncement.BATCH || !wanted.add(key)) {
             return;
         }
-        JsonObject line = PeerLine.want(name, key);
+        JsonObject line = PeerMessageCodec.want(name, key);
         for (String origin : journal.holds().origins(key)) {
             Channel channel = spoke.get(origin);
             if (channel != null && channel.isActive()) {
-                channel.writeAndFlush(PeerLine.bytes(line));
+                channel.writeAndFlush(PeerMessageCodec.bytes(line));
             } else if (peers.containsKey(origin)) {
                 link(origin).say(line);
             }
@@ -468,7 +473,7 @@
     }
 
     /** Nobody holds these any more. */
-    void free(Collection<Long> keys) {
+    public void free(Collection<Long> keys) {
         wanted.removeAll(keys);
     }
 
@@ -498,7 +503,7 @@
                     default -> offers.remove(offer.lot);
                 }
             } else if (effect instanceof HandoffEffect.SendMessage send) {
-                Link link = link(send.to());
+                PeerConnection link = link(send.to());
                 if (link.ready()) {
                     offer.sentOn = link.channel;
                     offer.sentAt = millis();
@@ -522,7 +527,7 @@
                 giveUp(offer);
                 continue;
             }
-            Link link = link(offer.ownership.peer());
+            PeerConnection link = link(offer.ownership.peer());
             if (link.channel != offer.sentOn || millis() - offer.sentAt >= ASK_SAME_MS) {
                 carryOut(offer, offer.ownership.ask(offer.lot, offer.back));
             }
@@ -549,10 +554,10 @@
         }
     }
 
-    private Link link(String peer) {
-        Link link = links.get(peer);
+    private PeerConnection link(String peer) {
+        PeerConnection link = links.get(peer);
         if (link == null) {
-            link = new Link(peer);
+            link = new PeerConnection(peer);
             links.put(peer, link);
             link.connect();
         }
@@ -560,12 +565,12 @@
     }
 
     /** The connection to one peer. */
-    private final class Link extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class PeerConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final String peer;
         private final Deque<JsonObject> pending = new ArrayDeque<>();
         private Channel channel;
 
-        Link(String peer) {
+        PeerConnection(String peer) {
             this.peer = peer;
         }
 
@@ -583,7 +588,8 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel fresh) {
-                            fresh.pipeline().addLast(new LineBasedFrameDecoder(1 << 16, true, true), Link.this);
+                            fresh.pipeline()
+                                    .addLast(new LineBasedFrameDecoder(1 << 16, true, true), PeerConnection.this);
                         }
                     })
                     .connect(address)
@@ -591,7 +597,7 @@
                         if (done.isSuccess()) {
                             channel = done.channel();
                             while (!pending.isEmpty()) {
-                                channel.write(PeerLine.bytes(pending.poll()));
+                                channel.write(PeerMessageCodec.bytes(pending.poll()));
                             }
                             channel.flush();
                             if (naming != null) {
@@ -615,27 +621,27 @@
         /** What may be lost: it is said when the connection is up, unless too much waits for that. */
         void say(JsonObject line) {
             if (channel != null && channel.isActive()) {
-                channel.writeAndFlush(PeerLine.bytes(line));
+                channel.writeAndFlush(PeerMessageCodec.bytes(line));
             } else if (pending.size() < MOST_PENDING) {
                 pending.add(line);
             }
         }
 
         void send(HandoffMessage word, Offer offer) {
-            List<Held> messages = offer.messages;
-            JsonObject line = PeerLine.of(word, name);
+            List<AcceptedMessage> messages = offer.messages;
+            JsonObject line = PeerMessageCodec.of(word, name);
             if (word.kind() == HandoffMessage.Kind.OFFER) {
-                PeerLine.add(line, messages, host.classes(messages));
+                PeerMessageCodec.add(line, messages, host.classes(messages));
                 JsonObject origins = new JsonObject();
                 for (long key : orderedKeys(messages)) {
                     Set<String> of = new LinkedHashSet<>(adopted.getOrDefault(key, Set.of()));
                     of.add(name);
-                    origins.add(Long.toHexString(key), PeerLine.names(of));
+                    origins.add(Long.toHexString(key), PeerMessageCodec.names(of));
                 }
                 line.add("origins", origins);
                 line.addProperty("until", offer.until);
             }
-            ByteBuf bytes = PeerLine.bytes(line);
+            ByteBuf bytes = PeerMessageCodec.bytes(line);
             movedBytes += bytes.readableBytes();
             channel.writeAndFlush(bytes);
         }
@@ -656,10 +662,11 @@
                         naming.held(peer, line.get("batch").getAsInt());
                     }
                 }
-                case "WANT" -> placement.turnedUp(PeerLine.key(line.get("key").getAsString()), peer);
+                case "WANT" -> placement.turnedUp(
+                        PeerMessageCodec.key(line.get("key").getAsString()), peer);
                 case "RELEASE" -> released(line);
                 default -> {
-                    HandoffMessage word = PeerLine.word(line);
+                    HandoffMessage word = PeerMessageCodec.word(line);
                     if (!word.forHeir()) {
                         answered(
                                 peer,
@@ -687,17 +694,19 @@
     }
 
     private void released(JsonObject line) {
-        host.release(PeerLine.plain(line.get("origin").getAsString()), PeerLine.keys(line.getAsJsonArray("keys")));
+        host.release(
+                PeerMessageCodec.plain(line.get("origin").getAsString()),
+                PeerMessageCodec.keys(line.getAsJsonArray("keys")));
     }
 
     // ---- The heir. ----
 
-    private final class Heir extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class Successor extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf bytes) {
             JsonObject line = JsonParser.parseString(bytes.toString(StandardCharsets.UTF_8))
                     .getAsJsonObject();
-            String from = PeerLine.plain(line.get("from").getAsString());
+            String from = PeerMessageCodec.plain(line.get("from").getAsString());
             if (spoke.size() < mostPeers || spoke.containsKey(from)) {
                 spoke.put(from, context.channel());
             }
@@ -705,8 +714,9 @@
                 case "HOLD" -> {
                     long until = Math.min(line.get("until").getAsLong(), clock.getAsLong() + Sender.LONGEST_LIFE_MS);
                     int batch = line.get("batch").getAsInt();
-                    if (host.hold(from, PeerLine.keys(line.getAsJsonArray("keys")), until)) {
-                        Runnable held = () -> context.writeAndFlush(PeerLine.bytes(PeerLine.held(batch)));
+                    if (host.hold(from, PeerMessageCodec.keys(line.getAsJsonArray("keys")), until)) {
+                        Runnable held =
+                                () -> context.writeAndFlush(PeerMessageCodec.bytes(PeerMessageCodec.held(batch)));
                         if (estates != null && !estates.begun()) {
                             // The whole that the holders get first has it.
                             held.run();
@@ -716,15 +726,16 @@
                     }
                 }
                 case "RELEASE" -> released(line);
-                case "WANT" -> placement.turnedUp(PeerLine.key(line.get("key").getAsString()), from);
+                case "WANT" -> placement.turnedUp(
+                        PeerMessageCodec.key(line.get("key").getAsString()), from);
                 case "OVER" -> {
-                    List<Long> known = PeerLine.holds(line, from).stream()
+                    List<Long> known = PeerMessageCodec.holds(line, from).stream()
                             .filter(hold ->
                                     over.getOrDefault(from, Map.of()).getOrDefault(hold.key(), -1L) == hold.until())
                             .map(KeyHolds.KeyHold::key)
                             .toList();
                     if (!known.isEmpty()) {
-                        context.writeAndFlush(PeerLine.bytes(PeerLine.release(name, from, known)));
+                        context.writeAndFlush(PeerMessageCodec.bytes(PeerMessageCodec.release(name, from, known)));
                     }
                 }
                 default -> {
@@ -736,13 +747,14 @@
         }
 
         private void word(ChannelHandlerContext context, JsonObject line, String from) {
-            HandoffMessage word = PeerLine.word(line);
-            PeerLine.plain(word.lot());
+            HandoffMessage word = PeerMessageCodec.word(line);
+            PeerMessageCodec.plain(word.lot());
             if (!word.forHeir()) {
                 throw new IllegalArgumentException("no word for an heir");
             }
-            List<Held> messages =
-                    word.kind() == HandoffMessage.Kind.OFFER ? PeerLine.messages(line, host::nextNumber) : List.of();
+            List<AcceptedMessage> messages = word.kind() == HandoffMessage.Kind.OFFER
+                    ? PeerMessageCodec.messages(line, host::nextNumber)
+                    : List.of();
             Ownership known = journal.lots().containsKey(word.lot())
                     ? journal.lots().get(word.lot()).ownership()
                     : Ownership.NONE;
@@ -767,16 +779,16 @@
                 ChannelHandlerContext context,
                 JsonObject line,
                 List<HandoffEffect> effects,
-                List<Held> messages,
+                List<AcceptedMessage> messages,
                 String from,
                 HandoffPlacement.RejectionReason refusal) {
             for (HandoffEffect effect : effects) {
                 if (effect instanceof HandoffEffect.SendMessage send) {
-                    JsonObject answer = PeerLine.of(send.word(), null);
+                    JsonObject answer = PeerMessageCodec.of(send.word(), null);
                     if (send.word().kind() == HandoffMessage.Kind.NO && refusal != null) {
                         answer.addProperty("why", refusal.name());
                     }
-                    journal.whenSafe(() -> context.writeAndFlush(PeerLine.bytes(answer)), IGNORED);
+                    journal.whenSafe(() -> context.writeAndFlush(PeerMessageCodec.bytes(answer)), IGNORED);
                 } else if (effect instanceof HandoffEffect.PersistOwnership write) {
                     boolean mine = write.ownership().mine();
                     boolean written = mine
@@ -793,7 +805,7 @@
             return true;
         }
 
-        private void keepOrigins(JsonObject line, String from, List<Held> messages) {
+        private void keepOrigins(JsonObject line, String from, List<AcceptedMessage> messages) {
             JsonObject told = line.has("origins") ? line.getAsJsonObject("origins") : new JsonObject();
             for (long key : orderedKeys(messages)) {
                 Set<String> of = adopted.computeIfAbsent(key, k -> new LinkedHashSet<>());
@@ -801,7 +813,7 @@
                 heldUntil.put(key, line.has("until") ? line.get("until").getAsLong() : 0);
                 String hex = Long.toHexString(key);
                 if (told.has(hex)) {
-                    told.getAsJsonArray(hex).forEach(origin -> of.add(PeerLine.plain(origin.getAsString())));
+                    told.getAsJsonArray(hex).forEach(origin -> of.add(PeerMessageCodec.plain(origin.getAsString())));
                 }
             }
         }
--- a/sender/src/main/java/amberroute/sender/PeerBeats.java
+++ b/sender/src/main/java/amberroute/sender/peer/HeartbeatTransport.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.membership.Heartbeat;
 import amberroute.membership.HeartbeatMonitor;
@@ -22,7 +22,7 @@
  * the ceilings that follow on. What they mean is decided in {@code membership} and {@code shares}. A beat is taken from a
  * configured peer's address only; one that cannot be read is dropped without a word. Lives on the event loop.
  */
-final class PeerBeats {
+public final class HeartbeatTransport {
     private static final long STEP_MS = 50;
 
     private final EventLoop loop;
@@ -40,7 +40,7 @@
     private Consumer<DatagramPacket> others;
 
     /** {@code clock} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one. */
-    PeerBeats(
+    public HeartbeatTransport(
             EventLoop loop,
             String name,
             Map<String, InetSocketAddress> peers,
@@ -62,13 +62,13 @@
     }
 
     /** Listens and begins to tell of this daemon. */
-    void listen(InetSocketAddress address) throws InterruptedException {
+    public void listen(InetSocketAddress address) throws InterruptedException {
         channel = PeerSocket.bind(loop, address, this::heard);
         loop.scheduleWithFixedDelay(this::step, 0, STEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Shares the socket with whoever understands other datagrams; null before it listens. */
-    Channel share(Consumer<DatagramPacket> with) {
+    public Channel share(Consumer<DatagramPacket> with) {
         others = with;
         return channel;
     }
@@ -79,7 +79,7 @@
     }
 
     /** Others had better hear at once of what was just found. */
-    void hurry() {
+    public void hurry() {
         if (!newsDue) {
             newsDue = true;
             loop.execute(this::tellAll);
@@ -119,7 +119,7 @@
         }
     }
 
-    void close() {
+    public void close() {
         if (channel != null) {
             channel.close();
         }
--- a/sender/src/main/java/amberroute/sender/Copying.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -1,8 +1,11 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.replication.LeaderTerm;
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.util.Backoff;
+import amberroute.sender.util.Log;
 import amberroute.storage.Batch;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -38,7 +41,7 @@
  * <p>What waits for a holder is bounded by {@value #MOST_PENDING} bytes, beyond which its connection is closed and it gets
  * the whole again; effects that wait are bounded by what is held. Lives on the event loop.
  */
-final class Copying implements Journal.Copies {
+public final class JournalReplicator implements Journal.ChangeListener {
     /** Encoded bytes in one line, so that with a last batch, of a lot at most, it stays within what a peer reads. */
     private static final int LINE_BYTES = 64 << 10;
 
@@ -69,13 +72,13 @@
     private static final long PATIENCE_NANOS = 200_000_000;
 
     /** What may happen once a majority has all up to a number. */
-    private record Waiting(long number, Runnable effect, Runnable failed, long since) {}
+    private record DeferredEffect(long number, Runnable effect, Runnable failed, long since) {}
 
     /** A line with the changes behind one number up to another, and the group in this version, -1 for none. */
-    private record Encoded(long behind, long upTo, long version, byte[] bytes) {}
+    private record EncodedBatch(long behind, long upTo, long version, byte[] bytes) {}
 
     /** Told when somebody else has a later term. */
-    interface Over {
+    interface LeadershipLostListener {
         void over(long term, String owner);
     }
 
@@ -84,9 +87,9 @@
     private final String estate;
     private final Journal journal;
     private final Map<String, InetSocketAddress> peers;
-    private final Over onOver;
-    private final Map<String, Link> links = new LinkedHashMap<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    private final LeadershipLostListener onOver;
+    private final Map<String, ReplicaConnection> links = new LinkedHashMap<>();
+    private final Deque<DeferredEffect> waiting = new ArrayDeque<>();
     /** What each holder has said that it has, in this term: it is told so, should its folder be an older one by then. */
     private final Map<String, Long> had = new LinkedHashMap<>();
 
@@ -101,17 +104,17 @@
     private boolean patienceDue;
     private boolean closed;
     /** The line of changes that was encoded last: holders that are equally far get the same. */
-    private Encoded encoded = new Encoded(-1, -1, -1, new byte[0]);
+    private EncodedBatch encoded = new EncodedBatch(-1, -1, -1, new byte[0]);
 
     private long late;
 
-    Copying(
+    JournalReplicator(
             EventLoop loop,
             String self,
             String estate,
             Journal journal,
             Map<String, InetSocketAddress> peers,
-            Over onOver) {
+            LeadershipLostListener onOver) {
         this.loop = loop;
         this.self = self;
         this.estate = estate;
@@ -124,7 +127,7 @@
     /** The term is this daemon's; false where that cannot be written. */
     boolean begin(long term, LogPosition at, ReplicaSet group) {
         tenure = new LeaderTerm(self, term, at.number(), group);
-        if (!journal.holders(EstateLine.group(estate, group))) {
+        if (!journal.holders(ReplicationMessages.group(estate, group))) {
             tenure = null;
             return false;
         }
@@ -134,7 +137,7 @@
 
     /** A change of the group, one more or one less; not before the last one is agreed on. */
     boolean regroup(ReplicaSet next) {
-        if (tenure == null || !tenure.settled() || !journal.holders(EstateLine.group(estate, next))) {
+        if (tenure == null || !tenure.settled() || !journal.holders(ReplicationMessages.group(estate, next))) {
             return false;
         }
         List<String> before = tenure.group().holders();
@@ -145,10 +148,10 @@
         List.copyOf(links.keySet()).stream()
                 .filter(name -> !next.holders().contains(name))
                 .forEach(name -> {
-                    Link link = links.remove(name);
+                    ReplicaConnection link = links.remove(name);
                     had.remove(name);
                     // It need not keep what will never be whole again.
-                    link.say(EstateLine.of("LEAVE", self, estate, tenure.term()));
+                    link.say(ReplicationMessages.of("LEAVE", self, estate, tenure.term()));
                     link.close();
                 });
         release();
@@ -172,7 +175,8 @@
 
     private void link(String name) {
         if (!name.equals(self) && peers.containsKey(name) && !links.containsKey(name)) {
-            Link link = new Link(name, new Pauses(PAUSE_LEAST_MS, PAUSE_MS, PAUSE_MOST_MS, (estate + name).hashCode()));
+            ReplicaConnection link = new ReplicaConnection(
+                    name, new Backoff(PAUSE_LEAST_MS, PAUSE_MS, PAUSE_MOST_MS, (estate + name).hashCode()));
             links.put(name, link);
             link.connect();
         }
@@ -211,14 +215,14 @@
     /** Tells the holders that nothing is owed any more. */
     void done() {
         if (tenure != null) {
-            links.values().forEach(link -> link.say(EstateLine.of("DONE", self, estate, tenure.term())));
+            links.values().forEach(link -> link.say(ReplicationMessages.of("DONE", self, estate, tenure.term())));
         }
     }
 
     /** Tells the holders that this process ends, and that the next one is back on its folder within so long. */
     void away(long millis) {
         if (tenure != null) {
-            JsonObject line = EstateLine.of("AWAY", self, estate, tenure.term());
+            JsonObject line = ReplicationMessages.of("AWAY", self, estate, tenure.term());
             line.addProperty("back_ms", millis);
             links.values().forEach(link -> link.say(line));
         }
@@ -231,10 +235,10 @@
         }
     }
 
-    void close() {
+    public void close() {
         closed = true;
         steps.cancel(false);
-        List.copyOf(links.values()).forEach(Link::close);
+        List.copyOf(links.values()).forEach(ReplicaConnection::close);
         links.clear();
     }
 
@@ -244,14 +248,14 @@
     public byte[] place() {
         return tenure == null || tenure.over()
                 ? null
-                : EstateLine.place(new LogPosition(tenure.term(), tenure.last() + 1));
+                : ReplicationMessages.place(new LogPosition(tenure.term(), tenure.last() + 1));
     }
 
     @Override
     public void wrote(Batch batch) {
         tenure.wrote();
         if (!links.isEmpty()) {
-            String change = EstateLine.encoded(batch);
+            String change = ReplicationMessages.encoded(batch);
             links.values().forEach(link -> link.add(change));
             if (!lazyDue) {
                 lazyDue = true;
@@ -266,7 +270,7 @@
         if (waiting.isEmpty() && tenure != null && !tenure.over() && reached >= number) {
             effect.run();
         } else {
-            waiting.add(new Waiting(number, effect, failed, System.nanoTime()));
+            waiting.add(new DeferredEffect(number, effect, failed, System.nanoTime()));
             if (!flushDue && !links.isEmpty()) {
                 flushDue = true;
                 long rest = flushedAt + SPACING_NANOS - System.nanoTime();
@@ -294,15 +298,15 @@
         long now = System.nanoTime();
         flushedAt = now;
         int wanted = tenure == null ? 0 : tenure.group().holders().size() / 2;
-        List<Link> prompt = links.values().stream()
+        List<ReplicaConnection> prompt = links.values().stream()
                 .filter(link -> link.prompt(now))
                 .limit(wanted)
                 .toList();
-        (prompt.size() < wanted ? List.copyOf(links.values()) : prompt).forEach(Link::pump);
+        (prompt.size() < wanted ? List.copyOf(links.values()) : prompt).forEach(ReplicaConnection::pump);
     }
 
     private void flushAll() {
-        List.copyOf(links.values()).forEach(Link::pump);
+        List.copyOf(links.values()).forEach(ReplicaConnection::pump);
     }
 
     private void flushLazily() {
@@ -337,8 +341,8 @@
         long now = System.nanoTime();
         long next = Long.MAX_VALUE;
         List<Runnable> failed = new ArrayList<>();
-        for (Iterator<Waiting> each = waiting.iterator(); each.hasNext(); ) {
-            Waiting w = each.next();
+        for (Iterator<DeferredEffect> each = waiting.iterator(); each.hasNext(); ) {
+            DeferredEffect w = each.next();
             if (now - w.since() < PATIENCE_NANOS) {
                 next = w.since() + PATIENCE_NANOS - now;
                 break;
@@ -357,10 +361,10 @@
     }
 
     /** The connection to one holder. */
-    private final class Link extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class ReplicaConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final String holder;
         /** Of its connections and of the wholes that it asks for: short again once it has said that it has all. */
-        private final Pauses pauses;
+        private final Backoff pauses;
 
         private final Deque<String> pending = new ArrayDeque<>();
         private long pendingBytes;
@@ -382,7 +386,7 @@
         private boolean fresh;
         private Channel channel;
 
-        Link(String holder, Pauses pauses) {
+        ReplicaConnection(String holder, Backoff pauses) {
             this.holder = holder;
             this.pauses = pauses;
         }
@@ -396,7 +400,8 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel fresh) {
-                            fresh.pipeline().addLast(new LineBasedFrameDecoder(1 << 12, true, true), Link.this);
+                            fresh.pipeline()
+                                    .addLast(new LineBasedFrameDecoder(1 << 12, true, true), ReplicaConnection.this);
                         }
                     })
                     .connect(peers.get(holder))
@@ -415,7 +420,7 @@
         /** The connection is gone: another takes its place, and begins with the whole. */
         private void anew() {
             if (!closed && links.get(holder) == this) {
-                Link next = new Link(holder, pauses);
+                ReplicaConnection next = new ReplicaConnection(holder, pauses);
                 links.put(holder, next);
                 next.connect();
             }
@@ -489,7 +494,7 @@
                 while (whole != null && pending.isEmpty() && whole.hasNext() && bytes < LINE_BYTES / 2) {
                     Batch part = whole.next().get();
                     if (!part.isEmpty()) {
-                        String next = EstateLine.encoded(part);
+                        String next = ReplicationMessages.encoded(part);
                         bytes += next.length();
                         some.add(next);
                     }
@@ -499,7 +504,7 @@
                     continue;
                 }
                 boolean last = pending.isEmpty() && !whole.hasNext();
-                JsonObject line = EstateLine.of("WHOLE", self, estate, tenure.term());
+                JsonObject line = ReplicationMessages.of("WHOLE", self, estate, tenure.term());
                 line.addProperty("first", first);
                 line.addProperty("last", last);
                 if (first) {
@@ -508,7 +513,7 @@
                 if (last) {
                     sent = tenure.last();
                     line.addProperty("upto", sent);
-                    some.add(EstateLine.encoded(journal.placed()));
+                    some.add(ReplicationMessages.encoded(journal.placed()));
                     whole = null;
                 }
                 first = false;
@@ -521,14 +526,14 @@
             long version = tenure.group().version();
             boolean news = told != version;
             if (encoded.behind() != sent || encoded.upTo() != upTo || encoded.version() != (news ? version : -1)) {
-                JsonObject line = EstateLine.of("COPY", self, estate, tenure.term());
+                JsonObject line = ReplicationMessages.of("COPY", self, estate, tenure.term());
                 line.addProperty("behind", sent);
                 line.addProperty("upto", upTo);
-                EstateLine.add(line, some);
+                ReplicationMessages.add(line, some);
                 if (news) {
-                    EstateLine.add(line, tenure.group());
+                    ReplicationMessages.add(line, tenure.group());
                 }
-                encoded = new Encoded(sent, upTo, news ? version : -1, PeerLine.utf8(line));
+                encoded = new EncodedBatch(sent, upTo, news ? version : -1, PeerMessageCodec.utf8(line));
             }
             told = version;
             sent = upTo;
@@ -538,11 +543,11 @@
         }
 
         private void write(JsonObject line, List<String> some) {
-            EstateLine.add(line, some);
-            EstateLine.add(line, tenure.group());
+            ReplicationMessages.add(line, some);
+            ReplicationMessages.add(line, tenure.group());
             told = tenure.group().version();
             spokeAt = System.nanoTime();
-            channel.writeAndFlush(PeerLine.bytes(line));
+            channel.writeAndFlush(PeerMessageCodec.bytes(line));
         }
 
         /** Whether it counts, has all that was sent but for the last moment, and so will answer soon. */
@@ -610,7 +615,7 @@
 
         void say(JsonObject line) {
             if (channel != null && channel.isActive()) {
-                channel.writeAndFlush(PeerLine.bytes(line));
+                channel.writeAndFlush(PeerMessageCodec.bytes(line));
             }
         }
 
--- a/sender/src/main/java/amberroute/sender/FleetLoad.java
+++ b/sender/src/main/java/amberroute/sender/peer/LoadReportTransport.java
@@ -1,9 +1,11 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.overload.AdmissionPrice;
 import amberroute.overload.FleetAdmissionControl;
 import amberroute.overload.LoadReport;
+import amberroute.sender.admin.ControlSocket;
+import amberroute.sender.util.Log;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import io.netty.buffer.Unpooled;
@@ -24,7 +26,7 @@
  * prices that follow. What they mean is decided in {@code overload}. A digest is taken from a configured peer's address only;
  * what cannot be read is dropped without a word. Lives on the event loop.
  */
-final class FleetLoad {
+public final class LoadReportTransport {
     private final EventLoop loop;
     private final Map<String, InetSocketAddress> peers;
     private final LongSupplier clock;
@@ -38,7 +40,7 @@
     private Channel channel;
 
     /** {@code clock} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one; {@code waiting} tells what is held for a destination. */
-    FleetLoad(
+    public LoadReportTransport(
             EventLoop loop,
             String name,
             Map<String, InetSocketAddress> peers,
@@ -65,7 +67,7 @@
     }
 
     /** Begins to tell, and to compute prices. */
-    void begin(Channel shared) {
+    public void begin(Channel shared) {
         channel = shared;
         loop.scheduleWithFixedDelay(
                 () -> Log.guarded("prices", this::round), 0, FleetAdmissionControl.ROUND, TimeUnit.MICROSECONDS);
@@ -97,7 +99,7 @@
     }
 
     /** A datagram that is no heartbeat. */
-    void heard(DatagramPacket packet) {
+    public void heard(DatagramPacket packet) {
         LoadReport digest = LoadReport.read(packet.content().nioBuffer());
         if (digest != null && packet.sender().equals(peers.get(digest.from()))) {
             FleetAdmissionControl.OutgoingReport answer = overload.heard(clock.getAsLong(), digest);
@@ -108,12 +110,12 @@
     }
 
     /** Somebody came with a message of this worth. */
-    void asked(int destination, double worth) {
+    public void asked(int destination, double worth) {
         overload.asked(clock.getAsLong(), destination, worth);
     }
 
     /** What became of a call's message. */
-    void ended(int destination, DeliveryScheduler.AttemptOutcome ending) {
+    public void ended(int destination, DeliveryScheduler.AttemptOutcome ending) {
         if (ending == DeliveryScheduler.AttemptOutcome.OK) {
             overload.served(clock.getAsLong(), destination);
         } else if (ending == DeliveryScheduler.AttemptOutcome.FULL) {
@@ -122,8 +124,8 @@
     }
 
     /** For operators, as of the last round. */
-    JsonObject show() {
-        JsonObject answer = Control.answer(true, null);
+    public JsonObject show() {
+        JsonObject answer = ControlSocket.answer(true, null);
         answer.addProperty("heard_of", overload.heardOf(clock.getAsLong()));
         answer.addProperty("peers", peers.size());
         JsonArray rows = new JsonArray();
@@ -148,7 +150,7 @@
         return answer;
     }
 
-    void close() {
+    public void close() {
         if (channel != null) {
             channel.close();
         }
--- a/sender/src/main/java/amberroute/sender/PeerLine.java
+++ b/sender/src/main/java/amberroute/sender/peer/PeerMessageCodec.java
@@ -1,8 +1,12 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.handoff.HandoffMessage;
 import amberroute.handoff.KeyHoldAnnouncement;
 import amberroute.handoff.KeyHolds;
+import amberroute.sender.Sender;
+import amberroute.sender.client.RespDecoder;
+import amberroute.sender.client.SubmitCommand;
+import amberroute.sender.message.AcceptedMessage;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -20,20 +24,20 @@
  * Words between daemons as lines of JSON. What is read is held to the same bounds as what clients say, since it goes the
  * same ways; anything else ends in an exception, which closes the connection.
  */
-final class PeerLine {
+public final class PeerMessageCodec {
     /** Origins that hold one key: as many as there may be daemons. */
     private static final int MOST_NAMES = 4_096;
 
     private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9._-]{1,128}");
 
-    private PeerLine() {}
+    private PeerMessageCodec() {}
 
     static ByteBuf bytes(JsonObject line) {
         return Unpooled.wrappedBuffer(utf8(line));
     }
 
     /** As it travels. */
-    static byte[] utf8(JsonObject line) {
+    public static byte[] utf8(JsonObject line) {
         return (line + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
@@ -144,15 +148,15 @@
         return word;
     }
 
-    static void add(JsonObject line, List<Held> messages, JsonObject classes) {
+    static void add(JsonObject line, List<AcceptedMessage> messages, JsonObject classes) {
         JsonArray list = new JsonArray();
         messages.forEach(m -> list.add(write(m)));
         line.add("messages", list);
         line.add("classes", classes);
     }
 
-    static List<Held> messages(JsonObject line, LongSupplier numbers) {
-        List<Held> messages = new ArrayList<>();
+    static List<AcceptedMessage> messages(JsonObject line, LongSupplier numbers) {
+        List<AcceptedMessage> messages = new ArrayList<>();
         for (JsonElement item : line.getAsJsonArray("messages")) {
             messages.add(read(item.getAsJsonObject(), numbers.getAsLong()));
         }
@@ -160,7 +164,7 @@
     }
 
     /** All that the rules need; times as wall time, as in the journal. */
-    private static JsonObject write(Held m) {
+    private static JsonObject write(AcceptedMessage m) {
         JsonObject json = new JsonObject();
         json.addProperty("id", m.id);
         json.addProperty("idempotency_key", m.idempotencyKey);
@@ -175,8 +179,8 @@
         return json;
     }
 
-    private static Held read(JsonObject json, long number) {
-        Held m = new Held(
+    private static AcceptedMessage read(JsonObject json, long number) {
+        AcceptedMessage m = new AcceptedMessage(
                 number,
                 json.get("id").getAsString(),
                 json.get("idempotency_key").getAsString(),
@@ -193,7 +197,7 @@
                 && SubmitCommand.printable(m.id)
                 && SubmitCommand.printable(m.idempotencyKey)
                 && m.doubtAt.length() <= 128
-                && m.body.length <= Resp.LARGEST_VALUE
+                && m.body.length <= RespDecoder.LARGEST_VALUE
                 && m.attempts >= 0
                 && m.doubtSince >= 0
                 && m.deadline >= 0
--- a/sender/src/main/java/amberroute/sender/PeerSocket.java
+++ b/sender/src/main/java/amberroute/sender/peer/PeerSocket.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.membership.Heartbeat;
 import io.netty.bootstrap.Bootstrap;
@@ -14,14 +14,14 @@
 import java.util.function.Consumer;
 
 /** Binds the UDP socket on which daemons hear their peers; what is longer than any of theirs is passed over. */
-final class PeerSocket {
+public final class PeerSocket {
     /** Datagrams that are read in one pass of the loop at most, so that a flood does not hold it up. */
     private static final int MOST_READ = 64;
 
     private PeerSocket() {}
 
     /** {@code reader} gets each datagram on the event loop, for the time of the call. */
-    static Channel bind(EventLoop loop, InetSocketAddress address, Consumer<DatagramPacket> reader)
+    public static Channel bind(EventLoop loop, InetSocketAddress address, Consumer<DatagramPacket> reader)
             throws InterruptedException {
         return new Bootstrap()
                 .group(loop)
--- a/sender/src/main/java/amberroute/sender/EstateStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -1,8 +1,10 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.util.Log;
 import amberroute.storage.Batch;
 import amberroute.storage.FolderDisk;
 import amberroute.storage.SegmentLog;
@@ -27,7 +29,7 @@
  *
  * <p>At most {@value #MOST} estates, each copy within the budget of a journal. Not thread-safe: lives on the event loop.
  */
-final class EstateStore {
+public final class ReplicaStore {
     private static final int MOST = 1_024;
     private static final String FILE = "holding";
     private static final long SLICE = 64 << 10;
@@ -35,8 +37,8 @@
     private static final long LONG_AGO_NANOS = 60_000_000_000L;
 
     /** One estate. */
-    static final class Kept {
-        final String estate;
+    public static final class StoredReplica {
+        public final String estate;
         final Path folder;
         ReplicaState holding = ReplicaState.NONE;
         /** As the copy names it; null where there is none. */
@@ -63,7 +65,7 @@
         /** Monotonic nanoseconds before which it is not tried for again. */
         long pausedUntil = System.nanoTime();
 
-        Kept(String estate, Path folder) {
+        StoredReplica(String estate, Path folder) {
             this.estate = estate;
             this.folder = folder;
         }
@@ -81,15 +83,15 @@
     private final Path folder;
     private final long budget;
     private final int most;
-    private final Map<String, Kept> all = new LinkedHashMap<>();
+    private final Map<String, StoredReplica> all = new LinkedHashMap<>();
     private long staged;
 
-    EstateStore(Path folder, long budget) throws IOException {
+    public ReplicaStore(Path folder, long budget) throws IOException {
         this(folder, budget, MOST);
     }
 
     /** For so many estates at most. */
-    EstateStore(Path folder, long budget, int most) throws IOException {
+    ReplicaStore(Path folder, long budget, int most) throws IOException {
         this.most = most;
         this.folder = folder;
         this.budget = budget;
@@ -103,7 +105,7 @@
 
     /** A folder whose file cannot be read holds nothing: it is no holder until it has the whole again. */
     private void read(Path each) throws IOException {
-        Kept kept = new Kept(each.getFileName().toString(), each);
+        StoredReplica kept = new StoredReplica(each.getFileName().toString(), each);
         if (!kept.estate.matches("[A-Za-z0-9._-]{1,96}") || kept.estate.lastIndexOf('.') < 1) {
             return;
         }
@@ -136,9 +138,9 @@
     }
 
     /** Reads how far the copy reaches; one that is damaged is none. */
-    private void openCopy(Kept kept) {
+    private void openCopy(StoredReplica kept) {
         try {
-            kept.log = SegmentLog.open(new FolderDisk(kept.copyFolder()), limits(), EstateStore::salt);
+            kept.log = SegmentLog.open(new FolderDisk(kept.copyFolder()), limits(), ReplicaStore::salt);
             byte[][] found = new byte[2][];
             kept.log.read((owner, kind, version, content) -> {
                 if (kind == Journal.PLACE || kind == Journal.GROUP) {
@@ -148,8 +150,8 @@
             if (!kept.log.losses().isEmpty() || found[0] == null || found[1] == null) {
                 throw new IOException("it is damaged");
             }
-            kept.group = EstateLine.group(found[1]);
-            kept.holding = kept.holding.reaching(EstateLine.place(found[0]));
+            kept.group = ReplicationMessages.group(found[1]);
+            kept.holding = kept.holding.reaching(ReplicationMessages.place(found[0]));
         } catch (IOException | RuntimeException e) {
             Log.warn("survival: the copy of " + kept.estate + " counts for nothing until it is made anew: "
                     + e.getMessage());
@@ -171,7 +173,7 @@
         return System.nanoTime() * 0x9e3779b97f4a7c15L;
     }
 
-    private void dropCopy(Kept kept) {
+    private void dropCopy(StoredReplica kept) {
         close(kept.log);
         kept.log = null;
         kept.copy = "";
@@ -190,18 +192,18 @@
         }
     }
 
-    Map<String, Kept> all() {
+    Map<String, StoredReplica> all() {
         return all;
     }
 
     /** What is known of an estate; null where there is no room for one more. */
-    Kept of(String estate) {
-        Kept kept = all.get(estate);
+    public StoredReplica of(String estate) {
+        StoredReplica kept = all.get(estate);
         if (kept == null && all.size() >= most) {
             forgetOldest();
         }
         if (kept == null && all.size() < most) {
-            kept = new Kept(estate, folder.resolve(estate));
+            kept = new StoredReplica(estate, folder.resolve(estate));
             kept.heardAt -= LONG_AGO_NANOS;
             all.put(estate, kept);
         }
@@ -210,7 +212,8 @@
 
     /** Of those that are done the one known longest: what it owed is long past its time. */
     private void forgetOldest() {
-        Kept oldest = all.values().stream().filter(k -> k.done).findFirst().orElse(null);
+        StoredReplica oldest =
+                all.values().stream().filter(k -> k.done).findFirst().orElse(null);
         if (oldest != null) {
             try {
                 delete(oldest.folder);
@@ -222,7 +225,7 @@
     }
 
     /** Has the term on disk; false where it cannot be written, and nothing has changed. */
-    boolean promise(Kept kept, ReplicaState next) {
+    public boolean promise(StoredReplica kept, ReplicaState next) {
         boolean same = next.term() == kept.holding.term()
                 && next.owner().equals(kept.holding.owner())
                 && next.fresh() == kept.holding.fresh();
@@ -233,7 +236,7 @@
         return false;
     }
 
-    private boolean write(Kept kept, ReplicaState holding, String copy) {
+    private boolean write(StoredReplica kept, ReplicaState holding, String copy) {
         JsonObject json = new JsonObject();
         json.addProperty("term", holding.term());
         json.addProperty("owner", holding.owner());
@@ -257,7 +260,7 @@
     }
 
     /** Takes part of a whole; false where it cannot be kept, and the whole has to begin anew. */
-    boolean part(Kept kept, boolean first, long term, List<Batch> batches, Object from) {
+    boolean part(StoredReplica kept, boolean first, long term, List<Batch> batches, Object from) {
         try {
             if (first) {
                 close(kept.stagingLog);
@@ -266,7 +269,7 @@
                 sweep(kept);
                 kept.staging = kept.folder.resolve("copy-" + term + "-" + System.currentTimeMillis() + "-" + ++staged);
                 Files.createDirectories(kept.staging);
-                kept.stagingLog = SegmentLog.open(new FolderDisk(kept.staging), limits(), EstateStore::salt);
+                kept.stagingLog = SegmentLog.open(new FolderDisk(kept.staging), limits(), ReplicaStore::salt);
                 kept.stagingTerm = term;
                 kept.stagingFrom = from;
             }
@@ -282,7 +285,7 @@
     }
 
     /** The whole is all there: it takes the place of the copy that was. */
-    boolean whole(Kept kept, ReplicaState next) {
+    boolean whole(StoredReplica kept, ReplicaState next) {
         if (!write(kept, next, kept.staging.getFileName().toString())) {
             return false;
         }
@@ -298,7 +301,7 @@
     }
 
     /** Changes that follow what is there; false where they could not be written, and the copy counts for what it had. */
-    boolean changes(Kept kept, ReplicaState next, List<Batch> batches) {
+    boolean changes(StoredReplica kept, ReplicaState next, List<Batch> batches) {
         if (kept.log == null || !promise(kept, next.reaching(kept.holding.copy()))) {
             return false;
         }
@@ -325,7 +328,7 @@
     }
 
     /** Hands the copy's folder to a journal; null where there is none. */
-    Path lend(Kept kept) {
+    Path lend(StoredReplica kept) {
         close(kept.log);
         kept.log = null;
         kept.open = true;
@@ -333,7 +336,7 @@
     }
 
     /** The journal that had the folder is closed. */
-    void takeBack(Kept kept) {
+    void takeBack(StoredReplica kept) {
         kept.open = false;
         if (!kept.done) {
             openCopy(kept);
@@ -341,7 +344,7 @@
     }
 
     /** This daemon is no holder of it any more; the term that it promised stays, and counts for nothing. */
-    void drop(Kept kept) {
+    void drop(StoredReplica kept) {
         dropCopy(kept);
         kept.group = null;
         write(kept, kept.holding, "");
@@ -349,7 +352,7 @@
     }
 
     /** Nothing is owed of it any more. */
-    void finish(Kept kept) {
+    void finish(StoredReplica kept) {
         close(kept.log);
         kept.log = null;
         kept.done = true;
@@ -360,7 +363,7 @@
     }
 
     /** Removes what is no copy any more. */
-    private void sweep(Kept kept) {
+    private void sweep(StoredReplica kept) {
         if (!Files.isDirectory(kept.folder)) {
             return;
         }
@@ -385,7 +388,7 @@
         }
     }
 
-    void close() {
+    public void close() {
         all.values().forEach(kept -> {
             close(kept.log);
             close(kept.stagingLog);
--- a/sender/src/main/java/amberroute/sender/Survival.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationCoordinator.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.membership.MembershipView;
 import amberroute.membership.SwimMembership;
@@ -9,6 +9,10 @@
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaSetChange;
 import amberroute.replication.ReplicaState;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.config.StandaloneConfig;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.util.Log;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -40,7 +44,7 @@
  * counted and had is decided in {@code survival}; here are the words, the order of record and answer, and when to try.
  * Lives on the event loop.
  */
-final class Survival implements HandOver.Estates {
+public final class ReplicationCoordinator implements HandoffCoordinator.ReplicationRequests {
     private static final long STEP_MS = 50;
     private static final Set<String> WORDS = Set.of("CLAIM", "COPY", "WHOLE", "DONE", "AWAY", "LEAVE");
     /** A planned restart is waited for no longer than this. */
@@ -67,22 +71,22 @@
     private static final long CHOOSE_NANOS = 2_000_000_000L;
 
     /** What the sender does for it. */
-    interface Host {
+    public interface Host {
         /** This daemon's own estate is another's: nothing of it may have an effect from here. */
         void fenced(String why);
 
         /** Goes on with an estate, whose copy is in this folder, under a term that was won; not on the event loop. */
-        Caretaker takeOver(EstateStore.Kept kept, Path folder, long term) throws IOException;
+        Failover takeOver(ReplicaStore.StoredReplica kept, Path folder, long term) throws IOException;
 
         /** How long a client may ask for a message of a class at most, in milliseconds. */
         long longestLife();
     }
 
     /** An estate that goes on here. */
-    interface Caretaker {
+    public interface Failover {
         Journal journal();
 
-        Copying copying();
+        JournalReplicator copying();
 
         /** Whether nothing of it is owed any more. */
         boolean idle();
@@ -95,7 +99,7 @@
     }
 
     private final class Attempt {
-        final EstateStore.Kept kept;
+        final ReplicaStore.StoredReplica kept;
         final long since = System.nanoTime();
         /** First it is only asked whether it could be won, which changes nothing anywhere. */
         boolean trying = true;
@@ -109,20 +113,20 @@
         /** Somebody knows of an earlier estate of this daemon whose keys it does not hold back yet. */
         boolean former;
 
-        Attempt(EstateStore.Kept kept, Candidacy claim) {
+        Attempt(ReplicaStore.StoredReplica kept, Candidacy claim) {
             this.kept = kept;
             this.claim = claim;
         }
     }
 
-    private static final class Care {
+    private static final class RunningFailover {
         final ReplicaSetChange regrouping;
-        Caretaker taker;
+        Failover taker;
         long idleSince = -1;
         int taken;
         final long took = System.nanoTime();
 
-        Care(ReplicaSetChange regrouping) {
+        RunningFailover(ReplicaSetChange regrouping) {
             this.regrouping = regrouping;
         }
     }
@@ -134,19 +138,20 @@
     private final long replaceNanos;
     private final ReplicaSetChange regrouping;
     private final Host host;
-    private final EstateStore store;
-    private final PeerProbes probes;
+    private final ReplicaStore store;
+    private final SwimTransport probes;
     private final SplittableRandom random = new SplittableRandom();
-    private final EstateStore.Kept own;
-    private final Copying copying;
+    private final ReplicaStore.StoredReplica own;
+    private final JournalReplicator copying;
     private final Map<String, Attempt> attempts = new LinkedHashMap<>();
-    private final Map<String, Care> cares = new LinkedHashMap<>();
+    private final Map<String, RunningFailover> cares = new LinkedHashMap<>();
     private final long started = System.nanoTime();
     private final boolean newborn;
     private ReplicaSet chosen;
     private boolean over;
 
-    Survival(EventLoop loop, Config config, Journal journal, PeerProbes probes, Host host) throws IOException {
+    public ReplicationCoordinator(EventLoop loop, SenderConfig config, Journal journal, SwimTransport probes, Host host)
+            throws IOException {
         StandaloneConfig.Standalone alone = config.standalone();
         this.loop = loop;
         self = config.name();
@@ -157,10 +162,10 @@
         regrouping = new ReplicaSetChange(self, copies, replaceNanos);
         this.host = host;
         this.probes = probes;
-        store = new EstateStore(config.state().resolve("copies"), config.diskBytes());
+        store = new ReplicaStore(config.state().resolve("copies"), config.diskBytes());
         String estate = journal.holders() == null
                 ? self + "." + Long.toString(System.currentTimeMillis(), 36)
-                : EstateLine.estate(journal.holders());
+                : ReplicationMessages.estate(journal.holders());
         own = store.of(estate);
         if (own == null) {
             throw new IOException(
@@ -168,14 +173,14 @@
         }
         own.open = true;
         newborn = journal.holders() == null;
-        chosen = newborn ? null : EstateLine.group(journal.holders());
-        own.holding = own.holding.reaching(EstateLine.place(journal.place()));
-        copying = new Copying(loop, self, estate, journal, peers, (term, owner) -> lose(own, term, owner));
+        chosen = newborn ? null : ReplicationMessages.group(journal.holders());
+        own.holding = own.holding.reaching(ReplicationMessages.place(journal.place()));
+        copying = new JournalReplicator(loop, self, estate, journal, peers, (term, owner) -> lose(own, term, owner));
         journal.copyTo(copying);
     }
 
     /** Begins to try for what is this daemon's, and to look at others'. */
-    void start() {
+    public void start() {
         // A step that ends in an exception would be the last one.
         loop.scheduleWithFixedDelay(() -> Log.guarded("survival", this::step), 0, STEP_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
@@ -183,17 +188,17 @@
     }
 
     /** Whether what is taken on now is copied in time. */
-    boolean ready() {
+    public boolean ready() {
         return copying.ready();
     }
 
     /** This process ends for a restart, and the next one is back within so long. */
-    void away(long millis) {
+    public void away(long millis) {
         copying.away(millis);
     }
 
     /** The journal of an estate that goes on here and knows this id; null where none does. */
-    Journal knowing(String id) {
+    public Journal knowing(String id) {
         return cares.values().stream()
                 .filter(c -> c.taker != null && c.taker.journal().knows(id))
                 .map(c -> c.taker.journal())
@@ -201,25 +206,25 @@
                 .orElse(null);
     }
 
-    private Copying copying(EstateStore.Kept kept) {
-        Care care = cares.get(kept.estate);
+    private JournalReplicator copying(ReplicaStore.StoredReplica kept) {
+        RunningFailover care = cares.get(kept.estate);
         return kept == own ? copying : care == null || care.taker == null ? null : care.taker.copying();
     }
 
     /** With how far the record has come, which a running journal knows better than its file. */
-    private ReplicaState now(EstateStore.Kept kept) {
-        Copying running = copying(kept);
+    private ReplicaState now(ReplicaStore.StoredReplica kept) {
+        JournalReplicator running = copying(kept);
         LogPosition at = running == null ? null : running.at();
         return at == null || kept.done ? kept.holding : kept.holding.reaching(at);
     }
 
-    private boolean hears(EstateStore.Kept kept) {
-        Care care = cares.get(kept.estate);
+    private boolean hears(ReplicaStore.StoredReplica kept) {
+        RunningFailover care = cares.get(kept.estate);
         if (care != null && System.nanoTime() - care.took < CLAIM_NANOS) {
             // It was won here just now, and its holders are being told.
             return true;
         }
-        Copying running = copying(kept);
+        JournalReplicator running = copying(kept);
         return running != null ? running.ready() : System.nanoTime() - kept.heardAt < SILENT_NANOS;
     }
 
@@ -238,8 +243,9 @@
         if (!WORDS.contains(word)) {
             return false;
         }
-        String estate = PeerLine.plain(line.get("estate").getAsString());
-        EstateStore.Kept kept = peers.containsKey(from) && estate.lastIndexOf('.') > 0 ? store.of(estate) : null;
+        String estate = PeerMessageCodec.plain(line.get("estate").getAsString());
+        ReplicaStore.StoredReplica kept =
+                peers.containsKey(from) && estate.lastIndexOf('.') > 0 ? store.of(estate) : null;
         if (kept == null) {
             return true;
         }
@@ -247,9 +253,9 @@
         if (word.equals("CLAIM")) {
             claimed(context, line, from, kept, term);
         } else if (kept.done || now(kept).over(term, from)) {
-            JsonObject answer = EstateLine.of("OVER", self, estate, Math.max(term, kept.holding.term()));
+            JsonObject answer = ReplicationMessages.of("OVER", self, estate, Math.max(term, kept.holding.term()));
             answer.addProperty("owner", kept.holding.owner());
-            context.writeAndFlush(PeerLine.bytes(answer));
+            context.writeAndFlush(PeerMessageCodec.bytes(answer));
         } else {
             kept.heardAt = System.nanoTime();
             attempts.remove(kept.estate);
@@ -276,20 +282,20 @@
                 }
                 default -> {}
             }
-            JsonObject answer = EstateLine.of(
+            JsonObject answer = ReplicationMessages.of(
                     copied(line, from, kept, term, context.channel()) ? "HAVE" : "LACKS", self, estate, term);
             answer.addProperty("number", kept.holding.copy().number());
             answer.addProperty("counts", kept.holding.counts());
             if (!word.equals("WHOLE")
                     || line.get("last").getAsBoolean()
                     || answer.get("word").getAsString().equals("LACKS")) {
-                context.writeAndFlush(PeerLine.bytes(answer));
+                context.writeAndFlush(PeerMessageCodec.bytes(answer));
             }
         }
         return true;
     }
 
-    private boolean copied(JsonObject line, String from, EstateStore.Kept kept, long term, Channel on) {
+    private boolean copied(JsonObject line, String from, ReplicaStore.StoredReplica kept, long term, Channel on) {
         if (line.has("had")) {
             ReplicaState reminded =
                     kept.holding.reminded(term, from, line.get("had").getAsLong());
@@ -302,11 +308,11 @@
             }
         }
         if (line.get("word").getAsString().equals("WHOLE")) {
-            if (!store.part(kept, line.get("first").getAsBoolean(), term, EstateLine.batches(line), on)) {
+            if (!store.part(kept, line.get("first").getAsBoolean(), term, ReplicationMessages.batches(line), on)) {
                 return false;
             }
             if (line.get("last").getAsBoolean()) {
-                kept.group = EstateLine.group(line);
+                kept.group = ReplicationMessages.group(line);
                 boolean named = kept.group.holders().contains(self);
                 return store.whole(
                         kept,
@@ -322,16 +328,18 @@
             return false;
         }
         if (line.has("holders")) {
-            kept.group = EstateLine.group(line);
+            kept.group = ReplicationMessages.group(line);
         }
         ReplicaState next = kept.holding
                 .copied(term, from, behind, upTo)
                 .named(kept.group.holders().contains(self));
-        return upTo == behind ? store.promise(kept, next) : store.changes(kept, next, EstateLine.batches(line));
+        return upTo == behind
+                ? store.promise(kept, next)
+                : store.changes(kept, next, ReplicationMessages.batches(line));
     }
 
     private void claimed(
-            ChannelHandlerContext context, JsonObject line, String from, EstateStore.Kept kept, long term) {
+            ChannelHandlerContext context, JsonObject line, String from, ReplicaStore.StoredReplica kept, long term) {
         LogPosition theirs = new LogPosition(
                 line.get("copy_term").getAsLong(), line.get("copy_number").getAsLong());
         ReplicaState now = now(kept);
@@ -349,18 +357,18 @@
             // Whoever was granted it has time to begin.
             kept.heardAt = yes ? System.nanoTime() : kept.heardAt;
         }
-        JsonObject answer =
-                EstateLine.of(yes ? "GRANT" : "DENY", self, kept.estate, Math.max(now.term(), kept.holding.term()));
+        JsonObject answer = ReplicationMessages.of(
+                yes ? "GRANT" : "DENY", self, kept.estate, Math.max(now.term(), kept.holding.term()));
         answer.addProperty("asked", term);
         answer.addProperty("former", former);
         answer.addProperty("ahead", now.counts() && now.copy().compareTo(theirs) > 0);
-        Copying running = copying(kept);
+        JournalReplicator running = copying(kept);
         boolean lost = yes && !line.get("try").getAsBoolean() && kept.open;
         if (lost && running != null) {
             // Before it is said: from here on nothing more of it is agreed on here.
             running.end();
         }
-        context.writeAndFlush(PeerLine.bytes(answer)).addListener(sent -> {
+        context.writeAndFlush(PeerMessageCodec.bytes(answer)).addListener(sent -> {
             if (lost) {
                 lose(kept, term, from);
             }
@@ -372,10 +380,10 @@
      * daemon does not hold back: until it does, nothing new of them may be taken on where clients know them to be. What
      * nobody has spoken of for longer than a message lives has no key that matters.
      */
-    private boolean formerOpen(EstateStore.Kept fresh, String origin) {
+    private boolean formerOpen(ReplicaStore.StoredReplica fresh, String origin) {
         long now = System.nanoTime();
         boolean open = false;
-        for (EstateStore.Kept kept : store.all().values()) {
+        for (ReplicaStore.StoredReplica kept : store.all().values()) {
             if (kept == fresh
                     || kept.done
                     || !kept.origin().equals(origin)
@@ -384,7 +392,7 @@
                 continue;
             }
             if (kept.open) {
-                Care care = cares.get(kept.estate);
+                RunningFailover care = cares.get(kept.estate);
                 open |= care == null || care.taker == null || !care.taker.heldBy(origin);
             } else if (kept.holding.owner().equals(origin)) {
                 // It says itself that it has it no more: nobody need wait until that is noticed.
@@ -399,13 +407,13 @@
     }
 
     /** Somebody else has a later term, which is kept: what was owned here is not begun again by itself. */
-    private void lose(EstateStore.Kept kept, long term, String owner) {
+    private void lose(ReplicaStore.StoredReplica kept, long term, String owner) {
         store.promise(kept, now(kept).heard(term, owner));
         lose(kept, "owned by " + owner + " in term " + term);
     }
 
-    private void lose(EstateStore.Kept kept, String why) {
-        Copying running = copying(kept);
+    private void lose(ReplicaStore.StoredReplica kept, String why) {
+        JournalReplicator running = copying(kept);
         if (running != null) {
             running.end();
         }
@@ -416,7 +424,7 @@
             }
             return;
         }
-        Care care = cares.remove(kept.estate);
+        RunningFailover care = cares.remove(kept.estate);
         if (care != null && care.taker != null) {
             Log.warn("survival: " + kept.estate + " goes on elsewhere: " + why);
             care.taker.stop();
@@ -434,7 +442,7 @@
             choose();
         }
         long now = System.nanoTime();
-        for (EstateStore.Kept kept : List.copyOf(store.all().values())) {
+        for (ReplicaStore.StoredReplica kept : List.copyOf(store.all().values())) {
             if (!attempts.containsKey(kept.estate) && wanted(kept, now)) {
                 claim(kept, true, 0);
             }
@@ -443,7 +451,7 @@
         List.copyOf(cares.entrySet()).forEach(e -> look(e.getKey(), e.getValue(), now));
     }
 
-    private boolean wanted(EstateStore.Kept kept, long now) {
+    private boolean wanted(ReplicaStore.StoredReplica kept, long now) {
         if (kept.done || now - kept.pausedUntil < 0) {
             return false;
         }
@@ -465,7 +473,7 @@
     }
 
     /** A first question to the group, or, where that was answered by a majority, the claim itself, on disk before it is said. */
-    private void claim(EstateStore.Kept kept, boolean trying, long least) {
+    private void claim(ReplicaStore.StoredReplica kept, boolean trying, long least) {
         ReplicaState now = now(kept);
         ReplicaState next = now.asked(Math.max(least, now.term() + 1), self, now.copy());
         ReplicaSet group = kept == own ? chosen : kept.group;
@@ -529,7 +537,7 @@
 
     private void ask(Attempt a) {
         a.askedAt = System.nanoTime();
-        JsonObject line = EstateLine.of("CLAIM", self, a.kept.estate, a.claim.term());
+        JsonObject line = ReplicationMessages.of("CLAIM", self, a.kept.estate, a.claim.term());
         line.addProperty("try", a.trying);
         line.addProperty("copy_term", a.claim.copy().term());
         line.addProperty("copy_number", a.claim.copy().number());
@@ -552,7 +560,7 @@
                         .connect(peers.get(holder))
                         .addListener((io.netty.channel.ChannelFuture done) -> {
                             if (done.isSuccess()) {
-                                done.channel().writeAndFlush(PeerLine.bytes(line));
+                                done.channel().writeAndFlush(PeerMessageCodec.bytes(line));
                             }
                         });
             }
@@ -592,7 +600,7 @@
     }
 
     private void won(Attempt a) {
-        EstateStore.Kept kept = a.kept;
+        ReplicaStore.StoredReplica kept = a.kept;
         if (!kept.holding.granted(a.claim.term(), self)) {
             return;
         }
@@ -603,20 +611,20 @@
             }
             return;
         }
-        Care care = new Care(new ReplicaSetChange(self, copies, replaceNanos));
+        RunningFailover care = new RunningFailover(new ReplicaSetChange(self, copies, replaceNanos));
         cares.put(kept.estate, care);
         String before = kept.holding.owner();
         Path folder = store.lend(kept);
         Log.warn("survival: takes over " + kept.estate + " in term " + a.claim.term());
         new Thread(
                         () -> {
-                            Caretaker taker = null;
+                            Failover taker = null;
                             try {
                                 taker = host.takeOver(kept, folder, a.claim.term());
                             } catch (IOException | RuntimeException e) {
                                 Log.warn("survival: cannot go on with " + kept.estate + " of " + before + ": " + e);
                             }
-                            Caretaker there = taker;
+                            Failover there = taker;
                             loop.execute(() -> {
                                 if (there == null) {
                                     cares.remove(kept.estate, care);
@@ -635,24 +643,25 @@
     }
 
     /** To be called on the event loop as soon as the journal of an estate is open, before anything of it is resumed. */
-    Copying carry(EstateStore.Kept kept, Caretaker taker, long term) throws IOException {
+    public JournalReplicator carry(ReplicaStore.StoredReplica kept, Failover taker, long term) throws IOException {
         if (!cares.containsKey(kept.estate)) {
             throw new IOException("the term is over");
         }
-        LogPosition at = EstateLine.place(taker.journal().place());
-        Copying running =
-                new Copying(loop, self, kept.estate, taker.journal(), peers, (t, owner) -> lose(kept, t, owner));
+        LogPosition at = ReplicationMessages.place(taker.journal().place());
+        JournalReplicator running = new JournalReplicator(
+                loop, self, kept.estate, taker.journal(), peers, (t, owner) -> lose(kept, t, owner));
         taker.journal().copyTo(running);
         cares.get(kept.estate).taker = taker;
         if (!kept.holding.granted(term, self)
-                || !running.begin(term, at, EstateLine.group(taker.journal().holders()))) {
+                || !running.begin(
+                        term, at, ReplicationMessages.group(taker.journal().holders()))) {
             running.close();
             throw new IOException("the term is over");
         }
         return running;
     }
 
-    private void look(String estate, Care care, long now) {
+    private void look(String estate, RunningFailover care, long now) {
         if (care.taker == null || care.taker.copying() == null) {
             return;
         }
@@ -703,7 +712,7 @@
         });
     }
 
-    private void regroup(Copying running, ReplicaSetChange decides) {
+    private void regroup(JournalReplicator running, ReplicaSetChange decides) {
         LeaderTerm tenure = running.tenure();
         if (tenure == null || !running.ready() || !tenure.settled()) {
             return;
@@ -739,9 +748,9 @@
     // ---- For operators. ----
 
     /** All estates that are known here, as the control socket tells them. */
-    JsonArray list() {
+    public JsonArray list() {
         JsonArray out = new JsonArray();
-        for (EstateStore.Kept kept : store.all().values()) {
+        for (ReplicaStore.StoredReplica kept : store.all().values()) {
             JsonObject one = new JsonObject();
             ReplicaState now = now(kept);
             one.addProperty("estate", kept.estate);
@@ -755,11 +764,11 @@
                                     ? "own"
                                     : kept.open ? "taken over" : kept.copy.isEmpty() ? "promised" : "copy");
             one.addProperty("number", kept.done ? 0 : now.copy().number());
-            Copying running = copying(kept);
+            JournalReplicator running = copying(kept);
             ReplicaSet group = running != null && running.tenure() != null
                     ? running.tenure().group()
                     : kept.group;
-            one.add("holders", PeerLine.names(group == null ? List.of() : group.holders()));
+            one.add("holders", PeerMessageCodec.names(group == null ? List.of() : group.holders()));
             if (running != null && running.tenure() != null) {
                 JsonObject behind = new JsonObject();
                 running.tenure()
@@ -770,7 +779,7 @@
                 one.addProperty("ready", running.ready());
                 one.addProperty("not_in_time", running.late());
             }
-            Care care = cares.get(kept.estate);
+            RunningFailover care = cares.get(kept.estate);
             if (care != null) {
                 one.addProperty("taken", care.taken);
                 one.addProperty("for_ms", (System.nanoTime() - care.took) / 1_000_000);
@@ -784,14 +793,14 @@
      * An operator wants this daemon to let go of an estate that it has taken over: another holder tries for it, and this one only
      * where nobody has after a while. Null, or why it cannot.
      */
-    String release(String estate) {
-        Care care = cares.get(estate);
+    public String release(String estate) {
+        RunningFailover care = cares.get(estate);
         if (care == null || care.taker == null || care.taker.copying() == null) {
             return estate.equals(own.estate)
                     ? "it is this daemon's own: stop it for good instead"
                     : "it does not go on here";
         }
-        EstateStore.Kept kept = store.of(estate);
+        ReplicaStore.StoredReplica kept = store.of(estate);
         List<String> others = care.taker.copying().tenure().group().holders().stream()
                 .filter(h -> !h.equals(self) && care.taker.copying().tenure().behind(h) == 0)
                 .toList();
@@ -809,8 +818,8 @@
     }
 
     /** An operator wants this daemon to try for an estate now; null, or why it cannot. */
-    String take(String estate) {
-        EstateStore.Kept kept = store.all().get(estate);
+    public String take(String estate) {
+        ReplicaStore.StoredReplica kept = store.all().get(estate);
         if (kept == null || kept.done || kept.copy.isEmpty() || kept.open || !kept.holding.counts()) {
             return kept == null ? "no such estate here" : kept.open ? "it goes on here" : "there is no copy of it here";
         }
@@ -824,7 +833,7 @@
         return null;
     }
 
-    void close() {
+    public void close() {
         copying.close();
         List.copyOf(cares.values()).forEach(care -> {
             if (care.taker != null) {
--- a/sender/src/main/java/amberroute/sender/EstateLine.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationMessages.java
@@ -1,7 +1,8 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
+import amberroute.sender.journal.Journal;
 import amberroute.storage.Batch;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -14,13 +15,13 @@
 import java.util.List;
 
 /**
- * Words about estates between daemons, beside those of {@link PeerLine}: copies, claims and their answers. And the two
+ * Words about estates between daemons, beside those of {@link PeerMessageCodec}: copies, claims and their answers. And the two
  * contents that stand in an estate's own record: its place, and the group of its holders.
  */
-final class EstateLine {
-    private EstateLine() {}
+public final class ReplicationMessages {
+    private ReplicationMessages() {}
 
-    static JsonObject of(String word, String from, String estate, long term) {
+    public static JsonObject of(String word, String from, String estate, long term) {
         JsonObject line = new JsonObject();
         line.addProperty("word", word);
         line.addProperty("from", from);
@@ -30,24 +31,24 @@
     }
 
     /** As it travels, to each holder the same. */
-    static String encoded(Batch batch) {
+    public static String encoded(Batch batch) {
         return Base64.getEncoder().encodeToString(batch.bytes());
     }
 
-    static void add(JsonObject line, List<String> batches) {
+    public static void add(JsonObject line, List<String> batches) {
         JsonArray list = new JsonArray();
         batches.forEach(list::add);
         line.add("batches", list);
     }
 
-    static void add(JsonObject line, ReplicaSet group) {
-        line.add("holders", PeerLine.names(group.holders()));
+    public static void add(JsonObject line, ReplicaSet group) {
+        line.add("holders", PeerMessageCodec.names(group.holders()));
         line.addProperty("version", group.version());
     }
 
     static ReplicaSet group(JsonObject line) {
         List<String> holders = new ArrayList<>();
-        line.getAsJsonArray("holders").forEach(name -> holders.add(PeerLine.plain(name.getAsString())));
+        line.getAsJsonArray("holders").forEach(name -> holders.add(PeerMessageCodec.plain(name.getAsString())));
         return new ReplicaSet(line.get("version").getAsLong(), holders);
     }
 
@@ -59,7 +60,7 @@
         return out;
     }
 
-    static byte[] place(LogPosition at) {
+    public static byte[] place(LogPosition at) {
         return Journal.bytes(out -> {
             out.writeLong(at.term());
             out.writeLong(at.number());
@@ -75,7 +76,7 @@
     }
 
     /** With the estate's name, which a folder keeps for as long as what is in it is one estate. */
-    static byte[] group(String estate, ReplicaSet group) {
+    public static byte[] group(String estate, ReplicaSet group) {
         return Journal.bytes(out -> {
             out.writeUTF(estate);
             out.writeLong(group.version());
--- a/sender/src/main/java/amberroute/sender/OldEstates.java
+++ b/sender/src/main/java/amberroute/sender/peer/SupersededReplicas.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
+import amberroute.sender.util.Log;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,15 +13,15 @@
  * What is left of an estate that goes on elsewhere, in the folder of its former owner: nothing of it may be resumed here.
  * The last such journal is kept aside for whoever wants to look at it.
  */
-final class OldEstates {
+public final class SupersededReplicas {
     private static final String MARK = "estate-over";
     private static final String ASIDE = "over";
     private static final Set<String> STAY = Set.of("lock", "control", MARK);
 
-    private OldEstates() {}
+    private SupersededReplicas() {}
 
     /** The journal in this folder is not to be opened again. */
-    static void mark(Path folder) {
+    public static void mark(Path folder) {
         try {
             Files.writeString(folder.resolve(MARK), "taken over\n");
         } catch (IOException e) {
@@ -30,7 +31,7 @@
     }
 
     /** Moves a marked journal aside, so that the folder begins anew. */
-    static void putAside(Path folder) throws IOException {
+    public static void putAside(Path folder) throws IOException {
         if (!Files.exists(folder.resolve(MARK))) {
             return;
         }
--- a/sender/src/main/java/amberroute/sender/PeerProbes.java
+++ b/sender/src/main/java/amberroute/sender/peer/SwimTransport.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import amberroute.membership.MembershipView;
 import amberroute.membership.SwimMembership;
@@ -20,7 +20,7 @@
  * decided by {@link SwimMembership}. One is taken from a configured peer's address only; what cannot be read is dropped without a
  * word. Lives on the event loop.
  */
-final class PeerProbes {
+public final class SwimTransport {
     private static final long STEP_MS = 20;
 
     private final EventLoop loop;
@@ -31,7 +31,7 @@
     private Channel channel;
 
     /** {@code clock} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one. */
-    PeerProbes(
+    public SwimTransport(
             EventLoop loop,
             String name,
             String zone,
@@ -51,7 +51,7 @@
     }
 
     /** Begins, on a socket that passes on what it hears; on the event loop. */
-    void begin(Channel shared) {
+    public void begin(Channel shared) {
         channel = shared;
         loop.scheduleWithFixedDelay(
                 () -> {
@@ -64,7 +64,7 @@
     }
 
     /** A datagram that is no heartbeat. */
-    void heard(DatagramPacket packet) {
+    public void heard(DatagramPacket packet) {
         SwimMessage probe = SwimMessage.read(packet.content().nioBuffer());
         if (probe != null && packet.sender().equals(peers.get(probe.from()))) {
             send(swim.heard(clock.getAsLong(), probe));
--- a/sender/src/main/java/amberroute/sender/RepeatWindow.java
+++ b/sender/src/main/java/amberroute/sender/upstream/IdempotencyWindow.java
@@ -1,6 +1,7 @@
-package amberroute.sender;
+package amberroute.sender.upstream;
 
 import amberroute.decisions.DeliveryScheduler;
+import amberroute.sender.message.AcceptedMessage;
 import java.util.List;
 import java.util.function.IntFunction;
 
@@ -9,19 +10,20 @@
  * that may have run. The module chooses within it; but a call that waits for its connection is written later, and a connection may
  * come up after the life is over. Decides only; times are milliseconds.
  */
-final class RepeatWindow {
+public final class IdempotencyWindow {
     /** Transit to the receiver; the module allows for more, as its calls may still have to connect. */
-    static final long MARGIN_MS = 100;
+    public static final long MARGIN_MS = 100;
 
-    static final long UNBOUNDED = Long.MAX_VALUE;
+    public static final long UNBOUNDED = Long.MAX_VALUE;
 
-    private RepeatWindow() {}
+    private IdempotencyWindow() {}
 
     /** How much longer a call with these messages may be written, below 0 where it must not be any more. */
-    static long left(List<Receivers.Item> items, IntFunction<DeliveryScheduler.MessageClass> types, long wall) {
+    public static long left(
+            List<UpstreamClient.CallMessage> items, IntFunction<DeliveryScheduler.MessageClass> types, long wall) {
         long left = UNBOUNDED;
-        for (Receivers.Item item : items) {
-            Held m = item.message();
+        for (UpstreamClient.CallMessage item : items) {
+            AcceptedMessage m = item.message();
             DeliveryScheduler.MessageClass type = types.apply(m.type);
             if (m.doubtSince != 0 && type.effect() == DeliveryScheduler.Effect.KEYED) {
                 left = Math.min(left, m.doubtSince + type.keyLife() / 1_000 - MARGIN_MS - wall);
--- a/sender/src/main/java/amberroute/sender/AnswerReader.java
+++ b/sender/src/main/java/amberroute/sender/upstream/ResponseReader.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -24,7 +24,7 @@
  * Reads the answers on one connection to a receiver, one for each call. It keeps the first line of an answer that
  * is spoilt further on, bounds the bytes and the time of each, and tells whether the connection can be used again.
  */
-final class AnswerReader {
+final class ResponseReader {
     private static final int LARGEST = 1 << 17;
     private static final int LONGEST_LINE = 4_096;
     private static final int LARGEST_HEAD = 16_384;
@@ -35,11 +35,11 @@
      * What came back. {@code status} is that of the first line, 0 where that could not be read; {@code whole} says
      * that the rest could be read too, {@code reusable} that nothing followed and another call may.
      */
-    record Answer(int status, boolean whole, boolean reusable, HttpHeaders headers, String body) {}
+    record Response(int status, boolean whole, boolean reusable, HttpHeaders headers, String body) {}
 
     /** Learns of answers on the event loop. */
     interface Listener {
-        void answered(Answer answer);
+        void answered(Response answer);
 
         /** Bytes came that belong to no call: nothing on this connection can be trusted any more. */
         void strayed();
@@ -60,12 +60,12 @@
     private boolean surplus;
     private Future<?> deadline;
 
-    AnswerReader(Listener listener) {
+    ResponseReader(Listener listener) {
         this.listener = listener;
     }
 
     void install(ChannelPipeline pipeline) {
-        pipeline.addLast(new Bytes(), decoder, new HttpRequestEncoder(), new Parts());
+        pipeline.addLast(new Bytes(), decoder, new HttpRequestEncoder(), new ResponseHandler());
     }
 
     /** To be called before a call's first byte is written. */
@@ -94,7 +94,7 @@
         boolean reusable = whole && HttpUtil.isKeepAlive(head) && delimited() && !surplus && !decoder.holdsBytes();
         String text = whole ? body.toString(StandardCharsets.ISO_8859_1) : "";
         body = Unpooled.EMPTY_BUFFER;
-        listener.answered(new Answer(firstLine, whole, reusable, head == null ? null : head.headers(), text));
+        listener.answered(new Response(firstLine, whole, reusable, head == null ? null : head.headers(), text));
     }
 
     /** Whether the answer itself tells where it ends, rather than the end of its connection. */
@@ -200,7 +200,7 @@
     }
 
     /** Puts the decoded parts of an answer together. */
-    private final class Parts extends ChannelInboundHandlerAdapter {
+    private final class ResponseHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             try {
--- a/sender/src/main/java/amberroute/sender/Receivers.java
+++ b/sender/src/main/java/amberroute/sender/upstream/UpstreamClient.java
@@ -1,6 +1,10 @@
-package amberroute.sender;
+package amberroute.sender.upstream;
 
 import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.sender.eventloop.EventLoopStallDetector;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.util.Log;
+import amberroute.sender.util.StrictNumbers;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -33,7 +37,7 @@
 import java.util.function.UnaryOperator;
 
 /** Carries out calls to receivers over kept-alive connections, one call at a time on each. */
-final class Receivers {
+public final class UpstreamClient {
     /**
      * An answered connection is watched for this long before it carries another call: what comes behind an answer
      * would else be taken for the next one's, and a connection that is closed after its answer would lose it.
@@ -43,11 +47,11 @@
     private static final double IDLE_SHARE = 0.8;
 
     /** One message's part in a call. */
-    record Item(Held message, int attempt) {}
+    public record CallMessage(AcceptedMessage message, int attempt) {}
 
     /** What became of one message's attempt; times in microseconds. */
-    record Result(
-            Held message,
+    public record Result(
+            AcceptedMessage message,
             int attempt,
             long endpoint,
             AttemptOutcome ending,
@@ -58,7 +62,7 @@
             long idle) {}
 
     /** Where results go, on the event loop. */
-    interface Listener {
+    public interface Listener {
         void ended(Result result);
 
         /** A call is about to be written, which may be long after it was started; what this throws keeps it back. */
@@ -69,10 +73,10 @@
     }
 
     /** A call that is out. */
-    final class Call {
-        final Route route;
+    public final class Call {
+        public final Route route;
         /** Never changed but by {@link #rebind}. */
-        List<Item> items;
+        public List<CallMessage> items;
 
         final long sentAt = System.nanoTime();
         final long giveUpAfter;
@@ -91,7 +95,7 @@
 
         Future<?> timer;
 
-        Call(Route route, List<Item> items, long giveUpAfter, long writeWithin) {
+        Call(Route route, List<CallMessage> items, long giveUpAfter, long writeWithin) {
             this.route = route;
             this.items = items;
             this.giveUpAfter = giveUpAfter;
@@ -105,10 +109,10 @@
     }
 
     /** Where calls to an endpoint go; {@code wait group} is what a told wait binds. */
-    record Route(long endpoint, InetSocketAddress address, Object waitGroup) {}
+    public record Route(long endpoint, InetSocketAddress address, Object waitGroup) {}
 
     private final EventLoop loop;
-    private final LoopLooks looks;
+    private final EventLoopStallDetector looks;
     private final Listener listener;
     private long connectMicros;
     private long idleNanos;
@@ -120,9 +124,9 @@
     private final Set<Call> calls = new LinkedHashSet<>();
     private final Map<Long, Call> byMessage = new HashMap<>();
 
-    Receivers(
+    public UpstreamClient(
             EventLoop loop,
-            LoopLooks looks,
+            EventLoopStallDetector looks,
             Listener listener,
             long connectMicros,
             long idleMicros,
@@ -136,7 +140,7 @@
     }
 
     /** From now on these count; connections that have been kept for longer than is allowed now carry no call any more. */
-    void configure(long connectMicros, long idleMicros, List<String> reportNames) {
+    public void configure(long connectMicros, long idleMicros, List<String> reportNames) {
         long longest = (long) (idleMicros * 1_000 * IDLE_SHARE);
         if (longest < idleNanos) {
             closeIdle(endpoint -> true);
@@ -151,7 +155,7 @@
      * has lain idle for longer than {@code longestIdle} microseconds. Where its connection comes up later than
      * {@code writeWithin} milliseconds it is not written: it ends as one that was not sent.
      */
-    void start(Route route, List<Item> items, long giveUpAfter, long longestIdle, long writeWithin) {
+    public void start(Route route, List<CallMessage> items, long giveUpAfter, long longestIdle, long writeWithin) {
         Call call = new Call(route, List.copyOf(items), giveUpAfter, writeWithin);
         calls.add(call);
         items.forEach(item -> byMessage.put(item.message().number, call));
@@ -168,26 +172,26 @@
         }
     }
 
-    int callsOut() {
+    public int callsOut() {
         return calls.size();
     }
 
     /** All calls whose outcome is still to be told. */
-    List<Call> out() {
+    public List<Call> out() {
         return List.copyOf(calls);
     }
 
     /** Gives up all calls that are out; each message's result follows when its connection has ended. */
-    void callOff() {
+    public void callOff() {
         for (Call call : List.copyOf(calls)) {
             abandon(call, call.written ? AttemptOutcome.CANCELLED : AttemptOutcome.CONNECT_FAILED);
         }
     }
 
     /** Gives up the call that carries this message; its companions share its fate. False where there is none. */
-    boolean cancel(Held message, int attempt) {
+    public boolean cancel(AcceptedMessage message, int attempt) {
         Call call = byMessage.get(message.number);
-        if (call == null || !call.items.contains(new Item(message, attempt))) {
+        if (call == null || !call.items.contains(new CallMessage(message, attempt))) {
             return false;
         }
         abandon(call, call.written ? AttemptOutcome.CANCELLED : AttemptOutcome.CONNECT_FAILED);
@@ -199,9 +203,9 @@
      * that a message has in its call now, null where this is not its present attempt: then the call is closed, and nothing is
      * told of it.
      */
-    void rebind(UnaryOperator<Item> owner) {
+    public void rebind(UnaryOperator<CallMessage> owner) {
         for (Call call : List.copyOf(calls)) {
-            List<Item> owned =
+            List<CallMessage> owned =
                     call.items.stream().map(owner).filter(Objects::nonNull).toList();
             if (owned.size() == call.items.size()) {
                 call.items = owned;
@@ -219,7 +223,7 @@
         }
     }
 
-    void closeIdle(LongPredicate endpoints) {
+    public void closeIdle(LongPredicate endpoints) {
         for (Connection connection : List.copyOf(idleByAge)) {
             if (endpoints.test(connection.endpoint)) {
                 drop(connection);
@@ -231,11 +235,11 @@
      * Calls that still wait for their connection when a wait or a drain is told must not follow it: the
      * rules count from a call's bytes, and connecting may take longer than their grace.
      */
-    void bar(Predicate<Route> routes) {
+    public void bar(Predicate<Route> routes) {
         calls.stream().filter(call -> !call.written && routes.test(call.route)).forEach(call -> call.barred = true);
     }
 
-    int kept() {
+    public int kept() {
         return idle.values().stream().mapToInt(Deque::size).sum();
     }
 
@@ -341,10 +345,10 @@
     }
 
     /** A connection to one endpoint. */
-    private final class Connection implements AnswerReader.Listener {
+    private final class Connection implements ResponseReader.Listener {
         final long endpoint;
         final InetSocketAddress address;
-        final AnswerReader reader = new AnswerReader(this);
+        final ResponseReader reader = new ResponseReader(this);
         Channel channel;
         Call call;
         long idleSince;
@@ -379,7 +383,7 @@
 
         /** A call may go out anew at once: a connection that is of no more use has to be closed before. */
         @Override
-        public void answered(AnswerReader.Answer answer) {
+        public void answered(ResponseReader.Response answer) {
             Call done = call;
             call = null;
             if (done == null || done.done) {
@@ -415,8 +419,8 @@
         boolean many = call.items.size() > 1;
         ByteBuf body = Unpooled.buffer();
         if (many) {
-            for (Item item : call.items) {
-                Held m = item.message();
+            for (CallMessage item : call.items) {
+                AcceptedMessage m = item.message();
                 String key = m.idempotencyKey.isEmpty() ? "-" : m.idempotencyKey;
                 String head = m.id + " " + key + " " + m.body.length + "\r\n";
                 body.writeCharSequence(head, StandardCharsets.ISO_8859_1);
@@ -431,7 +435,7 @@
         request.headers()
                 .set(HttpHeaderNames.HOST, call.route.address().getAddress().getHostAddress());
         if (!many) {
-            Held m = call.items.get(0).message();
+            AcceptedMessage m = call.items.get(0).message();
             request.headers().set("X-Request-ID", m.id);
             if (!m.idempotencyKey.isEmpty()) {
                 request.headers().set("Idempotency-Key", m.idempotencyKey);
@@ -447,7 +451,7 @@
      * Where an answer is spoilt the call may have run, and that is all that can be known, unless its first line
      * delivers the one message that it carried.
      */
-    private void answer(Call call, AnswerReader.Answer answer) {
+    private void answer(Call call, ResponseReader.Response answer) {
         boolean many = call.items.size() > 1;
         int status = answer.status();
         if (!answer.whole()) {
@@ -465,7 +469,7 @@
         release(call);
         if (status == 200 && many) {
             Map<String, String> ends = ends(answer.body(), call);
-            for (Item item : call.items) {
+            for (CallMessage item : call.items) {
                 String end = ends.getOrDefault(item.message().id, "");
                 tell(call, item, ending(end), end.equals("delivered") || end.equals("over"), wait, report);
             }
@@ -517,7 +521,7 @@
     }
 
     private static long wait(String seconds) {
-        double value = seconds == null ? 0 : Decimals.parse(seconds.strip());
+        double value = seconds == null ? 0 : StrictNumbers.parse(seconds.strip());
         return value > 0 && value < 3_600 ? (long) Math.ceil(value * 1e6) : 0;
     }
 
@@ -529,7 +533,7 @@
         Map<String, Double> values = new HashMap<>();
         for (String pair : header.split(",")) {
             int eq = pair.indexOf('=');
-            double value = Decimals.parse(pair.substring(eq + 1).strip());
+            double value = StrictNumbers.parse(pair.substring(eq + 1).strip());
             if (eq < 0 || value < 0) {
                 return List.of();
             }
@@ -583,7 +587,8 @@
         byMessage.keySet().removeAll(numbers);
     }
 
-    private void tell(Call call, Item item, AttemptOutcome ending, boolean closed, long wait, List<Double> report) {
+    private void tell(
+            Call call, CallMessage item, AttemptOutcome ending, boolean closed, long wait, List<Double> report) {
         if (call.disowned) {
             return;
         }
@@ -599,7 +604,7 @@
                 call.idle));
     }
 
-    static long took(Call call) {
+    public static long took(Call call) {
         return (System.nanoTime() - call.sentAt) / 1_000;
     }
 }
--- a/sender/src/main/java/amberroute/sender/Pauses.java
+++ b/sender/src/main/java/amberroute/sender/util/Backoff.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.util;
 
 import java.util.SplittableRandom;
 
@@ -8,7 +8,7 @@
  * drawn from a span that doubles with each failure in a row, up to the longest. Milliseconds; randomness comes from the
  * sender's seed.
  */
-final class Pauses {
+public final class Backoff {
     private static final int MOST_DOUBLINGS = 8;
     private final long least;
     private final long first;
@@ -16,7 +16,7 @@
     private final SplittableRandom random;
     private int failures;
 
-    Pauses(long least, long first, long longest, long seed) {
+    public Backoff(long least, long first, long longest, long seed) {
         this.least = least;
         this.first = first;
         this.longest = longest;
@@ -24,12 +24,12 @@
     }
 
     /** It failed: so long until the next try. */
-    long next() {
+    public long next() {
         return least + random.nextLong(Math.min(longest, first << Math.min(failures++, MOST_DOUBLINGS)));
     }
 
     /** It went well: the next pause is a short one. */
-    void good() {
+    public void good() {
         failures = 0;
     }
 }
--- a/sender/src/main/java/amberroute/sender/Log.java
+++ b/sender/src/main/java/amberroute/sender/util/Log.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.util;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * The sender's log on standard error. Each line starts with the wall clock in milliseconds and the id of the process, as two
  * processes of one sender may write to one file.
  */
-final class Log {
+public final class Log {
     private static final int MOST_OF_A_KIND = 200;
     private static final int MOST_KINDS = 64;
     private static final int LONGEST = 500;
@@ -20,7 +20,7 @@
      * Bounded for each kind of line, as its first words tell, so that a flood of bad input neither fills the disk
      * of whoever keeps the log nor takes the place of other lines.
      */
-    static synchronized void warn(String text) {
+    public static synchronized void warn(String text) {
         int blank = text.indexOf(' ');
         String kind = blank < 0 ? text : text.substring(0, blank);
         if (!written.containsKey(kind) && written.size() >= MOST_KINDS) {
@@ -37,7 +37,7 @@
      * takes them for carried out, and their messages would never end. Nothing else would tell of it, as the event loop's own
      * log is off.
      */
-    static void guarded(String what, Runnable action) {
+    public static void guarded(String what, Runnable action) {
         try {
             action.run();
         } catch (RuntimeException e) {
--- a/sender/src/main/java/amberroute/sender/Texts.java
+++ b/sender/src/main/java/amberroute/sender/util/ModifiedUtf8.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.util;
 
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
@@ -13,14 +13,14 @@
  * Texts as {@link java.io.DataOutputStream#writeUTF} writes them, out of a buffer on the heap. Nearly all are plain ASCII,
  * and are taken without a look at each character. Texts that come often are kept once.
  */
-final class Texts {
+public final class ModifiedUtf8 {
     /** So many different ones are kept; beyond that each stands by itself. */
     private static final int MOST = 1_024;
 
     private final Map<String, String> seen = new HashMap<>();
 
     /** The next text; a buffer that ends before it does is an underflow. */
-    static String read(ByteBuffer in) throws IOException {
+    public static String read(ByteBuffer in) throws IOException {
         int length = in.getShort() & 0xffff;
         if (length > in.remaining()) {
             throw new BufferUnderflowException();
@@ -38,7 +38,7 @@
     }
 
     /** The next text, as one that many have. */
-    String shared(ByteBuffer in) throws IOException {
+    public String shared(ByteBuffer in) throws IOException {
         String text = read(in);
         String known = seen.get(text);
         if (known == null && seen.size() < MOST) {
--- a/sender/src/test/java/amberroute/sender/AcceptQueueTest.java
+++ b/sender/src/test/java/amberroute/sender/AcceptQueueTest.java
@@ -3,6 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.client.ClientServer;
+import amberroute.sender.client.OutageBacklog;
+import amberroute.sender.client.QueueingDelay;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/sender/src/test/java/amberroute/sender/OpsTest.java
+++ b/sender/src/test/java/amberroute/sender/AdminServerTest.java
@@ -1,10 +1,11 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.admin.AdminServer;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -21,18 +22,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The operators' door: it answers whatever the sender and other callers do, and its figures are true. */
-class OpsTest {
+class AdminServerTest {
     private static final String NO_KEY = "0000000000000000";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
     }
 
     @AfterEach
@@ -47,7 +48,7 @@
     static String ask(InetSocketAddress address, String request) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), address.getPort())) {
             socket.setSoTimeout(10_000);
-            World.write(socket, request);
+            SenderFixture.write(socket, request);
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -75,14 +76,14 @@
     @Test
     void countsEveryEndUnderItsClass() throws IOException {
         sender = world.start();
-        World.Client client = world.client(sender);
-        client.submit("safe", World.ID + "1", NO_KEY);
-        client.submit("keyed", World.ID + "2", NO_KEY);
+        SenderFixture.Client client = world.client(sender);
+        client.submit("safe", SenderFixture.ID + "1", NO_KEY);
+        client.submit("keyed", SenderFixture.ID + "2", NO_KEY);
         await(() -> sender.owed() == 0);
         world.receiver.answers = r -> ok(500, "");
-        client.submit("unsafe", World.ID + "3", NO_KEY);
-        client.submit("safe", World.ID + "4", NO_KEY, 600, 8);
-        assertEquals("-ERR unknown destination", client.submit("safe", World.ID + "5", NO_KEY, 8_000, 99));
+        client.submit("unsafe", SenderFixture.ID + "3", NO_KEY);
+        client.submit("safe", SenderFixture.ID + "4", NO_KEY, 600, 8);
+        assertEquals("-ERR unknown destination", client.submit("safe", SenderFixture.ID + "5", NO_KEY, 8_000, 99));
         await(() -> sender.owed() == 0);
         await(() -> figure(sender, ended("safe", "shed")) == 1);
         assertEquals(
@@ -103,11 +104,11 @@
     void showsWhatIsUnderWayAndWhoIsAvoided() throws IOException {
         world.deadline = 60_000_000;
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         world.prove(sender, client);
         world.receiver.answers = r -> null;
         for (int i = 1; i <= 3; i++) {
-            client.submit("safe", World.ID + i, NO_KEY, 60_000, 7);
+            client.submit("safe", SenderFixture.ID + i, NO_KEY, 60_000, 7);
         }
         await(() -> figure(sender, "svc_active") == 3);
         await(() -> figure(sender, "svc_pool_ejected") == 1);
@@ -141,10 +142,10 @@
         sender = world.start();
         List<Socket> idle = new ArrayList<>();
         try {
-            for (int i = 0; i < 2 * OpsServer.MOST_CONNECTIONS; i++) {
+            for (int i = 0; i < 2 * AdminServer.MOST_CONNECTIONS; i++) {
                 Socket socket = new Socket(
                         InetAddress.getLoopbackAddress(), sender.opsAddress().getPort());
-                World.write(socket, i % 2 == 0 ? "" : "GET /-/rea");
+                SenderFixture.write(socket, i % 2 == 0 ? "" : "GET /-/rea");
                 idle.add(socket);
             }
             assertTrue(get(sender.opsAddress(), "/-/ready").startsWith("HTTP/1.1 200"));
--- a/sender/src/test/java/amberroute/sender/BadClientsTest.java
+++ b/sender/src/test/java/amberroute/sender/BadClientsTest.java
@@ -1,10 +1,11 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.config.SenderConfig;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -23,12 +24,12 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         sender = world.start();
     }
 
@@ -38,7 +39,7 @@
         world.close();
     }
 
-    private static void closes(World.Client client) {
+    private static void closes(SenderFixture.Client client) {
         assertThrows(IOException.class, () -> {
             while (true) {
                 client.answer();
@@ -50,7 +51,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"\r\n\r\n", "*0\r\n", "*2\r\n$4\r\nPI", "*1\r\n$100\r\nhalf", "PING"})
     void endsWhatIsNotFinished(String start) throws IOException {
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         assertEquals("-ERR no whole request in time", client.raw(start));
         closes(client);
     }
@@ -58,7 +59,7 @@
     /** A good request buys no time for the next one that is stuck; between requests there is no such limit. */
     @Test
     void endsALaterRequestThatIsNotFinished() throws IOException {
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         assertEquals("+PONG", client.ask("PING"));
         assertEquals("-ERR no whole request in time", client.raw("*2\r\n$4\r\n"));
         closes(client);
@@ -76,7 +77,7 @@
                 "*1\r\n:4\r\n"
             })
     void turnsAwayWhatIsAnnounced(String start) throws IOException {
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         String answer = client.raw(start + "x".repeat(150_000));
         assertTrue(answer.startsWith("-ERR Protocol error"), answer);
         closes(client);
@@ -84,7 +85,7 @@
 
     @Test
     void turnsAwayALineWithoutEnd() throws IOException {
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         assertEquals("-ERR Protocol error: too long a line", client.raw("x".repeat(9_000)));
         closes(client);
     }
@@ -96,16 +97,16 @@
     @Test
     void aStolenIdIsNoAcceptanceOfTheOwnersMessage() throws IOException {
         world.receiver.answers = r -> null;
-        World.Client thief = world.client(sender);
-        World.Client owner = world.client(sender);
-        String id = World.ID + "a";
+        SenderFixture.Client thief = world.client(sender);
+        SenderFixture.Client owner = world.client(sender);
+        String id = SenderFixture.ID + "a";
         String key = "0000000000000000";
         assertEquals("+OK", thief.ask("SUBMIT", key, id, "c=safe,d=8000,dest=7", "the thief's"));
         assertEquals("-BUSY", owner.ask("SUBMIT", key, id, "c=safe,d=2000,dest=7", "the owner's"));
         assertEquals("-BUSY", owner.ask("SUBMIT", key, id, "c=unsafe,d=8000,dest=7", "the thief's"));
         assertEquals("+OK", owner.ask("SUBMIT", key, id, "c=safe,d=7900,dest=7", "the thief's"));
         assertEquals(1, sender.owed());
-        world.receiver.answers = r -> World.ok(200, "");
+        world.receiver.answers = r -> SenderFixture.ok(200, "");
         world.receiver.sockets.forEach(s -> {
             try {
                 s.close();
@@ -113,7 +114,7 @@
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        World.await(() -> sender.owed() == 0);
+        SenderFixture.await(() -> sender.owed() == 0);
         assertEquals("-BUSY", owner.ask("SUBMIT", key, id, "c=safe,d=2000,dest=7", "the owner's"));
         assertEquals("+OK", owner.ask("SUBMIT", key, id, "c=safe,d=2000,dest=7", "the thief's"));
     }
@@ -121,7 +122,7 @@
     /** The same nonsense over and over is answered for a while, then the connection ends. */
     @Test
     void endsAClientThatOnlySendsNonsense() throws IOException {
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         int errors = 0;
         assertEquals("-ERR unknown command", client.raw("NONSENSE\r\n".repeat(500)));
         try {
@@ -137,14 +138,14 @@
     /** Hundreds that connect and say nothing must not push out one that is usual, though it was idle for longer. */
     @Test
     void keepsUsualClientsWhenOthersOnlyConnect() throws IOException {
-        World.Client usual = world.client(sender);
+        SenderFixture.Client usual = world.client(sender);
         assertEquals("+PONG", usual.ask("PING"));
-        List<World.Client> silent = new ArrayList<>();
+        List<SenderFixture.Client> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             silent.add(world.client(sender));
         }
         closes(silent.get(0));
-        assertEquals("+OK", usual.submit("safe", World.ID + "1", NO_KEY));
+        assertEquals("+OK", usual.submit("safe", SenderFixture.ID + "1", NO_KEY));
         await(() -> sender.owed() == 0);
         assertEquals("+PONG", world.client(sender).ask("PING"));
     }
@@ -152,7 +153,7 @@
     /** Many that come in one pass of the loop must each push out another, or descriptors run out. */
     @Test
     void staysWithinItsConnectionsInABurst() throws IOException {
-        int most = Config.read(world.environment()).mostClients();
+        int most = SenderConfig.read(world.environment()).mostClients();
         sender.pauseFor(() -> {
             for (int i = 0; i < 300; i++) {
                 world.tryClient(sender);
@@ -167,31 +168,31 @@
     /** Clients may hold only so many connections: those that ask once and stay would keep the next message out. */
     @Test
     void closesConnectionsThatAskedOnceWhenThereAreMany() throws IOException {
-        int most = Config.read(world.environment()).mostClients();
-        World.Client first = world.client(sender);
-        assertEquals("+OK", first.submit("safe", World.ID + "1", NO_KEY));
+        int most = SenderConfig.read(world.environment()).mostClients();
+        SenderFixture.Client first = world.client(sender);
+        assertEquals("+OK", first.submit("safe", SenderFixture.ID + "1", NO_KEY));
         for (int i = 0; i < most / 2; i++) {
             assertEquals("+PONG", world.client(sender).ask("PING"));
         }
         await(() -> sender.clients() <= most / 3);
         closes(first);
-        assertEquals("+OK", world.client(sender).submit("safe", World.ID + "2", NO_KEY));
+        assertEquals("+OK", world.client(sender).submit("safe", SenderFixture.ID + "2", NO_KEY));
     }
 
     /** Clients that asked once and stay must not leave newcomers so few places that these push out each other. */
     @Test
     void letsNewcomersInWhereOthersStay() throws IOException {
-        int most = Config.read(world.environment()).mostClients();
+        int most = SenderConfig.read(world.environment()).mostClients();
         for (int i = 0; i < most; i++) {
             assertEquals("+PONG", world.client(sender).ask("PING"));
         }
-        List<World.Client> fresh = new ArrayList<>();
+        List<SenderFixture.Client> fresh = new ArrayList<>();
         sender.pauseFor(() -> {
             for (int i = 0; i < 8; i++) {
                 fresh.add(world.tryClient(sender));
             }
         });
-        for (World.Client client : fresh) {
+        for (SenderFixture.Client client : fresh) {
             assertEquals("+PONG", client.ask("PING"));
         }
     }
@@ -199,23 +200,23 @@
     /** Room for requests that are not whole is bounded for all connections together, and given back. */
     @Test
     void boundsWhatUnfinishedRequestsHold() throws IOException {
-        List<World.Client> clients = new ArrayList<>();
+        List<SenderFixture.Client> clients = new ArrayList<>();
         String large = "*1\r\n$65536\r\n";
         for (int i = 0; i < 100; i++) {
-            World.Client client = world.client(sender);
+            SenderFixture.Client client = world.client(sender);
             client.write(large);
             clients.add(client);
         }
-        World.Client last = clients.get(clients.size() - 1);
+        SenderFixture.Client last = clients.get(clients.size() - 1);
         assertEquals("-ERR Protocol error: too many large requests at once", last.answer());
-        World.Client usual = world.client(sender);
-        assertEquals("+OK", usual.submit("safe", World.ID + "1", NO_KEY));
-        for (World.Client client : clients) {
+        SenderFixture.Client usual = world.client(sender);
+        assertEquals("+OK", usual.submit("safe", SenderFixture.ID + "1", NO_KEY));
+        for (SenderFixture.Client client : clients) {
             client.close();
         }
         String body = "x".repeat(60_000);
         await(() -> world.tryClient(sender)
-                .tryAsk("SUBMIT", NO_KEY, World.ID + "2", "c=safe,d=8000,dest=7", body)
+                .tryAsk("SUBMIT", NO_KEY, SenderFixture.ID + "2", "c=safe,d=8000,dest=7", body)
                 .equals("+OK"));
     }
 }
--- a/sender/src/test/java/amberroute/sender/ClientEndingsTest.java
+++ b/sender/src/test/java/amberroute/sender/ClientConnectionCloseTest.java
@@ -1,11 +1,13 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.command;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.command;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.client.ClientServer;
+import amberroute.sender.client.ConnectionDraining;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -29,7 +31,7 @@
  * A client's connection ends in the very moment in which something still lies unread on it. The loop is held while that is
  * brought about, so that it comes about each time.
  */
-class ClientEndingsTest {
+class ClientConnectionCloseTest {
     private static final int PLACES = 24;
     /** Answers that do not fit a narrow window by far. */
     private static final int MANY = 250;
@@ -37,7 +39,7 @@
     private static final int HALF = 40;
 
     private final List<ClientServer.Answer> asked = new CopyOnWriteArrayList<>();
-    private final List<World.Client> clients = new ArrayList<>();
+    private final List<SenderFixture.Client> clients = new ArrayList<>();
     private EventLoopGroup group;
     private EventLoop loop;
     private ClientServer server;
@@ -55,14 +57,14 @@
 
     @AfterEach
     void close() throws IOException {
-        for (World.Client client : clients) {
+        for (SenderFixture.Client client : clients) {
             client.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    private World.Client client() throws IOException {
-        World.Client client = new World.Client(port);
+    private SenderFixture.Client client() throws IOException {
+        SenderFixture.Client client = new SenderFixture.Client(port);
         clients.add(client);
         return client;
     }
@@ -95,8 +97,8 @@
     }
 
     /** One whose window is so small that most of its answers have not left yet. */
-    private World.Client narrow() throws Exception {
-        World.Client client = new World.Client(port, 1_024);
+    private SenderFixture.Client narrow() throws Exception {
+        SenderFixture.Client client = new SenderFixture.Client(port, 1_024);
         clients.add(client);
         client.write(command("PING").repeat(MANY) + submit("a0"));
         // What is read behind the others is answered behind them.
@@ -105,7 +107,7 @@
         return client;
     }
 
-    private static void readsAll(World.Client client) throws IOException {
+    private static void readsAll(SenderFixture.Client client) throws IOException {
         for (int i = 0; i < MANY; i++) {
             assertEquals("+PONG", client.answer(), "of " + i);
         }
@@ -116,7 +118,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed over to another process", "let go of before the kill", "stopped for good"})
     void aRequestThatCrossesTheEndTakesNoAnswerWithIt(String how) throws Exception {
-        World.Client client = narrow();
+        SenderFixture.Client client = narrow();
         held(() -> {
             client.write(submit("a1"));
             end(how);
@@ -127,14 +129,14 @@
     }
 
     /** One that has been served and has then sent the first half of a request; the server has read that. */
-    private World.Client midway() throws Exception {
-        World.Client client = client();
+    private SenderFixture.Client midway() throws Exception {
+        SenderFixture.Client client = client();
         client.write(command("PING") + submit("a0").substring(0, HALF));
         assertEquals("+PONG", client.answer());
         return client;
     }
 
-    private void isServed(World.Client midway) throws Exception {
+    private void isServed(SenderFixture.Client midway) throws Exception {
         midway.write(submit("a0").substring(HALF));
         await(() -> asked.size() == 1);
         held(() -> asked.remove(0).ok());
@@ -148,7 +150,7 @@
     /** Where there are many, those that rest longest are swept out; not who is in the middle of a request, however long ago its last was. */
     @Test
     void theSweepLeavesAloneWhoHasBegunARequest() throws Exception {
-        World.Client midway = midway();
+        SenderFixture.Client midway = midway();
         for (int i = 0; i < PLACES / 2; i++) {
             assertEquals("+PONG", client().ask("PING"));
         }
@@ -159,9 +161,9 @@
     /** A newcomer pushes out who rests, though another's last request is longer ago. */
     @Test
     void aNewcomerPushesOutNobodyWhoHasBegunARequest() throws Exception {
-        World.Client midway = midway();
+        SenderFixture.Client midway = midway();
         int served = PLACES - PLACES / 8;
-        World.Client resting = client();
+        SenderFixture.Client resting = client();
         assertEquals("+PONG", resting.ask("PING"));
         for (int i = 2; i < served; i++) {
             assertEquals("+PONG", client().ask("PING"));
@@ -174,7 +176,7 @@
     /** The same where a newcomer pushes out whoever has rested longest. */
     @Test
     void whoIsPushedOutByANewcomerReadsItsLastAnswers() throws Exception {
-        World.Client first = narrow();
+        SenderFixture.Client first = narrow();
         int served = PLACES - PLACES / 8;
         for (int i = 1; i < served; i++) {
             assertEquals("+PONG", client().ask("PING"));
@@ -193,7 +195,7 @@
     /** One that came in the same write as the request whose answer ends the connection is owed an answer too. */
     @Test
     void whatCameWithTheLastRequestIsAnsweredToo() throws Exception {
-        World.Client client = client();
+        SenderFixture.Client client = client();
         assertEquals("+PONG", client.ask("PING"));
         held(() -> server.retireAnswered());
         client.write(command("PING") + command("PING") + submit("a1"));
@@ -208,7 +210,7 @@
     /** Behind the last answer of one that retires, too, bytes may lie unread. */
     @Test
     void aRequestThatCrossesTheLastAnswerDoesNotDestroyIt() throws Exception {
-        World.Client client = narrow();
+        SenderFixture.Client client = narrow();
         client.write(submit("a1"));
         await(() -> asked.size() == 1);
         held(() -> {
@@ -228,21 +230,21 @@
     @Test
     void nobodyWhoWaitsAtTheDoorIsReset() throws Exception {
         int many = 20;
-        List<World.Client> waiting = new ArrayList<>();
+        List<SenderFixture.Client> waiting = new ArrayList<>();
         held(() -> {
             for (int i = 0; i < many; i++) {
-                World.Client client = client();
+                SenderFixture.Client client = client();
                 client.write(command("PING"));
                 waiting.add(client);
             }
             server.closeDoor();
         });
-        for (World.Client client : waiting) {
+        for (SenderFixture.Client client : waiting) {
             assertEquals("+PONG", client.answer());
         }
         await(() -> {
             try {
-                new World.Client(port).close();
+                new SenderFixture.Client(port).close();
                 return false;
             } catch (IOException e) {
                 return true;
--- a/sender/src/test/java/amberroute/sender/ConnectionDrainingTest.java
+++ b/sender/src/test/java/amberroute/sender/ConnectionDrainingTest.java
@@ -1,12 +1,14 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.client.ConnectionDraining;
+import amberroute.sender.client.QueueingDelay;
 import java.io.EOFException;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -27,12 +29,12 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private SenderProcess process;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         world.openCap = 5_000;
     }
 
@@ -76,8 +78,8 @@
         List<String> spoilt = new ArrayList<>();
         AtomicInteger takenBehind = new AtomicInteger();
         List<Thread> busy = new ArrayList<>();
-        try (World.Client idle = new World.Client(process.port());
-                World.Client half = new World.Client(process.port())) {
+        try (SenderFixture.Client idle = new SenderFixture.Client(process.port());
+                SenderFixture.Client half = new SenderFixture.Client(process.port())) {
             assertEquals("+PONG", idle.ask("PING"));
             assertEquals("+PONG", half.ask("PING"));
             for (int i = 0; i < 6; i++) {
@@ -98,7 +100,7 @@
             // Told that its request never came whole, which is no end to its connection, then let go.
             assertTrue(half.answer().startsWith("-ERR"));
             assertThrows(IOException.class, half::answer);
-            assertThrows(IOException.class, () -> new World.Client(process.port()), "the door stayed open");
+            assertThrows(IOException.class, () -> new SenderFixture.Client(process.port()), "the door stayed open");
         }
         await(() -> process.logged("draining: all connections of clients are closed"));
         assertTrue(process.alive(), "it ended, and nobody had the time to see it off");
@@ -116,7 +118,7 @@
 
     /** Hands in one message after another on one connection, until that is closed. */
     private Thread client(int number, Set<String> taken, List<String> spoilt, AtomicInteger behind) throws IOException {
-        World.Client client = new World.Client(process.port());
+        SenderFixture.Client client = new SenderFixture.Client(process.port());
         Thread thread = new Thread(() -> {
             try (client) {
                 for (int i = 0; ; i++) {
--- a/sender/src/test/java/amberroute/sender/ShortOfCpuTest.java
+++ b/sender/src/test/java/amberroute/sender/CpuStarvationTest.java
@@ -1,9 +1,10 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.client.QueueingDelay;
 import java.io.IOException;
 import java.net.SocketTimeoutException;
 import java.nio.file.Path;
@@ -17,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real process that is stopped most of the time, in short steps, as one that gets a tenth of its core. */
-class ShortOfCpuTest {
+class CpuStarvationTest {
     private static final String NO_KEY = "0000000000000000";
     private static final long STOPPED_MS = 90;
     private static final long RUNNING_MS = 10;
@@ -29,17 +30,17 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private SenderProcess process;
     private final Map<String, Long> noticedAt = new ConcurrentHashMap<>();
 
     @BeforeEach
     void open() throws Exception {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         world.slots = 8;
         world.noticeAnswers = request -> {
             request.body().lines().forEach(line -> noticedAt.putIfAbsent(line.split("\"")[3], System.nanoTime()));
-            return World.ok(204, "");
+            return SenderFixture.ok(204, "");
         };
         process = SenderProcess.start(world.environment(), folder.resolve("log"));
     }
@@ -52,7 +53,7 @@
 
     @Test
     void nothingEndsLateWithATenthOfACore() throws Exception {
-        try (World.Client client = new World.Client(process.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(process.port())) {
             // Its code is loaded by then.
             for (int i = 0; i < 50; i++) {
                 client.submit("safe", "warm" + i, NO_KEY);
@@ -62,10 +63,11 @@
         world.receiver.answers = r -> null;
         Map<String, Long> taken = new ConcurrentHashMap<>();
         Throttle throttle = new Throttle();
-        List<World.Client> clients = new ArrayList<>();
+        List<SenderFixture.Client> clients = new ArrayList<>();
         try {
             for (int i = 0; i < MESSAGES; i++) {
-                World.Client client = new World.Client(process.port()).patience(QueueingDelay.CLIENT_TIMEOUT_MS);
+                SenderFixture.Client client =
+                        new SenderFixture.Client(process.port()).patience(QueueingDelay.CLIENT_TIMEOUT_MS);
                 clients.add(client);
                 long handedIn = System.nanoTime();
                 if (isTaken(client, "m" + i)) {
@@ -75,7 +77,7 @@
             await(() -> noticedAt.keySet().containsAll(taken.keySet()));
         } finally {
             throttle.end();
-            for (World.Client client : clients) {
+            for (SenderFixture.Client client : clients) {
                 client.close();
             }
         }
@@ -93,7 +95,7 @@
     }
 
     /** As the protocol has it: a client waits so long for this answer, then it closes and what it handed in counts for nothing. */
-    private static boolean isTaken(World.Client client, String id) throws IOException {
+    private static boolean isTaken(SenderFixture.Client client, String id) throws IOException {
         try {
             return client.submit("safe", id, NO_KEY, TIME_MS, 7).equals("+OK");
         } catch (SocketTimeoutException gaveUp) {
--- a/sender/src/test/java/amberroute/sender/DiscoveryTroubleTest.java
+++ b/sender/src/test/java/amberroute/sender/DiscoveryFaultTest.java
@@ -1,9 +1,10 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.discovery.EndpointWatch;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.function.Function;
@@ -15,19 +16,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Discovery turns callers away in its many ways: what is known is served from, and asking costs little. */
-class DiscoveryTroubleTest {
+class DiscoveryFaultTest {
     private static final String NO_KEY = "0000000000000000";
     private static final String ID = "0123456789abcdef0123456789abcde";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
 
     @BeforeEach
     void open() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
     }
 
     @AfterEach
@@ -38,10 +39,10 @@
         world.close();
     }
 
-    private static Function<World.Request, String> trouble(String how) {
+    private static Function<SenderFixture.Request, String> trouble(String how) {
         String chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         return r -> switch (how) {
-            case "refuses" -> World.ok(503, "");
+            case "refuses" -> SenderFixture.ok(503, "");
             case "closes" -> {
                 try {
                     r.socket().close();
@@ -51,10 +52,11 @@
                 yield null;
             }
             case "says nothing and closes" -> "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-            case "empty" -> chunked + World.chunk("{\"rev\":9,\"all\":true,\"targets\":[]}\n") + "0\r\n\r\n";
-            case "unreadable entries" -> chunked + World.chunk("{\"rev\":9,\"all\":true,\"targets\":[{\"uid\":7},3]}\n")
+            case "empty" -> chunked + SenderFixture.chunk("{\"rev\":9,\"all\":true,\"targets\":[]}\n") + "0\r\n\r\n";
+            case "unreadable entries" -> chunked
+                    + SenderFixture.chunk("{\"rev\":9,\"all\":true,\"targets\":[{\"uid\":7},3]}\n") + "0\r\n\r\n";
+            case "torn" -> chunked + SenderFixture.chunk("{\"rev\":9,\"all\":true,\"targets\":[{\"uid\":\"s-\n")
                     + "0\r\n\r\n";
-            case "torn" -> chunked + World.chunk("{\"rev\":9,\"all\":true,\"targets\":[{\"uid\":\"s-\n") + "0\r\n\r\n";
             default -> throw new IllegalArgumentException(how);
         };
     }
@@ -102,11 +104,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "closes", "says nothing and closes", "empty", "unreadable entries", "torn"})
     void servesFromWhatIsKnownAsksSeldomAndTakesTheNextGoodList(String how) throws IOException {
-        Function<World.Request, String> good = world.discovery.answers;
-        Function<World.Request, String> bad = trouble(how);
+        Function<SenderFixture.Request, String> good = world.discovery.answers;
+        Function<SenderFixture.Request, String> bad = trouble(how);
         world.discovery.answers = r -> r.head().startsWith("POST") ? good.apply(r) : bad.apply(r);
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         assertEquals("+OK", client.submit("safe", ID + "0", NO_KEY));
         await(() -> world.receiver.requests.size() == 1);
         long asked = asked();
@@ -124,10 +126,10 @@
     /** A watch on which nothing changes has only empty lines to bring: when it ends it is asked for again soon. */
     @Test
     void aWatchThatHadNothingNewIsOpenedAgainSoon() throws IOException {
-        Function<World.Request, String> good = world.discovery.answers;
+        Function<SenderFixture.Request, String> good = world.discovery.answers;
         world.discovery.answers = r -> r.head().startsWith("POST")
                 ? good.apply(r)
-                : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + World.chunk("\n") + "0\r\n\r\n";
+                : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SenderFixture.chunk("\n") + "0\r\n\r\n";
         sender = world.start();
         await(() -> asked() >= 1);
         long from = System.nanoTime();
@@ -141,17 +143,17 @@
     /** What discovery can say at a start counts as told then: nothing goes by an older list while its answer is on its way. */
     @Test
     void aStartCallsNobodyBeforeDiscoverysFirstWord() throws IOException {
-        Function<World.Request, String> good = world.discovery.answers;
+        Function<SenderFixture.Request, String> good = world.discovery.answers;
         world.discovery.answers = r -> {
             if (r.head().startsWith("POST")) {
                 return good.apply(r);
             }
             pause(120);
             return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + World.chunk(world.list(2, true, "Terminating"));
+                    + SenderFixture.chunk(world.list(2, true, "Terminating"));
         };
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         client.submit("safe", ID + "0", NO_KEY);
         await(() -> !sender.ready("s-1"));
         pause(300);
@@ -161,7 +163,7 @@
     /** It is asked and says nothing: what is known is served from soon. */
     @Test
     void aSilentDiscoveryHoldsUpNobody() throws IOException {
-        Function<World.Request, String> good = world.discovery.answers;
+        Function<SenderFixture.Request, String> good = world.discovery.answers;
         world.discovery.answers = r -> r.head().startsWith("POST") ? good.apply(r) : null;
         sender = world.start();
         long from = System.nanoTime();
@@ -196,7 +198,7 @@
                 "lines that are no news"
             })
     void aWatchThatNeverSpeaksCostsLessThanTheTimeToTell(String how) throws Exception {
-        Function<World.Request, String> good = world.discovery.answers;
+        Function<SenderFixture.Request, String> good = world.discovery.answers;
         java.util.concurrent.atomic.AtomicBoolean over = new java.util.concurrent.atomic.AtomicBoolean();
         world.discovery.answers = r -> {
             if (r.head().startsWith("POST") || asked() > 1) {
@@ -204,13 +206,13 @@
             }
             Thread drip = new Thread(() -> {
                 try {
-                    World.write(
+                    SenderFixture.write(
                             r.socket(),
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                    + World.chunk(how.startsWith("lines of") ? "{\n" : " "));
+                                    + SenderFixture.chunk(how.startsWith("lines of") ? "{\n" : " "));
                     while (!over.get()) {
                         if (!quiet(how).isEmpty()) {
-                            World.write(r.socket(), World.chunk(quiet(how)));
+                            SenderFixture.write(r.socket(), SenderFixture.chunk(quiet(how)));
                         }
                         pause(100);
                     }
@@ -228,14 +230,14 @@
         await(world::watched);
         long took = (System.nanoTime() - from) / 1_000_000;
         over.set(true);
-        assertTrue(took < Directory.TOLD_MS, "told after " + took + " ms");
+        assertTrue(took < EndpointWatch.TOLD_MS, "told after " + took + " ms");
     }
 
     /** Refused for long, the pauses have grown; the change is there just behind a refusal. */
     @Test
     void refusalsCostLessThanTheTimeToTell() throws IOException {
-        Function<World.Request, String> good = world.discovery.answers;
-        world.discovery.answers = r -> r.head().startsWith("POST") ? good.apply(r) : World.ok(503, "");
+        Function<SenderFixture.Request, String> good = world.discovery.answers;
+        world.discovery.answers = r -> r.head().startsWith("POST") ? good.apply(r) : SenderFixture.ok(503, "");
         sender = world.start();
         await(() -> asked() >= 8);
         long from = System.nanoTime();
@@ -244,7 +246,7 @@
         long took = (System.nanoTime() - from) / 1_000_000;
         // The connection was accepted already, so that of the budget only the pause is left.
         assertTrue(
-                took <= Directory.PAUSE_LEAST_MS + Directory.PAUSE_MOST_MS + Directory.ANSWER_MS,
+                took <= EndpointWatch.PAUSE_LEAST_MS + EndpointWatch.PAUSE_MOST_MS + EndpointWatch.ANSWER_MS,
                 "told after " + took + " ms");
     }
 
@@ -266,15 +268,15 @@
     @Test
     void whatIsOwedIsServedFromTheKnownListWhileDiscoveryIsAway() throws IOException {
         int many = 40;
-        world.receiver.answers = r -> World.ok(429, "", "Retry-After: 1");
+        world.receiver.answers = r -> SenderFixture.ok(429, "", "Retry-After: 1");
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         for (int i = 0; i < many; i++) {
             assertEquals("+OK", client.submit("safe", ID.substring(1) + (10 + i), NO_KEY, 20_000, 7));
         }
         sender.stop();
         world.discovery.greet = s -> false;
-        world.receiver.answers = r -> World.ok(200, "");
+        world.receiver.answers = r -> SenderFixture.ok(200, "");
         world.receiver.requests.clear();
         sender = world.start();
         await(() -> world.receiver.requests.stream()
