--- a/sender/src/test/java/amberroute/sender/SurvivalTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,6 +11,14 @@
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.peer.PeerMessageCodec;
+import amberroute.sender.peer.PeerSocket;
+import amberroute.sender.peer.ReplicaStore;
+import amberroute.sender.peer.ReplicationCoordinator;
+import amberroute.sender.peer.ReplicationMessages;
+import amberroute.sender.peer.SwimTransport;
 import amberroute.storage.Batch;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -42,7 +50,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What one daemon says to its peers' words about estates, and what it does with what it finds on its disk. */
-class SurvivalTest {
+class FailoverTest {
     private static final String ESTATE = "two.abc";
     private static final ReplicaSet THREE = new ReplicaSet(1, List.of("two", "one", "three"));
 
@@ -52,21 +60,21 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final List<String> fenced = new CopyOnWriteArrayList<>();
-    private World world;
-    private Config config;
+    private SenderFixture world;
+    private SenderConfig config;
     private Journal journal;
     private ServerSocket peer;
-    private Survival survival;
+    private ReplicationCoordinator survival;
 
     @BeforeEach
     void build() throws Exception {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         peer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Files.writeString(folder.resolve("endpoints.json"), world.list(1, true, "Ready"));
         config = config(", \"three=127.0.0.1:1\"");
     }
 
-    private Config config(String more) throws Exception {
+    private SenderConfig config(String more) throws Exception {
         Path file = folder.resolve("one.toml");
         Files.writeString(
                 file,
@@ -82,14 +90,14 @@
                 limits.disk = "1MB"
                 """
                                 .formatted(world.discovery.address(), peer.getLocalPort(), more)
-                        + World.CLASSES);
-        return Config.read(Map.of("GW_CONFIG", file.toString()));
+                        + SenderFixture.CLASSES);
+        return SenderConfig.read(Map.of("GW_CONFIG", file.toString()));
     }
 
-    private Survival survival() throws Exception {
+    private ReplicationCoordinator survival() throws Exception {
         Files.createDirectories(config.state());
         journal = Journal.open(config.state(), 1 << 20);
-        PeerProbes probes = new PeerProbes(
+        SwimTransport probes = new SwimTransport(
                 loop,
                 "one",
                 "-",
@@ -97,22 +105,24 @@
                 () -> System.nanoTime() / 1_000,
                 1,
                 () -> MembershipView.Phase.READY);
-        survival = loop.submit(() -> new Survival(loop, config, journal, probes, new Survival.Host() {
-                    @Override
-                    public void fenced(String why) {
-                        fenced.add(why);
-                    }
-
-                    @Override
-                    public Survival.Caretaker takeOver(EstateStore.Kept kept, Path copy, long term) throws IOException {
-                        throw new IOException("not in this test");
-                    }
-
-                    @Override
-                    public long longestLife() {
-                        return 1_000;
-                    }
-                }))
+        survival = loop.submit(() ->
+                        new ReplicationCoordinator(loop, config, journal, probes, new ReplicationCoordinator.Host() {
+                            @Override
+                            public void fenced(String why) {
+                                fenced.add(why);
+                            }
+
+                            @Override
+                            public ReplicationCoordinator.Failover takeOver(
+                                    ReplicaStore.StoredReplica kept, Path copy, long term) throws IOException {
+                                throw new IOException("not in this test");
+                            }
+
+                            @Override
+                            public long longestLife() {
+                                return 1_000;
+                            }
+                        }))
                 .sync()
                 .getNow();
         return survival;
@@ -149,7 +159,7 @@
     }
 
     private static JsonObject claim(String from, long term, boolean trying, LogPosition copy) {
-        JsonObject line = EstateLine.of("CLAIM", from, ESTATE, term);
+        JsonObject line = ReplicationMessages.of("CLAIM", from, ESTATE, term);
         line.addProperty("try", trying);
         line.addProperty("copy_term", copy.term());
         line.addProperty("copy_number", copy.number());
@@ -157,28 +167,28 @@
     }
 
     private static JsonObject whole(long term, long upTo, ReplicaSet holders) {
-        JsonObject line = EstateLine.of("WHOLE", "two", ESTATE, term);
+        JsonObject line = ReplicationMessages.of("WHOLE", "two", ESTATE, term);
         line.addProperty("first", true);
         line.addProperty("last", true);
         line.addProperty("upto", upTo);
-        EstateLine.add(line, List.of(EstateLine.encoded(change(term, upTo, holders))));
-        EstateLine.add(line, holders);
+        ReplicationMessages.add(line, List.of(ReplicationMessages.encoded(change(term, upTo, holders))));
+        ReplicationMessages.add(line, holders);
         return line;
     }
 
     private static JsonObject copy(long term, long behind, ReplicaSet holders) {
-        JsonObject line = EstateLine.of("COPY", "two", ESTATE, term);
+        JsonObject line = ReplicationMessages.of("COPY", "two", ESTATE, term);
         line.addProperty("behind", behind);
         line.addProperty("upto", behind + 1);
-        EstateLine.add(line, List.of(EstateLine.encoded(change(term, behind + 1, holders))));
-        EstateLine.add(line, holders);
+        ReplicationMessages.add(line, List.of(ReplicationMessages.encoded(change(term, behind + 1, holders))));
+        ReplicationMessages.add(line, holders);
         return line;
     }
 
     private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.PLACE, EstateLine.place(new LogPosition(term, number)))
-                .put(1, Journal.GROUP, EstateLine.group(ESTATE, holders));
+                .put(1, Journal.PLACE, ReplicationMessages.place(new LogPosition(term, number)))
+                .put(1, Journal.GROUP, ReplicationMessages.group(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
@@ -226,7 +236,7 @@
     @Test
     void aPlannedRestartIsWaitedFor() throws Exception {
         hold(5);
-        JsonObject away = EstateLine.of("AWAY", "two", ESTATE, 1);
+        JsonObject away = ReplicationMessages.of("AWAY", "two", ESTATE, 1);
         away.addProperty("back_ms", 2_000);
         assertEquals("", word("two", away));
         long from = System.nanoTime();
@@ -240,11 +250,12 @@
     void whatIsDoneIsOverForGoodAndAStrangerIsNotAnswered() throws Exception {
         hold(5);
         assertEquals("", word("nobody", claim("nobody", 9, false, new LogPosition(8, 9))));
-        assertEquals("", word("two", EstateLine.of("DONE", "two", ESTATE, 1)));
+        assertEquals("", word("two", ReplicationMessages.of("DONE", "two", ESTATE, 1)));
         assertEquals("OVER", word("two", copy(1, 5, THREE)));
         assertEquals("DENY", word("three", claim("three", 7, false, new LogPosition(6, 100))));
         assertThrows(
-                RuntimeException.class, () -> say(connection, "two", EstateLine.of("COPY", "two", "two.other", 1)));
+                RuntimeException.class,
+                () -> say(connection, "two", ReplicationMessages.of("COPY", "two", "two.other", 1)));
     }
 
     /** It is told what it had: whoever put an older folder back has forgotten promises, and grants nothing. */
@@ -284,7 +295,7 @@
     @Test
     void whoLeavesTheGroupNeitherGrantsNorTries() throws Exception {
         hold(5);
-        assertEquals("", word("two", EstateLine.of("LEAVE", "two", ESTATE, 1)));
+        assertEquals("", word("two", ReplicationMessages.of("LEAVE", "two", ESTATE, 1)));
         assertEquals("DENY", word("three", claim("three", 2, false, new LogPosition(1, 5))));
         assertEquals(
                 "there is no copy of it here",
@@ -296,10 +307,10 @@
     @Test
     void anOwnEstateWithoutItsPromisesIsGivenUp() throws Exception {
         survival();
-        journal.copyTo(new Journal.Copies() {
+        journal.copyTo(new Journal.ChangeListener() {
             @Override
             public byte[] place() {
-                return EstateLine.place(new LogPosition(3, 8));
+                return ReplicationMessages.place(new LogPosition(3, 8));
             }
 
             @Override
@@ -308,7 +319,8 @@
             @Override
             public void whenAgreed(Runnable effect, Runnable failed) {}
         });
-        assertTrue(journal.holders(EstateLine.group("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
+        assertTrue(journal.holders(
+                ReplicationMessages.group("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
@@ -328,11 +340,11 @@
         listening.setDaemon(true);
         listening.start();
         // Its own estate is known, so that its claims tell that it goes on trying.
-        EstateStore store = new EstateStore(config.state().resolve("copies"), 1 << 20);
+        ReplicaStore store = new ReplicaStore(config.state().resolve("copies"), 1 << 20);
         assertTrue(store.promise(store.of("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
-        journal.holders(EstateLine.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
+        journal.holders(ReplicationMessages.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
@@ -370,7 +382,7 @@
                             .count()
                     >= 3);
             assertTrue(
-                    claims.stream().filter(SurvivalTest::estate).allMatch(c -> c.get("try")
+                    claims.stream().filter(FailoverTest::estate).allMatch(c -> c.get("try")
                             .getAsBoolean()),
                     claims.toString());
             // The owner is gone for good: now it is the one to go on with it.
@@ -396,7 +408,7 @@
                         if (line.get("word").getAsString().equals("CLAIM")) {
                             line.addProperty("by", name);
                             claims.add(line);
-                            JsonObject answer = EstateLine.of(
+                            JsonObject answer = ReplicationMessages.of(
                                     yes ? "GRANT" : "DENY",
                                     name,
                                     line.get("estate").getAsString(),
@@ -404,7 +416,7 @@
                             answer.addProperty("asked", line.get("term").getAsLong());
                             answer.addProperty("former", false);
                             answer.addProperty("ahead", ahead);
-                            socket.getOutputStream().write(PeerLine.utf8(answer));
+                            socket.getOutputStream().write(PeerMessageCodec.utf8(answer));
                         }
                     } catch (RuntimeException e) {
                         // A connection that ended without a word.
@@ -452,7 +464,7 @@
         Sender sender = Sender.start(config);
         List<String> answers = new ArrayList<>();
         try {
-            World.Client client = world.client(sender);
+            SenderFixture.Client client = world.client(sender);
             answers.add(client.submit("safe", "m1", "0000000000000000"));
             answers.add(client.submit("safe", "m1", "0000000000000000"));
             assertEquals(0, sender.owed());
--- a/sender/src/test/java/amberroute/sender/FolderReclaimTest.java
+++ b/sender/src/test/java/amberroute/sender/FolderReclaimTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import amberroute.sender.lifecycle.FolderReclaim;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/sender/src/test/java/amberroute/sender/GentleTest.java
+++ b/sender/src/test/java/amberroute/sender/GracefulShutdownTest.java
@@ -1,7 +1,7 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,6 +9,7 @@
 import amberroute.membership.Heartbeat;
 import amberroute.membership.Heartbeat.Health;
 import amberroute.membership.MembershipView;
+import amberroute.sender.config.SenderConfig;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -28,20 +29,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A daemon that agrees with its peers on what a cold partner gets; the peer is played by the test on a socket. */
-class GentleTest {
+class GracefulShutdownTest {
     private static final String NO_KEY = "0000000000000000";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
     private DatagramSocket peer;
     private long number;
 
     @BeforeEach
     void build() throws Exception {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         peer.setSoTimeout(10_000);
         Files.writeString(folder.resolve("endpoints.json"), world.list(1, true, "Ready"));
@@ -68,8 +69,8 @@
                 descriptors = 256
                 """
                                 .formatted(world.discovery.address(), peer.getLocalPort())
-                        + World.CLASSES);
-        sender = Sender.start(Config.read(Map.of("GW_CONFIG", file.toString())));
+                        + SenderFixture.CLASSES);
+        sender = Sender.start(SenderConfig.read(Map.of("GW_CONFIG", file.toString())));
     }
 
     @AfterEach
@@ -101,7 +102,7 @@
     }
 
     private void hand(int from, int to) throws IOException {
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         for (int i = from; i < to; i++) {
             assertEquals("+OK", client.submit("safe", "m" + i, NO_KEY, 18_000, 7));
         }
--- a/sender/src/test/java/amberroute/sender/HandOverTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -1,12 +1,18 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.handoff.Ownership;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.SegmentFiles;
+import amberroute.sender.lifecycle.ShutdownSequence;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.peer.HandoffCoordinator;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -24,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Daemons that leave give what they hold to daemons that stay. */
-class HandOverTest {
+class HandoffTest {
     private static final String NO_KEY = "0000000000000000";
     private static final String CLASSES =
             "\"classes\":{\"safe\":\"SAFE ENDPOINT 0 false\",\"keyed\":\"KEYED DESTINATION"
@@ -34,12 +40,12 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private final List<Sender> senders = new ArrayList<>();
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
     }
 
     @AfterEach
@@ -49,7 +55,7 @@
     }
 
     /** Its classes allow for 600 s, as a call is silent only after a 16th of the longest: see {@link #hang}. */
-    private Config config(String name, String peers, int openMessages) throws IOException {
+    private SenderConfig config(String name, String peers, int openMessages) throws IOException {
         Files.writeString(folder.resolve("endpoints.json"), world.list(1, true, "Ready"));
         Path file = folder.resolve(name + ".toml");
         Files.writeString(
@@ -69,8 +75,8 @@
                 descriptors = 256
                 """
                                 .formatted(name, world.discovery.address(), peers, openMessages)
-                        + World.CLASSES.replace("deadline = \"20s\"", "deadline = \"600s\""));
-        return Config.read(Map.of("GW_CONFIG", file.toString()));
+                        + SenderFixture.CLASSES.replace("deadline = \"20s\"", "deadline = \"600s\""));
+        return SenderConfig.read(Map.of("GW_CONFIG", file.toString()));
     }
 
     private Sender start(String name, String peers) throws IOException {
@@ -84,7 +90,7 @@
     }
 
     private static int stop(Sender sender, long within) throws Exception {
-        sender.pauseFor(() -> sender.beginStop(DrainPlan.Mode.FINAL, within));
+        sender.pauseFor(() -> sender.beginStop(ShutdownSequence.Mode.FINAL, within));
         return sender.stopped().get(20, TimeUnit.SECONDS);
     }
 
@@ -93,11 +99,12 @@
      * that came behind hanging ones would be held back for their age. They have a minute, of which a call may take a quarter: given
      * up or silent while a slow machine still hands in the rest, they would be an outage, for which that is rightly turned away.
      */
-    private void hang(World.Client client) throws IOException {
+    private void hang(SenderFixture.Client client) throws IOException {
         world.receiver.answers = r -> r.body().contains("hang") ? null : ok(503, "", "Retry-After: 1");
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 4; i++) {
-            all.append(World.command("SUBMIT", NO_KEY, "hang" + i, "c=safe,d=60000,dest=7", "body of hang" + i));
+            all.append(
+                    SenderFixture.command("SUBMIT", NO_KEY, "hang" + i, "c=safe,d=60000,dest=7", "body of hang" + i));
         }
         client.write(all.toString());
         for (int i = 0; i < 4; i++) {
@@ -117,7 +124,7 @@
     void whatWaitsMovesInOrderAndIsDeliveredByTheHeir() throws Exception {
         Sender heir = start("heir", "");
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.prove(leaver, client);
         hang(client);
         for (int i = 0; i < 3; i++) {
@@ -130,8 +137,9 @@
         assertEquals(0, stop(leaver, 2_000));
         assertEquals(0, leaver.owed());
         await(() -> heir.owed() == 0);
-        List<String> bodies =
-                world.receiver.requests.stream().map(World.Request::body).toList();
+        List<String> bodies = world.receiver.requests.stream()
+                .map(SenderFixture.Request::body)
+                .toList();
         assertEquals(
                 List.of("body of k0", "body of k1", "body of k2"),
                 bodies.stream().filter(b -> b.contains(" k")).toList());
@@ -144,7 +152,7 @@
         try (Socket socket = new Socket(
                 InetAddress.getLoopbackAddress(), heir.handOverAddress().getPort())) {
             socket.setSoTimeout(10_000);
-            World.write(
+            SenderFixture.write(
                     socket,
                     "{\"word\":\"OFFER\",\"lot\":\"" + lot + "\",\"generation\":2,\"from\":\"leaver\","
                             + CLASSES + "\"messages\":[{\"id\":\"" + id + "\",\"idempotency_key\":\"\",\"class\":\""
@@ -188,7 +196,7 @@
         Sender heir = Sender.start(config("heir", "", 1));
         senders.add(heir);
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.prove(leaver, client);
         hang(client);
         assertEquals("+OK", client.submit("keyed", "k0", KEY));
@@ -213,13 +221,13 @@
                         .replace(
                                 "[handover]\nlisten = \"127.0.0.1:0\"",
                                 "[handover]\nlisten = \"127.0.0.1:" + port + "\""));
-        Sender again = Sender.start(Config.read(Map.of("GW_CONFIG", file.toString())));
+        Sender again = Sender.start(SenderConfig.read(Map.of("GW_CONFIG", file.toString())));
         senders.add(again);
-        World.Client client = world.client(again);
+        SenderFixture.Client client = world.client(again);
         world.prove(again, client);
         hang(client);
         assertEquals("+OK", client.submit("safe", "m", NO_KEY));
-        two.pauseFor(() -> two.beginStop(DrainPlan.Mode.FINAL, 1_500));
+        two.pauseFor(() -> two.beginStop(ShutdownSequence.Mode.FINAL, 1_500));
         assertEquals(0, stop(again, 1_500));
         assertEquals(0, two.stopped().get(20, TimeUnit.SECONDS));
         assertTrue(noticed("m", "returned"), world.notices.toString());
@@ -230,7 +238,7 @@
     void anHeirThatFallsSilentLeavesOnlyAFailure() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Sender leaver = start("leaver", "\"heir=127.0.0.1:" + deaf.getLocalPort() + "\"");
-            World.Client client = world.client(leaver);
+            SenderFixture.Client client = world.client(leaver);
             world.prove(leaver, client);
             hang(client);
             assertEquals("+OK", client.submit("safe", "m", NO_KEY));
@@ -240,12 +248,12 @@
         }
         // A process that dies between the two records must find the message ended, not its own again.
         Path state = folder.resolve("leaver");
-        byte[] whole = Segments.first(state);
+        byte[] whole = SegmentFiles.first(state);
         boolean gaveUp = false;
-        for (int end : Segments.ends(whole)) {
-            Segments.cut(state, whole, end);
+        for (int end : SegmentFiles.ends(whole)) {
+            SegmentFiles.cut(state, whole, end);
             try (Journal journal = Journal.peek(state)) {
-                for (Journal.Lot lot : journal.lots().values()) {
+                for (Journal.HandoffBatchRecord lot : journal.lots().values()) {
                     boolean ended = lot.ownership().status() == Ownership.Status.ENDED;
                     gaveUp |= ended;
                     assertTrue(!ended || journal.messages(lot.numbers()).isEmpty(), "a lot ended before its message");
@@ -264,7 +272,7 @@
             String id = adopted ? "yes" : "no";
             world.receiver.answers = r -> ok(200, "");
             Journal journal = Journal.open(state, 3_000_000);
-            Held owned = new Held(
+            AcceptedMessage owned = new AcceptedMessage(
                     journal.nextNumber(), id, "", "safe", 0, 7, System.currentTimeMillis() + 15_000, new byte[3]);
             journal.accept(owned);
             journal.lot(
@@ -330,7 +338,7 @@
         try (Socket socket = new Socket(
                 InetAddress.getLoopbackAddress(), heir.handOverAddress().getPort())) {
             socket.setSoTimeout(10_000);
-            World.write(socket, line);
+            SenderFixture.write(socket, line);
             byte[] answer = new byte[300];
             int length = socket.getInputStream().read(answer);
             return length < 0 ? "" : new String(answer, 0, length, java.nio.charset.StandardCharsets.UTF_8);
@@ -380,29 +388,29 @@
                 "{}\n",
                 "{\"word\":\"YES\",\"lot\":\"a\",\"generation\":1,\"from\":\"b\"}\n",
                 "{\"word\":\"OFFER\",\"lot\":\"a\",\"generation\":2,\"from\":\"b\",\"messages\":[{}]}\n",
-                "x".repeat(HandOver.LONGEST_LINE + 10))) {
+                "x".repeat(HandoffCoordinator.LONGEST_LINE + 10))) {
             try (Socket socket = new Socket(
                     InetAddress.getLoopbackAddress(), heir.handOverAddress().getPort())) {
                 socket.setSoTimeout(10_000);
                 try {
-                    World.write(socket, bad);
+                    SenderFixture.write(socket, bad);
                     assertEquals(-1, socket.getInputStream().read());
                 } catch (SocketException e) {
                     // Reset, as input was left unread: as good an end.
                 }
             }
         }
-        World.Client client = world.client(heir);
+        SenderFixture.Client client = world.client(heir);
         assertEquals("+PONG", client.ask("PING"));
     }
 
-    private static String bodyOf(World.Request r) {
+    private static String bodyOf(SenderFixture.Request r) {
         return r.body().replace("body of ", "");
     }
 
     private List<String> delivered(String prefix) {
         return world.receiver.requests.stream()
-                .map(HandOverTest::bodyOf)
+                .map(HandoffTest::bodyOf)
                 .filter(b -> b.startsWith(prefix))
                 .toList();
     }
@@ -414,12 +422,12 @@
         String text = Files.readString(file);
         assertTrue(text.contains(from), from);
         Files.writeString(file, text.replace(from, to));
-        Sender sender = Sender.start(Config.read(Map.of("GW_CONFIG", file.toString())));
+        Sender sender = Sender.start(SenderConfig.read(Map.of("GW_CONFIG", file.toString())));
         senders.add(sender);
         return sender;
     }
 
-    private static void leave(Sender sender, DrainPlan.Mode mode, long within) {
+    private static void leave(Sender sender, ShutdownSequence.Mode mode, long within) {
         sender.pauseFor(() -> sender.beginStop(mode, within));
     }
 
@@ -428,7 +436,7 @@
     void whatClientsBringToTheHeirFirstComesBehindWhatTheLeaverHas() throws Exception {
         Sender heir = start("heir", "");
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.prove(leaver, client);
         world.receiver.answers = r -> r.body().contains("k0") ? null : ok(200, "");
         assertEquals("+OK", client.submit("keyed", "k0", KEY));
@@ -436,12 +444,14 @@
         for (int i = 1; i < 4; i++) {
             assertEquals("+OK", client.submit("keyed", "k" + i, KEY));
         }
-        leave(leaver, DrainPlan.Mode.FINAL, 9_000);
+        leave(leaver, ShutdownSequence.Mode.FINAL, 9_000);
         String answer = client.submit("keyed", "k4", KEY);
         assertTrue(answer.startsWith("-BUSY"), answer);
         // All peers hold the key: its client may go at once, and does.
-        assertTrue(answer.equals("-BUSY") || Long.parseLong(answer.substring(6)) <= DrainPlan.SPREAD_LONGEST, answer);
-        World.Client there = world.client(heir);
+        assertTrue(
+                answer.equals("-BUSY") || Long.parseLong(answer.substring(6)) <= ShutdownSequence.SPREAD_LONGEST,
+                answer);
+        SenderFixture.Client there = world.client(heir);
         assertEquals("+OK", there.submit("keyed", "k4", KEY));
         assertEquals("+OK", there.submit("keyed", "k5", KEY));
         assertEquals("+OK", there.submit("keyed", "other", "1111111111111111"));
@@ -467,11 +477,11 @@
     void whoeverMightFindItsKeyUnheldIsToldToStayAway() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Sender leaver = start("leaver", "\"heir=127.0.0.1:" + deaf.getLocalPort() + "\"");
-            World.Client client = world.client(leaver);
+            SenderFixture.Client client = world.client(leaver);
             world.prove(leaver, client);
             hang(client);
             assertEquals("+OK", client.submit("keyed", "k0", KEY));
-            leave(leaver, DrainPlan.Mode.FINAL, 3_000);
+            leave(leaver, ShutdownSequence.Mode.FINAL, 3_000);
             long asked = System.nanoTime();
             String answer = client.submit("keyed", "k1", KEY);
             assertTrue(answer.startsWith("-BUSY "), answer);
@@ -481,7 +491,8 @@
             assertTrue(told + waited > 4_000, "told " + told);
             answer = world.client(leaver).submit("keyed", "x", "1111111111111111");
             assertTrue(
-                    answer.equals("-BUSY") || Long.parseLong(answer.substring(6)) <= DrainPlan.SPREAD_LONGEST, answer);
+                    answer.equals("-BUSY") || Long.parseLong(answer.substring(6)) <= ShutdownSequence.SPREAD_LONGEST,
+                    answer);
             leaver.stopped().get(20, TimeUnit.SECONDS);
         }
     }
@@ -494,7 +505,7 @@
         Journal journal = Journal.open(folder.resolve("first"), 3_000_000);
         long key = Long.parseUnsignedLong(KEY, 16);
         for (String id : List.of("k0", "k1", "u", "lost")) {
-            Held m = new Held(
+            AcceptedMessage m = new AcceptedMessage(
                     journal.nextNumber(),
                     id,
                     id,
@@ -531,7 +542,7 @@
     void anHeirWithAFullDiskRefuses() throws Exception {
         Sender heir = startWith("heir", "", "[limits]", "[limits]\ndisk = \"256KB\"");
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.prove(leaver, client);
         hang(client);
         String body = "x".repeat(20_000);
@@ -573,7 +584,7 @@
         Sender heir =
                 startWith("heir", "", "name = \"unsafe\"\neffect = \"unsafe\"", "name = \"unsafe\"\neffect = \"safe\"");
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.prove(leaver, client);
         hang(client);
         assertEquals("+OK", client.submit("unsafe", "u", NO_KEY));
@@ -591,7 +602,7 @@
         Journal journal = Journal.open(state, 3_000_000);
         long key = Long.parseUnsignedLong(KEY, 16);
         for (int i = 0; i < 2; i++) {
-            Held m = new Held(
+            AcceptedMessage m = new AcceptedMessage(
                     journal.nextNumber(),
                     "k" + i,
                     "k" + i,
@@ -625,13 +636,13 @@
     void aDaemonThatMovesAndComesBackLetsItsHeirGoFirst() throws Exception {
         Sender heir = start("heir", "");
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.prove(leaver, client);
         world.receiver.answers = r -> ok(503, "", "Retry-After: 1");
         for (int i = 0; i < 3; i++) {
             assertEquals("+OK", client.submit("keyed", "k" + i, KEY));
         }
-        leave(leaver, DrainPlan.Mode.MOVE, 6_000);
+        leave(leaver, ShutdownSequence.Mode.MOVE, 6_000);
         String answer = client.submit("keyed", "k3", KEY);
         assertTrue(answer.startsWith("-BUSY ") && Long.parseLong(answer.substring(6)) >= 3_000, answer);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
@@ -641,7 +652,7 @@
         senders.remove(leaver);
         world.receiver.requests.clear();
         Sender again = start("leaver", peer("heir", heir));
-        World.Client back = world.client(again);
+        SenderFixture.Client back = world.client(again);
         assertEquals("+OK", back.submit("keyed", "k3", KEY));
         world.receiver.answers = r -> ok(200, "");
         await(() -> again.owed() == 0 && heir.owed() == 0);
@@ -673,7 +684,7 @@
     void fromEveryPairOfCrashPointsEachMessageHasOneOwner() throws Exception {
         Sender heir = start("heir", "");
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.receiver.answers = r -> ok(503, "", "Retry-After: 3");
         for (String id : List.of("k0", "k1", "u")) {
             assertEquals(
@@ -685,10 +696,10 @@
         leaver.stop();
         heir.stop();
         senders.clear();
-        byte[] theirs = Segments.first(folder.resolve("leaver"));
-        byte[] own = Segments.first(folder.resolve("heir"));
-        List<String> left = Segments.records(theirs);
-        List<String> took = Segments.records(own);
+        byte[] theirs = SegmentFiles.first(folder.resolve("leaver"));
+        byte[] own = SegmentFiles.first(folder.resolve("heir"));
+        List<String> left = SegmentFiles.records(theirs);
+        List<String> took = SegmentFiles.records(own);
         int offered = recordsWith(left, "OFFERED");
         int given = recordsWith(left, "GIVEN");
         int adopted = recordsWith(took, "OWNED");
@@ -702,9 +713,12 @@
                     continue;
                 }
                 pairs++;
-                Segments.cut(
-                        folder.resolve("leaver"), theirs, Segments.ends(theirs).get(l - 1));
-                Segments.cut(folder.resolve("heir"), own, Segments.ends(own).get(h - 1));
+                SegmentFiles.cut(
+                        folder.resolve("leaver"),
+                        theirs,
+                        SegmentFiles.ends(theirs).get(l - 1));
+                SegmentFiles.cut(
+                        folder.resolve("heir"), own, SegmentFiles.ends(own).get(h - 1));
                 world.receiver.requests.clear();
                 world.notices.clear();
                 world.receiver.answers = r -> ok(200, "");
@@ -776,13 +790,13 @@
             proxy.setDaemon(true);
             proxy.start();
             Sender leaver = start("leaver", "\"heir=127.0.0.1:" + between.getLocalPort() + "\"");
-            World.Client client = world.client(leaver);
+            SenderFixture.Client client = world.client(leaver);
             world.prove(leaver, client);
             world.receiver.answers = r -> ok(503, "", "Retry-After: 1");
             assertEquals("+OK", client.submit("unsafe", "u", NO_KEY));
             await(() -> delivered("u").size() == 1);
             world.receiver.requests.clear();
-            leave(leaver, DrainPlan.Mode.FINAL, 2_500);
+            leave(leaver, ShutdownSequence.Mode.FINAL, 2_500);
             await(() -> heir.owed() == 1);
             List<String> run = new java.util.concurrent.CopyOnWriteArrayList<>();
             world.receiver.answers = r -> {
@@ -805,7 +819,7 @@
     void theLeaverTellsSinceWhenAMessageIsInDoubt() throws Exception {
         Sender heir = start("heir", "");
         Journal journal = Journal.open(folder.resolve("leaver"), 3_000_000);
-        Held m = new Held(
+        AcceptedMessage m = new AcceptedMessage(
                 journal.nextNumber(),
                 "k",
                 "k",
@@ -841,7 +855,7 @@
     void aListThatChangesMeanwhileIsTheHeirs() throws Exception {
         Sender heir = start("heir", "");
         Sender leaver = start("leaver", peer("heir", heir));
-        World.Client client = world.client(leaver);
+        SenderFixture.Client client = world.client(leaver);
         world.prove(leaver, client);
         world.receiver.answers = r -> ok(503, "", "Retry-After: 1");
         for (int i = 0; i < 3; i++) {
@@ -849,7 +863,7 @@
         }
         Path aside = folder.resolve("endpoints.new");
         Files.writeString(aside, world.list(3, true, "Ready", "s-2"));
-        leave(leaver, DrainPlan.Mode.FINAL, 4_000);
+        leave(leaver, ShutdownSequence.Mode.FINAL, 4_000);
         Files.move(aside, folder.resolve("endpoints.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
         await(() -> heir.ready("s-2") && !heir.ready("s-1"));
--- a/sender/src/test/java/amberroute/sender/SpoiltAnswersTest.java
+++ b/sender/src/test/java/amberroute/sender/MalformedResponsesTest.java
@@ -1,10 +1,11 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.util.StrictNumbers;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
@@ -20,20 +21,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Answers that cannot be read, do not end, or bring more than belongs to them. */
-class SpoiltAnswersTest {
+class MalformedResponsesTest {
     private static final String NO_KEY = "0000000000000000";
-    private static final String A = World.ID + "1";
-    private static final String B = World.ID + "2";
+    private static final String A = SenderFixture.ID + "1";
+    private static final String B = SenderFixture.ID + "2";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
     }
 
     @AfterEach
@@ -48,7 +49,7 @@
         return world.receiver.requests.size();
     }
 
-    private World.Client answering(Function<World.Request, String> answers) throws IOException {
+    private SenderFixture.Client answering(Function<SenderFixture.Request, String> answers) throws IOException {
         world.receiver.answers = answers;
         sender = world.start();
         return world.client(sender);
@@ -73,7 +74,7 @@
                 "HTTP/1.1 103 Early\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"
             })
     void deliversByTheFirstLine(String spoilt) throws IOException {
-        World.Client client = answering(r -> r.header("X-Request-ID").equals(A) ? spoilt : ok(200, ""));
+        SenderFixture.Client client = answering(r -> r.header("X-Request-ID").equals(A) ? spoilt : ok(200, ""));
         client.submit("unsafe", A, NO_KEY);
         settled();
         client.submit("unsafe", B, NO_KEY);
@@ -95,7 +96,7 @@
                 "HTTP/1.1 100 Go on\r\n\r\n\u0001\u0002\r\n\r\n"
             })
     void takesOtherSpoiltAnswersAsDoubt(String spoilt) throws IOException {
-        World.Client client = answering(r -> calls() < 3 ? spoilt : ok(200, ""));
+        SenderFixture.Client client = answering(r -> calls() < 3 ? spoilt : ok(200, ""));
         client.submit("unsafe", A, NO_KEY);
         await(() -> world.notices.contains("{\"id\":\"" + A + "\",\"state\":\"failed\"}"));
         client.submit("safe", B, NO_KEY);
@@ -108,7 +109,7 @@
     /** An answer that never stops is bounded in bytes, and its connection closed. */
     @Test
     void closesOnAnAnswerWithoutEnd() throws IOException {
-        World.Client client = answering(r -> {
+        SenderFixture.Client client = answering(r -> {
             if (!r.header("X-Request-ID").equals(A)) {
                 return ok(200, "");
             }
@@ -121,7 +122,7 @@
         await(() -> world.receiver.sockets.get(0).isClosed());
     }
 
-    private static void pour(World.Request r, String start) {
+    private static void pour(SenderFixture.Request r, String start) {
         try {
             OutputStream out = r.socket().getOutputStream();
             out.write(start.getBytes(StandardCharsets.ISO_8859_1));
@@ -143,8 +144,8 @@
     void neverTakesSurplusForTheNextAnswer() throws IOException {
         for (boolean later : new boolean[] {false, true}) {
             world.slots = 1;
-            World.Client client = answering(r -> {
-                if (r.header("X-Request-ID").startsWith(World.ID + "b")) {
+            SenderFixture.Client client = answering(r -> {
+                if (r.header("X-Request-ID").startsWith(SenderFixture.ID + "b")) {
                     pause(60);
                     return ok(500, "");
                 }
@@ -155,10 +156,10 @@
                 later(r, good);
                 return good;
             });
-            String a = World.ID + "a" + later;
-            String b = World.ID + "b" + later;
-            client.raw(World.command("SUBMIT", NO_KEY, a, "c=unsafe,d=8000,dest=7", "")
-                    + World.command("SUBMIT", NO_KEY, b, "c=unsafe,d=8000,dest=7", ""));
+            String a = SenderFixture.ID + "a" + later;
+            String b = SenderFixture.ID + "b" + later;
+            client.raw(SenderFixture.command("SUBMIT", NO_KEY, a, "c=unsafe,d=8000,dest=7", "")
+                    + SenderFixture.command("SUBMIT", NO_KEY, b, "c=unsafe,d=8000,dest=7", ""));
             client.answer();
             settled();
             assertEquals(List.of("{\"id\":\"" + b + "\",\"state\":\"failed\"}"), world.notices);
@@ -176,7 +177,7 @@
     }
 
     /** Writes once more, right behind the answer but in a packet of its own. */
-    private static void later(World.Request r, String text) {
+    private static void later(SenderFixture.Request r, String text) {
         Thread thread = new Thread(() -> {
             pause(3);
             try {
@@ -193,7 +194,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"100 Continue", "101 Switching Protocols\r\nUpgrade: websocket", "102 Processing"})
     void readsTheAnswerBehindInterimOnes(String interim) throws IOException {
-        World.Client client = answering(r -> "HTTP/1.1 " + interim + "\r\n\r\n" + ok(200, ""));
+        SenderFixture.Client client = answering(r -> "HTTP/1.1 " + interim + "\r\n\r\n" + ok(200, ""));
         client.submit("unsafe", A, NO_KEY, 6_000, 7);
         settled();
         await(() -> sender.kept() == 1);
@@ -209,11 +210,11 @@
     void believesAnAnswerForSeveralOnlyAsAWhole() throws IOException {
         world.perCall = 5;
         world.slots = 1;
-        World.Client client = answering(r ->
+        SenderFixture.Client client = answering(r ->
                 r.head().contains("receive-many") ? ok(200, A + " delivered\r\n" + B.substring(0, 9)) : ok(200, ""));
         world.prove(sender, client);
-        client.raw(World.command("SUBMIT", NO_KEY, A, "c=safe,d=8000,dest=7", "one")
-                + World.command("SUBMIT", NO_KEY, B, "c=unsafe,d=8000,dest=7", "two"));
+        client.raw(SenderFixture.command("SUBMIT", NO_KEY, A, "c=safe,d=8000,dest=7", "one")
+                + SenderFixture.command("SUBMIT", NO_KEY, B, "c=unsafe,d=8000,dest=7", "two"));
         client.answer();
         settled();
         assertEquals(List.of("{\"id\":\"" + B + "\",\"state\":\"failed\"}"), world.notices);
@@ -223,11 +224,11 @@
     /** A report that is no number of the plain sort is no report. */
     @Test
     void readsPlainNumbersOnly() {
-        assertEquals(0.25, Decimals.parse("0.25"));
-        assertEquals(12, Decimals.parse("12"));
-        assertEquals(0.00001, Decimals.parse("1e-05"));
+        assertEquals(0.25, StrictNumbers.parse("0.25"));
+        assertEquals(12, StrictNumbers.parse("12"));
+        assertEquals(0.00001, StrictNumbers.parse("1e-05"));
         for (String bad : new String[] {"NaN", "Infinity", "-1", "1e999", "12d", "0x1p3", "", "1 ", ".", "+1", null}) {
-            assertTrue(Decimals.parse(bad) < 0, "took " + bad);
+            assertTrue(StrictNumbers.parse(bad) < 0, "took " + bad);
         }
     }
 }
--- a/sender/src/test/java/amberroute/sender/AdoptionTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -1,7 +1,7 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,6 +9,11 @@
 
 import amberroute.decisions.settings.InvalidSettingsException;
 import amberroute.handoff.Ownership;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.journal.FencingToken;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.lifecycle.OrphanedJournalRecovery;
+import amberroute.sender.message.AcceptedMessage;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.BufferedReader;
@@ -33,20 +38,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A dead or stopped daemon's folder is taken over: each message once, none by two. */
-class AdoptionTest {
+class OrphanedJournalRecoveryTest {
     private static final long SOON = 60_000;
     private static final long KEY = 0x7f3a9c21e0b4d655L;
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Path orphan;
     private final List<Sender> senders = new ArrayList<>();
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         orphan = folder.resolve("orphan");
     }
 
@@ -73,13 +78,13 @@
                 descriptors = 256
                 """
                                 .formatted(name, world.discovery.address(), room, more)
-                        + World.CLASSES);
+                        + SenderFixture.CLASSES);
         return file;
     }
 
     private Sender start(String name, int room) throws IOException {
         Sender sender = Sender.start(
-                Config.read(Map.of("GW_CONFIG", file(name, room, "").toString())));
+                SenderConfig.read(Map.of("GW_CONFIG", file(name, room, "").toString())));
         senders.add(sender);
         return sender;
     }
@@ -98,8 +103,8 @@
         }
     }
 
-    private static Held message(Journal journal, String id, String className, long key, int destination) {
-        Held m = new Held(
+    private static AcceptedMessage message(Journal journal, String id, String className, long key, int destination) {
+        AcceptedMessage m = new AcceptedMessage(
                 journal.nextNumber(),
                 id,
                 "idem-" + id,
@@ -128,15 +133,15 @@
         try (Journal journal = Journal.open(orphan, 3_000_000)) {
             message(journal, "fresh", "unsafe", 0, 7);
             journal.attempt(message(journal, "out", "unsafe", 0, 7), "s-1", System.currentTimeMillis());
-            Held refused = message(journal, "refused", "unsafe", 0, 7);
+            AcceptedMessage refused = message(journal, "refused", "unsafe", 0, 7);
             journal.attempt(refused, "s-1", System.currentTimeMillis());
             journal.outcome(refused, false);
             journal.attempt(message(journal, "k0", "keyed", KEY, 7), "s-1", System.currentTimeMillis());
             message(journal, "k1", "keyed", KEY, 7);
             message(journal, "k2", "keyed", KEY, 7);
-            Held ended = message(journal, "ended", "safe", 0, 7);
+            AcceptedMessage ended = message(journal, "ended", "safe", 0, 7);
             journal.end(ended, ended.returned(0));
-            Held offered = message(journal, "offered", "unsafe", 0, 7);
+            AcceptedMessage offered = message(journal, "offered", "unsafe", 0, 7);
             assertTrue(journal.lot("lot", Ownership.taken(), ended.deadline, List.of(offered)));
             assertTrue(journal.lot(
                     "lot", new Ownership(2, Ownership.Status.OFFERED, "elsewhere"), ended.deadline, List.of(offered)));
@@ -174,7 +179,7 @@
     /** The heir dies at any moment of it, as far as its journal can show, and is asked again. */
     @Test
     void goesOnWhereItWasCutOff() throws Exception {
-        int count = 3 * Adoption.MOST_MESSAGES + 5;
+        int count = 3 * OrphanedJournalRecovery.MOST_MESSAGES + 5;
         try (Journal journal = Journal.open(orphan, 16_000_000)) {
             for (int i = 0; i < count; i++) {
                 // Nobody is listed as ready for destination 8, so they stay.
@@ -223,7 +228,12 @@
         start("other", 50);
         assertTrue(adopt("heir", orphan, false).get("ok").getAsBoolean());
         assertEquals(
-                new Fence("heir", folder.resolve("heir"), Fence.read(orphan).lots(), true), Fence.read(orphan));
+                new FencingToken(
+                        "heir",
+                        folder.resolve("heir"),
+                        FencingToken.read(orphan).lots(),
+                        true),
+                FencingToken.read(orphan));
         assertTrue(adopt("other", orphan, false).get("error").getAsString().contains("taken over by heir"));
         assertThrows(InvalidSettingsException.class, () -> start("orphan", 50));
     }
@@ -231,7 +241,7 @@
     /** The second of three dies in the middle of taking the first's: the third finishes that, and nothing comes twice. */
     @Test
     void aChainOfTakersTakesEachMessageOnce() throws Exception {
-        int count = 3 * Adoption.MOST_MESSAGES;
+        int count = 3 * OrphanedJournalRecovery.MOST_MESSAGES;
         try (Journal journal = Journal.open(orphan, 16_000_000)) {
             for (int i = 0; i < count; i++) {
                 message(journal, "m" + i, "unsafe", 0, 8);
@@ -242,7 +252,7 @@
         second.stop();
         senders.clear();
         // As though it had died behind its first lot, before it could note that all is taken.
-        Fence whole = Fence.read(orphan);
+        FencingToken whole = FencingToken.read(orphan);
         Files.writeString(
                 orphan.resolve("fence"),
                 Files.readString(orphan.resolve("fence")).replace("true", "false"));
@@ -250,14 +260,14 @@
         Files.write(written, java.util.Arrays.copyOf(Files.readAllBytes(written), (int) (Files.size(written) / 2)));
         start("other", 400);
         assertTrue(adopt("other", orphan, false).get("error").getAsString().contains("into"));
-        Config config = Config.read(Map.of(
+        SenderConfig config = SenderConfig.read(Map.of(
                 "GW_CONFIG", file("third", 400, "").toString(), "GW_ADOPT", folder.resolve("second") + ":" + orphan));
         Sender third = Sender.start(config);
         senders.add(third);
         assertEquals(count, third.owed());
-        assertTrue(Fence.read(orphan).done()
-                && Fence.read(folder.resolve("second")).done());
-        assertEquals(whole.lots(), Fence.read(orphan).lots());
+        assertTrue(FencingToken.read(orphan).done()
+                && FencingToken.read(folder.resolve("second")).done());
+        assertEquals(whole.lots(), FencingToken.read(orphan).lots());
         third.stop();
         senders.remove(third);
         third = Sender.start(config);
@@ -287,8 +297,8 @@
                 .getAsString()
                 .contains("no journal"));
         assertTrue(adopt("heir", orphan, false).get("error").getAsString().contains("no room"));
-        assertEquals(null, Fence.read(orphan));
-        assertEquals(null, Fence.read(alive));
+        assertEquals(null, FencingToken.read(orphan));
+        assertEquals(null, FencingToken.read(alive));
         assertTrue(adopt("alive", orphan, false).get("ok").getAsBoolean());
     }
 
@@ -314,7 +324,8 @@
                     .lines()
                     .findFirst()
                     .orElseThrow();
-            World.Client client = new World.Client(Integer.parseInt(ready.substring(ready.lastIndexOf(':') + 1)));
+            SenderFixture.Client client =
+                    new SenderFixture.Client(Integer.parseInt(ready.substring(ready.lastIndexOf(':') + 1)));
             // Other calls than the first four are kept waiting: the slots are taken.
             world.receiver.answers = r -> null;
             for (int i = 0; i < 8; i++) {
@@ -330,7 +341,8 @@
             world.receiver.answers = r -> ok(200, "");
             JsonObject answer = adopt("heir", orphan, true);
             assertEquals(8, answer.get("adopted").getAsInt(), answer.toString());
-            client.write(World.command("SUBMIT", "0000000000000000", "late", "c=safe,d=8000,dest=7", "body of late"));
+            client.write(SenderFixture.command(
+                    "SUBMIT", "0000000000000000", "late", "c=safe,d=8000,dest=7", "body of late"));
             await(() -> heir.owed() == 0);
             int before = world.receiver.requests.size();
             signal("CONT", zombie);
@@ -355,9 +367,9 @@
         try (Journal journal = Journal.open(orphan, 3_000_000)) {
             int[] seen = new int[1];
             journal.guard(() -> seen[0]++);
-            Held m = message(journal, "a", "unsafe", 0, 7);
+            AcceptedMessage m = message(journal, "a", "unsafe", 0, 7);
             journal.checkFence();
-            Fence.raise(orphan, "heir", folder.resolve("heir"));
+            FencingToken.raise(orphan, "heir", folder.resolve("heir"));
             assertThrows(IllegalStateException.class, () -> journal.attempt(m, "s-1", 1));
             assertThrows(IllegalStateException.class, journal::checkFence);
             assertEquals(2, seen[0]);
@@ -368,7 +380,7 @@
         try (FileChannel file = FileChannel.open(orphan.resolve("fence"), StandardOpenOption.WRITE)) {
             file.truncate(5);
         }
-        assertThrows(IOException.class, () -> Fence.read(orphan));
+        assertThrows(IOException.class, () -> FencingToken.read(orphan));
     }
 
     private static String read(Path log) {
--- a/sender/src/test/java/amberroute/sender/OutageTest.java
+++ b/sender/src/test/java/amberroute/sender/OutageTest.java
@@ -1,7 +1,7 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,20 +17,20 @@
 /** A receiver that fails what it is sent: which messages are risked there, and what a restart keeps of it. */
 class OutageTest {
     private static final String NO_KEY = "0000000000000000";
-    private static final String SAFE = World.ID + "1";
-    private static final String UNSAFE = World.ID + "2";
-    private static final String HURRIED = World.ID + "3";
+    private static final String SAFE = SenderFixture.ID + "1";
+    private static final String UNSAFE = SenderFixture.ID + "2";
+    private static final String HURRIED = SenderFixture.ID + "3";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
-    private World.Client client;
+    private SenderFixture.Client client;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         sender = world.start();
         client = world.client(sender);
     }
@@ -88,7 +88,7 @@
         safe(SAFE);
         await(() -> calls() == 1);
         for (char c = 'a'; c < 'f'; c++) {
-            unsafe(World.ID + c);
+            unsafe(SenderFixture.ID + c);
         }
         assertEquals(List.of(SAFE), called());
         world.receiver.answers = r -> calls() < 4 ? ok(500, "") : ok(200, "");
@@ -116,7 +116,7 @@
         world.prove(sender, client);
         world.receiver.answers = r -> ok(500, "");
         for (char c = 'a'; c < 'k'; c++) {
-            safe(World.ID + c);
+            safe(SenderFixture.ID + c);
         }
         await(() -> calls() >= 3);
         sender.stop();
@@ -145,7 +145,7 @@
             return ok(200, "");
         };
         for (char c = 'a'; c < 'e'; c++) {
-            safe(World.ID + c);
+            safe(SenderFixture.ID + c);
         }
         await(() -> sender.owed() == 0);
         world.receiver.answers = r -> ok(200, "");
--- a/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
+++ b/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
@@ -1,7 +1,7 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,6 +9,8 @@
 
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.lifecycle.TransferredState;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.BufferedReader;
@@ -41,13 +43,13 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private ServerSocketChannel door;
     private final List<Sender> senders = new ArrayList<>();
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         world.slots = 8;
         door = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
@@ -67,13 +69,13 @@
 
     /** In one JVM all share one channel on the listening socket, which closes with the first that stops. */
     private Sender start(ServerSocketChannel inherited) throws IOException {
-        Sender sender = Sender.start(Config.read(world.environment()), inherited);
+        Sender sender = Sender.start(SenderConfig.read(world.environment()), inherited);
         senders.add(sender);
         return sender;
     }
 
-    private World.Client client() throws IOException {
-        return new World.Client(((InetSocketAddress) door.getLocalAddress()).getPort());
+    private SenderFixture.Client client() throws IOException {
+        return new SenderFixture.Client(((InetSocketAddress) door.getLocalAddress()).getPort());
     }
 
     private int calls(String id) {
@@ -87,7 +89,7 @@
     }
 
     private static String ready(Sender sender) {
-        return OpsTest.get(sender.opsAddress(), "/-/ready").substring(9, 12);
+        return AdminServerTest.get(sender.opsAddress(), "/-/ready").substring(9, 12);
     }
 
     /** Calls for these ids wait until they are let go; each is remembered with its connection. */
@@ -110,7 +112,7 @@
         // So long that nothing is taken for silent meanwhile, however slow the machine.
         world.deadline = 400_000_000;
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("s", "u", "k0");
         client.submit("safe", "s", NO_KEY, 60_000, 7);
@@ -136,17 +138,17 @@
         assertEquals("+OK", client().submit("safe", "n", NO_KEY));
         assertEquals(0, calls("k1"), "k1 went before k0 had ended");
         for (Socket socket : held.values()) {
-            World.write(socket, ok(200, ""));
+            SenderFixture.write(socket, ok(200, ""));
         }
         await(() -> fresh.owed() == 0);
         assertEquals(
                 List.of("body of k0", "body of k1", "body of k2", "body of k3"),
                 world.receiver.requests.stream()
-                        .map(World.Request::body)
+                        .map(SenderFixture.Request::body)
                         .filter(b -> b.contains(" k"))
                         .toList());
         assertEquals(List.of(1, 1, 1, List.of()), List.of(calls("s"), calls("u"), calls("n"), world.notices));
-        await(() -> OpsTest.figure(old, "svc_active") == 0);
+        await(() -> AdminServerTest.figure(old, "svc_active") == 0);
         await(() -> old.clients() == 0);
     }
 
@@ -154,7 +156,7 @@
     @Test
     void whatIsOutWhenTheOldOneDiesIsInDoubt() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("s", "u");
         client.submit("safe", "s", NO_KEY);
@@ -172,7 +174,7 @@
     @Test
     void theOldOneDiesWithoutGiving() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("s");
         client.submit("safe", "s", NO_KEY);
@@ -199,13 +201,13 @@
     @Test
     void aToldWaitBindsTheNewOneToo() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         world.receiver.answers = r -> ok(429, "", "Retry-After: 2.5");
         client.submit("safe", "a", NO_KEY);
         await(() -> calls("a") == 1);
         long told = System.nanoTime();
-        await(() -> OpsTest.figure(old, "svc_active") == 1);
+        await(() -> AdminServerTest.figure(old, "svc_active") == 1);
         world.receiver.answers = r -> ok(200, "");
         Sender fresh = start();
         await(() -> fresh.owed() == 0);
@@ -218,7 +220,7 @@
     @Test
     void theNewOneStopsACallOfTheOldOne() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("s");
         client.submit("safe", "s", NO_KEY);
@@ -233,7 +235,7 @@
     @Test
     void aKeyWaitsForTheNoticeOfTheOneBefore() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.noticeAnswers = r -> null;
         assertEquals("+OK", client.submit("keyed", "k0", KEY, 1_000, 8));
         await(() -> !world.notices.isEmpty());
@@ -288,7 +290,7 @@
     @Test
     void theNewOneDiesWithAllInItsHands() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("u", "k0");
         client.submit("unsafe", "u", NO_KEY);
@@ -302,13 +304,13 @@
         assertEquals("+OK", client().submit("safe", "n", NO_KEY, 60_000, 7));
         assertEquals(0, calls("k1"), "k1 went before k0 had ended");
         for (Socket socket : held.values()) {
-            World.write(socket, ok(200, ""));
+            SenderFixture.write(socket, ok(200, ""));
         }
         await(() -> old.owed() == 0);
         assertEquals(
                 List.of("body of k0", "body of k1"),
                 world.receiver.requests.stream()
-                        .map(World.Request::body)
+                        .map(SenderFixture.Request::body)
                         .filter(b -> b.contains(" k"))
                         .toList());
         assertEquals(List.of(1, 1, List.of()), List.of(calls("u"), calls("n"), world.notices));
@@ -319,7 +321,7 @@
     @Test
     void whatTheNewOneWasToldBeforeItDiedIsSettled() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("u", "s");
         client.submit("unsafe", "u", NO_KEY);
@@ -330,10 +332,10 @@
             line.write(ByteBuffer.wrap("{\"do\":\"take\",\"v\":1}\n".getBytes(StandardCharsets.UTF_8)));
             BufferedReader words = new BufferedReader(Channels.newReader(line, StandardCharsets.UTF_8));
             assertTrue(words.readLine().contains("yours"));
-            World.write(held.get("u"), ok(200, ""));
-            World.write(held.get("s"), ok(429, "", "Retry-After: 1.5"));
+            SenderFixture.write(held.get("u"), ok(200, ""));
+            SenderFixture.write(held.get("s"), ok(429, "", "Retry-After: 1.5"));
             assertEquals(List.of("outcome", "outcome"), List.of(wordOf(words.readLine()), wordOf(words.readLine())));
-            client.write(World.command("SUBMIT", NO_KEY, "asked", "c=safe,d=8000,k=,dest=7", "body of asked"));
+            client.write(SenderFixture.command("SUBMIT", NO_KEY, "asked", "c=safe,d=8000,k=,dest=7", "body of asked"));
             assertEquals("submit", wordOf(words.readLine()));
         }
         long over = System.nanoTime();
@@ -348,7 +350,7 @@
     @Test
     void nobodyTakesOverWhileCallsOfTheProcessBeforeAreOut() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("u");
         client.submit("unsafe", "u", NO_KEY);
@@ -358,7 +360,7 @@
         assertEquals(
                 List.of("no", "calls of the process before this one are still out"),
                 List.of(refused.get("do").getAsString(), refused.get("why").getAsString()));
-        World.write(held.get("u"), ok(200, ""));
+        SenderFixture.write(held.get("u"), ok(200, ""));
         await(() -> second.owed() == 0);
         Sender third = start();
         assertEquals("200", ready(third));
@@ -369,7 +371,7 @@
     @Test
     void whatEndsWhileNobodyDecidesHasItsNoticeInTime() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         assertEquals("+OK", client.submit("unsafe", "soon", NO_KEY, 600, 8));
         assertEquals("+OK", client.submit("unsafe", "later", NO_KEY, 60_000, 8));
@@ -400,8 +402,8 @@
         assertEquals(List.of("503", "503", "200"), List.of(ready(old), ready(second), ready(third)));
         assertEquals("+OK", client().submit("safe", "a", NO_KEY));
         await(() -> third.owed() == 0);
-        assertThrows(InvalidSettingsException.class, () -> Sender.start(Config.read(world.environment())));
-        assertThrows(InvalidSettingsException.class, () -> Config.inherits(Map.of("GW_ACCEPT_FD", "3")));
+        assertThrows(InvalidSettingsException.class, () -> Sender.start(SenderConfig.read(world.environment())));
+        assertThrows(InvalidSettingsException.class, () -> SenderConfig.inherits(Map.of("GW_ACCEPT_FD", "3")));
     }
 
     /**
@@ -411,7 +413,7 @@
     @Test
     void anEstateThatCannotBeReadIsAsACrash() throws Exception {
         Sender old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         world.prove(old, client);
         Map<String, Socket> held = hold("s", "u");
         client.submit("safe", "s", NO_KEY);
@@ -471,7 +473,7 @@
         TransferredState estate = new TransferredState(
                 123,
                 list,
-                List.of(new TransferredState.Out(List.of(5L, 6L), "s-1", 77)),
+                List.of(new TransferredState.CallInFlight(List.of(5L, 6L), "s-1", 77)),
                 List.of(
                         new DeliveryScheduler.UpstreamSnapshot(
                                 new DeliveryScheduler.HealthCheckpoint(
--- a/sender/src/test/java/amberroute/sender/ProcessEndingsTest.java
+++ b/sender/src/test/java/amberroute/sender/ProcessExitTest.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Processes that are told to end, killed, started again by the dozen, or held at their limit of descriptors. */
-class ProcessEndingsTest {
+class ProcessExitTest {
     private static final String NO_KEY = "0000000000000000";
     private static final String ID = "0123456789abcdef0123456789abcde";
     private static final int DESCRIPTORS = 256;
@@ -26,26 +26,26 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private final List<SenderProcess> processes = new ArrayList<>();
-    private final List<World.Client> clients = new ArrayList<>();
+    private final List<SenderFixture.Client> clients = new ArrayList<>();
 
     @BeforeEach
     void open() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
     }
 
     @AfterEach
     void close() throws IOException {
         SenderProcess.closeAll(processes);
-        for (World.Client client : clients) {
+        for (SenderFixture.Client client : clients) {
             client.close();
         }
         world.close();
     }
 
-    private World.Client client(SenderProcess to) throws IOException {
-        World.Client client = new World.Client(to.port());
+    private SenderFixture.Client client(SenderProcess to) throws IOException {
+        SenderFixture.Client client = new SenderFixture.Client(to.port());
         clients.add(client);
         return client;
     }
@@ -59,7 +59,7 @@
         await(process::ready);
         long most = 0;
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-            World.Client idle = client(process);
+            SenderFixture.Client idle = client(process);
             if (i % 2 == 0) {
                 try {
                     idle.ask("PING");
@@ -73,7 +73,7 @@
         assertTrue(most < DESCRIPTORS - 16, most + " descriptors");
         world.discovery.greet = s -> true;
         await(world::watched);
-        World.Client client = client(process);
+        SenderFixture.Client client = client(process);
         assertEquals("+OK", client.submit("safe", ID + "0", NO_KEY, 8_000, 7));
         await(() -> world.receiver.requests.stream()
                 .anyMatch(r -> r.header("X-Request-ID").equals(ID + "0")));
@@ -116,7 +116,7 @@
         processes.add(process);
         await(world::watched);
         world.receiver.answers = r -> null;
-        World.Client client = client(process);
+        SenderFixture.Client client = client(process);
         for (int i = 0; i < 6; i++) {
             assertEquals("+OK", client.submit("safe", ID + i, NO_KEY, 20_000, 7));
         }
@@ -129,7 +129,7 @@
         assertEquals("+OK", client.submit("safe", ID + "7", NO_KEY, 20_000, 7));
         assertTrue(process.alive(), "it ended early");
         process.kill();
-        world.receiver.answers = r -> World.ok(200, "");
+        world.receiver.answers = r -> SenderFixture.ok(200, "");
         world.receiver.requests.clear();
         processes.add(SenderProcess.start(world.environment(), folder.resolve("log2")));
         await(() -> world.receiver.requests.stream()
--- a/sender/src/test/java/amberroute/sender/ProcessReplacementTest.java
+++ b/sender/src/test/java/amberroute/sender/ProcessReplacementTest.java
@@ -1,7 +1,7 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,14 +30,14 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private SharedSocket socket;
     private final List<SenderProcess> processes = new ArrayList<>();
     private final Map<String, Socket> unanswered = new ConcurrentHashMap<>();
 
     @BeforeEach
     void open() throws Exception {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         world.slots = 8;
         // So long that no call is taken for silent meanwhile, however slow the machine.
         world.deadline = 400_000_000;
@@ -63,8 +63,8 @@
         return process;
     }
 
-    private World.Client client() throws IOException {
-        return new World.Client(socket.port());
+    private SenderFixture.Client client() throws IOException {
+        return new SenderFixture.Client(socket.port());
     }
 
     private long calls(String id) {
@@ -88,14 +88,14 @@
 
     private void answerAll() throws IOException {
         for (Socket call : unanswered.values()) {
-            World.write(call, ok(200, ""));
+            SenderFixture.write(call, ok(200, ""));
         }
     }
 
     /** One message of each effect out, one more behind the keyed one, all with the old process. */
     private SenderProcess oldProcessWithCallsOut() throws Exception {
         SenderProcess old = start();
-        World.Client client = client();
+        SenderFixture.Client client = client();
         assertEquals("+OK", client.submit("safe", "first", NO_KEY));
         await(() -> calls("first") == 1);
         leaveUnanswered("safe", "unsafe", "keyed");
@@ -223,7 +223,7 @@
         SenderProcess old = beginBy(command);
         await(old::ready);
         world.receiver.answers = r -> null;
-        World.Client client = client();
+        SenderFixture.Client client = client();
         for (int i = 0; i < 200; i++) {
             client.submit("safe", "m" + i, NO_KEY, 300_000, 7);
         }
@@ -271,7 +271,7 @@
         private void submit(String effect, String name) {
             for (int attempt = 0; !ended; attempt++) {
                 String id = name + "a" + attempt;
-                try (World.Client client = client()) {
+                try (SenderFixture.Client client = client()) {
                     if (client.submit(effect, id, effect.equals("keyed") ? KEY : NO_KEY, 20_000, 7)
                             .equals("+OK")) {
                         accepted.add(id);
--- a/sender/src/test/java/amberroute/sender/ReloadTest.java
+++ b/sender/src/test/java/amberroute/sender/ReloadTest.java
@@ -1,10 +1,11 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.config.SenderConfig;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -23,17 +24,17 @@
 /** New configurations under load: discovery moves, and what it was not told is told again. */
 class ReloadTest {
     private static final String NO_KEY = "0000000000000000";
-    private static final String A = World.ID + "1";
+    private static final String A = SenderFixture.ID + "1";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
     }
 
     @AfterEach
@@ -44,7 +45,7 @@
         world.close();
     }
 
-    private long watches(World.Http discovery) {
+    private long watches(SenderFixture.Http discovery) {
         return discovery.requests.stream()
                 .filter(r -> r.head().startsWith("GET"))
                 .count();
@@ -55,7 +56,7 @@
     void watchesWhereTheFileSaysWithTheListKept() throws IOException {
         Map<String, String> environment = new HashMap<>(world.environment());
         environment.put("GW_DISCOVERY", world.discovery.address());
-        sender = Sender.start(Config.read(environment));
+        sender = Sender.start(SenderConfig.read(environment));
         world.announce(world.list(3, false, "Ready", "s-2"));
         await(() -> sender.ready("s-2"));
         world.moveDiscovery(4, "Terminating");
@@ -74,14 +75,14 @@
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Map<String, String> environment = new HashMap<>(world.environment());
             environment.put("GW_DISCOVERY", "127.0.0.1:" + slow.getLocalPort());
-            sender = Sender.start(Config.read(environment));
+            sender = Sender.start(SenderConfig.read(environment));
             try (Socket old = slow.accept()) {
                 assertTrue(old.getInputStream().read() >= 0, "no request came");
                 world.moveDiscovery(4, "Terminating");
                 sender.reload(environment);
                 await(() -> !sender.ready("s-1"));
                 String list = world.list(9, true, "Ready", "s-9");
-                World.write(old, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+                SenderFixture.write(old, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 readToEnd(old);
             }
             assertTrue(!sender.ready("s-9"), "the former discovery was heard");
@@ -159,17 +160,17 @@
         }
         world.discovery.sockets.get(0).close();
         await(() -> watches(world.discovery) == 2);
-        await(() -> OpsTest.figure(sender, "svc_config_rejected_total") == bad.size());
-        assertEquals(0, OpsTest.figure(sender, "svc_config_applied_total"));
+        await(() -> AdminServerTest.figure(sender, "svc_config_rejected_total") == bad.size());
+        assertEquals(0, AdminServerTest.figure(sender, "svc_config_applied_total"));
         Files.writeString(file, good.replace("127.0.0.1:1\"", world.discovery.address() + "\""));
         assertEquals(null, sender.reload(environment));
-        await(() -> OpsTest.figure(sender, "svc_config_applied_total") == 1);
+        await(() -> AdminServerTest.figure(sender, "svc_config_applied_total") == 1);
     }
 
     @Test
     void takesClassesThatAppearAndTurnsAwayThoseThatVanish() throws IOException {
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         assertEquals("-ERR unknown class", client.submit("late", A, NO_KEY));
         world.lanes += NEW.formatted("pure");
         assertEquals(Map.of("error", "null"), reload());
@@ -177,8 +178,8 @@
         await(() -> sender.owed() == 0);
         world.lanes = world.lanes.substring(0, world.lanes.indexOf(",{\"name\":\"late\""));
         reload();
-        assertEquals("-ERR unknown class", client.submit("late", World.ID + "2", NO_KEY));
-        await(() -> OpsTest.figure(sender, "svc_responses_total{kind=\"late\",result=\"ok\"}") == 1);
+        assertEquals("-ERR unknown class", client.submit("late", SenderFixture.ID + "2", NO_KEY));
+        await(() -> AdminServerTest.figure(sender, "svc_responses_total{kind=\"late\",result=\"ok\"}") == 1);
     }
 
     /** Receivers close what rests longer than the settings of now say, and a call on it would end as a reset. */
@@ -186,7 +187,7 @@
     void connectionsAreKeptNoLongerThanTheNewSettingsAllow() throws IOException {
         world.keepAlive = 100_000_000;
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         world.prove(sender, client);
         await(() -> sender.kept() == 1);
         world.keepAlive = 1_000_000;
@@ -202,7 +203,7 @@
     void kindsAreWhatTheNewSettingsSay() throws IOException {
         world.perCall = 8;
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         world.prove(sender, client);
         Map<String, String> environment = world.environment();
         Path file = folder.resolve("config.json");
@@ -218,7 +219,7 @@
         await(() -> sender.ready("s-2"));
         StringBuilder four = new StringBuilder();
         for (int i = 1; i <= 4; i++) {
-            four.append(World.command("SUBMIT", NO_KEY, World.ID + i, "c=safe,d=8000,dest=7", "body"));
+            four.append(SenderFixture.command("SUBMIT", NO_KEY, SenderFixture.ID + i, "c=safe,d=8000,dest=7", "body"));
         }
         client.write(four.toString());
         await(() -> world.receiver.requests.size() == 4 && sender.owed() == 0);
@@ -231,11 +232,11 @@
         world.lanes += NEW.formatted("pure");
         sender = world.start();
         String without = world.lanes.substring(0, world.lanes.indexOf(",{\"name\":\"late\""));
-        World.Client one = world.client(sender);
-        World.Client two = world.client(sender);
+        SenderFixture.Client one = world.client(sender);
+        SenderFixture.Client two = world.client(sender);
         assertEquals("+PONG", one.ask("PING"));
         assertEquals("+PONG", two.ask("PING"));
-        String submit = World.command("SUBMIT", NO_KEY, A, "c=late,d=8000,dest=7", "body of " + A);
+        String submit = SenderFixture.command("SUBMIT", NO_KEY, A, "c=late,d=8000,dest=7", "body of " + A);
         world.lanes = without;
         Map<String, String> environment = world.environment();
         Thread[] reload = new Thread[1];
@@ -252,7 +253,7 @@
             }
         });
         reload[0].join();
-        for (World.Client client : java.util.List.of(one, two)) {
+        for (SenderFixture.Client client : java.util.List.of(one, two)) {
             String answer = client.answer();
             assertTrue(answer.equals("+OK") || answer.equals("-ERR unknown class"), answer);
         }
@@ -264,7 +265,7 @@
     void keepsTheClassOfAMessageUnderWayAlsoOverARestart() throws IOException {
         world.lanes += NEW.formatted("pure");
         sender = world.start();
-        World.Client client = world.client(sender);
+        SenderFixture.Client client = world.client(sender);
         world.receiver.answers = r -> null;
         assertEquals("+OK", client.submit("late", A, NO_KEY));
         await(() -> world.receiver.requests.size() == 1);
@@ -276,7 +277,7 @@
         await(() -> world.receiver.requests.size() == 2 && sender.owed() == 0);
         assertEquals(java.util.List.of(), world.notices);
         world.receiver.answers = r -> ok(500, "");
-        assertEquals("+OK", world.client(sender).submit("late", World.ID + "2", NO_KEY));
+        assertEquals("+OK", world.client(sender).submit("late", SenderFixture.ID + "2", NO_KEY));
         await(() -> sender.owed() == 0);
         assertEquals(3, world.receiver.requests.size(), "an unsafe message went out again");
         assertTrue(world.notices.get(0).contains("failed"), world.notices.toString());
@@ -297,7 +298,7 @@
     @Test
     void sendsNoticesThoughConnectionsEndAsTheyOpen() throws IOException {
         int[] met = new int[1];
-        try (World.Http shut = new World.Http(r -> ok(204, ""))) {
+        try (SenderFixture.Http shut = new SenderFixture.Http(r -> ok(204, ""))) {
             shut.greet = (Socket s) -> met[0]++ >= 8;
             world.discoveryAddress = shut.address();
             sender = world.start();
@@ -325,12 +326,12 @@
             world.moveDiscovery(3, "Ready");
             signal("HUP", process);
             await(() -> watches(world.moved) == 1);
-            try (World.Client client = new World.Client(port())) {
+            try (SenderFixture.Client client = new SenderFixture.Client(port())) {
                 assertEquals("+OK", client.submit("safe", A, NO_KEY));
                 await(() -> world.receiver.requests.size() == 1);
                 signal("TERM", process);
                 await(() -> logged("ends soon"));
-                assertEquals("+OK", client.submit("safe", World.ID + "2", NO_KEY));
+                assertEquals("+OK", client.submit("safe", SenderFixture.ID + "2", NO_KEY));
                 await(() -> world.receiver.requests.size() == 2);
             }
             assertTrue(process.isAlive());
--- a/sender/src/test/java/amberroute/sender/World.java
+++ b/sender/src/test/java/amberroute/sender/SenderFixture.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.config.SenderConfig;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -27,7 +28,7 @@
 import java.util.function.Predicate;
 
 /** Small fakes of a sender's surroundings on loopback sockets: a receiver, discovery and clients. */
-final class World implements Closeable {
+public final class SenderFixture implements Closeable {
     static final String ID = "9b1f03aa5c7e2d4";
 
     /** The three classes of {@link #environment} as a sender file outside the platform has them. */
@@ -177,7 +178,7 @@
         }
 
         void write(String text) throws IOException {
-            World.write(socket, text);
+            SenderFixture.write(socket, text);
         }
 
         /** As {@link #ask}, for use in conditions. */
@@ -247,7 +248,7 @@
     /** Whoever watches and has the list; nothing may be announced before it. */
     private volatile Socket watch;
 
-    World(Path folder) throws IOException {
+    SenderFixture(Path folder) throws IOException {
         this.folder = folder;
         receiver = new Http(r -> ok(200, ""));
         discovery = new Http(this::discover);
@@ -307,7 +308,7 @@
     }
 
     Sender start() throws IOException {
-        return Sender.start(Config.read(environment()));
+        return Sender.start(SenderConfig.read(environment()));
     }
 
     Map<String, String> environment() throws IOException {
@@ -390,7 +391,7 @@
     }
 
     /** Waits for a condition; the bound only keeps a failing test from hanging. */
-    static void await(BooleanSupplier condition) {
+    public static void await(BooleanSupplier condition) {
         long end = System.nanoTime() + 20_000_000_000L;
         while (!condition.getAsBoolean() && System.nanoTime() < end) {
             try {
--- a/sender/src/test/java/amberroute/sender/SenderProcess.java
+++ b/sender/src/test/java/amberroute/sender/SenderProcess.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.Closeable;
--- a/sender/src/test/java/amberroute/sender/SenderTest.java
+++ b/sender/src/test/java/amberroute/sender/SenderTest.java
@@ -1,13 +1,14 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.sender.config.SenderConfig;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.Socket;
@@ -29,18 +30,18 @@
 class SenderTest {
     private static final String NO_KEY = "0000000000000000";
     private static final String KEY = "7f3a9c21e0b4d655";
-    private static final String A = World.ID + "1";
-    private static final String B = World.ID + "2";
+    private static final String A = SenderFixture.ID + "1";
+    private static final String B = SenderFixture.ID + "2";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
     }
 
     @AfterEach
@@ -51,7 +52,7 @@
         world.close();
     }
 
-    private World.Client started() throws IOException {
+    private SenderFixture.Client started() throws IOException {
         sender = world.start();
         return world.client(sender);
     }
@@ -73,11 +74,11 @@
 
     @Test
     void deliversWithIdKeyBodyAndTimeout() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         assertEquals("+PONG", client.ask("PING"));
         assertEquals("+OK", client.submit("keyed", A, KEY));
         await(this::concluded);
-        World.Request call = world.receiver.requests.get(0);
+        SenderFixture.Request call = world.receiver.requests.get(0);
         assertTrue(call.head().startsWith("POST /receive HTTP/1.1"), call.head());
         assertEquals(A, call.header("X-Request-ID"));
         assertEquals("5c0f" + A, call.header("Idempotency-Key"));
@@ -88,7 +89,7 @@
 
     @Test
     void repeatsAnErrorOnlyWhereThatIsHarmless() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> calls() == 1 ? ok(500, "") : ok(200, "");
         client.submit("safe", A, NO_KEY);
         await(() -> calls() == 2 && concluded());
@@ -100,7 +101,7 @@
 
     @Test
     void sendsUnsafeAgainAfterARefusalThatNeverRan() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> calls() == 1 ? ok(503, "") : ok(200, "");
         client.submit("unsafe", A, NO_KEY);
         await(() -> calls() == 2 && concluded());
@@ -109,7 +110,7 @@
 
     @Test
     void takesOverAsTheEndAndSpentAsOwed() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> ok(410, "");
         client.submit("unsafe", A, NO_KEY);
         await(this::concluded);
@@ -122,7 +123,7 @@
     /** A connection that breaks after the call's last byte proves nothing. */
     @Test
     void failsUnsafeAfterAReset() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> {
             closeQuietly(r);
             return null;
@@ -135,7 +136,7 @@
     /** Whatever cannot be read may stand for a call that has run. */
     @Test
     void failsUnsafeAfterAnAnswerThatCannotBeRead() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> "SPDY/9 what\r\n\r\n";
         client.submit("unsafe", A, NO_KEY);
         await(() -> world.notices.contains("{\"id\":\"" + A + "\",\"state\":\"failed\"}"));
@@ -144,7 +145,7 @@
 
     @Test
     void endsAnUnansweredMessageWhenItsTimeIsUpAndClosesTheConnection() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> null;
         client.submit("unsafe", A, NO_KEY, 600, 7);
         await(() -> world.notices.contains("{\"id\":\"" + A + "\",\"state\":\"failed\"}"));
@@ -153,7 +154,7 @@
 
     @Test
     void returnsWhatNeverFoundAReceiver() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         assertEquals("+OK", client.submit("unsafe", A, NO_KEY, 600, 8));
         await(() -> world.notices.stream().anyMatch(n -> n.contains(A) && n.contains("\"returned\"")));
         assertEquals(0, calls());
@@ -161,9 +162,9 @@
 
     @Test
     void keepsOneConnectionForCallsInTurn() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         for (int i = 0; i < 5; i++) {
-            client.submit("safe", World.ID + i, NO_KEY);
+            client.submit("safe", SenderFixture.ID + i, NO_KEY);
             await(() -> concluded() && sender.kept() == 1);
         }
         assertEquals(5, calls());
@@ -176,7 +177,7 @@
      */
     @Test
     void sendsUnsafeOverFreshConnectionsWhereKeptOnesAreDead() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         Set<Socket> used = ConcurrentHashMap.newKeySet();
         world.receiver.answers = r -> {
             if (!used.add(r.socket())) {
@@ -186,11 +187,11 @@
             return ok(200, "");
         };
         for (int i = 0; i < 8; i++) {
-            client.submit("safe", World.ID + "s" + i, NO_KEY);
+            client.submit("safe", SenderFixture.ID + "s" + i, NO_KEY);
             await(() -> concluded() && sender.kept() == 1);
         }
         for (int i = 0; i < 4; i++) {
-            client.submit("unsafe", World.ID + "u" + i, NO_KEY);
+            client.submit("unsafe", SenderFixture.ID + "u" + i, NO_KEY);
             await(() -> concluded() && sender.kept() >= 1);
         }
         assertEquals(List.of(), world.notices);
@@ -200,7 +201,7 @@
     @Test
     void closesIdleConnectionsInTime() throws IOException {
         world.keepAlive = 700_000;
-        World.Client client = started();
+        SenderFixture.Client client = started();
         client.submit("safe", A, NO_KEY);
         await(() -> concluded() && sender.kept() == 1);
         await(() -> world.receiver.sockets.get(0).isClosed());
@@ -210,7 +211,7 @@
     /** Whoever comes to the address of one that is gone gets connections of its own. */
     @Test
     void leavesNothingToTheNextAtAnAddress() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         client.submit("safe", A, NO_KEY);
         await(() -> concluded() && sender.kept() == 1 && world.watched());
         world.announce(world.list(3, false, "Gone"));
@@ -225,7 +226,7 @@
     /** While a wait lasts nothing goes to that destination, for any message. */
     @Test
     void heedsAToldWait() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         long[] told = new long[1];
         world.receiver.answers = r -> {
             if (told[0] == 0) {
@@ -244,7 +245,7 @@
 
     @Test
     void sendsNothingNewToADrainingReceiver() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         client.submit("safe", A, NO_KEY);
         await(this::concluded);
         world.announce("this is no line of discovery\n");
@@ -274,7 +275,7 @@
     /** What never had a connection never ran: unsafe messages may be returned, not failed. */
     @Test
     void returnsUnsafeWhenNoConnectionComesUp() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.close();
         assertEquals("+OK", client.submit("unsafe", A, NO_KEY, 900, 7));
         await(() -> world.notices.stream().anyMatch(n -> n.contains(A) && n.contains("\"returned\"")));
@@ -289,7 +290,7 @@
     @Test
     void callsOffStuckCallsWhileOthersAreAnswered() throws IOException {
         world.slots = 3;
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> {
             if (r.header("X-Request-ID").equals(A) || r.header("X-Request-ID").equals(B)) {
                 return null;
@@ -301,7 +302,7 @@
         assertEquals("+OK", client.submit("unsafe", B, NO_KEY, 20_000, 7));
         await(() -> calls() == 2);
         for (int i = 0; i < 40; i++) {
-            assertEquals("+OK", client.submit("safe", World.ID + "x" + i, NO_KEY, 20_000, 7));
+            assertEquals("+OK", client.submit("safe", SenderFixture.ID + "x" + i, NO_KEY, 20_000, 7));
         }
         await(() -> !world.notices.isEmpty());
         assertTrue(sender.owed() > 2, "only when nothing waited any more");
@@ -313,11 +314,11 @@
     void takesACallForStuckSoonerWhereTimesAreShort() throws IOException {
         world.slots = 1;
         world.deadline = 4_000_000;
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         restart();
-        World.Client warm = world.client(sender);
-        assertEquals("+OK", warm.submit("safe", World.ID + "4", NO_KEY));
+        SenderFixture.Client warm = world.client(sender);
+        assertEquals("+OK", warm.submit("safe", SenderFixture.ID + "4", NO_KEY));
         await(() -> sender.owed() == 0);
         world.receiver.answers = r -> r.header("X-Request-ID").equals(A) && callsFor(A) == 1 ? null : ok(200, "");
         assertEquals("+OK", warm.submit("safe", A, NO_KEY));
@@ -339,16 +340,16 @@
     void gathersMessagesOfOneTurnInOneCall() throws IOException {
         world.perCall = 5;
         world.slots = 1;
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> {
             StringBuilder body = new StringBuilder();
-            r.body().lines().filter(l -> l.startsWith(World.ID)).forEach(l -> body.append(l, 0, 16)
+            r.body().lines().filter(l -> l.startsWith(SenderFixture.ID)).forEach(l -> body.append(l, 0, 16)
                     .append(l.startsWith(B) ? " refused\r\n" : " delivered\r\n"));
             return r.head().contains("receive-many") ? ok(200, body.toString()) : ok(200, "");
         };
-        client.raw(World.command("SUBMIT", NO_KEY, A, "c=safe,d=8000,dest=7", "one")
-                + World.command("SUBMIT", NO_KEY, B, "c=unsafe,d=8000,k=77,dest=7", "two"));
+        client.raw(SenderFixture.command("SUBMIT", NO_KEY, A, "c=safe,d=8000,dest=7", "one")
+                + SenderFixture.command("SUBMIT", NO_KEY, B, "c=unsafe,d=8000,k=77,dest=7", "two"));
         client.answer();
         await(() -> calls() == 2 && concluded());
         List<String> lines =
@@ -362,7 +363,7 @@
     /** The second of a key goes only when the first is over, which a notice is when it has been answered. */
     @Test
     void keepsOrderUntilTheNoticeIsAnsweredAndRepeatsIt() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.noticeAnswers = r -> world.notices.size() < 2 ? ok(500, "") : ok(204, "");
         world.receiver.answers = r -> r.header("X-Request-ID").equals(A) ? null : ok(200, "");
         client.submit("keyed", A, KEY, 500, 7);
@@ -378,17 +379,17 @@
      */
     @Test
     void aNoticeOnASilentConnectionGoesAgainBeforeItIsOverdue() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> null;
         List<String> posts = new CopyOnWriteArrayList<>();
         world.noticeAnswers = r -> {
             posts.add(r.body());
             return posts.size() == 2 ? null : ok(204, "");
         };
-        assertEquals("+OK", client.submit("safe", World.ID + "0", NO_KEY, 1_500, 7));
+        assertEquals("+OK", client.submit("safe", SenderFixture.ID + "0", NO_KEY, 1_500, 7));
         await(() -> posts.size() == 1 && concluded());
-        client.write(World.command("SUBMIT", NO_KEY, A, "c=safe,d=1500,dest=7", "one")
-                + World.command("SUBMIT", NO_KEY, B, "c=safe,d=2100,dest=7", "two"));
+        client.write(SenderFixture.command("SUBMIT", NO_KEY, A, "c=safe,d=1500,dest=7", "one")
+                + SenderFixture.command("SUBMIT", NO_KEY, B, "c=safe,d=2100,dest=7", "two"));
         assertEquals(List.of("+OK", "+OK"), List.of(client.answer(), client.answer()));
         await(() -> posts.size() > 1 && concluded());
         // On a machine that answers slowly one may go once more than needed.
@@ -406,7 +407,7 @@
     /** One that cannot be read must not keep the others from being told: each goes alone then, and that one is told of no more. */
     @Test
     void noticesThatAreTurnedDownTogetherGoOneByOne() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> null;
         List<Integer> posts = new CopyOnWriteArrayList<>();
         world.noticeAnswers = r -> {
@@ -418,10 +419,10 @@
             posts.add(lines);
             return lines > 1 || r.body().contains(B) ? ok(400, "") : ok(204, "");
         };
-        String c = World.ID + "3";
+        String c = SenderFixture.ID + "3";
         StringBuilder three = new StringBuilder();
         for (String id : List.of(A, B, c)) {
-            three.append(World.command("SUBMIT", NO_KEY, id, "c=safe,d=2000,dest=7", "body of " + id));
+            three.append(SenderFixture.command("SUBMIT", NO_KEY, id, "c=safe,d=2000,dest=7", "body of " + id));
         }
         client.write(three.toString());
         assertEquals(List.of("+OK", "+OK", "+OK"), List.of(client.answer(), client.answer(), client.answer()));
@@ -434,14 +435,14 @@
     /** The answer lay unread when the message's time was up, as the process stood still: it is delivered all the same. */
     @Test
     void anAnswerThatLiesUnreadBehindTheDeadlineDelivers() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> null;
         assertEquals("+OK", client.submit("unsafe", A, NO_KEY, 1_000, 7));
         long due = System.nanoTime() + 1_000_000_000L;
         await(() -> calls() == 1);
         sender.pauseFor(() -> {
             try {
-                World.write(world.receiver.requests.get(0).socket(), ok(200, ""));
+                SenderFixture.write(world.receiver.requests.get(0).socket(), ok(200, ""));
                 TimeUnit.NANOSECONDS.sleep(Math.max(0, due - System.nanoTime()));
             } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
@@ -453,7 +454,7 @@
 
     @Test
     void keepsOrderOverARestart() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> null;
         client.submit("keyed", A, KEY);
         client.submit("keyed", B, KEY);
@@ -473,13 +474,13 @@
     /** A call that was out at the kill may have run: only what may be repeated goes again. */
     @Test
     void resumesByClassAfterAKillInTheMiddleOfACall() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> null;
-        String c = World.ID + "3";
-        client.write(World.command("SUBMIT", NO_KEY, A, "c=safe,d=8000,dest=7", "one")
-                + World.command("SUBMIT", NO_KEY, B, "c=unsafe,d=8000,dest=7", "two")
-                + World.command("SUBMIT", KEY, c, "c=keyed,d=8000,k=77,dest=7", "three"));
+        String c = SenderFixture.ID + "3";
+        client.write(SenderFixture.command("SUBMIT", NO_KEY, A, "c=safe,d=8000,dest=7", "one")
+                + SenderFixture.command("SUBMIT", NO_KEY, B, "c=unsafe,d=8000,dest=7", "two")
+                + SenderFixture.command("SUBMIT", KEY, c, "c=keyed,d=8000,k=77,dest=7", "three"));
         await(() -> calls() == 3);
         world.receiver.answers = r -> ok(200, "");
         restart();
@@ -491,7 +492,7 @@
     /** The first turn may come long after the journal was read; a call must not be out for longer by that. */
     @Test
     void endsWhatIsResumedInItsOwnTimeThoughTheStartTakesLong() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.receiver.answers = r -> null;
         long start = System.nanoTime();
         assertEquals("+OK", client.submit("safe", A, NO_KEY, 2_600, 7));
@@ -524,7 +525,7 @@
 
     @Test
     void sendsPendingNoticesAgainAfterARestart() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.noticeAnswers = r -> null;
         client.submit("unsafe", A, NO_KEY, 300, 8);
         await(() -> !world.notices.isEmpty());
@@ -536,7 +537,7 @@
 
     @Test
     void answersAKnownIdWithoutASecondMessage() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         client.submit("safe", A, NO_KEY);
         await(this::concluded);
         assertEquals("+OK", client.submit("safe", A, NO_KEY));
@@ -551,7 +552,7 @@
     /** A kill may tear the last record: what came before it still counts. */
     @Test
     void cutsOffATornTail() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         client.submit("safe", A, NO_KEY, 8_000, 8);
         sender.stop();
         Path newest;
@@ -574,10 +575,10 @@
     @Test
     void refusesAboveItsRoom() throws IOException {
         world.openCap = 10;
-        World.Client client = started();
+        SenderFixture.Client client = started();
         int taken = 0;
         for (int i = 0; i < 12; i++) {
-            String answer = client.submit("safe", World.ID + (char) ('a' + i), NO_KEY, 8_000, 8);
+            String answer = client.submit("safe", SenderFixture.ID + (char) ('a' + i), NO_KEY, 8_000, 8);
             assertTrue(answer.equals("+OK") || answer.startsWith("-BUSY"), answer);
             taken += answer.equals("+OK") ? 1 : 0;
         }
@@ -589,12 +590,13 @@
     @Test
     void refusesWhenTheDiskBudgetIsSpent() throws IOException {
         world.diskMb = 0.4;
-        World.Client client = started();
+        SenderFixture.Client client = started();
         String body = "x".repeat(20_000);
         int taken = 0;
         int refused = 0;
         for (int i = 0; i < 20; i++) {
-            String answer = client.ask("SUBMIT", NO_KEY, World.ID + (char) ('a' + i), "c=safe,d=2000,dest=8", body);
+            String answer =
+                    client.ask("SUBMIT", NO_KEY, SenderFixture.ID + (char) ('a' + i), "c=safe,d=2000,dest=8", body);
             taken += answer.equals("+OK") ? 1 : 0;
             refused += answer.startsWith("-BUSY") ? 1 : 0;
         }
@@ -610,8 +612,8 @@
 
     @Test
     void answersBadSubmissionsWithTheReason() throws IOException {
-        World.Client client = started();
-        World.Client other = world.client(sender);
+        SenderFixture.Client client = started();
+        SenderFixture.Client other = world.client(sender);
         assertEquals("+PONG", other.ask("PING"));
         assertTrue(client.submit("odd", A, NO_KEY).startsWith("-ERR unknown class"));
         assertTrue(client.ask("SUBMIT", NO_KEY, A, "c=safe,d=soon,dest=7", "").startsWith("-ERR bad number d"));
@@ -636,14 +638,14 @@
 
     @Test
     void namesWhatIsWrongWithTheConfiguration() throws IOException {
-        assertThrows(InvalidSettingsException.class, () -> Config.read(Map.of()));
+        assertThrows(InvalidSettingsException.class, () -> SenderConfig.read(Map.of()));
         Path file = folder.resolve("broken.json");
         Files.writeString(file, "{\"settings\":");
         Map<String, String> broken = Map.of("GW_CONFIG", file.toString(), "GW_STATE", folder.toString());
-        assertTrue(assertThrows(InvalidSettingsException.class, () -> Config.read(broken))
+        assertTrue(assertThrows(InvalidSettingsException.class, () -> SenderConfig.read(broken))
                 .getMessage()
                 .contains("broken.json"));
-        assertFalse(Config.read(world.environment()).classes().isEmpty());
+        assertFalse(SenderConfig.read(world.environment()).classes().isEmpty());
     }
 
     private long callsFor(String id) {
@@ -652,7 +654,7 @@
                 .count();
     }
 
-    private static void closeQuietly(World.Request r) {
+    private static void closeQuietly(SenderFixture.Request r) {
         try {
             r.socket().close();
         } catch (IOException e) {
--- a/sender/src/test/java/amberroute/sender/StandaloneTest.java
+++ b/sender/src/test/java/amberroute/sender/StandaloneTest.java
@@ -1,7 +1,7 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
-import static amberroute.sender.World.ok;
+import static amberroute.sender.SenderFixture.await;
+import static amberroute.sender.SenderFixture.ok;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,6 +9,14 @@
 
 import amberroute.config.ConfigException;
 import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.sender.admin.ControlSocket;
+import amberroute.sender.config.SenderConfig;
+import amberroute.sender.config.StandaloneConfig;
+import amberroute.sender.journal.JournalView;
+import amberroute.sender.journal.SegmentFiles;
+import amberroute.sender.journal.SingleFileJournal;
+import amberroute.sender.lifecycle.ShutdownSequence;
+import amberroute.sender.message.AcceptedMessage;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.BufferedReader;
@@ -34,19 +42,19 @@
 class StandaloneTest {
     private static final String NO_KEY = "0000000000000000";
     private static final String KEY = "7f3a9c21e0b4d655";
-    private static final String A = World.ID + "1";
-    private static final String B = World.ID + "2";
-    private static final String C = World.ID + "3";
+    private static final String A = SenderFixture.ID + "1";
+    private static final String B = SenderFixture.ID + "2";
+    private static final String C = SenderFixture.ID + "3";
 
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private Sender sender;
 
     @BeforeEach
     void build() throws IOException {
-        world = new World(folder);
+        world = new SenderFixture(folder);
         endpoints("Ready");
         config("");
     }
@@ -77,7 +85,7 @@
                 back_after = "700ms"
                 """
                                 .formatted(world.discovery.address(), more)
-                        + World.CLASSES);
+                        + SenderFixture.CLASSES);
     }
 
     /** Written aside and renamed, as the page for operators says. */
@@ -87,11 +95,12 @@
         Files.move(aside, folder.resolve("endpoints.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private Config read() throws IOException {
-        return Config.read(Map.of("GW_CONFIG", folder.resolve("amberroute.toml").toString()));
+    private SenderConfig read() throws IOException {
+        return SenderConfig.read(
+                Map.of("GW_CONFIG", folder.resolve("amberroute.toml").toString()));
     }
 
-    private World.Client started() throws IOException {
+    private SenderFixture.Client started() throws IOException {
         sender = Sender.start(read());
         return world.client(sender);
     }
@@ -124,7 +133,7 @@
 
     @Test
     void servesFromAFileOfEndpointsAndFollowsIt() throws IOException {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         assertEquals("+OK", client.submit("safe", A, NO_KEY));
         await(() -> sender.owed() == 0);
         endpoints("Terminating");
@@ -138,7 +147,7 @@
 
     @Test
     void keepsTheOldListWhenTheNewOneIsBroken() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         Files.writeString(folder.resolve("endpoints.json"), "{\"targets\":[{\"uid\":\"x\"}]}");
         sender.reload(Map.of("GW_CONFIG", folder.resolve("amberroute.toml").toString()));
         sender.pauseFor(() -> {});
@@ -239,7 +248,7 @@
     void aLineWithoutEndClosesItsConnectionOnly() throws IOException {
         started();
         try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve("s/control")))) {
-            channel.write(ByteBuffer.allocate(3 * Control.LONGEST_LINE));
+            channel.write(ByteBuffer.allocate(3 * ControlSocket.LONGEST_LINE));
             assertEquals(-1, channel.read(ByteBuffer.allocate(100)));
         }
         assertEquals("ready", state());
@@ -249,7 +258,7 @@
 
     @Test
     void aStopFinishesWhatIsHeldAndTakesNothingNew() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> null;
         assertEquals("+OK", client.submit("safe", A, NO_KEY));
@@ -263,8 +272,8 @@
         long told = Long.parseLong(answer.substring(6));
         assertTrue(told > 700 && told <= 5_700, "told " + told);
         assertEquals("draining", state());
-        World.Request call = world.receiver.requests.get(0);
-        World.write(call.socket(), ok(200, ""));
+        SenderFixture.Request call = world.receiver.requests.get(0);
+        SenderFixture.write(call.socket(), ok(200, ""));
         assertEquals(0, code());
         assertEquals(0, sender.owed());
         assertEquals(1, world.receiver.requests.size());
@@ -274,14 +283,14 @@
     /** The key's later message waits over the restart for the end of the one that was out. */
     @Test
     void aRestartWithACallOutKeepsTheOrderAndTheDoubt() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> r.body().contains(A) || r.body().contains(C) ? null : ok(200, "");
         client.submit("keyed", A, KEY);
         client.submit("keyed", B, KEY);
         client.submit("unsafe", C, NO_KEY);
         await(() -> world.receiver.requests.size() == 2);
-        sender.pauseFor(() -> sender.beginStop(DrainPlan.Mode.RESTART, 300));
+        sender.pauseFor(() -> sender.beginStop(ShutdownSequence.Mode.RESTART, 300));
         assertEquals(0, code());
         sender.stop();
         assertTrue(world.receiver.requests.stream().noneMatch(r -> r.body().contains(B)), "the later one ran ahead");
@@ -291,7 +300,7 @@
         await(() -> sender.owed() == 0);
         List<String> bodies = world.receiver.requests.stream()
                 .skip(before)
-                .map(World.Request::body)
+                .map(SenderFixture.Request::body)
                 .toList();
         assertEquals(List.of("body of " + A, "body of " + B), bodies);
         assertTrue(noticed(C, "failed"), world.notices.toString());
@@ -303,7 +312,7 @@
         Path journal = folder.resolve("s/journal");
         // In the earlier version's form, which takes its time to be moved in.
         try (SingleFileJournal one = SingleFileJournal.open(Files.createDirectories(folder.resolve("s")), 16_000_000)) {
-            Held m = new Held(
+            AcceptedMessage m = new AcceptedMessage(
                     one.nextNumber(), "m", "", "safe", 0, 7, System.currentTimeMillis() + 60_000, new byte[10]);
             one.accept(m);
             one.conclude(m);
@@ -314,7 +323,7 @@
             System.arraycopy(pair, 0, many, at, pair.length);
         }
         Files.write(journal, many);
-        Config config = read();
+        SenderConfig config = read();
         CompletableFuture<Sender> starting = CompletableFuture.supplyAsync(() -> {
             try {
                 return Sender.start(config);
@@ -334,7 +343,7 @@
     /** Between the start's reading and the first look at the file. */
     @Test
     void aListThatIsReplacedDuringTheStartIsTaken() throws IOException {
-        Config config = read();
+        SenderConfig config = read();
         endpoints("Terminating");
         sender = Sender.start(config);
         await(() -> !sender.ready("s-1"));
@@ -364,7 +373,7 @@
         Map<String, String> platform = world.environment();
         Path file = Path.of(platform.get("GW_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("\"balancers\":1", "\"balancers\":0"));
-        String message = assertThrows(InvalidSettingsException.class, () -> Sender.start(Config.read(platform)))
+        String message = assertThrows(InvalidSettingsException.class, () -> Sender.start(SenderConfig.read(platform)))
                 .getMessage();
         assertEquals("setting senders or classes is out of range", message);
         sender = world.start();
@@ -374,7 +383,7 @@
     /** What surely never ran is returned, what may have run and must not run twice has failed. */
     @Test
     void aStopForGoodGivesEveryMessageItsFinalAnswer() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> null;
         client.submit("unsafe", A, NO_KEY);
@@ -393,7 +402,7 @@
 
     @Test
     void aStopForGoodSaysWhenItCouldNotEndAll() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> null;
         world.noticeAnswers = r -> null;
@@ -413,25 +422,25 @@
 
     @Test
     void aStopForGoodTakesOverFromOneForARestart() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> null;
         client.submit("safe", A, NO_KEY);
         await(() -> world.receiver.requests.size() == 1);
-        sender.pauseFor(() -> sender.beginStop(DrainPlan.Mode.RESTART, 60_000));
-        sender.pauseFor(() -> sender.beginStop(DrainPlan.Mode.FINAL, 600));
+        sender.pauseFor(() -> sender.beginStop(ShutdownSequence.Mode.RESTART, 60_000));
+        sender.pauseFor(() -> sender.beginStop(ShutdownSequence.Mode.FINAL, 600));
         assertEquals(0, code());
         assertTrue(noticed(A, "returned"), world.notices.toString());
     }
 
     @Test
     void aListThatChangesDuringADrainIsFollowed() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> ok(503, "");
         client.submit("safe", A, NO_KEY);
         await(() -> world.receiver.requests.size() >= 1);
-        sender.pauseFor(() -> sender.beginStop(DrainPlan.Mode.RESTART, 1_500));
+        sender.pauseFor(() -> sender.beginStop(ShutdownSequence.Mode.RESTART, 1_500));
         endpoints("Terminating");
         await(() -> !sender.ready("s-1"));
         int calls = world.receiver.requests.size();
@@ -443,19 +452,19 @@
     /** Looking at a journal beside a running daemon changes nothing of it. */
     @Test
     void showsAJournalBesideItsDaemon() throws Exception {
-        World.Client client = started();
+        SenderFixture.Client client = started();
         world.prove(sender, client);
         world.receiver.answers = r -> null;
         client.submit("unsafe", A, NO_KEY);
         client.submit("keyed", B, KEY);
         await(() -> world.receiver.requests.size() == 2);
-        byte[] before = Segments.first(folder.resolve("s"));
+        byte[] before = SegmentFiles.first(folder.resolve("s"));
         JournalView view = JournalView.read(folder.resolve("s"));
         assertTrue(
                 view.summary().startsWith("2 messages held, 2 of them in doubt; 0 notices not answered; "),
                 view.summary());
         assertTrue(view.lines(System.currentTimeMillis()).get(0).startsWith(A + " unsafe dest=7"));
-        assertEquals(before.length, Segments.first(folder.resolve("s")).length);
+        assertEquals(before.length, SegmentFiles.first(folder.resolve("s")).length);
         assertThrows(IOException.class, () -> JournalView.read(folder));
     }
 }
--- a/sender/src/test/java/amberroute/sender/SystemCallTroubleTest.java
+++ b/sender/src/test/java/amberroute/sender/SystemCallFaultTest.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Real processes whose system calls fail for a while. */
-class SystemCallTroubleTest {
+class SystemCallFaultTest {
     private static final String NO_KEY = "0000000000000000";
     /** Clients wait no longer for an answer. */
     private static final long CLIENT_TIMEOUT_MS = 400;
@@ -28,14 +28,14 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private FailingCalls calls;
     private SenderProcess process;
 
     @BeforeEach
     void open() throws Exception {
         calls = new FailingCalls(folder);
-        world = new World(folder);
+        world = new SenderFixture(folder);
         // So long that no call is taken for silent meanwhile, however slow the machine.
         world.deadline = 400_000_000;
         world.slots = 3;
@@ -70,7 +70,7 @@
     void acceptFailsForAMoment(Errno error) throws Exception {
         calls.fail(Call.ACCEPT, error, 3);
         long begun = System.nanoTime();
-        try (World.Client client = new World.Client(process.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(process.port())) {
             assertEquals("+OK", client.submit("safe", "one", NO_KEY));
         }
         long took = since(begun);
@@ -78,7 +78,7 @@
         assertTrue(took < CLIENT_TIMEOUT_MS, "answered after " + took + " ms");
         await(() -> callsFor("one") == 1);
         // For good: what comes once the trouble is over finds an open door.
-        try (World.Client client = new World.Client(process.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(process.port())) {
             assertEquals("+PONG", client.ask("PING"));
         }
     }
@@ -90,7 +90,7 @@
     @ParameterizedTest
     @EnumSource(names = {"ENOSPC", "EIO"})
     void theDiskTakesNothingForAWhile(Errno error) throws Exception {
-        World.Client client = new World.Client(process.port());
+        SenderFixture.Client client = new SenderFixture.Client(process.port());
         assertEquals("+OK", client.submit("safe", "first", NO_KEY));
         await(() -> callsFor("first") == 1);
         world.receiver.requests.clear();
@@ -104,7 +104,7 @@
         assertEquals("+OK", client.submit("safe", "safe", NO_KEY, 20_000, 7));
         assertEquals("+OK", client.submit("unsafe", "unsafe", NO_KEY, 2_500, 8));
         calls.fail(Call.WRITE, error);
-        world.receiver.answers = r -> World.ok(200, "");
+        world.receiver.answers = r -> SenderFixture.ok(200, "");
         world.receiver.requests.forEach(r -> answer(r));
         await(() -> callsFor("safe") == 1);
         String refused = client.submit("safe", "new", NO_KEY);
@@ -121,7 +121,7 @@
         world.receiver.requests.clear();
         process = SenderProcess.start(calls.with(world.environment()), folder.resolve("log2"));
         // All that ended while nothing could be written is known to have ended.
-        try (World.Client next = new World.Client(process.port())) {
+        try (SenderFixture.Client next = new SenderFixture.Client(process.port())) {
             assertEquals("+OK", next.submit("safe", "last", NO_KEY));
         }
         await(() -> callsFor("last") == 1);
@@ -133,12 +133,12 @@
     @EnumSource(names = {"ENOSPC", "EIO"})
     void theDiskTakesNothingAtAStart(Errno error) throws Exception {
         world.receiver.answers = r -> null;
-        try (World.Client client = new World.Client(process.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(process.port())) {
             assertEquals("+OK", client.submit("safe", "held", NO_KEY, 60_000, 7));
         }
         process.kill();
         calls.fail(Call.WRITE, error);
-        world.receiver.answers = r -> World.ok(200, "");
+        world.receiver.answers = r -> SenderFixture.ok(200, "");
         process = SenderProcess.begin(calls.with(world.environment()), folder.resolve("log2"), 0);
         long begun = System.nanoTime();
         while (since(begun) < 3_000) {
@@ -150,15 +150,15 @@
         await(() -> callsFor("held") > 0);
     }
 
-    private static void answer(World.Request request) {
+    private static void answer(SenderFixture.Request request) {
         try {
-            World.write(request.socket(), World.ok(200, ""));
+            SenderFixture.write(request.socket(), SenderFixture.ok(200, ""));
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
     }
 
-    private static boolean tryAgain(World.Client client) {
+    private static boolean tryAgain(SenderFixture.Client client) {
         return client.tryAsk("SUBMIT", NO_KEY, "again", "c=safe,d=8000,k=,dest=7", "body of again")
                 .equals("+OK");
     }
@@ -169,7 +169,7 @@
     void connectFailsForAMoment(Errno error) throws Exception {
         calls.fail(Call.CONNECT, error, 4);
         long begun = System.nanoTime();
-        try (World.Client client = new World.Client(process.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(process.port())) {
             assertEquals("+OK", client.submit("unsafe", "one", NO_KEY, 8_000, 7));
         }
         await(() -> callsFor("one") == 1);
@@ -184,7 +184,7 @@
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
     void aBrokenConnectionShowsByAnotherError(Errno error) throws Exception {
-        try (World.Client client = new World.Client(process.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(process.port())) {
             assertEquals("+OK", client.submit("safe", "answered", NO_KEY));
             await(() -> callsFor("answered") == 1);
             breakAtTheNextAnswer(error);
@@ -202,13 +202,13 @@
 
     private void breakAtTheNextAnswer(Errno error) {
         world.receiver.answers = request -> {
-            world.receiver.answers = r -> World.ok(200, "");
+            world.receiver.answers = r -> SenderFixture.ok(200, "");
             try {
                 calls.failReads(world.receiver.port(), error, 1);
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
-            return World.ok(200, "");
+            return SenderFixture.ok(200, "");
         };
     }
 
@@ -217,8 +217,8 @@
     @ValueSource(ints = {1, 7})
     void readsAndWritesAreShort(int mostBytes) throws Exception {
         calls.shorten(mostBytes);
-        world.receiver.answers = r -> World.ok(r.body().endsWith("failed") ? 500 : 200, "");
-        try (World.Client client = new World.Client(process.port())) {
+        world.receiver.answers = r -> SenderFixture.ok(r.body().endsWith("failed") ? 500 : 200, "");
+        try (SenderFixture.Client client = new SenderFixture.Client(process.port())) {
             for (int i = 0; i < 5; i++) {
                 assertEquals("+OK", client.submit("safe", "piece" + i, NO_KEY));
             }
--- a/sender/src/test/java/amberroute/sender/ReceiversTest.java
+++ b/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
@@ -7,6 +7,10 @@
 import amberroute.decisions.DeliveryScheduler.Effect;
 import amberroute.decisions.DeliveryScheduler.KeyScope;
 import amberroute.decisions.DeliveryScheduler.MessageClass;
+import amberroute.sender.eventloop.EventLoopStallDetector;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.upstream.IdempotencyWindow;
+import amberroute.sender.upstream.UpstreamClient;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -31,18 +35,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Calls on an event loop of the test's own, which can be made to stand still. */
-class ReceiversTest {
-    private final LoopLooks looks = new LoopLooks();
+class UpstreamClientTest {
+    private final EventLoopStallDetector looks = new EventLoopStallDetector();
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), looks));
     private final EventLoop loop = group.next();
-    private final LinkedBlockingQueue<Receivers.Result> results = new LinkedBlockingQueue<>();
-    private final Receivers receivers = new Receivers(
+    private final LinkedBlockingQueue<UpstreamClient.Result> results = new LinkedBlockingQueue<>();
+    private final UpstreamClient receivers = new UpstreamClient(
             loop,
             looks,
-            new Receivers.Listener() {
+            new UpstreamClient.Listener() {
                 @Override
-                public void ended(Receivers.Result result) {
+                public void ended(UpstreamClient.Result result) {
                     results.add(result);
                 }
 
@@ -95,19 +99,19 @@
     }
 
     private void start() {
-        repeat(message(0), RepeatWindow.UNBOUNDED);
+        repeat(message(0), IdempotencyWindow.UNBOUNDED);
     }
 
-    private static Held message(long doubtSince) {
-        Held m = new Held(1, "id", "", "safe", 0, 7, 0, new byte[8]);
+    private static AcceptedMessage message(long doubtSince) {
+        AcceptedMessage m = new AcceptedMessage(1, "id", "", "safe", 0, 7, 0, new byte[8]);
         m.doubtSince = doubtSince;
         return m;
     }
 
-    private void repeat(Held m, long writeWithin) {
+    private void repeat(AcceptedMessage m, long writeWithin) {
         receivers.start(
-                new Receivers.Route(1, address(receiver), 7),
-                List.of(new Receivers.Item(m, 0)),
+                new UpstreamClient.Route(1, address(receiver), 7),
+                List.of(new UpstreamClient.CallMessage(m, 0)),
                 10_000_000,
                 10_000_000,
                 writeWithin);
@@ -159,7 +163,7 @@
             try (Socket accepted = receiver.accept()) {
                 news.getOutputStream().write('x');
                 goesOn.countDown();
-                Receivers.Result result = results.poll(10, TimeUnit.SECONDS);
+                UpstreamClient.Result result = results.poll(10, TimeUnit.SECONDS);
                 assertEquals(AttemptOutcome.MOOT, result.ending());
                 assertEquals(0, accepted.getInputStream().available());
             }
@@ -170,11 +174,11 @@
     @Test
     void aRepeatWhoseConnectionComesUpBehindItsKeysLifeIsNotWritten() throws Exception {
         List<Socket> fillers = fill();
-        Held m = message(50_000);
-        long left = RepeatWindow.left(
-                List.of(new Receivers.Item(m, 1)),
+        AcceptedMessage m = message(50_000);
+        long left = IdempotencyWindow.left(
+                List.of(new UpstreamClient.CallMessage(m, 1)),
                 number -> type(Effect.KEYED),
-                50_000 + 1_000 - RepeatWindow.MARGIN_MS - 10);
+                50_000 + 1_000 - IdempotencyWindow.MARGIN_MS - 10);
         assertEquals(10, left);
         loop.submit((Runnable) () -> repeat(m, left)).sync();
         loop.schedule(() -> {}, 20, TimeUnit.MILLISECONDS).sync();
@@ -190,12 +194,13 @@
 
     @Test
     void onlyKeyedMessagesInDoubtHaveAnEndToTheirRepeats() {
-        List<Receivers.Item> fresh = List.of(new Receivers.Item(message(0), 0));
-        List<Receivers.Item> doubtful =
-                List.of(new Receivers.Item(message(0), 0), new Receivers.Item(message(50_000), 1));
-        assertEquals(RepeatWindow.UNBOUNDED, RepeatWindow.left(fresh, number -> type(Effect.KEYED), 60_000));
-        assertEquals(RepeatWindow.UNBOUNDED, RepeatWindow.left(doubtful, number -> type(Effect.SAFE), 60_000));
-        assertEquals(900 - 10_000, RepeatWindow.left(doubtful, number -> type(Effect.KEYED), 60_000));
+        List<UpstreamClient.CallMessage> fresh = List.of(new UpstreamClient.CallMessage(message(0), 0));
+        List<UpstreamClient.CallMessage> doubtful = List.of(
+                new UpstreamClient.CallMessage(message(0), 0), new UpstreamClient.CallMessage(message(50_000), 1));
+        assertEquals(IdempotencyWindow.UNBOUNDED, IdempotencyWindow.left(fresh, number -> type(Effect.KEYED), 60_000));
+        assertEquals(
+                IdempotencyWindow.UNBOUNDED, IdempotencyWindow.left(doubtful, number -> type(Effect.SAFE), 60_000));
+        assertEquals(900 - 10_000, IdempotencyWindow.left(doubtful, number -> type(Effect.KEYED), 60_000));
     }
 
     /** The same where nothing speaks against it: the call is made. */
@@ -208,7 +213,7 @@
             accepted.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                             .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-            Receivers.Result result = results.poll(10, TimeUnit.SECONDS);
+            UpstreamClient.Result result = results.poll(10, TimeUnit.SECONDS);
             assertEquals(AttemptOutcome.OK, result.ending());
             assertTrue(result.closed());
         }
--- a/sender/src/test/java/amberroute/sender/WallClockTest.java
+++ b/sender/src/test/java/amberroute/sender/WallClockTest.java
@@ -1,6 +1,6 @@
 package amberroute.sender;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,14 +27,14 @@
     @TempDir
     Path folder;
 
-    private World world;
+    private SenderFixture world;
     private SteppedClock clock;
     private final List<SenderProcess> processes = new ArrayList<>();
 
     @BeforeEach
     void open() throws Exception {
         clock = new SteppedClock(folder);
-        world = new World(folder);
+        world = new SenderFixture(folder);
         world.receiver.answers = r -> null;
     }
 
@@ -72,7 +72,7 @@
     void aMessageEndsInItsTimeWhateverTheWallClockSays(long step) throws Exception {
         SenderProcess first = start();
         long begun = System.nanoTime();
-        try (World.Client client = new World.Client(first.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(first.port())) {
             assertEquals("+OK", client.submit("safe", "held", NO_KEY, TIME_MS, 7));
         }
         clock.step(step);
@@ -90,7 +90,7 @@
     @Test
     void aKeysLifeIsNotLongerForAClockThatWasSetBack() throws Exception {
         SenderProcess first = start();
-        try (World.Client client = new World.Client(first.port())) {
+        try (SenderFixture.Client client = new SenderFixture.Client(first.port())) {
             assertEquals("+OK", client.submit("keyed", "k", KEY, 4 * KEY_LIFE_MS, 7));
         }
         await(() -> calls("k") == 1);
--- a/sender/src/test/java/amberroute/sender/LateEndsTest.java
+++ b/sender/src/test/java/amberroute/sender/admin/LateCompletionReporterTest.java
@@ -1,18 +1,19 @@
-package amberroute.sender;
+package amberroute.sender.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import amberroute.sender.message.AcceptedMessage;
 import org.junit.jupiter.api.Test;
 
-class LateEndsTest {
-    private static Held due(String id, long deadline) {
-        return new Held(1, id, "", "safe", 0, 7, deadline, new byte[0]);
+class LateCompletionReporterTest {
+    private static AcceptedMessage due(String id, long deadline) {
+        return new AcceptedMessage(1, id, "", "safe", 0, 7, deadline, new byte[0]);
     }
 
     @Test
     void tellsOfLateEndsOnceASecondWithTheWorst() {
-        LateEnds late = new LateEnds("were told");
+        LateCompletionReporter late = new LateCompletionReporter("were told");
         assertNull(late.passed(due("in time", 1_000), 1_000));
         assertNull(late.passed(due("just so", 1_000), 1_100));
         assertEquals("1 messages were told late, by 150 ms at most (a)", late.passed(due("a", 1_000), 1_150));
--- a/sender/src/test/java/amberroute/sender/OutageBacklogTest.java
+++ b/sender/src/test/java/amberroute/sender/client/OutageBacklogTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/sender/src/test/java/amberroute/sender/ListTextTest.java
+++ b/sender/src/test/java/amberroute/sender/discovery/JsonObjectAssemblerTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class ListTextTest {
-    private final ListText list = new ListText();
+class JsonObjectAssemblerTest {
+    private final JsonObjectAssembler list = new JsonObjectAssembler();
 
     @Test
     void aLineIsAnObject() {
--- a/sender/src/test/java/amberroute/sender/LoopLooksTest.java
+++ b/sender/src/test/java/amberroute/sender/eventloop/EventLoopStallDetectorTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,11 +23,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class LoopLooksTest {
+class EventLoopStallDetectorTest {
     /** A turn that was due while the loop stood still comes behind what could be read by then. */
     @Test
     void afterAStopWhatCameIsReadBeforeAnythingIsDone() throws Exception {
-        LoopLooks looks = new LoopLooks();
+        EventLoopStallDetector looks = new EventLoopStallDetector();
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), looks));
         List<String> order = new CopyOnWriteArrayList<>();
@@ -91,7 +91,7 @@
     /** One more look, not one after another: a loop whose every pass is slow goes on all the same. */
     @Test
     void itLooksAgainOnceOnly() {
-        LoopLooks looks = new LoopLooks();
+        EventLoopStallDetector looks = new EventLoopStallDetector();
         long late = System.nanoTime() + 1_000_000_000L;
         assertTrue(looks.stale(late));
         assertFalse(looks.stale(late));
--- a/sender/src/test/java/amberroute/sender/WholeMillisecondWaitsTest.java
+++ b/sender/src/test/java/amberroute/sender/eventloop/MillisecondSelectStrategyTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-class WholeMillisecondWaitsTest {
+class MillisecondSelectStrategyTest {
     private static final int TIMERS = 800;
     /** A pass before and one behind each timer, and some more for a machine that wakes up early or late. */
     private static final int PASSES_A_TIMER = 5;
@@ -26,7 +26,7 @@
             return hasTasks ? supplier.get() : -1;
         };
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(
-                1, WholeMillisecondWaits.around(NioIoHandler.newFactory(SelectorProvider.provider(), counting)));
+                1, MillisecondSelectStrategy.around(NioIoHandler.newFactory(SelectorProvider.provider(), counting)));
         try {
             CountDownLatch due = new CountDownLatch(TIMERS);
             for (int i = 1; i <= TIMERS; i++) {
@@ -43,11 +43,11 @@
 
     @Test
     void onlyWaitsThatHaveAnEndAreRounded() {
-        assertEquals(1_000_000, WholeMillisecondWaits.rounded(1));
-        assertEquals(1_000_000, WholeMillisecondWaits.rounded(1_000_000));
-        assertEquals(2_000_000, WholeMillisecondWaits.rounded(1_000_001));
-        assertEquals(0, WholeMillisecondWaits.rounded(0));
-        assertEquals(-5, WholeMillisecondWaits.rounded(-5));
-        assertEquals(Long.MAX_VALUE, WholeMillisecondWaits.rounded(Long.MAX_VALUE));
+        assertEquals(1_000_000, MillisecondSelectStrategy.rounded(1));
+        assertEquals(1_000_000, MillisecondSelectStrategy.rounded(1_000_000));
+        assertEquals(2_000_000, MillisecondSelectStrategy.rounded(1_000_001));
+        assertEquals(0, MillisecondSelectStrategy.rounded(0));
+        assertEquals(-5, MillisecondSelectStrategy.rounded(-5));
+        assertEquals(Long.MAX_VALUE, MillisecondSelectStrategy.rounded(Long.MAX_VALUE));
     }
 }
--- a/sender/src/test/java/amberroute/sender/JournalLotsTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,7 @@
 
 import amberroute.handoff.Ownership;
 import amberroute.handoff.Ownership.Status;
+import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.SegmentLog;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Lots in the journal: whatever a process had written when it died, no message is lost by it or has two owners. */
-class JournalLotsTest {
+class JournalHandoffTest {
     private static final long SOON = System.currentTimeMillis() + 60_000;
     private static final Ownership OFFERED = new Ownership(2, Status.OFFERED, "heir");
 
@@ -29,12 +30,12 @@
         return Journal.open(folder, 3_000_000);
     }
 
-    private static Held message(Journal journal, String id, int size) {
-        return new Held(journal.nextNumber(), id, "idem-" + id, "unsafe", 7, 3, SOON, new byte[size]);
+    private static AcceptedMessage message(Journal journal, String id, int size) {
+        return new AcceptedMessage(journal.nextNumber(), id, "idem-" + id, "unsafe", 7, 3, SOON, new byte[size]);
     }
 
-    private static List<Held> two(Journal journal) {
-        List<Held> messages = List.of(message(journal, "a", 10), message(journal, "b", 2_000));
+    private static List<AcceptedMessage> two(Journal journal) {
+        List<AcceptedMessage> messages = List.of(message(journal, "a", 10), message(journal, "b", 2_000));
         messages.forEach(m -> assertTrue(journal.accept(m)));
         return messages;
     }
@@ -71,7 +72,7 @@
     @Test
     void aLeaverThatDiesAnywhereKnowsWhatItOffered() throws IOException {
         try (Journal journal = open()) {
-            List<Held> messages = two(journal);
+            List<AcceptedMessage> messages = two(journal);
             assertTrue(journal.lot("lot", OFFERED, SOON, messages));
             assertTrue(journal.lot("lot", new Ownership(2, Status.GIVEN, "heir"), SOON, messages));
         }
@@ -93,7 +94,7 @@
     @Test
     void aRefusalGivesThemBack() throws IOException {
         try (Journal journal = open()) {
-            List<Held> messages = two(journal);
+            List<AcceptedMessage> messages = two(journal);
             journal.lot("lot", OFFERED, SOON, messages);
             journal.lot("lot", new Ownership(2, Status.OWNED, ""), SOON, messages);
         }
@@ -112,7 +113,7 @@
     @Test
     void whatWasGivenUpIsNeverItsOwnAgain() throws IOException {
         try (Journal journal = open()) {
-            List<Held> messages = two(journal);
+            List<AcceptedMessage> messages = two(journal);
             journal.lot("lot", OFFERED, SOON, messages);
             messages.forEach(m -> journal.end(m, m.failed()));
             journal.lot("lot", new Ownership(2, Status.ENDED, ""), SOON, messages);
@@ -122,7 +123,7 @@
         for (int i = 3; i < ends.size(); i++) {
             try (Journal journal = cut(whole, ends.get(i))) {
                 assertEquals(2, journal.live().size());
-                for (Held m : journal.live()) {
+                for (AcceptedMessage m : journal.live()) {
                     assertTrue(m.frozen || m.notice != null, "after record " + i + " it owns " + m.id);
                 }
             }
@@ -133,7 +134,7 @@
     @Test
     void aTornAdoptionLeavesNothing() throws IOException {
         try (Journal journal = open()) {
-            Held doubt = message(journal, "doubt", 50);
+            AcceptedMessage doubt = message(journal, "doubt", 50);
             doubt.attempts = 3;
             doubt.doubtSince = 12_345;
             doubt.doubtAt = "s-1";
@@ -148,7 +149,7 @@
         }
         try (Journal journal = cut(whole, whole.length)) {
             assertEquals(2, journal.live().size());
-            Held doubt = journal.live().iterator().next();
+            AcceptedMessage doubt = journal.live().iterator().next();
             assertEquals(3, doubt.attempts);
             assertEquals(12_345, doubt.doubtSince);
             assertEquals("s-1", doubt.doubtAt);
@@ -161,13 +162,13 @@
     @Test
     void survivesARewrite() throws IOException {
         try (Journal journal = open()) {
-            List<Held> messages = two(journal);
+            List<AcceptedMessage> messages = two(journal);
             journal.lot("kept", OFFERED, SOON, messages);
             journal.lot("refused", new Ownership(2, Status.REFUSED, ""), SOON, List.of());
             journal.lot("old", new Ownership(2, Status.REFUSED, ""), 1, List.of());
             long most = 0;
             for (int i = 0; i < 20_000; i++) {
-                Held m = message(journal, "x" + i, 100);
+                AcceptedMessage m = message(journal, "x" + i, 100);
                 assertTrue(journal.accept(m));
                 journal.conclude(m);
                 journal.tidy();
@@ -216,7 +217,7 @@
             }
             assertTrue(taken > 2 && taken < 20, "took " + taken);
             assertFalse(journal.knows("m" + taken));
-            for (Held m : List.copyOf(journal.live())) {
+            for (AcceptedMessage m : List.copyOf(journal.live())) {
                 journal.end(m, m.failed());
             }
             assertTrue(journal.used() <= 400_000);
--- a/sender/src/test/java/amberroute/sender/JournalFigures.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -1,5 +1,7 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
+import amberroute.sender.config.Durability;
+import amberroute.sender.message.AcceptedMessage;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,7 +17,7 @@
  * The journal beside the single file that it took the place of, one after the other in one process; run by hand
  * ({@code docs/figures/journal.md}). Not a test: it asserts nothing.
  */
-final class JournalFigures {
+final class JournalMeasurement {
     private static final long SOON = 4_000_000_000_000L;
 
     private interface Kind {
@@ -23,11 +25,11 @@
 
         long number(Object journal);
 
-        boolean accept(Object journal, Held m);
+        boolean accept(Object journal, AcceptedMessage m);
 
-        boolean attempt(Object journal, Held m);
+        boolean attempt(Object journal, AcceptedMessage m);
 
-        void conclude(Object journal, Held m);
+        void conclude(Object journal, AcceptedMessage m);
 
         void between(Object journal);
 
@@ -48,17 +50,17 @@
         }
 
         @Override
-        public boolean accept(Object journal, Held m) {
+        public boolean accept(Object journal, AcceptedMessage m) {
             return ((Journal) journal).accept(m);
         }
 
         @Override
-        public boolean attempt(Object journal, Held m) {
+        public boolean attempt(Object journal, AcceptedMessage m) {
             return ((Journal) journal).attempt(m, "uid-of-an-endpoint", 5);
         }
 
         @Override
-        public void conclude(Object journal, Held m) {
+        public void conclude(Object journal, AcceptedMessage m) {
             ((Journal) journal).conclude(m);
         }
 
@@ -90,17 +92,17 @@
         }
 
         @Override
-        public boolean accept(Object journal, Held m) {
+        public boolean accept(Object journal, AcceptedMessage m) {
             return ((SingleFileJournal) journal).accept(m);
         }
 
         @Override
-        public boolean attempt(Object journal, Held m) {
+        public boolean attempt(Object journal, AcceptedMessage m) {
             return ((SingleFileJournal) journal).attempt(m, "uid-of-an-endpoint", 5);
         }
 
         @Override
-        public void conclude(Object journal, Held m) {
+        public void conclude(Object journal, AcceptedMessage m) {
             ((SingleFileJournal) journal).conclude(m);
         }
 
@@ -118,9 +120,9 @@
         }
     }
 
-    private static Held message(Kind kind, Object journal, int body) {
+    private static AcceptedMessage message(Kind kind, Object journal, int body) {
         long number = kind.number(journal);
-        return new Held(
+        return new AcceptedMessage(
                 number, Long.toHexString(number * 0x9e3779b97f4a7c15L), "", "quote-status", 0, 7, SOON, new byte[body]);
     }
 
@@ -147,9 +149,9 @@
     private static void load(String name, Kind kind, int live, int body, int messages) throws IOException {
         Path folder = folder();
         Object journal = kind.open(folder, Math.max(3L << 20, 4L * live * (body + 700)));
-        Deque<Held> held = new ArrayDeque<>();
+        Deque<AcceptedMessage> held = new ArrayDeque<>();
         for (int i = 0; i < live; i++) {
-            Held m = message(kind, journal, body);
+            AcceptedMessage m = message(kind, journal, body);
             kind.accept(journal, m);
             held.add(m);
         }
@@ -158,7 +160,7 @@
         long before = written();
         long from = System.nanoTime();
         for (int i = 0; i < messages; i++) {
-            Held fresh = message(kind, journal, body);
+            AcceptedMessage fresh = message(kind, journal, body);
             long a = System.nanoTime();
             kind.accept(journal, fresh);
             long b = System.nanoTime();
@@ -166,7 +168,7 @@
             long c = System.nanoTime();
             held.add(fresh);
             // One in ten stays behind those that go at once.
-            Held done = i % 10 == 0 ? held.poll() : held.pollLast();
+            AcceptedMessage done = i % 10 == 0 ? held.poll() : held.pollLast();
             long d = System.nanoTime();
             kind.conclude(journal, done);
             long e = System.nanoTime();
@@ -199,7 +201,11 @@
         Path folder = folder();
         Deque<Runnable> due = new ArrayDeque<>();
         Journal journal = Journal.open(
-                folder, new amberroute.storage.FolderDisk(folder), 64 << 20, durability, new Journal.Helper() {
+                folder,
+                new amberroute.storage.FolderDisk(folder),
+                64 << 20,
+                durability,
+                new Journal.BackgroundExecutor() {
                     @Override
                     public void beside(Runnable work, Runnable then) {
                         work.run();
@@ -216,7 +222,8 @@
         for (int t = 0; t < turns; t++) {
             for (int i = 0; i < turn; i++) {
                 long number = journal.nextNumber();
-                Held m = new Held(number, "id" + number, "", "quote-status", 0, 7, SOON, new byte[200]);
+                AcceptedMessage m =
+                        new AcceptedMessage(number, "id" + number, "", "quote-status", 0, 7, SOON, new byte[200]);
                 journal.accept(m);
                 journal.whenSafe(() -> told[0]++, null);
                 journal.attempt(m, "uid", 5);
@@ -306,5 +313,5 @@
         }
     }
 
-    private JournalFigures() {}
+    private JournalMeasurement() {}
 }
--- a/sender/src/test/java/amberroute/sender/JournalPowerTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -1,9 +1,11 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.config.Durability;
+import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.SimulatedDisk;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -18,11 +20,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What a client was told, a call that went out and an end that was told outlast a loss of power, where that was asked for. */
-class JournalPowerTest {
+class JournalPowerLossTest {
     private static final long BUDGET = 600_000;
 
     /** Runs what is due when a test says so: forces take their time. */
-    private static final class Steps implements Journal.Helper {
+    private static final class Steps implements Journal.BackgroundExecutor {
         final Deque<Runnable> due = new ArrayDeque<>();
         int forces;
 
@@ -47,8 +49,8 @@
         }
     }
 
-    private static Held held(Journal journal, String id) {
-        return new Held(journal.nextNumber(), id, "", "unsafe", 7, 3, 1_000, new byte[100]);
+    private static AcceptedMessage held(Journal journal, String id) {
+        return new AcceptedMessage(journal.nextNumber(), id, "", "unsafe", 7, 3, 1_000, new byte[100]);
     }
 
     @Test
@@ -90,11 +92,11 @@
                 try {
                     Journal journal = Journal.open(null, disk, BUDGET, durability, steps);
                     for (int i = 0; i < 400; i++) {
-                        List<Held> all = List.copyOf(journal.live());
-                        Held any = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
+                        List<AcceptedMessage> all = List.copyOf(journal.live());
+                        AcceptedMessage any = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
                         switch (any == null ? 0 : random.nextInt(5)) {
                             case 0, 1 -> {
-                                Held m = held(journal, "m" + i);
+                                AcceptedMessage m = held(journal, "m" + i);
                                 assertTrue(journal.accept(m));
                                 journal.whenSafe(() -> taken.add(m.id), null);
                             }
@@ -127,7 +129,7 @@
                 }
                 disk.powerFails(seed);
                 disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-                Map<String, Held> found = new HashMap<>();
+                Map<String, AcceptedMessage> found = new HashMap<>();
                 Journal.open(null, disk, BUDGET).live().forEach(m -> found.put(m.id, m));
                 String at = durability + ", seed " + seed;
                 for (String id : taken) {
@@ -156,7 +158,7 @@
                 assertTrue(journal.accept(held(journal, id)));
                 journal.whenSafe(() -> told.add(id), () -> told.add("not " + id));
             }
-            Held b = List.copyOf(journal.live()).get(1);
+            AcceptedMessage b = List.copyOf(journal.live()).get(1);
             journal.end(b, b.failed(), () -> journal.whenSafe(() -> told.add("end of b"), null));
             disk.restart(seed, SimulatedDisk.Fault.FAIL_FORCES, 1);
             steps.all();
@@ -196,7 +198,7 @@
         SimulatedDisk disk = new SimulatedDisk();
         List<Thread> threads = new ArrayList<>();
         List<Runnable> then = new ArrayList<>();
-        Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, new Journal.Helper() {
+        Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, new Journal.BackgroundExecutor() {
             @Override
             public void beside(Runnable work, Runnable after) {
                 Thread thread = new Thread(work);
--- a/sender/src/test/java/amberroute/sender/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,6 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.decisions.DeliveryScheduler;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.MessageClassRegistry;
 import amberroute.storage.SimulatedDisk;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,10 +26,10 @@
     @TempDir
     Path folder;
 
-    private Held message(Journal journal) {
+    private AcceptedMessage message(Journal journal) {
         long number = journal.nextNumber();
         String padded = String.format("%06d", number);
-        return new Held(number, "id" + padded, "key" + padded, "unsafe", 7, 3, 1_000, new byte[200]);
+        return new AcceptedMessage(number, "id" + padded, "key" + padded, "unsafe", 7, 3, 1_000, new byte[200]);
     }
 
     private int fill(Journal journal) {
@@ -51,14 +53,14 @@
             int first = fill(journal);
             assertTrue(first > 200, "took " + first);
             for (int round = 0; round < 3; round++) {
-                for (Held m : List.copyOf(journal.live())) {
+                for (AcceptedMessage m : List.copyOf(journal.live())) {
                     for (int i = 0; i < 12; i++) {
                         assertTrue(journal.attempt(m, UID, 5), "no room for an attempt");
                         journal.outcome(m, true);
                     }
                     checkSize();
                 }
-                for (Held m : List.copyOf(journal.live())) {
+                for (AcceptedMessage m : List.copyOf(journal.live())) {
                     journal.end(m, m.returned(1_000));
                     journal.conclude(m);
                     checkSize();
@@ -74,10 +76,11 @@
         String notice;
         try (Journal journal = Journal.open(folder, BUDGET)) {
             fill(journal);
-            Held ended = journal.live().iterator().next();
+            AcceptedMessage ended = journal.live().iterator().next();
             notice = ended.failed();
             journal.end(ended, notice);
-            Held last = List.copyOf(journal.live()).get(journal.live().size() - 1);
+            AcceptedMessage last =
+                    List.copyOf(journal.live()).get(journal.live().size() - 1);
             journal.conclude(List.copyOf(journal.live()).get(1));
             for (int i = 0; i < 3_000; i++) {
                 journal.attempt(last, UID, 5 + i);
@@ -87,10 +90,10 @@
             checkSize();
         }
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            List<Held> live = List.copyOf(journal.live());
+            List<AcceptedMessage> live = List.copyOf(journal.live());
             assertEquals(notice, live.get(0).notice);
             assertTrue(journal.knows("id000002"), "the id of an ended message was forgotten");
-            Held last = live.get(live.size() - 1);
+            AcceptedMessage last = live.get(live.size() - 1);
             assertEquals(
                     List.of(3_001, 6L, UID, true, 77L),
                     List.of(last.attempts, last.doubtSince, last.doubtAt, last.out, last.sentAt));
@@ -104,8 +107,8 @@
         return Journal.open(null, disk, BUDGET);
     }
 
-    private static Held held(Journal journal, String id) {
-        return new Held(journal.nextNumber(), id, "", "unsafe", 7, 3, 1_000, new byte[100]);
+    private static AcceptedMessage held(Journal journal, String id) {
+        return new AcceptedMessage(journal.nextNumber(), id, "", "unsafe", 7, 3, 1_000, new byte[100]);
     }
 
     /** While nothing can be written: no new message, no attempt, no end is told; then all of it, in its turn, by itself. */
@@ -114,9 +117,9 @@
         for (SimulatedDisk.Fault fault : List.of(SimulatedDisk.Fault.FULL, SimulatedDisk.Fault.READ_ONLY)) {
             SimulatedDisk disk = new SimulatedDisk();
             Journal journal = on(disk);
-            Held tried = held(journal, "tried");
-            Held ends = held(journal, "ends");
-            Held over = held(journal, "over");
+            AcceptedMessage tried = held(journal, "tried");
+            AcceptedMessage ends = held(journal, "ends");
+            AcceptedMessage over = held(journal, "over");
             List.of(tried, ends, over).forEach(m -> assertTrue(journal.accept(m)));
             assertTrue(journal.attempt(tried, "uid", 5) && journal.attempt(over, "uid", 5));
             assertEquals(0, journal.again());
@@ -157,7 +160,7 @@
     void theReserveEndsWhatIsHeldOnAFullDisk() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
         Journal journal = on(disk);
-        List<Held> all = new ArrayList<>();
+        List<AcceptedMessage> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             all.add(held(journal, "m" + i));
             assertTrue(journal.accept(all.get(i)));
@@ -166,7 +169,7 @@
                 .mapToLong(n -> (disk.bytes(n).length + 511) / 512 * 512)
                 .sum());
         int told = 0;
-        for (Held m : all.subList(0, 20)) {
+        for (AcceptedMessage m : all.subList(0, 20)) {
             int[] one = new int[1];
             journal.end(m, m.failed(), () -> one[0]++);
             told += one[0];
@@ -186,14 +189,14 @@
     void remembersAThousandOutages() throws IOException {
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             for (int i = 0; i < 1_500; i++) {
-                journal.remember(
-                        new Journal.Memory(i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.OUT, i, 1, 2));
+                journal.remember(new Journal.HealthRecord(
+                        i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.OUT, i, 1, 2));
             }
         }
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             assertEquals(1_500, journal.memories().size());
             for (int i = 0; i < 1_500; i++) {
-                journal.remember(new Journal.Memory(
+                journal.remember(new Journal.HealthRecord(
                         5_000 + i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.OUT, i, 1, 2));
             }
             assertEquals(1_950, journal.memories().size(), "they take their share of the disk, and no more");
@@ -207,7 +210,7 @@
         try (Journal journal = Journal.open(folder, 3 << 20)) {
             journal.define(
                     0,
-                    new ClassBook.Version(
+                    new MessageClassRegistry.Version(
                             "safe",
                             new DeliveryScheduler.MessageClass(
                                     1,
@@ -219,12 +222,13 @@
                                     0,
                                     false)));
             for (int i = 0; i < 500; i++) {
-                Held unsafe = held(journal, "unsafe" + i);
+                AcceptedMessage unsafe = held(journal, "unsafe" + i);
                 assertTrue(journal.accept(unsafe));
                 journal.conclude(unsafe);
             }
             for (int i = 0; i < 20_000; i++) {
-                Held safe = new Held(journal.nextNumber(), "safe" + i, "", "safe", 0, 3, 1_000, new byte[50]);
+                AcceptedMessage safe =
+                        new AcceptedMessage(journal.nextNumber(), "safe" + i, "", "safe", 0, 3, 1_000, new byte[50]);
                 safe.type = 0;
                 assertTrue(journal.accept(safe));
                 journal.conclude(safe);
@@ -248,7 +252,7 @@
             for (int i = 0; i < 100; i++) {
                 assertTrue(journal.accept(held(journal, "m" + i)));
             }
-            Held over = journal.live().iterator().next();
+            AcceptedMessage over = journal.live().iterator().next();
             journal.attempt(over, "uid", 5);
             journal.conclude(over);
         }
--- a/sender/src/test/java/amberroute/sender/JournalTrial.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
@@ -1,5 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
+import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.Disk;
 import amberroute.storage.SimulatedDisk;
 import java.io.BufferedReader;
@@ -51,7 +52,7 @@
     /** What the model knows of one message. */
     private static final class Known {
         final String id;
-        Held held;
+        AcceptedMessage held;
         /** Whether its client was told that it is taken on. */
         boolean told;
         /** Refused while the disk was uncertain: it may be there. */
@@ -161,7 +162,7 @@
         Map<String, Known> next = new LinkedHashMap<>();
         Set<String> live = new HashSet<>();
         List<String> order = new ArrayList<>();
-        for (Held m : journal.live()) {
+        for (AcceptedMessage m : journal.live()) {
             live.add(m.id);
             order.add(m.id);
             Known known = model.get(m.id);
@@ -183,7 +184,7 @@
         model = next;
     }
 
-    private void compare(Known known, Held m, String when) {
+    private void compare(Known known, AcceptedMessage m, String when) {
         if (!known.told && !known.uncertain && !known.open) {
             harm(1, m.id + " was refused and is there" + when);
         }
@@ -214,7 +215,7 @@
     }
 
     /** What the journal found is what this process goes on from. */
-    private Known found(Held m) {
+    private Known found(AcceptedMessage m) {
         Known known = new Known(m.id);
         known.held = m;
         known.told = true;
@@ -302,7 +303,7 @@
     private void accept() {
         Known known = new Known("m" + ids++);
         byte[] body = new byte[40 + known.id.hashCode() % 40 + 40];
-        known.held = new Held(journal.nextNumber(), known.id, "", "unsafe", 7, 3, WALL, body);
+        known.held = new AcceptedMessage(journal.nextNumber(), known.id, "", "unsafe", 7, 3, WALL, body);
         known.open = true;
         model.put(known.id, known);
         known.told = journal.accept(known.held);
@@ -325,11 +326,12 @@
         PrintStream out = new PrintStream(new FileOutputStream(FileDescriptor.out), true, StandardCharsets.US_ASCII);
         out.println("R");
         for (int i = 0; ; i++) {
-            List<Held> all = List.copyOf(own.live());
-            Held m = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
+            List<AcceptedMessage> all = List.copyOf(own.live());
+            AcceptedMessage m = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
             if (m == null || all.size() < 200 && random.nextInt(3) > 0) {
                 String id = "m" + args[1] + "-" + i;
-                Held fresh = new Held(own.nextNumber(), id, "", "unsafe", 7, 3, WALL, new byte[random.nextInt(2_000)]);
+                AcceptedMessage fresh = new AcceptedMessage(
+                        own.nextNumber(), id, "", "unsafe", 7, 3, WALL, new byte[random.nextInt(2_000)]);
                 out.println("? " + id);
                 if (own.accept(fresh)) {
                     out.println("A " + id);
@@ -420,7 +422,7 @@
     }
 
     private static void compare(Map<String, Told> told, Path folder, Counts counts, String when) throws IOException {
-        Map<String, Held> live = new LinkedHashMap<>();
+        Map<String, AcceptedMessage> live = new LinkedHashMap<>();
         try (Journal journal = Journal.peek(folder)) {
             journal.live().forEach(m -> live.put(m.id, m));
             counts.wrong += journal.unread().stream()
@@ -428,7 +430,7 @@
                     .count();
         }
         told.forEach((id, of) -> {
-            Held m = live.get(id);
+            AcceptedMessage m = live.get(id);
             counts.lost += m == null && of.taken && !of.over && !of.open ? 1 : 0;
             counts.second += m != null && of.over ? 1 : 0;
             counts.wrong += m != null && of.ended && m.notice == null ? 1 : 0;
--- a/sender/src/test/java/amberroute/sender/JournalTrialTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -116,7 +116,7 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "amberroute.sender.JournalTrial"),
+                        "amberroute.sender.journal.JournalTrial"),
                 folder,
                 5,
                 6);
--- a/sender/src/test/java/amberroute/sender/OldJournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,6 +8,8 @@
 
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.handoff.Ownership;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.MessageClassRegistry;
 import amberroute.storage.SegmentLog;
 import java.io.IOException;
 import java.io.InputStream;
@@ -20,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Upgrade from, and downgrade to, the version that kept one file; {@code journal-0.2.bin} was written by it. */
-class OldJournalTest {
+class LegacyJournalReaderTest {
     private static final long BUDGET = 3_000_000;
     private static final long SOON = 4_000_000_000_000L;
 
@@ -28,7 +30,7 @@
     Path folder;
 
     private byte[] old() throws IOException {
-        try (InputStream in = OldJournalTest.class.getResourceAsStream("/journal-0.2.bin")) {
+        try (InputStream in = LegacyJournalReaderTest.class.getResourceAsStream("/journal-0.2.bin")) {
             return in.readAllBytes();
         }
     }
@@ -43,11 +45,11 @@
 
     /** What {@link #write} wrote. */
     private static void check(Journal journal) {
-        List<Held> live = List.copyOf(journal.live());
+        List<AcceptedMessage> live = List.copyOf(journal.live());
         assertEquals(
                 List.of("first", "doubt", "ended", "offered", "behind"),
                 live.stream().map(m -> m.id).toList());
-        Held first = live.get(0);
+        AcceptedMessage first = live.get(0);
         assertEquals(
                 List.of(1, 120, 7L, 3, "idem-first", SOON),
                 List.of(
@@ -57,7 +59,7 @@
                         first.destination,
                         first.idempotencyKey,
                         first.deadline));
-        Held doubt = live.get(1);
+        AcceptedMessage doubt = live.get(1);
         assertEquals(
                 List.of(2, 77L, "uid-a", true, 99L, "uid-b"),
                 List.of(doubt.attempts, doubt.doubtSince, doubt.doubtAt, doubt.out, doubt.sentAt, doubt.sentTo));
@@ -89,7 +91,7 @@
                 check(journal);
             }
         }
-        assertArrayEquals(OldJournal.mark(), Files.readAllBytes(folder.resolve("journal")));
+        assertArrayEquals(LegacyJournalReader.mark(), Files.readAllBytes(folder.resolve("journal")));
     }
 
     /** What a move that was cut short left is of no account: the old file is whole until one step replaces it. */
@@ -116,7 +118,8 @@
     @Test
     void theEarlierVersionRefusesWhatIsInSegments() throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            assertTrue(journal.accept(new Held(journal.nextNumber(), "a", "", "c", 0, 1, SOON, new byte[9])));
+            assertTrue(
+                    journal.accept(new AcceptedMessage(journal.nextNumber(), "a", "", "c", 0, 1, SOON, new byte[9])));
         }
         assertTrue(assertThrows(IOException.class, () -> SingleFileJournal.open(folder, BUDGET))
                 .getMessage()
@@ -141,7 +144,8 @@
     @Test
     void aLaterVersionsSegmentIsRefused() throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            assertTrue(journal.accept(new Held(journal.nextNumber(), "a", "", "c", 0, 1, SOON, new byte[9])));
+            assertTrue(
+                    journal.accept(new AcceptedMessage(journal.nextNumber(), "a", "", "c", 0, 1, SOON, new byte[9])));
         }
         Path segment = segments().get(0);
         byte[] bytes = Files.readAllBytes(segment);
@@ -162,7 +166,7 @@
         try (SingleFileJournal journal = SingleFileJournal.open(folder, BUDGET)) {
             journal.define(
                     1,
-                    new ClassBook.Version(
+                    new MessageClassRegistry.Version(
                             "policy-order",
                             new DeliveryScheduler.MessageClass(
                                     1,
@@ -174,9 +178,9 @@
                                     60_000_000,
                                     true)));
             String[] ids = {"first", "doubt", "behind", "ended", "over", "offered", "given"};
-            Held[] all = new Held[ids.length];
+            AcceptedMessage[] all = new AcceptedMessage[ids.length];
             for (int i = 0; i < ids.length; i++) {
-                all[i] = new Held(
+                all[i] = new AcceptedMessage(
                         journal.nextNumber(), ids[i], "idem-" + ids[i], "policy-order", 7, 3, SOON, new byte[120]);
                 all[i].type = 1;
                 journal.accept(all[i]);
@@ -189,7 +193,8 @@
             journal.hold("peer", List.of(31L, 32L), SOON);
             journal.lot("lot", new Ownership(1, Ownership.Status.OFFERED, "heir"), SOON, List.of(all[5]));
             journal.lot("gone", new Ownership(2, Ownership.Status.GIVEN, "heir"), SOON, List.of(all[6]));
-            Held came = new Held(journal.nextNumber(), "ended2", "", "policy-order", 7, 3, SOON, new byte[1]);
+            AcceptedMessage came =
+                    new AcceptedMessage(journal.nextNumber(), "ended2", "", "policy-order", 7, 3, SOON, new byte[1]);
             journal.adopt(
                     "adopted",
                     new Ownership(1, Ownership.Status.OWNED, ""),
--- a/sender/src/test/java/amberroute/sender/Segments.java
+++ b/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import amberroute.storage.SegmentLog;
 import java.io.IOException;
@@ -11,11 +11,11 @@
 import java.util.List;
 
 /** Segments of a state folder as bytes, for tests that cut them. */
-final class Segments {
+public final class SegmentFiles {
     private static final int HEAD = 48;
     private static final int FRAME = 20;
 
-    private Segments() {}
+    private SegmentFiles() {}
 
     static List<Path> of(Path state) throws IOException {
         try (var files = Files.list(state)) {
@@ -26,12 +26,12 @@
     }
 
     /** The bytes of the first segment, which has all that one process of a test has written. */
-    static byte[] first(Path state) throws IOException {
+    public static byte[] first(Path state) throws IOException {
         return Files.readAllBytes(of(state).get(0));
     }
 
     /** Lengths of a segment at which a whole record ends; the first record is the one that begins it. */
-    static List<Integer> ends(byte[] segment) {
+    public static List<Integer> ends(byte[] segment) {
         List<Integer> out = new ArrayList<>();
         for (int at = HEAD; at < segment.length; ) {
             at += FRAME + ByteBuffer.wrap(segment).getInt(at + 4);
@@ -41,7 +41,7 @@
     }
 
     /** Each record's content as text. */
-    static List<String> records(byte[] segment) {
+    public static List<String> records(byte[] segment) {
         List<String> out = new ArrayList<>();
         int at = HEAD;
         for (int end : ends(segment)) {
@@ -52,7 +52,7 @@
     }
 
     /** Leaves so many bytes of that segment alone in the folder. */
-    static void cut(Path state, byte[] segment, int length) throws IOException {
+    public static void cut(Path state, byte[] segment, int length) throws IOException {
         List<Path> there = of(state);
         Path first = there.isEmpty() ? state.resolve("0000000000000001-0000000000000001.seg") : there.get(0);
         for (Path file : there) {
--- a/sender/src/test/java/amberroute/sender/SingleFileJournal.java
+++ b/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
@@ -1,8 +1,11 @@
-package amberroute.sender;
+package amberroute.sender.journal;
 
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.handoff.KeyHolds;
 import amberroute.handoff.Ownership;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.MessageClassRegistry;
+import amberroute.sender.util.Log;
 import java.io.BufferedOutputStream;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -34,7 +37,7 @@
  * <p>Every message reserves room for its later records, so that once taken on it can always be ended. A
  * file that has grown is rewritten with what is still owed; both copies count towards the budget.
  */
-final class SingleFileJournal implements Closeable {
+public final class SingleFileJournal implements Closeable {
     private static final int HEAD = 8;
     private static final int LARGEST = 1 << 18;
     /**
@@ -83,15 +86,15 @@
 
     private final Path folder;
     private final long budget;
-    private final Map<Long, Held> live = new LinkedHashMap<>();
+    private final Map<Long, AcceptedMessage> live = new LinkedHashMap<>();
     /** What ended under each id, 0 where that is no longer known. */
     private final Map<String, Integer> ended = new LinkedHashMap<>();
 
     private final Map<String, Integer> liveIds = new HashMap<>();
     private final Map<String, Memory> memories = new LinkedHashMap<>();
     private final Map<String, Lot> lots = new LinkedHashMap<>();
-    /** Versions of classes that were taken on in, by number: at most {@link ClassBook#MOST}. */
-    private final Map<Integer, ClassBook.Version> classes = new LinkedHashMap<>();
+    /** Versions of classes that were taken on in, by number: at most {@link MessageClassRegistry#MOST}. */
+    private final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
 
     private final KeyHolds holds = new KeyHolds();
     private FileChannel file;
@@ -109,7 +112,7 @@
     }
 
     /** Opens or begins the journal; a tail that was torn by the process's end is cut off. */
-    static SingleFileJournal open(Path folder, long budget) throws IOException {
+    public static SingleFileJournal open(Path folder, long budget) throws IOException {
         SingleFileJournal journal = new SingleFileJournal(folder, budget);
         Files.createDirectories(folder);
         Files.deleteIfExists(journal.path("journal.new"));
@@ -133,11 +136,11 @@
     }
 
     /**
-     * From now on a raised {@link Fence} is noticed behind each record and before any effect that it allows; then this is
+     * From now on a raised {@link FencingToken} is noticed behind each record and before any effect that it allows; then this is
      * run, which has to end the process.
      */
     void guard(Runnable fenced) {
-        fence = Fence.file(folder);
+        fence = FencingToken.file(folder);
         onFenced = fenced;
     }
 
@@ -150,11 +153,11 @@
     }
 
     /** Messages that have not been concluded, in the order of acceptance. */
-    Collection<Held> live() {
+    Collection<AcceptedMessage> live() {
         return live.values();
     }
 
-    long nextNumber() {
+    public long nextNumber() {
         return next++;
     }
 
@@ -170,12 +173,12 @@
     }
 
     /** The versions of classes that were defined, by number. */
-    Map<Integer, ClassBook.Version> classes() {
+    Map<Integer, MessageClassRegistry.Version> classes() {
         return classes;
     }
 
     /** To be called before a message of this version is taken on; false where it could not be written. */
-    boolean define(int number, ClassBook.Version version) {
+    boolean define(int number, MessageClassRegistry.Version version) {
         if (version.equals(classes.get(number))) {
             return true;
         }
@@ -186,17 +189,17 @@
         return true;
     }
 
-    private void keep(int number, ClassBook.Version version) {
-        ClassBook.Version before = classes.put(number, version);
+    private void keep(int number, MessageClassRegistry.Version version) {
+        MessageClassRegistry.Version before = classes.put(number, version);
         reserved += reserve(version) - (before == null ? 0 : reserve(before));
     }
 
-    private static long reserve(ClassBook.Version version) {
+    private static long reserve(MessageClassRegistry.Version version) {
         return 80 + 3L * version.name().length();
     }
 
     /** Takes a message on; false where the budget or the disk has no room for it. */
-    boolean accept(Held m) {
+    public boolean accept(AcceptedMessage m) {
         if (2 * (reserved + reserve(m)) + REWRITE_LEAST / 4 > budget) {
             return false;
         }
@@ -208,7 +211,7 @@
     }
 
     /** To be called before the attempt's first byte; false where it could not be written. */
-    boolean attempt(Held m, String uid, long wall) {
+    boolean attempt(AcceptedMessage m, String uid, long wall) {
         byte[] record = record('T', out -> {
             out.writeLong(m.number);
             out.writeLong(wall);
@@ -221,7 +224,7 @@
         return true;
     }
 
-    void outcome(Held m, boolean mayHaveRun) {
+    void outcome(AcceptedMessage m, boolean mayHaveRun) {
         m.outcome(mayHaveRun);
         append(record('O', out -> {
             out.writeLong(m.number);
@@ -230,7 +233,7 @@
     }
 
     /** The end is decided and its notice owed. */
-    void end(Held m, String notice) {
+    void end(AcceptedMessage m, String notice) {
         reserved -= reserve(m);
         m.end(notice);
         reserved += reserve(m);
@@ -238,7 +241,7 @@
     }
 
     /** Nothing more is owed: it was delivered, or its notice has been answered. */
-    void conclude(Held m) {
+    public void conclude(AcceptedMessage m) {
         append(record('N', out -> out.writeLong(m.number)));
         drop(m);
     }
@@ -249,7 +252,7 @@
     }
 
     /** Those of these messages that are still owed here, in the order given. */
-    List<Held> messages(List<Long> numbers) {
+    List<AcceptedMessage> messages(List<Long> numbers) {
         return numbers.stream()
                 .map(live::get)
                 .filter(m -> m != null && m.notice == null)
@@ -257,11 +260,12 @@
     }
 
     /** Writes whose a lot is. One that is given drops its messages, as they are another's now. */
-    boolean lot(String name, Ownership ownership, long until, List<Held> messages) {
+    boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
         return lot(name, ownership, until, messages, List.of());
     }
 
-    private boolean lot(String name, Ownership ownership, long until, List<Held> messages, List<byte[]> parts) {
+    private boolean lot(
+            String name, Ownership ownership, long until, List<AcceptedMessage> messages, List<byte[]> parts) {
         Lot lot = new Lot(ownership, until, messages.stream().map(m -> m.number).toList());
         if (!roomForLot(name) || !append(lotRecord('H', name, lot, List.of(), parts))) {
             return false;
@@ -278,7 +282,7 @@
             String name,
             Ownership ownership,
             long until,
-            List<Held> messages,
+            List<AcceptedMessage> messages,
             String origin,
             List<Long> keys,
             long holdUntil) {
@@ -299,7 +303,12 @@
 
     /** Writes that a lot is this daemon's own again, and its keys with it; null where that could not be written. */
     List<Long> takeBack(
-            String name, Ownership ownership, long until, List<Held> messages, String origin, List<Long> keys) {
+            String name,
+            Ownership ownership,
+            long until,
+            List<AcceptedMessage> messages,
+            String origin,
+            List<Long> keys) {
         return lot(name, ownership, until, messages, keys.isEmpty() ? List.of() : List.of(released(origin, keys)))
                 ? dropHolds(origin, keys)
                 : null;
@@ -309,7 +318,13 @@
      * Takes messages over from another daemon: they and whose they are stand in one record, so never one alone. In the
      * same record the origin's holds on the messages' keys end, and those that came here while they were held go behind.
      */
-    boolean adopt(String name, Ownership ownership, long until, List<Held> messages, String origin, List<Held> behind) {
+    boolean adopt(
+            String name,
+            Ownership ownership,
+            long until,
+            List<AcceptedMessage> messages,
+            String origin,
+            List<AcceptedMessage> behind) {
         long more = messages.stream().mapToLong(SingleFileJournal::reserve).sum();
         Lot lot = new Lot(ownership, until, messages.stream().map(m -> m.number).toList());
         List<Long> keys = messages.stream()
@@ -337,17 +352,17 @@
     }
 
     /** Without any key that another daemon may have. */
-    boolean adopt(String name, Ownership ownership, long until, List<Held> messages) {
+    boolean adopt(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
         return adopt(name, ownership, until, messages, "", List.of());
     }
 
-    private void moveBehind(Held m) {
+    private void moveBehind(AcceptedMessage m) {
         if (live.remove(m.number) != null) {
             live.put(m.number, m);
         }
     }
 
-    private static byte[] moved(Held m) {
+    private static byte[] moved(AcceptedMessage m) {
         return record('R', out -> {
             out.writeLong(0);
             out.writeLong(m.number);
@@ -478,7 +493,7 @@
         Lot before = lots.put(name, lot);
         reserved += reserve(lot) - (before == null ? 0 : reserve(before));
         for (long number : lot.numbers()) {
-            Held m = live.get(number);
+            AcceptedMessage m = live.get(number);
             if (m != null && lot.ownership().status() == Ownership.Status.GIVEN) {
                 drop(m);
             } else if (m != null && lot.ownership().status() != Ownership.Status.ENDED) {
@@ -487,7 +502,8 @@
         }
     }
 
-    private static byte[] lotRecord(char type, String name, Lot lot, List<Held> messages, List<byte[]> more) {
+    private static byte[] lotRecord(
+            char type, String name, Lot lot, List<AcceptedMessage> messages, List<byte[]> more) {
         return record(type, out -> {
             out.writeUTF(name);
             out.writeLong(lot.ownership().generation());
@@ -499,7 +515,7 @@
                 out.writeLong(number);
             }
             List<byte[]> parts = new ArrayList<>();
-            for (Held m : messages) {
+            for (AcceptedMessage m : messages) {
                 parts.add(accepted(m));
                 parts.add(standing(m));
                 if (m.notice != null) {
@@ -574,7 +590,7 @@
         return (int) crc.getValue();
     }
 
-    private static byte[] accepted(Held m) {
+    private static byte[] accepted(AcceptedMessage m) {
         return record('A', out -> {
             out.writeLong(m.number);
             out.writeUTF(m.id);
@@ -590,7 +606,7 @@
     }
 
     /** The 0 stands where other records have a message's number, so that older programs pass over it. */
-    private static byte[] defined(int number, ClassBook.Version version) {
+    private static byte[] defined(int number, MessageClassRegistry.Version version) {
         DeliveryScheduler.MessageClass c = version.type();
         return record('D', out -> {
             out.writeLong(0);
@@ -613,7 +629,7 @@
         String name = in.readUTF();
         keep(
                 number,
-                new ClassBook.Version(
+                new MessageClassRegistry.Version(
                         name,
                         new DeliveryScheduler.MessageClass(
                                 in.readDouble(),
@@ -626,7 +642,7 @@
                                 in.readBoolean())));
     }
 
-    private static byte[] ending(Held m) {
+    private static byte[] ending(AcceptedMessage m) {
         return record('E', out -> {
             out.writeLong(m.number);
             out.writeUTF(m.notice);
@@ -645,7 +661,7 @@
     }
 
     /** All that attempts have left behind, for a rewritten file. */
-    private static byte[] standing(Held m) {
+    private static byte[] standing(AcceptedMessage m) {
         return record('S', out -> {
             out.writeLong(m.number);
             out.writeInt(m.attempts);
@@ -674,7 +690,7 @@
         }
         if (type == 'R') {
             in.readLong();
-            Held m = live.get(in.readLong());
+            AcceptedMessage m = live.get(in.readLong());
             if (m != null) {
                 moveBehind(m);
             }
@@ -697,7 +713,7 @@
         long number = in.readLong();
         next = Math.max(next, number + 1);
         if (type == 'A') {
-            Held m = new Held(
+            AcceptedMessage m = new AcceptedMessage(
                     number,
                     in.readUTF(),
                     in.readUTF(),
@@ -710,7 +726,7 @@
             add(m);
             return;
         }
-        Held m = live.get(number);
+        AcceptedMessage m = live.get(number);
         if (m == null) {
             return;
         }
@@ -779,17 +795,17 @@
 
     // ---- Room. ----
 
-    private static long reserve(Held m) {
+    private static long reserve(AcceptedMessage m) {
         return 160 + m.body.length + 3L * (m.id.length() + m.idempotencyKey.length()) + LATER;
     }
 
-    private void add(Held m) {
+    private void add(AcceptedMessage m) {
         live.put(m.number, m);
         liveIds.put(m.id, m.content);
         reserved += reserve(m);
     }
 
-    private void drop(Held m) {
+    private void drop(AcceptedMessage m) {
         live.remove(m.number);
         liveIds.remove(m.id);
         remember(m.id, m.content);
@@ -867,7 +883,7 @@
             for (Memory memory : memories.values()) {
                 out.write(remembered(memory));
             }
-            for (Map.Entry<Integer, ClassBook.Version> version : classes.entrySet()) {
+            for (Map.Entry<Integer, MessageClassRegistry.Version> version : classes.entrySet()) {
                 out.write(defined(version.getKey(), version.getValue()));
             }
             Map<String, Map<Long, List<Long>>> kept = new LinkedHashMap<>();
@@ -885,7 +901,7 @@
                     }
                 }
             }
-            for (Held m : live.values()) {
+            for (AcceptedMessage m : live.values()) {
                 out.write(accepted(m));
                 if (m.attempts > 0) {
                     out.write(standing(m));
--- a/sender/src/test/java/amberroute/sender/ServiceNotifyTest.java
+++ b/sender/src/test/java/amberroute/sender/lifecycle/ServiceManagerNotifierTest.java
@@ -1,6 +1,6 @@
-package amberroute.sender;
+package amberroute.sender.lifecycle;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ServiceNotifyTest {
+class ServiceManagerNotifierTest {
     @TempDir
     Path folder;
 
@@ -46,7 +46,7 @@
                     })
                     .bind(new DomainSocketAddress(socket.toString()))
                     .sync();
-            ServiceNotify notify = new ServiceNotify(Map.of("NOTIFY_SOCKET", socket.toString()));
+            ServiceManagerNotifier notify = new ServiceManagerNotifier(Map.of("NOTIFY_SOCKET", socket.toString()));
             notify.tell("READY=1");
             await(() -> heard.size() == 1);
             notify.tell("STOPPING=1\nSTATUS=holding 3 messages");
@@ -60,8 +60,10 @@
     /** Nobody listens, or nobody asked: neither is anybody's failure. */
     @Test
     void failsNobody() {
-        new ServiceNotify(Map.of()).tell("READY=1");
-        new ServiceNotify(Map.of("NOTIFY_SOCKET", folder.resolve("nobody").toString())).tell("READY=1");
+        new ServiceManagerNotifier(Map.of()).tell("READY=1");
+        new ServiceManagerNotifier(
+                        Map.of("NOTIFY_SOCKET", folder.resolve("nobody").toString()))
+                .tell("READY=1");
         assertTrue(Thread.currentThread().isAlive());
     }
 }
--- a/sender/src/test/java/amberroute/sender/RememberedIdsTest.java
+++ b/sender/src/test/java/amberroute/sender/message/DeduplicationCacheTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.message;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,11 +11,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class RememberedIdsTest {
+class DeduplicationCacheTest {
     /** What one id of one character counts for. */
     private static final long ONE = 49;
 
-    private final RememberedIds ids = new RememberedIds(3 * ONE);
+    private final DeduplicationCache ids = new DeduplicationCache(3 * ONE);
 
     @Test
     void whatMayBeRepeatedGoesFirstAndTheOldestOfIt() {
@@ -28,7 +28,7 @@
         assertEquals(List.of(1L), ids.add("g", 7, Effect.UNSAFE, 7, 6));
         assertEquals(
                 List.of("e", "f", "g"),
-                ids.all().stream().map(RememberedIds.Known::id).toList());
+                ids.all().stream().map(DeduplicationCache.CompletedMessage::id).toList());
     }
 
     /** Also under another effect: its place is then among the youngest of that. */
@@ -48,8 +48,8 @@
     void whatIsPastItsReachIsForgotten() {
         ids.add("a", 1, Effect.UNSAFE, 1, 0);
         ids.add("b", 2, Effect.KEYED, 2, 5);
-        assertEquals(List.of(), ids.expire(RememberedIds.REACH_NANOS));
-        assertEquals(List.of(1L), ids.expire(RememberedIds.REACH_NANOS + 1));
+        assertEquals(List.of(), ids.expire(DeduplicationCache.REACH_NANOS));
+        assertEquals(List.of(1L), ids.expire(DeduplicationCache.REACH_NANOS + 1));
         assertFalse(ids.knows("a"));
         assertTrue(ids.knows("b"));
         assertEquals(0, ids.content("a"));
@@ -60,7 +60,7 @@
     void itKeepsToItsBoundAndLosesNoNumber() {
         long seed = 20_262;
         SplittableRandom random = new SplittableRandom(seed);
-        RememberedIds many = new RememberedIds(50 * ONE);
+        DeduplicationCache many = new DeduplicationCache(50 * ONE);
         List<Long> forgotten = new ArrayList<>();
         for (long n = 1; n <= 5_000; n++) {
             forgotten.addAll(many.add(
@@ -68,7 +68,7 @@
                     (int) n,
                     Effect.values()[random.nextInt(Effect.values().length)],
                     n,
-                    n * RememberedIds.REACH_NANOS / 100));
+                    n * DeduplicationCache.REACH_NANOS / 100));
             assertTrue(many.size() <= 50, "seed " + seed);
         }
         Stream<Long> left = many.all().stream().map(known -> (long) known.content());
