--- a/sender/src/test/java/amberroute/sender/ClassBookTest.java
+++ b/sender/src/test/java/amberroute/sender/message/MessageClassRegistryTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.message;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Numbers of class versions: kept while anybody needs them, given away again after. */
-class ClassBookTest {
+class MessageClassRegistryTest {
     private static MessageClass type(int worth) {
         return new MessageClass(worth, 0, 1, 2, Effect.SAFE, KeyScope.DESTINATION, 0, false);
     }
 
     @Test
     void aVersionKeepsItsNumberWhileItIsHeld() {
-        ClassBook book = new ClassBook();
+        MessageClassRegistry book = new MessageClassRegistry();
         assertTrue(book.take(List.of("a", "b"), List.of(type(1), type(2)), n -> false));
         int old = book.number("a");
         assertTrue(book.take(List.of("b", "a"), List.of(type(2), type(3)), n -> n == old));
@@ -32,12 +32,12 @@
 
     @Test
     void changesNothingWhereTooManyVersionsAreHeld() {
-        ClassBook book = new ClassBook();
-        for (int i = 1; i <= ClassBook.MOST; i++) {
+        MessageClassRegistry book = new MessageClassRegistry();
+        for (int i = 1; i <= MessageClassRegistry.MOST; i++) {
             assertTrue(book.take(List.of("a"), List.of(type(i)), n -> true));
         }
         assertFalse(book.take(List.of("a", "b"), List.of(type(0), type(99)), n -> true));
-        assertEquals(type(ClassBook.MOST), book.type(book.number("a")));
+        assertEquals(type(MessageClassRegistry.MOST), book.type(book.number("a")));
         assertEquals(-1, book.number("b"));
         assertTrue(book.take(List.of("a"), List.of(type(0)), n -> n != 5));
         assertEquals(5, book.number("a"));
@@ -45,8 +45,8 @@
 
     @Test
     void whatNobodyNeedsStandsForAClassThatCounts() {
-        ClassBook book = new ClassBook();
-        book.restore(3, new ClassBook.Version("old", type(7)));
+        MessageClassRegistry book = new MessageClassRegistry();
+        book.restore(3, new MessageClassRegistry.Version("old", type(7)));
         assertTrue(book.take(List.of("a"), List.of(type(1)), n -> n == 3));
         assertEquals(List.of(type(1), type(1), type(1), type(7)), book.types());
     }
--- a/sender/src/test/java/amberroute/sender/CopyingTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
@@ -1,12 +1,13 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
-import static amberroute.sender.World.await;
+import static amberroute.sender.SenderFixture.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
+import amberroute.sender.journal.Journal;
 import amberroute.storage.Batch;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -35,7 +36,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** When an owner's changes travel to its holders, and what waits for whom. */
-class CopyingTest {
+class JournalReplicatorTest {
     /** Takes copies on a connection and says so, unless it is told to be silent. */
     private static final class Holder implements AutoCloseable {
         final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -64,11 +65,11 @@
                         copies.add(line);
                     }
                     if (!silent && (copy || line.get("last").getAsBoolean())) {
-                        JsonObject answer = EstateLine.of(
+                        JsonObject answer = ReplicationMessages.of(
                                 "HAVE", "x", "one.a", line.get("term").getAsLong());
                         answer.addProperty("number", line.get("upto").getAsLong());
                         answer.addProperty("counts", true);
-                        peer.getOutputStream().write(PeerLine.utf8(answer));
+                        peer.getOutputStream().write(PeerMessageCodec.utf8(answer));
                         whole |= !copy;
                     }
                 }
@@ -92,7 +93,7 @@
     private Holder two;
     private Holder three;
     private Journal journal;
-    private Copying copying;
+    private JournalReplicator copying;
 
     @BeforeEach
     void begin() throws Exception {
@@ -101,7 +102,7 @@
         Files.createDirectories(folder.resolve("s"));
         journal = Journal.open(folder.resolve("s"), 1 << 20);
         loop.submit(() -> {
-                    copying = new Copying(
+                    copying = new JournalReplicator(
                             loop,
                             "one",
                             "one.a",
--- a/sender/src/test/java/amberroute/sender/EstateStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.peer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,6 +7,8 @@
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
+import amberroute.sender.journal.Journal;
+import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.Batch;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -18,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a holder has on its disk, over restarts and spoilt files; a copy is a journal's folder. */
-class EstateStoreTest {
+class ReplicaStoreTest {
     private static final long BUDGET = 1 << 20;
     private static final String ESTATE = "s1.abc";
 
@@ -26,7 +28,7 @@
     Path folder;
 
     /** An owner's journal, whose changes are caught as a copy gets them. */
-    private final class Owner implements Journal.Copies, AutoCloseable {
+    private final class Owner implements Journal.ChangeListener, AutoCloseable {
         final Journal journal;
         final java.util.ArrayList<Batch> changes = new java.util.ArrayList<>();
         long number;
@@ -34,12 +36,12 @@
         Owner() throws IOException {
             journal = Journal.open(folder.resolve("owner"), BUDGET);
             journal.copyTo(this);
-            journal.holders(EstateLine.group(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
+            journal.holders(ReplicationMessages.group(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
         }
 
         @Override
         public byte[] place() {
-            return EstateLine.place(new LogPosition(1, number + 1));
+            return ReplicationMessages.place(new LogPosition(1, number + 1));
         }
 
         @Override
@@ -53,8 +55,8 @@
             effect.run();
         }
 
-        Held accept(String id) {
-            Held m = new Held(
+        AcceptedMessage accept(String id) {
+            AcceptedMessage m = new AcceptedMessage(
                     journal.nextNumber(),
                     id,
                     "k" + id,
@@ -73,12 +75,12 @@
         }
     }
 
-    private EstateStore store() throws IOException {
-        return new EstateStore(folder.resolve("copies"), BUDGET);
+    private ReplicaStore store() throws IOException {
+        return new ReplicaStore(folder.resolve("copies"), BUDGET);
     }
 
-    private static EstateStore.Kept whole(EstateStore store, Owner owner, Object on) {
-        EstateStore.Kept kept = store.of(ESTATE);
+    private static ReplicaStore.StoredReplica whole(ReplicaStore store, Owner owner, Object on) {
+        ReplicaStore.StoredReplica kept = store.of(ESTATE);
         List<Batch> all = owner.journal.contents().stream()
                 .map(part -> part.get())
                 .filter(b -> !b.isEmpty())
@@ -92,11 +94,11 @@
     @Test
     void aCopyIsAJournalThatGoesOnWhereItsOwnerStood() throws IOException {
         try (Owner owner = new Owner()) {
-            Held first = owner.accept("first");
-            Held over = owner.accept("over");
+            AcceptedMessage first = owner.accept("first");
+            AcceptedMessage over = owner.accept("over");
             owner.journal.conclude(over);
-            EstateStore store = store();
-            EstateStore.Kept kept = whole(store, owner, this);
+            ReplicaStore store = store();
+            ReplicaStore.StoredReplica kept = whole(store, owner, this);
             long had = owner.number;
             owner.changes.clear();
             assertTrue(owner.journal.attempt(first, "p1", 5));
@@ -104,8 +106,8 @@
             assertTrue(store.changes(kept, kept.holding.copied(1, "s1", had, owner.number), owner.changes));
             store.close();
 
-            EstateStore again = store();
-            EstateStore.Kept read = again.all().get(ESTATE);
+            ReplicaStore again = store();
+            ReplicaStore.StoredReplica read = again.all().get(ESTATE);
             assertEquals(new LogPosition(1, owner.number), read.holding.copy());
             assertEquals(List.of("s1", "s2", "s3"), read.group.holders());
             try (Journal copy = Journal.open(again.lend(read), BUDGET)) {
@@ -114,7 +116,7 @@
                         copy.live().stream().map(m -> m.id).toList());
                 assertTrue(copy.live().iterator().next().out);
                 assertTrue(copy.knows("over"));
-                assertEquals(new LogPosition(1, owner.number), EstateLine.place(copy.place()));
+                assertEquals(new LogPosition(1, owner.number), ReplicationMessages.place(copy.place()));
             }
         }
     }
@@ -123,8 +125,8 @@
     void linesOfAnEarlierConnectionDoNotMixIntoAWhole() throws IOException {
         try (Owner owner = new Owner()) {
             owner.accept("first");
-            EstateStore store = store();
-            EstateStore.Kept kept = store.of(ESTATE);
+            ReplicaStore store = store();
+            ReplicaStore.StoredReplica kept = store.of(ESTATE);
             List<Batch> all = owner.journal.contents().stream()
                     .map(part -> part.get())
                     .filter(b -> !b.isEmpty())
@@ -140,14 +142,14 @@
     void whatWasPromisedOutlastsTheProcessAndADamagedCopyCountsForNothing() throws IOException {
         try (Owner owner = new Owner()) {
             owner.accept("first");
-            EstateStore store = store();
-            EstateStore.Kept kept = whole(store, owner, this);
+            ReplicaStore store = store();
+            ReplicaStore.StoredReplica kept = whole(store, owner, this);
             // It came to a group that named it already: out and in again before it counts.
             assertEquals(ReplicaState.NAMED, kept.holding.fresh());
             assertTrue(store.promise(kept, kept.holding.named(false).named(true)));
             assertTrue(store.promise(kept, kept.holding.asked(4, "s3", new LogPosition(2, 1))));
             store.close();
-            EstateStore again = store();
+            ReplicaStore again = store();
             assertTrue(again.all().get(ESTATE).holding.granted(4, "s3"));
             Path copy = again.all().get(ESTATE).copyFolder();
             again.close();
@@ -161,8 +163,8 @@
                 bytes[70] ^= 4;
                 Files.write(segment, bytes);
             }
-            EstateStore damaged = store();
-            EstateStore.Kept read = damaged.all().get(ESTATE);
+            ReplicaStore damaged = store();
+            ReplicaStore.StoredReplica read = damaged.all().get(ESTATE);
             assertEquals(LogPosition.NONE, read.holding.copy());
             assertFalse(read.holding.counts());
             assertEquals(4, read.holding.term());
@@ -173,13 +175,13 @@
     @Test
     void anEstateThatIsDoneIsNeverBegunAgain() throws IOException {
         try (Owner owner = new Owner()) {
-            EstateStore store = store();
-            EstateStore.Kept kept = whole(store, owner, this);
+            ReplicaStore store = store();
+            ReplicaStore.StoredReplica kept = whole(store, owner, this);
             assertTrue(store.promise(kept, kept.holding.named(false).named(true)));
             assertTrue(kept.holding.asked(9, "s1", new LogPosition(8, 1_000)).granted(9, "s1"));
             store.finish(kept);
             store.close();
-            EstateStore again = store();
+            ReplicaStore again = store();
             ReplicaState holding = again.all().get(ESTATE).holding;
             assertTrue(holding.counts());
             assertFalse(holding.asked(9, "s1", new LogPosition(8, 1_000)).granted(9, "s1"));
@@ -192,10 +194,10 @@
     void aFullFolderKeepsWhatItHad() throws IOException {
         try (Owner owner = new Owner()) {
             owner.accept("first");
-            EstateStore store = new EstateStore(folder.resolve("copies"), 96 << 10);
-            EstateStore.Kept kept = whole(store, owner, this);
+            ReplicaStore store = new ReplicaStore(folder.resolve("copies"), 96 << 10);
+            ReplicaStore.StoredReplica kept = whole(store, owner, this);
             LogPosition had = kept.holding.copy();
-            Held large = new Held(
+            AcceptedMessage large = new AcceptedMessage(
                     owner.journal.nextNumber(),
                     "large",
                     "",
@@ -217,9 +219,9 @@
 
     @Test
     void whatIsDoneLongestGivesWayToWhatIsNew() throws IOException {
-        EstateStore store = new EstateStore(folder.resolve("copies"), BUDGET, 256);
+        ReplicaStore store = new ReplicaStore(folder.resolve("copies"), BUDGET, 256);
         for (int i = 0; i < 300; i++) {
-            EstateStore.Kept kept = store.of("s1.e" + i);
+            ReplicaStore.StoredReplica kept = store.of("s1.e" + i);
             assertTrue(store.promise(kept, new ReplicaState(1, "s1", LogPosition.NONE)));
             store.finish(kept);
         }
--- a/sender/src/test/java/amberroute/sender/CallGroupsTest.java
+++ b/sender/src/test/java/amberroute/sender/upstream/CallBatchingTest.java
@@ -1,14 +1,14 @@
-package amberroute.sender;
+package amberroute.sender.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import amberroute.sender.Action.Send;
+import amberroute.sender.decision.SchedulerAction.Send;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CallGroupsTest {
+class CallBatchingTest {
     private static List<List<Send>> five(Send... sends) {
-        return CallGroups.of(List.of(sends), endpoint -> 5);
+        return CallBatching.of(List.of(sends), endpoint -> 5);
     }
 
     /** As seen on a day at size: the two with little time left were answered 0.4 s after their deadline. */
@@ -30,7 +30,7 @@
     @Test
     void oneCallTakesNoMoreThanItsKindDoes() {
         List<List<Send>> groups =
-                CallGroups.of(List.of(new Send(1, 7, 5), new Send(2, 7, 5), new Send(3, 7, 5)), endpoint -> 2);
+                CallBatching.of(List.of(new Send(1, 7, 5), new Send(2, 7, 5), new Send(3, 7, 5)), endpoint -> 2);
         assertEquals(List.of(2, 1), groups.stream().map(List::size).toList());
     }
 
@@ -39,7 +39,7 @@
         assertEquals(2, five(new Send(1, 7, 5), new Send(2, 8, 5)).size());
         assertEquals(
                 2,
-                CallGroups.of(List.of(new Send(1, 7, 5), new Send(2, 7, 5)), endpoint -> 1)
+                CallBatching.of(List.of(new Send(1, 7, 5), new Send(2, 7, 5)), endpoint -> 1)
                         .size());
     }
 }
--- a/sender/src/test/java/amberroute/sender/PausesTest.java
+++ b/sender/src/test/java/amberroute/sender/util/BackoffTest.java
@@ -1,4 +1,4 @@
-package amberroute.sender;
+package amberroute.sender.util;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class PausesTest {
+class BackoffTest {
     /** Fifty senders lose discovery at one moment: no 50 ms sees more than two fifths of them come back. */
     @Test
     void sendersThatLoseDiscoveryTogetherComeBackApart() {
         List<Long> times = new ArrayList<>();
         for (int seed = 1; seed <= 50; seed++) {
-            times.add(new Pauses(100, 200, 2_000, seed).next());
+            times.add(new Backoff(100, 200, 2_000, seed).next());
         }
         for (long from = 0; from < 400; from += 50) {
             long start = from;
@@ -25,7 +25,7 @@
 
     @Test
     void pausesGrowUpToABoundAndAreShortAgainBehindAList() {
-        Pauses pauses = new Pauses(100, 200, 2_000, 7);
+        Backoff pauses = new Backoff(100, 200, 2_000, 7);
         long sum = 0;
         for (int i = 0; i < 40; i++) {
             long pause = pauses.next();
--- a/sender/src/test/java/amberroute/sender/TextsTest.java
+++ b/sender/src/test/java/amberroute/sender/util/ModifiedUtf8Test.java
@@ -1,16 +1,17 @@
-package amberroute.sender;
+package amberroute.sender.util;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import amberroute.sender.journal.Journal;
 import java.io.IOException;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class TextsTest {
+class ModifiedUtf8Test {
     private static ByteBuffer written(String... texts) {
         // Behind other bytes, as contents stand in a segment.
         byte[] content = Journal.bytes(out -> {
@@ -27,7 +28,7 @@
         List<String> all = List.of("", "plain", "señor \u20ac \ud83d\ude00", "nul \0 inside", "x".repeat(65_535));
         ByteBuffer in = written(all.toArray(new String[0]));
         for (String text : all) {
-            assertEquals(text, Texts.read(in));
+            assertEquals(text, ModifiedUtf8.read(in));
         }
         assertEquals(0, in.remaining());
     }
@@ -36,12 +37,12 @@
     void aTextThatEndsEarlyIsAnUnderflow() {
         ByteBuffer in = written("plain");
         in.limit(in.limit() - 1);
-        assertThrows(BufferUnderflowException.class, () -> Texts.read(in));
+        assertThrows(BufferUnderflowException.class, () -> ModifiedUtf8.read(in));
     }
 
     @Test
     void keepsOnceWhatComesOften() throws IOException {
-        Texts texts = new Texts();
+        ModifiedUtf8 texts = new ModifiedUtf8();
         ByteBuffer in = written("quote-status", "other", "quote-status");
         String first = texts.shared(in);
         texts.shared(in);
