--- a/cli/src/main/java/amberroute/cli/CheckCommand.java
+++ b/cli/src/main/java/amberroute/cli/CheckCommand.java
@@ -1,6 +1,6 @@
 package amberroute.cli;
 
-import amberroute.fleet.Definition;
+import amberroute.fleet.FleetDefinition;
 import amberroute.sender.config.StandaloneConfig;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -30,15 +30,15 @@
             System.out.println("# sender file");
             StandaloneConfig.SCHEMA.describe().forEach(System.out::println);
             System.out.println("# service definition");
-            Definition.SCHEMA.describe().forEach(System.out::println);
+            FleetDefinition.SCHEMA.describe().forEach(System.out::println);
             return 0;
         }
         // Which of the two it is shows in keys that only a definition has.
         boolean fleet = Files.exists(file)
                 && Files.readString(file).lines().anyMatch(l -> l.matches("\\s*(count|sender)\\s*=.*"));
         if (fleet) {
-            Definition definition = Definition.read(file, Path.of("amberroute.jar"));
-            for (Definition.Instance i : definition.instances()) {
+            FleetDefinition definition = FleetDefinition.read(file, Path.of("amberroute.jar"));
+            for (FleetDefinition.Instance i : definition.instances()) {
                 StandaloneConfig.check(
                         i.sender(),
                         Map.of(
--- a/cli/src/main/java/amberroute/cli/ClassArchive.java
+++ b/cli/src/main/java/amberroute/cli/ClassArchive.java
@@ -1,8 +1,8 @@
 package amberroute.cli;
 
-import amberroute.testkit.Partner;
 import amberroute.testkit.RespRequest;
-import amberroute.testkit.Stage;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -47,8 +47,8 @@
 
     private static void make(Path jar, Path archive, Path folder) throws Exception {
         Path log = folder.resolve("log");
-        try (Stage stage = new Stage(1)) {
-            stage.destination(1, 1, Partner.Figures.roomy(), "std");
+        try (TestEnvironment stage = new TestEnvironment(1)) {
+            stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
             Files.writeString(
                     folder.resolve("config.json"), config(stage.platform().address()));
             // The collector has to be that of the daemon; a relative path in the jar's manifest does the rest.
--- a/cli/src/main/java/amberroute/cli/Sums.java
+++ b/cli/src/main/java/amberroute/cli/DeliveryTotalsJson.java
@@ -1,13 +1,13 @@
 package amberroute.cli;
 
-import amberroute.testkit.Book;
+import amberroute.testkit.DeliveryHistory;
 import com.google.gson.JsonObject;
 
 /** A book's sums as a rig's last line has them. */
-final class Sums {
-    private Sums() {}
+final class DeliveryTotalsJson {
+    private DeliveryTotalsJson() {}
 
-    static void add(JsonObject out, Book.Totals t) {
+    static void add(JsonObject out, DeliveryHistory.Totals t) {
         out.addProperty("taken", t.taken());
         out.addProperty("delivered", t.delivered());
         out.addProperty("returned", t.returned());
--- a/cli/src/main/java/amberroute/cli/DemoCommand.java
+++ b/cli/src/main/java/amberroute/cli/DemoCommand.java
@@ -37,7 +37,7 @@
         long drawn = seed != null ? seed : System.nanoTime() & 0xffffff;
         boolean terminal = System.console() != null && !json;
         long quiet = seconds * 300L;
-        Play.Plan plan = new Play.Plan(
+        ScenarioRun.Plan plan = new ScenarioRun.Plan(
                 daemons,
                 drawn,
                 perSecond,
@@ -48,7 +48,7 @@
                 0,
                 "rolling.at_once = " + Math.max(1, daemons / 10) + "\n");
         Screen screen = new Screen(terminal);
-        try (Play play = new Play(plan, line -> {
+        try (ScenarioRun play = new ScenarioRun(plan, line -> {
             if (!json) {
                 screen.line(line);
             }
--- a/cli/src/main/java/amberroute/cli/RigCommand.java
+++ b/cli/src/main/java/amberroute/cli/ExperimentCommand.java
@@ -9,20 +9,20 @@
         name = "rig",
         mixinStandardHelpOptions = true,
         subcommands = {
-            RigCommand.RollingRestart.class,
-            RigCommand.ScaleIn.class,
-            StartRig.class,
-            AdoptionRig.class,
-            ColdFleetRig.class,
-            HandOverRig.class,
-            HeldLoadRig.class,
-            JournalCrashRig.class,
-            SurvivorsRig.class,
-            OverloadRig.class,
-            WideRig.class
+            ExperimentCommand.RollingRestart.class,
+            ExperimentCommand.ScaleIn.class,
+            StartupExperiment.class,
+            OrphanRecoveryExperiment.class,
+            FleetSlowStartExperiment.class,
+            HandoffExperiment.class,
+            PendingLoadExperiment.class,
+            JournalCrashExperiment.class,
+            FailoverExperiment.class,
+            OverloadExperiment.class,
+            LargeFleetExperiment.class
         },
         description = "Long runs outside the tests; the last line is one JSON object with ok, the seed and the counts.")
-final class RigCommand {
+final class ExperimentCommand {
     @Command(
             name = "rolling-restart",
             mixinStandardHelpOptions = true,
@@ -60,7 +60,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Play.Plan plan = new Play.Plan(
+            ScenarioRun.Plan plan = new ScenarioRun.Plan(
                     daemons,
                     seed,
                     perSecond,
@@ -72,7 +72,7 @@
                     "rolling.at_once = " + Math.max(1, daemons / 10) + "\nrolling.pause = \"300ms\"\n",
                     0,
                     move);
-            try (Play play = new Play(plan, System.out::println)) {
+            try (ScenarioRun play = new ScenarioRun(plan, System.out::println)) {
                 JsonObject result = play.run();
                 System.out.println(result);
                 return result.get("ok").getAsBoolean() ? 0 : Main.BAD;
@@ -131,7 +131,7 @@
         }
 
         private JsonObject play(int target, boolean move) throws Exception {
-            Play.Plan plan = new Play.Plan(
+            ScenarioRun.Plan plan = new ScenarioRun.Plan(
                     daemons,
                     seed,
                     perSecond,
@@ -143,7 +143,7 @@
                     "rolling.at_once = " + atOnce + "\nrolling.pause = \"300ms\"\n[stop]\nwithin = \"4s\"\n",
                     target,
                     move);
-            try (Play play = new Play(plan, System.out::println)) {
+            try (ScenarioRun play = new ScenarioRun(plan, System.out::println)) {
                 JsonObject result = play.run();
                 if (log) {
                     play.log().forEach(System.out::println);
--- a/cli/src/main/java/amberroute/cli/RigDaemon.java
+++ b/cli/src/main/java/amberroute/cli/ExperimentDaemon.java
@@ -8,18 +8,19 @@
 import java.util.Map;
 
 /** One daemon of a rig, as a process of its own with the platform's kind of JVM settings but for the heap. */
-final class RigDaemon {
+final class ExperimentDaemon {
     private static final long READY_MS = 60_000;
     final Path state;
     final Path log;
     final Process process;
 
-    RigDaemon(Path folder, Path file, String name, int port, int heapMb, Map<String, String> more) throws IOException {
+    ExperimentDaemon(Path folder, Path file, String name, int port, int heapMb, Map<String, String> more)
+            throws IOException {
         this(folder, file, name, port, heapMb, more, false);
     }
 
     /** {@code again}: its log goes on behind that of the process before. */
-    RigDaemon(Path folder, Path file, String name, int port, int heapMb, Map<String, String> more, boolean again)
+    ExperimentDaemon(Path folder, Path file, String name, int port, int heapMb, Map<String, String> more, boolean again)
             throws IOException {
         state = folder.resolve(name);
         log = folder.resolve(name + ".log");
@@ -31,7 +32,7 @@
                 "-Xmx" + heapMb + "m",
                 "-Xss512k",
                 "-jar",
-                Home.daemonJar().toString(),
+                InstallationDirectory.daemonJar().toString(),
                 "serve",
                 "--config",
                 file.toString());
--- a/cli/src/main/java/amberroute/cli/SurvivorsRig.java
+++ b/cli/src/main/java/amberroute/cli/FailoverExperiment.java
@@ -1,14 +1,14 @@
 package amberroute.cli;
 
 import amberroute.fleet.FleetClient;
-import amberroute.testkit.Book;
-import amberroute.testkit.Clients;
-import amberroute.testkit.FaultNet;
+import amberroute.testkit.DeliveryHistory;
+import amberroute.testkit.FaultInjectionNetwork;
 import amberroute.testkit.FaultScript;
 import amberroute.testkit.FaultScript.Fault;
 import amberroute.testkit.FaultScript.Kind;
-import amberroute.testkit.Partner;
-import amberroute.testkit.Stage;
+import amberroute.testkit.LoadClients;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.io.IOException;
@@ -33,7 +33,7 @@
             "faults (killed, killed with the folder gone, stopped, cut off, split, datagrams lost), then all heals.",
             "Exit code 0 where nothing was lost, doubled or out of order and every notice came in time."
         })
-final class SurvivorsRig implements Callable<Integer> {
+final class FailoverExperiment implements Callable<Integer> {
     private static final int DESTINATIONS = 4;
     private static final long READY_MS = 30_000;
     /** A loss is told in docs/survival.md as costing so much: what falls due meanwhile is told late. */
@@ -92,8 +92,8 @@
     private final Map<Kind, Integer> played = new TreeMap<>();
     private Path folder;
     private Path file;
-    private FaultNet net;
-    private Stage stage;
+    private FaultInjectionNetwork net;
+    private TestEnvironment stage;
     private long estatesOver;
     private long released;
     /** How long it took behind each round until all estates had all their copies again. */
@@ -134,7 +134,7 @@
                     peers.add("s" + i + "=" + (direct ? slots.get(i).handOver : net.address(index, i)));
                 }
             }
-            process = new RigDaemon(
+            process = new ExperimentDaemon(
                             folder,
                             file,
                             "s" + index,
@@ -173,19 +173,20 @@
     public Integer call() throws Exception {
         folder = Files.createTempDirectory("amberroute-survivors-");
         Random random = new Random(seed);
-        try (Stage made = new Stage(seed)) {
+        try (TestEnvironment made = new TestEnvironment(seed)) {
             stage = made;
             for (int d = 1; d <= DESTINATIONS; d++) {
-                stage.destination(d, 2, Partner.Figures.roomy().sized(8, 32, 40_000), d % 2 == 0 ? "batch" : "single");
+                stage.destination(
+                        d, 2, StubUpstream.Figures.roomy().sized(8, 32, 40_000), d % 2 == 0 ? "batch" : "single");
             }
             file = stage.senderFile(
                     folder,
                     daemons,
                     "handover.listen = \"127.0.0.1:1\"\nhandover.peers = [\"none=127.0.0.1:1\"]\n"
                             + (off ? "" : "survival.on = true\n"));
-            int port = Stage.freePorts(2 * daemons + daemons * daemons, seed);
-            List<InetSocketAddress> senders = Stage.addresses(port, daemons);
-            List<InetSocketAddress> listeners = Stage.addresses(port + daemons, daemons);
+            int port = TestEnvironment.freePorts(2 * daemons + daemons * daemons, seed);
+            List<InetSocketAddress> senders = TestEnvironment.addresses(port, daemons);
+            List<InetSocketAddress> listeners = TestEnvironment.addresses(port + daemons, daemons);
             for (int i = 0; i < daemons; i++) {
                 slots.add(new Slot(i, port + i, "127.0.0.1:" + (port + daemons + i)));
             }
@@ -195,21 +196,21 @@
             }
             awaitReady();
             startCpuMillis = cpu();
-            Clients clients = stage.clients(senders, Stage.kinds());
-            stage.run(() -> clients.run(new Clients.Load(perSecond, 0.2, 8, 40, 8)));
+            LoadClients clients = stage.clients(senders, TestEnvironment.kinds());
+            stage.run(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
             // The first half warms the daemons up: what is compiled there is not what a message costs.
             Thread.sleep(quiet * 500L);
-            steadySince = Stage.micros();
+            steadySince = TestEnvironment.micros();
             steadyCpuMillis = cpu();
             Thread.sleep(quiet * 500L);
             for (int round = 0; round < rounds; round++) {
                 FaultScript faults =
                         script != null ? FaultScript.read(script) : FaultScript.draw(random, daemons, kinds);
                 int away = 1 + random.nextInt(DESTINATIONS);
-                System.out.println("round " + round + " at " + Stage.micros() / 1_000 + " destination " + away
+                System.out.println("round " + round + " at " + TestEnvironment.micros() / 1_000 + " destination " + away
                         + " faults " + faults);
                 // A partner that is away fills what is in hand.
-                stage.become(away, random.nextBoolean() ? Partner.Mode.DEAD : Partner.Mode.HANG);
+                stage.become(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
                 Thread.sleep(400);
                 play(faults, away);
             }
@@ -311,7 +312,10 @@
 
     private static boolean ready(Slot slot) {
         try {
-            return RigDaemon.status(slot.state()).get("state").getAsString().equals("ready");
+            return ExperimentDaemon.status(slot.state())
+                    .get("state")
+                    .getAsString()
+                    .equals("ready");
         } catch (IOException | RuntimeException e) {
             return false;
         }
@@ -342,7 +346,7 @@
             longest = Math.max(longest, f.at() + f.lasts());
         }
         due.add(new Due(1_200, () -> {
-            stage.become(away, Partner.Mode.UP);
+            stage.become(away, StubUpstream.Mode.UP);
             return null;
         }));
         due.sort((a, b) -> Long.compare(a.at(), b.at()));
@@ -375,7 +379,7 @@
 
     private Void begin(Fault f) throws Exception {
         Slot slot = slots.get(f.target());
-        long now = Stage.micros();
+        long now = TestEnvironment.micros();
         switch (f.kind()) {
             case KILL, LOSE, OLD_FOLDER -> {
                 if (slot.held) {
@@ -399,7 +403,7 @@
             case CUT, FLAP -> split(List.of(f.target()), true);
             case ONE_WAY -> oneWay(f.target(), true);
             case SPLIT -> split(half(f.target()), true);
-            default -> stage.run(() -> net.weather(new FaultNet.Weather(0.2, 0.05, 60_000)));
+            default -> stage.run(() -> net.weather(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
         }
         long until = now + Math.max(TAKEOVER_MICROS, f.lasts() * 1_000);
         stage.run(() -> stage.book().down(f.target(), now, until));
@@ -435,7 +439,7 @@
             case CUT, FLAP -> split(List.of(f.target()), false);
             case ONE_WAY -> oneWay(f.target(), false);
             case SPLIT -> split(half(f.target()), false);
-            default -> stage.run(() -> net.weather(FaultNet.Weather.CLEAR));
+            default -> stage.run(() -> net.weather(FaultInjectionNetwork.LinkConditions.CLEAR));
         }
         return null;
     }
@@ -529,14 +533,14 @@
     }
 
     private int result() throws Exception {
-        Book.Totals t = stage.totals();
+        DeliveryHistory.Totals t = stage.totals();
         long allCpuMillis = cpu();
         JsonObject out = new JsonObject();
         out.addProperty("rounds", rounds);
         out.addProperty("daemons", daemons);
         out.addProperty("seed", seed);
         out.addProperty("faults", played.toString());
-        Sums.add(out, t);
+        DeliveryTotalsJson.add(out, t);
         out.addProperty("refused", t.refused());
         out.addProperty("errors", t.errors());
         out.addProperty("silent", t.silent());
@@ -569,7 +573,7 @@
         out.addProperty("ok", ok);
         if (!ok) {
             stage.on(stage.book()::complaints).forEach(c -> System.out.println("! " + c));
-            stage.on(() -> stage.book().lost(Stage.micros())).forEach(c -> System.out.println("! lost " + c));
+            stage.on(() -> stage.book().lost(TestEnvironment.micros())).forEach(c -> System.out.println("! lost " + c));
             stage.on(() -> stage.book().late()).forEach(c -> System.out.println("! late " + c));
         }
         System.out.println(out);
--- a/cli/src/main/java/amberroute/cli/FleetCommand.java
+++ b/cli/src/main/java/amberroute/cli/FleetCommand.java
@@ -1,8 +1,8 @@
 package amberroute.cli;
 
-import amberroute.fleet.Definition;
 import amberroute.fleet.FleetClient;
-import amberroute.fleet.Supervision;
+import amberroute.fleet.FleetDefinition;
+import amberroute.fleet.SupervisionPolicy;
 import amberroute.fleet.Supervisor;
 import amberroute.sender.lifecycle.ServiceManagerNotifier;
 import amberroute.sender.lifecycle.SignalHandlers;
@@ -40,8 +40,8 @@
                 description = "the service definition (${DEFAULT-VALUE})")
         Path file;
 
-        Definition definition() throws IOException {
-            return Definition.read(file, Home.daemonJar());
+        FleetDefinition definition() throws IOException {
+            return FleetDefinition.read(file, InstallationDirectory.daemonJar());
         }
 
         JsonObject ask(JsonObject request) throws IOException {
@@ -73,7 +73,7 @@
         @Override
         public Integer call() throws Exception {
             try (Supervisor supervisor = new Supervisor(definition(), System.err)) {
-                Runnable stop = () -> supervisor.stop(Supervision.Mode.RESTART);
+                Runnable stop = () -> supervisor.stop(SupervisionPolicy.Mode.RESTART);
                 SignalHandlers.install("TERM").then(stop);
                 SignalHandlers.install("INT").then(stop);
                 SignalHandlers.install("HUP").then(supervisor::reload);
--- a/cli/src/main/java/amberroute/cli/ColdFleetRig.java
+++ b/cli/src/main/java/amberroute/cli/FleetSlowStartExperiment.java
@@ -1,11 +1,11 @@
 package amberroute.cli;
 
-import amberroute.fleet.Definition;
-import amberroute.fleet.Supervision;
-import amberroute.testkit.Book;
-import amberroute.testkit.Clients;
-import amberroute.testkit.Partner;
-import amberroute.testkit.Stage;
+import amberroute.fleet.FleetDefinition;
+import amberroute.fleet.SupervisionPolicy;
+import amberroute.testkit.DeliveryHistory;
+import amberroute.testkit.LoadClients;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonObject;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -24,7 +24,7 @@
             "common limit and without. The load is counted as a share of what brings the partner down. Exit code 0 where with the",
             "limit it stayed at or below 1 in both, where starting without it did not, and where all books close."
         })
-final class ColdFleetRig implements Callable<Integer> {
+final class FleetSlowStartExperiment implements Callable<Integer> {
     private static final long READY_MS = 60_000;
     /** Warm capacity in messages a second, by calls of 20 ms. */
     private static final int SERVICE = 20_000;
@@ -72,7 +72,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Partner.Figures figures = Partner.Figures.roomy().sized(slots, 4 * slots, SERVICE);
+        StubUpstream.Figures figures = StubUpstream.Figures.roomy().sized(slots, 4 * slots, SERVICE);
         Seen returning = startingOnly ? null : play(false, true);
         Seen returningFree = startingOnly ? null : play(false, false);
         Seen starting = play(true, true);
@@ -115,47 +115,47 @@
 
     private Seen play(boolean starting, boolean gentle) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-cold-");
-        Stage stage = new Stage(seed);
-        Partner.Figures figures = Partner.Figures.roomy().sized(slots, 4 * slots, SERVICE);
+        TestEnvironment stage = new TestEnvironment(seed);
+        StubUpstream.Figures figures = StubUpstream.Figures.roomy().sized(slots, 4 * slots, SERVICE);
         stage.destination(1, 1, figures, "single");
-        int port = Stage.freePorts(2 * daemons, seed);
+        int port = TestEnvironment.freePorts(2 * daemons, seed);
         stage.senderFile(
                 folder,
                 daemons,
                 "cold.span = \"" + figures.coldSpan() / 1_000 + "ms\"\ncold.from = " + figures.coldFrom());
         String more = "start.at_once = " + daemons + "\nhandover.listen = \"127.0.0.1:" + (port + daemons) + "\"\n"
                 + (gentle ? "handover.gentle = true\n" : "");
-        Path file = stage.fleetFile(folder, daemons, port, Home.daemonJar(), more);
-        Clients clients = stage.clients(Stage.addresses(port, daemons), Stage.kinds());
-        LocalFleet fleet = new LocalFleet(Definition.read(file, Home.daemonJar()));
+        Path file = stage.fleetFile(folder, daemons, port, InstallationDirectory.daemonJar(), more);
+        LoadClients clients = stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.kinds());
+        LocalFleet fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
         try (stage;
                 fleet) {
-            Clients.Load load = new Clients.Load(usual * capacity(), 0, 1, 200, 8);
+            LoadClients.Load load = new LoadClients.Load(usual * capacity(), 0, 1, 200, 8);
             if (starting) {
                 // All daemons are there and have called nobody yet; the partner has just started, and all clients come
                 // at once.
                 fleet.start();
                 fleet.awaitReady(READY_MS);
-                stage.become(1, Partner.Mode.DEAD);
+                stage.become(1, StubUpstream.Mode.DEAD);
             } else {
                 fleet.start();
                 fleet.awaitReady(READY_MS);
                 stage.run(() -> clients.run(load));
                 Thread.sleep(quiet * 1_000L);
-                stage.become(1, Partner.Mode.DEAD);
+                stage.become(1, StubUpstream.Mode.DEAD);
                 Thread.sleep(outage * 1_000L);
             }
-            stage.become(1, Partner.Mode.UP);
+            stage.become(1, StubUpstream.Mode.UP);
             if (starting) {
-                stage.run(() -> clients.run(new Clients.Load(BURST * capacity(), 0, 1, 200, 8)));
+                stage.run(() -> clients.run(new LoadClients.Load(BURST * capacity(), 0, 1, 200, 8)));
                 Thread.sleep(BURST_MS);
                 stage.run(() -> clients.run(load));
             }
             long usualMs = follow(stage, figures.coldSpan() / 1_000 + 6_000);
             long answered = stage.totals().delivered();
             stage.settle(() -> {});
-            fleet.stop(Supervision.Mode.FINAL);
-            Book.Totals t = stage.totals();
+            fleet.stop(SupervisionPolicy.Mode.FINAL);
+            DeliveryHistory.Totals t = stage.totals();
             Seen seen = new Seen(stage.highestColdShare(), stage.falls(), usualMs, answered, t.ok() && t.taken() > 0);
             System.out.println((starting ? "starting" : "returning") + (gentle ? " with the limit: " : " without: ")
                     + seen + " " + t);
@@ -166,7 +166,7 @@
     }
 
     /** When the partner first answered nine tenths of its usual load over a second. */
-    private long follow(Stage stage, long span) throws InterruptedException {
+    private long follow(TestEnvironment stage, long span) throws InterruptedException {
         long begun = System.nanoTime() / 1_000_000;
         List<long[]> seen = new ArrayList<>();
         long usualMs = -1;
--- a/cli/src/main/java/amberroute/cli/HandOverRig.java
+++ b/cli/src/main/java/amberroute/cli/HandoffExperiment.java
@@ -1,9 +1,9 @@
 package amberroute.cli;
 
 import amberroute.fleet.FleetClient;
-import amberroute.testkit.Partner;
 import amberroute.testkit.RespRequest;
-import amberroute.testkit.Stage;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -26,7 +26,7 @@
             "One daemon that holds so many messages for a partner that is away gives them to another and ends: how long that takes,",
             "how many bytes it is, and how long the heir's loop was held up at most. Exit code 0 where all moved and none is owed twice."
         })
-final class HandOverRig implements Callable<Integer> {
+final class HandoffExperiment implements Callable<Integer> {
     private static final Pattern MOVED =
             Pattern.compile("; ([0-9]+) messages were handed over in ([0-9]+) lots, ([0-9]+) bytes");
 
@@ -61,11 +61,11 @@
 
     private JsonObject play(int size) throws Exception {
         folder = Files.createTempDirectory("amberroute-handover-");
-        List<RigDaemon> daemons = new ArrayList<>();
-        try (Stage stage = new Stage(seed)) {
-            stage.destination(1, 1, Partner.Figures.roomy(), "single");
+        List<ExperimentDaemon> daemons = new ArrayList<>();
+        try (TestEnvironment stage = new TestEnvironment(seed)) {
+            stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
             // Refused at once and for long: nothing is out, all waits.
-            stage.become(1, Partner.Mode.DEAD);
+            stage.become(1, StubUpstream.Mode.DEAD);
             Path file = stage.senderFile(folder, 2);
             String text = Files.readString(file)
                     .replace("open_messages = 1000", "open_messages = " + Math.min(200_000, 2 * size + 100))
@@ -76,12 +76,14 @@
                     .replace("descriptors = 512", "descriptors = 1024");
             // The trials of a partner that is away shall end none of them.
             Files.writeString(file, text.replace("[limits]", "[limits]\nmax_attempts = 100"));
-            int port = Stage.freePorts(4, seed);
+            int port = TestEnvironment.freePorts(4, seed);
             int heap = size > 10_000 ? 1_000 : 100;
             String peers = "leaver=127.0.0.1:" + (port + 2) + ",heir=127.0.0.1:" + (port + 3);
-            RigDaemon leaver = new RigDaemon(folder, file, "leaver", port, heap, handOver(port + 2, peers));
+            ExperimentDaemon leaver =
+                    new ExperimentDaemon(folder, file, "leaver", port, heap, handOver(port + 2, peers));
             daemons.add(leaver);
-            RigDaemon heir = new RigDaemon(folder, file, "heir", port + 1, heap, handOver(port + 3, peers));
+            ExperimentDaemon heir =
+                    new ExperimentDaemon(folder, file, "heir", port + 1, heap, handOver(port + 3, peers));
             daemons.add(heir);
             leaver.awaitReady();
             heir.awaitReady();
@@ -123,7 +125,7 @@
                             && status.get("held").getAsInt() == held);
             return out;
         } finally {
-            for (RigDaemon d : daemons) {
+            for (ExperimentDaemon d : daemons) {
                 d.process.destroyForcibly().waitFor();
             }
             LocalFleet.delete(folder);
@@ -134,22 +136,22 @@
         return Map.of("GW_HANDOVER", "127.0.0.1:" + port, "GW_PEERS", peers);
     }
 
-    private static long longestTurn(RigDaemon daemon) throws IOException {
+    private static long longestTurn(ExperimentDaemon daemon) throws IOException {
         return daemon.status().get("longest_turn_us").getAsLong();
     }
 
     /** Hands in so many, some at a time on one connection; returns how many were taken on. */
     private int fill(int port, int size) throws IOException {
         Random random = new Random(seed);
-        return Pipelined.hand(port, size, i -> {
+        return PipelinedClient.hand(port, size, i -> {
             boolean order = random.nextDouble() < keyed;
-            String key = order ? String.format("%016x", 1 + i / 4) : Pipelined.NO_KEY;
+            String key = order ? String.format("%016x", 1 + i / 4) : PipelinedClient.NO_KEY;
             return RespRequest.of(
                     "SUBMIT",
                     key,
                     "m" + i,
                     (order ? "c=policy-order,k=k" + i : "c=quote-status") + ",d=600000,dest=1",
-                    Pipelined.BODY);
+                    PipelinedClient.BODY);
         });
     }
 }
--- a/cli/src/main/java/amberroute/cli/Home.java
+++ b/cli/src/main/java/amberroute/cli/InstallationDirectory.java
@@ -6,12 +6,12 @@
 import java.nio.file.Path;
 
 /** Where the daemon's jar lies: beside the command line's own, or under the root in a run from classes. */
-final class Home {
-    private Home() {}
+final class InstallationDirectory {
+    private InstallationDirectory() {}
 
     static Path daemonJar() throws IOException {
         try {
-            Path own = Path.of(Home.class
+            Path own = Path.of(InstallationDirectory.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
--- a/cli/src/main/java/amberroute/cli/JournalCrashRig.java
+++ b/cli/src/main/java/amberroute/cli/JournalCrashExperiment.java
@@ -18,7 +18,7 @@
                     + "real processes that are killed; each recovered and compared with a model that never saw the disk.",
             "Exit code 0 where nothing was lost, doubled or wrong, 3 where not."
         })
-final class JournalCrashRig implements Callable<Integer> {
+final class JournalCrashExperiment implements Callable<Integer> {
     @Option(names = "--rounds", defaultValue = "1000", description = "on the simulated disk (${DEFAULT-VALUE})")
     private int rounds;
 
--- a/cli/src/main/java/amberroute/cli/WideRig.java
+++ b/cli/src/main/java/amberroute/cli/LargeFleetExperiment.java
@@ -1,11 +1,11 @@
 package amberroute.cli;
 
-import amberroute.fleet.Definition;
-import amberroute.fleet.Supervision;
-import amberroute.testkit.Book;
-import amberroute.testkit.Clients;
-import amberroute.testkit.Partner;
-import amberroute.testkit.Stage;
+import amberroute.fleet.FleetDefinition;
+import amberroute.fleet.SupervisionPolicy;
+import amberroute.testkit.DeliveryHistory;
+import amberroute.testkit.LoadClients;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.io.IOException;
@@ -25,7 +25,7 @@
             "measures the memory, threads and descriptors of the daemon that had most of each. Fails unless all books close, no daemon has more",
             "threads in the wide fleet, and its memory grows by less than --growth."
         })
-final class WideRig implements Callable<Integer> {
+final class LargeFleetExperiment implements Callable<Integer> {
     private static final long READY_MS = 180_000;
     private static final long RESTART_MS = 600_000;
 
@@ -99,25 +99,25 @@
 
     private Seen play(int count, int partners, int each) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-wide-");
-        Stage stage = new Stage(seed);
+        TestEnvironment stage = new TestEnvironment(seed);
         for (int i = 1; i <= partners; i++) {
-            stage.destination(i, each, Partner.Figures.roomy(), "single");
+            stage.destination(i, each, StubUpstream.Figures.roomy(), "single");
         }
-        int port = Stage.freePorts(count, seed);
+        int port = TestEnvironment.freePorts(count, seed);
         stage.senderFile(folder, count);
         Path file = stage.fleetFile(
                 folder,
                 count,
                 port,
-                Home.daemonJar(),
+                InstallationDirectory.daemonJar(),
                 "start.at_once = 8\nrolling.at_once = " + Math.max(1, count / 10) + "\n");
-        Clients clients = stage.clients(Stage.addresses(port, count), Stage.kinds());
-        LocalFleet fleet = new LocalFleet(Definition.read(file, Home.daemonJar()));
+        LoadClients clients = stage.clients(TestEnvironment.addresses(port, count), TestEnvironment.kinds());
+        LocalFleet fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
         try (stage;
                 fleet) {
             fleet.start();
             fleet.awaitReady(READY_MS);
-            stage.run(() -> clients.run(new Clients.Load(rate * count, 0.1, 4, 20 * count, 4)));
+            stage.run(() -> clients.run(new LoadClients.Load(rate * count, 0.1, 4, 20 * count, 4)));
             Thread.sleep(seconds * 1_000L);
             fleet.ask("restart");
             fleet.await(RESTART_MS, status -> status.get("ready").getAsBoolean() && restarted(status));
@@ -133,8 +133,8 @@
                 }
             }
             stage.settle(() -> {});
-            fleet.stop(Supervision.Mode.FINAL);
-            Book.Totals t = stage.totals();
+            fleet.stop(SupervisionPolicy.Mode.FINAL);
+            DeliveryHistory.Totals t = stage.totals();
             Seen seen = new Seen(
                     count,
                     partners * each,
--- a/cli/src/main/java/amberroute/cli/LocalFleet.java
+++ b/cli/src/main/java/amberroute/cli/LocalFleet.java
@@ -1,8 +1,8 @@
 package amberroute.cli;
 
-import amberroute.fleet.Definition;
 import amberroute.fleet.FleetClient;
-import amberroute.fleet.Supervision;
+import amberroute.fleet.FleetDefinition;
+import amberroute.fleet.SupervisionPolicy;
 import amberroute.fleet.Supervisor;
 import com.google.gson.JsonObject;
 import java.io.ByteArrayOutputStream;
@@ -19,13 +19,13 @@
 final class LocalFleet implements AutoCloseable {
     private static final long STOP_MS = 60_000;
 
-    private final Definition definition;
+    private final FleetDefinition definition;
     private final Supervisor supervisor;
     private final Thread thread;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     /** Takes the fleet's folder; nothing is started yet. */
-    LocalFleet(Definition definition) throws IOException {
+    LocalFleet(FleetDefinition definition) throws IOException {
         this.definition = definition;
         supervisor = new Supervisor(definition, new PrintStream(log, true, StandardCharsets.UTF_8));
         thread = new Thread(
@@ -72,7 +72,7 @@
     }
 
     /** Stops all daemons and waits for it. */
-    void stop(Supervision.Mode mode) throws IOException {
+    void stop(SupervisionPolicy.Mode mode) throws IOException {
         supervisor.stop(mode);
         try {
             thread.join(STOP_MS);
@@ -89,7 +89,7 @@
     public void close() throws IOException {
         try (supervisor) {
             if (thread.isAlive()) {
-                stop(Supervision.Mode.RESTART);
+                stop(SupervisionPolicy.Mode.RESTART);
             }
         }
     }
--- a/cli/src/main/java/amberroute/cli/Main.java
+++ b/cli/src/main/java/amberroute/cli/Main.java
@@ -22,10 +22,10 @@
             CheckCommand.class,
             SubmitCommand.class,
             JournalCommand.class,
-            AdoptCommand.class,
-            EstateCommand.class,
+            RecoverCommand.class,
+            ReplicaCommand.class,
             OverloadCommand.class,
-            RigCommand.class
+            ExperimentCommand.class
         })
 public final class Main implements Runnable {
     /** Exit code of a check or a run that ended badly. */
--- a/cli/src/main/java/amberroute/cli/AllSeeing.java
+++ b/cli/src/main/java/amberroute/cli/OmniscientBaseline.java
@@ -1,6 +1,6 @@
 package amberroute.cli;
 
-import amberroute.testkit.Book;
+import amberroute.testkit.DeliveryHistory;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * take one it gets the message worth most then. Late messages are worth half, as the stage's classes say. Not a proven bound: it
  * does not look ahead; but no sender knows more than it does.
  */
-final class AllSeeing {
+final class OmniscientBaseline {
     private static final Map<String, Double> WORTH =
             Map.of("quote-status", 2.0, "policy-order", 1.0, "premium-charge", 4.0);
     private static final double LATE = 0.5;
@@ -25,20 +25,23 @@
         }
     }
 
-    private AllSeeing() {}
+    private OmniscientBaseline() {}
 
     /** The messages whose clients first came within a span. */
-    static List<Message> messages(List<Book.Entry> entries, long from, long to) {
-        Map<String, List<Book.Entry>> byOrigin = new HashMap<>();
+    static List<Message> messages(List<DeliveryHistory.Entry> entries, long from, long to) {
+        Map<String, List<DeliveryHistory.Entry>> byOrigin = new HashMap<>();
         entries.forEach(
                 e -> byOrigin.computeIfAbsent(e.origin, o -> new ArrayList<>()).add(e));
         List<Message> out = new ArrayList<>();
-        for (List<Book.Entry> tries : byOrigin.values()) {
-            Book.Entry one = tries.get(0);
-            long first = tries.stream().mapToLong(Book.Entry::handedAt).min().orElse(0);
+        for (List<DeliveryHistory.Entry> tries : byOrigin.values()) {
+            DeliveryHistory.Entry one = tries.get(0);
+            long first = tries.stream()
+                    .mapToLong(DeliveryHistory.Entry::handedAt)
+                    .min()
+                    .orElse(0);
             long done = tries.stream()
-                    .filter(e -> e.end() == Book.End.DELIVERED)
-                    .mapToLong(Book.Entry::endedAt)
+                    .filter(e -> e.end() == DeliveryHistory.End.DELIVERED)
+                    .mapToLong(DeliveryHistory.Entry::endedAt)
                     .min()
                     .orElse(0);
             if (first >= from && first < to) {
--- a/cli/src/main/java/amberroute/cli/AdoptionRig.java
+++ b/cli/src/main/java/amberroute/cli/OrphanRecoveryExperiment.java
@@ -1,10 +1,10 @@
 package amberroute.cli;
 
 import amberroute.fleet.FleetClient;
-import amberroute.testkit.Book;
-import amberroute.testkit.Clients;
-import amberroute.testkit.Partner;
-import amberroute.testkit.Stage;
+import amberroute.testkit.DeliveryHistory;
+import amberroute.testkit.LoadClients;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -27,7 +27,7 @@
             "its own that takes the old one's over; now and then the replacement is killed meanwhile, and one more follows.",
             "Exit code 0 where nothing was lost, doubled or out of order, every notice came in time and every zombie ended itself."
         })
-final class AdoptionRig implements Callable<Integer> {
+final class OrphanRecoveryExperiment implements Callable<Integer> {
     private static final long READY_MS = 30_000;
     private static final int DESTINATIONS = 4;
     private static final Pattern TOOK = Pattern.compile("took over ([0-9]+) messages from");
@@ -80,7 +80,7 @@
                     "-Xmx64m",
                     "-Xss512k",
                     "-jar",
-                    Home.daemonJar().toString(),
+                    InstallationDirectory.daemonJar().toString(),
                     "serve",
                     "--config",
                     file.toString());
@@ -128,14 +128,15 @@
     public Integer call() throws Exception {
         folder = Files.createTempDirectory("amberroute-adoption-");
         Random random = new Random(seed);
-        try (Stage stage = new Stage(seed)) {
+        try (TestEnvironment stage = new TestEnvironment(seed)) {
             for (int d = 1; d <= DESTINATIONS; d++) {
-                stage.destination(d, 2, Partner.Figures.roomy().sized(8, 32, 60_000), d % 2 == 0 ? "batch" : "single");
+                stage.destination(
+                        d, 2, StubUpstream.Figures.roomy().sized(8, 32, 60_000), d % 2 == 0 ? "batch" : "single");
             }
             Path made = stage.senderFile(folder, daemons);
             file = folder.resolve("adoptable.toml");
             Files.writeString(file, "adoption = true\n" + Files.readString(made));
-            int port = Stage.freePorts(daemons, seed);
+            int port = TestEnvironment.freePorts(daemons, seed);
             for (int i = 0; i < daemons; i++) {
                 slots.add(new Slot(i, port + i));
                 slots.get(i).start();
@@ -143,15 +144,15 @@
             for (Slot slot : slots) {
                 slot.awaitReady();
             }
-            Clients clients = stage.clients(Stage.addresses(port, daemons), Stage.kinds());
-            stage.run(() -> clients.run(new Clients.Load(perSecond, 0.2, 8, 40, 8)));
+            LoadClients clients = stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.kinds());
+            stage.run(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
             for (int round = 0; round < rounds; round++) {
                 // A partner that is away fills the journals, and calls that hang leave messages in doubt.
                 int away = 1 + random.nextInt(DESTINATIONS);
-                stage.become(away, random.nextBoolean() ? Partner.Mode.DEAD : Partner.Mode.HANG);
+                stage.become(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
                 Thread.sleep(200 + random.nextInt(800));
                 replace(stage, slots.get(random.nextInt(daemons)), random);
-                stage.become(away, Partner.Mode.UP);
+                stage.become(away, StubUpstream.Mode.UP);
                 if ((round + 1) % 10 == 0) {
                     System.out.println((round + 1) + " rounds: " + stage.totals());
                 }
@@ -166,9 +167,9 @@
         }
     }
 
-    private void replace(Stage stage, Slot slot, Random random) throws Exception {
+    private void replace(TestEnvironment stage, Slot slot, Random random) throws Exception {
         Process old = slot.process;
-        long from = Stage.micros();
+        long from = TestEnvironment.micros();
         boolean zombie = random.nextInt(3) == 0;
         if (zombie) {
             zombies++;
@@ -193,7 +194,7 @@
             old.destroyForcibly().waitFor();
         }
         slot.awaitReady();
-        long to = Stage.micros();
+        long to = TestEnvironment.micros();
         longestAway = Math.max(longestAway, to - from);
         stage.run(() -> stage.book().down(slot.index, from, to));
     }
@@ -227,13 +228,13 @@
         return sum;
     }
 
-    private int result(Stage stage) throws IOException {
-        Book.Totals t = stage.totals();
+    private int result(TestEnvironment stage) throws IOException {
+        DeliveryHistory.Totals t = stage.totals();
         JsonObject out = new JsonObject();
         out.addProperty("rounds", rounds);
         out.addProperty("daemons", daemons);
         out.addProperty("seed", seed);
-        Sums.add(out, t);
+        DeliveryTotalsJson.add(out, t);
         out.addProperty("zombies", zombies);
         out.addProperty("zombies_ended", zombiesEnded);
         out.addProperty("takers_killed", takersKilled);
@@ -243,7 +244,7 @@
         out.addProperty("ok", ok);
         if (!ok) {
             stage.on(stage.book()::complaints).forEach(c -> System.out.println("! " + c));
-            stage.on(() -> stage.book().lost(Stage.micros())).forEach(c -> System.out.println("! lost " + c));
+            stage.on(() -> stage.book().lost(TestEnvironment.micros())).forEach(c -> System.out.println("! lost " + c));
         }
         System.out.println(out);
         return ok ? 0 : Main.BAD;
--- a/cli/src/main/java/amberroute/cli/OverloadRig.java
+++ b/cli/src/main/java/amberroute/cli/OverloadExperiment.java
@@ -1,10 +1,10 @@
 package amberroute.cli;
 
-import amberroute.testkit.Book;
-import amberroute.testkit.Clients;
-import amberroute.testkit.FaultNet;
-import amberroute.testkit.Partner;
-import amberroute.testkit.Stage;
+import amberroute.testkit.DeliveryHistory;
+import amberroute.testkit.FaultInjectionNetwork;
+import amberroute.testkit.LoadClients;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -25,7 +25,7 @@
             "Exit code 0 where nothing was lost, doubled or out of order in both, and, with ten seconds or more of the first, prices served no",
             "less than none did."
         })
-final class OverloadRig implements Callable<Integer> {
+final class OverloadExperiment implements Callable<Integer> {
     private static final int DESTINATIONS = 2;
     private static final long READY_MS = 60_000;
     private static final long WARM_MS = 4_000;
@@ -116,13 +116,14 @@
 
     private Seen play(boolean priced) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-overload-");
-        List<RigDaemon> all = new ArrayList<>();
-        try (Stage stage = new Stage(seed)) {
+        List<ExperimentDaemon> all = new ArrayList<>();
+        try (TestEnvironment stage = new TestEnvironment(seed)) {
             for (int d = 1; d <= DESTINATIONS; d++) {
-                stage.destination(d, 1, Partner.Figures.roomy().limited(perSecond, 0), "single");
+                stage.destination(d, 1, StubUpstream.Figures.roomy().limited(perSecond, 0), "single");
             }
-            int port = Stage.freePorts(2 * daemons + daemons * daemons, seed);
-            FaultNet net = stage.net(Stage.addresses(port + daemons, daemons), port + 2 * daemons);
+            int port = TestEnvironment.freePorts(2 * daemons + daemons * daemons, seed);
+            FaultInjectionNetwork net =
+                    stage.net(TestEnvironment.addresses(port + daemons, daemons), port + 2 * daemons);
             Path file = stage.senderFile(
                     folder,
                     daemons,
@@ -131,29 +132,29 @@
             for (int i = 0; i < daemons; i++) {
                 all.add(start(folder, file, net, port, i));
             }
-            for (RigDaemon daemon : all) {
+            for (ExperimentDaemon daemon : all) {
                 daemon.awaitReady();
             }
-            Clients clients = stage.clients(Stage.addresses(port, daemons), Stage.kinds());
+            LoadClients clients = stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.kinds());
             load(stage, clients, 0.7);
             Thread.sleep(WARM_MS);
-            long steadyFrom = Stage.micros();
+            long steadyFrom = TestEnvironment.micros();
             load(stage, clients, 1.3);
             Thread.sleep(steady * 400L);
             befall(stage, net, all, folder, file, port);
             Thread.sleep(Math.max(0, steady * 600L - 2_000));
             JsonObject view = priced ? ask(folder) : null;
-            long spikeFrom = Stage.micros();
+            long spikeFrom = TestEnvironment.micros();
             load(stage, clients, 3);
             Thread.sleep(spike * 1_000L);
-            long easyFrom = Stage.micros();
+            long easyFrom = TestEnvironment.micros();
             load(stage, clients, 0.7);
             Thread.sleep(EASY_MS);
-            long easyTo = Stage.micros();
+            long easyTo = TestEnvironment.micros();
             stage.settle(() -> {});
             return seen(stage, view, new long[] {steadyFrom, spikeFrom, easyFrom, easyTo});
         } finally {
-            for (RigDaemon daemon : all) {
+            for (ExperimentDaemon daemon : all) {
                 daemon.process.destroyForcibly().waitFor();
             }
             for (int i = 0; logs && i < all.size(); i++) {
@@ -163,14 +164,15 @@
         }
     }
 
-    private RigDaemon start(Path folder, Path file, FaultNet net, int port, int index) throws IOException {
+    private ExperimentDaemon start(Path folder, Path file, FaultInjectionNetwork net, int port, int index)
+            throws IOException {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < daemons; i++) {
             if (i != index) {
                 peers.add("s" + i + "=" + net.address(index, i));
             }
         }
-        return new RigDaemon(
+        return new ExperimentDaemon(
                 folder,
                 file,
                 "s" + index,
@@ -180,14 +182,20 @@
                 true);
     }
 
-    private void load(Stage stage, Clients clients, double times) {
-        stage.run(() -> clients.run(new Clients.Load(times * perSecond * DESTINATIONS, 0, 1, 400, 8)));
+    private void load(TestEnvironment stage, LoadClients clients, double times) {
+        stage.run(() -> clients.run(new LoadClients.Load(times * perSecond * DESTINATIONS, 0, 1, 400, 8)));
     }
 
     /** Two seconds of it. */
-    private void befall(Stage stage, FaultNet net, List<RigDaemon> all, Path folder, Path file, int port)
+    private void befall(
+            TestEnvironment stage,
+            FaultInjectionNetwork net,
+            List<ExperimentDaemon> all,
+            Path folder,
+            Path file,
+            int port)
             throws Exception {
-        long from = Stage.micros();
+        long from = TestEnvironment.micros();
         switch (trouble) {
             case KILL -> {
                 all.get(0).process.destroyForcibly().waitFor();
@@ -195,13 +203,13 @@
                 all.set(0, start(folder, file, net, port, 0));
                 Thread.sleep(1_000);
                 all.get(0).awaitReady();
-                stage.run(() -> stage.book().down(0, from, Stage.micros()));
+                stage.run(() -> stage.book().down(0, from, TestEnvironment.micros()));
             }
             case PAUSE -> {
                 signal(all.get(0), "STOP");
                 Thread.sleep(2_000);
                 signal(all.get(0), "CONT");
-                stage.run(() -> stage.book().down(0, from, Stage.micros()));
+                stage.run(() -> stage.book().down(0, from, TestEnvironment.micros()));
             }
             case SPLIT -> {
                 List<Integer> half = new ArrayList<>();
@@ -213,14 +221,14 @@
                 stage.run(net::heal);
             }
             case STORM -> {
-                stage.run(() -> net.weather(new FaultNet.Weather(0.2, 0.05, 60_000)));
+                stage.run(() -> net.weather(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
                 Thread.sleep(2_000);
             }
             default -> Thread.sleep(2_000);
         }
     }
 
-    private static void signal(RigDaemon daemon, String name) throws Exception {
+    private static void signal(ExperimentDaemon daemon, String name) throws Exception {
         new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + daemon.process.pid())
                 .start()
                 .waitFor();
@@ -237,17 +245,17 @@
                 : null;
     }
 
-    private Seen seen(Stage stage, JsonObject view, long[] parts) {
-        List<Book.Entry> entries = stage.on(() -> stage.book().all());
-        Book.Totals totals = stage.totals();
+    private Seen seen(TestEnvironment stage, JsonObject view, long[] parts) {
+        List<DeliveryHistory.Entry> entries = stage.on(() -> stage.book().all());
+        DeliveryHistory.Totals totals = stage.totals();
         double[] shares = new double[3];
         for (int i = 0; i < 3; i++) {
-            List<AllSeeing.Message> some = AllSeeing.messages(entries, parts[i], parts[i + 1]);
-            shares[i] = AllSeeing.served(some) / Math.max(1e-9, AllSeeing.best(some, perSecond));
+            List<OmniscientBaseline.Message> some = OmniscientBaseline.messages(entries, parts[i], parts[i + 1]);
+            shares[i] = OmniscientBaseline.served(some) / Math.max(1e-9, OmniscientBaseline.best(some, perSecond));
         }
         double back = -1;
         for (long at = parts[2]; back < 0 && at + 1_000_000 <= parts[3]; at += 250_000) {
-            List<AllSeeing.Message> some = AllSeeing.messages(entries, at, at + 1_000_000);
+            List<OmniscientBaseline.Message> some = OmniscientBaseline.messages(entries, at, at + 1_000_000);
             long inTime = some.stream()
                     .filter(m -> m.doneAt() > 0 && m.doneAt() <= m.aim())
                     .count();
@@ -257,7 +265,7 @@
                 .mapToLong(p -> p.partner().overLimit())
                 .sum());
         JsonObject sums = new JsonObject();
-        Sums.add(sums, totals);
+        DeliveryTotalsJson.add(sums, totals);
         System.out.println(sums);
         stage.on(stage.book()::complaints).forEach(c -> System.out.println("! " + c));
         return new Seen(
--- a/cli/src/main/java/amberroute/cli/HeldLoadRig.java
+++ b/cli/src/main/java/amberroute/cli/PendingLoadExperiment.java
@@ -1,8 +1,8 @@
 package amberroute.cli;
 
-import amberroute.testkit.Partner;
 import amberroute.testkit.RespRequest;
-import amberroute.testkit.Stage;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -21,7 +21,7 @@
             "that keep 32 under way hand them in: messages a second, CPU time for each, and the longest turn. Exit code 0 where every message",
             "that was taken on for the partner that is well was delivered, and what was held is still held."
         })
-final class HeldLoadRig implements Callable<Integer> {
+final class PendingLoadExperiment implements Callable<Integer> {
     private static final long DRAIN_MS = 20_000;
 
     @Option(
@@ -49,11 +49,11 @@
 
     private JsonObject play(int held) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-held-");
-        RigDaemon daemon = null;
-        try (Stage stage = new Stage(seed)) {
-            stage.destination(1, 1, Partner.Figures.roomy(), "single");
-            stage.destination(2, 4, Partner.Figures.roomy().sized(64, 256, 1_000), "single");
-            stage.become(1, Partner.Mode.DEAD);
+        ExperimentDaemon daemon = null;
+        try (TestEnvironment stage = new TestEnvironment(seed)) {
+            stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
+            stage.destination(2, 4, StubUpstream.Figures.roomy().sized(64, 256, 1_000), "single");
+            stage.become(1, StubUpstream.Mode.DEAD);
             Path file = stage.senderFile(folder, 1);
             String text = Files.readString(file)
                     .replace("open_messages = 1000", "open_messages = " + (2 * held + 4_000))
@@ -62,8 +62,8 @@
                     .replace("aim = \"1500ms\"", "aim = \"100ms\"")
                     .replace("descriptors = 512", "descriptors = 1024");
             Files.writeString(file, text.replace("[limits]", "[limits]\nmax_attempts = 100"));
-            int port = Stage.freePorts(1, seed);
-            daemon = new RigDaemon(folder, file, "sender", port, Math.max(200, held / 50), Map.of());
+            int port = TestEnvironment.freePorts(1, seed);
+            daemon = new ExperimentDaemon(folder, file, "sender", port, Math.max(200, held / 50), Map.of());
             daemon.awaitReady();
             // The partner that is well is known, so that it is not taken to need its aim.
             hand(port, 200, 2, "w");
@@ -95,7 +95,7 @@
     }
 
     /** What is held once it is no more than so many, or some time has passed. */
-    private int settled(RigDaemon daemon, int held) throws Exception {
+    private int settled(ExperimentDaemon daemon, int held) throws Exception {
         long end = System.nanoTime() + DRAIN_MS * 1_000_000;
         while (true) {
             JsonObject status = daemon.status();
@@ -111,14 +111,14 @@
 
     /** Hands in so many, some at a time on one connection; returns how many were taken on. */
     private static int hand(int port, int size, int destination, String name) throws IOException {
-        return Pipelined.hand(
+        return PipelinedClient.hand(
                 port,
                 size,
                 i -> RespRequest.of(
                         "SUBMIT",
-                        Pipelined.NO_KEY,
+                        PipelinedClient.NO_KEY,
                         name + i,
                         "c=quote-status,d=600000,dest=" + destination,
-                        Pipelined.BODY));
+                        PipelinedClient.BODY));
     }
 }
--- a/cli/src/main/java/amberroute/cli/Pipelined.java
+++ b/cli/src/main/java/amberroute/cli/PipelinedClient.java
@@ -11,13 +11,13 @@
 import java.util.function.IntFunction;
 
 /** A rig's client on loopback that keeps some requests under way on one connection. */
-final class Pipelined {
+final class PipelinedClient {
     static final String NO_KEY = "0000000000000000";
     static final String BODY = "x".repeat(120);
     private static final int UNDER_WAY = 32;
     private static final int PATIENCE_MS = 60_000;
 
-    private Pipelined() {}
+    private PipelinedClient() {}
 
     /** Hands in so many, each as its number makes it; returns how many were taken on. */
     static int hand(int port, int size, IntFunction<byte[]> request) throws IOException {
--- a/cli/src/main/java/amberroute/cli/AdoptCommand.java
+++ b/cli/src/main/java/amberroute/cli/RecoverCommand.java
@@ -16,7 +16,7 @@
             "A running daemon takes over what the state folder of another one owes that does not come back.",
             "Exit code 0 where all is taken, 3 where it was refused; asking again goes on where it stood."
         })
-final class AdoptCommand implements Callable<Integer> {
+final class RecoverCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FOLDER", description = "the state folder to take over")
     private Path folder;
 
--- a/cli/src/main/java/amberroute/cli/EstateCommand.java
+++ b/cli/src/main/java/amberroute/cli/ReplicaCommand.java
@@ -14,13 +14,13 @@
         name = "estate",
         mixinStandardHelpOptions = true,
         subcommands = {
-            EstateCommand.ListAll.class,
-            EstateCommand.Show.class,
-            EstateCommand.Take.class,
-            EstateCommand.Release.class
+            ReplicaCommand.ListAll.class,
+            ReplicaCommand.Show.class,
+            ReplicaCommand.Take.class,
+            ReplicaCommand.Release.class
         },
         description = "What a daemon has in hand, who holds copies of it, and what it holds for others.")
-final class EstateCommand {
+final class ReplicaCommand {
     /** A command about one estate that a daemon knows. */
     abstract static class OfOne implements Callable<Integer> {
         @Parameters(paramLabel = "ESTATE", description = "as list names it")
--- a/cli/src/main/java/amberroute/cli/Play.java
+++ b/cli/src/main/java/amberroute/cli/ScenarioRun.java
@@ -1,14 +1,14 @@
 package amberroute.cli;
 
-import amberroute.fleet.Definition;
 import amberroute.fleet.FleetClient;
-import amberroute.fleet.Supervision;
-import amberroute.testkit.Book;
-import amberroute.testkit.Clients;
+import amberroute.fleet.FleetDefinition;
+import amberroute.fleet.SupervisionPolicy;
+import amberroute.testkit.DeliveryHistory;
 import amberroute.testkit.FaultProxy;
-import amberroute.testkit.Partner;
-import amberroute.testkit.PartnerServer;
-import amberroute.testkit.Stage;
+import amberroute.testkit.LoadClients;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.StubUpstreamServer;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -30,7 +30,7 @@
  * One run of a fleet of real daemons between stand-ins: comes up, serves for a while, goes through an outage of a
  * partner and rolling restarts, stops for good, and closes its books.
  */
-final class Play implements AutoCloseable {
+final class ScenarioRun implements AutoCloseable {
     /**
      * {@code quiet} milliseconds of load come before anything happens; the partner is out for {@code outage}, beginning in
      * the middle of the first rolling restart; {@code rolls} of them follow one another, in which {@code kills} daemons are
@@ -77,8 +77,8 @@
     private final Plan plan;
     private final Consumer<String> lines;
     private final Path folder;
-    private final Stage stage;
-    private final Clients clients;
+    private final TestEnvironment stage;
+    private final LoadClients clients;
     private final LocalFleet fleet;
     private final Map<String, Long> downSince = new HashMap<>();
     private long lastLook;
@@ -90,14 +90,14 @@
     private long killed;
     private long scaleMillis;
 
-    Play(Plan plan, Consumer<String> lines) throws Exception {
+    ScenarioRun(Plan plan, Consumer<String> lines) throws Exception {
         this.plan = plan;
         this.lines = lines;
         random = new Random(plan.seed());
         folder = Files.createTempDirectory("amberroute-");
-        stage = new Stage(plan.seed());
+        stage = new TestEnvironment(plan.seed());
         for (int d = 1; d <= DESTINATIONS; d++) {
-            Partner.Figures figures = Partner.Figures.roomy();
+            StubUpstream.Figures figures = StubUpstream.Figures.roomy();
             // Two endpoints of 25 calls a second and slot: about 1.6 times what the busiest destination is asked.
             figures = figures.sized(Math.max(2, (int) Math.ceil(plan.perSecond() * 0.01)), 32, 40_000);
             figures = d == 3
@@ -106,19 +106,20 @@
             stage.destination(d, 2, figures, d % 2 == 0 ? "batch" : "single", d == SPOILT);
         }
         stage.fault(FaultProxy.Fault.delayed(1_000));
-        int port = Stage.freePorts(2 * plan.daemons(), plan.seed());
+        int port = TestEnvironment.freePorts(2 * plan.daemons(), plan.seed());
         String more = !plan.move()
                 ? ""
                 : "rolling.move = true\nhandover.gentle = true\nhandover.listen = \"127.0.0.1:"
                         + (port + plan.daemons()) + "\"\n";
         stage.senderFile(folder, plan.daemons());
-        Path file = stage.fleetFile(folder, plan.daemons(), port, Home.daemonJar(), more + plan.rolling());
+        Path file =
+                stage.fleetFile(folder, plan.daemons(), port, InstallationDirectory.daemonJar(), more + plan.rolling());
         List<InetSocketAddress> senders = new ArrayList<>();
         for (int i = 0; i < plan.daemons(); i++) {
             senders.add(new InetSocketAddress("127.0.0.1", port + i));
         }
-        clients = stage.clients(senders, Stage.kinds());
-        fleet = new LocalFleet(Definition.read(file, Home.daemonJar()));
+        clients = stage.clients(senders, TestEnvironment.kinds());
+        fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
     }
 
     /** Plays it all; the object has what is asked of the last line. */
@@ -128,11 +129,11 @@
         until(() -> status.get("ready").getAsBoolean(), READY_MS, "the fleet to be ready");
         upMillis = millis() - begun;
         lines.accept(plan.daemons() + " daemons are ready after " + upMillis + " ms");
-        long quietFrom = Stage.micros();
+        long quietFrom = TestEnvironment.micros();
         stage.run(() ->
-                clients.run(new Clients.Load(plan.perSecond(), 0.2, 12, Math.max(20, (int) plan.perSecond()), 8)));
+                clients.run(new LoadClients.Load(plan.perSecond(), 0.2, 12, Math.max(20, (int) plan.perSecond()), 8)));
         watch(plan.quiet());
-        long quietTo = Stage.micros();
+        long quietTo = TestEnvironment.micros();
         long rollFrom = quietTo;
         for (int i = 0; i < plan.rolls(); i++) {
             lines.accept("rolling restart " + (i + 1) + " begins");
@@ -143,10 +144,10 @@
             if (i == 0 && plan.outage() > 0) {
                 watch(1_000);
                 lines.accept("destination 1 is out");
-                stage.become(1, Partner.Mode.DEAD);
+                stage.become(1, StubUpstream.Mode.DEAD);
                 watch(plan.outage());
                 lines.accept("destination 1 is back, and cold");
-                stage.become(1, Partner.Mode.UP);
+                stage.become(1, StubUpstream.Mode.UP);
             }
             while (killed < plan.kills()) {
                 watch(100 + random.nextInt(900));
@@ -162,13 +163,13 @@
         if (plan.scaleTo() > 0) {
             scale();
         }
-        long rollTo = Stage.micros();
+        long rollTo = TestEnvironment.micros();
         watch(plan.after());
-        rollTo = plan.scaleTo() > 0 ? Stage.micros() : rollTo;
+        rollTo = plan.scaleTo() > 0 ? TestEnvironment.micros() : rollTo;
         stage.run(clients::pause);
         lines.accept("clients have stopped asking");
         settle();
-        fleet.stop(Supervision.Mode.FINAL);
+        fleet.stop(SupervisionPolicy.Mode.FINAL);
         return result(quietFrom, quietTo, rollFrom, rollTo);
     }
 
@@ -177,7 +178,7 @@
         if (outage) {
             // Before anybody leaves, so that those who do hold something.
             lines.accept("destination 1 is out");
-            stage.become(1, Partner.Mode.DEAD);
+            stage.become(1, StubUpstream.Mode.DEAD);
             watch(plan.outage() / 2);
         }
         long from = millis();
@@ -189,7 +190,7 @@
         }
         if (outage) {
             watch(plan.outage() / 2);
-            stage.become(1, Partner.Mode.UP);
+            stage.become(1, StubUpstream.Mode.UP);
         }
         until(() -> status.get("scaled").getAsBoolean(), ROLL_MS, "the fleet to be scaled");
         scaleMillis = millis() - from;
@@ -263,7 +264,7 @@
 
     /** Asks the supervisor how all are, and notes in the book when a daemon was away. */
     private void look() {
-        long now = Stage.micros();
+        long now = TestEnvironment.micros();
         try {
             status = fleet.ask("status");
         } catch (IOException e) {
@@ -291,7 +292,7 @@
         List<String> out = new ArrayList<>(status == null ? List.of("the fleet starts") : FleetCommand.table(status));
         stage.run(() -> {
             for (int i = 0; i < stage.partners().size(); i += 2) {
-                PartnerServer one = stage.partners().get(i);
+                StubUpstreamServer one = stage.partners().get(i);
                 out.add(String.format(
                         "destination %d  %-7s  calls %6d  over its limit %4d",
                         one.destination(),
@@ -307,7 +308,7 @@
 
     /** All books in one line. */
     String line() {
-        Book.Totals t = stage.totals();
+        DeliveryHistory.Totals t = stage.totals();
         long ready = 0;
         long held = 0;
         if (status != null) {
@@ -335,9 +336,9 @@
     }
 
     private JsonObject result(long quietFrom, long quietTo, long rollFrom, long rollTo) {
-        Book.Totals t = stage.totals();
+        DeliveryHistory.Totals t = stage.totals();
         JsonObject out = new JsonObject();
-        Sums.add(out, t);
+        DeliveryTotalsJson.add(out, t);
         out.addProperty("asked", stage.on(clients::asked));
         out.addProperty("refused", t.refused());
         out.addProperty("silent", t.silent());
@@ -364,7 +365,7 @@
         out.addProperty("ok", ok);
         if (!ok) {
             stage.on(stage.book()::complaints).forEach(c -> lines.accept("! " + c));
-            stage.on(() -> stage.book().lost(Stage.micros())).forEach(c -> lines.accept("! lost " + c));
+            stage.on(() -> stage.book().lost(TestEnvironment.micros())).forEach(c -> lines.accept("! lost " + c));
             lines.accept(fleet.log());
         }
         return out;
--- a/cli/src/main/java/amberroute/cli/StartRig.java
+++ b/cli/src/main/java/amberroute/cli/StartupExperiment.java
@@ -1,8 +1,8 @@
 package amberroute.cli;
 
-import amberroute.fleet.Definition;
-import amberroute.testkit.Partner;
-import amberroute.testkit.Stage;
+import amberroute.fleet.FleetDefinition;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -24,7 +24,7 @@
             "From fleet up to all ready, with the class archive and without it in turn, and what a daemon holds at rest.",
             "Exit code 0 where every fleet came up, 3 where not."
         })
-final class StartRig implements Callable<Integer> {
+final class StartupExperiment implements Callable<Integer> {
     private static final long READY_MS = 120_000;
 
     @Option(names = "--daemons", split = ",", defaultValue = "1,5,20", description = "fleet sizes (${DEFAULT-VALUE})")
@@ -71,16 +71,16 @@
     /** Milliseconds until all are ready, -1 where they are not in time. */
     private long start(int size, boolean archive, JsonObject rest) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-start-");
-        try (Stage stage = new Stage(0)) {
-            stage.destination(1, 1, Partner.Figures.roomy(), "single");
+        try (TestEnvironment stage = new TestEnvironment(0)) {
+            stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
             stage.senderFile(folder, size);
             Path file = stage.fleetFile(
                     folder,
                     size,
-                    Stage.freePorts(size, System.nanoTime()),
-                    Home.daemonJar(),
+                    TestEnvironment.freePorts(size, System.nanoTime()),
+                    InstallationDirectory.daemonJar(),
                     "archive = " + archive + "\n[start]\nat_once = " + atOnce + "\n");
-            try (LocalFleet fleet = new LocalFleet(Definition.read(file, Home.daemonJar()))) {
+            try (LocalFleet fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()))) {
                 long from = System.nanoTime();
                 fleet.start();
                 while (System.nanoTime() - from < READY_MS * 1_000_000) {
--- a/cli/src/test/java/amberroute/cli/SurvivorsRigTest.java
+++ b/cli/src/test/java/amberroute/cli/FailoverExperimentTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The short forms of the rig that loses daemons; its books come from stand-in partners and clients. */
-class SurvivorsRigTest {
+class FailoverExperimentTest {
     private static void play(String script) {
         assertEquals(
                 0,
--- a/cli/src/test/java/amberroute/cli/FleetProcessTest.java
+++ b/cli/src/test/java/amberroute/cli/FleetProcessTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.fleet.Definition;
 import amberroute.fleet.FleetClient;
+import amberroute.fleet.FleetDefinition;
 import amberroute.fleet.Supervisor;
-import amberroute.testkit.Partner;
 import amberroute.testkit.RespRequest;
-import amberroute.testkit.Stage;
+import amberroute.testkit.StubUpstream;
+import amberroute.testkit.TestEnvironment;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.io.IOException;
@@ -49,15 +49,15 @@
     @TempDir
     Path folder;
 
-    private Stage stage;
-    private Definition definition;
+    private TestEnvironment stage;
+    private FleetDefinition definition;
     private int port;
     private final List<Process> supervisors = new ArrayList<>();
 
     @BeforeEach
     void build() throws Exception {
-        stage = new Stage(1);
-        stage.destination(1, 1, Partner.Figures.roomy(), "single");
+        stage = new TestEnvironment(1);
+        stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
         stage.senderFile(folder, 2);
     }
 
@@ -67,7 +67,7 @@
         for (Process supervisor : supervisors) {
             supervisor.destroyForcibly().waitFor();
         }
-        for (Definition.Instance i : definition.instances()) {
+        for (FleetDefinition.Instance i : definition.instances()) {
             long pid = lockedBy(i);
             if (pid > 0) {
                 ProcessHandle.of(pid).ifPresent(FleetProcessTest::killAndWait);
@@ -85,7 +85,7 @@
         }
     }
 
-    private static long lockedBy(Definition.Instance instance) throws IOException {
+    private static long lockedBy(FleetDefinition.Instance instance) throws IOException {
         Path lock = instance.state().resolve("lock");
         String text = Files.exists(lock) ? Files.readString(lock).strip() : "";
         long pid = text.isEmpty() ? 0 : Long.parseLong(text);
@@ -98,8 +98,10 @@
     }
 
     private void define(int count, String more) throws Exception {
-        port = Stage.freePorts(count + 1, System.nanoTime());
-        definition = Definition.read(stage.fleetFile(folder, count, port, Home.daemonJar(), more), Home.daemonJar());
+        port = TestEnvironment.freePorts(count + 1, System.nanoTime());
+        definition = FleetDefinition.read(
+                stage.fleetFile(folder, count, port, InstallationDirectory.daemonJar(), more),
+                InstallationDirectory.daemonJar());
     }
 
     private Process up() throws IOException {
@@ -357,7 +359,7 @@
     @Test
     void aStopForGoodThatLeavesSomethingIsToldSo() throws Exception {
         define(1, QUICK);
-        stage.become(1, Partner.Mode.HANG);
+        stage.become(1, StubUpstream.Mode.HANG);
         up();
         await(this::allReady);
         // A message that is held, and a platform that is gone when its end is to be told.
@@ -381,7 +383,7 @@
     @Test
     void anInstanceThatMovesIsRestartedThereWithWhatItHeld() throws Exception {
         define(2, QUICK);
-        stage.become(1, Partner.Mode.DEAD);
+        stage.become(1, StubUpstream.Mode.DEAD);
         Process first = up();
         await(this::allReady);
         List<Long> before = pids();
@@ -391,15 +393,16 @@
             assertEquals('+', client.getInputStream().read());
         }
         first.destroyForcibly().waitFor();
-        Definition old = definition;
+        FleetDefinition old = definition;
         String moved =
                 "[[instance]]\nname = \"sender-1\"\nlisten = \"127.0.0.1:" + (port + 2) + "\"\nstate = \"elsewhere\"\n";
-        definition =
-                Definition.read(stage.fleetFile(folder, 2, port, Home.daemonJar(), QUICK + moved), Home.daemonJar());
+        definition = FleetDefinition.read(
+                stage.fleetFile(folder, 2, port, InstallationDirectory.daemonJar(), QUICK + moved),
+                InstallationDirectory.daemonJar());
         up();
         await(() -> replaced(0, before.get(0)));
         assertEquals(before.get(1), pids().get(1));
-        stage.become(1, Partner.Mode.UP);
+        stage.become(1, StubUpstream.Mode.UP);
         // Called, or told as over where the machine took longer for the restart than the message had.
         await(() -> stage.partners().get(0).calls() > 0
                 || stage.on(() -> stage.platform().noticeLines()) > 0);
@@ -501,7 +504,7 @@
     @Test
     void aDaemonThatWasStartedByHandOnItsFolderIsTakenOver() throws Exception {
         define(1, QUICK);
-        Definition.Instance instance = definition.instances().get(0);
+        FleetDefinition.Instance instance = definition.instances().get(0);
         ProcessBuilder builder = new ProcessBuilder(instance.command());
         builder.environment().put("GW_NAME", instance.name());
         builder.environment().put("GW_LISTEN", instance.listen());
--- a/cli/src/test/java/amberroute/cli/WideRigTest.java
+++ b/cli/src/test/java/amberroute/cli/LargeFleetExperimentTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The short form of the rig that measures one daemon among many endpoints. */
-class WideRigTest {
+class LargeFleetExperimentTest {
     @Test
     void aDaemonNeedsNoMoreThreadsAndLittleMoreMemoryForManyEndpoints() {
         assertEquals(
--- a/cli/src/test/java/amberroute/cli/OverloadRigTest.java
+++ b/cli/src/test/java/amberroute/cli/OverloadExperimentTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Overloaded fleets of daemons, short, with trouble between them in the middle; and what operators are told. */
-class OverloadRigTest {
+class OverloadExperimentTest {
     private static void play(String trouble) {
         assertEquals(
                 0,
--- a/cli/src/test/java/amberroute/cli/HeldLoadRigTest.java
+++ b/cli/src/test/java/amberroute/cli/PendingLoadExperimentTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The short form of the rig that passes messages by what is held. */
-class HeldLoadRigTest {
+class PendingLoadExperimentTest {
     @Test
     void whatPassesIsDeliveredAndWhatIsHeldStays() {
         assertEquals(0, Main.execute("rig", "held-load", "--held", "20,300", "--messages", "600"));
--- a/cli/src/test/java/amberroute/cli/PlayTest.java
+++ b/cli/src/test/java/amberroute/cli/ScenarioRunTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The rigs' short forms. */
-class PlayTest {
-    private static JsonObject play(Play.Plan plan) throws Exception {
+class ScenarioRunTest {
+    private static JsonObject play(ScenarioRun.Plan plan) throws Exception {
         List<String> lines = Collections.synchronizedList(new ArrayList<>());
         System.out.println("seed " + plan.seed());
-        try (Play play = new Play(plan, lines::add)) {
+        try (ScenarioRun play = new ScenarioRun(plan, lines::add)) {
             JsonObject result = play.run();
             assertTrue(result.get("ok").getAsBoolean(), result + "\n" + String.join("\n", lines));
             return result;
@@ -23,15 +23,15 @@
 
     @Test
     void fourDaemonsRollUnderLoadWithAnOutage() throws Exception {
-        JsonObject result = play(
-                new Play.Plan(4, 11, 150, 1_500, 1_500, 1, 500, 0, "rolling.at_once = 1\nrolling.pause = \"100ms\"\n"));
+        JsonObject result = play(new ScenarioRun.Plan(
+                4, 11, 150, 1_500, 1_500, 1, 500, 0, "rolling.at_once = 1\nrolling.pause = \"100ms\"\n"));
         assertEquals("done", result.get("rolling").getAsString());
         assertTrue(result.get("taken").getAsLong() > 300, result.toString());
     }
 
     @Test
     void fourDaemonsRollAndHandOverUnderLoadWithAnOutage() throws Exception {
-        JsonObject result = play(new Play.Plan(
+        JsonObject result = play(new ScenarioRun.Plan(
                 4, 14, 150, 1_500, 1_500, 1, 500, 0, "rolling.at_once = 1\nrolling.pause = \"100ms\"\n", 0, true));
         assertEquals("done", result.get("rolling").getAsString());
         assertTrue(result.get("handed_over").getAsLong() > 0, result.toString());
@@ -39,7 +39,7 @@
 
     @Test
     void aFleetIsScaledInUnderLoadWithAnOutage() throws Exception {
-        JsonObject result = play(new Play.Plan(
+        JsonObject result = play(new ScenarioRun.Plan(
                 5, 13, 120, 1_000, 1_500, 0, 500, 0, "rolling.at_once = 2\n[stop]\nwithin = \"2s\"\n", 2, true));
         assertTrue(result.get("handed_over").getAsLong() > 0, result.toString());
         assertTrue(result.get("taken").getAsLong() > 200, result.toString());
@@ -55,7 +55,7 @@
     /** SIGKILL at random moments of a rolling restart: at starts, drains and in between. */
     @Test
     void daemonsAreKilledWhileTheyRoll() throws Exception {
-        JsonObject result = play(new Play.Plan(
+        JsonObject result = play(new ScenarioRun.Plan(
                 4,
                 12,
                 150,
--- a/fleet/src/main/java/amberroute/fleet/Definition.java
+++ b/fleet/src/main/java/amberroute/fleet/FleetDefinition.java
@@ -17,7 +17,7 @@
  * A service definition: how many daemons, what each is called, where it listens and keeps its state, and the rules by
  * which they are started, stopped and started again. Spans are milliseconds.
  */
-public record Definition(
+public record FleetDefinition(
         Path file,
         String name,
         Path folder,
@@ -143,7 +143,7 @@
             "-Dio.netty.noPreferDirect=true");
 
     /** Reads and checks a definition; {@code jar} is the daemon's, where the file names none. */
-    public static Definition read(Path file, Path jar) {
+    public static FleetDefinition read(Path file, Path jar) {
         Settings s = SCHEMA.read(file);
         Path base = file.toAbsolutePath().normalize().getParent();
         Path folder = base.resolve(s.text("folder")).normalize();
@@ -152,7 +152,7 @@
         if (s.micros("restart.longest") < s.micros("restart.pause")) {
             throw s.bad("restart.longest", "is shorter than restart.pause");
         }
-        Definition definition = new Definition(
+        FleetDefinition definition = new FleetDefinition(
                 file,
                 s.text("name"),
                 folder,
--- a/fleet/src/main/java/amberroute/fleet/Supervision.java
+++ b/fleet/src/main/java/amberroute/fleet/SupervisionPolicy.java
@@ -1,6 +1,6 @@
 package amberroute.fleet;
 
-import amberroute.fleet.Definition.Policy;
+import amberroute.fleet.FleetDefinition.Policy;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -8,7 +8,7 @@
 
 /**
  * All decisions of a supervisor. What it sees comes in as calls with the time, what it wants done goes out by
- * {@link Hands}; it does no I/O. Times are milliseconds on one monotonic clock.
+ * {@link DaemonController}; it does no I/O. Times are milliseconds on one monotonic clock.
  *
  * <p>Invariants, which its tests check over random histories: a daemon is started only while it is known to be dead and
  * its place is wanted; never are more than {@code startAtOnce} starting; a rolling restart has at most
@@ -18,7 +18,7 @@
  * <p>The first so many daemons are wanted. Scaling in stops the others for good, {@code rollAtOnce} at a time, so that
  * those that stay are not rushed; one that is dead then and may owe something is started once more for that.
  */
-public final class Supervision {
+public final class SupervisionPolicy {
     /** What is known of a daemon. */
     public enum State {
         DOWN,
@@ -37,7 +37,7 @@
     }
 
     /** What a supervisor can do; each call is carried out at once. */
-    public interface Hands {
+    public interface DaemonController {
         /** Starts the daemon's process. */
         void start(int daemon);
 
@@ -85,7 +85,7 @@
     }
 
     private final Policy policy;
-    private final Hands hands;
+    private final DaemonController hands;
     private final List<Daemon> daemons = new ArrayList<>();
     /** Those whose turn in the rolling restart is to come; null while none runs. */
     private Deque<Integer> rolling;
@@ -99,12 +99,12 @@
     private Mode endMode;
     private boolean leftOver;
 
-    public Supervision(Policy policy, List<String> names, Hands hands) {
+    public SupervisionPolicy(Policy policy, List<String> names, DaemonController hands) {
         this(policy, names, names.size(), hands);
     }
 
     /** {@code wanted} of the daemons are to run, the first ones. */
-    public Supervision(Policy policy, List<String> names, int wanted, Hands hands) {
+    public SupervisionPolicy(Policy policy, List<String> names, int wanted, DaemonController hands) {
         this.wanted = wanted;
         this.policy = policy;
         this.hands = hands;
--- a/fleet/src/main/java/amberroute/fleet/Supervisor.java
+++ b/fleet/src/main/java/amberroute/fleet/Supervisor.java
@@ -28,7 +28,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Carries out what {@link Supervision} decides, on one thread that looks round every {@value #LOOK_MS} ms: starts and
+ * Carries out what {@link SupervisionPolicy} decides, on one thread that looks round every {@value #LOOK_MS} ms: starts and
  * ends processes, asks daemons how they are, bounds their logs and answers the fleet's control socket.
  *
  * <p>It leaves nothing behind that could mislead the next one: that a daemon lives is told by the lock on its state
@@ -47,14 +47,14 @@
     private static final int LONGEST_REQUEST = 16_384;
     private static final long CLIENT_MS = 60_000;
 
-    private final Definition definition;
-    private final Supervision supervision;
+    private final FleetDefinition definition;
+    private final SupervisionPolicy supervision;
     private final PrintStream log;
-    private final List<Place> places = new ArrayList<>();
+    private final List<ManagedDaemon> places = new ArrayList<>();
     private final List<Client> clients = new ArrayList<>();
     private final FileChannel lockFile;
     private final ServerSocketChannel control;
-    private final AtomicReference<Supervision.Mode> stopAsked = new AtomicReference<>();
+    private final AtomicReference<SupervisionPolicy.Mode> stopAsked = new AtomicReference<>();
     private volatile boolean reloadAsked;
     private Runnable whenReady;
     private long looked;
@@ -70,8 +70,8 @@
     /** Folders that one daemon takes over: one for each that a fleet may have. */
     private static final int MOST_ADOPTED = 4_096;
 
-    private static final class Place {
-        final Definition.Instance instance;
+    private static final class ManagedDaemon {
+        final FleetDefinition.Instance instance;
         Process child;
         /** Of a process that was found: its id as the lock file tells, 0 where it tells none. */
         long foundPid;
@@ -87,7 +87,7 @@
         /** It runs as an earlier definition had it, and is restarted for that. */
         boolean changed;
 
-        Place(Definition.Instance instance) {
+        ManagedDaemon(FleetDefinition.Instance instance) {
             this.instance = instance;
             adopt.addAll(instance.adopt());
             at(instance.state());
@@ -124,7 +124,7 @@
     }
 
     /** Takes the fleet's folder; fails where another supervisor has it. Lines for people go to {@code log}. */
-    public Supervisor(Definition definition, PrintStream log) throws IOException {
+    public Supervisor(FleetDefinition definition, PrintStream log) throws IOException {
         this.definition = definition;
         this.log = log;
         Path folder = definition.folder();
@@ -135,13 +135,15 @@
             lockFile.close();
             throw new ConfigException(folder + " is held by another supervisor");
         }
-        definition.instances().forEach(i -> places.add(new Place(i)));
+        definition.instances().forEach(i -> places.add(new ManagedDaemon(i)));
         readPlaces();
-        supervision = new Supervision(
+        supervision = new SupervisionPolicy(
                 definition.policy(),
-                definition.instances().stream().map(Definition.Instance::name).toList(),
+                definition.instances().stream()
+                        .map(FleetDefinition.Instance::name)
+                        .toList(),
                 scale(folder.resolve(SCALE)),
-                new Carrier());
+                new ProcessController());
         Files.deleteIfExists(definition.control());
         control = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
         control.bind(UnixDomainSocketAddress.of(definition.control()));
@@ -188,7 +190,7 @@
             JsonObject told;
             try {
                 told = JsonParser.parseString(line).getAsJsonObject();
-                for (Place place : places) {
+                for (ManagedDaemon place : places) {
                     if (place.instance.name().equals(told.get("name").getAsString())) {
                         Path state = Path.of(told.get("state").getAsString());
                         if (!state.equals(place.state)) {
@@ -209,7 +211,7 @@
     /** Written before a process is started elsewhere, so that a supervisor that is killed meanwhile goes on with it. */
     private void keepPlaces() throws IOException {
         StringBuilder text = new StringBuilder();
-        for (Place place : places) {
+        for (ManagedDaemon place : places) {
             JsonObject line = new JsonObject();
             line.addProperty("name", place.instance.name());
             line.addProperty("listen", place.instance.listen());
@@ -229,7 +231,7 @@
     private JsonArray absent() {
         JsonArray names = new JsonArray();
         for (int i = 0; i < places.size(); i++) {
-            if (supervision.state(i) == Supervision.State.OUT) {
+            if (supervision.state(i) == SupervisionPolicy.State.OUT) {
                 names.add(places.get(i).instance.name());
             }
         }
@@ -251,7 +253,7 @@
     private void takeOver() throws IOException {
         List<String> changed = new ArrayList<>();
         for (int i = 0; i < places.size(); i++) {
-            Place place = places.get(i);
+            ManagedDaemon place = places.get(i);
             Files.createDirectories(place.instance.state());
             Files.setPosixFilePermissions(place.instance.state(), PosixFilePermissions.fromString("rwx------"));
             if (lockHeld(place)) {
@@ -271,7 +273,7 @@
     }
 
     /** Whether a process holds the state folder; only this supervisor starts any, so a free lock stays free. */
-    private static boolean lockHeld(Place place) {
+    private static boolean lockHeld(ManagedDaemon place) {
         Path file = place.state.resolve("lock");
         if (!Files.exists(file)) {
             return false;
@@ -302,7 +304,7 @@
     }
 
     /** Asks for a stop of the whole fleet, from any thread. */
-    public void stop(Supervision.Mode mode) {
+    public void stop(SupervisionPolicy.Mode mode) {
         stopAsked.set(mode);
     }
 
@@ -318,7 +320,7 @@
 
     private void look() {
         long now = now();
-        Supervision.Mode mode = stopAsked.getAndSet(null);
+        SupervisionPolicy.Mode mode = stopAsked.getAndSet(null);
         if (mode != null) {
             supervision.stop(now, mode);
         }
@@ -348,7 +350,7 @@
     }
 
     private void seeEnd(long now, int i) {
-        Place place = places.get(i);
+        ManagedDaemon place = places.get(i);
         if (place.child != null && !place.child.isAlive()) {
             int code = place.child.exitValue();
             place.child = null;
@@ -365,7 +367,7 @@
     }
 
     private void seeStatus(long now, int i) {
-        Place place = places.get(i);
+        ManagedDaemon place = places.get(i);
         if (place.child == null && !place.found || !place.link.look()) {
             return;
         }
@@ -376,15 +378,15 @@
         }
     }
 
-    private Path logOf(Definition.Instance instance) {
+    private Path logOf(FleetDefinition.Instance instance) {
         return definition.folder().resolve(instance.name() + ".log");
     }
 
-    /** How {@link Supervision} reaches the world. */
-    private final class Carrier implements Supervision.Hands {
+    /** How {@link SupervisionPolicy} reaches the world. */
+    private final class ProcessController implements SupervisionPolicy.DaemonController {
         @Override
         public void start(int daemon) {
-            Place place = places.get(daemon);
+            ManagedDaemon place = places.get(daemon);
             place.link.reset();
             try {
                 if (!place.state.equals(place.instance.state())) {
@@ -442,8 +444,8 @@
         }
 
         @Override
-        public void stop(int daemon, Supervision.Mode mode, long within) {
-            Place place = places.get(daemon);
+        public void stop(int daemon, SupervisionPolicy.Mode mode, long within) {
+            ManagedDaemon place = places.get(daemon);
             JsonObject command = new JsonObject();
             command.addProperty("do", "stop");
             command.addProperty("mode", mode.name().toLowerCase(Locale.ROOT));
@@ -468,7 +470,7 @@
 
         @Override
         public void kill(int daemon) {
-            Place place = places.get(daemon);
+            ManagedDaemon place = places.get(daemon);
             if (place.child != null) {
                 place.child.destroyForcibly();
             } else if (place.found && place.foundPid > 0 && lockHeld(place)) {
@@ -566,8 +568,8 @@
                 case "stop" -> supervision.stop(
                         now(),
                         request.has("final") && request.get("final").getAsBoolean()
-                                ? Supervision.Mode.FINAL
-                                : Supervision.Mode.RESTART);
+                                ? SupervisionPolicy.Mode.FINAL
+                                : SupervisionPolicy.Mode.RESTART);
                 default -> "no such command";
             };
         } catch (RuntimeException e) {
@@ -590,7 +592,7 @@
         answer.addProperty("scaled", supervision.scaled());
         JsonArray daemons = new JsonArray();
         for (int i = 0; i < places.size(); i++) {
-            Place place = places.get(i);
+            ManagedDaemon place = places.get(i);
             JsonObject d = new JsonObject();
             d.addProperty("name", place.instance.name());
             d.addProperty("state", supervision.state(i).name().toLowerCase(java.util.Locale.ROOT));
--- a/fleet/src/test/java/amberroute/fleet/DefinitionTest.java
+++ b/fleet/src/test/java/amberroute/fleet/FleetDefinitionTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class DefinitionTest {
+class FleetDefinitionTest {
     @TempDir
     Path folder;
 
-    private Definition read(String text) throws IOException {
+    private FleetDefinition read(String text) throws IOException {
         Path file = folder.resolve("fleet.toml");
         Files.writeString(file, "sender = \"amberroute.toml\"\nlisten = \"127.0.0.1:7000\"\n" + text);
-        return Definition.read(file, folder.resolve("amberroute.jar"));
+        return FleetDefinition.read(file, folder.resolve("amberroute.jar"));
     }
 
     private String error(String text) {
@@ -29,7 +29,7 @@
 
     @Test
     void peersAreNamedWithTheirAddresses() throws IOException {
-        Definition d = read(
+        FleetDefinition d = read(
                 "count = 2\nmost = 3\nhandover.listen = \"127.0.0.1:7100\"\nhandover.gentle = true\nrolling.move = true\n"
                         + "[[instance]]\nname = \"sender-2\"\nhandover = \"127.0.0.1:7200\"\nadopt = [\"old\"]\n");
         assertEquals("sender-1=127.0.0.1:7100,sender-2=127.0.0.1:7200,sender-3=127.0.0.1:7102", d.peers());
@@ -47,9 +47,9 @@
 
     @Test
     void namesThirtyFromOneDefinition() throws IOException {
-        Definition d = read("count = 30\nnames = \"quito-%d\"\n");
+        FleetDefinition d = read("count = 30\nnames = \"quito-%d\"\n");
         assertEquals(30, d.instances().size());
-        Definition.Instance last = d.instances().get(29);
+        FleetDefinition.Instance last = d.instances().get(29);
         assertEquals("quito-30", last.name());
         assertEquals("127.0.0.1:7029", last.listen());
         assertEquals(folder.resolve("run/quito-30"), last.state());
@@ -62,7 +62,7 @@
 
     @Test
     void namesMoreThanAThousandAndTellsTheBoundByItsKey() throws IOException {
-        Definition d = read("count = 1100\nmost = 1200\nstart.at_once = 1100\n");
+        FleetDefinition d = read("count = 1100\nmost = 1200\nstart.at_once = 1100\n");
         assertEquals("sender-1100", d.instances().get(1_099).name());
         assertEquals("127.0.0.1:8099", d.instances().get(1_099).listen());
         assertTrue(error("count = 4097\n").contains("count has to be between 1 and 4096"), error("count = 4097\n"));
@@ -70,9 +70,10 @@
 
     @Test
     void takesWhatDiffersForOne() throws IOException {
-        Definition d = read("count = 2\n[[instance]]\nname = \"sender-2\"\nlisten = \"127.0.0.2:9\"\nstate = \"x\"\n"
-                + "sender = \"big.toml\"\nheap = \"100MB\"\n");
-        Definition.Instance one = d.instances().get(1);
+        FleetDefinition d =
+                read("count = 2\n[[instance]]\nname = \"sender-2\"\nlisten = \"127.0.0.2:9\"\nstate = \"x\"\n"
+                        + "sender = \"big.toml\"\nheap = \"100MB\"\n");
+        FleetDefinition.Instance one = d.instances().get(1);
         assertEquals("127.0.0.2:9", one.listen());
         assertEquals(folder.resolve("x"), one.state());
         assertEquals(folder.resolve("big.toml"), one.sender());
--- a/fleet/src/test/java/amberroute/fleet/SupervisionTest.java
+++ b/fleet/src/test/java/amberroute/fleet/SupervisionPolicyTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.fleet.Supervision.Mode;
-import amberroute.fleet.Supervision.State;
+import amberroute.fleet.SupervisionPolicy.Mode;
+import amberroute.fleet.SupervisionPolicy.State;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The supervisor's decisions, without processes: each history is played on a clock of the test's own. */
-class SupervisionTest {
-    private static final Definition.Policy POLICY =
-            new Definition.Policy(2, 5_000, 4_000, 1_000, 100, 3_000, 4, 60_000, 1, 200, 10_000, false);
+class SupervisionPolicyTest {
+    private static final FleetDefinition.Policy POLICY =
+            new FleetDefinition.Policy(2, 5_000, 4_000, 1_000, 100, 3_000, 4, 60_000, 1, 200, 10_000, false);
 
     private long now;
     private Fake hands = new Fake();
-    private Supervision fleet;
+    private SupervisionPolicy fleet;
 
     /** Keeps what was asked for, and which daemons live. */
-    private final class Fake implements Supervision.Hands {
+    private final class Fake implements SupervisionPolicy.DaemonController {
         final List<String> done = new ArrayList<>();
         final boolean[] alive = new boolean[64];
         final boolean[] stopping = new boolean[64];
@@ -78,9 +78,9 @@
         }
     }
 
-    private void fleet(int size, Definition.Policy policy) {
+    private void fleet(int size, FleetDefinition.Policy policy) {
         hands = new Fake();
-        fleet = new Supervision(
+        fleet = new SupervisionPolicy(
                 policy, IntStream.range(0, size).mapToObj(i -> "d" + i).toList(), hands);
     }
 
@@ -457,7 +457,7 @@
 
     @Test
     void aRollingRestartMovesWhereTheDefinitionAsksForIt() {
-        fleet(2, new Definition.Policy(2, 5_000, 4_000, 1_000, 100, 3_000, 4, 60_000, 1, 200, 10_000, true));
+        fleet(2, new FleetDefinition.Policy(2, 5_000, 4_000, 1_000, 100, 3_000, 4, 60_000, 1, 200, 10_000, true));
         allReady(2);
         assertNull(fleet.restart(now, List.of()));
         pass(50);
@@ -498,7 +498,7 @@
     void keepsItsInvariantsInRandomHistories(long seed) {
         Random random = new Random(seed);
         int size = 1 + random.nextInt(12);
-        Definition.Policy policy = new Definition.Policy(
+        FleetDefinition.Policy policy = new FleetDefinition.Policy(
                 1 + random.nextInt(3),
                 5_000,
                 4_000,
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -118,8 +118,6 @@
     private static final int REST = 4;
 
     private static final long DRAIN_STEP_MS = 10;
-    /** No message lives longer, so that an offer that was refused cannot come again behind this. */
-    public static final long LONGEST_LIFE_MS = 3_600_000;
     /** Exit code of a process whose memory is ahead of what its disk keeps. */
     private static final int UNSAFE = 6;
     /** How soon what the disk did not take is tried again, and room is won back though there are no turns. */
@@ -2475,7 +2473,10 @@
         }
 
         private long end(List<AcceptedMessage> messages) {
-            return messages.stream().mapToLong(m -> m.deadline).max().orElse(steady() + LONGEST_LIFE_MS);
+            return messages.stream()
+                    .mapToLong(m -> m.deadline)
+                    .max()
+                    .orElse(steady() + AcceptedMessage.LONGEST_LIFE_MS);
         }
 
         @Override
--- a/sender/src/main/java/amberroute/sender/config/StandaloneConfig.java
+++ b/sender/src/main/java/amberroute/sender/config/StandaloneConfig.java
@@ -5,7 +5,6 @@
 import amberroute.config.Settings;
 import amberroute.config.Units;
 import amberroute.decisions.DeliveryScheduler;
-import amberroute.sender.discovery.EndpointWatch;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -319,7 +318,7 @@
             int i = 0;
             for (var item : list.getAsJsonArray("targets")) {
                 try {
-                    EndpointWatch.EndpointListEntry entry = EndpointWatch.parse(item.getAsJsonObject(), config);
+                    EndpointListEntry entry = EndpointListEntry.parse(item.getAsJsonObject(), config);
                     if (!uids.add(entry.uid())) {
                         throw new IllegalArgumentException("uid " + entry.uid() + " is there twice");
                     }
--- a/sender/src/main/java/amberroute/sender/discovery/EndpointWatch.java
+++ b/sender/src/main/java/amberroute/sender/discovery/EndpointWatch.java
@@ -3,6 +3,7 @@
 import amberroute.decisions.DeliveryScheduler;
 import amberroute.decisions.DeliveryScheduler.EndpointListKind;
 import amberroute.decisions.DeliveryScheduler.EndpointState;
+import amberroute.sender.config.EndpointListEntry;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.upstream.UpstreamClient;
 import amberroute.sender.util.Backoff;
@@ -74,8 +75,6 @@
     /** Of those that have left so many are known at least, else as many as are listed. */
     private static final int MOST_GONE = 1_024;
 
-    private static final int LONGEST_UID = 128;
-
     /** News for the module. */
     public interface Listener {
         void listed(EndpointListKind kind, List<DeliveryScheduler.EndpointEntry> entries);
@@ -380,44 +379,13 @@
         listener.listed(kind, entries);
     }
 
-    /** An entry as the list has it, before anybody knows its number. */
-    public record EndpointListEntry(
-            String uid,
-            EndpointState state,
-            int destination,
-            int kind,
-            int zone,
-            double weight,
-            InetSocketAddress address) {}
-
     /** Takes a whole list from elsewhere than the watch. */
     public void replace(JsonObject list) {
         take(list, EndpointListKind.FULL);
     }
 
-    /** Reads one entry; whatever is wrong with it ends in a RuntimeException. */
-    public static EndpointListEntry parse(JsonObject item, SenderConfig config) {
-        String uid = item.get("uid").getAsString();
-        EndpointState state =
-                switch (item.get("state").getAsString()) {
-                    case "Ready" -> EndpointState.READY;
-                    case "Terminating" -> EndpointState.DRAINING;
-                    case "Gone" -> EndpointState.GONE;
-                    default -> throw new IllegalArgumentException("unknown state of " + uid);
-                };
-        int destination = item.get("pod_group").getAsInt();
-        int kind = item.has("model") ? index(config.kinds(), item.get("model").getAsString()) : 0;
-        int zone = item.has("az") ? index(config.zones(), item.get("az").getAsString()) : 0;
-        double weight = item.has("capacity_hint") ? item.get("capacity_hint").getAsDouble() : 1;
-        InetSocketAddress address = SenderConfig.address(item.get("endpoint").getAsString());
-        if (destination < 0 || destination > 0xffff || uid.length() > LONGEST_UID) {
-            throw new IllegalArgumentException("bad destination or uid");
-        }
-        return new EndpointListEntry(uid, state, destination, kind, zone, weight, address);
-    }
-
     private DeliveryScheduler.EndpointEntry entry(JsonObject item) {
-        EndpointListEntry parsed = parse(item, config);
+        EndpointListEntry parsed = EndpointListEntry.parse(item, config);
         String uid = parsed.uid();
         EndpointState state = parsed.state();
         int destination = parsed.destination();
@@ -594,7 +562,7 @@
         private boolean readable(JsonObject news) {
             for (JsonElement item : news.getAsJsonArray("targets")) {
                 try {
-                    parse(item.getAsJsonObject(), config);
+                    EndpointListEntry.parse(item.getAsJsonObject(), config);
                     return true;
                 } catch (RuntimeException e) {
                     // The next one may do.
--- a/sender/src/main/java/amberroute/sender/message/AcceptedMessage.java
+++ b/sender/src/main/java/amberroute/sender/message/AcceptedMessage.java
@@ -6,6 +6,9 @@
 
 /** A message that this sender has taken on, and what must survive a restart to end it. */
 public final class AcceptedMessage {
+    /** Longest lifetime of a message in milliseconds; an offer that a peer rejected cannot return after it. */
+    public static final long LONGEST_LIFE_MS = 3_600_000;
+
     private static final byte[] EMPTY = new byte[0];
 
     /** Number in the module and in the journal; grows in the order of acceptance. */
--- a/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
@@ -6,7 +6,6 @@
 import amberroute.handoff.KeyHoldAnnouncement;
 import amberroute.handoff.KeyHolds;
 import amberroute.handoff.Ownership;
-import amberroute.sender.Sender;
 import amberroute.sender.journal.Journal;
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.sender.util.Log;
@@ -712,7 +711,8 @@
             }
             switch (line.get("word").getAsString()) {
                 case "HOLD" -> {
-                    long until = Math.min(line.get("until").getAsLong(), clock.getAsLong() + Sender.LONGEST_LIFE_MS);
+                    long until = Math.min(
+                            line.get("until").getAsLong(), clock.getAsLong() + AcceptedMessage.LONGEST_LIFE_MS);
                     int batch = line.get("batch").getAsInt();
                     if (host.hold(from, PeerMessageCodec.keys(line.getAsJsonArray("keys")), until)) {
                         Runnable held =
--- a/sender/src/main/java/amberroute/sender/peer/PeerMessageCodec.java
+++ b/sender/src/main/java/amberroute/sender/peer/PeerMessageCodec.java
@@ -3,7 +3,6 @@
 import amberroute.handoff.HandoffMessage;
 import amberroute.handoff.KeyHoldAnnouncement;
 import amberroute.handoff.KeyHolds;
-import amberroute.sender.Sender;
 import amberroute.sender.client.RespDecoder;
 import amberroute.sender.client.SubmitCommand;
 import amberroute.sender.message.AcceptedMessage;
@@ -201,7 +200,7 @@
                 && m.attempts >= 0
                 && m.doubtSince >= 0
                 && m.deadline >= 0
-                && m.deadline <= System.currentTimeMillis() + Sender.LONGEST_LIFE_MS;
+                && m.deadline <= System.currentTimeMillis() + AcceptedMessage.LONGEST_LIFE_MS;
         if (!good) {
             throw new IllegalArgumentException("a message that no client can have handed in");
         }
--- a/testkit/src/main/java/amberroute/testkit/Book.java
+++ b/testkit/src/main/java/amberroute/testkit/DeliveryHistory.java
@@ -12,7 +12,7 @@
  * each effect at a partner and each notice. Not thread-safe: one thread owns it. Times are microseconds on one
  * monotonic clock. It holds what it saw of all messages, some 200 bytes each, so runs have to be bounded.
  */
-public final class Book {
+public final class DeliveryHistory {
     /** How often an effect may happen. */
     public enum Effect {
         SAFE,
@@ -54,7 +54,7 @@
         public final int sender;
         public final long deadline;
         public final long aim;
-        private final long handedAt = Stage.micros();
+        private final long handedAt = TestEnvironment.micros();
         private long answeredAt;
         Answer answer = Answer.NONE;
         End end = End.NONE;
@@ -175,7 +175,7 @@
     /** The sender's answer, or that none came. */
     public void answered(Entry entry, Answer answer) {
         entry.answer = answer;
-        entry.answeredAt = Stage.micros();
+        entry.answeredAt = TestEnvironment.micros();
         if (answer != Answer.TAKEN) {
             // Nobody vouches for its place in the order any more: it was refused, or its client gave it up.
             over(entry);
--- a/testkit/src/main/java/amberroute/testkit/FaultNet.java
+++ b/testkit/src/main/java/amberroute/testkit/FaultInjectionNetwork.java
@@ -20,20 +20,20 @@
  * cut for both kinds; datagrams can be lost, delayed, doubled and so put out of order. Owned by one event loop; every choice
  * comes from the seed.
  */
-public final class FaultNet implements AutoCloseable {
+public final class FaultInjectionNetwork implements AutoCloseable {
     /** What befalls datagrams on all ways: shares that are lost and doubled, and a delay of up to so many microseconds. */
-    public record Weather(double loss, double doubled, long delay) {
-        public static final Weather CLEAR = new Weather(0, 0, 0);
+    public record LinkConditions(double loss, double doubled, long delay) {
+        public static final LinkConditions CLEAR = new LinkConditions(0, 0, 0);
     }
 
-    private final class Way {
+    private final class Link {
         final int from;
         final int to;
         final FaultProxy connections;
         Channel datagrams;
         boolean cut;
 
-        Way(int from, int to, int port) throws InterruptedException {
+        Link(int from, int to, int port) throws InterruptedException {
             this.from = from;
             this.to = to;
             connections = new FaultProxy(loop, targets.get(to), seed + 97L * from + to).listen(port);
@@ -65,7 +65,7 @@
                 long delay = weather.delay() == 0 ? 0 : (long) (random.nextDouble() * weather.delay());
                 loop.schedule(
                         () -> {
-                            Way back = ways[to][from];
+                            Link back = ways[to][from];
                             back.datagrams.writeAndFlush(new DatagramPacket(packet.content(), targets.get(to)));
                         },
                         delay,
@@ -83,25 +83,26 @@
 
     private final EventLoop loop;
     private final List<InetSocketAddress> targets;
-    private final Way[][] ways;
+    private final Link[][] ways;
     private final int firstPort;
     private final long seed;
     private final Random random;
-    private Weather weather = Weather.CLEAR;
+    private LinkConditions weather = LinkConditions.CLEAR;
     private long passed;
 
     /** {@code firstPort} begins as many free ports as there are ways, that is n times n. */
-    FaultNet(EventLoop loop, List<InetSocketAddress> targets, int firstPort, long seed) throws InterruptedException {
+    FaultInjectionNetwork(EventLoop loop, List<InetSocketAddress> targets, int firstPort, long seed)
+            throws InterruptedException {
         this.loop = loop;
         this.targets = List.copyOf(targets);
         this.firstPort = firstPort;
         this.seed = seed;
         random = new Random(seed);
-        ways = new Way[targets.size()][targets.size()];
+        ways = new Link[targets.size()][targets.size()];
         for (int a = 0; a < targets.size(); a++) {
             for (int b = 0; b < targets.size(); b++) {
                 if (a != b) {
-                    ways[a][b] = new Way(a, b, port(a, b));
+                    ways[a][b] = new Link(a, b, port(a, b));
                 }
             }
         }
@@ -133,15 +134,15 @@
     }
 
     /** From now on, on all ways; on the event loop. */
-    public void weather(Weather next) {
+    public void weather(LinkConditions next) {
         weather = next;
     }
 
     /** Heals everything; on the event loop. */
     public void heal() {
-        weather = Weather.CLEAR;
-        for (Way[] from : ways) {
-            for (Way way : from) {
+        weather = LinkConditions.CLEAR;
+        for (Link[] from : ways) {
+            for (Link way : from) {
                 if (way != null && way.cut) {
                     way.cut(false);
                 }
@@ -157,9 +158,9 @@
     /** On the event loop. */
     @Override
     public void close() {
-        List<Way> all = new ArrayList<>();
-        for (Way[] from : ways) {
-            for (Way way : from) {
+        List<Link> all = new ArrayList<>();
+        for (Link[] from : ways) {
+            for (Link way : from) {
                 if (way != null) {
                     all.add(way);
                 }
--- a/testkit/src/main/java/amberroute/testkit/Clients.java
+++ b/testkit/src/main/java/amberroute/testkit/LoadClients.java
@@ -30,9 +30,10 @@
  * any that is not known to be away. Clients come again after a refusal for as long as their time lasts, at the time
  * they were told, and hand in anew only what may be repeated where no answer came. Owned by the event loop.
  */
-public final class Clients {
+public final class LoadClients {
     /** A class of messages; spans are microseconds. */
-    public record Kind(String name, Book.Effect effect, boolean ordered, double share, long aim, long deadline) {}
+    public record Kind(
+            String name, DeliveryHistory.Effect effect, boolean ordered, double share, long aim, long deadline) {}
 
     /** How much is asked: messages a second, the share of them in clumps of so many, and how many keys there are. */
     public record Load(double perSecond, double clumps, int clumpSize, int keys, int tries) {}
@@ -44,7 +45,7 @@
     private static final long AWAY_MICROS = 200_000;
 
     private final EventLoop loop;
-    private final Book book;
+    private final DeliveryHistory book;
     private final List<InetSocketAddress> senders;
     /** Where each key goes; there are as many as the load has keys. */
     private final Map<Long, Integer> homes = new HashMap<>();
@@ -53,7 +54,7 @@
     private final List<Kind> kinds;
     private final int destinations;
     private final Random random;
-    private final List<Deque<Link>> idle = new ArrayList<>();
+    private final List<Deque<ClientConnection>> idle = new ArrayList<>();
     private final long[] awayUntil;
     /** Messages of each key that wait for the one before to be answered. */
     private final Map<Long, Deque<Message>> lines = new HashMap<>();
@@ -86,8 +87,13 @@
         }
     }
 
-    public Clients(
-            EventLoop loop, Book book, List<InetSocketAddress> senders, List<Kind> kinds, int destinations, long seed) {
+    public LoadClients(
+            EventLoop loop,
+            DeliveryHistory book,
+            List<InetSocketAddress> senders,
+            List<Kind> kinds,
+            int destinations,
+            long seed) {
         this.loop = loop;
         this.book = book;
         this.senders = List.copyOf(senders);
@@ -158,7 +164,12 @@
         // A key stands for one policy: all its messages go to one destination.
         int to = kind.ordered() ? 1 + (int) (key % destinations) : destination;
         Message m = new Message(
-                origin, kind, key, kind.effect() == Book.Effect.KEYED ? "k" + origin : "", to, Stage.micros());
+                origin,
+                kind,
+                key,
+                kind.effect() == DeliveryHistory.Effect.KEYED ? "k" + origin : "",
+                to,
+                TestEnvironment.micros());
         handedIn++;
         working++;
         if (kind.ordered()) {
@@ -172,7 +183,7 @@
     }
 
     private void tryOne(Message m) {
-        long now = Stage.micros();
+        long now = TestEnvironment.micros();
         if (now >= m.deadline || m.tries >= mostTries()) {
             leave(m);
             return;
@@ -182,7 +193,7 @@
             later(m, AWAY_MICROS / 1_000);
             return;
         }
-        Link link = idle.get(sender).pollLast();
+        ClientConnection link = idle.get(sender).pollLast();
         if (link != null && link.channel.isActive()) {
             link.send(m);
         } else if (link != null) {
@@ -220,7 +231,7 @@
     }
 
     private void connect(Message m, int sender) {
-        Link link = new Link(sender);
+        ClientConnection link = new ClientConnection(sender);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -239,7 +250,7 @@
                         link.send(m);
                     } else {
                         // Nothing was written: whoever it was for has not seen it.
-                        awayUntil[sender] = Stage.micros() + AWAY_MICROS;
+                        awayUntil[sender] = TestEnvironment.micros() + AWAY_MICROS;
                         later(m, 20);
                     }
                 });
@@ -264,19 +275,19 @@
     }
 
     /** One connection to a sender, with one request at a time. */
-    private final class Link extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class ClientConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final int sender;
         private Channel channel;
         private Message message;
-        private Book.Entry entry;
+        private DeliveryHistory.Entry entry;
         private Future<?> timeout;
 
-        Link(int sender) {
+        ClientConnection(int sender) {
             this.sender = sender;
         }
 
         void send(Message m) {
-            long now = Stage.micros();
+            long now = TestEnvironment.micros();
             message = m;
             m.tries++;
             // Told a little less than is left, as the time on the way is the client's.
@@ -318,7 +329,7 @@
             }
             timeout.cancel(false);
             Message m = message;
-            Book.Entry handed = entry;
+            DeliveryHistory.Entry handed = entry;
             message = null;
             String answer = line.toString(StandardCharsets.ISO_8859_1);
             if (idle.get(sender).size() < MOST_IDLE) {
@@ -327,21 +338,21 @@
                 context.close();
             }
             if (answer.startsWith("+")) {
-                book.answered(handed, Book.Answer.TAKEN);
+                book.answered(handed, DeliveryHistory.Answer.TAKEN);
                 leave(m);
             } else if (answer.startsWith("-BUSY")) {
-                book.answered(handed, Book.Answer.REFUSED);
+                book.answered(handed, DeliveryHistory.Answer.REFUSED);
                 String[] words = answer.split(" ");
                 long told = words.length > 1 ? Long.parseLong(words[1]) : 0;
                 if (m.key == 0 && told > 1_000) {
                     // This one is away for long; any other will do.
-                    awayUntil[sender] = Stage.micros() + Math.min(told, 2_000) * 1_000;
+                    awayUntil[sender] = TestEnvironment.micros() + Math.min(told, 2_000) * 1_000;
                     later(m, BACK_OFF_MS);
                 } else {
                     later(m, told > 0 ? told : BACK_OFF_MS);
                 }
             } else {
-                book.answered(handed, Book.Answer.ERROR);
+                book.answered(handed, DeliveryHistory.Answer.ERROR);
                 leave(m);
             }
         }
@@ -355,9 +366,9 @@
                 return;
             }
             timeout.cancel(false);
-            book.answered(entry, Book.Answer.SILENT);
+            book.answered(entry, DeliveryHistory.Answer.SILENT);
             // It may have been taken on: only what may be repeated is handed in anew.
-            if (m.kind.effect() == Book.Effect.UNSAFE || m.kind.ordered()) {
+            if (m.kind.effect() == DeliveryHistory.Effect.UNSAFE || m.kind.ordered()) {
                 leave(m);
             } else {
                 later(m, BACK_OFF_MS);
--- a/testkit/src/main/java/amberroute/testkit/PlatformServer.java
+++ b/testkit/src/main/java/amberroute/testkit/PlatformServer.java
@@ -56,7 +56,7 @@
     }
 
     private final EventLoop loop;
-    private final Book book;
+    private final DeliveryHistory book;
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Set<ChannelHandlerContext> watches = new LinkedHashSet<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
@@ -65,7 +65,7 @@
     private boolean silent;
     private long noticeLines;
 
-    public PlatformServer(EventLoop loop, Book book) {
+    public PlatformServer(EventLoop loop, DeliveryHistory book) {
         this.loop = loop;
         this.book = book;
     }
@@ -172,7 +172,7 @@
 
         private boolean notices(String body) {
             try {
-                long now = Stage.micros();
+                long now = TestEnvironment.micros();
                 for (String line : body.split("\n")) {
                     JsonObject notice = JsonParser.parseString(line).getAsJsonObject();
                     noticeLines++;
--- a/testkit/src/main/java/amberroute/testkit/Partner.java
+++ b/testkit/src/main/java/amberroute/testkit/StubUpstream.java
@@ -12,7 +12,7 @@
  * its limit is, how it warms up after a start and when it falls over. Decides only; whoever serves the sockets asks it.
  * Times are microseconds on the caller's clock, randomness comes from the seed.
  */
-public final class Partner {
+public final class StubUpstream {
     /** What an endpoint does with calls besides serving them. */
     public enum Mode {
         UP,
@@ -122,7 +122,7 @@
     private long falls;
     private long overLimit;
 
-    public Partner(Figures figures, long seed) {
+    public StubUpstream(Figures figures, long seed) {
         this.figures = figures;
         random = new Random(seed);
         tokens = Math.max(1, figures.perSecond() / 4);
--- a/testkit/src/main/java/amberroute/testkit/PartnerServer.java
+++ b/testkit/src/main/java/amberroute/testkit/StubUpstreamServer.java
@@ -30,21 +30,21 @@
 
 /**
  * Serves one endpoint of a stand-in partner on loopback: {@code POST /receive} and {@code /receive-many}. What happens
- * to a call is decided by its {@link Partner}, what took effect stands in the {@link Book}. A call that has begun runs
+ * to a call is decided by its {@link Partner}, what took effect stands in the {@link DeliveryHistory}. A call that has begun runs
  * to its end though its caller has gone.
  */
-public final class PartnerServer {
+public final class StubUpstreamServer {
     private static final int LARGEST_CALL = 8 << 20;
 
     /** One message of a call. */
     private record Item(String id, String key) {}
 
     private final EventLoop loop;
-    private final Book book;
+    private final DeliveryHistory book;
     private final int destination;
     private final String uid;
-    private final Partner partner;
-    private final Partner memory;
+    private final StubUpstream partner;
+    private final StubUpstream memory;
     private final Deque<Call> queue = new ArrayDeque<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
     private Channel server;
@@ -65,7 +65,13 @@
     /**
      * {@code memory} knows the idempotency keys, one for a whole destination; it may be {@code partner} itself.
      */
-    public PartnerServer(EventLoop loop, Book book, int destination, String uid, Partner partner, Partner memory) {
+    public StubUpstreamServer(
+            EventLoop loop,
+            DeliveryHistory book,
+            int destination,
+            String uid,
+            StubUpstream partner,
+            StubUpstream memory) {
         this.loop = loop;
         this.book = book;
         this.destination = destination;
@@ -75,7 +81,7 @@
     }
 
     /** Binds a port of loopback, 0 for any. */
-    public PartnerServer listen(int port) throws InterruptedException {
+    public StubUpstreamServer listen(int port) throws InterruptedException {
         server = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(NioServerSocketChannel.class)
@@ -84,7 +90,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (partner.mode() == Partner.Mode.DEAD) {
+                        if (partner.mode() == StubUpstream.Mode.DEAD) {
                             channel.close();
                             return;
                         }
@@ -116,7 +122,7 @@
         return destination;
     }
 
-    public Partner partner() {
+    public StubUpstream partner() {
         return partner;
     }
 
@@ -126,9 +132,9 @@
     }
 
     /** Goes down or comes back, on the event loop; one that dies resets its connections. */
-    public void become(Partner.Mode mode) {
-        partner.become(mode, Stage.micros());
-        if (mode == Partner.Mode.DEAD) {
+    public void become(StubUpstream.Mode mode) {
+        partner.become(mode, TestEnvironment.micros());
+        if (mode == StubUpstream.Mode.DEAD) {
             for (Channel channel : List.copyOf(connections)) {
                 if (channel.isOpen()) {
                     channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -145,7 +151,7 @@
 
     private void arrive(Call call) {
         calls++;
-        Partner.Verdict verdict = partner.arrive(Stage.micros(), call.items.size());
+        StubUpstream.Verdict verdict = partner.arrive(TestEnvironment.micros(), call.items.size());
         switch (verdict.kind()) {
             case RUN -> run(call, verdict.time());
             case WAIT -> queue.add(call);
@@ -161,13 +167,13 @@
 
     /** The effect happens, then the answer leaves: between the two nobody outside can know. */
     private void finish(Call call) {
-        long now = Stage.micros();
+        long now = TestEnvironment.micros();
         for (Item item : call.items) {
             if (item.key().isEmpty() || memory.fresh(now, item.key())) {
                 book.effect(now, item.id(), destination);
             }
         }
-        if (partner.mode() != Partner.Mode.HANG) {
+        if (partner.mode() != StubUpstream.Mode.HANG) {
             answer(call, 200, 0);
         }
         partner.end();
@@ -202,7 +208,7 @@
         }
         channel.writeAndFlush(response).addListener(sent -> {
             if (sent.isSuccess() && status == 200) {
-                call.items.forEach(item -> book.delivered(Stage.micros(), item.id()));
+                call.items.forEach(item -> book.delivered(TestEnvironment.micros(), item.id()));
             }
         });
     }
--- a/testkit/src/main/java/amberroute/testkit/Stage.java
+++ b/testkit/src/main/java/amberroute/testkit/TestEnvironment.java
@@ -20,20 +20,20 @@
  * All stand-ins of one run with their book, on one event loop of their own. What is done to them from other threads goes
  * through {@link #on}. Every random choice comes from the seed; sockets and processes still make runs differ.
  */
-public final class Stage implements AutoCloseable {
+public final class TestEnvironment implements AutoCloseable {
     private static final long ORIGIN = System.nanoTime();
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Book book = new Book();
-    private final List<PartnerServer> partners = new ArrayList<>();
+    private final DeliveryHistory book = new DeliveryHistory();
+    private final List<StubUpstreamServer> partners = new ArrayList<>();
     private final List<FaultProxy> proxies = new ArrayList<>();
-    private final List<FaultNet> nets = new ArrayList<>();
+    private final List<FaultInjectionNetwork> nets = new ArrayList<>();
     private final long seed;
     private PlatformServer platform;
-    private Clients clients;
+    private LoadClients clients;
 
-    public Stage(long seed) throws InterruptedException {
+    public TestEnvironment(long seed) throws InterruptedException {
         this.seed = seed;
         platform = new PlatformServer(loop, book).listen(0);
     }
@@ -61,19 +61,20 @@
     }
 
     /** Adds a destination with so many endpoints of these figures, listed as ready. */
-    public Stage destination(int number, int endpoints, Partner.Figures figures, String model)
+    public TestEnvironment destination(int number, int endpoints, StubUpstream.Figures figures, String model)
             throws InterruptedException {
         return destination(number, endpoints, figures, model, false);
     }
 
     /** As above; where asked for, each endpoint is listed by the address of a {@link FaultProxy} in front of it. */
-    public Stage destination(int number, int endpoints, Partner.Figures figures, String model, boolean proxied)
+    public TestEnvironment destination(
+            int number, int endpoints, StubUpstream.Figures figures, String model, boolean proxied)
             throws InterruptedException {
-        Partner memory = new Partner(figures, seed);
+        StubUpstream memory = new StubUpstream(figures, seed);
         for (int i = 0; i < endpoints; i++) {
             String uid = "p" + number + "-" + i;
-            PartnerServer server = new PartnerServer(
-                            loop, book, number, uid, new Partner(figures, seed + 31L * number + i), memory)
+            StubUpstreamServer server = new StubUpstreamServer(
+                            loop, book, number, uid, new StubUpstream(figures, seed + 31L * number + i), memory)
                     .listen(0);
             partners.add(server);
             String address =
@@ -91,22 +92,24 @@
     }
 
     /** A net on this stage's loop between processes at these addresses; it needs n times n free ports from this one on. */
-    public FaultNet net(List<InetSocketAddress> targets, int firstPort) throws InterruptedException {
-        FaultNet net = new FaultNet(loop, targets, firstPort, seed);
+    public FaultInjectionNetwork net(List<InetSocketAddress> targets, int firstPort) throws InterruptedException {
+        FaultInjectionNetwork net = new FaultInjectionNetwork(loop, targets, firstPort, seed);
         nets.add(net);
         return net;
     }
 
     /** Stand-in clients for these senders; they ask for nothing before they are told to. */
-    public Clients clients(List<InetSocketAddress> senders, List<Clients.Kind> kinds) {
-        int destinations =
-                partners.stream().mapToInt(PartnerServer::destination).max().orElse(1);
-        clients = new Clients(loop, book, senders, kinds, destinations, seed);
+    public LoadClients clients(List<InetSocketAddress> senders, List<LoadClients.Kind> kinds) {
+        int destinations = partners.stream()
+                .mapToInt(StubUpstreamServer::destination)
+                .max()
+                .orElse(1);
+        clients = new LoadClients(loop, book, senders, kinds, destinations, seed);
         return clients;
     }
 
     /** The book; to be touched on the loop alone. */
-    public Book book() {
+    public DeliveryHistory book() {
         return book;
     }
 
@@ -114,11 +117,11 @@
         return platform;
     }
 
-    public List<PartnerServer> partners() {
+    public List<StubUpstreamServer> partners() {
         return partners;
     }
 
-    public Book.Totals totals() {
+    public DeliveryHistory.Totals totals() {
         return on(() -> book.totals(micros()));
     }
 
@@ -137,7 +140,7 @@
     }
 
     /** All endpoints of a destination go down or come back. */
-    public void become(int destination, Partner.Mode mode) {
+    public void become(int destination, StubUpstream.Mode mode) {
         run(() -> partners.stream().filter(p -> p.destination() == destination).forEach(p -> p.become(mode)));
     }
 
@@ -155,11 +158,12 @@
     }
 
     /** The three classes that the demo and the rigs use; the sender file of {@link #senderFile} has the same. */
-    public static List<Clients.Kind> kinds() {
+    public static List<LoadClients.Kind> kinds() {
         return List.of(
-                new Clients.Kind("quote-status", Book.Effect.SAFE, false, 0.45, 1_500_000, 6_000_000),
-                new Clients.Kind("policy-order", Book.Effect.KEYED, true, 0.35, 1_500_000, 6_000_000),
-                new Clients.Kind("premium-charge", Book.Effect.UNSAFE, false, 0.2, 2_000_000, 6_000_000));
+                new LoadClients.Kind("quote-status", DeliveryHistory.Effect.SAFE, false, 0.45, 1_500_000, 6_000_000),
+                new LoadClients.Kind("policy-order", DeliveryHistory.Effect.KEYED, true, 0.35, 1_500_000, 6_000_000),
+                new LoadClients.Kind(
+                        "premium-charge", DeliveryHistory.Effect.UNSAFE, false, 0.2, 2_000_000, 6_000_000));
     }
 
     /** Writes the sender file for daemons on this stage. */
@@ -295,9 +299,9 @@
     public void close() {
         run(() -> {
             platform.shut();
-            partners.forEach(PartnerServer::close);
+            partners.forEach(StubUpstreamServer::close);
             proxies.forEach(FaultProxy::close);
-            nets.forEach(FaultNet::close);
+            nets.forEach(FaultInjectionNetwork::close);
         });
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
--- a/testkit/src/test/java/amberroute/testkit/BookTest.java
+++ b/testkit/src/test/java/amberroute/testkit/DeliveryHistoryTest.java
@@ -4,21 +4,21 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.testkit.Book.Answer;
-import amberroute.testkit.Book.Effect;
+import amberroute.testkit.DeliveryHistory.Answer;
+import amberroute.testkit.DeliveryHistory.Effect;
 import org.junit.jupiter.api.Test;
 
 /** The book has to find each fault that it is for: one that sees none would make every run look good. */
-class BookTest {
-    private final Book book = new Book();
+class DeliveryHistoryTest {
+    private final DeliveryHistory book = new DeliveryHistory();
 
-    private Book.Entry taken(String id, String origin, Effect effect, long key) {
-        Book.Entry entry = book.handIn(id, origin, "c", effect, key, key != 0, 1, 0, 1_000_000, 500_000);
+    private DeliveryHistory.Entry taken(String id, String origin, Effect effect, long key) {
+        DeliveryHistory.Entry entry = book.handIn(id, origin, "c", effect, key, key != 0, 1, 0, 1_000_000, 500_000);
         book.answered(entry, Answer.TAKEN);
         return entry;
     }
 
-    private Book.Totals totals() {
+    private DeliveryHistory.Totals totals() {
         return book.totals(100_000_000);
     }
 
@@ -27,14 +27,14 @@
         taken("a", "a", Effect.SAFE, 0);
         taken("b", "b", Effect.SAFE, 0);
         taken("c", "c", Effect.UNSAFE, 0);
-        Book.Entry refused = book.handIn("d", "d", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
+        DeliveryHistory.Entry refused = book.handIn("d", "d", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
         book.answered(refused, Answer.REFUSED);
         book.effect(1, "a", 1);
         book.delivered(1, "a");
         book.noticed(2, "b", true);
         book.noticed(3, "c", false);
         book.noticed(4, "a", false);
-        Book.Totals t = totals();
+        DeliveryHistory.Totals t = totals();
         assertEquals(3, t.taken());
         assertEquals(1, t.delivered());
         assertEquals(1, t.returned());
@@ -46,8 +46,8 @@
     @Test
     void findsALostMessageOnlyWhenItsTimeIsUp() {
         taken("a", "a", Effect.SAFE, 0);
-        assertEquals(0, book.totals(1_000_000 + Book.NOTICE_GRACE).lost());
-        assertEquals(1, book.totals(1_000_001 + Book.NOTICE_GRACE).lost());
+        assertEquals(0, book.totals(1_000_000 + DeliveryHistory.NOTICE_GRACE).lost());
+        assertEquals(1, book.totals(1_000_001 + DeliveryHistory.NOTICE_GRACE).lost());
         assertFalse(totals().ok());
         assertEquals(1, book.lost(100_000_000).size());
     }
@@ -102,7 +102,7 @@
         book.effect(1, "ghost", 1);
         taken("a", "a", Effect.SAFE, 0);
         book.effect(1, "a", 2);
-        Book.Entry refused = book.handIn("r", "r", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
+        DeliveryHistory.Entry refused = book.handIn("r", "r", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
         book.answered(refused, Answer.REFUSED);
         book.effect(2, "r", 1);
         book.noticed(3, "ghost", true);
--- a/testkit/src/test/java/amberroute/testkit/FaultNetTest.java
+++ b/testkit/src/test/java/amberroute/testkit/FaultInjectionNetworkTest.java
@@ -19,17 +19,18 @@
 import org.junit.jupiter.api.Test;
 
 /** The net's ways, each direction on its own, and its scripts. */
-class FaultNetTest {
+class FaultInjectionNetworkTest {
     @Test
     void aCutOfOneDirectionLetsTheOtherThrough() throws Exception {
-        try (Stage stage = new Stage(1);
+        try (TestEnvironment stage = new TestEnvironment(1);
                 DatagramSocket a = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket b = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            FaultNet net =
-                    stage.net(List.of(address(a.getLocalPort()), address(b.getLocalPort())), Stage.freePorts(4, 1));
-            FaultNet lines = stage.net(
-                    List.of(address(listener.getLocalPort()), address(listener.getLocalPort())), Stage.freePorts(4, 2));
+            FaultInjectionNetwork net = stage.net(
+                    List.of(address(a.getLocalPort()), address(b.getLocalPort())), TestEnvironment.freePorts(4, 1));
+            FaultInjectionNetwork lines = stage.net(
+                    List.of(address(listener.getLocalPort()), address(listener.getLocalPort())),
+                    TestEnvironment.freePorts(4, 2));
             a.setSoTimeout(5_000);
             b.setSoTimeout(5_000);
             InetSocketAddress bForA = parse(net.address(0, 1));
@@ -47,7 +48,7 @@
             b.setSoTimeout(5_000);
             send(a, bForA);
             receive(b);
-            stage.run(() -> net.weather(new FaultNet.Weather(0, 1, 0)));
+            stage.run(() -> net.weather(new FaultInjectionNetwork.LinkConditions(0, 1, 0)));
             send(a, bForA);
             receive(b);
             receive(b);
--- a/testkit/src/test/java/amberroute/testkit/FaultProxyTest.java
+++ b/testkit/src/test/java/amberroute/testkit/FaultProxyTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 
 class FaultProxyTest {
-    private Stage stage;
+    private TestEnvironment stage;
     private ServerSocket echo;
     private FaultProxy proxy;
 
     @BeforeEach
     void build() throws Exception {
-        stage = new Stage(1);
+        stage = new TestEnvironment(1);
         echo = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(() -> {
             try {
--- a/testkit/src/test/java/amberroute/testkit/PartnerTest.java
+++ b/testkit/src/test/java/amberroute/testkit/StubUpstreamTest.java
@@ -4,20 +4,21 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.testkit.Partner.Mode;
-import amberroute.testkit.Partner.Verdict.Kind;
+import amberroute.testkit.StubUpstream.Mode;
+import amberroute.testkit.StubUpstream.Verdict.Kind;
 import org.junit.jupiter.api.Test;
 
-class PartnerTest {
-    private static final Partner.Figures FIGURES = Partner.Figures.roomy().sized(2, 1, 100_000);
+class StubUpstreamTest {
+    private static final StubUpstream.Figures FIGURES =
+            StubUpstream.Figures.roomy().sized(2, 1, 100_000);
 
-    private static Kind arrive(Partner partner, long now) {
+    private static Kind arrive(StubUpstream partner, long now) {
         return partner.arrive(now, 1).kind();
     }
 
     @Test
     void servesQueuesAndRefuses() {
-        Partner partner = new Partner(FIGURES, 1);
+        StubUpstream partner = new StubUpstream(FIGURES, 1);
         assertEquals(Kind.RUN, arrive(partner, 0));
         assertEquals(Kind.RUN, arrive(partner, 0));
         assertEquals(Kind.WAIT, arrive(partner, 0));
@@ -30,11 +31,11 @@
 
     @Test
     void countsAFixedWindowAndTellsItsEnd() {
-        Partner partner = new Partner(FIGURES.sized(100, 100, 1).limited(3, 1_000_000), 1);
+        StubUpstream partner = new StubUpstream(FIGURES.sized(100, 100, 1).limited(3, 1_000_000), 1);
         for (int i = 0; i < 3; i++) {
             assertEquals(Kind.RUN, arrive(partner, 5_200_000));
         }
-        Partner.Verdict refused = partner.arrive(5_400_000, 1);
+        StubUpstream.Verdict refused = partner.arrive(5_400_000, 1);
         assertEquals(Kind.REFUSE_LIMIT, refused.kind());
         assertEquals(600_000, refused.time());
         assertEquals(Kind.RUN, arrive(partner, 6_000_000));
@@ -43,7 +44,7 @@
 
     @Test
     void aRateRefillsAndItsWaitIsTrue() {
-        Partner partner = new Partner(FIGURES.sized(100, 100, 1).limited(10, 0), 1);
+        StubUpstream partner = new StubUpstream(FIGURES.sized(100, 100, 1).limited(10, 0), 1);
         long now = 1_000_000;
         while (arrive(partner, now) == Kind.RUN) {
             now += 1;
@@ -55,7 +56,7 @@
 
     @Test
     void isColdAfterAnOutageAndFallsOverWhenRushed() {
-        Partner partner = new Partner(FIGURES.sized(10, 1_000, 100_000), 1);
+        StubUpstream partner = new StubUpstream(FIGURES.sized(10, 1_000, 100_000), 1);
         partner.become(Mode.DEAD, 0);
         partner.become(Mode.UP, 1_000_000);
         assertEquals(0.15, partner.warmth(1_000_000), 1e-9);
@@ -76,8 +77,8 @@
 
     @Test
     void aColdPartnerIsSlower() {
-        Partner warm = new Partner(FIGURES, 7);
-        Partner cold = new Partner(FIGURES, 7);
+        StubUpstream warm = new StubUpstream(FIGURES, 7);
+        StubUpstream cold = new StubUpstream(FIGURES, 7);
         cold.become(Mode.REFUSE, 0);
         cold.become(Mode.UP, 0);
         assertTrue(cold.arrive(0, 1).time() > 3 * warm.arrive(0, 1).time());
@@ -85,7 +86,7 @@
 
     @Test
     void hangsRefusesAndKnowsKeysForTheirLife() {
-        Partner partner = new Partner(FIGURES, 1);
+        StubUpstream partner = new StubUpstream(FIGURES, 1);
         partner.become(Mode.HANG, 0);
         assertEquals(Kind.SILENT, arrive(partner, 0));
         partner.become(Mode.REFUSE, 0);
@@ -97,8 +98,8 @@
 
     @Test
     void theSameSeedGivesTheSameTimes() {
-        Partner one = new Partner(FIGURES, 3);
-        Partner two = new Partner(FIGURES, 3);
+        StubUpstream one = new StubUpstream(FIGURES, 3);
+        StubUpstream two = new StubUpstream(FIGURES, 3);
         assertEquals(one.arrive(0, 1), two.arrive(0, 1));
     }
 }
--- a/testkit/src/test/java/amberroute/testkit/StageTest.java
+++ b/testkit/src/test/java/amberroute/testkit/TestEnvironmentTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.testkit.Book.Answer;
-import amberroute.testkit.Book.Effect;
+import amberroute.testkit.DeliveryHistory.Answer;
+import amberroute.testkit.DeliveryHistory.Effect;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -29,12 +29,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The stand-ins as their peers meet them: raw requests to partners and platform, a scripted sender for clients. */
-class StageTest {
-    private Stage stage;
+class TestEnvironmentTest {
+    private TestEnvironment stage;
 
     @BeforeEach
     void build() throws Exception {
-        stage = new Stage(5);
+        stage = new TestEnvironment(5);
     }
 
     @AfterEach
@@ -91,16 +91,16 @@
         return answer.toString();
     }
 
-    private Book.Entry handIn(String id, Effect effect) {
+    private DeliveryHistory.Entry handIn(String id, Effect effect) {
         return stage.on(() -> {
-            Book.Entry entry =
+            DeliveryHistory.Entry entry =
                     stage.book().handIn(id, id, "c", effect, 0, false, 1, 0, Long.MAX_VALUE / 2, Long.MAX_VALUE / 2);
             stage.book().answered(entry, Answer.TAKEN);
             return entry;
         });
     }
 
-    private PartnerServer partner(Partner.Figures figures) throws Exception {
+    private StubUpstreamServer partner(StubUpstream.Figures figures) throws Exception {
         stage.destination(1, 1, figures, "std");
         return stage.partners().get(0);
     }
@@ -109,7 +109,7 @@
 
     @Test
     void aPartnerCarriesOutAndBooksIt() throws Exception {
-        PartnerServer partner = partner(Partner.Figures.roomy());
+        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy());
         handIn("a", Effect.KEYED);
         try (Socket socket = connect(partner.address())) {
             assertTrue(http(socket, "POST", "/receive", "x", "X-Request-ID: a", "Idempotency-Key: k")
@@ -121,7 +121,7 @@
             assertTrue(
                     http(socket, "POST", "/elsewhere", "x", "X-Request-ID: a").startsWith("HTTP/1.1 400"));
         }
-        Book.Totals totals = stage.totals();
+        DeliveryHistory.Totals totals = stage.totals();
         assertEquals(1, totals.delivered());
         assertEquals(0, totals.doubled());
         assertEquals(2, partner.calls());
@@ -129,7 +129,7 @@
 
     @Test
     void aPartnerReadsManyMessagesInOneCall() throws Exception {
-        PartnerServer partner = partner(Partner.Figures.roomy());
+        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy());
         handIn("a", Effect.SAFE);
         handIn("b", Effect.SAFE);
         try (Socket socket = connect(partner.address())) {
@@ -144,7 +144,7 @@
 
     @Test
     void aPartnerAboveItsLimitTellsATrueWait() throws Exception {
-        PartnerServer partner = partner(Partner.Figures.roomy().limited(2, 400_000));
+        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy().limited(2, 400_000));
         for (int i = 0; i < 3; i++) {
             handIn("m" + i, Effect.SAFE);
         }
@@ -167,17 +167,17 @@
 
     @Test
     void aPartnerThatDiesResetsAndOneThatHangsIsSilent() throws Exception {
-        PartnerServer partner = partner(Partner.Figures.roomy());
+        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy());
         handIn("a", Effect.SAFE);
         try (Socket socket = connect(partner.address())) {
             assertTrue(http(socket, "POST", "/receive", "", "X-Request-ID: a").startsWith("HTTP/1.1 200"));
-            stage.become(1, Partner.Mode.HANG);
+            stage.become(1, StubUpstream.Mode.HANG);
             socket.setSoTimeout(200);
             assertThrows(IOException.class, () -> http(socket, "POST", "/receive", "", "X-Request-ID: a"));
-            stage.become(1, Partner.Mode.DEAD);
+            stage.become(1, StubUpstream.Mode.DEAD);
             assertThrows(IOException.class, () -> http(socket, "POST", "/receive", "", "X-Request-ID: a"));
         }
-        stage.become(1, Partner.Mode.REFUSE);
+        stage.become(1, StubUpstream.Mode.REFUSE);
         try (Socket socket = connect(partner.address())) {
             assertTrue(http(socket, "POST", "/receive", "", "X-Request-ID: a").startsWith("HTTP/1.1 503"));
         }
@@ -185,7 +185,7 @@
 
     @Test
     void aProxiedDestinationIsListedByItsProxy() throws Exception {
-        stage.destination(1, 1, Partner.Figures.roomy(), "std", true);
+        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std", true);
         handIn("a", Effect.SAFE);
         String list = stage.on(stage.platform()::wholeList);
         assertFalse(list.contains(stage.partners().get(0).address()), list);
@@ -201,7 +201,7 @@
 
     @Test
     void thePlatformListsWatchesAndTakesNotices() throws Exception {
-        stage.destination(1, 1, Partner.Figures.roomy(), "std");
+        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
         handIn("a", Effect.SAFE);
         handIn("b", Effect.SAFE);
         try (Socket watch = connect(stage.platform().address());
@@ -305,11 +305,12 @@
         }
     }
 
-    private Clients ask(Script script, Effect effect, boolean ordered, int most) throws Exception {
-        stage.destination(1, 1, Partner.Figures.roomy(), "std");
-        Clients clients = stage.clients(
-                List.of(script.address()), List.of(new Clients.Kind("c", effect, ordered, 1, 1_000_000, 3_000_000)));
-        stage.run(() -> clients.run(new Clients.Load(500, 0, 1, 1, 5)));
+    private LoadClients ask(Script script, Effect effect, boolean ordered, int most) throws Exception {
+        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
+        LoadClients clients = stage.clients(
+                List.of(script.address()),
+                List.of(new LoadClients.Kind("c", effect, ordered, 1, 1_000_000, 3_000_000)));
+        stage.run(() -> clients.run(new LoadClients.Load(500, 0, 1, 1, 5)));
         await(() -> stage.on(clients::asked) >= most);
         stage.run(clients::pause);
         return clients;
@@ -318,7 +319,7 @@
     @Test
     void clientsComeAgainWhenTheyAreTold() throws Exception {
         try (Script script = new Script(id -> id.endsWith(".1") ? "-BUSY 300\r\n" : "+OK\r\n")) {
-            Clients clients = ask(script, Effect.UNSAFE, false, 3);
+            LoadClients clients = ask(script, Effect.UNSAFE, false, 3);
             await(() -> stage.on(clients::working) == 0);
             long again = script.ids.stream().filter(id -> id.endsWith(".2")).count();
             assertTrue(again >= 3, script.ids.toString());
@@ -329,7 +330,7 @@
                 }
             }
         }
-        Book.Totals totals = stage.totals();
+        DeliveryHistory.Totals totals = stage.totals();
         assertEquals(totals.taken(), totals.refused());
     }
 
@@ -338,7 +339,7 @@
     @EnumSource(names = {"UNSAFE", "SAFE"})
     void clientsRepeatWithoutAnAnswerOnlyWhatMayBe(Effect effect) throws Exception {
         try (Script script = new Script(id -> id.endsWith(".1") ? null : "+OK\r\n")) {
-            Clients clients = ask(script, effect, false, 2);
+            LoadClients clients = ask(script, effect, false, 2);
             await(() -> stage.on(clients::working) == 0);
             assertEquals(effect == Effect.SAFE, script.ids.stream().anyMatch(id -> id.endsWith(".2")));
         }
@@ -363,7 +364,7 @@
             }
             return "+OK\r\n";
         })) {
-            Clients clients = ask(script, Effect.KEYED, true, 20);
+            LoadClients clients = ask(script, Effect.KEYED, true, 20);
             await(() -> stage.on(clients::working) == 0);
             assertEquals(1, most[0]);
             List<Long> numbers = script.ids.stream()
@@ -379,10 +380,10 @@
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = (InetSocketAddress) probe.getLocalSocketAddress();
         }
-        stage.destination(1, 1, Partner.Figures.roomy(), "std");
-        Clients clients =
-                stage.clients(List.of(nobody), List.of(new Clients.Kind("c", Effect.UNSAFE, false, 1, 1_000, 400_000)));
-        stage.run(() -> clients.run(new Clients.Load(200, 0, 1, 1, 5)));
+        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
+        LoadClients clients = stage.clients(
+                List.of(nobody), List.of(new LoadClients.Kind("c", Effect.UNSAFE, false, 1, 1_000, 400_000)));
+        stage.run(() -> clients.run(new LoadClients.Load(200, 0, 1, 1, 5)));
         await(() -> stage.on(clients::asked) >= 3);
         stage.run(clients::pause);
         await(() -> stage.on(clients::working) == 0);
