--- a/benchmarks/src/main/java/amberroute/decisions/reference/DecisionsBenchmark.java
+++ b/benchmarks/src/main/java/amberroute/decisions/reference/DecisionsBenchmark.java
@@ -59,7 +59,7 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {}
+        public void reject(long id, long retryAfter) {}
 
         @Override
         public void fail(long id) {}
@@ -71,10 +71,10 @@
         public void closeIdle(long endpoint) {}
 
         @Override
-        public void wake(long delay, long token) {}
+        public void scheduleTimer(long delay, long token) {}
 
         @Override
-        public void follow() {}
+        public void subscribe() {}
 
         @Override
         public void log(String text) {}
@@ -86,13 +86,13 @@
         destinations = Integer.parseInt(size.split("/")[1]);
         List<DeliveryScheduler.MessageClass> classes = List.of(
                 new DeliveryScheduler.MessageClass(
-                        2, 0.5, 600_000_000L, 3_600_000_000L, DeliveryScheduler.Effect.SAFE, DeliveryScheduler.KeyScope.DESTINATION, 0, false),
+                        2, 0.5, 600_000_000L, 3_600_000_000L, DeliveryScheduler.Idempotency.IDEMPOTENT, DeliveryScheduler.KeyScope.DESTINATION, 0, false),
                 new DeliveryScheduler.MessageClass(
                         1,
                         0.5,
                         300_000_000L,
                         3_000_000_000L,
-                        DeliveryScheduler.Effect.KEYED,
+                        DeliveryScheduler.Idempotency.KEYED,
                         DeliveryScheduler.KeyScope.DESTINATION,
                         3_600_000_000L,
                         false),
@@ -101,7 +101,7 @@
                         0.5,
                         200_000_000L,
                         2_400_000_000L,
-                        DeliveryScheduler.Effect.UNSAFE,
+                        DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
                         DeliveryScheduler.KeyScope.DESTINATION,
                         0,
                         false));
@@ -112,7 +112,7 @@
                 5_000,
                 false,
                 0.3,
-                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.LateValueDecay.LINEAR,
                 DeliveryScheduler.WeightKind.NONE,
                 classes,
                 List.of(),
--- a/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
@@ -202,10 +202,10 @@
         configure(settings);
         random = new SplittableRandom(settings.seed());
         for (Tenant tenant : settings.tenants()) {
-            shares.add(new TokenBucket(tenant.quotaPerSecond() / settings.senders(), TENANT_BURST));
+            shares.add(new TokenBucket(tenant.quotaPerSecond() / settings.senderCount(), TENANT_BURST));
         }
-        followAt = settings.listOnRequest() ? 0 : NEVER;
-        trustedIdle = settings.limits().idleConnectionLife();
+        followAt = settings.endpointListPolled() ? 0 : NEVER;
+        trustedIdle = settings.limits().idleConnectionLifeMicros();
     }
 
     private void configure(Settings fresh) {
@@ -224,7 +224,7 @@
         } else if (event instanceof Event.MessageRecovered e) {
             onResumed(now, e);
         } else if (event instanceof Event.HealthRestored e) {
-            onRemembered(now, e.memory(), e.memory().since() + e.age());
+            onRemembered(now, e.checkpoint(), e.checkpoint().sinceMicros() + e.ageMicros());
         } else if (event instanceof Event.CallInFlight e) {
             onUnderway(now, e, actions);
         } else if (event instanceof Event.CompletedMessageRecovered e) {
@@ -232,9 +232,9 @@
             turn(e.key()).add(m);
             concluding.put(e.id(), m);
         } else if (event instanceof Event.UpstreamStateTransferred e) {
-            onTakenOver(now, e.learned());
+            onTakenOver(now, e.snapshot());
         } else if (event instanceof Event.KeyPaused e) {
-            onResting(now, e.rest());
+            onResting(now, e.pause());
         } else if (event instanceof Event.SettingsChanged e) {
             configure(e.settings());
             destinations.values().forEach(hold::wake);
@@ -244,7 +244,7 @@
         } else if (event instanceof Event.AdmissionPriceChanged e) {
             destination(e.destination()).price = e;
         } else if (event instanceof Event.ShutdownStarted e) {
-            stopsAt = now + e.timeLeft();
+            stopsAt = now + e.timeLeftMicros();
         } else if (event instanceof Event.CompletionAcknowledged e) {
             leaveTurn(now, concluding.remove(e.id()));
         } else if (event instanceof Event.MessageCancelled e) {
@@ -259,7 +259,7 @@
     }
 
     @Override
-    public int avoided() {
+    public int avoidedEndpointCount() {
         return (int) endpoints.values().stream()
                 .filter(point -> point.state == EndpointState.READY
                         && (point.scope.breaker == BreakerState.OPEN || point.failures + point.lost >= STREAK))
@@ -274,8 +274,8 @@
             destinations.values().removeIf(d -> d.endpoints.isEmpty() && d.held == 0);
             mostDestinations = Math.max(DESTINATIONS, 2 * destinations.size());
         }
-        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
-        m.worth *= withinShare(now, e.tenant()) ? 1 : settings.overShareWorth();
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeftMicros(), e.destination());
+        m.worth *= withinShare(now, e.tenant()) ? 1 : settings.overQuotaWeightFactor();
         arrivals.add(m);
         hold.await(now, m, repeatableUntil(m));
     }
@@ -288,9 +288,9 @@
                 settings.classes().get(Math.min(messageClass, settings.classes().size() - 1));
         m.destination = destination(destination);
         m.destination.held++;
-        m.due = now + Math.min(m.type.deadline(), timeLeft);
-        m.worth = m.type.worth();
-        if (m.type.inOrder() && key != 0) {
+        m.due = now + Math.min(m.type.deadlineMicros(), timeLeft);
+        m.worth = m.type.priorityWeight();
+        if (m.type.ordered() && key != 0) {
             turn(key).add(m);
         }
         messages.put(m.id, m);
@@ -312,15 +312,17 @@
         if (messages.containsKey(e.id())) {
             return;
         }
-        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeftMicros(), e.destination());
         m.attempts = e.attempts();
-        m.worth = m.attempts == 0 && m.type.effect() != Effect.SAFE ? settings.mostWorth() : m.worth;
-        if (e.doubtAge() >= 0) {
-            m.doubtSince = now - e.doubtAge();
-            m.doubtAt = endpoints.get(e.doubtEndpoint());
-        }
-        if (e.cutOff() && m.turn != null) {
-            m.turn.restUntil = now + settings.rules().settle();
+        m.worth = m.attempts == 0 && m.type.idempotency() != Idempotency.IDEMPOTENT
+                ? settings.highestPriorityWeight()
+                : m.worth;
+        if (e.unknownOutcomeAgeMicros() >= 0) {
+            m.doubtSince = now - e.unknownOutcomeAgeMicros();
+            m.doubtAt = endpoints.get(e.unknownOutcomeEndpoint());
+        }
+        if (e.attemptInterrupted() && m.turn != null) {
+            m.turn.restUntil = now + settings.rules().settlePeriodMicros();
             m.turn.restsAfter = m;
             hold.look(now, m.turn.first);
         }
@@ -334,30 +336,30 @@
      */
     private void onRemembered(long now, HealthCheckpoint memory, long age) {
         Endpoint point = endpoints.get(memory.endpoint());
-        if (memory.endpoint() != 0 && point == null || memory.health() == UpstreamStatus.WELL) {
+        if (memory.endpoint() != 0 && point == null || memory.status() == UpstreamStatus.HEALTHY) {
             return;
         }
         Destination destination = destination(memory.destination());
         UpstreamHealth scope = point == null ? destination.shared : point.scope;
-        scope.usual = memory.usual();
-        scope.present = memory.usual();
-        scope.formerPace = memory.pace();
-        if (memory.usual() > 0) {
-            destination.p = memory.usual();
+        scope.usual = memory.usualLatencyMicros();
+        scope.present = memory.usualLatencyMicros();
+        scope.formerPace = memory.callsPerSecond();
+        if (memory.usualLatencyMicros() > 0) {
+            destination.p = memory.usualLatencyMicros();
             destination.measured = true;
         }
-        scope.breaker = memory.health() == UpstreamStatus.OUT ? BreakerState.OPEN : BreakerState.RAMP;
+        scope.breaker = memory.status() == UpstreamStatus.UNAVAILABLE ? BreakerState.OPEN : BreakerState.RAMP;
         scope.openedAt = now - age;
         scope.rampFrom = now - age;
         scope.rampSent = now;
         scope.trialAt = now;
-        scope.harm = memory.health() == UpstreamStatus.OUT ? 1 : 0;
+        scope.harm = memory.status() == UpstreamStatus.UNAVAILABLE ? 1 : 0;
         hold.news(now, destination);
     }
 
     /** What is to outlast the process changes with the breaker only, so it is seldom written. */
     private void remember(long now, Actions actions) {
-        turned.forEach(scope -> actions.remember(scope.memory(now)));
+        turned.forEach(scope -> actions.saveCheckpoint(scope.memory(now)));
         turned.clear();
     }
 
@@ -371,15 +373,15 @@
                 .toList();
         if (point != null && !load.isEmpty()) {
             Call call = startCall(now, point, actions);
-            call.sentAt = now - e.sentAgo();
+            call.sentAt = now - e.sentAgoMicros();
             load.forEach(m -> load(now, m, call));
         }
     }
 
     private void onResting(long now, KeyPause rest) {
         KeyQueue turn = turn(rest.key());
-        turn.restUntil = now + rest.left();
-        turn.restsAfter = messages.get(rest.except());
+        turn.restUntil = now + rest.remainingMicros();
+        turn.restsAfter = messages.get(rest.exemptMessage());
         hold.look(now, turn.first);
         if (turn.first == null) {
             resting.add(turn);
@@ -387,7 +389,7 @@
     }
 
     @Override
-    public List<KeyPause> rests(long now) {
+    public List<KeyPause> pausedKeys(long now) {
         return turns.values().stream()
                 .filter(t -> t.restUntil > now)
                 .map(t -> new KeyPause(t.key, t.restUntil - now, t.restsAfter == null ? 0 : t.restsAfter.id))
@@ -395,7 +397,7 @@
     }
 
     @Override
-    public List<UpstreamSnapshot> learned(long now) {
+    public List<UpstreamSnapshot> snapshots(long now) {
         return endpoints.values().stream()
                 .map(p -> p.scope)
                 .distinct()
@@ -404,18 +406,18 @@
     }
 
     private void onTakenOver(long now, UpstreamSnapshot l) {
-        Endpoint point = endpoints.get(l.memory().endpoint());
-        if (l.memory().endpoint() != 0 && point == null) {
+        Endpoint point = endpoints.get(l.checkpoint().endpoint());
+        if (l.checkpoint().endpoint() != 0 && point == null) {
             return;
         }
-        onRemembered(now, l.memory(), l.memory().since());
-        Destination destination = destination(l.memory().destination());
+        onRemembered(now, l.checkpoint(), l.checkpoint().sinceMicros());
+        Destination destination = destination(l.checkpoint().destination());
         UpstreamHealth scope = point == null ? destination.shared : point.scope;
-        scope.usual = l.memory().usual();
+        scope.usual = l.checkpoint().usualLatencyMicros();
         hold.usual(scope.usual, FAST);
-        destination.measured |= l.p() > 0;
-        destination.p = l.p() > 0 ? l.p() : destination.p;
-        destination.odds = l.odds();
+        destination.measured |= l.expectedServiceMicros() > 0;
+        destination.p = l.expectedServiceMicros() > 0 ? l.expectedServiceMicros() : destination.p;
+        destination.odds = l.successProbability();
         scope.take(now, l);
         hold.recount(now, destination);
     }
@@ -423,8 +425,8 @@
     /** That another has seen it answer is worth a trial now: its own turn may be many seconds away. */
     private void onCeiling(long now, Event.FleetRateLimitChanged e) {
         Destination destination = destination(e.destination());
-        destination.ceiling.set(now, e.perSecond(), e.first());
-        destination.endpoints.forEach(p -> p.scope.trialAt = e.back() ? now : p.scope.trialAt);
+        destination.ceiling.set(now, e.perSecond(), e.initialCredit());
+        destination.endpoints.forEach(p -> p.scope.trialAt = e.recovered() ? now : p.scope.trialAt);
         hold.wake(destination);
     }
 
@@ -454,7 +456,7 @@
         Call call = m.out;
         m.out = null;
         m.calledOff = false;
-        m.ended |= e.closed();
+        m.ended |= e.connectionClosed();
         if (--call.waiting == 0) {
             slotsUsed--;
             call.endpoint.inFlight--;
@@ -472,30 +474,30 @@
                 call.endpoint.scope.members.forEach(point -> point.lost = 0);
             }
         }
-        boolean ran = e.ending().mayHaveRun();
+        boolean ran = e.outcome().mayHaveRun();
         if (ran && m.doubtSince == NEVER) {
             m.doubtSince = call.sentAt;
             m.doubtAt = call.endpoint;
         }
-        if (m.turn != null && ran && e.ending() != AttemptOutcome.OK && e.ending() != AttemptOutcome.ERROR) {
-            m.turn.restUntil = now + settings.rules().settle();
+        if (m.turn != null && ran && e.outcome() != AttemptOutcome.OK && e.outcome() != AttemptOutcome.ERROR) {
+            m.turn.restUntil = now + settings.rules().settlePeriodMicros();
             m.turn.restsAfter = m;
             hold.look(now, m.turn.first);
         }
-        m.timeOuts += e.ending() == AttemptOutcome.TIMEOUT ? 1 : 0;
+        m.timeOuts += e.outcome() == AttemptOutcome.TIMEOUT ? 1 : 0;
         m.failedAt = call.endpoint;
         UpstreamHealth scope = call.endpoint.scope;
         if (m.attempts >= Math.max(2, m.destination.endpoints.size())) {
-            m.notBefore = now + pause(turn(scope, e), 0, m.type.deadline(), m.attempts - 1);
+            m.notBefore = now + pause(turn(scope, e), 0, m.type.deadlineMicros(), m.attempts - 1);
         }
-        if (e.toldWait() > 0) {
-            scope.waitUntil = Math.max(scope.waitUntil, now + e.toldWait() + 1);
+        if (e.retryAfterMicros() > 0) {
+            scope.waitUntil = Math.max(scope.waitUntil, now + e.retryAfterMicros() + 1);
         }
         if (!call.noted) {
             call.noted = true;
             learn(now, m, call, e);
         }
-        scope.served.add(now, e.ending() == AttemptOutcome.OK ? 1 : 0);
+        scope.served.add(now, e.outcome() == AttemptOutcome.OK ? 1 : 0);
         hold.await(now, m, repeatableUntil(m));
         forgetIfDone(now, m);
         hold.news(now, call.endpoint.destination);
@@ -535,7 +537,7 @@
     private void onListing(long now, Event.EndpointListUpdated e) {
         if (e.kind() == EndpointListKind.FAILED) {
             long pause = FOLLOW_PAUSE << Math.min(followFailures++, 6);
-            followAt = now + jitter(Math.min(pause, settings.rules().askWithin() / 4));
+            followAt = now + jitter(Math.min(pause, settings.rules().discoveryDeadlineMicros() / 4));
             return;
         }
         followFailures = e.kind() == EndpointListKind.CACHED ? followFailures : 0;
@@ -565,7 +567,7 @@
                     ? new DestinationKind(false, 1)
                     : settings.kinds()
                             .get(Math.min(entry.kind(), settings.kinds().size() - 1));
-            point.scope = !kind.routesApart()
+            point.scope = !kind.independentEndpoints()
                     ? point.destination.shared
                     : new UpstreamHealth(entry.destination(), point.id, SENT_SPAN, SERVED_SPAN);
             point.messagesPerCall = Math.max(1, kind.messagesPerCall());
@@ -576,7 +578,7 @@
         }
         point.zone = entry.zone();
         point.state = entry.state();
-        if (settings.weights() != WeightKind.NONE) {
+        if (settings.weightKind() != WeightKind.NONE) {
             // Where the list tells none, a limit that was reported must outlast the next change of the list.
             point.scope.weight = entry.weight();
         }
@@ -587,15 +589,19 @@
 
     /** Until when the class lets this message be sent again. */
     private static long repeatableUntil(PendingMessage m) {
-        if (m.doubtSince == NEVER || m.type.effect() == Effect.SAFE) {
+        if (m.doubtSince == NEVER || m.type.idempotency() == Idempotency.IDEMPOTENT) {
             return NEVER;
         }
-        return m.type.effect() == Effect.UNSAFE ? 0 : m.doubtSince + m.type.keyLife() - KEY_MARGIN;
+        return m.type.idempotency() == Idempotency.NON_IDEMPOTENT
+                ? 0
+                : m.doubtSince + m.type.keyLifeMicros() - KEY_MARGIN;
     }
 
     /** Whether all endpoints of its destination would know its key again, where that matters. */
     private static boolean remembersAll(PendingMessage m) {
-        return m.doubtSince == NEVER || m.type.effect() == Effect.SAFE || m.type.keyScope() == KeyScope.DESTINATION;
+        return m.doubtSince == NEVER
+                || m.type.idempotency() == Idempotency.IDEMPOTENT
+                || m.type.keyScope() == KeyScope.DESTINATION;
     }
 
     private static boolean remembered(PendingMessage m, Endpoint point) {
@@ -606,18 +612,18 @@
 
     private static boolean mayRefuse(PendingMessage m) {
         return m.out == null
-                && (m.type.effect() == Effect.SAFE
+                && (m.type.idempotency() == Idempotency.IDEMPOTENT
                         || m.doubtSince == NEVER
-                        || m.type.effect() == Effect.KEYED && m.type.keyScope() == KeyScope.DESTINATION);
+                        || m.type.idempotency() == Idempotency.KEYED && m.type.keyScope() == KeyScope.DESTINATION);
     }
 
     /** The final answer: a refusal wherever that is harmless, since the client may then come again. */
     private void answer(long now, PendingMessage m, long advice, Actions actions) {
         if (mayRefuse(m)) {
-            actions.refuse(
+            actions.reject(
                     m.id,
-                    settings.limits().retryAdvice()
-                            ? Math.max(0, Math.min(advice, settings.limits().maxRetryAdvice()))
+                    settings.limits().retryAdviceAllowed()
+                            ? Math.max(0, Math.min(advice, settings.limits().maxRetryAdviceMicros()))
                             : 0);
         } else {
             actions.fail(m.id);
@@ -632,7 +638,7 @@
     private void decide(long now, Actions actions) {
         wakeAt = NEVER;
         if (followAt <= now) {
-            actions.follow();
+            actions.subscribe();
             followAt = NEVER;
         }
         note(followAt);
@@ -642,7 +648,7 @@
         callOff(now, actions);
         if (trustedIdle != toldTrust) {
             toldTrust = trustedIdle;
-            actions.trustIdle((long) trustedIdle);
+            actions.limitIdleReuse((long) trustedIdle);
         }
         choose(now, actions);
         remember(now, actions);
@@ -661,14 +667,15 @@
      * what is worth just that a share is, by whole keys: nothing of one overtakes what was turned away. */
     private long priced(PendingMessage m) {
         Event.AdmissionPriceChanged price = m.destination.price;
-        return m.worth < price.worth() || m.worth < price.upTo() && m.lot() >= price.share()
-                ? 1 + price.again() + random.nextLong(1 + price.again())
+        return m.worth < price.rejectedBelowWeight()
+                        || m.worth < price.sharedUpToWeight() && m.lot() >= price.admittedShare()
+                ? 1 + price.retryAfterMicros() + random.nextLong(1 + price.retryAfterMicros())
                 : 0;
     }
 
     /** The arrival test binds once more messages are held unsent than there are slots. */
     private void admit(long now, Actions actions) {
-        boolean binds = hold.waiting > settings.limits().slots();
+        boolean binds = hold.waiting > settings.limits().maxConcurrentCalls();
         for (PendingMessage m : arrivals) {
             long wait = binds && !m.ended ? predictedWait(now, m, true) : 0;
             wait = binds && !m.ended && m.due - now - wait < 0 ? predictedWait(now, m, false) : wait;
@@ -678,7 +685,7 @@
             }
         }
         arrivals.clear();
-        while (messages.size() > ROOM * settings.limits().openMessages() && hold.waiting > 0) {
+        while (messages.size() > ROOM * settings.limits().maxPendingMessages() && hold.waiting > 0) {
             PendingMessage least = hold.least(now, LOOK_AHEAD * meanP);
             answer(now, least, predictedWait(now, least, false), actions);
         }
@@ -721,10 +728,10 @@
                 opens = Math.min(opens, returnsAt(now, last));
             }
         }
-        double wait = Math.max(all / settings.limits().slots(), here / Math.max(1, cap));
+        double wait = Math.max(all / settings.limits().maxConcurrentCalls(), here / Math.max(1, cap));
         pace = Math.min(pace, m.destination.ceiling.perSecond());
         if (pace > 0) {
-            double paced = Math.min(aheadHere / pace * SECOND, settings.rules().coldSpan());
+            double paced = Math.min(aheadHere / pace * SECOND, settings.rules().slowStartMicros());
             wait = Math.max(wait, Math.max(0, opens - now) + paced);
         }
         return (long) wait;
@@ -747,11 +754,12 @@
                 p,
                 now,
                 LOOK_AHEAD * meanP,
-                b.type.aim(),
-                b.type.deadline(),
-                b.type.lateShare(),
-                settings.lateWorth() == LateValueDecay.HALVING);
-        into.divide(b.first, hurryLimit(now, b.destination, b.type), now + (long) (LAST_SHARE * b.type.deadline()));
+                b.type.latencyObjectiveMicros(),
+                b.type.deadlineMicros(),
+                b.type.lateValueShare(),
+                settings.lateValueDecay() == LateValueDecay.HALVING);
+        into.divide(
+                b.first, hurryLimit(now, b.destination, b.type), now + (long) (LAST_SHARE * b.type.deadlineMicros()));
         return into;
     }
 
@@ -762,7 +770,7 @@
     private void choose(long now, Actions actions) {
         hold.advance(now);
         choice++;
-        List<Call> started = slotsUsed < settings.limits().slots() ? fill(now, actions) : List.of();
+        List<Call> started = slotsUsed < settings.limits().maxConcurrentCalls() ? fill(now, actions) : List.of();
         started.forEach(call -> send(now, call, actions));
         note(hold.nextLook());
     }
@@ -770,14 +778,15 @@
     private List<Call> fill(long now, Actions actions) {
         List<Call> started = new ArrayList<>();
         double k = LOOK_AHEAD * meanP;
-        hold.beginChoice(now, k, settings.limits().slots() - slotsUsed);
+        hold.beginChoice(now, k, settings.limits().maxConcurrentCalls() - slotsUsed);
         int open = 0;
         for (DispatchQueue b;
-                (slotsUsed < settings.limits().slots() || open > 0) && (b = hold.candidate(now, k)) != null; ) {
+                (slotsUsed < settings.limits().maxConcurrentCalls() || open > 0)
+                        && (b = hold.candidate(now, k)) != null; ) {
             Destination d = b.destination;
             Call call = d.filled == choice && d.filling.takesMore() ? d.filling : null;
             boolean filling = call != null;
-            if (!filling && (slotsUsed >= settings.limits().slots() || d.shut == choice)) {
+            if (!filling && (slotsUsed >= settings.limits().maxConcurrentCalls() || d.shut == choice)) {
                 continue;
             }
             boolean more;
@@ -788,7 +797,8 @@
             } else {
                 PendingMessage m = b.walk.here();
                 boolean joins = filling && d.ceiling.opensAt(now) <= now && mayJoin(now, m, call);
-                Endpoint point = joins || slotsUsed >= settings.limits().slots() ? null : endpointFor(now, m);
+                Endpoint point =
+                        joins || slotsUsed >= settings.limits().maxConcurrentCalls() ? null : endpointFor(now, m);
                 if (point != null) {
                     call = startCall(now, point, actions);
                     d.filling = call;
@@ -816,7 +826,7 @@
      * Harm: where most calls go on failing, unsafe messages wait for the last part of their time.
      */
     private boolean mayRisk(long now, PendingMessage m, UpstreamHealth scope) {
-        boolean late = m.due - now < LAST_SHARE * m.type.deadline();
+        boolean late = m.due - now < LAST_SHARE * m.type.deadlineMicros();
         return !probing(scope) && (scope.harm < DOUBT || late)
                 || risk(m.type, hurried(now, m)) <= leastRisk(now, m.destination);
     }
@@ -840,7 +850,9 @@
     }
 
     private static int risk(MessageClass type, boolean hurried) {
-        return type.effect() == Effect.UNSAFE ? 4 : type.effect().ordinal() + (hurried ? 2 : 0);
+        return type.idempotency() == Idempotency.NON_IDEMPOTENT
+                ? 4
+                : type.idempotency().ordinal() + (hurried ? 2 : 0);
     }
 
     /** Its time may run out before a slow answer: it would be given up before that is silence. */
@@ -849,7 +861,9 @@
     }
 
     private long hurryLimit(long now, Destination d, MessageClass type) {
-        return now + (long) Math.max(SILENT_SHARE * settings.longestTime(), AMPLE * hold.serviceTime(now, d, type));
+        return now
+                + (long) Math.max(
+                        SILENT_SHARE * settings.longestDeadlineMicros(), AMPLE * hold.serviceTime(now, d, type));
     }
 
     /** Nothing is known of a scope, or only that it failed: only safe messages share a call to it. */
@@ -909,7 +923,7 @@
     /** Before the process ends, no unsafe attempt starts whose outcome it may not see: that would lose it. */
     private boolean endsInTime(long now, PendingMessage m, Endpoint point) {
         return stopsAt == NEVER
-                || m.type.effect() != Effect.UNSAFE
+                || m.type.idempotency() != Idempotency.NON_IDEMPOTENT
                 || now + LAST_CALLS * Math.max(hold.serviceTime(now, m), point.scope.present(now, FAST)) < stopsAt;
     }
 
@@ -918,7 +932,7 @@
                 && point.inFlight
                         < point.connections * Math.max(1, settings.limits().callsPerConnection());
         boolean far = settings.prices().crossZone() > 0 && point.zone != settings.zone();
-        List<Double> tolls = settings.prices().zoneToll();
+        List<Double> tolls = settings.prices().zoneTolls();
         double toll = point.zone < tolls.size() ? tolls.get(point.zone) : 0;
         return point.inFlight
                 + (warm ? 0 : COLD_CONNECTION)
@@ -956,7 +970,7 @@
         Endpoint point = call.endpoint;
         return call.hurried == hurried(now, m)
                 && mayRisk(now, m, point.scope)
-                && (m.type.effect() == Effect.SAFE || !probing(point.scope))
+                && (m.type.idempotency() == Idempotency.IDEMPOTENT || !probing(point.scope))
                 && remembered(m, point)
                 && endsInTime(now, m, point);
     }
@@ -966,7 +980,7 @@
         call.messages++;
         call.waiting++;
         call.load.add(m);
-        call.unsafe |= m.type.effect() == Effect.UNSAFE;
+        call.unsafe |= m.type.idempotency() == Idempotency.NON_IDEMPOTENT;
         m.destination.ceiling.charge();
         m.attempts++;
         m.out = call;
@@ -987,7 +1001,8 @@
 
     /** Unsafe attempts run to the end, as giving one up loses the message. */
     private long giveUpAt(long now, PendingMessage m, Call call) {
-        if (m.type.effect() == Effect.UNSAFE || m.attempts >= settings.limits().maxAttempts()) {
+        if (m.type.idempotency() == Idempotency.NON_IDEMPOTENT
+                || m.attempts >= settings.limits().maxAttempts()) {
             return m.due;
         }
         double expected = Math.max(hold.serviceTime(now, m), call.endpoint.scope.present(now, FAST));
@@ -1014,7 +1029,7 @@
      * unseen; they are shut before use. It covers firewalls and restarts too. Harm: more handshakes.
      */
     private void judgeConnection(Call call, boolean lost, boolean told) {
-        double life = settings.limits().idleConnectionLife();
+        double life = settings.limits().idleConnectionLifeMicros();
         double seen = lost ? 1 : 0;
         freshLost += call.idleBefore == 0 ? FAST_POOLED * (seen - freshLost) : 0;
         idleLost += call.idleBefore > 0 ? FAST_POOLED * (seen - idleLost) : 0;
@@ -1040,7 +1055,7 @@
             return NEVER;
         }
         if (scope.breaker == BreakerState.RAMP
-                && now - scope.rampFrom >= settings.rules().coldSpan()) {
+                && now - scope.rampFrom >= settings.rules().slowStartMicros()) {
             scope.breaker = BreakerState.CLOSED;
         }
         if (scope.breaker == BreakerState.RAMP) {
@@ -1048,7 +1063,7 @@
                     at,
                     Math.min(
                             scope.rampSent + (long) (SECOND / rampPace(warmth(now, scope), scope)),
-                            scope.rampFrom + settings.rules().coldSpan()));
+                            scope.rampFrom + settings.rules().slowStartMicros()));
         }
         if (now - scope.lastRefusal > PACE_LIFE && scope.weight == 0) {
             scope.pace = Double.POSITIVE_INFINITY;
@@ -1072,7 +1087,7 @@
 
     /** Latency-scaled cap: all slots at the usual pace, else their share usual over present; at least one. */
     private int cap(long now, UpstreamHealth scope) {
-        int slots = settings.limits().slots();
+        int slots = settings.limits().maxConcurrentCalls();
         if (scope.usual == 0) {
             return slots;
         }
@@ -1081,7 +1096,7 @@
 
     private long silence(UpstreamHealth scope) {
         double usual = scope.usual > 0 ? Math.max(scope.usual, scope.present) : hold.usualLatency;
-        return Math.max((long) (SILENT_SHARE * settings.longestTime()), (long) (SILENT * usual));
+        return Math.max((long) (SILENT_SHARE * settings.longestDeadlineMicros()), (long) (SILENT * usual));
     }
 
     /**
@@ -1113,7 +1128,7 @@
      * stop a sender. It covers hangs and dropped connections. Harm: very slow answers are lost.
      */
     private void callOff(long now, Actions actions) {
-        int slots = settings.limits().slots();
+        int slots = settings.limits().maxConcurrentCalls();
         long silent = busy.stream()
                 .flatMap(scope -> scope.calls.stream())
                 .filter(c -> c.silent)
@@ -1121,7 +1136,7 @@
         boolean pressed = slotsUsed >= slots
                 && silent >= SILENT_SLOTS * slots
                 && messages.values().stream().anyMatch(m -> m.out == null && m.notBefore <= now);
-        if (silent == 0 || !settings.limits().cancel()) {
+        if (silent == 0 || !settings.limits().cancellationAllowed()) {
             return;
         }
         List<PendingMessage> unanswered = new ArrayList<>();
@@ -1159,48 +1174,49 @@
             }
             failures += here;
         }
-        return failures >= STREAK || failures > 0 && now - scope.lastOk > OLD * settings.longestTime();
+        return failures >= STREAK || failures > 0 && now - scope.lastOk > OLD * settings.longestDeadlineMicros();
     }
 
     private void learn(long now, PendingMessage m, Call call, Event.AttemptCompleted e) {
         UpstreamHealth scope = call.endpoint.scope;
         boolean wasTrial = scope.trial == call;
         scope.trial = wasTrial ? null : scope.trial;
-        boolean told = e.idle() >= 0;
+        boolean told = e.connectionIdleMicros() >= 0;
         idleTold |= told;
         if (told) {
-            call.idleBefore = e.idle();
+            call.idleBefore = e.connectionIdleMicros();
         }
         if (!call.silent) {
-            judgeConnection(call, e.ending() == AttemptOutcome.RESET || e.ending() == AttemptOutcome.TIMEOUT, told);
+            judgeConnection(call, e.outcome() == AttemptOutcome.RESET || e.outcome() == AttemptOutcome.TIMEOUT, told);
         }
-        boolean placed = e.ending() != AttemptOutcome.CONNECT_FAILED && !e.noPlace(settings.reports());
+        boolean placed =
+                e.outcome() != AttemptOutcome.CONNECT_FAILED && !e.connectionLimitReached(settings.reportFields());
         unconnected += FAST_POOLED * ((placed ? 0 : 1) - unconnected);
-        m.destination.odds += FAST * ((e.ending() == AttemptOutcome.OK ? 1 : 0) - m.destination.odds);
-        if (e.ending().mayHaveRun()) {
-            scope.harm += FAST * ((e.ending() == AttemptOutcome.OK ? 0 : 1) - scope.harm);
+        m.destination.odds += FAST * ((e.outcome() == AttemptOutcome.OK ? 1 : 0) - m.destination.odds);
+        if (e.outcome().mayHaveRun()) {
+            scope.harm += FAST * ((e.outcome() == AttemptOutcome.OK ? 0 : 1) - scope.harm);
         }
-        switch (e.ending()) {
+        switch (e.outcome()) {
             case OK -> onOk(now, call, e);
             case FULL -> onFull(now, m, call, e, wasTrial);
             case MOOT -> {}
             case CANCELLED -> {
                 if (call.silent && call.sentAt >= call.endpoint.lastOk) {
-                    onFailure(now, call, e.ending(), wasTrial);
+                    onFailure(now, call, e.outcome(), wasTrial);
                 }
             }
             case TIMEOUT -> {
                 // A trial given up early for its message's sake shows slowness at most: another is due.
-                m.destination.p += FAST * Math.max(0, e.took() - m.destination.p);
-                scope.present += FAST * Math.max(0, e.took() - scope.present);
+                m.destination.p += FAST * Math.max(0, e.durationMicros() - m.destination.p);
+                scope.present += FAST * Math.max(0, e.durationMicros() - scope.present);
                 if (!wasTrial || now - call.sentAt >= silence(scope)) {
-                    onFailure(now, call, e.ending(), wasTrial);
+                    onFailure(now, call, e.outcome(), wasTrial);
                 }
             }
             default -> {
                 // A kept connection that is reset tells of itself; a sick endpoint shows on a fresh one.
-                if (e.ending() != AttemptOutcome.RESET || !told || e.idle() == 0 || wasTrial) {
-                    onFailure(now, call, e.ending(), wasTrial);
+                if (e.outcome() != AttemptOutcome.RESET || !told || e.connectionIdleMicros() == 0 || wasTrial) {
+                    onFailure(now, call, e.outcome(), wasTrial);
                 }
             }
         }
@@ -1209,7 +1225,7 @@
     private void onOk(long now, Call call, Event.AttemptCompleted e) {
         UpstreamHealth scope = call.endpoint.scope;
         Destination destination = call.endpoint.destination;
-        double took = Math.max(1, e.took());
+        double took = Math.max(1, e.durationMicros());
         hold.usual(took, FAST_POOLED);
         destination.p = destination.measured ? destination.p + FAST * (took - destination.p) : took;
         destination.measured = true;
@@ -1232,9 +1248,9 @@
             scope.rampFrom = now;
             scope.rampSent = now;
         }
-        readReport(now, scope, e.report());
+        readReport(now, scope, e.loadReport());
         if (!Double.isInfinite(scope.pace) && !(scope.left < ENOUGH)) {
-            double part = scope.weight / settings.senders() * Math.min(1, (now - scope.lastRaise) / SECOND);
+            double part = scope.weight / settings.senderCount() * Math.min(1, (now - scope.lastRaise) / SECOND);
             scope.pace += scope.weight > 0 ? PART_GAIN * part : RAISE * scope.pace;
             scope.lastRaise = now;
         }
@@ -1242,15 +1258,15 @@
 
     /** A told limit sets the pace and cuts it when it runs low; absurd ones are passed over. */
     private void readReport(long now, UpstreamHealth scope, List<Double> report) {
-        ReportFields fields = settings.reports();
+        ReportFields fields = settings.reportFields();
         if (!fields.in(report) || !(report.get(fields.limit()) >= LEAST_PACE)) {
             return;
         }
-        double most = MOST_TOLD * Math.max(LEAST_PACE, settings.senders() * scope.sent.perSecond(now));
+        double most = MOST_TOLD * Math.max(LEAST_PACE, settings.senderCount() * scope.sent.perSecond(now));
         scope.weight = Math.min(report.get(fields.limit()), most);
         scope.left = report.get(fields.allowanceLeft());
         if (Double.isInfinite(scope.pace)) {
-            scope.pace = PART * scope.weight / settings.senders();
+            scope.pace = PART * scope.weight / settings.senderCount();
         } else if (scope.left < LOW_ALLOWANCE && now - scope.lastCut > SECOND) {
             cutPace(now, scope);
         }
@@ -1270,37 +1286,37 @@
 
     /** What each sender's turn behind a failure takes. */
     private long turn(UpstreamHealth scope, Event.AttemptCompleted e) {
-        return e.noPlace(settings.reports()) ? 0 : scope.turn(TURN, TURNS);
+        return e.connectionLimitReached(settings.reportFields()) ? 0 : scope.turn(TURN, TURNS);
     }
 
     private void onFull(long now, PendingMessage m, Call call, Event.AttemptCompleted e, boolean wasTrial) {
         UpstreamHealth scope = call.endpoint.scope;
-        long wait = e.toldWait();
+        long wait = e.retryAfterMicros();
         boolean fresh = call.sentAt >= scope.lastRefusal;
         scope.refusals += fresh ? 1 : 0;
         scope.lastRefusal = now;
         if (fresh || wait > 0) {
             long base = wait > 0 ? 0 : BACKOFF;
-            long pause = pause(turn(scope, e), base, m.type.deadline(), scope.refusals);
+            long pause = pause(turn(scope, e), base, m.type.deadlineMicros(), scope.refusals);
             scope.backoffUntil = Math.max(scope.backoffUntil, now + wait + pause);
         }
         if (wasTrial || wait > OUTAGE_LEAST && scope.breaker != BreakerState.OPEN) {
             open(now, scope);
-        } else if (call.sentAt >= scope.lastCut && !e.noPlace(settings.reports())) {
+        } else if (call.sentAt >= scope.lastCut && !e.connectionLimitReached(settings.reportFields())) {
             cutPace(now, scope);
         }
     }
 
     /** A turn among all senders, or half of the class's time up to all of it; doubled with each try. */
     private long pause(long turn, long base, long span, int tries) {
-        long first = Math.min(jitter(base + turn * settings.senders()), jitter(span));
+        long first = Math.min(jitter(base + turn * settings.senderCount()), jitter(span));
         return first << Math.min(tries - 1, MOST_DOUBLINGS);
     }
 
     private void cutPace(long now, UpstreamHealth scope) {
         double shown = scope.served.perSecond(now);
         double before = Math.min(scope.pace, Math.max(shown, scope.sent.perSecond(now)));
-        double least = Math.max(LEAST_PACE, PART_KEPT * scope.weight) / settings.senders();
+        double least = Math.max(LEAST_PACE, PART_KEPT * scope.weight) / settings.senderCount();
         scope.pace = Math.max(Math.max(least, CUT * shown), CUT * before);
         scope.lastCut = now;
         scope.lastRefusal = Math.max(scope.lastRefusal, now);
@@ -1318,23 +1334,23 @@
             scope.trials = 0;
         }
         scope.breaker = BreakerState.OPEN;
-        long pause = pause(TURN, BACKOFF, settings.longestTime(), 1 + ++scope.trials);
+        long pause = pause(TURN, BACKOFF, settings.longestDeadlineMicros(), 1 + ++scope.trials);
         // All senders' trials together come no faster than a slow start begins: what returns can take them.
         pause = Math.min(pause, jitter((long) (1.5 * SECOND / rampPace(0, scope))));
-        scope.trialAt = now + Math.min(TRIAL_LONGEST * settings.senders(), pause);
+        scope.trialAt = now + Math.min(TRIAL_LONGEST * settings.senderCount(), pause);
     }
 
     private double warmth(long now, UpstreamHealth scope) {
-        double span = settings.rules().coldSpan() + 1;
+        double span = settings.rules().slowStartMicros() + 1;
         return scope.breaker == BreakerState.OPEN ? 0 : Math.min(1, (now - scope.rampFrom) / span);
     }
 
     /** Messages a second that a slow start lets out: own former pace times what the rule allows. */
     private double rampPace(double warm, UpstreamHealth scope) {
         Rules rules = settings.rules();
-        double capacity = rules.startCapacity() + (1 - rules.startCapacity()) * warm;
-        double told = Math.max(LEAST_PACE, TOLD * scope.weight) / settings.senders();
-        return RAMP_SAFETY * rules.fallMultiple() * capacity * Math.max(scope.formerPace, told);
+        double capacity = rules.slowStartCapacity() + (1 - rules.slowStartCapacity()) * warm;
+        double told = Math.max(LEAST_PACE, TOLD * scope.weight) / settings.senderCount();
+        return RAMP_SAFETY * rules.overloadMultiple() * capacity * Math.max(scope.formerPace, told);
     }
 
     /** Between half of a pause and all of it. */
@@ -1352,7 +1368,7 @@
     private void setTimer(long now, Actions actions) {
         if (wakeAt != NEVER && (timerAt <= now || timerAt > wakeAt)) {
             timerAt = Math.max(wakeAt, now + 1);
-            actions.wake(timerAt - now, 0);
+            actions.scheduleTimer(timerAt - now, 0);
         }
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -15,25 +15,39 @@
     void step(long now, Event event, Actions actions);
 
     /** How many of the endpoints that are listed as ready get no ordinary messages now, for what was seen of them. */
-    default int avoided() {
+    default int avoidedEndpointCount() {
         return 0;
     }
 
     /** What another process should know that takes over now, one for each place that was called. */
-    default List<UpstreamSnapshot> learned(long now) {
+    default List<UpstreamSnapshot> snapshots(long now) {
         return List.of();
     }
 
     /** The keys that rest now. */
-    default List<KeyPause> rests(long now) {
+    default List<KeyPause> pausedKeys(long now) {
         return List.of();
     }
 
     /** How often an effect may happen. */
-    enum Effect {
-        SAFE,
-        KEYED,
-        UNSAFE
+    enum Idempotency {
+        /** Any number of executions does no harm. */
+        IDEMPOTENT("SAFE"),
+        /** The destination discards a repeated idempotency key for as long as it remembers the key. */
+        KEYED("KEYED"),
+        /** At most one execution, so an attempt that may have run is never repeated. */
+        NON_IDEMPOTENT("UNSAFE");
+
+        private final String wireName;
+
+        Idempotency(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The name in messages between daemons; it never changes. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** How far a destination's memory of a key reaches. */
@@ -45,7 +59,7 @@
 
     /** How the worth of a late message falls. */
     enum LateValueDecay {
-        EVEN,
+        LINEAR,
         HALVING
     }
 
@@ -86,51 +100,51 @@
     enum WeightKind {
         NONE,
         NOMINAL,
-        ROUGH
+        ESTIMATED
     }
 
     /** A class of messages. */
     record MessageClass(
-            double worth,
-            double lateShare,
-            long aim,
-            long deadline,
-            Effect effect,
+            double priorityWeight,
+            double lateValueShare,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
+            Idempotency idempotency,
             KeyScope keyScope,
-            long keyLife,
-            boolean inOrder) {}
+            long keyLifeMicros,
+            boolean ordered) {}
 
     /** A tenant: messages a second within its share, from all senders together. */
     record Tenant(double quotaPerSecond) {}
 
     /** A kind of destination. */
-    record DestinationKind(boolean routesApart, int messagesPerCall) {}
+    record DestinationKind(boolean independentEndpoints, int messagesPerCall) {}
 
     /** What the deployment permits. */
     record Limits(
-            int slots,
-            int openMessages,
+            int maxConcurrentCalls,
+            int maxPendingMessages,
             int maxAttempts,
             boolean parallelAttempts,
-            boolean cancel,
-            boolean retryAdvice,
-            long maxRetryAdvice,
+            boolean cancellationAllowed,
+            boolean retryAdviceAllowed,
+            long maxRetryAdviceMicros,
             int callsPerConnection,
-            long idleConnectionLife,
-            long connectTimeout) {}
+            long idleConnectionLifeMicros,
+            long connectTimeoutMicros) {}
 
     /** The figures of the rules. */
     record Rules(
-            long answerSlack,
-            long askWithin,
-            double startCapacity,
-            long coldSpan,
-            double fallMultiple,
-            long fallSpan,
-            long settle) {}
+            long answerSlackMicros,
+            long discoveryDeadlineMicros,
+            double slowStartCapacity,
+            long slowStartMicros,
+            double overloadMultiple,
+            long overloadWindowMicros,
+            long settlePeriodMicros) {}
 
     /** Prices that guide the choice of an endpoint; tolls are by zone and may be empty. */
-    record Prices(double handshake, double crossZone, List<Double> zoneToll) {}
+    record Prices(double handshake, double crossZone, List<Double> zoneTolls) {}
 
     /** Which values of a load report tell of a limit; -1 where none does. */
     record ReportFields(int allowanceLeft, int limit) {
@@ -143,27 +157,33 @@
     /** All that a sender is told at its start. */
     record Settings(
             long seed,
-            int senders,
+            int senderCount,
             int zone,
-            long tick,
-            boolean listOnRequest,
-            double overShareWorth,
-            LateValueDecay lateWorth,
-            WeightKind weights,
+            long tickMicros,
+            boolean endpointListPolled,
+            double overQuotaWeightFactor,
+            LateValueDecay lateValueDecay,
+            WeightKind weightKind,
             List<MessageClass> classes,
             List<Tenant> tenants,
             List<DestinationKind> kinds,
             Limits limits,
             Rules rules,
             Prices prices,
-            ReportFields reports) {
+            ReportFields reportFields) {
 
         /** Ends in an IllegalArgumentException that names what is out of range. */
         void check() {
-            require(senders > 0 && !classes.isEmpty(), "senders or classes");
-            require(limits.slots() > 0 && limits.openMessages() > 0 && limits.maxAttempts() > 0, "limits");
-            require(rules.startCapacity() > 0 && rules.coldSpan() >= 0 && rules.fallMultiple() > 0, "rules");
-            require(classes.stream().allMatch(c -> c.deadline() > 0 && c.aim() > 0), "classes");
+            require(senderCount > 0 && !classes.isEmpty(), "senders or classes");
+            require(
+                    limits.maxConcurrentCalls() > 0 && limits.maxPendingMessages() > 0 && limits.maxAttempts() > 0,
+                    "limits");
+            require(
+                    rules.slowStartCapacity() > 0 && rules.slowStartMicros() >= 0 && rules.overloadMultiple() > 0,
+                    "rules");
+            require(
+                    classes.stream().allMatch(c -> c.deadlineMicros() > 0 && c.latencyObjectiveMicros() > 0),
+                    "classes");
         }
 
         private static void require(boolean holds, String setting) {
@@ -173,19 +193,19 @@
         }
 
         /** The time of the class that has most, in microseconds. */
-        public long longestTime() {
+        public long longestDeadlineMicros() {
             long longest = 0;
             for (MessageClass type : classes) {
-                longest = Math.max(longest, type.deadline());
+                longest = Math.max(longest, type.deadlineMicros());
             }
             return longest;
         }
 
         /** The worth of the class that is worth most. */
-        public double mostWorth() {
+        public double highestPriorityWeight() {
             double most = 0;
             for (MessageClass type : classes) {
-                most = Math.max(most, type.worth());
+                most = Math.max(most, type.priorityWeight());
             }
             return most;
         }
@@ -194,20 +214,20 @@
         public Settings withClasses(List<MessageClass> others) {
             return new Settings(
                     seed,
-                    senders,
+                    senderCount,
                     zone,
-                    tick,
-                    listOnRequest,
-                    overShareWorth,
-                    lateWorth,
-                    weights,
+                    tickMicros,
+                    endpointListPolled,
+                    overQuotaWeightFactor,
+                    lateValueDecay,
+                    weightKind,
                     others,
                     tenants,
                     kinds,
                     limits,
                     rules,
                     prices,
-                    reports);
+                    reportFields);
         }
     }
 
@@ -219,41 +239,71 @@
      * out, or has been and is cold, since {@code since} microseconds; the messages a second and the latency it had before.
      */
     record HealthCheckpoint(
-            int destination, long endpoint, UpstreamStatus health, long since, double pace, double usual) {}
+            int destination,
+            long endpoint,
+            UpstreamStatus status,
+            long sinceMicros,
+            double callsPerSecond,
+            double usualLatencyMicros) {}
 
     /**
      * What is known of a place by a process that ends while another goes on at once: beside what outlasts any end, the
      * waits that bind and what was measured. Spans in microseconds from now, rates a second.
      */
     record UpstreamSnapshot(
-            HealthCheckpoint memory,
-            long waitLeft,
-            long backoffLeft,
-            double pace,
-            long refusedAgo,
-            long okAgo,
-            double present,
-            double p,
-            double odds,
-            double sent,
-            double served,
-            double weight,
-            double harm) {}
+            HealthCheckpoint checkpoint,
+            long retryAfterMicros,
+            long backoffMicros,
+            double pacePerSecond,
+            long sinceRejectionMicros,
+            long sinceSuccessMicros,
+            double presentLatencyMicros,
+            double expectedServiceMicros,
+            double successProbability,
+            double sentPerSecond,
+            double servedPerSecond,
+            double reportedLimit,
+            double failureRatio) {}
 
     /** The messages of a key wait for so long, but for the one named by its id, 0 for none. */
-    record KeyPause(long key, long left, long except) {}
+    record KeyPause(long key, long remainingMicros, long exemptMessage) {}
 
     /** How a destination fares as far as a sender has seen. */
     enum UpstreamStatus {
-        WELL,
-        OUT,
-        COLD
+        HEALTHY("WELL"),
+        UNAVAILABLE("OUT"),
+        SLOW_START("COLD");
+
+        private final String storedName;
+
+        UpstreamStatus(String storedName) {
+            this.storedName = storedName;
+        }
+
+        /** The name in journals, in ownership transfers and in decision traces; it never changes. */
+        public String storedName() {
+            return storedName;
+        }
+
+        /**
+         * The status with this stored name.
+         *
+         * @throws IllegalArgumentException if there is none
+         */
+        public static UpstreamStatus ofStoredName(String name) {
+            for (UpstreamStatus status : values()) {
+                if (status.storedName.equals(name)) {
+                    return status;
+                }
+            }
+            throw new IllegalArgumentException("unknown upstream status " + name);
+        }
     }
 
     /** Something that happened. */
     sealed interface Event {
         /** A new message; {@code timeLeft} is how long it may still be delivered. */
-        record MessageSubmitted(long id, int messageClass, int tenant, long key, long timeLeft, int destination)
+        record MessageSubmitted(long id, int messageClass, int tenant, long key, long timeLeftMicros, int destination)
                 implements Event {}
 
         /**
@@ -265,31 +315,31 @@
                 long id,
                 int messageClass,
                 long key,
-                long timeLeft,
+                long timeLeftMicros,
                 int destination,
                 int attempts,
-                long doubtAge,
-                long doubtEndpoint,
-                boolean cutOff)
+                long unknownOutcomeAgeMicros,
+                long unknownOutcomeEndpoint,
+                boolean attemptInterrupted)
                 implements Event {}
 
         /**
          * A call that the process before this one still has out, after its messages have been resumed with one attempt
          * less: its outcome is told like any other's. It began {@code sentAgo} ago.
          */
-        record CallInFlight(List<Long> ids, long endpoint, long sentAgo) implements Event {}
+        record CallInFlight(List<Long> ids, long endpoint, long sentAgoMicros) implements Event {}
 
         /** A message that an earlier process has answered, of a class that keeps its order: Concluded is still to come. */
         record CompletedMessageRecovered(long id, long key) implements Event {}
 
         /** What the process before this one knows of a place, behind the list. */
-        record UpstreamStateTransferred(UpstreamSnapshot learned) implements Event {}
+        record UpstreamStateTransferred(UpstreamSnapshot snapshot) implements Event {}
 
         /** A key rests, as the process before this one saw it, behind the messages that are resumed. */
-        record KeyPaused(KeyPause rest) implements Event {}
+        record KeyPaused(KeyPause pause) implements Event {}
 
         /** What an earlier process of this sender asked to be remembered, {@code age} ago; before what is resumed. */
-        record HealthRestored(HealthCheckpoint memory, long age) implements Event {}
+        record HealthRestored(HealthCheckpoint checkpoint, long ageMicros) implements Event {}
 
         /**
          * Other settings count from now on. A message under way keeps its class; {@code messageClass} of later events
@@ -302,21 +352,27 @@
          * ceiling, 0 for nothing. {@code first} is the share of the first message that is saved up already, where there was
          * no ceiling before; {@code back} tells that another daemon has just seen the destination answer after an outage.
          */
-        record FleetRateLimitChanged(int destination, double perSecond, double first, boolean back) implements Event {}
+        record FleetRateLimitChanged(int destination, double perSecond, double initialCredit, boolean recovered)
+                implements Event {}
 
         /**
          * What a call to a destination costs all daemons together from now on, as worth given up elsewhere: an arrival
          * worth less than {@code worth} is to be turned away, of one worth up to {@code upTo} the {@code share} is taken
          * on. {@code again} is when what was turned away may have a chance, in microseconds.
          */
-        record AdmissionPriceChanged(int destination, double worth, double upTo, double share, long again)
+        record AdmissionPriceChanged(
+                int destination,
+                double rejectedBelowWeight,
+                double sharedUpToWeight,
+                double admittedShare,
+                long retryAfterMicros)
                 implements Event {
             /** A call costs nothing. */
             public static final AdmissionPriceChanged NONE = new AdmissionPriceChanged(0, 0, 0, 1, 0);
         }
 
         /** The process will be ended after {@code timeLeft}; what is held then resumes in the next one. */
-        record ShutdownStarted(long timeLeft) implements Event {}
+        record ShutdownStarted(long timeLeftMicros) implements Event {}
 
         /** The final answer of a message has reached whom it was for: its key's turn passes on. */
         record CompletionAcknowledged(long id) implements Event {}
@@ -329,12 +385,12 @@
                 long id,
                 int attempt,
                 long endpoint,
-                AttemptOutcome ending,
-                long took,
-                boolean closed,
-                long toldWait,
-                List<Double> report,
-                long idle)
+                AttemptOutcome outcome,
+                long durationMicros,
+                boolean connectionClosed,
+                long retryAfterMicros,
+                List<Double> loadReport,
+                long connectionIdleMicros)
                 implements Event {
 
             public AttemptCompleted(
@@ -353,11 +409,11 @@
              * Whether its receiver had no place for the connection, rather than for the call: it turned a fresh one away without a word
              * of its limit, though answers tell of that. Places come free with each answer, and idle connections hold them.
              */
-            public boolean noPlace(ReportFields told) {
-                return ending == AttemptOutcome.FULL
-                        && idle == 0
-                        && toldWait == 0
-                        && report.isEmpty()
+            public boolean connectionLimitReached(ReportFields told) {
+                return outcome == AttemptOutcome.FULL
+                        && connectionIdleMicros == 0
+                        && retryAfterMicros == 0
+                        && loadReport.isEmpty()
                         && told.limit() >= 0;
             }
         }
@@ -375,7 +431,7 @@
         record TimerExpired(long token) implements Event {}
 
         /** A health check ended. */
-        record HealthCheckCompleted(long endpoint, AttemptOutcome ending, long took) implements Event {}
+        record HealthCheckCompleted(long endpoint, AttemptOutcome outcome, long durationMicros) implements Event {}
 
         /** Another sender told something. */
         record PeerMessageReceived(long from, byte[] data) implements Event {}
@@ -393,7 +449,7 @@
         void send(long id, long endpoint, long giveUpAt);
 
         /** Final answer: another try does no harm; {@code retryAfter} is advice, 0 for none. */
-        void refuse(long id, long retryAfter);
+        void reject(long id, long retryAfter);
 
         /** Final answer: nothing is said of the effect. */
         void fail(long id);
@@ -408,16 +464,16 @@
          * Messages that may not be repeated are not to go over connections that have lain idle for longer; callers
          * that pool none pass over it.
          */
-        default void trustIdle(long longest) {}
+        default void limitIdleReuse(long longest) {}
 
         /** Replaces what was remembered of the same place; callers without a lasting store pass over it. */
-        default void remember(HealthCheckpoint memory) {}
+        default void saveCheckpoint(HealthCheckpoint memory) {}
 
         /** Asks for a timer. */
-        void wake(long delay, long token);
+        void scheduleTimer(long delay, long token);
 
         /** Subscribes to changes of the list. */
-        void follow();
+        void subscribe();
 
         /** Adds a line to the operators' log. */
         void log(String text);
--- a/decisions/src/main/java/amberroute/decisions/PendingMessages.java
+++ b/decisions/src/main/java/amberroute/decisions/PendingMessages.java
@@ -377,7 +377,7 @@
             fade(now, d);
             return d.p;
         }
-        return usualLatency > 0 ? usualLatency : type.aim();
+        return usualLatency > 0 ? usualLatency : type.latencyObjectiveMicros();
     }
 
     double serviceTime(long now, PendingMessage m) {
@@ -566,7 +566,7 @@
         double lowest = 0;
         for (DispatchQueue b : buckets) {
             double slowest = Math.max(b.destination.p, serviceTime(now, b.destination, b.type));
-            double floor = Math.log(b.worth * b.destination.odds * Math.min(1, b.type.lateShare()) / slowest)
+            double floor = Math.log(b.worth * b.destination.odds * Math.min(1, b.type.lateValueShare()) / slowest)
                     - NEAR
                     - Math.max(b.last - now, 0) / k;
             if (least == null || floor <= lowest) {
@@ -593,7 +593,7 @@
             if (b.counted > 0 && load != null) {
                 if (b.steady < 0) {
                     load.unknown -= b.counted;
-                    load.aims -= b.counted * (double) b.type.aim();
+                    load.aims -= b.counted * (double) b.type.latencyObjectiveMicros();
                 } else {
                     load.known.add(
                             now, -b.counted * b.steady, -b.counted * b.fading * load.known.factor(b.countedAt, now));
@@ -609,7 +609,7 @@
                 load = load == null ? loads.computeIfAbsent(b.worth, w -> new Load(fadeSpan)) : load;
                 if (b.steady < 0) {
                     load.unknown += b.counted;
-                    load.aims += b.counted * (double) b.type.aim();
+                    load.aims += b.counted * (double) b.type.latencyObjectiveMicros();
                 } else {
                     load.known.add(now, b.counted * steady, b.counted * fading);
                 }
@@ -632,7 +632,7 @@
             Load load = loads.computeIfAbsent(b.worth, w -> new Load(fadeSpan));
             if (b.steady < 0) {
                 load.unknown += b.counted;
-                load.aims += b.counted * (double) b.type.aim();
+                load.aims += b.counted * (double) b.type.latencyObjectiveMicros();
             } else {
                 load.known.add(now, b.counted * b.steady, b.counted * b.fading * load.known.factor(b.countedAt, now));
             }
--- a/decisions/src/main/java/amberroute/decisions/SchedulerState.java
+++ b/decisions/src/main/java/amberroute/decisions/SchedulerState.java
@@ -298,11 +298,11 @@
         DeliveryScheduler.HealthCheckpoint memory(long now) {
             DeliveryScheduler.UpstreamStatus health =
                     switch (breaker) {
-                        case OPEN -> DeliveryScheduler.UpstreamStatus.OUT;
-                        case RAMP -> DeliveryScheduler.UpstreamStatus.COLD;
-                        case CLOSED -> DeliveryScheduler.UpstreamStatus.WELL;
+                        case OPEN -> DeliveryScheduler.UpstreamStatus.UNAVAILABLE;
+                        case RAMP -> DeliveryScheduler.UpstreamStatus.SLOW_START;
+                        case CLOSED -> DeliveryScheduler.UpstreamStatus.HEALTHY;
                     };
-            long since = now - (health == DeliveryScheduler.UpstreamStatus.OUT ? openedAt : rampFrom);
+            long since = now - (health == DeliveryScheduler.UpstreamStatus.UNAVAILABLE ? openedAt : rampFrom);
             return new DeliveryScheduler.HealthCheckpoint(destination, endpoint, health, since, formerPace, usual);
         }
 
@@ -326,17 +326,17 @@
         }
 
         void take(long now, DeliveryScheduler.UpstreamSnapshot l) {
-            present = l.present();
-            formerPace = l.memory().pace();
-            waitUntil = now + l.waitLeft();
-            backoffUntil = now + l.backoffLeft();
-            pace = l.pace();
-            lastRefusal = now - l.refusedAgo();
-            lastOk = now - l.okAgo();
-            sent.add(now, sent.sum(l.sent()));
-            served.add(now, served.sum(l.served()));
-            weight = l.weight();
-            harm = l.harm();
+            present = l.presentLatencyMicros();
+            formerPace = l.checkpoint().callsPerSecond();
+            waitUntil = now + l.retryAfterMicros();
+            backoffUntil = now + l.backoffMicros();
+            pace = l.pacePerSecond();
+            lastRefusal = now - l.sinceRejectionMicros();
+            lastOk = now - l.sinceSuccessMicros();
+            sent.add(now, sent.sum(l.sentPerSecond()));
+            served.add(now, served.sum(l.servedPerSecond()));
+            weight = l.reportedLimit();
+            harm = l.failureRatio();
         }
 
         UpstreamHealth(int destination, long endpoint, double sentSpan, double servedSpan) {
--- a/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
@@ -51,24 +51,24 @@
     private DeliveryScheduler.LateValueDecay lateWorth() {
         return values.getOrDefault("family_info.late", "even").equals("by_half")
                 ? DeliveryScheduler.LateValueDecay.HALVING
-                : DeliveryScheduler.LateValueDecay.EVEN;
+                : DeliveryScheduler.LateValueDecay.LINEAR;
     }
 
     private DeliveryScheduler.WeightKind weightKind() {
         return switch (values.getOrDefault("weight_kind", "off")) {
             case "nominal" -> DeliveryScheduler.WeightKind.NOMINAL;
-            case "rough" -> DeliveryScheduler.WeightKind.ROUGH;
+            case "rough" -> DeliveryScheduler.WeightKind.ESTIMATED;
             default -> DeliveryScheduler.WeightKind.NONE;
         };
     }
 
     private DeliveryScheduler.MessageClass messageClass(int i) {
         String p = "lanes." + i + ".";
-        DeliveryScheduler.Effect effect =
+        DeliveryScheduler.Idempotency effect =
                 switch (text(p + "effect")) {
-                    case "pure" -> DeliveryScheduler.Effect.SAFE;
-                    case "token" -> DeliveryScheduler.Effect.KEYED;
-                    case "side_effect" -> DeliveryScheduler.Effect.UNSAFE;
+                    case "pure" -> DeliveryScheduler.Idempotency.IDEMPOTENT;
+                    case "token" -> DeliveryScheduler.Idempotency.KEYED;
+                    case "side_effect" -> DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
                     default -> throw bad(p + "effect");
                 };
         DeliveryScheduler.KeyScope scope =
@@ -84,7 +84,7 @@
                 micros(p + "deadline_us"),
                 effect,
                 scope,
-                effect == DeliveryScheduler.Effect.KEYED ? micros(p + "key_ttl_us") : 0,
+                effect == DeliveryScheduler.Idempotency.KEYED ? micros(p + "key_ttl_us") : 0,
                 flag(p + "sequential"));
     }
 
--- a/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
+++ b/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
@@ -502,18 +502,18 @@
                 seed,
                 300,
                 0,
-                few.tick(),
+                few.tickMicros(),
                 false,
                 0.1,
-                few.lateWorth(),
-                few.weights(),
+                few.lateValueDecay(),
+                few.weightKind(),
                 few.classes(),
                 few.tenants(),
                 few.kinds(),
                 few.limits(),
                 few.rules(),
                 few.prices(),
-                few.reports());
+                few.reportFields());
     }
 
     @Test
@@ -723,7 +723,7 @@
             }
 
             @Override
-            public void refuse(long id, long retryAfter) {
+            public void reject(long id, long retryAfter) {
                 answered.add(id);
             }
 
@@ -739,10 +739,10 @@
             public void closeIdle(long endpoint) {}
 
             @Override
-            public void wake(long delay, long token) {}
+            public void scheduleTimer(long delay, long token) {}
 
             @Override
-            public void follow() {}
+            public void subscribe() {}
 
             @Override
             public void log(String text) {}
@@ -752,45 +752,45 @@
     // ---- Settings that change. ----
 
     private static DeliveryScheduler.Settings fewer(
-            DeliveryScheduler.Settings s, int attempts, DeliveryScheduler.Effect effect) {
+            DeliveryScheduler.Settings s, int attempts, DeliveryScheduler.Idempotency effect) {
         DeliveryScheduler.Limits l = s.limits();
         List<DeliveryScheduler.MessageClass> classes = s.classes().stream()
                 .map(c -> new DeliveryScheduler.MessageClass(
-                        c.worth(),
-                        c.lateShare(),
-                        c.aim(),
-                        c.deadline(),
+                        c.priorityWeight(),
+                        c.lateValueShare(),
+                        c.latencyObjectiveMicros(),
+                        c.deadlineMicros(),
                         effect,
                         c.keyScope(),
-                        c.keyLife(),
-                        c.inOrder()))
+                        c.keyLifeMicros(),
+                        c.ordered()))
                 .toList();
         return new DeliveryScheduler.Settings(
                 s.seed(),
-                s.senders(),
+                s.senderCount(),
                 s.zone(),
-                s.tick(),
-                s.listOnRequest(),
-                s.overShareWorth(),
-                s.lateWorth(),
-                s.weights(),
+                s.tickMicros(),
+                s.endpointListPolled(),
+                s.overQuotaWeightFactor(),
+                s.lateValueDecay(),
+                s.weightKind(),
                 classes,
                 s.tenants(),
                 s.kinds(),
                 new DeliveryScheduler.Limits(
-                        l.slots(),
-                        l.openMessages(),
+                        l.maxConcurrentCalls(),
+                        l.maxPendingMessages(),
                         attempts,
                         l.parallelAttempts(),
-                        l.cancel(),
-                        l.retryAdvice(),
-                        l.maxRetryAdvice(),
+                        l.cancellationAllowed(),
+                        l.retryAdviceAllowed(),
+                        l.maxRetryAdviceMicros(),
                         l.callsPerConnection(),
-                        l.idleConnectionLife(),
-                        l.connectTimeout()),
+                        l.idleConnectionLifeMicros(),
+                        l.connectTimeoutMicros()),
                 s.rules(),
                 s.prices(),
-                s.reports());
+                s.reportFields());
     }
 
     @Test
@@ -798,7 +798,7 @@
         SchedulerScript s = warmed(1, 2);
         s.arrive(1, SchedulerScript.SAFE, 1).turn();
         s.with(new Event.SettingsChanged(
-                        fewer(SchedulerScript.settings(8, false, 1), 12, DeliveryScheduler.Effect.UNSAFE)))
+                        fewer(SchedulerScript.settings(8, false, 1), 12, DeliveryScheduler.Idempotency.NON_IDEMPOTENT)))
                 .turn();
         s.pass(100_000).end(1, AttemptOutcome.ERROR).turn().pass(100_000);
         assertTrue(s.isOut(1), "a safe message was not sent again");
@@ -816,7 +816,7 @@
         SchedulerScript s = warmed(1, 2);
         s.arrive(1, SchedulerScript.SAFE, 1).turn().pass(100_000).end(1, AttemptOutcome.ERROR);
         s.with(new Event.SettingsChanged(
-                        fewer(SchedulerScript.settings(8, false, 1), 1, DeliveryScheduler.Effect.SAFE)))
+                        fewer(SchedulerScript.settings(8, false, 1), 1, DeliveryScheduler.Idempotency.IDEMPOTENT)))
                 .turn();
         assertEquals(List.of(1L), s.refused);
     }
@@ -827,8 +827,10 @@
         for (int attempts : new int[] {0, -1}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> s.configure(
-                            fewer(SchedulerScript.settings(8, false, 1), attempts, DeliveryScheduler.Effect.UNSAFE)));
+                    () -> s.configure(fewer(
+                            SchedulerScript.settings(8, false, 1),
+                            attempts,
+                            DeliveryScheduler.Idempotency.NON_IDEMPOTENT)));
         }
         s.arrive(1, SchedulerScript.SAFE, 1)
                 .turn()
@@ -958,22 +960,22 @@
     }
 
     private static DeliveryScheduler.UpstreamSnapshot sinceEver(DeliveryScheduler.UpstreamSnapshot l) {
-        DeliveryScheduler.HealthCheckpoint m = l.memory();
+        DeliveryScheduler.HealthCheckpoint m = l.checkpoint();
         return new DeliveryScheduler.UpstreamSnapshot(
                 new DeliveryScheduler.HealthCheckpoint(
-                        m.destination(), m.endpoint(), m.health(), 0, m.pace(), m.usual()),
-                l.waitLeft(),
-                l.backoffLeft(),
-                l.pace(),
-                l.refusedAgo(),
-                l.okAgo(),
-                l.present(),
-                l.p(),
-                l.odds(),
-                l.sent(),
-                l.served(),
-                l.weight(),
-                l.harm());
+                        m.destination(), m.endpoint(), m.status(), 0, m.callsPerSecond(), m.usualLatencyMicros()),
+                l.retryAfterMicros(),
+                l.backoffMicros(),
+                l.pacePerSecond(),
+                l.sinceRejectionMicros(),
+                l.sinceSuccessMicros(),
+                l.presentLatencyMicros(),
+                l.expectedServiceMicros(),
+                l.successProbability(),
+                l.sentPerSecond(),
+                l.servedPerSecond(),
+                l.reportedLimit(),
+                l.failureRatio());
     }
 
     @Test
--- a/decisions/src/test/java/amberroute/decisions/EmbeddingExampleTest.java
+++ b/decisions/src/test/java/amberroute/decisions/EmbeddingExampleTest.java
@@ -12,12 +12,12 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The README's example stands here word for word, so that it compiles and runs. */
+/** The example of docs/embedding.md stands here word for word, so that it compiles and runs. */
 class EmbeddingExampleTest {
     private final List<String> done = new ArrayList<>();
 
     // example begins
-    /** Carries out what the relay decides; a real sender would start calls and timers here. */
+    /** Carries out what the scheduler decides; a real sender would start calls and timers here. */
     final class Printer implements DeliveryScheduler.Actions {
         @Override
         public void send(long id, long endpoint, long giveUpAt) {
@@ -25,8 +25,8 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
-            done.add("refuse " + id);
+        public void reject(long id, long retryAfter) {
+            done.add("reject " + id);
         }
 
         @Override
@@ -45,13 +45,13 @@
         }
 
         @Override
-        public void wake(long delay, long token) {
-            done.add("wake");
+        public void scheduleTimer(long delay, long token) {
+            done.add("timer");
         }
 
         @Override
-        public void follow() {
-            done.add("follow");
+        public void subscribe() {
+            done.add("subscribe");
         }
 
         @Override
@@ -61,18 +61,18 @@
     }
 
     void sendOne(DeliveryScheduler.Settings settings) {
-        DeliveryScheduler relay = new AtcDeliveryScheduler(settings);
+        DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings);
         DeliveryScheduler.Actions actions = new Printer();
         long now = 1_000_000;
-        relay.step(
+        scheduler.step(
                 now,
                 new DeliveryScheduler.Event.EndpointListUpdated(
                         DeliveryScheduler.EndpointListKind.FULL,
                         List.of(new DeliveryScheduler.EndpointEntry(
                                 42, 1, DeliveryScheduler.EndpointState.READY, 1, 0, 0))),
                 actions);
-        relay.step(now, new DeliveryScheduler.Event.MessageSubmitted(7, 0, 0, 0, 5_000_000, 1), actions);
-        relay.step(now, new DeliveryScheduler.Event.Decide(), actions);
+        scheduler.step(now, new DeliveryScheduler.Event.MessageSubmitted(7, 0, 0, 0, 5_000_000, 1), actions);
+        scheduler.step(now, new DeliveryScheduler.Event.Decide(), actions);
     }
     // example ends
 
@@ -83,11 +83,11 @@
     }
 
     @Test
-    void readmeShowsTheSame() throws IOException {
+    void documentationShowsTheSame() throws IOException {
         assertEquals(
-                code(Files.readString(Path.of("..", "README.md")), "```java\n(.*?)```"),
+                code(Files.readString(Path.of("..", "docs", "embedding.md")), "```java\n(.*?)```"),
                 code(
-                        Files.readString(Path.of("src/test/java/amberroute/EmbeddingExampleTest.java")),
+                        Files.readString(Path.of("src/test/java/amberroute/decisions/EmbeddingExampleTest.java")),
                         "// example begins\n(.*?) *// example ends"));
     }
 
--- a/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
@@ -289,13 +289,13 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "20,1.3,false,200,UNSAFE,5",
-        "20,1.3,false,200,UNSAFE,1",
-        "20,0.8,true,200,UNSAFE,5",
-        "20,0.8,true,200,UNSAFE,1",
-        "20,1.3,true,12,UNSAFE,1",
-        "2,1.5,true,60,UNSAFE,5",
-        "2,1.5,true,60,UNSAFE,1",
+        "20,1.3,false,200,NON_IDEMPOTENT,5",
+        "20,1.3,false,200,NON_IDEMPOTENT,1",
+        "20,0.8,true,200,NON_IDEMPOTENT,5",
+        "20,0.8,true,200,NON_IDEMPOTENT,1",
+        "20,1.3,true,12,NON_IDEMPOTENT,1",
+        "2,1.5,true,60,NON_IDEMPOTENT,5",
+        "2,1.5,true,60,NON_IDEMPOTENT,1",
         "20,1.3,false,200,KEYED,1",
         "20,0.8,true,200,KEYED,5",
         "20,0.8,true,200,KEYED,1",
@@ -303,7 +303,12 @@
         "2,1.5,true,60,KEYED,1"
     })
     void whatARestartFindsUntriedAndMayNotRepeatIsTried(
-            int senders, double load, boolean outage, int mostHeld, DeliveryScheduler.Effect effect, double worth) {
+            int senders,
+            double load,
+            boolean outage,
+            int mostHeld,
+            DeliveryScheduler.Idempotency effect,
+            double worth) {
         int untried = 0;
         int givenUp = 0;
         for (int seed = 0; seed < 5; seed++) {
--- a/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
@@ -119,7 +119,7 @@
 
     /** {@code mostHeld} messages may each instance hold. */
     FleetSimulation(int senders, long seed, int mostHeld) {
-        this(senders, seed, mostHeld, type(2, DeliveryScheduler.Effect.UNSAFE));
+        this(senders, seed, mostHeld, type(2, DeliveryScheduler.Idempotency.NON_IDEMPOTENT));
     }
 
     /** {@code other}: the class of what may not simply be repeated; all else is safe and worth 2. */
@@ -143,9 +143,9 @@
                 1_000,
                 false,
                 0.1,
-                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.LateValueDecay.LINEAR,
                 DeliveryScheduler.WeightKind.NONE,
-                List.of(type(2, DeliveryScheduler.Effect.SAFE), other),
+                List.of(type(2, DeliveryScheduler.Idempotency.IDEMPOTENT), other),
                 List.of(),
                 List.of(new DeliveryScheduler.DestinationKind(false, 1)),
                 new DeliveryScheduler.Limits(
@@ -156,7 +156,7 @@
     }
 
     /** A class with 12 s, repeats of which are known for 1 s where they carry a key. */
-    static DeliveryScheduler.MessageClass type(double worth, DeliveryScheduler.Effect effect) {
+    static DeliveryScheduler.MessageClass type(double worth, DeliveryScheduler.Idempotency effect) {
         return new DeliveryScheduler.MessageClass(
                 worth,
                 0.5,
@@ -164,7 +164,7 @@
                 12_000_000,
                 effect,
                 DeliveryScheduler.KeyScope.DESTINATION,
-                effect == DeliveryScheduler.Effect.KEYED ? 1_000_000 : 0,
+                effect == DeliveryScheduler.Idempotency.KEYED ? 1_000_000 : 0,
                 false);
     }
 
@@ -478,7 +478,7 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
+        public void reject(long id, long retryAfter) {
             attempts.remove(id);
             gaveUp(id);
             turnedAway++;
@@ -501,7 +501,7 @@
         }
 
         @Override
-        public void wake(long delay, long token) {
+        public void scheduleTimer(long delay, long token) {
             int lived = life;
             at(now + delay, () -> {
                 if (!dead() && lived == life) {
@@ -512,13 +512,13 @@
         }
 
         @Override
-        public void remember(DeliveryScheduler.HealthCheckpoint told) {
+        public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint told) {
             memory = told;
             rememberedAt = now;
         }
 
         @Override
-        public void follow() {}
+        public void subscribe() {}
 
         @Override
         public void log(String text) {}
--- a/decisions/src/test/java/amberroute/decisions/SchedulerScript.java
+++ b/decisions/src/test/java/amberroute/decisions/SchedulerScript.java
@@ -61,8 +61,10 @@
 
     static DeliveryScheduler.Settings settings(int slots, boolean onRequest, int perCall) {
         List<DeliveryScheduler.MessageClass> classes = List.of(
-                type(3, DeliveryScheduler.Effect.SAFE, false), type(1, DeliveryScheduler.Effect.KEYED, false),
-                type(4, DeliveryScheduler.Effect.UNSAFE, false), type(1, DeliveryScheduler.Effect.KEYED, true));
+                type(3, DeliveryScheduler.Idempotency.IDEMPOTENT, false),
+                        type(1, DeliveryScheduler.Idempotency.KEYED, false),
+                type(4, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false),
+                        type(1, DeliveryScheduler.Idempotency.KEYED, true));
         return new DeliveryScheduler.Settings(
                 7,
                 2,
@@ -70,7 +72,7 @@
                 5_000,
                 onRequest,
                 0.1,
-                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.LateValueDecay.LINEAR,
                 DeliveryScheduler.WeightKind.NONE,
                 classes,
                 List.of(),
@@ -81,7 +83,8 @@
                 new DeliveryScheduler.ReportFields(-1, -1));
     }
 
-    private static DeliveryScheduler.MessageClass type(double worth, DeliveryScheduler.Effect effect, boolean inOrder) {
+    private static DeliveryScheduler.MessageClass type(
+            double worth, DeliveryScheduler.Idempotency effect, boolean inOrder) {
         return new DeliveryScheduler.MessageClass(
                 worth, 0.5, 2_000_000, 16_000_000, effect, DeliveryScheduler.KeyScope.DESTINATION, 6_000_000, inOrder);
     }
@@ -110,7 +113,7 @@
     SchedulerScript arrive(long id, int type, int destination, long key) {
         Told told = new Told();
         told.type = type;
-        told.due = now + settings.classes().get(type).deadline();
+        told.due = now + settings.classes().get(type).deadlineMicros();
         told.key = key;
         messages.put(id, told);
         return with(new Event.MessageSubmitted(id, type, 0, key, told.due - now, destination));
@@ -146,15 +149,15 @@
     }
 
     List<DeliveryScheduler.UpstreamSnapshot> learned() {
-        return policy.learned(now);
+        return policy.snapshots(now);
     }
 
     List<DeliveryScheduler.KeyPause> rests() {
-        return policy.rests(now);
+        return policy.pausedKeys(now);
     }
 
     int avoided() {
-        return policy.avoided();
+        return policy.avoidedEndpointCount();
     }
 
     void configure(DeliveryScheduler.Settings other) {
@@ -245,7 +248,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfter) {
+    public void reject(long id, long retryAfter) {
         Told told = messages.get(id);
         assertFalse(told.ended, "answered twice: " + id);
         assertFalse(told.out && told.type != SAFE, "refused while out: " + id);
@@ -275,13 +278,13 @@
     }
 
     @Override
-    public void wake(long delay, long token) {
+    public void scheduleTimer(long delay, long token) {
         assertTrue(delay > 0, "a timer in the past");
         timers.add(now + delay);
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         follows++;
     }
 
--- a/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
@@ -136,20 +136,20 @@
     }
 
     private static DeliveryScheduler.MessageClass type(
-            double worth, double late, long aim, long deadline, DeliveryScheduler.Effect effect, boolean order) {
+            double worth, double late, long aim, long deadline, DeliveryScheduler.Idempotency effect, boolean order) {
         return new DeliveryScheduler.MessageClass(
                 worth, late, aim, deadline, effect, DeliveryScheduler.KeyScope.DESTINATION, deadline, order);
     }
 
     private static final DeliveryScheduler.MessageClass SAFE =
-            type(2, 0.5, 3_000_000, LONG, DeliveryScheduler.Effect.SAFE, false);
+            type(2, 0.5, 3_000_000, LONG, DeliveryScheduler.Idempotency.IDEMPOTENT, false);
     private static final DeliveryScheduler.MessageClass ORDERED =
-            type(1, 0.2, 2_000_000, LONG, DeliveryScheduler.Effect.KEYED, true);
+            type(1, 0.2, 2_000_000, LONG, DeliveryScheduler.Idempotency.KEYED, true);
     private static final DeliveryScheduler.MessageClass UNSAFE =
-            type(4, 0.7, 1_000_000, LONG, DeliveryScheduler.Effect.UNSAFE, false);
+            type(4, 0.7, 1_000_000, LONG, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false);
 
     private static Arena arena(int slots, int open) {
-        return new Arena(settings(slots, open, DeliveryScheduler.LateValueDecay.EVEN, SAFE, ORDERED, UNSAFE));
+        return new Arena(settings(slots, open, DeliveryScheduler.LateValueDecay.LINEAR, SAFE, ORDERED, UNSAFE));
     }
 
     /** Buckets change their order all at once as service times move, an outage makes one explode, and it falls back. */
@@ -303,10 +303,10 @@
                     3,
                     400,
                     late,
-                    type(0, 0, 1, 1, DeliveryScheduler.Effect.SAFE, false),
-                    type(0, 0, 1, 400_000_000_000L, DeliveryScheduler.Effect.KEYED, true),
-                    type(1e9, 1, 90_000_000_000L, 90_000_000_000L, DeliveryScheduler.Effect.UNSAFE, false),
-                    type(1e-9, 0.5, 5, 1_000_000, DeliveryScheduler.Effect.SAFE, false)));
+                    type(0, 0, 1, 1, DeliveryScheduler.Idempotency.IDEMPOTENT, false),
+                    type(0, 0, 1, 400_000_000_000L, DeliveryScheduler.Idempotency.KEYED, true),
+                    type(1e9, 1, 90_000_000_000L, 90_000_000_000L, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false),
+                    type(1e-9, 0.5, 5, 1_000_000, DeliveryScheduler.Idempotency.IDEMPOTENT, false)));
             a.compared = false;
             a.list(5, 1, DeliveryScheduler.EndpointState.READY);
             SplittableRandom random = new SplittableRandom(9);
--- a/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
@@ -37,7 +37,7 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
+        public void reject(long id, long retryAfter) {
             lines.add("refuse " + id + " " + retryAfter);
             answered.add(id);
         }
@@ -60,23 +60,23 @@
         }
 
         @Override
-        public void trustIdle(long longest) {
+        public void limitIdleReuse(long longest) {
             lines.add("trustIdle " + longest);
         }
 
         @Override
-        public void remember(DeliveryScheduler.HealthCheckpoint memory) {
+        public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint memory) {
             lines.add("remember " + memory);
         }
 
         @Override
-        public void wake(long delay, long token) {
+        public void scheduleTimer(long delay, long token) {
             lines.add("wake " + delay);
             wake = delay;
         }
 
         @Override
-        public void follow() {
+        public void subscribe() {
             lines.add("follow");
         }
 
@@ -139,7 +139,7 @@
                         0.5,
                         1_500_000,
                         12_000_000,
-                        DeliveryScheduler.Effect.SAFE,
+                        DeliveryScheduler.Idempotency.IDEMPOTENT,
                         DeliveryScheduler.KeyScope.DESTINATION,
                         0,
                         false),
@@ -148,7 +148,7 @@
                         0.5,
                         1_000_000,
                         10_000_000,
-                        DeliveryScheduler.Effect.KEYED,
+                        DeliveryScheduler.Idempotency.KEYED,
                         DeliveryScheduler.KeyScope.values()[random.nextInt(3)],
                         4_000_000 + random.nextInt(8_000_000),
                         true),
@@ -157,7 +157,7 @@
                         random.nextDouble(),
                         2_000_000,
                         8_000_000,
-                        DeliveryScheduler.Effect.UNSAFE,
+                        DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
                         DeliveryScheduler.KeyScope.DESTINATION,
                         0,
                         random.nextBoolean()));
@@ -168,7 +168,9 @@
                 5_000,
                 random.nextBoolean(),
                 0.3,
-                random.nextBoolean() ? DeliveryScheduler.LateValueDecay.EVEN : DeliveryScheduler.LateValueDecay.HALVING,
+                random.nextBoolean()
+                        ? DeliveryScheduler.LateValueDecay.LINEAR
+                        : DeliveryScheduler.LateValueDecay.HALVING,
                 DeliveryScheduler.WeightKind.NONE,
                 classes,
                 random.nextBoolean()
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
@@ -194,22 +194,28 @@
         configure(settings);
         random = new SplittableRandom(settings.seed());
         for (Tenant tenant : settings.tenants()) {
-            shares.add(new TokenBucket(tenant.quotaPerSecond() / settings.senders(), TENANT_BURST));
+            shares.add(new TokenBucket(tenant.quotaPerSecond() / settings.senderCount(), TENANT_BURST));
         }
-        followAt = settings.listOnRequest() ? 0 : NEVER;
-        trustedIdle = settings.limits().idleConnectionLife();
+        followAt = settings.endpointListPolled() ? 0 : NEVER;
+        trustedIdle = settings.limits().idleConnectionLifeMicros();
     }
 
     private void configure(Settings fresh) {
         Limits limits = fresh.limits();
         Rules rules = fresh.rules();
-        require(fresh.senders() > 0 && !fresh.classes().isEmpty(), "senders or classes");
-        require(limits.slots() > 0 && limits.openMessages() > 0 && limits.maxAttempts() > 0, "limits");
-        require(rules.startCapacity() > 0 && rules.coldSpan() >= 0 && rules.fallMultiple() > 0, "rules");
-        require(fresh.classes().stream().allMatch(c -> c.deadline() > 0 && c.aim() > 0), "classes");
+        require(fresh.senderCount() > 0 && !fresh.classes().isEmpty(), "senders or classes");
+        require(
+                limits.maxConcurrentCalls() > 0 && limits.maxPendingMessages() > 0 && limits.maxAttempts() > 0,
+                "limits");
+        require(rules.slowStartCapacity() > 0 && rules.slowStartMicros() >= 0 && rules.overloadMultiple() > 0, "rules");
+        require(
+                fresh.classes().stream().allMatch(c -> c.deadlineMicros() > 0 && c.latencyObjectiveMicros() > 0),
+                "classes");
         settings = fresh;
-        longestTime =
-                fresh.classes().stream().mapToLong(MessageClass::deadline).max().orElse(0);
+        longestTime = fresh.classes().stream()
+                .mapToLong(MessageClass::deadlineMicros)
+                .max()
+                .orElse(0);
     }
 
     private static void require(boolean holds, String setting) {
@@ -229,7 +235,7 @@
         } else if (event instanceof Event.MessageRecovered e) {
             onResumed(now, e);
         } else if (event instanceof Event.HealthRestored e) {
-            onRemembered(now, e.memory(), e.memory().since() + e.age());
+            onRemembered(now, e.checkpoint(), e.checkpoint().sinceMicros() + e.ageMicros());
         } else if (event instanceof Event.CallInFlight e) {
             onUnderway(now, e, actions);
         } else if (event instanceof Event.CompletedMessageRecovered e) {
@@ -238,15 +244,15 @@
             m.turn.queue.add(m);
             concluding.put(e.id(), m);
         } else if (event instanceof Event.UpstreamStateTransferred e) {
-            onTakenOver(now, e.learned());
+            onTakenOver(now, e.snapshot());
         } else if (event instanceof Event.KeyPaused e) {
-            onResting(now, e.rest());
+            onResting(now, e.pause());
         } else if (event instanceof Event.SettingsChanged e) {
             configure(e.settings());
         } else if (event instanceof Event.FleetRateLimitChanged e) {
             onCeiling(now, e);
         } else if (event instanceof Event.ShutdownStarted e) {
-            stopsAt = now + e.timeLeft();
+            stopsAt = now + e.timeLeftMicros();
         } else if (event instanceof Event.CompletionAcknowledged e) {
             onConcluded(now, e.id());
         } else if (event instanceof Event.MessageCancelled e) {
@@ -261,7 +267,7 @@
     }
 
     @Override
-    public int avoided() {
+    public int avoidedEndpointCount() {
         return (int) endpoints.values().stream()
                 .filter(point -> point.state == EndpointState.READY
                         && (point.scope.breaker == BreakerState.OPEN || point.failures + point.lost >= STREAK))
@@ -278,8 +284,8 @@
                     .removeIf(d ->
                             d.endpoints.isEmpty() && messages.values().stream().noneMatch(m -> m.destination == d));
         }
-        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
-        m.worth *= withinShare(now, e.tenant()) ? 1 : settings.overShareWorth();
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeftMicros(), e.destination());
+        m.worth *= withinShare(now, e.tenant()) ? 1 : settings.overQuotaWeightFactor();
         arrivals.add(m);
     }
 
@@ -289,10 +295,10 @@
         m.type =
                 settings.classes().get(Math.min(messageClass, settings.classes().size() - 1));
         m.destination = destination(destination);
-        m.due = now + Math.min(m.type.deadline(), timeLeft);
-        m.aim = m.due - m.type.deadline() + m.type.aim();
-        m.worth = m.type.worth();
-        if (m.type.inOrder() && key != 0) {
+        m.due = now + Math.min(m.type.deadlineMicros(), timeLeft);
+        m.aim = m.due - m.type.deadlineMicros() + m.type.latencyObjectiveMicros();
+        m.worth = m.type.priorityWeight();
+        if (m.type.ordered() && key != 0) {
             m.turn = turn(key);
             m.turn.queue.add(m);
         }
@@ -311,15 +317,17 @@
         if (messages.containsKey(e.id())) {
             return;
         }
-        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeft(), e.destination());
+        PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeftMicros(), e.destination());
         m.attempts = e.attempts();
-        m.worth = m.attempts == 0 && m.type.effect() != Effect.SAFE ? settings.mostWorth() : m.worth;
-        if (e.doubtAge() >= 0) {
-            m.doubtSince = now - e.doubtAge();
-            m.doubtAt = endpoints.get(e.doubtEndpoint());
-        }
-        if (e.cutOff() && m.turn != null) {
-            m.turn.restUntil = now + settings.rules().settle();
+        m.worth = m.attempts == 0 && m.type.idempotency() != Idempotency.IDEMPOTENT
+                ? settings.highestPriorityWeight()
+                : m.worth;
+        if (e.unknownOutcomeAgeMicros() >= 0) {
+            m.doubtSince = now - e.unknownOutcomeAgeMicros();
+            m.doubtAt = endpoints.get(e.unknownOutcomeEndpoint());
+        }
+        if (e.attemptInterrupted() && m.turn != null) {
+            m.turn.restUntil = now + settings.rules().settlePeriodMicros();
             m.turn.restsAfter = m;
         }
     }
@@ -331,40 +339,40 @@
      */
     private void onRemembered(long now, HealthCheckpoint memory, long age) {
         Endpoint point = endpoints.get(memory.endpoint());
-        if (memory.endpoint() != 0 && point == null || memory.health() == UpstreamStatus.WELL) {
+        if (memory.endpoint() != 0 && point == null || memory.status() == UpstreamStatus.HEALTHY) {
             return;
         }
         Destination destination = destination(memory.destination());
         UpstreamHealth scope = point == null ? destination.shared : point.scope;
-        scope.usual = memory.usual();
-        scope.present = memory.usual();
-        scope.formerPace = memory.pace();
-        if (memory.usual() > 0) {
-            destination.p = memory.usual();
+        scope.usual = memory.usualLatencyMicros();
+        scope.present = memory.usualLatencyMicros();
+        scope.formerPace = memory.callsPerSecond();
+        if (memory.usualLatencyMicros() > 0) {
+            destination.p = memory.usualLatencyMicros();
             destination.measured = true;
         }
-        scope.breaker = memory.health() == UpstreamStatus.OUT ? BreakerState.OPEN : BreakerState.RAMP;
+        scope.breaker = memory.status() == UpstreamStatus.UNAVAILABLE ? BreakerState.OPEN : BreakerState.RAMP;
         scope.openedAt = now - age;
         scope.rampFrom = now - age;
         scope.rampSent = now;
         scope.trialAt = now;
-        scope.harm = memory.health() == UpstreamStatus.OUT ? 1 : 0;
+        scope.harm = memory.status() == UpstreamStatus.UNAVAILABLE ? 1 : 0;
     }
 
     /** What is to outlast the process changes with the breaker only, so it is seldom written. */
     private void remember(long now, Actions actions) {
-        turned.forEach(scope -> actions.remember(memory(now, scope)));
+        turned.forEach(scope -> actions.saveCheckpoint(memory(now, scope)));
         turned.clear();
     }
 
     private static HealthCheckpoint memory(long now, UpstreamHealth scope) {
         UpstreamStatus health =
                 switch (scope.breaker) {
-                    case OPEN -> UpstreamStatus.OUT;
-                    case RAMP -> UpstreamStatus.COLD;
-                    case CLOSED -> UpstreamStatus.WELL;
+                    case OPEN -> UpstreamStatus.UNAVAILABLE;
+                    case RAMP -> UpstreamStatus.SLOW_START;
+                    case CLOSED -> UpstreamStatus.HEALTHY;
                 };
-        long since = now - (health == UpstreamStatus.OUT ? scope.openedAt : scope.rampFrom);
+        long since = now - (health == UpstreamStatus.UNAVAILABLE ? scope.openedAt : scope.rampFrom);
         return new HealthCheckpoint(scope.destination, scope.endpoint, health, since, scope.formerPace, scope.usual);
     }
 
@@ -378,22 +386,22 @@
                 .toList();
         if (point != null && !load.isEmpty()) {
             Call call = startCall(now, point, actions);
-            call.sentAt = now - e.sentAgo();
+            call.sentAt = now - e.sentAgoMicros();
             load.forEach(m -> load(now, m, call));
         }
     }
 
     private void onResting(long now, KeyPause rest) {
         KeyQueue turn = turn(rest.key());
-        turn.restUntil = now + rest.left();
-        turn.restsAfter = messages.get(rest.except());
+        turn.restUntil = now + rest.remainingMicros();
+        turn.restsAfter = messages.get(rest.exemptMessage());
         if (turn.queue.isEmpty()) {
             resting.add(turn);
         }
     }
 
     @Override
-    public List<KeyPause> rests(long now) {
+    public List<KeyPause> pausedKeys(long now) {
         return turns.values().stream()
                 .filter(t -> t.restUntil > now)
                 .map(t -> new KeyPause(t.key, t.restUntil - now, t.restsAfter == null ? 0 : t.restsAfter.id))
@@ -401,7 +409,7 @@
     }
 
     @Override
-    public List<UpstreamSnapshot> learned(long now) {
+    public List<UpstreamSnapshot> snapshots(long now) {
         return endpoints.values().stream()
                 .map(point -> point.scope)
                 .distinct()
@@ -426,36 +434,36 @@
     }
 
     private void onTakenOver(long now, UpstreamSnapshot l) {
-        Endpoint point = endpoints.get(l.memory().endpoint());
-        if (l.memory().endpoint() != 0 && point == null) {
+        Endpoint point = endpoints.get(l.checkpoint().endpoint());
+        if (l.checkpoint().endpoint() != 0 && point == null) {
             return;
         }
-        onRemembered(now, l.memory(), l.memory().since());
-        Destination destination = destination(l.memory().destination());
+        onRemembered(now, l.checkpoint(), l.checkpoint().sinceMicros());
+        Destination destination = destination(l.checkpoint().destination());
         UpstreamHealth scope = point == null ? destination.shared : point.scope;
-        scope.usual = l.memory().usual();
-        scope.present = l.present();
+        scope.usual = l.checkpoint().usualLatencyMicros();
+        scope.present = l.presentLatencyMicros();
         usualLatency = usualLatency == 0 ? scope.usual : usualLatency + FAST * (scope.usual - usualLatency);
-        destination.measured |= l.p() > 0;
-        destination.p = l.p() > 0 ? l.p() : destination.p;
-        destination.odds = l.odds();
-        scope.formerPace = l.memory().pace();
-        scope.waitUntil = now + l.waitLeft();
-        scope.backoffUntil = now + l.backoffLeft();
-        scope.pace = l.pace();
-        scope.lastRefusal = now - l.refusedAgo();
-        scope.lastOk = now - l.okAgo();
-        scope.sent.add(now, l.sent() * SENT_SPAN / SECOND);
-        scope.served.add(now, l.served() * SERVED_SPAN / SECOND);
-        scope.weight = l.weight();
-        scope.harm = l.harm();
+        destination.measured |= l.expectedServiceMicros() > 0;
+        destination.p = l.expectedServiceMicros() > 0 ? l.expectedServiceMicros() : destination.p;
+        destination.odds = l.successProbability();
+        scope.formerPace = l.checkpoint().callsPerSecond();
+        scope.waitUntil = now + l.retryAfterMicros();
+        scope.backoffUntil = now + l.backoffMicros();
+        scope.pace = l.pacePerSecond();
+        scope.lastRefusal = now - l.sinceRejectionMicros();
+        scope.lastOk = now - l.sinceSuccessMicros();
+        scope.sent.add(now, l.sentPerSecond() * SENT_SPAN / SECOND);
+        scope.served.add(now, l.servedPerSecond() * SERVED_SPAN / SECOND);
+        scope.weight = l.reportedLimit();
+        scope.harm = l.failureRatio();
     }
 
     /** That another has seen it answer is worth a trial now: its own turn may be many seconds away. */
     private void onCeiling(long now, Event.FleetRateLimitChanged e) {
         Destination destination = destination(e.destination());
-        destination.ceiling.set(now, e.perSecond(), e.first());
-        destination.endpoints.forEach(p -> p.scope.trialAt = e.back() ? now : p.scope.trialAt);
+        destination.ceiling.set(now, e.perSecond(), e.initialCredit());
+        destination.endpoints.forEach(p -> p.scope.trialAt = e.recovered() ? now : p.scope.trialAt);
     }
 
     private void onConcluded(long now, long id) {
@@ -491,7 +499,7 @@
         Call call = m.out;
         m.out = null;
         m.calledOff = false;
-        m.ended |= e.closed();
+        m.ended |= e.connectionClosed();
         if (--call.waiting == 0) {
             slotsUsed--;
             call.endpoint.inFlight--;
@@ -507,30 +515,34 @@
                 call.endpoint.scope.members.forEach(point -> point.lost = 0);
             }
         }
-        boolean ran = !NEVER_RAN.contains(e.ending());
+        boolean ran = !NEVER_RAN.contains(e.outcome());
         if (ran && m.doubtSince == NEVER) {
             m.doubtSince = call.sentAt;
             m.doubtAt = call.endpoint;
         }
-        if (m.turn != null && ran && e.ending() != AttemptOutcome.OK && e.ending() != AttemptOutcome.ERROR) {
-            m.turn.restUntil = now + settings.rules().settle();
+        if (m.turn != null && ran && e.outcome() != AttemptOutcome.OK && e.outcome() != AttemptOutcome.ERROR) {
+            m.turn.restUntil = now + settings.rules().settlePeriodMicros();
             m.turn.restsAfter = m;
         }
-        m.timeOuts += e.ending() == AttemptOutcome.TIMEOUT ? 1 : 0;
+        m.timeOuts += e.outcome() == AttemptOutcome.TIMEOUT ? 1 : 0;
         m.failedAt = call.endpoint;
         UpstreamHealth scope = call.endpoint.scope;
         if (m.attempts >= Math.max(2, m.destination.endpoints.size())) {
-            m.notBefore =
-                    now + pause(e.noPlace(settings.reports()) ? 0 : turn(scope), 0, m.type.deadline(), m.attempts - 1);
+            m.notBefore = now
+                    + pause(
+                            e.connectionLimitReached(settings.reportFields()) ? 0 : turn(scope),
+                            0,
+                            m.type.deadlineMicros(),
+                            m.attempts - 1);
         }
-        if (e.toldWait() > 0) {
-            scope.waitUntil = Math.max(scope.waitUntil, now + e.toldWait() + 1);
+        if (e.retryAfterMicros() > 0) {
+            scope.waitUntil = Math.max(scope.waitUntil, now + e.retryAfterMicros() + 1);
         }
         if (!call.noted) {
             call.noted = true;
             learn(now, m, call, e);
         }
-        scope.served.add(now, e.ending() == AttemptOutcome.OK ? 1 : 0);
+        scope.served.add(now, e.outcome() == AttemptOutcome.OK ? 1 : 0);
         forgetIfDone(now, m);
     }
 
@@ -564,7 +576,7 @@
     private void onListing(long now, Event.EndpointListUpdated e) {
         if (e.kind() == EndpointListKind.FAILED) {
             long pause = FOLLOW_PAUSE << Math.min(followFailures++, 6);
-            followAt = now + jitter(Math.min(pause, settings.rules().askWithin() / 4));
+            followAt = now + jitter(Math.min(pause, settings.rules().discoveryDeadlineMicros() / 4));
             return;
         }
         followFailures = e.kind() == EndpointListKind.CACHED ? followFailures : 0;
@@ -594,7 +606,7 @@
                     ? new DestinationKind(false, 1)
                     : settings.kinds()
                             .get(Math.min(entry.kind(), settings.kinds().size() - 1));
-            point.scope = !kind.routesApart()
+            point.scope = !kind.independentEndpoints()
                     ? point.destination.shared
                     : new UpstreamHealth(entry.destination(), point.id, SENT_SPAN, SERVED_SPAN);
             point.messagesPerCall = Math.max(1, kind.messagesPerCall());
@@ -605,7 +617,7 @@
         }
         point.zone = entry.zone();
         point.state = entry.state();
-        if (settings.weights() != WeightKind.NONE) {
+        if (settings.weightKind() != WeightKind.NONE) {
             // Where the list tells none, a limit that was reported must outlast the next change of the list.
             point.scope.weight = entry.weight();
         }
@@ -624,14 +636,16 @@
 
     /** Until when the class lets this message be sent again. */
     private static long repeatableUntil(PendingMessage m) {
-        if (m.doubtSince == NEVER || m.type.effect() == Effect.SAFE) {
+        if (m.doubtSince == NEVER || m.type.idempotency() == Idempotency.IDEMPOTENT) {
             return NEVER;
         }
-        return m.type.effect() == Effect.UNSAFE ? 0 : m.doubtSince + m.type.keyLife() - KEY_MARGIN;
+        return m.type.idempotency() == Idempotency.NON_IDEMPOTENT
+                ? 0
+                : m.doubtSince + m.type.keyLifeMicros() - KEY_MARGIN;
     }
 
     private static boolean remembered(PendingMessage m, Endpoint point) {
-        if (m.doubtSince == NEVER || m.type.effect() == Effect.SAFE) {
+        if (m.doubtSince == NEVER || m.type.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         return switch (m.type.keyScope()) {
@@ -643,18 +657,18 @@
 
     private static boolean mayRefuse(PendingMessage m) {
         return m.out == null
-                && (m.type.effect() == Effect.SAFE
+                && (m.type.idempotency() == Idempotency.IDEMPOTENT
                         || m.doubtSince == NEVER
-                        || m.type.effect() == Effect.KEYED && m.type.keyScope() == KeyScope.DESTINATION);
+                        || m.type.idempotency() == Idempotency.KEYED && m.type.keyScope() == KeyScope.DESTINATION);
     }
 
     /** The final answer: a refusal wherever that is harmless, since the client may then come again. */
     private void answer(long now, PendingMessage m, long advice, Actions actions) {
         if (mayRefuse(m)) {
-            actions.refuse(
+            actions.reject(
                     m.id,
-                    settings.limits().retryAdvice()
-                            ? Math.max(0, Math.min(advice, settings.limits().maxRetryAdvice()))
+                    settings.limits().retryAdviceAllowed()
+                            ? Math.max(0, Math.min(advice, settings.limits().maxRetryAdviceMicros()))
                             : 0);
         } else {
             actions.fail(m.id);
@@ -669,7 +683,7 @@
     private void decide(long now, Actions actions) {
         wakeAt = NEVER;
         if (followAt <= now) {
-            actions.follow();
+            actions.subscribe();
             followAt = NEVER;
         }
         note(followAt);
@@ -679,7 +693,7 @@
         callOff(now, actions);
         if (trustedIdle != toldTrust) {
             toldTrust = trustedIdle;
-            actions.trustIdle((long) trustedIdle);
+            actions.limitIdleReuse((long) trustedIdle);
         }
         choose(now, actions);
         remember(now, actions);
@@ -746,12 +760,12 @@
                 continue;
             }
             long wait = predictedWait(now, m);
-            if (held > settings.limits().slots() && m.due - now - wait < 0) {
+            if (held > settings.limits().maxConcurrentCalls() && m.due - now - wait < 0) {
                 answer(now, m, wait, actions);
             }
         }
         arrivals.clear();
-        while (messages.size() > ROOM * settings.limits().openMessages()) {
+        while (messages.size() > ROOM * settings.limits().maxPendingMessages()) {
             PendingMessage least = messages.values().stream()
                     .filter(m -> m.out == null && !m.ended)
                     .min(Comparator.comparingDouble(m -> m.index))
@@ -798,10 +812,10 @@
                 opens = Math.min(opens, returnsAt(now, last));
             }
         }
-        double wait = Math.max(all / settings.limits().slots(), here / Math.max(1, cap));
+        double wait = Math.max(all / settings.limits().maxConcurrentCalls(), here / Math.max(1, cap));
         pace = Math.min(pace, m.destination.ceiling.perSecond());
         if (pace > 0) {
-            double paced = Math.min(aheadHere / pace * SECOND, settings.rules().coldSpan());
+            double paced = Math.min(aheadHere / pace * SECOND, settings.rules().slowStartMicros());
             wait = Math.max(wait, Math.max(0, opens - now) + paced);
         }
         return (long) wait;
@@ -816,7 +830,9 @@
     // ---- Choice. ----
 
     private double serviceTime(PendingMessage m) {
-        return m.destination.measured ? m.destination.p : usualLatency > 0 ? usualLatency : m.type.aim();
+        return m.destination.measured
+                ? m.destination.p
+                : usualLatency > 0 ? usualLatency : m.type.latencyObjectiveMicros();
     }
 
     /** I = (w/p) exp(-max(d - t, 0) / (k p')). */
@@ -831,9 +847,9 @@
         if (at <= m.aim) {
             return 1;
         }
-        double late = m.type.lateShare();
-        if (settings.lateWorth() == LateValueDecay.HALVING) {
-            return Math.max(late, Math.pow(0.5, Math.ceil((at - m.aim) / m.type.aim())));
+        double late = m.type.lateValueShare();
+        if (settings.lateValueDecay() == LateValueDecay.HALVING) {
+            return Math.max(late, Math.pow(0.5, Math.ceil((at - m.aim) / m.type.latencyObjectiveMicros())));
         }
         double span = Math.max(1, m.due - m.aim);
         return 1 - (1 - late) * Math.min(1, (at - m.aim) / span);
@@ -862,12 +878,12 @@
                     && open.messages < open.endpoint.messagesPerCall
                     && mayRisk(now, m, open.endpoint.scope)
                     && sharesFate(now, m, open)
-                    && (m.type.effect() == Effect.SAFE || !probing(open.endpoint.scope));
+                    && (m.type.idempotency() == Idempotency.IDEMPOTENT || !probing(open.endpoint.scope));
             if (joins && remembered(m, open.endpoint) && endsInTime(now, m, open.endpoint)) {
                 load(now, m, open);
                 continue;
             }
-            if (slotsUsed >= settings.limits().slots()) {
+            if (slotsUsed >= settings.limits().maxConcurrentCalls()) {
                 continue;
             }
             Endpoint point = endpointFor(now, m);
@@ -900,12 +916,14 @@
      * Harm: where most calls go on failing, unsafe messages wait for the last part of their time.
      */
     private boolean mayRisk(long now, PendingMessage m, UpstreamHealth scope) {
-        boolean late = m.due - now < LAST_SHARE * m.type.deadline();
+        boolean late = m.due - now < LAST_SHARE * m.type.deadlineMicros();
         return risk(now, m) <= m.destination.leastRisk || !probing(scope) && (scope.harm < DOUBT || late);
     }
 
     private int risk(long now, PendingMessage m) {
-        return m.type.effect() == Effect.UNSAFE ? 4 : m.type.effect().ordinal() + (hurried(now, m) ? 2 : 0);
+        return m.type.idempotency() == Idempotency.NON_IDEMPOTENT
+                ? 4
+                : m.type.idempotency().ordinal() + (hurried(now, m) ? 2 : 0);
     }
 
     /** Its time may run out before a slow answer: it would be given up before that is silence. */
@@ -953,7 +971,7 @@
     /** Before the process ends, no unsafe attempt starts whose outcome it may not see: that would lose it. */
     private boolean endsInTime(long now, PendingMessage m, Endpoint point) {
         return stopsAt == NEVER
-                || m.type.effect() != Effect.UNSAFE
+                || m.type.idempotency() != Idempotency.NON_IDEMPOTENT
                 || now + LAST_CALLS * Math.max(serviceTime(m), present(now, point.scope)) < stopsAt;
     }
 
@@ -962,7 +980,7 @@
                 && point.inFlight
                         < point.connections * Math.max(1, settings.limits().callsPerConnection());
         boolean far = settings.prices().crossZone() > 0 && point.zone != settings.zone();
-        List<Double> tolls = settings.prices().zoneToll();
+        List<Double> tolls = settings.prices().zoneTolls();
         double toll = point.zone < tolls.size() ? tolls.get(point.zone) : 0;
         return point.inFlight
                 + (warm ? 0 : COLD_CONNECTION)
@@ -1003,7 +1021,7 @@
         call.messages++;
         call.waiting++;
         call.load.add(m);
-        call.unsafe |= m.type.effect() == Effect.UNSAFE;
+        call.unsafe |= m.type.idempotency() == Idempotency.NON_IDEMPOTENT;
         m.destination.ceiling.charge();
         m.attempts++;
         m.out = call;
@@ -1022,7 +1040,8 @@
 
     /** Unsafe attempts run to the end, as giving one up loses the message. */
     private long giveUpAt(long now, PendingMessage m, Call call) {
-        if (m.type.effect() == Effect.UNSAFE || m.attempts >= settings.limits().maxAttempts()) {
+        if (m.type.idempotency() == Idempotency.NON_IDEMPOTENT
+                || m.attempts >= settings.limits().maxAttempts()) {
             return m.due;
         }
         double expected = Math.max(serviceTime(m), present(now, call.endpoint.scope));
@@ -1049,7 +1068,7 @@
      * unseen; they are shut before use. It covers firewalls and restarts too. Harm: more handshakes.
      */
     private void judgeConnection(Call call, boolean lost, boolean told) {
-        double life = settings.limits().idleConnectionLife();
+        double life = settings.limits().idleConnectionLifeMicros();
         double seen = lost ? 1 : 0;
         freshLost += call.idleBefore == 0 ? FAST_POOLED * (seen - freshLost) : 0;
         idleLost += call.idleBefore > 0 ? FAST_POOLED * (seen - idleLost) : 0;
@@ -1075,7 +1094,7 @@
             return NEVER;
         }
         if (scope.breaker == BreakerState.RAMP
-                && now - scope.rampFrom >= settings.rules().coldSpan()) {
+                && now - scope.rampFrom >= settings.rules().slowStartMicros()) {
             scope.breaker = BreakerState.CLOSED;
         }
         if (scope.breaker == BreakerState.RAMP) {
@@ -1083,7 +1102,7 @@
                     at,
                     Math.min(
                             scope.rampSent + (long) (SECOND / rampPace(warmth(now, scope), scope)),
-                            scope.rampFrom + settings.rules().coldSpan()));
+                            scope.rampFrom + settings.rules().slowStartMicros()));
         }
         if (now - scope.lastRefusal > PACE_LIFE && scope.weight == 0) {
             scope.pace = Double.POSITIVE_INFINITY;
@@ -1107,7 +1126,7 @@
 
     /** Latency-scaled cap: all slots at the usual pace, else their share usual over present; at least one. */
     private int cap(long now, UpstreamHealth scope) {
-        int slots = settings.limits().slots();
+        int slots = settings.limits().maxConcurrentCalls();
         if (scope.usual == 0) {
             return slots;
         }
@@ -1160,7 +1179,7 @@
      * stop a sender. It covers hangs and dropped connections. Harm: very slow answers are lost.
      */
     private void callOff(long now, Actions actions) {
-        int slots = settings.limits().slots();
+        int slots = settings.limits().maxConcurrentCalls();
         long silent = busy.stream()
                 .flatMap(scope -> scope.calls.stream())
                 .filter(c -> c.silent)
@@ -1172,7 +1191,7 @@
             if (m.out != null
                     && m.out.silent
                     && !m.calledOff
-                    && settings.limits().cancel()) {
+                    && settings.limits().cancellationAllowed()) {
                 Call call = m.out;
                 UpstreamHealth scope = call.endpoint.scope;
                 boolean due = pressed && now - call.sentAt > (call.unsafe ? PATIENCE : 1) * silence(scope)
@@ -1210,42 +1229,44 @@
         if (wasTrial) {
             scope.trial = null;
         }
-        boolean told = e.idle() >= 0;
+        boolean told = e.connectionIdleMicros() >= 0;
         idleTold |= told;
         if (told) {
-            call.idleBefore = e.idle();
+            call.idleBefore = e.connectionIdleMicros();
         }
         if (!call.silent) {
-            judgeConnection(call, e.ending() == AttemptOutcome.RESET || e.ending() == AttemptOutcome.TIMEOUT, told);
+            judgeConnection(call, e.outcome() == AttemptOutcome.RESET || e.outcome() == AttemptOutcome.TIMEOUT, told);
         }
         unconnected += FAST_POOLED
-                * ((e.ending() == AttemptOutcome.CONNECT_FAILED || e.noPlace(settings.reports()) ? 1 : 0)
+                * ((e.outcome() == AttemptOutcome.CONNECT_FAILED || e.connectionLimitReached(settings.reportFields())
+                                ? 1
+                                : 0)
                         - unconnected);
-        m.destination.odds += FAST * ((e.ending() == AttemptOutcome.OK ? 1 : 0) - m.destination.odds);
-        if (!NEVER_RAN.contains(e.ending())) {
-            scope.harm += FAST * ((e.ending() == AttemptOutcome.OK ? 0 : 1) - scope.harm);
+        m.destination.odds += FAST * ((e.outcome() == AttemptOutcome.OK ? 1 : 0) - m.destination.odds);
+        if (!NEVER_RAN.contains(e.outcome())) {
+            scope.harm += FAST * ((e.outcome() == AttemptOutcome.OK ? 0 : 1) - scope.harm);
         }
-        switch (e.ending()) {
+        switch (e.outcome()) {
             case OK -> onOk(now, call, e);
             case FULL -> onFull(now, m, call, e, wasTrial);
             case MOOT -> {}
             case CANCELLED -> {
                 if (call.silent && call.sentAt >= call.endpoint.lastOk) {
-                    onFailure(now, call, e.ending(), wasTrial);
+                    onFailure(now, call, e.outcome(), wasTrial);
                 }
             }
             case TIMEOUT -> {
                 // A trial given up early for its message's sake shows slowness at most: another is due.
-                m.destination.p += FAST * Math.max(0, e.took() - m.destination.p);
-                scope.present += FAST * Math.max(0, e.took() - scope.present);
+                m.destination.p += FAST * Math.max(0, e.durationMicros() - m.destination.p);
+                scope.present += FAST * Math.max(0, e.durationMicros() - scope.present);
                 if (!wasTrial || now - call.sentAt >= silence(scope)) {
-                    onFailure(now, call, e.ending(), wasTrial);
+                    onFailure(now, call, e.outcome(), wasTrial);
                 }
             }
             default -> {
                 // A kept connection that is reset tells of itself; a sick endpoint shows on a fresh one.
-                if (e.ending() != AttemptOutcome.RESET || !told || e.idle() == 0 || wasTrial) {
-                    onFailure(now, call, e.ending(), wasTrial);
+                if (e.outcome() != AttemptOutcome.RESET || !told || e.connectionIdleMicros() == 0 || wasTrial) {
+                    onFailure(now, call, e.outcome(), wasTrial);
                 }
             }
         }
@@ -1254,7 +1275,7 @@
     private void onOk(long now, Call call, Event.AttemptCompleted e) {
         UpstreamHealth scope = call.endpoint.scope;
         Destination destination = call.endpoint.destination;
-        double took = Math.max(1, e.took());
+        double took = Math.max(1, e.durationMicros());
         usualLatency = usualLatency == 0 ? took : usualLatency + FAST_POOLED * (took - usualLatency);
         destination.p = destination.measured ? destination.p + FAST * (took - destination.p) : took;
         destination.measured = true;
@@ -1277,9 +1298,9 @@
             scope.rampFrom = now;
             scope.rampSent = now;
         }
-        readReport(now, scope, e.report());
+        readReport(now, scope, e.loadReport());
         if (!Double.isInfinite(scope.pace) && !(scope.left < ENOUGH)) {
-            double part = scope.weight / settings.senders() * Math.min(1, (now - scope.lastRaise) / SECOND);
+            double part = scope.weight / settings.senderCount() * Math.min(1, (now - scope.lastRaise) / SECOND);
             scope.pace += scope.weight > 0 ? PART_GAIN * part : RAISE * scope.pace;
             scope.lastRaise = now;
         }
@@ -1287,18 +1308,18 @@
 
     /** A reported allowance that runs low cuts the pace before refusals do. */
     private void readReport(long now, UpstreamHealth scope, List<Double> report) {
-        ReportFields fields = settings.reports();
+        ReportFields fields = settings.reportFields();
         if (Math.max(fields.allowanceLeft(), fields.limit()) >= report.size()
                 || fields.allowanceLeft() < 0
                 || fields.limit() < 0
                 || !(report.get(fields.limit()) >= LEAST_PACE)) {
             return;
         }
-        double most = MOST_TOLD * Math.max(LEAST_PACE, settings.senders() * scope.sent.perSecond(now));
+        double most = MOST_TOLD * Math.max(LEAST_PACE, settings.senderCount() * scope.sent.perSecond(now));
         scope.weight = Math.min(report.get(fields.limit()), most);
         scope.left = report.get(fields.allowanceLeft());
         if (Double.isInfinite(scope.pace)) {
-            scope.pace = PART * scope.weight / settings.senders();
+            scope.pace = PART * scope.weight / settings.senderCount();
         } else if (scope.left < LOW_ALLOWANCE && now - scope.lastCut > SECOND) {
             cutPace(now, scope);
         }
@@ -1317,22 +1338,22 @@
     }
 
     private void onFull(long now, PendingMessage m, Call call, Event.AttemptCompleted e, boolean wasTrial) {
-        long wait = e.toldWait();
+        long wait = e.retryAfterMicros();
         UpstreamHealth scope = call.endpoint.scope;
         boolean fresh = call.sentAt >= scope.lastRefusal;
         scope.refusals += fresh ? 1 : 0;
         scope.lastRefusal = now;
         if (fresh || wait > 0) {
             long pause = pause(
-                    e.noPlace(settings.reports()) ? 0 : turn(scope),
+                    e.connectionLimitReached(settings.reportFields()) ? 0 : turn(scope),
                     wait > 0 ? 0 : BACKOFF,
-                    m.type.deadline(),
+                    m.type.deadlineMicros(),
                     scope.refusals);
             scope.backoffUntil = Math.max(scope.backoffUntil, now + wait + pause);
         }
         if (wasTrial || wait > OUTAGE_LEAST && scope.breaker != BreakerState.OPEN) {
             open(now, scope);
-        } else if (call.sentAt >= scope.lastCut && !e.noPlace(settings.reports())) {
+        } else if (call.sentAt >= scope.lastCut && !e.connectionLimitReached(settings.reportFields())) {
             cutPace(now, scope);
         }
     }
@@ -1343,14 +1364,14 @@
     }
 
     private long pause(long each, long base, long span, int tries) {
-        long turn = Math.min(jitter(base + each * settings.senders()), jitter(span));
+        long turn = Math.min(jitter(base + each * settings.senderCount()), jitter(span));
         return turn << Math.min(tries - 1, MOST_DOUBLINGS);
     }
 
     private void cutPace(long now, UpstreamHealth scope) {
         double shown = scope.served.perSecond(now);
         double before = Math.min(scope.pace, Math.max(shown, scope.sent.perSecond(now)));
-        double least = Math.max(LEAST_PACE, PART_KEPT * scope.weight) / settings.senders();
+        double least = Math.max(LEAST_PACE, PART_KEPT * scope.weight) / settings.senderCount();
         scope.pace = Math.max(Math.max(least, CUT * shown), CUT * before);
         scope.lastCut = now;
         scope.lastRefusal = Math.max(scope.lastRefusal, now);
@@ -1369,20 +1390,20 @@
         scope.breaker = BreakerState.OPEN;
         long pause = pause(TURN, BACKOFF, longestTime, 1 + ++scope.trials);
         pause = Math.min(pause, jitter((long) (1.5 * SECOND / rampPace(0, scope))));
-        scope.trialAt = now + Math.min(TRIAL_LONGEST * settings.senders(), pause);
+        scope.trialAt = now + Math.min(TRIAL_LONGEST * settings.senderCount(), pause);
     }
 
     private double warmth(long now, UpstreamHealth scope) {
-        double span = settings.rules().coldSpan() + 1;
+        double span = settings.rules().slowStartMicros() + 1;
         return scope.breaker == BreakerState.OPEN ? 0 : Math.min(1, (now - scope.rampFrom) / span);
     }
 
     /** Messages a second that a slow start lets out: own former pace times what the rule allows. */
     private double rampPace(double warm, UpstreamHealth scope) {
         Rules rules = settings.rules();
-        double capacity = rules.startCapacity() + (1 - rules.startCapacity()) * warm;
-        double told = Math.max(LEAST_PACE, 0.75 * scope.weight) / settings.senders();
-        return RAMP_SAFETY * rules.fallMultiple() * capacity * Math.max(scope.formerPace, told);
+        double capacity = rules.slowStartCapacity() + (1 - rules.slowStartCapacity()) * warm;
+        double told = Math.max(LEAST_PACE, 0.75 * scope.weight) / settings.senderCount();
+        return RAMP_SAFETY * rules.overloadMultiple() * capacity * Math.max(scope.formerPace, told);
     }
 
     /** Between half of a pause and all of it. */
@@ -1400,7 +1421,7 @@
     private void setTimer(long now, Actions actions) {
         if (wakeAt != NEVER && (timerAt <= now || timerAt > wakeAt)) {
             timerAt = Math.max(wakeAt, now + 1);
-            actions.wake(timerAt - now, 0);
+            actions.scheduleTimer(timerAt - now, 0);
         }
     }
 
--- a/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
@@ -69,9 +69,9 @@
                 world.follow(wanted);
                 wanted.lines.forEach(line -> seen.merge(line.split(" ")[0], 1, Integer::sum));
             }
-            if (old.avoided() != fresh.avoided()) {
-                throw new AssertionError(
-                        "seed " + seed + ", step " + step + ": " + old.avoided() + " avoided, now " + fresh.avoided());
+            if (old.avoidedEndpointCount() != fresh.avoidedEndpointCount()) {
+                throw new AssertionError("seed " + seed + ", step " + step + ": " + old.avoidedEndpointCount()
+                        + " avoided, now " + fresh.avoidedEndpointCount());
             }
             event = world.next();
         }
--- a/membership/src/main/java/amberroute/membership/Heartbeat.java
+++ b/membership/src/main/java/amberroute/membership/Heartbeat.java
@@ -39,9 +39,9 @@
     /** How a partner fares as one daemon sees it; NEW is one that has not answered it yet. */
     public enum Health {
         NEW,
-        WELL,
-        OUT,
-        COLD
+        HEALTHY,
+        UNAVAILABLE,
+        SLOW_START
     }
 
     /**
--- a/quota/src/main/java/amberroute/quota/SlowStartLimit.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimit.java
@@ -99,7 +99,7 @@
         if (mine == Health.NEW) {
             // Cold from now, unless peers know better.
             long back = coldSince(now);
-            mine = wellElsewhere(now) ? Health.WELL : Health.COLD;
+            mine = wellElsewhere(now) ? Health.HEALTHY : Health.SLOW_START;
             backAt = back >= 0 ? back : now;
         }
         okAt = now;
@@ -109,10 +109,10 @@
 
     /** What the decision module has found: an outage or its end, since when. */
     void found(long now, Health health, long since) {
-        if (health == Health.OUT) {
+        if (health == Health.UNAVAILABLE) {
             outAt = since;
-        } else if (health == Health.COLD) {
-            outAt = mine == Health.OUT ? outAt : since;
+        } else if (health == Health.SLOW_START) {
+            outAt = mine == Health.UNAVAILABLE ? outAt : since;
             backAt = since;
         }
         mine = health;
@@ -130,10 +130,14 @@
             return false;
         }
         PeerReport before = told.put(peer, new PeerReport(news, now));
-        boolean well = news.health() == Health.WELL || news.health() == Health.COLD;
+        boolean well = news.health() == Health.HEALTHY || news.health() == Health.SLOW_START;
         boolean wasWell =
                 before != null && now - before.at() < FRESH && before.news().health() == news.health();
-        return mine == Health.OUT && well && !wasWell && news.okAgo() >= 0 && now - news.okAgo() * 1_000L > outAt;
+        return mine == Health.UNAVAILABLE
+                && well
+                && !wasWell
+                && news.okAgo() >= 0
+                && now - news.okAgo() * 1_000L > outAt;
     }
 
     private boolean fresh(long now, PeerReport t) {
@@ -143,7 +147,7 @@
     private boolean wellElsewhere(long now) {
         return told.values().stream()
                 .anyMatch(t -> fresh(now, t)
-                        && t.news().health() == Health.WELL
+                        && t.news().health() == Health.HEALTHY
                         && t.news().okAgo() >= 0
                         && now - t.ago(t.news().okAgo(), now) < RECENT);
     }
@@ -154,7 +158,7 @@
         for (PeerReport t : told.values()) {
             long back = t.ago(t.news().backAgo(), now);
             if (fresh(now, t)
-                    && t.news().health() == Health.COLD
+                    && t.news().health() == Health.SLOW_START
                     && back >= 0
                     && now - back < rules.span()
                     && !answeredBetween(t.ago(t.news().outAgo(), now), back)) {
@@ -183,15 +187,15 @@
 
     /** Since when it warms up; {@code now} while it has not come back, -1 where there is no limit. */
     private long from(long now) {
-        if (mine == Health.COLD && now - backAt >= rules.span()) {
-            mine = Health.WELL;
+        if (mine == Health.SLOW_START && now - backAt >= rules.span()) {
+            mine = Health.HEALTHY;
         }
         long elsewhere = coldSince(now);
         return switch (mine) {
-            case OUT -> now;
+            case UNAVAILABLE -> now;
             case NEW -> wellElsewhere(now) ? -1 : elsewhere >= 0 ? elsewhere : now;
-            case COLD -> Math.max(backAt, elsewhere);
-            case WELL -> elsewhere;
+            case SLOW_START -> Math.max(backAt, elsewhere);
+            case HEALTHY -> elsewhere;
         };
     }
 
@@ -296,7 +300,7 @@
     SlowStartUpdate news(long now) {
         // An end of the cold span is noticed by looking.
         from(now);
-        long since = mine == Health.COLD || mine == Health.WELL ? backAt : -1;
+        long since = mine == Health.SLOW_START || mine == Health.HEALTHY ? backAt : -1;
         return new SlowStartUpdate(
                 destination,
                 mine,
--- a/quota/src/main/java/amberroute/quota/SlowStartLimits.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimits.java
@@ -157,8 +157,8 @@
             List<Map.Entry<Integer, SlowStartLimit>> turned = new ArrayList<>(all.subList(from, all.size()));
             turned.addAll(all.subList(0, from));
             all = turned;
-            all.sort(Comparator.comparing(
-                    e -> e.getValue().health() == Health.OUT || e.getValue().health() == Health.COLD ? 0 : 1));
+            all.sort(Comparator.comparing(e ->
+                    e.getValue().health() == Health.UNAVAILABLE || e.getValue().health() == Health.SLOW_START ? 0 : 1));
         }
         return all.stream()
                 .limit(Heartbeat.MOST_NEWS)
--- a/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
+++ b/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
@@ -138,7 +138,7 @@
             if (!fresh) {
                 // It has seen the outage, and what the partner did before.
                 d.limits.answered(now, PARTNER);
-                d.limits.found(now, PARTNER, Health.OUT, now);
+                d.limits.found(now, PARTNER, Health.UNAVAILABLE, now);
             }
             set(d, now, d.limits.known(now, PARTNER));
             fleet.add(d);
@@ -261,7 +261,7 @@
                 }
                 if (d.knowsOut) {
                     d.knowsOut = false;
-                    d.limits.found(now, PARTNER, Health.COLD, now);
+                    d.limits.found(now, PARTNER, Health.SLOW_START, now);
                     tell(at, d);
                 }
             }
@@ -336,7 +336,7 @@
     }
 
     private static Heartbeat.SlowStartUpdate well(int okAgo) {
-        return new Heartbeat.SlowStartUpdate(PARTNER, Health.WELL, -1, -1, okAgo, 100, 100, 0);
+        return new Heartbeat.SlowStartUpdate(PARTNER, Health.HEALTHY, -1, -1, okAgo, 100, 100, 0);
     }
 
     private static SlowStartLimit limit(int daemons) {
@@ -350,7 +350,7 @@
         limit.told(2_000, "b", well(100));
         assertTrue(Double.isInfinite(limit.perSecond(3_000)));
         limit.answered(4_000);
-        assertEquals(Health.WELL, limit.health());
+        assertEquals(Health.HEALTHY, limit.health());
         // A word that is old or of an answer long ago says nothing.
         SlowStartLimit other = limit(10);
         other.told(2_000, "b", well(6_000));
@@ -368,7 +368,7 @@
             limit.answered(now);
         }
         Heartbeat.SlowStartUpdate claims =
-                new Heartbeat.SlowStartUpdate(PARTNER, Health.COLD, 8_000, 500, 100, 5, 100, 0);
+                new Heartbeat.SlowStartUpdate(PARTNER, Health.SLOW_START, 8_000, 500, 100, 5, 100, 0);
         limit.told(20_000_000, "b", claims);
         assertTrue(Double.isInfinite(limit.perSecond(20_000_000)));
         // One that was answered by nobody here meanwhile is believed.
@@ -386,9 +386,10 @@
         SlowStartLimit limit = limit(10);
         limit.told(0, "c", well(100));
         limit.answered(1_000);
-        limit.found(2_000_000, Health.OUT, 2_000_000);
+        limit.found(2_000_000, Health.UNAVAILABLE, 2_000_000);
         assertTrue(!limit.told(2_100_000, "b", well(3_000)), "its answer is older than the outage");
-        Heartbeat.SlowStartUpdate back = new Heartbeat.SlowStartUpdate(PARTNER, Health.COLD, 4_000, 10, 10, 5, 100, 0);
+        Heartbeat.SlowStartUpdate back =
+                new Heartbeat.SlowStartUpdate(PARTNER, Health.SLOW_START, 4_000, 10, 10, 5, 100, 0);
         assertTrue(limit.told(8_000_000, "b", back));
         assertTrue(!limit.told(8_200_000, "b", back));
         assertTrue(limit.limited(8_200_000));
@@ -398,8 +399,8 @@
     @Test
     void aLimitEndsWithTheColdSpan() {
         SlowStartLimit limit = limit(4);
-        limit.found(1_000_000, Health.OUT, 1_000_000);
-        limit.found(5_000_000, Health.COLD, 5_000_000);
+        limit.found(1_000_000, Health.UNAVAILABLE, 1_000_000);
+        limit.found(5_000_000, Health.SLOW_START, 5_000_000);
         double before = 0;
         Map<Long, Double> rates = new HashMap<>();
         for (long now = 5_000_000; now < 5_000_000 + RULES.span(); now += 500_000) {
@@ -408,6 +409,6 @@
             before = limit.whole(now);
         }
         assertTrue(Double.isInfinite(limit.whole(5_000_000 + RULES.span())));
-        assertEquals(Health.WELL, limit.news(5_000_000 + RULES.span()).health());
+        assertEquals(Health.HEALTHY, limit.news(5_000_000 + RULES.span()).health());
     }
 }
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -28,10 +28,10 @@
 import amberroute.sender.decision.SchedulerAction.CloseIdle;
 import amberroute.sender.decision.SchedulerAction.Fail;
 import amberroute.sender.decision.SchedulerAction.Note;
-import amberroute.sender.decision.SchedulerAction.Refuse;
-import amberroute.sender.decision.SchedulerAction.Remember;
+import amberroute.sender.decision.SchedulerAction.Reject;
+import amberroute.sender.decision.SchedulerAction.SaveCheckpoint;
+import amberroute.sender.decision.SchedulerAction.ScheduleTimer;
 import amberroute.sender.decision.SchedulerAction.Send;
-import amberroute.sender.decision.SchedulerAction.Wake;
 import amberroute.sender.discovery.EndpointFile;
 import amberroute.sender.discovery.EndpointWatch;
 import amberroute.sender.eventloop.EventLoopStallDetector;
@@ -324,8 +324,8 @@
                 loop,
                 looks,
                 new CallEvents(),
-                settings.limits().connectTimeout(),
-                settings.limits().idleConnectionLife(),
+                settings.limits().connectTimeoutMicros(),
+                settings.limits().idleConnectionLifeMicros(),
                 config.mostToReceivers(),
                 config.reportNames());
         notices = new FailureNotifier(loop, config.notices(), config.settings().seed() + 1, this::onNoticeAnswered);
@@ -545,7 +545,7 @@
 
     private void show() {
         shown = figures.snapshot(
-                new SenderMetrics.Now(transferred ? 0 : held.size(), directory.size(), module.avoided()));
+                new SenderMetrics.Now(transferred ? 0 : held.size(), directory.size(), module.avoidedEndpointCount()));
     }
 
     InetSocketAddress address() {
@@ -705,7 +705,7 @@
                 figures.ended(m.className, SenderMetrics.End.ERRORS);
             }
             if (m.notice != null) {
-                if (m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder()) {
+                if (m.key != 0 && m.type >= 0 && classes.type(m.type).ordered()) {
                     // The next of its key must not run before this one's notice is answered.
                     note(new Event.CompletedMessageRecovered(m.number, m.key));
                 }
@@ -786,7 +786,8 @@
         inForce = read;
         settings = fresh.withClasses(classes.types());
         directory.configure(read);
-        receivers.configure(fresh.limits().connectTimeout(), fresh.limits().idleConnectionLife(), read.reportNames());
+        receivers.configure(
+                fresh.limits().connectTimeoutMicros(), fresh.limits().idleConnectionLifeMicros(), read.reportNames());
         clients.classes(classes.names());
         classes.names().forEach(figures::name);
         note(new Event.SettingsChanged(settings));
@@ -805,7 +806,7 @@
                     loop,
                     config.name(),
                     others,
-                    settings.senders(),
+                    settings.senderCount(),
                     alone.parts(),
                     Sender::now,
                     steady(),
@@ -820,7 +821,7 @@
         names.add(config.name());
         names.sort(null);
         DeliveryScheduler.Rules rules = settings.rules();
-        int daemons = Math.max(settings.senders(), names.size());
+        int daemons = Math.max(settings.senderCount(), names.size());
         limits = new SlowStartLimits(
                 now(),
                 new SlowStartLimits.FleetParameters(
@@ -828,10 +829,10 @@
                         names.indexOf(config.name()),
                         alone.lease(),
                         new SlowStartLimit.Rules(
-                                rules.startCapacity(),
-                                rules.coldSpan(),
-                                rules.fallMultiple(),
-                                rules.fallSpan(),
+                                rules.slowStartCapacity(),
+                                rules.slowStartMicros(),
+                                rules.overloadMultiple(),
+                                rules.overloadWindowMicros(),
                                 alone.first())),
                 steady() * 1_000);
         Map<String, InetSocketAddress> peers = new LinkedHashMap<>(alone.peers());
@@ -864,11 +865,19 @@
 
     private void found(int destination, DeliveryScheduler.UpstreamStatus health, long since) {
         if (limits != null) {
-            limits.found(now(), destination, Heartbeat.Health.valueOf(health.name()), since);
+            limits.found(now(), destination, heartbeatHealth(health), since);
             beats.hurry();
         }
     }
 
+    private static Heartbeat.Health heartbeatHealth(DeliveryScheduler.UpstreamStatus status) {
+        return switch (status) {
+            case HEALTHY -> Heartbeat.Health.HEALTHY;
+            case UNAVAILABLE -> Heartbeat.Health.UNAVAILABLE;
+            case SLOW_START -> Heartbeat.Health.SLOW_START;
+        };
+    }
+
     private void resume(AcceptedMessage m, boolean cutOff) {
         long age = m.doubtSince == 0
                 ? -1
@@ -1110,8 +1119,8 @@
                             System.nanoTime(),
                             directory.write(called::contains),
                             callsOut(),
-                            module.learned(now()),
-                            module.rests(now()))
+                            module.snapshots(now()),
+                            module.pausedKeys(now()))
                     .write(directory::uid);
         }
 
@@ -1151,8 +1160,8 @@
         @Override
         public void resume() {
             retireSteps.cancel(false);
-            List<DeliveryScheduler.UpstreamSnapshot> learned = module.learned(now());
-            List<DeliveryScheduler.KeyPause> rests = module.rests(now());
+            List<DeliveryScheduler.UpstreamSnapshot> learned = module.snapshots(now());
+            List<DeliveryScheduler.KeyPause> rests = module.pausedKeys(now());
             forgetOwned();
             OutgoingTransfer.UnacknowledgedWork unsettled = outgoingTransfer.takeBack();
             JsonArray leaving = directory.resume(calledNow()::contains);
@@ -1386,7 +1395,7 @@
         @Override
         public long longestLife() {
             return settings.classes().stream()
-                            .mapToLong(DeliveryScheduler.MessageClass::deadline)
+                            .mapToLong(DeliveryScheduler.MessageClass::deadlineMicros)
                             .max()
                             .orElse(0)
                     / 1_000;
@@ -1522,7 +1531,7 @@
                                 : "the process that holds " + folder + " does not look for a fence");
             }
             int expected = JournalView.read(folder).owed();
-            int room = loop.submit(() -> settings.limits().openMessages() - held.size() - arriving.size())
+            int room = loop.submit(() -> settings.limits().maxPendingMessages() - held.size() - arriving.size())
                     .syncUninterruptibly()
                     .getNow();
             if (expected > room) {
@@ -1611,7 +1620,7 @@
         for (int i = 0; i < messages.size(); i++) {
             AcceptedMessage m = messages.get(i);
             if (m.notice != null) {
-                if (m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder()) {
+                if (m.key != 0 && m.type >= 0 && classes.type(m.type).ordered()) {
                     note(new Event.CompletedMessageRecovered(m.number, m.key));
                 }
                 notices.send(m);
@@ -1693,7 +1702,7 @@
         }
         if (survival != null && !survival.ready() && drain == null) {
             // Too few copies of it could be made: nothing is taken on, so coming again harms nobody.
-            busy(reply, s.className(), settings.limits().retryAdvice() ? UNCOPIED_MS : 0);
+            busy(reply, s.className(), settings.limits().retryAdviceAllowed() ? UNCOPIED_MS : 0);
             return;
         }
         if (drain != null) {
@@ -1712,14 +1721,14 @@
         }
         if (load != null) {
             load.asked(
-                    s.destination(), classes.type(classes.number(s.className())).worth());
+                    s.destination(), classes.type(classes.number(s.className())).priorityWeight());
         }
         if (arrivingIds.contains(s.id())) {
             // Its twin is answered in the turn that is due: only then is it known what to answer here.
             loop.execute(() -> onSubmission(s, reply));
             return;
         }
-        if (held.size() + arriving.size() >= settings.limits().openMessages()) {
+        if (held.size() + arriving.size() >= settings.limits().maxPendingMessages()) {
             busy(reply, s.className(), 0);
             return;
         }
@@ -1752,7 +1761,7 @@
      */
     private void turnAway(ClientServer.Submission s, ClientServer.Answer reply) {
         long key = classes.number(s.className()) >= 0
-                        && classes.type(classes.number(s.className())).inOrder()
+                        && classes.type(classes.number(s.className())).ordered()
                 ? s.key()
                 : 0;
         if (handOver != null && key != 0 && handOver.undecided(key) && undecided.size() < MOST_UNDECIDED) {
@@ -1764,7 +1773,7 @@
     }
 
     private boolean inOrder(AcceptedMessage m) {
-        return m.key != 0 && m.type >= 0 && classes.type(m.type).inOrder();
+        return m.key != 0 && m.type >= 0 && classes.type(m.type).ordered();
     }
 
     /** Others have something of these keys: to the module that is a message of each that is not over. */
@@ -1889,7 +1898,7 @@
     private void turnSoon() {
         if (!turnDue) {
             turnDue = true;
-            long due = turnEnded + Math.min(turnTook * REST, settings.tick()) - now();
+            long due = turnEnded + Math.min(turnTook * REST, settings.tickMicros()) - now();
             if (due > 0) {
                 loop.schedule(this::turn, due, TimeUnit.MICROSECONDS);
             } else {
@@ -1952,14 +1961,14 @@
     /** Refusals in the arrival's own turn go to the waiting client; all others are taken on. */
     private void takeOn(List<SchedulerAction> actions) {
         for (SchedulerAction action : actions) {
-            PendingAcceptance refused = action instanceof Refuse r
+            PendingAcceptance refused = action instanceof Reject r
                     ? arriving.remove(r.id())
                     : action instanceof Fail f ? arriving.remove(f.id()) : null;
             if (refused != null) {
                 busy(
                         refused.reply(),
                         refused.message().className,
-                        action instanceof Refuse r ? millis(r.retryAfter()) : 0);
+                        action instanceof Reject r ? millis(r.retryAfter()) : 0);
                 note(new Event.CompletionAcknowledged(refused.message().number));
             }
         }
@@ -1991,7 +2000,7 @@
     }
 
     private void answer(SchedulerAction action) {
-        if (action instanceof Refuse r && held.containsKey(r.id())) {
+        if (action instanceof Reject r && held.containsKey(r.id())) {
             end(r.id(), held.get(r.id()).returned(millis(r.retryAfter())), SenderMetrics.End.SHED);
         } else if (action instanceof Fail f && held.containsKey(f.id())) {
             end(f.id(), held.get(f.id()).failed(), SenderMetrics.End.ERRORS);
@@ -2083,7 +2092,9 @@
         if (journal.attempt(m, uid, steady())) {
             return true;
         }
-        if (classes.type(m.type).effect() != DeliveryScheduler.Effect.SAFE || survival != null || copying != null) {
+        if (classes.type(m.type).idempotency() != DeliveryScheduler.Idempotency.IDEMPOTENT
+                || survival != null
+                || copying != null) {
             return false;
         }
         journal.attemptUnrecorded(m, uid, steady());
@@ -2165,7 +2176,7 @@
     }
 
     private boolean repeatable(AcceptedMessage m) {
-        return classes.type(m.type).effect() != DeliveryScheduler.Effect.UNSAFE;
+        return classes.type(m.type).idempotency() != DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
     }
 
     private void other(SchedulerAction action) {
@@ -2180,22 +2191,22 @@
             }
         } else if (action instanceof CloseIdle c) {
             receivers.closeIdle(endpoint -> endpoint == c.endpoint());
-        } else if (action instanceof Wake w) {
+        } else if (action instanceof ScheduleTimer w) {
             // The module keeps one timer: a new one is due earlier and stands in for the one before.
             if (timer != null) {
                 timer.cancel(false);
             }
             timer = loop.schedule(() -> note(new Event.TimerExpired(w.token())), w.delay(), TimeUnit.MICROSECONDS);
-        } else if (action instanceof Remember r) {
+        } else if (action instanceof SaveCheckpoint r) {
             DeliveryScheduler.HealthCheckpoint m = r.memory();
-            found(m.destination(), m.health(), m.since());
+            found(m.destination(), m.status(), m.sinceMicros());
             journal.remember(new Journal.HealthRecord(
                     m.destination(),
                     directory.uid(m.endpoint()),
-                    m.health(),
-                    steady() - m.since() / 1_000,
-                    m.pace(),
-                    m.usual()));
+                    m.status(),
+                    steady() - m.sinceMicros() / 1_000,
+                    m.callsPerSecond(),
+                    m.usualLatencyMicros()));
         } else if (action instanceof Note n) {
             Log.warn("module: " + n.text());
         }
@@ -2425,8 +2436,8 @@
         DeliveryScheduler.MessageClass type = classes.type(m.type);
         boolean returned = ShutdownSequence.mayReturn(
                 m.doubtSince != 0 || m.out,
-                type.effect() == DeliveryScheduler.Effect.SAFE,
-                type.effect() == DeliveryScheduler.Effect.KEYED
+                type.idempotency() == DeliveryScheduler.Idempotency.IDEMPOTENT,
+                type.idempotency() == DeliveryScheduler.Idempotency.KEYED
                         && type.keyScope() == DeliveryScheduler.KeyScope.DESTINATION);
         note(new Event.MessageCancelled(m.number));
         end(
@@ -2536,7 +2547,7 @@
             if (drain != null
                     || phase != Phase.READY
                     || held.size() + arriving.size() + messages.size()
-                            > settings.limits().openMessages()) {
+                            > settings.limits().maxPendingMessages()) {
                 return HandoffPlacement.RejectionReason.ROOM;
             }
             for (AcceptedMessage m : messages) {
@@ -2556,7 +2567,7 @@
         /** One in doubt that only the place where it may have run could take again, and that place is unknown here. */
         private boolean wouldBeLost(AcceptedMessage m, DeliveryScheduler.MessageClass type) {
             return m.doubtSince != 0
-                    && type.effect() == DeliveryScheduler.Effect.KEYED
+                    && type.idempotency() == DeliveryScheduler.Idempotency.KEYED
                     && type.keyScope() != DeliveryScheduler.KeyScope.DESTINATION
                     && !directory.listed(m.doubtAt);
         }
@@ -2564,7 +2575,7 @@
         /** What may be done with a message of a class: where two daemons differ in it, neither may take the other's. */
         private String meaning(int type) {
             DeliveryScheduler.MessageClass c = classes.type(type);
-            return c.effect() + " " + c.keyScope() + " " + c.keyLife() + " " + c.inOrder();
+            return c.idempotency().wireName() + " " + c.keyScope() + " " + c.keyLifeMicros() + " " + c.ordered();
         }
 
         @Override
--- a/sender/src/main/java/amberroute/sender/config/StandaloneConfig.java
+++ b/sender/src/main/java/amberroute/sender/config/StandaloneConfig.java
@@ -337,6 +337,15 @@
         }
     }
 
+    private static DeliveryScheduler.Idempotency idempotency(String effect) {
+        return switch (effect) {
+            case "safe" -> DeliveryScheduler.Idempotency.IDEMPOTENT;
+            case "keyed" -> DeliveryScheduler.Idempotency.KEYED;
+            case "unsafe" -> DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
+            default -> throw new IllegalArgumentException("unknown effect " + effect);
+        };
+    }
+
     private static ReplicationSettings survive(
             Settings s, InetSocketAddress handOver, Map<String, InetSocketAddress> peers) {
         if (!s.flag("survival.on")) {
@@ -405,8 +414,7 @@
             if (row.micros("aim") > row.micros("deadline")) {
                 throw s.bad("class.aim", "is behind the deadline of class " + row.text("name"));
             }
-            DeliveryScheduler.Effect effect =
-                    DeliveryScheduler.Effect.valueOf(row.text("effect").toUpperCase(java.util.Locale.ROOT));
+            DeliveryScheduler.Idempotency effect = idempotency(row.text("effect"));
             types.add(new DeliveryScheduler.MessageClass(
                     row.real("worth"),
                     row.real("late_share"),
@@ -414,7 +422,7 @@
                     row.micros("deadline"),
                     effect,
                     DeliveryScheduler.KeyScope.valueOf(row.text("key_scope").toUpperCase(java.util.Locale.ROOT)),
-                    effect == DeliveryScheduler.Effect.KEYED ? row.micros("key_life") : 0,
+                    effect == DeliveryScheduler.Idempotency.KEYED ? row.micros("key_life") : 0,
                     row.flag("in_order")));
         }
         List<DeliveryScheduler.DestinationKind> kinds = new ArrayList<>();
@@ -432,7 +440,7 @@
                 s.micros("limits.tick"),
                 false,
                 1,
-                DeliveryScheduler.LateValueDecay.EVEN,
+                DeliveryScheduler.LateValueDecay.LINEAR,
                 DeliveryScheduler.WeightKind.NONE,
                 types,
                 List.of(),
--- a/sender/src/main/java/amberroute/sender/decision/ActionRecorder.java
+++ b/sender/src/main/java/amberroute/sender/decision/ActionRecorder.java
@@ -32,8 +32,8 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfter) {
-        actions.add(new SchedulerAction.Refuse(id, retryAfter));
+    public void reject(long id, long retryAfter) {
+        actions.add(new SchedulerAction.Reject(id, retryAfter));
     }
 
     @Override
@@ -53,23 +53,23 @@
 
     /** Needs no place among the actions: it holds for the calls of this turn and all later ones. */
     @Override
-    public void trustIdle(long longest) {
+    public void limitIdleReuse(long longest) {
         longestTrustedIdle = longest;
     }
 
     @Override
-    public void remember(DeliveryScheduler.HealthCheckpoint memory) {
-        actions.add(new SchedulerAction.Remember(memory));
+    public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint memory) {
+        actions.add(new SchedulerAction.SaveCheckpoint(memory));
     }
 
     @Override
-    public void wake(long delay, long token) {
-        actions.add(new SchedulerAction.Wake(delay, token));
+    public void scheduleTimer(long delay, long token) {
+        actions.add(new SchedulerAction.ScheduleTimer(delay, token));
     }
 
     /** The directory is watched from the start, and again whenever that ends. */
     @Override
-    public void follow() {}
+    public void subscribe() {}
 
     @Override
     public void log(String text) {
--- a/sender/src/main/java/amberroute/sender/decision/DecisionTrace.java
+++ b/sender/src/main/java/amberroute/sender/decision/DecisionTrace.java
@@ -30,11 +30,19 @@
     @Override
     public void step(long now, Event event, Actions actions) {
         if (event instanceof Event.MessageSubmitted e) {
-            line("A", e.id(), e.destination(), e.messageClass(), e.timeLeft(), e.key());
+            line("A", e.id(), e.destination(), e.messageClass(), e.timeLeftMicros(), e.key());
         } else if (event instanceof Event.MessageRecovered e) {
-            line("R", e.id(), e.destination(), e.messageClass(), e.timeLeft(), e.key());
+            line("R", e.id(), e.destination(), e.messageClass(), e.timeLeftMicros(), e.key());
         } else if (event instanceof Event.AttemptCompleted e) {
-            line("O", e.id(), e.endpoint(), e.ending(), e.took(), e.toldWait(), e.idle(), e.report());
+            line(
+                    "O",
+                    e.id(),
+                    e.endpoint(),
+                    e.outcome(),
+                    e.durationMicros(),
+                    e.retryAfterMicros(),
+                    e.connectionIdleMicros(),
+                    e.loadReport());
         } else if (event instanceof Event.EndpointListUpdated e) {
             e.entries().forEach(x -> line("L", x.endpoint(), x.destination(), x.state(), x.kind(), x.weight()));
         }
@@ -53,18 +61,18 @@
     }
 
     @Override
-    public int avoided() {
-        return inner.avoided();
+    public int avoidedEndpointCount() {
+        return inner.avoidedEndpointCount();
     }
 
     @Override
-    public List<UpstreamSnapshot> learned(long now) {
-        return inner.learned(now);
+    public List<UpstreamSnapshot> snapshots(long now) {
+        return inner.snapshots(now);
     }
 
     @Override
-    public List<KeyPause> rests(long now) {
-        return inner.rests(now);
+    public List<KeyPause> pausedKeys(long now) {
+        return inner.pausedKeys(now);
     }
 
     private final class Lines implements Actions {
@@ -81,9 +89,9 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
+        public void reject(long id, long retryAfter) {
             line("X", id, retryAfter);
-            to.refuse(id, retryAfter);
+            to.reject(id, retryAfter);
         }
 
         @Override
@@ -105,24 +113,24 @@
         }
 
         @Override
-        public void trustIdle(long longest) {
-            to.trustIdle(longest);
+        public void limitIdleReuse(long longest) {
+            to.limitIdleReuse(longest);
         }
 
         @Override
-        public void remember(HealthCheckpoint memory) {
-            line("M", memory.destination(), memory.health(), memory.pace());
-            to.remember(memory);
+        public void saveCheckpoint(HealthCheckpoint memory) {
+            line("M", memory.destination(), memory.status().storedName(), memory.callsPerSecond());
+            to.saveCheckpoint(memory);
         }
 
         @Override
-        public void wake(long delay, long token) {
-            to.wake(delay, token);
+        public void scheduleTimer(long delay, long token) {
+            to.scheduleTimer(delay, token);
         }
 
         @Override
-        public void follow() {
-            to.follow();
+        public void subscribe() {
+            to.subscribe();
         }
 
         @Override
--- a/sender/src/main/java/amberroute/sender/decision/SchedulerAction.java
+++ b/sender/src/main/java/amberroute/sender/decision/SchedulerAction.java
@@ -8,7 +8,7 @@
     record Send(long id, long endpoint, long giveUpAt) implements SchedulerAction {}
 
     /** The message did not run and is handed back, with advice when to come again, 0 for none. */
-    record Refuse(long id, long retryAfter) implements SchedulerAction {}
+    record Reject(long id, long retryAfter) implements SchedulerAction {}
 
     /** The message ends undelivered and may have run. */
     record Fail(long id) implements SchedulerAction {}
@@ -20,10 +20,10 @@
     record CloseIdle(long endpoint) implements SchedulerAction {}
 
     /** What a later process is to know of a place. */
-    record Remember(DeliveryScheduler.HealthCheckpoint memory) implements SchedulerAction {}
+    record SaveCheckpoint(DeliveryScheduler.HealthCheckpoint memory) implements SchedulerAction {}
 
     /** The module's one timer, by its token. */
-    record Wake(long delay, long token) implements SchedulerAction {}
+    record ScheduleTimer(long delay, long token) implements SchedulerAction {}
 
     /** A line for the log. */
     record Note(String text) implements SchedulerAction {}
--- a/sender/src/main/java/amberroute/sender/discovery/EndpointWatch.java
+++ b/sender/src/main/java/amberroute/sender/discovery/EndpointWatch.java
@@ -306,7 +306,7 @@
             return null;
         }
         List<DeliveryScheduler.DestinationKind> kinds = config.settings().kinds();
-        boolean apart = target.kind() < kinds.size() && kinds.get(target.kind()).routesApart();
+        boolean apart = target.kind() < kinds.size() && kinds.get(target.kind()).independentEndpoints();
         return new UpstreamClient.Route(number, target.address(), apart ? "route " + number : target.destination());
     }
 
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -776,18 +776,18 @@
         return remembered.add(m.id, m.content, effect(m), m.number, clock.getAsLong());
     }
 
-    private DeliveryScheduler.Effect effect(AcceptedMessage m) {
+    private DeliveryScheduler.Idempotency effect(AcceptedMessage m) {
         MessageClassRegistry.Version version = classes.get(m.type);
         return version == null
-                ? DeliveryScheduler.Effect.UNSAFE
-                : version.type().effect();
+                ? DeliveryScheduler.Idempotency.NON_IDEMPOTENT
+                : version.type().idempotency();
     }
 
     private byte[] gone(AcceptedMessage m) {
         return gone(m.id, m.content, effect(m));
     }
 
-    private static byte[] gone(String id, int content, DeliveryScheduler.Effect effect) {
+    private static byte[] gone(String id, int content, DeliveryScheduler.Idempotency effect) {
         return bytes(out -> {
             out.writeByte(GONE);
             out.writeUTF(id);
@@ -852,7 +852,7 @@
 
     private long keep(HealthRecord memory, Batch batch) {
         forget(memory.place(), batch);
-        if (memory.health() == DeliveryScheduler.UpstreamStatus.WELL) {
+        if (memory.health() == DeliveryScheduler.UpstreamStatus.HEALTHY) {
             return 0;
         }
         long number = numberOf("place " + memory.place());
@@ -1225,7 +1225,7 @@
                     HealthRecord memory = new HealthRecord(
                             in.readInt(),
                             in.readUTF(),
-                            DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
+                            DeliveryScheduler.UpstreamStatus.ofStoredName(in.readUTF()),
                             in.readLong(),
                             in.readDouble(),
                             in.readDouble());
@@ -1294,9 +1294,17 @@
         for (Map.Entry<String, Integer> id : old.ended.entrySet()) {
             long number = log.nextOwner();
             Batch batch = new Batch()
-                    .putSole(number, MESSAGE, gone(id.getKey(), id.getValue(), DeliveryScheduler.Effect.UNSAFE));
+                    .putSole(
+                            number,
+                            MESSAGE,
+                            gone(id.getKey(), id.getValue(), DeliveryScheduler.Idempotency.NON_IDEMPOTENT));
             remembered
-                    .add(id.getKey(), id.getValue(), DeliveryScheduler.Effect.UNSAFE, number, clock.getAsLong())
+                    .add(
+                            id.getKey(),
+                            id.getValue(),
+                            DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
+                            number,
+                            clock.getAsLong())
                     .forEach(batch::end);
             log.write(batch);
         }
@@ -1492,11 +1500,12 @@
     }
 
     /** The id of a message that is over. */
-    private record CompletedRecord(String id, int content, DeliveryScheduler.Effect effect) {}
+    private record CompletedRecord(String id, int content, DeliveryScheduler.Idempotency effect) {}
 
     private static CompletedRecord readGone(ByteBuffer in) throws IOException {
         in.get();
-        return new CompletedRecord(ModifiedUtf8.read(in), in.getInt(), DeliveryScheduler.Effect.values()[in.get()]);
+        return new CompletedRecord(
+                ModifiedUtf8.read(in), in.getInt(), DeliveryScheduler.Idempotency.values()[in.get()]);
     }
 
     /** All that attempts have left behind. */
@@ -1534,14 +1543,14 @@
         return bytes(out -> {
             out.writeInt(number);
             out.writeUTF(version.name());
-            out.writeDouble(c.worth());
-            out.writeDouble(c.lateShare());
-            out.writeLong(c.aim());
-            out.writeLong(c.deadline());
-            out.writeByte(c.effect().ordinal());
+            out.writeDouble(c.priorityWeight());
+            out.writeDouble(c.lateValueShare());
+            out.writeLong(c.latencyObjectiveMicros());
+            out.writeLong(c.deadlineMicros());
+            out.writeByte(c.idempotency().ordinal());
             out.writeByte(c.keyScope().ordinal());
-            out.writeLong(c.keyLife());
-            out.writeBoolean(c.inOrder());
+            out.writeLong(c.keyLifeMicros());
+            out.writeBoolean(c.ordered());
         });
     }
 
@@ -1554,7 +1563,7 @@
                         in.readDouble(),
                         in.readLong(),
                         in.readLong(),
-                        DeliveryScheduler.Effect.values()[in.readByte()],
+                        DeliveryScheduler.Idempotency.values()[in.readByte()],
                         DeliveryScheduler.KeyScope.values()[in.readByte()],
                         in.readLong(),
                         in.readBoolean()));
@@ -1564,7 +1573,7 @@
         return bytes(out -> {
             out.writeInt(memory.destination());
             out.writeUTF(memory.uid());
-            out.writeUTF(memory.health().name());
+            out.writeUTF(memory.health().storedName());
             out.writeLong(memory.since());
             out.writeDouble(memory.pace());
             out.writeDouble(memory.usual());
--- a/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -147,12 +147,12 @@
                 Journal.HealthRecord memory = new Journal.HealthRecord(
                         in.readInt(),
                         in.readUTF(),
-                        DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
+                        DeliveryScheduler.UpstreamStatus.ofStoredName(in.readUTF()),
                         in.readLong(),
                         in.readDouble(),
                         in.readDouble());
                 memories.remove(memory.place());
-                if (memory.health() != DeliveryScheduler.UpstreamStatus.WELL) {
+                if (memory.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
                     memories.put(memory.place(), memory);
                 }
             }
--- a/sender/src/main/java/amberroute/sender/lifecycle/TransferredState.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/TransferredState.java
@@ -41,15 +41,18 @@
         JsonArray places = new JsonArray();
         for (DeliveryScheduler.UpstreamSnapshot l : learned) {
             places.add(write(
-                    l, l.memory().endpoint() == 0 ? "" : uids.apply(l.memory().endpoint())));
+                    l,
+                    l.checkpoint().endpoint() == 0
+                            ? ""
+                            : uids.apply(l.checkpoint().endpoint())));
         }
         json.add("learned", places);
         JsonArray keys = new JsonArray();
         for (DeliveryScheduler.KeyPause rest : rests) {
             JsonArray one = new JsonArray();
             one.add(Long.toHexString(rest.key()));
-            one.add(rest.left());
-            one.add(rest.except());
+            one.add(rest.remainingMicros());
+            one.add(rest.exemptMessage());
             keys.add(one);
         }
         json.add("rests", keys);
@@ -82,27 +85,27 @@
     }
 
     private static JsonObject write(DeliveryScheduler.UpstreamSnapshot l, String uid) {
-        DeliveryScheduler.HealthCheckpoint m = l.memory();
+        DeliveryScheduler.HealthCheckpoint m = l.checkpoint();
         JsonObject json = new JsonObject();
         json.addProperty("destination", m.destination());
         json.addProperty("uid", uid);
-        json.addProperty("health", m.health().name());
-        json.addProperty("since", m.since());
-        json.addProperty("former_pace", m.pace());
-        json.addProperty("usual", m.usual());
-        json.addProperty("wait_left", l.waitLeft());
-        json.addProperty("backoff_left", l.backoffLeft());
+        json.addProperty("health", m.status().storedName());
+        json.addProperty("since", m.sinceMicros());
+        json.addProperty("former_pace", m.callsPerSecond());
+        json.addProperty("usual", m.usualLatencyMicros());
+        json.addProperty("wait_left", l.retryAfterMicros());
+        json.addProperty("backoff_left", l.backoffMicros());
         // JSON has no infinity, which here means that there is no pace to keep to.
-        json.addProperty("pace", Double.isInfinite(l.pace()) ? -1 : l.pace());
-        json.addProperty("refused_ago", l.refusedAgo());
-        json.addProperty("ok_ago", l.okAgo());
-        json.addProperty("present", l.present());
-        json.addProperty("p", l.p());
-        json.addProperty("odds", l.odds());
-        json.addProperty("sent", l.sent());
-        json.addProperty("served", l.served());
-        json.addProperty("weight", l.weight());
-        json.addProperty("harm", l.harm());
+        json.addProperty("pace", Double.isInfinite(l.pacePerSecond()) ? -1 : l.pacePerSecond());
+        json.addProperty("refused_ago", l.sinceRejectionMicros());
+        json.addProperty("ok_ago", l.sinceSuccessMicros());
+        json.addProperty("present", l.presentLatencyMicros());
+        json.addProperty("p", l.expectedServiceMicros());
+        json.addProperty("odds", l.successProbability());
+        json.addProperty("sent", l.sentPerSecond());
+        json.addProperty("served", l.servedPerSecond());
+        json.addProperty("weight", l.reportedLimit());
+        json.addProperty("harm", l.failureRatio());
         return json;
     }
 
@@ -113,7 +116,8 @@
                 new DeliveryScheduler.HealthCheckpoint(
                         j.get("destination").getAsInt(),
                         uid.isEmpty() ? 0 : numbers.applyAsLong(uid),
-                        DeliveryScheduler.UpstreamStatus.valueOf(j.get("health").getAsString()),
+                        DeliveryScheduler.UpstreamStatus.ofStoredName(
+                                j.get("health").getAsString()),
                         j.get("since").getAsLong(),
                         j.get("former_pace").getAsDouble(),
                         j.get("usual").getAsDouble()),
--- a/sender/src/main/java/amberroute/sender/message/DeduplicationCache.java
+++ b/sender/src/main/java/amberroute/sender/message/DeduplicationCache.java
@@ -19,7 +19,7 @@
     private static final long BYTES = 48;
 
     /** One of them, as it is kept, with its number in the journal. */
-    public record CompletedMessage(String id, int content, DeliveryScheduler.Effect effect, long number) {}
+    public record CompletedMessage(String id, int content, DeliveryScheduler.Idempotency effect, long number) {}
 
     /** What the id's message was, 0 where that is not known, and its number in the journal. */
     private record Entry(String id, int content, long number, long at) {
@@ -37,13 +37,13 @@
     /** All together count for so many bytes at most, which is what they may have on the disk. */
     public DeduplicationCache(long most) {
         this.most = most;
-        for (int i = 0; i < DeliveryScheduler.Effect.values().length; i++) {
+        for (int i = 0; i < DeliveryScheduler.Idempotency.values().length; i++) {
             kinds.add(new LinkedHashMap<>());
         }
     }
 
     /** Returns the numbers of those that are forgotten for it, and of an earlier one under the same id. */
-    public List<Long> add(String id, int content, DeliveryScheduler.Effect effect, long number, long now) {
+    public List<Long> add(String id, int content, DeliveryScheduler.Idempotency effect, long number, long now) {
         List<Long> forgotten = expire(now);
         Entry entry = new Entry(id, content, number, now);
         Entry before = all.put(id, entry);
@@ -61,8 +61,10 @@
     }
 
     private Map<String, Entry> leastNeeded() {
-        for (DeliveryScheduler.Effect effect : List.of(
-                DeliveryScheduler.Effect.SAFE, DeliveryScheduler.Effect.KEYED, DeliveryScheduler.Effect.UNSAFE)) {
+        for (DeliveryScheduler.Idempotency effect : List.of(
+                DeliveryScheduler.Idempotency.IDEMPOTENT,
+                DeliveryScheduler.Idempotency.KEYED,
+                DeliveryScheduler.Idempotency.NON_IDEMPOTENT)) {
             if (!kinds.get(effect.ordinal()).isEmpty()) {
                 return kinds.get(effect.ordinal());
             }
@@ -106,7 +108,7 @@
     /** All of them, the oldest of each kind first. */
     public List<CompletedMessage> all() {
         List<CompletedMessage> out = new ArrayList<>();
-        for (DeliveryScheduler.Effect effect : DeliveryScheduler.Effect.values()) {
+        for (DeliveryScheduler.Idempotency effect : DeliveryScheduler.Idempotency.values()) {
             kinds.get(effect.ordinal())
                     .values()
                     .forEach(entry ->
--- a/sender/src/main/java/amberroute/sender/upstream/IdempotencyWindow.java
+++ b/sender/src/main/java/amberroute/sender/upstream/IdempotencyWindow.java
@@ -25,8 +25,8 @@
         for (UpstreamClient.CallMessage item : items) {
             AcceptedMessage m = item.message();
             DeliveryScheduler.MessageClass type = types.apply(m.type);
-            if (m.doubtSince != 0 && type.effect() == DeliveryScheduler.Effect.KEYED) {
-                left = Math.min(left, m.doubtSince + type.keyLife() / 1_000 - MARGIN_MS - wall);
+            if (m.doubtSince != 0 && type.idempotency() == DeliveryScheduler.Idempotency.KEYED) {
+                left = Math.min(left, m.doubtSince + type.keyLifeMicros() / 1_000 - MARGIN_MS - wall);
             }
         }
         return left;
--- a/sender/src/test/java/amberroute/sender/GracefulShutdownTest.java
+++ b/sender/src/test/java/amberroute/sender/GracefulShutdownTest.java
@@ -131,7 +131,7 @@
     void aPeersWordThatItIsWellLiftsTheCeiling() throws Exception {
         hand(0, 16);
         assertTrue(sender.owed() > 5);
-        tell(List.of(new Heartbeat.SlowStartUpdate(7, Health.WELL, -1, -1, 10, 50, 50, 0)), List.of());
+        tell(List.of(new Heartbeat.SlowStartUpdate(7, Health.HEALTHY, -1, -1, 10, 50, 50, 0)), List.of());
         await(() -> sender.owed() == 0);
         assertEquals(16, answered());
     }
@@ -179,7 +179,7 @@
                         .filter(n -> n.destination() == 7)
                         .findFirst()
                         .orElseThrow();
-        assertEquals(Health.COLD, news.health());
+        assertEquals(Health.SLOW_START, news.health());
         assertTrue(news.waiting() > 0);
     }
 
@@ -196,7 +196,7 @@
                     9,
                     99,
                     MembershipView.Phase.READY,
-                    List.of(new Heartbeat.SlowStartUpdate(7, Health.WELL, -1, -1, 10, 50, 50, 0)),
+                    List.of(new Heartbeat.SlowStartUpdate(7, Health.HEALTHY, -1, -1, 10, 50, 50, 0)),
                     List.of(new Heartbeat.QuotaLoan(false, 7, 5, 0.5f)));
             byte[] bytes = new byte[forged.write().remaining()];
             forged.write().get(bytes);
--- a/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
+++ b/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
@@ -477,7 +477,7 @@
                 List.of(
                         new DeliveryScheduler.UpstreamSnapshot(
                                 new DeliveryScheduler.HealthCheckpoint(
-                                        3, 0, DeliveryScheduler.UpstreamStatus.OUT, 1, 2.5, 3.5),
+                                        3, 0, DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 1, 2.5, 3.5),
                                 4,
                                 5,
                                 Double.POSITIVE_INFINITY,
@@ -492,7 +492,7 @@
                                 0.125),
                         new DeliveryScheduler.UpstreamSnapshot(
                                 new DeliveryScheduler.HealthCheckpoint(
-                                        3, 9, DeliveryScheduler.UpstreamStatus.WELL, 1, 2, 3),
+                                        3, 9, DeliveryScheduler.UpstreamStatus.HEALTHY, 1, 2, 3),
                                 4,
                                 5,
                                 1.75,
--- a/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
+++ b/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
-import amberroute.decisions.DeliveryScheduler.Effect;
+import amberroute.decisions.DeliveryScheduler.Idempotency;
 import amberroute.decisions.DeliveryScheduler.KeyScope;
 import amberroute.decisions.DeliveryScheduler.MessageClass;
 import amberroute.sender.eventloop.EventLoopStallDetector;
@@ -117,7 +117,7 @@
                 writeWithin);
     }
 
-    private static MessageClass type(Effect effect) {
+    private static MessageClass type(Idempotency effect) {
         return new MessageClass(1, 0.5, 100_000, 20_000_000, effect, KeyScope.DESTINATION, 1_000_000, false);
     }
 
@@ -177,7 +177,7 @@
         AcceptedMessage m = message(50_000);
         long left = IdempotencyWindow.left(
                 List.of(new UpstreamClient.CallMessage(m, 1)),
-                number -> type(Effect.KEYED),
+                number -> type(Idempotency.KEYED),
                 50_000 + 1_000 - IdempotencyWindow.MARGIN_MS - 10);
         assertEquals(10, left);
         loop.submit((Runnable) () -> repeat(m, left)).sync();
@@ -197,10 +197,12 @@
         List<UpstreamClient.CallMessage> fresh = List.of(new UpstreamClient.CallMessage(message(0), 0));
         List<UpstreamClient.CallMessage> doubtful = List.of(
                 new UpstreamClient.CallMessage(message(0), 0), new UpstreamClient.CallMessage(message(50_000), 1));
-        assertEquals(IdempotencyWindow.UNBOUNDED, IdempotencyWindow.left(fresh, number -> type(Effect.KEYED), 60_000));
         assertEquals(
-                IdempotencyWindow.UNBOUNDED, IdempotencyWindow.left(doubtful, number -> type(Effect.SAFE), 60_000));
-        assertEquals(900 - 10_000, IdempotencyWindow.left(doubtful, number -> type(Effect.KEYED), 60_000));
+                IdempotencyWindow.UNBOUNDED, IdempotencyWindow.left(fresh, number -> type(Idempotency.KEYED), 60_000));
+        assertEquals(
+                IdempotencyWindow.UNBOUNDED,
+                IdempotencyWindow.left(doubtful, number -> type(Idempotency.IDEMPOTENT), 60_000));
+        assertEquals(900 - 10_000, IdempotencyWindow.left(doubtful, number -> type(Idempotency.KEYED), 60_000));
     }
 
     /** The same where nothing speaks against it: the call is made. */
--- a/sender/src/test/java/amberroute/sender/journal/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -190,14 +190,14 @@
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             for (int i = 0; i < 1_500; i++) {
                 journal.remember(new Journal.HealthRecord(
-                        i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.OUT, i, 1, 2));
+                        i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.UNAVAILABLE, i, 1, 2));
             }
         }
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             assertEquals(1_500, journal.memories().size());
             for (int i = 0; i < 1_500; i++) {
                 journal.remember(new Journal.HealthRecord(
-                        5_000 + i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.OUT, i, 1, 2));
+                        5_000 + i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.UNAVAILABLE, i, 1, 2));
             }
             assertEquals(1_950, journal.memories().size(), "they take their share of the disk, and no more");
             assertTrue(journal.memories().stream().anyMatch(m -> m.destination() == 6_499), "the newest is forgotten");
@@ -217,7 +217,7 @@
                                     0.5,
                                     1_500_000,
                                     6_000_000,
-                                    DeliveryScheduler.Effect.SAFE,
+                                    DeliveryScheduler.Idempotency.IDEMPOTENT,
                                     DeliveryScheduler.KeyScope.DESTINATION,
                                     0,
                                     false)));
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -69,7 +69,7 @@
         assertTrue(journal.knows("over") && journal.differs("over", 5));
         assertEquals(1, journal.memories().size());
         assertEquals(
-                DeliveryScheduler.UpstreamStatus.OUT,
+                DeliveryScheduler.UpstreamStatus.UNAVAILABLE,
                 journal.memories().iterator().next().health());
         assertEquals("policy-order", journal.classes().get(1).name());
         assertTrue(journal.holds().held(31) && !journal.holds().held(32));
@@ -173,7 +173,7 @@
                                     0.5,
                                     1_500_000,
                                     6_000_000,
-                                    DeliveryScheduler.Effect.KEYED,
+                                    DeliveryScheduler.Idempotency.KEYED,
                                     DeliveryScheduler.KeyScope.DESTINATION,
                                     60_000_000,
                                     true)));
@@ -204,8 +204,8 @@
                     List.of(all[2]));
             journal.conclude(came);
             journal.release("peer", List.of(32L));
-            journal.remember(
-                    new SingleFileJournal.Memory(3, "uid-a", DeliveryScheduler.UpstreamStatus.OUT, 5, 1.5, 2.5));
+            journal.remember(new SingleFileJournal.Memory(
+                    3, "uid-a", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 5, 1.5, 2.5));
         }
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
+++ b/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
@@ -612,14 +612,14 @@
             out.writeLong(0);
             out.writeInt(number);
             out.writeUTF(version.name());
-            out.writeDouble(c.worth());
-            out.writeDouble(c.lateShare());
-            out.writeLong(c.aim());
-            out.writeLong(c.deadline());
-            out.writeByte(c.effect().ordinal());
+            out.writeDouble(c.priorityWeight());
+            out.writeDouble(c.lateValueShare());
+            out.writeLong(c.latencyObjectiveMicros());
+            out.writeLong(c.deadlineMicros());
+            out.writeByte(c.idempotency().ordinal());
             out.writeByte(c.keyScope().ordinal());
-            out.writeLong(c.keyLife());
-            out.writeBoolean(c.inOrder());
+            out.writeLong(c.keyLifeMicros());
+            out.writeBoolean(c.ordered());
         });
     }
 
@@ -636,7 +636,7 @@
                                 in.readDouble(),
                                 in.readLong(),
                                 in.readLong(),
-                                DeliveryScheduler.Effect.values()[in.readByte()],
+                                DeliveryScheduler.Idempotency.values()[in.readByte()],
                                 DeliveryScheduler.KeyScope.values()[in.readByte()],
                                 in.readLong(),
                                 in.readBoolean())));
@@ -653,7 +653,7 @@
         return record('M', out -> {
             out.writeInt(memory.destination());
             out.writeUTF(memory.uid());
-            out.writeUTF(memory.health().name());
+            out.writeUTF(memory.health().storedName());
             out.writeLong(memory.since());
             out.writeDouble(memory.pace());
             out.writeDouble(memory.usual());
@@ -704,7 +704,7 @@
             keep(new Memory(
                     in.readInt(),
                     in.readUTF(),
-                    DeliveryScheduler.UpstreamStatus.valueOf(in.readUTF()),
+                    DeliveryScheduler.UpstreamStatus.ofStoredName(in.readUTF()),
                     in.readLong(),
                     in.readDouble(),
                     in.readDouble()));
@@ -816,7 +816,7 @@
     private void keep(Memory memory) {
         String place = memory.destination() + " " + memory.uid();
         forget(place);
-        if (memory.health() != DeliveryScheduler.UpstreamStatus.WELL) {
+        if (memory.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
             memories.put(place, memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         }
--- a/sender/src/test/java/amberroute/sender/message/DeduplicationCacheTest.java
+++ b/sender/src/test/java/amberroute/sender/message/DeduplicationCacheTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.decisions.DeliveryScheduler.Effect;
+import amberroute.decisions.DeliveryScheduler.Idempotency;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -19,13 +19,13 @@
 
     @Test
     void whatMayBeRepeatedGoesFirstAndTheOldestOfIt() {
-        ids.add("a", 1, Effect.UNSAFE, 1, 0);
-        ids.add("b", 2, Effect.SAFE, 2, 1);
-        ids.add("c", 3, Effect.KEYED, 3, 2);
-        assertEquals(List.of(2L), ids.add("d", 4, Effect.SAFE, 4, 3));
-        assertEquals(List.of(4L), ids.add("e", 5, Effect.UNSAFE, 5, 4));
-        assertEquals(List.of(3L), ids.add("f", 6, Effect.UNSAFE, 6, 5));
-        assertEquals(List.of(1L), ids.add("g", 7, Effect.UNSAFE, 7, 6));
+        ids.add("a", 1, Idempotency.NON_IDEMPOTENT, 1, 0);
+        ids.add("b", 2, Idempotency.IDEMPOTENT, 2, 1);
+        ids.add("c", 3, Idempotency.KEYED, 3, 2);
+        assertEquals(List.of(2L), ids.add("d", 4, Idempotency.IDEMPOTENT, 4, 3));
+        assertEquals(List.of(4L), ids.add("e", 5, Idempotency.NON_IDEMPOTENT, 5, 4));
+        assertEquals(List.of(3L), ids.add("f", 6, Idempotency.NON_IDEMPOTENT, 6, 5));
+        assertEquals(List.of(1L), ids.add("g", 7, Idempotency.NON_IDEMPOTENT, 7, 6));
         assertEquals(
                 List.of("e", "f", "g"),
                 ids.all().stream().map(DeduplicationCache.CompletedMessage::id).toList());
@@ -34,20 +34,20 @@
     /** Also under another effect: its place is then among the youngest of that. */
     @Test
     void anIdThatComesAgainTakesTheEarlierOnesPlace() {
-        ids.add("a", 1, Effect.SAFE, 1, 0);
-        ids.add("b", 2, Effect.SAFE, 2, 1);
-        assertEquals(List.of(1L), ids.add("a", 9, Effect.SAFE, 3, 2));
+        ids.add("a", 1, Idempotency.IDEMPOTENT, 1, 0);
+        ids.add("b", 2, Idempotency.IDEMPOTENT, 2, 1);
+        assertEquals(List.of(1L), ids.add("a", 9, Idempotency.IDEMPOTENT, 3, 2));
         assertEquals(9, ids.content("a"));
-        ids.add("c", 4, Effect.SAFE, 4, 3);
-        assertEquals(List.of(2L), ids.add("d", 5, Effect.SAFE, 5, 4));
-        assertEquals(List.of(3L), ids.add("a", 1, Effect.UNSAFE, 6, 5));
+        ids.add("c", 4, Idempotency.IDEMPOTENT, 4, 3);
+        assertEquals(List.of(2L), ids.add("d", 5, Idempotency.IDEMPOTENT, 5, 4));
+        assertEquals(List.of(3L), ids.add("a", 1, Idempotency.NON_IDEMPOTENT, 6, 5));
         assertEquals(3, ids.size());
     }
 
     @Test
     void whatIsPastItsReachIsForgotten() {
-        ids.add("a", 1, Effect.UNSAFE, 1, 0);
-        ids.add("b", 2, Effect.KEYED, 2, 5);
+        ids.add("a", 1, Idempotency.NON_IDEMPOTENT, 1, 0);
+        ids.add("b", 2, Idempotency.KEYED, 2, 5);
         assertEquals(List.of(), ids.expire(DeduplicationCache.REACH_NANOS));
         assertEquals(List.of(1L), ids.expire(DeduplicationCache.REACH_NANOS + 1));
         assertFalse(ids.knows("a"));
@@ -66,7 +66,7 @@
             forgotten.addAll(many.add(
                     Character.toString('a' + random.nextInt(200)),
                     (int) n,
-                    Effect.values()[random.nextInt(Effect.values().length)],
+                    Idempotency.values()[random.nextInt(Idempotency.values().length)],
                     n,
                     n * DeduplicationCache.REACH_NANOS / 100));
             assertTrue(many.size() <= 50, "seed " + seed);
--- a/sender/src/test/java/amberroute/sender/message/MessageClassRegistryTest.java
+++ b/sender/src/test/java/amberroute/sender/message/MessageClassRegistryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberroute.decisions.DeliveryScheduler.Effect;
+import amberroute.decisions.DeliveryScheduler.Idempotency;
 import amberroute.decisions.DeliveryScheduler.KeyScope;
 import amberroute.decisions.DeliveryScheduler.MessageClass;
 import java.util.List;
@@ -13,7 +13,7 @@
 /** Numbers of class versions: kept while anybody needs them, given away again after. */
 class MessageClassRegistryTest {
     private static MessageClass type(int worth) {
-        return new MessageClass(worth, 0, 1, 2, Effect.SAFE, KeyScope.DESTINATION, 0, false);
+        return new MessageClass(worth, 0, 1, 2, Idempotency.IDEMPOTENT, KeyScope.DESTINATION, 0, false);
     }
 
     @Test
--- a/simulator/src/main/java/amberroute/simulator/Replies.java
+++ b/simulator/src/main/java/amberroute/simulator/Replies.java
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfter) {
+    public void reject(long id, long retryAfter) {
         record(257).putInt((int) id).putInt((int) retryAfter);
     }
 
@@ -70,12 +70,12 @@
     }
 
     @Override
-    public void wake(long delay, long token) {
+    public void scheduleTimer(long delay, long token) {
         record(260).putInt((int) delay).putLong(token);
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         record(266).put((byte) 1);
     }
 
