--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/decision/package-info.java
@@ -0,0 +1,2 @@
+/** The actions of the decision module as data, and a trace of its events and actions. */
+package amberroute.sender.decision;
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/notification/package-info.java
@@ -0,0 +1,2 @@
+/** Notifies the platform of messages that end undelivered. */
+package amberroute.sender.notification;
--- a/sender/src/main/java/amberroute/sender/util/Log.java
+++ b/sender/src/main/java/amberroute/sender/util/Log.java
@@ -9,9 +9,9 @@
  */
 public final class Log {
     private static final int MOST_OF_A_KIND = 200;
-    private static final int MOST_KINDS = 64;
+    private static final int MOST_KINDS = 256;
     private static final int LONGEST = 500;
-    private static final Map<String, Integer> written = new HashMap<>();
+    private static final Map<String, Integer> WRITTEN = new HashMap<>();
     private static final long PROCESS = ProcessHandle.current().pid();
 
     private Log() {}
@@ -23,10 +23,10 @@
     public static synchronized void warn(String text) {
         int blank = text.indexOf(' ');
         String kind = blank < 0 ? text : text.substring(0, blank);
-        if (!written.containsKey(kind) && written.size() >= MOST_KINDS) {
+        if (!WRITTEN.containsKey(kind) && WRITTEN.size() >= MOST_KINDS) {
             kind = "";
         }
-        if (written.merge(kind, 1, Integer::sum) <= MOST_OF_A_KIND) {
+        if (WRITTEN.merge(kind, 1, Integer::sum) <= MOST_OF_A_KIND) {
             System.err.println(System.currentTimeMillis() + " [" + PROCESS + "] "
                     + text.substring(0, Math.min(LONGEST, text.length())).replaceAll("\\p{Cntrl}", "?"));
         }
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/util/package-info.java
@@ -0,0 +1,2 @@
+/** Log, backoff and parsers that several packages share; they depend on no other package of the sender. */
+package amberroute.sender.util;
