--- a/cli/src/test/java/amberroute/cli/FleetProcessTest.java
+++ b/cli/src/test/java/amberroute/cli/FleetProcessTest.java
@@ -372,7 +372,7 @@
         JsonObject request = FleetClient.request("stop");
         request.addProperty("final", true);
         assertTrue(FleetClient.ask(definition.control(), request).get("ok").getAsBoolean());
-        assertEquals(Supervisor.LEFT_OVER, supervisors.get(0).waitFor());
+        assertEquals(Supervisor.EXIT_WORK_LEFT_BEHIND, supervisors.get(0).waitFor());
         assertTrue(log().contains("its journal may still owe something"), log());
     }
 
@@ -529,7 +529,7 @@
         List<Long> before = pids();
         Files.writeString(folder.resolve("amberroute.toml"), "lisen = 3\n");
         signal("HUP", supervisors.get(0).pid());
-        Path log = definition.folder().resolve("sender-1.log");
+        Path log = definition.directory().resolve("sender-1.log");
         await(() -> Files.readString(log).contains("configuration not taken"));
         assertTrue(Files.readString(log).contains("unknown key lisen; did you mean listen?"), Files.readString(log));
         assertTrue(allReady());
--- a/fleet/src/main/java/amberroute/fleet/DaemonLink.java
+++ b/fleet/src/main/java/amberroute/fleet/DaemonControlClient.java
@@ -13,46 +13,46 @@
  * The supervisor's end of one daemon's control socket. Never waits: a daemon that hangs keeps nobody from the others.
  * What the daemon last said of itself is kept; a connection that fails is opened anew at the next look.
  */
-final class DaemonLink {
-    private static final int LARGEST = 1 << 16;
+final class DaemonControlClient {
+    private static final int MAX_LINE_BYTES = 1 << 16;
 
     private final Path path;
-    private final ByteBuffer in = ByteBuffer.allocate(LARGEST);
+    private final ByteBuffer inbound = ByteBuffer.allocate(MAX_LINE_BYTES);
     private SocketChannel channel;
-    private boolean waiting;
-    private JsonObject last;
-    private boolean news;
-    private String pending;
+    private boolean statusRequested;
+    private JsonObject lastStatus;
+    private boolean statusReceived;
+    private String pendingCommand;
 
-    DaemonLink(Path path) {
+    DaemonControlClient(Path path) {
         this.path = path;
     }
 
     /** Reads what has come and asks for the next status; true where a new one has come. */
-    boolean look() {
-        news = false;
+    boolean poll() {
+        statusReceived = false;
         try {
             if (channel == null) {
                 open();
             }
             read();
-            if (pending != null) {
-                write(pending);
-                pending = null;
+            if (pendingCommand != null) {
+                write(pendingCommand);
+                pendingCommand = null;
             }
-            if (!waiting) {
+            if (!statusRequested) {
                 write("{\"do\":\"status\"}");
-                waiting = true;
+                statusRequested = true;
             }
         } catch (IOException | RuntimeException e) {
             close();
         }
-        return news;
+        return statusReceived;
     }
 
     /** What the daemon last said, null before it has said anything. */
-    JsonObject last() {
-        return last;
+    JsonObject lastStatus() {
+        return lastStatus;
     }
 
     /** Sends a command at the next look, or now where that is possible; false where nobody listens. */
@@ -65,7 +65,7 @@
             return true;
         } catch (IOException e) {
             close();
-            pending = command.toString();
+            pendingCommand = command.toString();
             return false;
         }
     }
@@ -73,16 +73,16 @@
     /** The process is another one from now on. */
     void reset() {
         close();
-        last = null;
-        pending = null;
+        lastStatus = null;
+        pendingCommand = null;
     }
 
     private void open() throws IOException {
         SocketChannel fresh = SocketChannel.open(UnixDomainSocketAddress.of(path));
         fresh.configureBlocking(false);
         channel = fresh;
-        waiting = false;
-        in.clear();
+        statusRequested = false;
+        inbound.clear();
     }
 
     private void write(String line) throws IOException {
@@ -94,25 +94,26 @@
     }
 
     private void read() throws IOException {
-        int n = channel.read(in);
-        if (n < 0 || !in.hasRemaining()) {
+        int n = channel.read(inbound);
+        if (n < 0 || !inbound.hasRemaining()) {
             throw new IOException("ended");
         }
         int from = 0;
-        for (int i = 0; i < in.position(); i++) {
-            if (in.get(i) == '\n') {
-                JsonObject line = JsonParser.parseString(new String(in.array(), from, i - from, StandardCharsets.UTF_8))
+        for (int i = 0; i < inbound.position(); i++) {
+            if (inbound.get(i) == '\n') {
+                JsonObject line = JsonParser.parseString(
+                                new String(inbound.array(), from, i - from, StandardCharsets.UTF_8))
                         .getAsJsonObject();
                 from = i + 1;
                 if (line.has("state")) {
-                    last = line;
-                    news = true;
-                    waiting = false;
+                    lastStatus = line;
+                    statusReceived = true;
+                    statusRequested = false;
                 }
             }
         }
-        in.flip().position(from);
-        in.compact();
+        inbound.flip().position(from);
+        inbound.compact();
     }
 
     private void close() {
@@ -124,6 +125,6 @@
             }
             channel = null;
         }
-        waiting = false;
+        statusRequested = false;
     }
 }
--- a/fleet/src/main/java/amberroute/fleet/FleetClient.java
+++ b/fleet/src/main/java/amberroute/fleet/FleetClient.java
@@ -12,9 +12,9 @@
 /** Asks a supervisor, or a daemon, one thing over its control socket. */
 public final class FleetClient {
     /** Some 4,096 daemons with all their figures; room grows with what comes. */
-    private static final int LARGEST = 16 << 20;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
-    private static final int FIRST = 1 << 16;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private FleetClient() {}
 
@@ -22,9 +22,9 @@
     public static JsonObject ask(Path socket, JsonObject request) throws IOException {
         try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
             channel.write(ByteBuffer.wrap((request + "\n").getBytes(StandardCharsets.UTF_8)));
-            ByteBuffer in = ByteBuffer.allocate(FIRST);
+            ByteBuffer in = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
             while (in.position() == 0 || in.get(in.position() - 1) != '\n') {
-                if (!in.hasRemaining() && in.capacity() < LARGEST) {
+                if (!in.hasRemaining() && in.capacity() < MAX_RESPONSE_BYTES) {
                     in = ByteBuffer.allocate(2 * in.capacity()).put(in.flip());
                 }
                 if (!in.hasRemaining() || channel.read(in) < 0) {
--- a/fleet/src/main/java/amberroute/fleet/FleetDefinition.java
+++ b/fleet/src/main/java/amberroute/fleet/FleetDefinition.java
@@ -20,12 +20,12 @@
 public record FleetDefinition(
         Path file,
         String name,
-        Path folder,
+        Path directory,
         List<Instance> instances,
         Policy policy,
         long logBytes,
         int count,
-        boolean gentle) {
+        boolean slowStartShared) {
 
     /**
      * One daemon. {@code listen} has its address in figures with a port, {@code sender} is the file it reads,
@@ -38,8 +38,8 @@
             Path state,
             Path sender,
             List<String> command,
-            String handOver,
-            List<Path> adopt) {
+            String handoffAddress,
+            List<Path> orphanedDirectories) {
         /** Its control socket, where the daemon puts it if its file does not say otherwise. */
         public Path control() {
             return state.resolve("control");
@@ -54,18 +54,18 @@
      * {@code rollPause} between one that is ready and the next; with {@code rollMove} each hands over what it holds.
      */
     public record Policy(
-            int startAtOnce,
-            long readyWithin,
-            long stopWithin,
-            long stopGrace,
-            long pause,
-            long longestPause,
-            int mostDeaths,
-            long deathSpan,
-            int rollAtOnce,
-            long rollPause,
-            long steadyAfter,
-            boolean rollMove) {}
+            int maxStarting,
+            long readyTimeoutMillis,
+            long stopTimeoutMillis,
+            long killDelayMillis,
+            long restartBackoffMillis,
+            long maxRestartBackoffMillis,
+            int crashLoopCount,
+            long crashLoopWindowMillis,
+            int maxRestarting,
+            long rollingPauseMillis,
+            long stableAfterMillis,
+            boolean rollingHandoff) {}
 
     private static final int LONGEST_SOCKET_PATH = 107;
 
@@ -285,14 +285,14 @@
     /** All daemons by name with where they listen for one another, as {@code GW_PEERS} has it; empty where they do not. */
     public String peers() {
         return instances.stream()
-                .filter(i -> i.handOver() != null)
-                .map(i -> i.name() + "=" + i.handOver())
+                .filter(i -> i.handoffAddress() != null)
+                .map(i -> i.name() + "=" + i.handoffAddress())
                 .collect(Collectors.joining(","));
     }
 
     /** The supervisor's own control socket. */
     public Path control() {
-        return folder.resolve("fleet");
+        return directory.resolve("fleet");
     }
 
     private static void fits(Settings s, Path socket) {
@@ -306,7 +306,7 @@
         return name + ": " + count + (instances.size() > count ? " to " + instances.size() : "") + " daemons, "
                 + instances.get(0).listen() + " to "
                 + instances.get(instances.size() - 1).listen() + ", sender file "
-                + instances.get(0).sender() + ", state under " + folder
-                + ", stop within " + Units.span(policy.stopWithin() * 1_000);
+                + instances.get(0).sender() + ", state under " + directory
+                + ", stop within " + Units.span(policy.stopTimeoutMillis() * 1_000);
     }
 }
--- a/fleet/src/main/java/amberroute/fleet/SupervisionPolicy.java
+++ b/fleet/src/main/java/amberroute/fleet/SupervisionPolicy.java
@@ -39,45 +39,47 @@
     /** What a supervisor can do; each call is carried out at once. */
     public interface DaemonController {
         /** Starts the daemon's process. */
-        void start(int daemon);
+        void start(int index);
 
         /** Asks it to stop within so many milliseconds. */
-        void stop(int daemon, Mode mode, long within);
+        void stop(int index, Mode mode, long within);
 
         /** Ends its process by force. */
-        void kill(int daemon);
+        void kill(int index);
 
         /** Asks it to read its files again. */
-        void reload(int daemon);
+        void reload(int index);
 
         /** The daemon is out: it has left and owes nothing. */
-        void left(int daemon);
+        void markRetired(int index);
 
         /** One line for the log. */
-        void say(String text);
+        void log(String text);
     }
 
+    private static final int MAX_BACKOFF_DOUBLINGS = 20;
+
     private static final class Daemon {
         final String name;
         State state = State.DOWN;
         /** Since when it has been in this state. */
-        long since;
+        long sinceMillis;
 
-        long startAt;
-        int deathsInRow;
-        final Deque<Long> deaths = new ArrayDeque<>();
+        long startAtMillis;
+        int consecutiveCrashes;
+        final Deque<Long> crashTimesMillis = new ArrayDeque<>();
         /** A stop that was asked for, so that its end is no death. */
-        boolean asked;
+        boolean stopRequested;
 
         boolean killed;
         /** The stop that was asked for is one for good. */
-        boolean forGood;
+        boolean finalStop;
 
-        boolean turn;
+        boolean inRollingRestart;
         /** It was out and is wanted again: others may have been told that no client finds it. */
-        boolean returns;
+        boolean returning;
 
-        long starts;
+        long startCount;
 
         Daemon(String name) {
             this.name = name;
@@ -85,19 +87,19 @@
     }
 
     private final Policy policy;
-    private final DaemonController hands;
+    private final DaemonController controller;
     private final List<Daemon> daemons = new ArrayList<>();
     /** Those whose turn in the rolling restart is to come; null while none runs. */
-    private Deque<Integer> rolling;
+    private Deque<Integer> rollingQueue;
 
-    private int rolled;
-    private int rollSize;
-    private long rollNotBefore;
-    private String lastRoll = "none";
+    private int rollingDone;
+    private int rollingTotal;
+    private long nextRollingStopMillis;
+    private String lastRollingResult = "none";
     private int wanted;
-    private boolean ending;
-    private Mode endMode;
-    private boolean leftOver;
+    private boolean stopping;
+    private Mode stopMode;
+    private boolean workLeftBehind;
 
     public SupervisionPolicy(Policy policy, List<String> names, DaemonController hands) {
         this(policy, names, names.size(), hands);
@@ -107,120 +109,132 @@
     public SupervisionPolicy(Policy policy, List<String> names, int wanted, DaemonController hands) {
         this.wanted = wanted;
         this.policy = policy;
-        this.hands = hands;
+        this.controller = hands;
         names.forEach(name -> daemons.add(new Daemon(name)));
     }
 
     // ---- What is seen. ----
 
     /** A living process of this place was found at the supervisor's start: it is taken over as it is. */
-    public void found(long now, int daemon) {
-        Daemon d = daemons.get(daemon);
-        set(d, State.STARTING, now);
-        hands.say(d.name + " is alive already and taken over");
+    public void processFound(long now, int index) {
+        Daemon daemon = daemons.get(index);
+        enterState(daemon, State.STARTING, now);
+        controller.log(daemon.name + " is alive already and taken over");
     }
 
     /** No process of this place lives, and what it left owes nothing; only at the supervisor's start. */
-    public void owesNothing(int daemon) {
-        if (daemon >= wanted) {
-            daemons.get(daemon).state = State.OUT;
+    public void nothingPending(int index) {
+        if (index >= wanted) {
+            daemons.get(index).state = State.OUT;
         }
     }
 
     /** The daemon says that it is ready. */
-    public void ready(long now, int daemon) {
-        Daemon d = daemons.get(daemon);
-        if (d.state != State.STARTING) {
+    public void readyObserved(long now, int index) {
+        Daemon daemon = daemons.get(index);
+        if (daemon.state != State.STARTING) {
             return;
         }
-        hands.say(d.name + " is ready after " + (now - d.since) + " ms");
-        set(d, State.READY, now);
-        if (d.turn) {
-            d.turn = false;
-            rolled++;
-            rollNotBefore = now + policy.rollPause();
+        controller.log(daemon.name + " is ready after " + (now - daemon.sinceMillis) + " ms");
+        enterState(daemon, State.READY, now);
+        if (daemon.inRollingRestart) {
+            daemon.inRollingRestart = false;
+            rollingDone++;
+            nextRollingStopMillis = now + policy.rollingPauseMillis();
         }
     }
 
     /** The daemon says that it drains though nobody here asked it to: somebody else did. */
-    public void draining(long now, int daemon) {
-        Daemon d = daemons.get(daemon);
-        if (d.state == State.READY || d.state == State.STARTING) {
-            set(d, State.STOPPING, now);
-            d.asked = true;
-            hands.say(d.name + " was told to stop from outside");
-        }
-    }
-
-    /** Its process has ended, {@code clean} where it says itself that it owes nothing; {@code how} is for people. */
-    public void ended(long now, int daemon, boolean clean, String how) {
-        Daemon d = daemons.get(daemon);
-        if (d.state == State.DOWN || d.state == State.GIVEN_UP || d.state == State.OUT) {
-            return;
-        }
-        boolean wanted = d.asked;
-        boolean leaves = daemon >= this.wanted;
-        boolean started = d.state != State.STARTING;
-        long lived = now - d.since;
-        set(d, State.DOWN, now);
-        d.asked = false;
-        d.killed = false;
-        d.startAt = now;
-        if (ending && endMode == Mode.FINAL && !clean) {
-            leftOver = true;
-            hands.say(d.name + " ended with " + how + ": its journal may still owe something");
-        }
-        if (wanted && leaves && !ending && clean && d.forGood) {
-            hands.say(d.name + " has left for good");
-            set(d, State.OUT, now);
-            hands.left(daemon);
-            return;
-        }
-        if (wanted && !(leaves && !ending && d.forGood)) {
-            hands.say(d.name + " has stopped (" + how + ")");
-            d.deathsInRow = 0;
+    public void drainingObserved(long now, int index) {
+        Daemon daemon = daemons.get(index);
+        if (daemon.state == State.READY || daemon.state == State.STARTING) {
+            enterState(daemon, State.STOPPING, now);
+            daemon.stopRequested = true;
+            controller.log(daemon.name + " was told to stop from outside");
+        }
+    }
+
+    /**
+     * The daemon's process has ended.
+     *
+     * @param clean whether the exit code says that nothing is pending in its journal
+     * @param how the way it ended, for people
+     */
+    public void processEnded(long now, int index, boolean clean, String how) {
+        Daemon daemon = daemons.get(index);
+        if (daemon.state == State.DOWN || daemon.state == State.GIVEN_UP || daemon.state == State.OUT) {
             return;
         }
-        if (ending) {
-            hands.say(d.name + " died (" + how + ") and is not started again, as the fleet stops");
-            return;
-        }
-        if (started && lived >= policy.steadyAfter()) {
-            d.deathsInRow = 0;
-        }
-        d.deaths.addLast(now);
-        while (d.deaths.peekFirst() < now - policy.deathSpan()) {
-            d.deaths.removeFirst();
-        }
-        if (d.turn) {
-            abortRoll(d.name + " died (" + how + ") before it was ready again");
-        } else if (rolling != null && rolling.remove(daemon)) {
-            // Its next process is a new one: its turn is now.
-            d.turn = true;
-        }
-        if (d.deaths.size() >= policy.mostDeaths()) {
-            set(d, State.GIVEN_UP, now);
-            hands.say(d.name + " died " + d.deaths.size() + " times within " + policy.deathSpan() / 1_000
-                    + " s, the last time with " + how + ": it is left alone until a restart is asked for");
+        boolean requested = daemon.stopRequested;
+        boolean retiring = index >= wanted && !stopping && daemon.finalStop;
+        boolean stable = daemon.state != State.STARTING && now - daemon.sinceMillis >= policy.stableAfterMillis();
+        enterState(daemon, State.DOWN, now);
+        daemon.stopRequested = false;
+        daemon.killed = false;
+        daemon.startAtMillis = now;
+        if (stopping && stopMode == Mode.FINAL && !clean) {
+            workLeftBehind = true;
+            controller.log(daemon.name + " ended with " + how + ": its journal may still owe something");
+        }
+        if (requested && retiring && clean) {
+            controller.log(daemon.name + " has left for good");
+            enterState(daemon, State.OUT, now);
+            controller.markRetired(index);
+        } else if (requested && !retiring) {
+            controller.log(daemon.name + " has stopped (" + how + ")");
+            daemon.consecutiveCrashes = 0;
+        } else if (stopping) {
+            controller.log(daemon.name + " died (" + how + ") and is not started again, as the fleet stops");
+        } else {
+            crashed(now, index, how, stable);
+        }
+    }
+
+    private void crashed(long now, int index, String how, boolean stable) {
+        Daemon daemon = daemons.get(index);
+        if (stable) {
+            daemon.consecutiveCrashes = 0;
+        }
+        daemon.crashTimesMillis.addLast(now);
+        while (daemon.crashTimesMillis.peekFirst() < now - policy.crashLoopWindowMillis()) {
+            daemon.crashTimesMillis.removeFirst();
+        }
+        if (daemon.inRollingRestart) {
+            abortRollingRestart(daemon.name + " died (" + how + ") before it was ready again");
+        } else if (rollingQueue != null && rollingQueue.remove(index)) {
+            // Its next process is a new one, so the crash takes the place of its restart.
+            daemon.inRollingRestart = true;
+        }
+        if (daemon.crashTimesMillis.size() >= policy.crashLoopCount()) {
+            enterState(daemon, State.GIVEN_UP, now);
+            controller.log(daemon.name + " died " + daemon.crashTimesMillis.size() + " times within "
+                    + policy.crashLoopWindowMillis() / 1_000 + " s, the last time with " + how
+                    + ": it is left alone until a restart is asked for");
             return;
         }
-        long pause = Math.min(policy.longestPause(), policy.pause() << Math.min(d.deathsInRow++, 20));
-        d.startAt = now + pause;
-        hands.say(d.name + " died (" + how + "); it is started again in " + pause + " ms");
+        long backoff = restartBackoffMillis(daemon.consecutiveCrashes++);
+        daemon.startAtMillis = now + backoff;
+        controller.log(daemon.name + " died (" + how + "); it is started again in " + backoff + " ms");
+    }
+
+    private long restartBackoffMillis(int consecutiveCrashes) {
+        return Math.min(
+                policy.maxRestartBackoffMillis(),
+                policy.restartBackoffMillis() << Math.min(consecutiveCrashes, MAX_BACKOFF_DOUBLINGS));
     }
 
     // ---- Commands; each answers null where it is taken, or why not. ----
 
     /** Restarts all daemons, or those named, one after another within the budget. */
     public String restart(long now, List<String> names) {
-        if (ending) {
+        if (stopping) {
             return "the fleet is stopping";
         }
-        if (rolling != null) {
-            return "a rolling restart runs: " + rolled + " of " + rollSize + " are done";
+        if (rollingQueue != null) {
+            return "a rolling restart runs: " + rollingDone + " of " + rollingTotal + " are done";
         }
         if (daemons.subList(wanted, daemons.size()).stream()
-                .anyMatch(d -> d.state != State.OUT && d.state != State.GIVEN_UP)) {
+                .anyMatch(daemon -> daemon.state != State.OUT && daemon.state != State.GIVEN_UP)) {
             return "the fleet is being scaled in";
         }
         Deque<Integer> queue = new ArrayDeque<>();
@@ -232,20 +246,20 @@
         if (!names.isEmpty() && queue.size() != names.stream().distinct().count()) {
             return "not all of these are daemons of this fleet: " + String.join(", ", names);
         }
-        rolling = queue;
-        rolled = 0;
-        rollSize = queue.size();
-        rollNotBefore = now;
-        lastRoll = "runs";
-        hands.say("rolling restart of " + rollSize + " daemons begins");
+        rollingQueue = queue;
+        rollingDone = 0;
+        rollingTotal = queue.size();
+        nextRollingStopMillis = now;
+        lastRollingResult = "runs";
+        controller.log("rolling restart of " + rollingTotal + " daemons begins");
         return null;
     }
 
     /** Null where so many daemons may be asked for now, or why not. */
-    public String mayScale(int to) {
-        return ending
+    public String scaleRejection(int to) {
+        return stopping
                 ? "the fleet is stopping"
-                : rolling != null
+                : rollingQueue != null
                         ? "a rolling restart runs"
                         : to < 1 || to > daemons.size()
                                 ? "a fleet of this definition has 1 to " + daemons.size() + " daemons"
@@ -254,20 +268,20 @@
 
     /** From now on the first so many daemons are wanted; those that leave do so one after another. */
     public String scale(long now, int to) {
-        String refused = mayScale(to);
+        String refused = scaleRejection(to);
         if (refused != null) {
             return refused;
         }
-        hands.say("the fleet goes from " + wanted + " to " + to + " daemons");
+        controller.log("the fleet goes from " + wanted + " to " + to + " daemons");
         wanted = to;
         for (int i = 0; i < to; i++) {
-            Daemon d = daemons.get(i);
-            if (d.state == State.OUT) {
-                d.deaths.clear();
-                d.deathsInRow = 0;
-                d.startAt = now;
-                d.returns = true;
-                set(d, State.DOWN, now);
+            Daemon daemon = daemons.get(i);
+            if (daemon.state == State.OUT) {
+                daemon.crashTimesMillis.clear();
+                daemon.consecutiveCrashes = 0;
+                daemon.startAtMillis = now;
+                daemon.returning = true;
+                enterState(daemon, State.DOWN, now);
             }
         }
         return null;
@@ -275,8 +289,10 @@
 
     private void scaleIn(long now) {
         // One that is wanted again may still be stopping from before: it is away like any other.
-        long away = daemons.stream().filter(d -> d.state == State.STOPPING).count();
-        for (int i = daemons.size() - 1; i >= wanted && away < policy.rollAtOnce(); i--) {
+        long away = daemons.stream()
+                .filter(daemon -> daemon.state == State.STOPPING)
+                .count();
+        for (int i = daemons.size() - 1; i >= wanted && away < policy.maxRestarting(); i--) {
             if (daemons.get(i).state == State.READY) {
                 stopOne(now, i, Mode.FINAL);
                 away++;
@@ -289,155 +305,174 @@
         int asked = 0;
         for (int i = 0; i < daemons.size(); i++) {
             if (daemons.get(i).state == State.READY || daemons.get(i).state == State.STARTING) {
-                hands.reload(i);
+                controller.reload(i);
                 asked++;
             }
         }
-        hands.say("asked " + asked + " daemons to read their files again");
+        controller.log("asked " + asked + " daemons to read their files again");
         return null;
     }
 
     /** Stops all; a rolling restart that runs ends here. */
     public String stop(long now, Mode mode) {
-        if (ending && (endMode == mode || mode == Mode.RESTART)) {
+        if (stopping && (stopMode == mode || mode == Mode.RESTART)) {
             return "the fleet is stopping";
         }
-        if (rolling != null) {
-            abortRoll("the fleet is stopped");
+        if (rollingQueue != null) {
+            abortRollingRestart("the fleet is stopped");
         }
-        ending = true;
-        endMode = mode;
-        hands.say("the fleet stops " + (mode == Mode.FINAL ? "for good" : "for now"));
+        stopping = true;
+        stopMode = mode;
+        controller.log("the fleet stops " + (mode == Mode.FINAL ? "for good" : "for now"));
         for (int i = 0; i < daemons.size(); i++) {
-            Daemon d = daemons.get(i);
-            if (d.state == State.READY || d.state == State.STARTING || d.state == State.STOPPING) {
+            Daemon daemon = daemons.get(i);
+            if (daemon.state == State.READY || daemon.state == State.STARTING || daemon.state == State.STOPPING) {
                 stopOne(now, i, mode);
             }
         }
         return null;
     }
 
-    private void stopOne(long now, int daemon, Mode mode) {
-        Daemon d = daemons.get(daemon);
-        d.asked = true;
-        d.forGood = mode == Mode.FINAL;
-        set(d, State.STOPPING, now);
-        hands.stop(daemon, mode, policy.stopWithin());
+    private void stopOne(long now, int index, Mode mode) {
+        Daemon daemon = daemons.get(index);
+        daemon.stopRequested = true;
+        daemon.finalStop = mode == Mode.FINAL;
+        enterState(daemon, State.STOPPING, now);
+        controller.stop(index, mode, policy.stopTimeoutMillis());
     }
 
     // ---- Time. ----
 
     /** To be called often: does what is due. */
-    public void tick(long now) {
-        int starting = 0;
+    public void runDueActions(long now) {
+        killOverdue(now);
+        startDue(now);
+        if (rollingQueue != null) {
+            continueRollingRestart(now);
+        } else if (!stopping) {
+            scaleIn(now);
+        }
+    }
+
+    private void killOverdue(long now) {
         for (int i = 0; i < daemons.size(); i++) {
-            Daemon d = daemons.get(i);
-            if (d.state == State.STOPPING && !d.killed && now - d.since >= policy.stopWithin() + policy.stopGrace()) {
-                hands.say(d.name + " has not stopped after " + (now - d.since) + " ms and is killed");
-                d.killed = true;
-                hands.kill(i);
-            } else if (d.state == State.STARTING && !d.killed && now - d.since >= policy.readyWithin()) {
-                hands.say(d.name + " was not ready within " + policy.readyWithin() + " ms and is killed");
-                d.killed = true;
-                hands.kill(i);
+            Daemon daemon = daemons.get(i);
+            if (daemon.state == State.STOPPING
+                    && !daemon.killed
+                    && now - daemon.sinceMillis >= policy.stopTimeoutMillis() + policy.killDelayMillis()) {
+                controller.log(
+                        daemon.name + " has not stopped after " + (now - daemon.sinceMillis) + " ms and is killed");
+                daemon.killed = true;
+                controller.kill(i);
+            } else if (daemon.state == State.STARTING
+                    && !daemon.killed
+                    && now - daemon.sinceMillis >= policy.readyTimeoutMillis()) {
+                controller.log(
+                        daemon.name + " was not ready within " + policy.readyTimeoutMillis() + " ms and is killed");
+                daemon.killed = true;
+                controller.kill(i);
             }
-            starting += d.state == State.STARTING ? 1 : 0;
         }
-        for (int i = 0; !ending && i < daemons.size() && starting < policy.startAtOnce(); i++) {
-            Daemon d = daemons.get(i);
-            // Whoever leaves just now counts on those that were out to stay so until it is gone.
-            boolean mayReturn = !d.returns || daemons.stream().noneMatch(o -> o.state == State.STOPPING);
-            if (d.state == State.DOWN && now >= d.startAt && mayReturn) {
-                d.returns = false;
-                set(d, State.STARTING, now);
-                d.starts++;
+    }
+
+    private void startDue(long now) {
+        long starting = daemons.stream()
+                .filter(daemon -> daemon.state == State.STARTING)
+                .count();
+        for (int i = 0; !stopping && i < daemons.size() && starting < policy.maxStarting(); i++) {
+            Daemon daemon = daemons.get(i);
+            // A daemon that is stopping was told which daemons are retired, so none returns before it has ended.
+            boolean mayReturn = !daemon.returning || daemons.stream().noneMatch(other -> other.state == State.STOPPING);
+            if (daemon.state == State.DOWN && now >= daemon.startAtMillis && mayReturn) {
+                daemon.returning = false;
+                enterState(daemon, State.STARTING, now);
+                daemon.startCount++;
                 starting++;
-                hands.start(i);
+                controller.start(i);
             }
         }
-        if (rolling != null) {
-            roll(now);
-        } else if (!ending) {
-            scaleIn(now);
-        }
     }
 
     /** Nobody is stopped while another that is wanted is not ready, but for those whose turn it is. */
-    private void roll(long now) {
-        long down = daemons.stream().filter(d -> d.turn).count();
+    private void continueRollingRestart(long now) {
+        long down = daemons.stream().filter(daemon -> daemon.inRollingRestart).count();
         boolean others = daemons.subList(0, wanted).stream()
-                .anyMatch(d ->
-                        !d.turn && (d.state == State.DOWN || d.state == State.STARTING || d.state == State.STOPPING));
-        while (!rolling.isEmpty() && down < policy.rollAtOnce() && now >= rollNotBefore) {
-            Daemon next = daemons.get(rolling.peekFirst());
+                .anyMatch(daemon -> !daemon.inRollingRestart
+                        && (daemon.state == State.DOWN
+                                || daemon.state == State.STARTING
+                                || daemon.state == State.STOPPING));
+        while (!rollingQueue.isEmpty() && down < policy.maxRestarting() && now >= nextRollingStopMillis) {
+            Daemon next = daemons.get(rollingQueue.peekFirst());
             if (next.state == State.GIVEN_UP) {
-                // The operator asks for it: it gets another chance, with its account cleared.
-                next.deaths.clear();
-                next.deathsInRow = 0;
-                next.turn = true;
-                next.startAt = now;
-                set(next, State.DOWN, now);
+                // A restart that an operator asked for clears the crashes.
+                next.crashTimesMillis.clear();
+                next.consecutiveCrashes = 0;
+                next.inRollingRestart = true;
+                next.startAtMillis = now;
+                enterState(next, State.DOWN, now);
             } else if (next.state == State.READY && !others) {
-                next.turn = true;
-                stopOne(now, rolling.peekFirst(), policy.rollMove() ? Mode.MOVE : Mode.RESTART);
+                next.inRollingRestart = true;
+                stopOne(now, rollingQueue.peekFirst(), policy.rollingHandoff() ? Mode.MOVE : Mode.RESTART);
             } else {
                 break;
             }
-            rolling.removeFirst();
+            rollingQueue.removeFirst();
             down++;
         }
-        if (rolling.isEmpty() && down == 0) {
-            rolling = null;
-            lastRoll = "done";
-            hands.say("rolling restart is done: " + rolled + " of " + rollSize);
+        if (rollingQueue.isEmpty() && down == 0) {
+            rollingQueue = null;
+            lastRollingResult = "done";
+            controller.log("rolling restart is done: " + rollingDone + " of " + rollingTotal);
         }
     }
 
-    private void abortRoll(String why) {
-        if (rolling != null) {
-            rolling = null;
-            lastRoll = "aborted after " + rolled + " of " + rollSize + ": " + why;
-            hands.say("rolling restart " + lastRoll);
-            daemons.forEach(d -> d.turn = false);
+    private void abortRollingRestart(String why) {
+        if (rollingQueue != null) {
+            rollingQueue = null;
+            lastRollingResult = "aborted after " + rollingDone + " of " + rollingTotal + ": " + why;
+            controller.log("rolling restart " + lastRollingResult);
+            daemons.forEach(daemon -> daemon.inRollingRestart = false);
         }
     }
 
-    private static void set(Daemon d, State state, long now) {
-        d.state = state;
-        d.since = now;
+    private static void enterState(Daemon daemon, State state, long now) {
+        daemon.state = state;
+        daemon.sinceMillis = now;
     }
 
     // ---- What is known. ----
 
     /** Whether all that was asked for is over and the supervisor may end. */
-    public boolean over() {
-        return ending
+    public boolean finished() {
+        return stopping
                 && daemons.stream()
-                        .allMatch(d -> d.state == State.DOWN || d.state == State.GIVEN_UP || d.state == State.OUT);
+                        .allMatch(daemon -> daemon.state == State.DOWN
+                                || daemon.state == State.GIVEN_UP
+                                || daemon.state == State.OUT);
     }
 
     /** Whether a stop for good may have left something in a journal. */
-    public boolean leftOver() {
-        return leftOver;
+    public boolean workLeftBehind() {
+        return workLeftBehind;
     }
 
     /** Whether the fleet is being stopped. */
-    public boolean ending() {
-        return ending;
+    public boolean stopping() {
+        return stopping;
     }
 
-    public State state(int daemon) {
-        return daemons.get(daemon).state;
+    public State state(int index) {
+        return daemons.get(index).state;
     }
 
     /** How long it has been in its state. */
-    public long age(long now, int daemon) {
-        return now - daemons.get(daemon).since;
+    public long stateAgeMillis(long now, int index) {
+        return now - daemons.get(index).sinceMillis;
     }
 
     /** How often it was started by this supervisor. */
-    public long starts(int daemon) {
-        return daemons.get(daemon).starts;
+    public long startCount(int index) {
+        return daemons.get(index).startCount;
     }
 
     public int size() {
@@ -446,7 +481,7 @@
 
     /** Whether all daemons that are wanted are ready. */
     public boolean allReady() {
-        return daemons.subList(0, wanted).stream().allMatch(d -> d.state == State.READY);
+        return daemons.subList(0, wanted).stream().allMatch(daemon -> daemon.state == State.READY);
     }
 
     public int wanted() {
@@ -454,12 +489,13 @@
     }
 
     /** Whether just the wanted daemons are there: those ready, all others out. */
-    public boolean scaled() {
-        return allReady() && daemons.subList(wanted, daemons.size()).stream().allMatch(d -> d.state == State.OUT);
+    public boolean scaleReached() {
+        return allReady()
+                && daemons.subList(wanted, daemons.size()).stream().allMatch(daemon -> daemon.state == State.OUT);
     }
 
     /** none, runs, done, or aborted and why. */
-    public String rollingState() {
-        return rolling != null ? rolled + " of " + rollSize + " done" : lastRoll;
+    public String rollingRestartStatus() {
+        return rollingQueue != null ? rollingDone + " of " + rollingTotal + " done" : lastRollingResult;
     }
 }
--- a/fleet/src/test/java/amberroute/fleet/FleetDefinitionTest.java
+++ b/fleet/src/test/java/amberroute/fleet/FleetDefinitionTest.java
@@ -34,8 +34,8 @@
                         + "[[instance]]\nname = \"sender-2\"\nhandover = \"127.0.0.1:7200\"\nadopt = [\"old\"]\n");
         assertEquals("sender-1=127.0.0.1:7100,sender-2=127.0.0.1:7200,sender-3=127.0.0.1:7102", d.peers());
         assertEquals(
-                java.util.List.of(folder.resolve("old")), d.instances().get(1).adopt());
-        assertTrue(d.gentle() && d.policy().rollMove());
+                java.util.List.of(folder.resolve("old")), d.instances().get(1).orphanedDirectories());
+        assertTrue(d.slowStartShared() && d.policy().rollingHandoff());
         assertEquals("", read("count = 2\n").peers());
         assertTrue(
                 error("count = 2\nrolling.move = true\n").contains("rolling.move needs handover.listen"),
@@ -57,7 +57,7 @@
                 folder.resolve("amberroute.toml").toString(),
                 last.command().get(last.command().size() - 1));
         assertTrue(last.command().contains("-Xmx40000000"), last.command().toString());
-        assertEquals(8_000, d.policy().stopWithin());
+        assertEquals(8_000, d.policy().stopTimeoutMillis());
     }
 
     @Test
--- a/fleet/src/test/java/amberroute/fleet/SupervisionPolicyTest.java
+++ b/fleet/src/test/java/amberroute/fleet/SupervisionPolicyTest.java
@@ -58,13 +58,13 @@
         }
 
         @Override
-        public void left(int daemon) {
+        public void markRetired(int daemon) {
             assertFalse(alive[daemon], "left with a living process");
             done.add("left " + daemon);
         }
 
         @Override
-        public void say(String text) {
+        public void log(String text) {
             assertFalse(text.isBlank());
             done.add("# " + text);
         }
@@ -86,21 +86,21 @@
 
     private void pass(long millis) {
         for (long end = now + millis; now < end; now += 10) {
-            fleet.tick(now);
+            fleet.runDueActions(now);
         }
     }
 
     private void die(int daemon) {
         hands.alive[daemon] = false;
-        fleet.ended(now, daemon, false, "exit code 1");
+        fleet.processEnded(now, daemon, false, "exit code 1");
     }
 
     private void allReady(int size) {
         for (int round = 0; round < size; round++) {
-            fleet.tick(now);
+            fleet.runDueActions(now);
             for (int i = 0; i < size; i++) {
                 if (hands.alive[i]) {
-                    fleet.ready(now, i);
+                    fleet.readyObserved(now, i);
                 }
             }
         }
@@ -112,7 +112,7 @@
         fleet(5, POLICY);
         pass(1_000);
         assertEquals(2, hands.count("start"));
-        fleet.ready(now, 0);
+        fleet.readyObserved(now, 0);
         pass(100);
         assertEquals(3, hands.count("start"));
     }
@@ -145,7 +145,7 @@
         pass(120);
         die(0);
         pass(220);
-        fleet.ready(now, 0);
+        fleet.readyObserved(now, 0);
         pass(10_000);
         die(0);
         pass(120);
@@ -174,7 +174,7 @@
         pass(500);
         assertEquals(1, hands.count("kill"));
         die(0);
-        assertTrue(fleet.over());
+        assertTrue(fleet.finished());
         pass(1_000);
         assertEquals(1, hands.count("start"), "started again though the fleet stops");
     }
@@ -190,17 +190,17 @@
             pass(1_000);
             assertEquals(i + 1, hands.count("stop"), "the next was stopped while this one is away");
             hands.alive[i] = false;
-            fleet.ended(now, i, true, "exit code 0");
+            fleet.processEnded(now, i, true, "exit code 0");
             pass(20);
             assertTrue(hands.alive[i]);
             pass(1_000);
             assertEquals(i + 1, hands.count("stop"), "the next was stopped before this one is ready");
-            fleet.ready(now, i);
+            fleet.readyObserved(now, i);
             pass(100);
             assertEquals(i + 1, hands.count("stop"), "no pause was kept");
         }
         pass(200);
-        assertEquals("done", fleet.rollingState());
+        assertEquals("done", fleet.rollingRestartStatus());
     }
 
     @Test
@@ -223,7 +223,7 @@
         fleet.restart(now, List.of("d0", "d1"));
         pass(1_000);
         assertEquals(0, hands.count("stop"), "took one more away from a fleet that lacks one");
-        fleet.ready(now, 2);
+        fleet.readyObserved(now, 2);
         pass(300);
         assertEquals(1, hands.count("stop"));
     }
@@ -235,12 +235,12 @@
         fleet.restart(now, List.of());
         pass(20);
         hands.alive[0] = false;
-        fleet.ended(now, 0, true, "exit code 0");
+        fleet.processEnded(now, 0, true, "exit code 0");
         pass(20);
         die(0);
-        assertTrue(fleet.rollingState().startsWith("aborted after 0 of 3"), fleet.rollingState());
+        assertTrue(fleet.rollingRestartStatus().startsWith("aborted after 0 of 3"), fleet.rollingRestartStatus());
         pass(300);
-        fleet.ready(now, 0);
+        fleet.readyObserved(now, 0);
         pass(5_000);
         assertEquals(1, hands.count("stop"));
     }
@@ -252,11 +252,11 @@
         fleet.restart(now, List.of());
         pass(20);
         hands.alive[0] = false;
-        fleet.ended(now, 0, true, "exit code 0");
+        fleet.processEnded(now, 0, true, "exit code 0");
         pass(5_100);
         assertEquals(1, hands.count("kill"));
         die(0);
-        assertTrue(fleet.rollingState().startsWith("aborted"), fleet.rollingState());
+        assertTrue(fleet.rollingRestartStatus().startsWith("aborted"), fleet.rollingRestartStatus());
     }
 
     @Test
@@ -266,14 +266,14 @@
         fleet.restart(now, List.of());
         pass(20);
         assertNull(fleet.stop(now, Mode.FINAL));
-        assertTrue(fleet.rollingState().startsWith("aborted"));
+        assertTrue(fleet.rollingRestartStatus().startsWith("aborted"));
         assertEquals(3, hands.count("stop ") - hands.count("stop 0 RESTART"), "not all were told that it is for good");
         for (int i = 0; i < 3; i++) {
             hands.alive[i] = false;
-            fleet.ended(now, i, true, "exit code 0");
+            fleet.processEnded(now, i, true, "exit code 0");
         }
         pass(1_000);
-        assertTrue(fleet.over());
+        assertTrue(fleet.finished());
         assertEquals(3, hands.count("start"));
         assertEquals("the fleet is stopping", fleet.restart(now, List.of()));
     }
@@ -286,10 +286,10 @@
                 fleet(1, POLICY);
                 allReady(1);
                 fleet.stop(now, mode);
-                fleet.ended(now, 0, clean, "exit code " + (clean ? 0 : 3));
-                assertTrue(fleet.over());
-                assertEquals(mode == Mode.FINAL && !clean, fleet.leftOver());
-                assertEquals(fleet.leftOver(), hands.said("may still owe"));
+                fleet.processEnded(now, 0, clean, "exit code " + (clean ? 0 : 3));
+                assertTrue(fleet.finished());
+                assertEquals(mode == Mode.FINAL && !clean, fleet.workLeftBehind());
+                assertEquals(fleet.workLeftBehind(), hands.said("may still owe"));
             }
         }
     }
@@ -316,19 +316,19 @@
         die(2);
         pass(500);
         hands.alive[0] = false;
-        fleet.ended(now, 0, true, "exit code 0");
+        fleet.processEnded(now, 0, true, "exit code 0");
         pass(50);
-        fleet.ready(now, 0);
+        fleet.readyObserved(now, 0);
         pass(500);
         assertEquals(1, hands.count("stop"), "went on while the dead one is not back");
-        fleet.ready(now, 2);
+        fleet.readyObserved(now, 2);
         pass(500);
         hands.alive[1] = false;
-        fleet.ended(now, 1, true, "exit code 0");
+        fleet.processEnded(now, 1, true, "exit code 0");
         pass(50);
-        fleet.ready(now, 1);
+        fleet.readyObserved(now, 1);
         pass(500);
-        assertEquals("done", fleet.rollingState());
+        assertEquals("done", fleet.rollingRestartStatus());
         assertEquals(2, hands.count("stop"));
     }
 
@@ -336,11 +336,11 @@
     void takesOverWhatLivesAndStartsNoSecond() {
         fleet(2, POLICY);
         hands.alive[0] = true;
-        fleet.found(now, 0);
+        fleet.processFound(now, 0);
         pass(100);
         assertEquals(1, hands.count("start"));
-        fleet.ready(now, 0);
-        fleet.ready(now, 1);
+        fleet.readyObserved(now, 0);
+        fleet.readyObserved(now, 1);
         assertTrue(fleet.allReady());
     }
 
@@ -354,9 +354,9 @@
         assertEquals(State.GIVEN_UP, fleet.state(0));
         assertNull(fleet.restart(now, List.of("d0")));
         pass(50);
-        fleet.ready(now, 0);
+        fleet.readyObserved(now, 0);
         pass(300);
-        assertEquals("done", fleet.rollingState());
+        assertEquals("done", fleet.rollingRestartStatus());
         assertTrue(fleet.allReady());
     }
 
@@ -364,9 +364,9 @@
     void oneThatIsStoppedFromOutsideIsStartedAgainAtOnce() {
         fleet(1, POLICY);
         allReady(1);
-        fleet.draining(now, 0);
+        fleet.drainingObserved(now, 0);
         hands.alive[0] = false;
-        fleet.ended(now, 0, true, "exit code 0");
+        fleet.processEnded(now, 0, true, "exit code 0");
         pass(20);
         assertEquals(2, hands.count("start"));
         assertFalse(hands.said("died"));
@@ -380,7 +380,7 @@
 
     private void end(int daemon, boolean clean) {
         hands.alive[daemon] = false;
-        fleet.ended(now, daemon, clean, clean ? "exit code 0" : "exit code 3");
+        fleet.processEnded(now, daemon, clean, clean ? "exit code 0" : "exit code 3");
     }
 
     @Test
@@ -389,7 +389,7 @@
         allReady(4);
         assertNull(fleet.scale(now, 2));
         assertTrue(fleet.allReady());
-        assertFalse(fleet.scaled());
+        assertFalse(fleet.scaleReached());
         pass(1_000);
         assertEquals(1, hands.count("stop"), "more leave at once than the budget has");
         assertTrue(hands.done.contains("stop 3 FINAL"));
@@ -399,7 +399,7 @@
         assertTrue(hands.done.containsAll(List.of("left 3", "stop 2 FINAL")));
         end(2, true);
         pass(10_000);
-        assertTrue(fleet.scaled());
+        assertTrue(fleet.scaleReached());
         assertEquals(4, hands.count("start"), "one that has left was started");
         assertNull(fleet.restart(now, List.of()));
         assertNotNull(fleet.scale(now, 4), "scaled in the middle of a rolling restart");
@@ -407,7 +407,7 @@
             pass(300);
             end(i, true);
             pass(20);
-            fleet.ready(now, i);
+            fleet.readyObserved(now, i);
         }
         pass(300);
         assertNull(fleet.scale(now, 4));
@@ -427,18 +427,18 @@
         assertNull(fleet.scale(now, 1));
         pass(200);
         assertTrue(hands.alive[1]);
-        fleet.ready(now, 1);
+        fleet.readyObserved(now, 1);
         pass(20);
         end(1, false);
         pass(500);
         assertTrue(hands.alive[1], "it was left with what it owes");
-        fleet.ready(now, 1);
+        fleet.readyObserved(now, 1);
         pass(20);
         end(1, true);
         assertEquals(State.OUT, fleet.state(1));
         fleet.stop(now, Mode.RESTART);
         end(0, true);
-        assertTrue(fleet.over());
+        assertTrue(fleet.finished());
     }
 
     /** A new number while one leaves: it is wanted again as soon as it has left. */
@@ -466,7 +466,7 @@
                 hands.done.stream().filter(d -> d.startsWith("stop")).toList());
         // What it left is no death, and its next process is started at once.
         hands.alive[0] = false;
-        fleet.ended(now, 0, true, "exit code 0");
+        fleet.processEnded(now, 0, true, "exit code 0");
         pass(50);
         assertTrue(hands.alive[0]);
     }
@@ -479,7 +479,7 @@
         assertNull(fleet.scale(now, 1));
         pass(20);
         hands.alive[2] = false;
-        fleet.ended(now, 2, true, "exit code 0");
+        fleet.processEnded(now, 2, true, "exit code 0");
         assertEquals(State.OUT, fleet.state(2));
         pass(20);
         assertEquals(State.STOPPING, fleet.state(1));
@@ -488,7 +488,7 @@
         pass(500);
         assertEquals(starts, hands.count("start 2"));
         hands.alive[1] = false;
-        fleet.ended(now, 1, true, "exit code 0");
+        fleet.processEnded(now, 1, true, "exit code 0");
         pass(50);
         assertEquals(starts + 1, hands.count("start 2"));
     }
@@ -515,7 +515,7 @@
         for (int step = 0; step < 20_000; step++) {
             boolean calm = step > 15_000;
             now += 10;
-            fleet.tick(now);
+            fleet.runDueActions(now);
             int starting = 0;
             int away = 0;
             for (int i = 0; i < size; i++) {
@@ -526,20 +526,20 @@
                         fleet.state(i) != State.DOWN && fleet.state(i) != State.GIVEN_UP && fleet.state(i) != State.OUT,
                         "seed " + seed + " step " + step + ": thinks otherwise of daemon " + i);
             }
-            assertTrue(starting <= policy.startAtOnce(), "seed " + seed + " step " + step);
-            assertTrue(away <= policy.rollAtOnce(), "seed " + seed + " step " + step + ": " + away + " are away");
+            assertTrue(starting <= policy.maxStarting(), "seed " + seed + " step " + step);
+            assertTrue(away <= policy.maxRestarting(), "seed " + seed + " step " + step + ": " + away + " are away");
             int one = random.nextInt(size);
             if (hands.alive[one]) {
                 double chance = random.nextDouble();
                 if (hands.stopping[one] ? chance < 0.05 : !calm && chance < 0.0005) {
                     hands.alive[one] = false;
-                    fleet.ended(now, one, hands.stopping[one] && random.nextInt(3) > 0, "an end");
+                    fleet.processEnded(now, one, hands.stopping[one] && random.nextInt(3) > 0, "an end");
                 } else if (hands.done.contains("kill " + one)
                         && hands.done.lastIndexOf("kill " + one) > hands.done.lastIndexOf("start " + one)) {
                     hands.alive[one] = false;
-                    fleet.ended(now, one, false, "signal 9");
+                    fleet.processEnded(now, one, false, "signal 9");
                 } else if (chance > (calm ? 0.5 : 0.95) && !hands.stopping[one]) {
-                    fleet.ready(now, one);
+                    fleet.readyObserved(now, one);
                 }
             }
             if (!calm && random.nextInt(500) == 0) {
@@ -550,8 +550,9 @@
             }
         }
         assertFalse(
-                fleet.rollingState().contains(" of ") && !fleet.rollingState().startsWith("aborted"),
-                "seed " + seed + ": a rolling restart that never ends: " + fleet.rollingState());
+                fleet.rollingRestartStatus().contains(" of ")
+                        && !fleet.rollingRestartStatus().startsWith("aborted"),
+                "seed " + seed + ": a rolling restart that never ends: " + fleet.rollingRestartStatus());
         for (int i = 0; i < size; i++) {
             assertTrue(
                     fleet.state(i) == (i < fleet.wanted() ? State.READY : State.OUT)
