--- a/cli/src/main/java/amberroute/cli/ClassArchive.java
+++ b/cli/src/main/java/amberroute/cli/ClassArchive.java
@@ -48,7 +48,7 @@
     private static void make(Path jar, Path archive, Path folder) throws Exception {
         Path log = folder.resolve("log");
         try (TestEnvironment stage = new TestEnvironment(1)) {
-            stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
+            stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "std");
             Files.writeString(
                     folder.resolve("config.json"), config(stage.platform().address()));
             // The collector has to be that of the daemon; a relative path in the jar's manifest does the rest.
--- a/cli/src/main/java/amberroute/cli/DeliveryTotalsJson.java
+++ b/cli/src/main/java/amberroute/cli/DeliveryTotalsJson.java
@@ -8,15 +8,15 @@
     private DeliveryTotalsJson() {}
 
     static void add(JsonObject out, DeliveryHistory.Totals t) {
-        out.addProperty("taken", t.taken());
+        out.addProperty("taken", t.accepted());
         out.addProperty("delivered", t.delivered());
         out.addProperty("returned", t.returned());
         out.addProperty("failed", t.failed());
         out.addProperty("open", t.open());
         out.addProperty("lost", t.lost());
-        out.addProperty("doubled", t.doubled());
+        out.addProperty("doubled", t.duplicateExecutions());
         out.addProperty("out_of_order", t.outOfOrder());
-        out.addProperty("late_notices", t.lateNotices());
-        out.addProperty("strange", t.strange());
+        out.addProperty("late_notices", t.lateNotifications());
+        out.addProperty("strange", t.unknownMessages());
     }
 }
--- a/cli/src/main/java/amberroute/cli/FailoverExperiment.java
+++ b/cli/src/main/java/amberroute/cli/FailoverExperiment.java
@@ -177,7 +177,10 @@
             stage = made;
             for (int d = 1; d <= DESTINATIONS; d++) {
                 stage.destination(
-                        d, 2, StubUpstream.Figures.roomy().sized(8, 32, 40_000), d % 2 == 0 ? "batch" : "single");
+                        d,
+                        2,
+                        StubUpstream.Parameters.unlimited().sized(8, 32, 40_000),
+                        d % 2 == 0 ? "batch" : "single");
             }
             file = stage.senderFile(
                     folder,
@@ -190,14 +193,14 @@
             for (int i = 0; i < daemons; i++) {
                 slots.add(new Slot(i, port + i, "127.0.0.1:" + (port + daemons + i)));
             }
-            net = stage.net(listeners, port + 2 * daemons);
+            net = stage.network(listeners, port + 2 * daemons);
             for (Slot slot : slots) {
                 slot.start();
             }
             awaitReady();
             startCpuMillis = cpu();
-            LoadClients clients = stage.clients(senders, TestEnvironment.kinds());
-            stage.run(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
+            LoadClients clients = stage.clients(senders, TestEnvironment.messageKinds());
+            stage.runOnLoop(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
             // The first half warms the daemons up: what is compiled there is not what a message costs.
             Thread.sleep(quiet * 500L);
             steadySince = TestEnvironment.micros();
@@ -210,11 +213,11 @@
                 System.out.println("round " + round + " at " + TestEnvironment.micros() / 1_000 + " destination " + away
                         + " faults " + faults);
                 // A partner that is away fills what is in hand.
-                stage.become(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
+                stage.setMode(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
                 Thread.sleep(400);
                 play(faults, away);
             }
-            stage.settle(() -> slots.forEach(slot -> quietly(slot)));
+            stage.awaitCompletion(() -> slots.forEach(slot -> quietly(slot)));
             return result();
         } finally {
             if (logs) {
@@ -329,24 +332,24 @@
         long longest = 0;
         for (Fault f : faults.faults()) {
             played.merge(f.kind(), 1, Integer::sum);
-            due.add(new Due(f.at(), () -> begin(f)));
+            due.add(new Due(f.atMillis(), () -> begin(f)));
             if (f.kind() == Kind.FLAP) {
-                for (long at = f.at() + 200; at < f.at() + f.lasts(); at += 200) {
-                    boolean cut = (at - f.at()) / 200 % 2 == 0;
+                for (long at = f.atMillis() + 200; at < f.atMillis() + f.durationMillis(); at += 200) {
+                    boolean cut = (at - f.atMillis()) / 200 % 2 == 0;
                     due.add(new Due(at, () -> split(List.of(f.target()), cut)));
                 }
             }
             if (f.kind() == Kind.SLOW) {
-                for (long at = f.at(); at < f.at() + f.lasts(); at += 100) {
+                for (long at = f.atMillis(); at < f.atMillis() + f.durationMillis(); at += 100) {
                     due.add(new Due(at, () -> signal(f.target(), "STOP")));
                     due.add(new Due(at + 90, () -> signal(f.target(), "CONT")));
                 }
             }
-            due.add(new Due(f.at() + f.lasts(), () -> end(f)));
-            longest = Math.max(longest, f.at() + f.lasts());
+            due.add(new Due(f.atMillis() + f.durationMillis(), () -> end(f)));
+            longest = Math.max(longest, f.atMillis() + f.durationMillis());
         }
         due.add(new Due(1_200, () -> {
-            stage.become(away, StubUpstream.Mode.UP);
+            stage.setMode(away, StubUpstream.Mode.UP);
             return null;
         }));
         due.sort((a, b) -> Long.compare(a.at(), b.at()));
@@ -363,7 +366,7 @@
             }
             Thread.sleep(10);
         }
-        stage.run(net::heal);
+        stage.runOnLoop(net::heal);
         awaitReady();
         awaitWhole();
         for (Slot slot : slots) {
@@ -403,21 +406,22 @@
             case CUT, FLAP -> split(List.of(f.target()), true);
             case ONE_WAY -> oneWay(f.target(), true);
             case SPLIT -> split(half(f.target()), true);
-            default -> stage.run(() -> net.weather(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
+            default -> stage.runOnLoop(
+                    () -> net.conditions(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
         }
-        long until = now + Math.max(TAKEOVER_MICROS, f.lasts() * 1_000);
-        stage.run(() -> stage.book().down(f.target(), now, until));
+        long until = now + Math.max(TAKEOVER_MICROS, f.durationMillis() * 1_000);
+        stage.runOnLoop(() -> stage.history().senderDown(f.target(), now, until));
         // What this one had taken over, or been handed, is delayed with its own.
         faulted.forEach((other, at) -> {
             if (other != f.target() && now - at < LIFE_MICROS + TAKEOVER_MICROS) {
-                stage.run(() -> stage.book().down(other, now, until));
+                stage.runOnLoop(() -> stage.history().senderDown(other, now, until));
             }
         });
         faulted.put(f.target(), now);
         if (f.kind() == Kind.SPLIT) {
             // A group may have its majority on the other side of whichever half its owner is in.
-            slots.forEach(
-                    s -> stage.run(() -> stage.book().down(s.index, now, now + f.lasts() * 1_000 + TAKEOVER_MICROS)));
+            slots.forEach(s -> stage.runOnLoop(() ->
+                    stage.history().senderDown(s.index, now, now + f.durationMillis() * 1_000 + TAKEOVER_MICROS)));
         }
         return null;
     }
@@ -439,7 +443,7 @@
             case CUT, FLAP -> split(List.of(f.target()), false);
             case ONE_WAY -> oneWay(f.target(), false);
             case SPLIT -> split(half(f.target()), false);
-            default -> stage.run(() -> net.weather(FaultInjectionNetwork.LinkConditions.CLEAR));
+            default -> stage.runOnLoop(() -> net.conditions(FaultInjectionNetwork.LinkConditions.CLEAR));
         }
         return null;
     }
@@ -505,12 +509,12 @@
     }
 
     private Void split(List<Integer> some, boolean on) {
-        stage.run(() -> net.split(some, on));
+        stage.runOnLoop(() -> net.split(some, on));
         return null;
     }
 
     private void oneWay(int from, boolean on) {
-        stage.run(() -> {
+        stage.runOnLoop(() -> {
             for (int to = 0; to < daemons; to++) {
                 if (to != from) {
                     net.cut(from, to, on);
@@ -541,9 +545,9 @@
         out.addProperty("seed", seed);
         out.addProperty("faults", played.toString());
         DeliveryTotalsJson.add(out, t);
-        out.addProperty("refused", t.refused());
+        out.addProperty("refused", t.rejected());
         out.addProperty("errors", t.errors());
-        out.addProperty("silent", t.silent());
+        out.addProperty("silent", t.unanswered());
         out.addProperty("in_time", t.inTime());
         out.addProperty("estates_over", estatesOver);
         out.addProperty("takeovers_seen", takeovers.size());
@@ -560,21 +564,27 @@
             out.addProperty("whole_ms_most", wholeMs.get(wholeMs.size() - 1));
             out.addProperty("not_whole", notWhole);
         }
-        out.addProperty("taken_ms_p50", stage.on(() -> stage.book().takenWithin(0.5)) / 1e3);
-        out.addProperty("taken_ms_p99", stage.on(() -> stage.book().takenWithin(0.99)) / 1e3);
+        out.addProperty("taken_ms_p50", stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.5)) / 1e3);
+        out.addProperty("taken_ms_p99", stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.99)) / 1e3);
         out.addProperty("start_cpu_ms", startCpuMillis);
-        out.addProperty("cpu_us_a_message", t.taken() == 0 ? 0 : (allCpuMillis - startCpuMillis) * 1_000 / t.taken());
-        long steady = stage.on(() -> stage.book().takenSince(steadySince));
+        out.addProperty(
+                "cpu_us_a_message", t.accepted() == 0 ? 0 : (allCpuMillis - startCpuMillis) * 1_000 / t.accepted());
+        long steady = stage.callOnLoop(() -> stage.history().acceptedSince(steadySince));
         out.addProperty("steady_taken", steady);
-        out.addProperty("steady_ms_p50", stage.on(() -> stage.book().takenWithin(0.5, steadySince)) / 1e3);
-        out.addProperty("steady_ms_p99", stage.on(() -> stage.book().takenWithin(0.99, steadySince)) / 1e3);
+        out.addProperty(
+                "steady_ms_p50",
+                stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.5, steadySince)) / 1e3);
+        out.addProperty(
+                "steady_ms_p99",
+                stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.99, steadySince)) / 1e3);
         out.addProperty("steady_cpu_us_a_message", steady == 0 ? 0 : (allCpuMillis - steadyCpuMillis) * 1_000 / steady);
-        boolean ok = t.ok() && t.lateNotices() == 0 && t.taken() > 0;
+        boolean ok = t.ok() && t.lateNotifications() == 0 && t.accepted() > 0;
         out.addProperty("ok", ok);
         if (!ok) {
-            stage.on(stage.book()::complaints).forEach(c -> System.out.println("! " + c));
-            stage.on(() -> stage.book().lost(TestEnvironment.micros())).forEach(c -> System.out.println("! lost " + c));
-            stage.on(() -> stage.book().late()).forEach(c -> System.out.println("! late " + c));
+            stage.callOnLoop(stage.history()::violations).forEach(c -> System.out.println("! " + c));
+            stage.callOnLoop(() -> stage.history().lost(TestEnvironment.micros()))
+                    .forEach(c -> System.out.println("! lost " + c));
+            stage.callOnLoop(() -> stage.history().late()).forEach(c -> System.out.println("! late " + c));
         }
         System.out.println(out);
         return ok ? 0 : Main.BAD;
--- a/cli/src/main/java/amberroute/cli/FleetSlowStartExperiment.java
+++ b/cli/src/main/java/amberroute/cli/FleetSlowStartExperiment.java
@@ -72,18 +72,18 @@
 
     @Override
     public Integer call() throws Exception {
-        StubUpstream.Figures figures = StubUpstream.Figures.roomy().sized(slots, 4 * slots, SERVICE);
+        StubUpstream.Parameters figures = StubUpstream.Parameters.unlimited().sized(slots, 4 * slots, SERVICE);
         Seen returning = startingOnly ? null : play(false, true);
         Seen returningFree = startingOnly ? null : play(false, false);
         Seen starting = play(true, true);
         Seen startingFree = play(true, false);
-        double warm = Math.max(0, usual - figures.coldFrom()) / (1 - figures.coldFrom());
+        double warm = Math.max(0, usual - figures.slowStartFrom()) / (1 - figures.slowStartFrom());
         JsonObject out = new JsonObject();
         out.addProperty("daemons", daemons);
         out.addProperty("seed", seed);
         out.addProperty("capacity", capacity());
         out.addProperty("usual", usual * capacity());
-        out.addProperty("ideal_usual_ms", Math.round(warm * figures.coldSpan() / 1e3));
+        out.addProperty("ideal_usual_ms", Math.round(warm * figures.slowStartMicros() / 1e3));
         if (!startingOnly) {
             add(out, "returning", returning);
             add(out, "returning_free", returningFree);
@@ -116,17 +116,17 @@
     private Seen play(boolean starting, boolean gentle) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-cold-");
         TestEnvironment stage = new TestEnvironment(seed);
-        StubUpstream.Figures figures = StubUpstream.Figures.roomy().sized(slots, 4 * slots, SERVICE);
+        StubUpstream.Parameters figures = StubUpstream.Parameters.unlimited().sized(slots, 4 * slots, SERVICE);
         stage.destination(1, 1, figures, "single");
         int port = TestEnvironment.freePorts(2 * daemons, seed);
         stage.senderFile(
                 folder,
                 daemons,
-                "cold.span = \"" + figures.coldSpan() / 1_000 + "ms\"\ncold.from = " + figures.coldFrom());
+                "cold.span = \"" + figures.slowStartMicros() / 1_000 + "ms\"\ncold.from = " + figures.slowStartFrom());
         String more = "start.at_once = " + daemons + "\nhandover.listen = \"127.0.0.1:" + (port + daemons) + "\"\n"
                 + (gentle ? "handover.gentle = true\n" : "");
         Path file = stage.fleetFile(folder, daemons, port, InstallationDirectory.daemonJar(), more);
-        LoadClients clients = stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.kinds());
+        LoadClients clients = stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.messageKinds());
         LocalFleet fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
         try (stage;
                 fleet) {
@@ -136,27 +136,32 @@
                 // at once.
                 fleet.start();
                 fleet.awaitReady(READY_MS);
-                stage.become(1, StubUpstream.Mode.DEAD);
+                stage.setMode(1, StubUpstream.Mode.DEAD);
             } else {
                 fleet.start();
                 fleet.awaitReady(READY_MS);
-                stage.run(() -> clients.run(load));
+                stage.runOnLoop(() -> clients.run(load));
                 Thread.sleep(quiet * 1_000L);
-                stage.become(1, StubUpstream.Mode.DEAD);
+                stage.setMode(1, StubUpstream.Mode.DEAD);
                 Thread.sleep(outage * 1_000L);
             }
-            stage.become(1, StubUpstream.Mode.UP);
+            stage.setMode(1, StubUpstream.Mode.UP);
             if (starting) {
-                stage.run(() -> clients.run(new LoadClients.Load(BURST * capacity(), 0, 1, 200, 8)));
+                stage.runOnLoop(() -> clients.run(new LoadClients.Load(BURST * capacity(), 0, 1, 200, 8)));
                 Thread.sleep(BURST_MS);
-                stage.run(() -> clients.run(load));
+                stage.runOnLoop(() -> clients.run(load));
             }
-            long usualMs = follow(stage, figures.coldSpan() / 1_000 + 6_000);
+            long usualMs = follow(stage, figures.slowStartMicros() / 1_000 + 6_000);
             long answered = stage.totals().delivered();
-            stage.settle(() -> {});
+            stage.awaitCompletion(() -> {});
             fleet.stop(SupervisionPolicy.Mode.FINAL);
             DeliveryHistory.Totals t = stage.totals();
-            Seen seen = new Seen(stage.highestColdShare(), stage.falls(), usualMs, answered, t.ok() && t.taken() > 0);
+            Seen seen = new Seen(
+                    stage.highestSlowStartShare(),
+                    stage.overloadCount(),
+                    usualMs,
+                    answered,
+                    t.ok() && t.accepted() > 0);
             System.out.println((starting ? "starting" : "returning") + (gentle ? " with the limit: " : " without: ")
                     + seen + " " + t);
             return seen;
--- a/cli/src/main/java/amberroute/cli/HandoffExperiment.java
+++ b/cli/src/main/java/amberroute/cli/HandoffExperiment.java
@@ -63,9 +63,9 @@
         folder = Files.createTempDirectory("amberroute-handover-");
         List<ExperimentDaemon> daemons = new ArrayList<>();
         try (TestEnvironment stage = new TestEnvironment(seed)) {
-            stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
+            stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "single");
             // Refused at once and for long: nothing is out, all waits.
-            stage.become(1, StubUpstream.Mode.DEAD);
+            stage.setMode(1, StubUpstream.Mode.DEAD);
             Path file = stage.senderFile(folder, 2);
             String text = Files.readString(file)
                     .replace("open_messages = 1000", "open_messages = " + Math.min(200_000, 2 * size + 100))
--- a/cli/src/main/java/amberroute/cli/LargeFleetExperiment.java
+++ b/cli/src/main/java/amberroute/cli/LargeFleetExperiment.java
@@ -101,7 +101,7 @@
         Path folder = Files.createTempDirectory("amberroute-wide-");
         TestEnvironment stage = new TestEnvironment(seed);
         for (int i = 1; i <= partners; i++) {
-            stage.destination(i, each, StubUpstream.Figures.roomy(), "single");
+            stage.destination(i, each, StubUpstream.Parameters.unlimited(), "single");
         }
         int port = TestEnvironment.freePorts(count, seed);
         stage.senderFile(folder, count);
@@ -111,13 +111,13 @@
                 port,
                 InstallationDirectory.daemonJar(),
                 "start.at_once = 8\nrolling.at_once = " + Math.max(1, count / 10) + "\n");
-        LoadClients clients = stage.clients(TestEnvironment.addresses(port, count), TestEnvironment.kinds());
+        LoadClients clients = stage.clients(TestEnvironment.addresses(port, count), TestEnvironment.messageKinds());
         LocalFleet fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
         try (stage;
                 fleet) {
             fleet.start();
             fleet.awaitReady(READY_MS);
-            stage.run(() -> clients.run(new LoadClients.Load(rate * count, 0.1, 4, 20 * count, 4)));
+            stage.runOnLoop(() -> clients.run(new LoadClients.Load(rate * count, 0.1, 4, 20 * count, 4)));
             Thread.sleep(seconds * 1_000L);
             fleet.ask("restart");
             fleet.await(RESTART_MS, status -> status.get("ready").getAsBoolean() && restarted(status));
@@ -132,7 +132,7 @@
                     descriptors = Math.max(descriptors, open.count());
                 }
             }
-            stage.settle(() -> {});
+            stage.awaitCompletion(() -> {});
             fleet.stop(SupervisionPolicy.Mode.FINAL);
             DeliveryHistory.Totals t = stage.totals();
             Seen seen = new Seen(
@@ -141,9 +141,9 @@
                     megabytes,
                     threads,
                     descriptors,
-                    t.taken(),
+                    t.accepted(),
                     t.delivered(),
-                    t.ok() && t.taken() > 0);
+                    t.ok() && t.accepted() > 0);
             System.out.println(seen + " " + t);
             return seen;
         } finally {
--- a/cli/src/main/java/amberroute/cli/OmniscientBaseline.java
+++ b/cli/src/main/java/amberroute/cli/OmniscientBaseline.java
@@ -36,16 +36,22 @@
         for (List<DeliveryHistory.Entry> tries : byOrigin.values()) {
             DeliveryHistory.Entry one = tries.get(0);
             long first = tries.stream()
-                    .mapToLong(DeliveryHistory.Entry::handedAt)
+                    .mapToLong(DeliveryHistory.Entry::submittedAtMicros)
                     .min()
                     .orElse(0);
             long done = tries.stream()
                     .filter(e -> e.end() == DeliveryHistory.End.DELIVERED)
-                    .mapToLong(DeliveryHistory.Entry::endedAt)
+                    .mapToLong(DeliveryHistory.Entry::completedAtMicros)
                     .min()
                     .orElse(0);
             if (first >= from && first < to) {
-                out.add(new Message(WORTH.get(one.className), one.destination, first, one.aim, one.deadline, done));
+                out.add(new Message(
+                        WORTH.get(one.className),
+                        one.destination,
+                        first,
+                        one.latencyObjectiveMicros,
+                        one.deadlineMicros,
+                        done));
             }
         }
         return out;
--- a/cli/src/main/java/amberroute/cli/OrphanRecoveryExperiment.java
+++ b/cli/src/main/java/amberroute/cli/OrphanRecoveryExperiment.java
@@ -131,7 +131,10 @@
         try (TestEnvironment stage = new TestEnvironment(seed)) {
             for (int d = 1; d <= DESTINATIONS; d++) {
                 stage.destination(
-                        d, 2, StubUpstream.Figures.roomy().sized(8, 32, 60_000), d % 2 == 0 ? "batch" : "single");
+                        d,
+                        2,
+                        StubUpstream.Parameters.unlimited().sized(8, 32, 60_000),
+                        d % 2 == 0 ? "batch" : "single");
             }
             Path made = stage.senderFile(folder, daemons);
             file = folder.resolve("adoptable.toml");
@@ -144,20 +147,21 @@
             for (Slot slot : slots) {
                 slot.awaitReady();
             }
-            LoadClients clients = stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.kinds());
-            stage.run(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
+            LoadClients clients =
+                    stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.messageKinds());
+            stage.runOnLoop(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
             for (int round = 0; round < rounds; round++) {
                 // A partner that is away fills the journals, and calls that hang leave messages in doubt.
                 int away = 1 + random.nextInt(DESTINATIONS);
-                stage.become(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
+                stage.setMode(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
                 Thread.sleep(200 + random.nextInt(800));
                 replace(stage, slots.get(random.nextInt(daemons)), random);
-                stage.become(away, StubUpstream.Mode.UP);
+                stage.setMode(away, StubUpstream.Mode.UP);
                 if ((round + 1) % 10 == 0) {
                     System.out.println((round + 1) + " rounds: " + stage.totals());
                 }
             }
-            stage.settle(() -> {});
+            stage.awaitCompletion(() -> {});
             return result(stage);
         } finally {
             for (Slot slot : slots) {
@@ -196,7 +200,7 @@
         slot.awaitReady();
         long to = TestEnvironment.micros();
         longestAway = Math.max(longestAway, to - from);
-        stage.run(() -> stage.book().down(slot.index, from, to));
+        stage.runOnLoop(() -> stage.history().senderDown(slot.index, from, to));
     }
 
     /** Until the folder is another's, which the zombie has to find when it wakes up. */
@@ -240,11 +244,12 @@
         out.addProperty("takers_killed", takersKilled);
         out.addProperty("adopted", adopted());
         out.addProperty("longest_away_ms", longestAway / 1_000);
-        boolean ok = t.ok() && t.lateNotices() == 0 && t.taken() > 0 && zombies == zombiesEnded;
+        boolean ok = t.ok() && t.lateNotifications() == 0 && t.accepted() > 0 && zombies == zombiesEnded;
         out.addProperty("ok", ok);
         if (!ok) {
-            stage.on(stage.book()::complaints).forEach(c -> System.out.println("! " + c));
-            stage.on(() -> stage.book().lost(TestEnvironment.micros())).forEach(c -> System.out.println("! lost " + c));
+            stage.callOnLoop(stage.history()::violations).forEach(c -> System.out.println("! " + c));
+            stage.callOnLoop(() -> stage.history().lost(TestEnvironment.micros()))
+                    .forEach(c -> System.out.println("! lost " + c));
         }
         System.out.println(out);
         return ok ? 0 : Main.BAD;
--- a/cli/src/main/java/amberroute/cli/OverloadExperiment.java
+++ b/cli/src/main/java/amberroute/cli/OverloadExperiment.java
@@ -119,11 +119,11 @@
         List<ExperimentDaemon> all = new ArrayList<>();
         try (TestEnvironment stage = new TestEnvironment(seed)) {
             for (int d = 1; d <= DESTINATIONS; d++) {
-                stage.destination(d, 1, StubUpstream.Figures.roomy().limited(perSecond, 0), "single");
+                stage.destination(d, 1, StubUpstream.Parameters.unlimited().limited(perSecond, 0), "single");
             }
             int port = TestEnvironment.freePorts(2 * daemons + daemons * daemons, seed);
             FaultInjectionNetwork net =
-                    stage.net(TestEnvironment.addresses(port + daemons, daemons), port + 2 * daemons);
+                    stage.network(TestEnvironment.addresses(port + daemons, daemons), port + 2 * daemons);
             Path file = stage.senderFile(
                     folder,
                     daemons,
@@ -135,7 +135,8 @@
             for (ExperimentDaemon daemon : all) {
                 daemon.awaitReady();
             }
-            LoadClients clients = stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.kinds());
+            LoadClients clients =
+                    stage.clients(TestEnvironment.addresses(port, daemons), TestEnvironment.messageKinds());
             load(stage, clients, 0.7);
             Thread.sleep(WARM_MS);
             long steadyFrom = TestEnvironment.micros();
@@ -151,7 +152,7 @@
             load(stage, clients, 0.7);
             Thread.sleep(EASY_MS);
             long easyTo = TestEnvironment.micros();
-            stage.settle(() -> {});
+            stage.awaitCompletion(() -> {});
             return seen(stage, view, new long[] {steadyFrom, spikeFrom, easyFrom, easyTo});
         } finally {
             for (ExperimentDaemon daemon : all) {
@@ -183,7 +184,7 @@
     }
 
     private void load(TestEnvironment stage, LoadClients clients, double times) {
-        stage.run(() -> clients.run(new LoadClients.Load(times * perSecond * DESTINATIONS, 0, 1, 400, 8)));
+        stage.runOnLoop(() -> clients.run(new LoadClients.Load(times * perSecond * DESTINATIONS, 0, 1, 400, 8)));
     }
 
     /** Two seconds of it. */
@@ -203,25 +204,25 @@
                 all.set(0, start(folder, file, net, port, 0));
                 Thread.sleep(1_000);
                 all.get(0).awaitReady();
-                stage.run(() -> stage.book().down(0, from, TestEnvironment.micros()));
+                stage.runOnLoop(() -> stage.history().senderDown(0, from, TestEnvironment.micros()));
             }
             case PAUSE -> {
                 signal(all.get(0), "STOP");
                 Thread.sleep(2_000);
                 signal(all.get(0), "CONT");
-                stage.run(() -> stage.book().down(0, from, TestEnvironment.micros()));
+                stage.runOnLoop(() -> stage.history().senderDown(0, from, TestEnvironment.micros()));
             }
             case SPLIT -> {
                 List<Integer> half = new ArrayList<>();
                 for (int i = 0; i < daemons / 2; i++) {
                     half.add(i);
                 }
-                stage.run(() -> net.split(half, true));
+                stage.runOnLoop(() -> net.split(half, true));
                 Thread.sleep(2_000);
-                stage.run(net::heal);
+                stage.runOnLoop(net::heal);
             }
             case STORM -> {
-                stage.run(() -> net.weather(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
+                stage.runOnLoop(() -> net.conditions(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
                 Thread.sleep(2_000);
             }
             default -> Thread.sleep(2_000);
@@ -246,7 +247,8 @@
     }
 
     private Seen seen(TestEnvironment stage, JsonObject view, long[] parts) {
-        List<DeliveryHistory.Entry> entries = stage.on(() -> stage.book().all());
+        List<DeliveryHistory.Entry> entries =
+                stage.callOnLoop(() -> stage.history().all());
         DeliveryHistory.Totals totals = stage.totals();
         double[] shares = new double[3];
         for (int i = 0; i < 3; i++) {
@@ -261,20 +263,20 @@
                     .count();
             back = inTime >= BACK * some.size() ? (at - parts[2]) / 1e6 : back;
         }
-        long refused = stage.on(() -> stage.partners().stream()
-                .mapToLong(p -> p.partner().overLimit())
+        long refused = stage.callOnLoop(() -> stage.upstreams().stream()
+                .mapToLong(p -> p.upstream().overLimit())
                 .sum());
         JsonObject sums = new JsonObject();
         DeliveryTotalsJson.add(sums, totals);
         System.out.println(sums);
-        stage.on(stage.book()::complaints).forEach(c -> System.out.println("! " + c));
+        stage.callOnLoop(stage.history()::violations).forEach(c -> System.out.println("! " + c));
         return new Seen(
                 shares[0],
                 shares[1],
                 shares[2],
                 (double) refused / Math.max(1, totals.delivered()),
                 back,
-                totals.ok() && totals.taken() > 0,
+                totals.ok() && totals.accepted() > 0,
                 view);
     }
 }
--- a/cli/src/main/java/amberroute/cli/PendingLoadExperiment.java
+++ b/cli/src/main/java/amberroute/cli/PendingLoadExperiment.java
@@ -51,9 +51,9 @@
         Path folder = Files.createTempDirectory("amberroute-held-");
         ExperimentDaemon daemon = null;
         try (TestEnvironment stage = new TestEnvironment(seed)) {
-            stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
-            stage.destination(2, 4, StubUpstream.Figures.roomy().sized(64, 256, 1_000), "single");
-            stage.become(1, StubUpstream.Mode.DEAD);
+            stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "single");
+            stage.destination(2, 4, StubUpstream.Parameters.unlimited().sized(64, 256, 1_000), "single");
+            stage.setMode(1, StubUpstream.Mode.DEAD);
             Path file = stage.senderFile(folder, 1);
             String text = Files.readString(file)
                     .replace("open_messages = 1000", "open_messages = " + (2 * held + 4_000))
--- a/cli/src/main/java/amberroute/cli/ScenarioRun.java
+++ b/cli/src/main/java/amberroute/cli/ScenarioRun.java
@@ -97,7 +97,7 @@
         folder = Files.createTempDirectory("amberroute-");
         stage = new TestEnvironment(plan.seed());
         for (int d = 1; d <= DESTINATIONS; d++) {
-            StubUpstream.Figures figures = StubUpstream.Figures.roomy();
+            StubUpstream.Parameters figures = StubUpstream.Parameters.unlimited();
             // Two endpoints of 25 calls a second and slot: about 1.6 times what the busiest destination is asked.
             figures = figures.sized(Math.max(2, (int) Math.ceil(plan.perSecond() * 0.01)), 32, 40_000);
             figures = d == 3
@@ -118,7 +118,7 @@
         for (int i = 0; i < plan.daemons(); i++) {
             senders.add(new InetSocketAddress("127.0.0.1", port + i));
         }
-        clients = stage.clients(senders, TestEnvironment.kinds());
+        clients = stage.clients(senders, TestEnvironment.messageKinds());
         fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
     }
 
@@ -130,7 +130,7 @@
         upMillis = millis() - begun;
         lines.accept(plan.daemons() + " daemons are ready after " + upMillis + " ms");
         long quietFrom = TestEnvironment.micros();
-        stage.run(() ->
+        stage.runOnLoop(() ->
                 clients.run(new LoadClients.Load(plan.perSecond(), 0.2, 12, Math.max(20, (int) plan.perSecond()), 8)));
         watch(plan.quiet());
         long quietTo = TestEnvironment.micros();
@@ -144,10 +144,10 @@
             if (i == 0 && plan.outage() > 0) {
                 watch(1_000);
                 lines.accept("destination 1 is out");
-                stage.become(1, StubUpstream.Mode.DEAD);
+                stage.setMode(1, StubUpstream.Mode.DEAD);
                 watch(plan.outage());
                 lines.accept("destination 1 is back, and cold");
-                stage.become(1, StubUpstream.Mode.UP);
+                stage.setMode(1, StubUpstream.Mode.UP);
             }
             while (killed < plan.kills()) {
                 watch(100 + random.nextInt(900));
@@ -166,7 +166,7 @@
         long rollTo = TestEnvironment.micros();
         watch(plan.after());
         rollTo = plan.scaleTo() > 0 ? TestEnvironment.micros() : rollTo;
-        stage.run(clients::pause);
+        stage.runOnLoop(clients::pause);
         lines.accept("clients have stopped asking");
         settle();
         fleet.stop(SupervisionPolicy.Mode.FINAL);
@@ -178,7 +178,7 @@
         if (outage) {
             // Before anybody leaves, so that those who do hold something.
             lines.accept("destination 1 is out");
-            stage.become(1, StubUpstream.Mode.DEAD);
+            stage.setMode(1, StubUpstream.Mode.DEAD);
             watch(plan.outage() / 2);
         }
         long from = millis();
@@ -190,7 +190,7 @@
         }
         if (outage) {
             watch(plan.outage() / 2);
-            stage.become(1, StubUpstream.Mode.UP);
+            stage.setMode(1, StubUpstream.Mode.UP);
         }
         until(() -> status.get("scaled").getAsBoolean(), ROLL_MS, "the fleet to be scaled");
         scaleMillis = millis() - from;
@@ -204,7 +204,7 @@
             active = daemons.get(i).getAsJsonObject().get("state").getAsString().equals("out") ? active : i + 1;
         }
         int there = active;
-        stage.run(() -> clients.active(there));
+        stage.runOnLoop(() -> clients.useSenders(there));
     }
 
     private boolean rollOver() {
@@ -231,7 +231,8 @@
     private void settle() throws Exception {
         long end = millis() + 20_000;
         while (millis() < end
-                && stage.on(() -> clients.working() > 0 || stage.book().open() > 0)) {
+                && stage.callOnLoop(
+                        () -> clients.openRequests() > 0 || stage.history().open() > 0)) {
             watch(200);
         }
     }
@@ -281,7 +282,7 @@
                 downSince.putIfAbsent(name, lastLook);
             } else if (downSince.containsKey(name)) {
                 long from = downSince.remove(name);
-                stage.run(() -> stage.book().down(sender, from, now));
+                stage.runOnLoop(() -> stage.history().senderDown(sender, from, now));
             }
         }
         lastLook = now;
@@ -290,16 +291,16 @@
     /** A live table: each daemon, each destination, and the books so far. */
     List<String> table() {
         List<String> out = new ArrayList<>(status == null ? List.of("the fleet starts") : FleetCommand.table(status));
-        stage.run(() -> {
-            for (int i = 0; i < stage.partners().size(); i += 2) {
-                StubUpstreamServer one = stage.partners().get(i);
+        stage.runOnLoop(() -> {
+            for (int i = 0; i < stage.upstreams().size(); i += 2) {
+                StubUpstreamServer one = stage.upstreams().get(i);
                 out.add(String.format(
                         "destination %d  %-7s  calls %6d  over its limit %4d",
                         one.destination(),
-                        one.partner().mode().name().toLowerCase(java.util.Locale.ROOT),
-                        one.calls() + stage.partners().get(i + 1).calls(),
-                        one.partner().overLimit()
-                                + stage.partners().get(i + 1).partner().overLimit()));
+                        one.upstream().mode().name().toLowerCase(java.util.Locale.ROOT),
+                        one.calls() + stage.upstreams().get(i + 1).calls(),
+                        one.upstream().overLimit()
+                                + stage.upstreams().get(i + 1).upstream().overLimit()));
             }
         });
         out.add(line());
@@ -324,14 +325,14 @@
                         + "lost %d  doubled %d  out of order %d",
                 ready,
                 plan.daemons(),
-                t.taken(),
+                t.accepted(),
                 t.delivered(),
                 t.returned(),
                 t.failed(),
                 held,
-                t.refused(),
+                t.rejected(),
                 t.lost(),
-                t.doubled(),
+                t.duplicateExecutions(),
                 t.outOfOrder());
     }
 
@@ -339,16 +340,18 @@
         DeliveryHistory.Totals t = stage.totals();
         JsonObject out = new JsonObject();
         DeliveryTotalsJson.add(out, t);
-        out.addProperty("asked", stage.on(clients::asked));
-        out.addProperty("refused", t.refused());
-        out.addProperty("silent", t.silent());
+        out.addProperty("asked", stage.callOnLoop(clients::submittedCount));
+        out.addProperty("refused", t.rejected());
+        out.addProperty("silent", t.unanswered());
         out.addProperty("daemons", plan.daemons());
         out.addProperty("seed", plan.seed());
         out.addProperty("up_ms", upMillis);
-        out.addProperty("in_time_quiet", round(stage.on(() -> stage.book().shareInTime(quietFrom, quietTo))));
-        out.addProperty("in_time_rolling", round(stage.on(() -> stage.book().shareInTime(rollFrom, rollTo))));
-        out.addProperty("cold_share", round(stage.highestColdShare()));
-        out.addProperty("falls", stage.falls());
+        out.addProperty(
+                "in_time_quiet", round(stage.callOnLoop(() -> stage.history().shareInTime(quietFrom, quietTo))));
+        out.addProperty(
+                "in_time_rolling", round(stage.callOnLoop(() -> stage.history().shareInTime(rollFrom, rollTo))));
+        out.addProperty("cold_share", round(stage.highestSlowStartShare()));
+        out.addProperty("falls", stage.overloadCount());
         out.addProperty("kills", killed);
         if (plan.scaleTo() > 0) {
             out.addProperty("scaled_to", plan.scaleTo());
@@ -357,15 +360,16 @@
         out.addProperty("handed_over", handedOver());
         out.addProperty("rolling", status.get("rolling").getAsString());
         boolean ok = t.ok()
-                && t.lateNotices() == 0
-                && t.taken() > 0
+                && t.lateNotifications() == 0
+                && t.accepted() > 0
                 && (plan.rolls() == 0
                         || plan.kills() > 0
                         || status.get("rolling").getAsString().equals("done"));
         out.addProperty("ok", ok);
         if (!ok) {
-            stage.on(stage.book()::complaints).forEach(c -> lines.accept("! " + c));
-            stage.on(() -> stage.book().lost(TestEnvironment.micros())).forEach(c -> lines.accept("! lost " + c));
+            stage.callOnLoop(stage.history()::violations).forEach(c -> lines.accept("! " + c));
+            stage.callOnLoop(() -> stage.history().lost(TestEnvironment.micros()))
+                    .forEach(c -> lines.accept("! lost " + c));
             lines.accept(fleet.log());
         }
         return out;
--- a/cli/src/main/java/amberroute/cli/StartupExperiment.java
+++ b/cli/src/main/java/amberroute/cli/StartupExperiment.java
@@ -72,7 +72,7 @@
     private long start(int size, boolean archive, JsonObject rest) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-start-");
         try (TestEnvironment stage = new TestEnvironment(0)) {
-            stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
+            stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "single");
             stage.senderFile(folder, size);
             Path file = stage.fleetFile(
                     folder,
--- a/cli/src/test/java/amberroute/cli/FleetProcessTest.java
+++ b/cli/src/test/java/amberroute/cli/FleetProcessTest.java
@@ -57,7 +57,7 @@
     @BeforeEach
     void build() throws Exception {
         stage = new TestEnvironment(1);
-        stage.destination(1, 1, StubUpstream.Figures.roomy(), "single");
+        stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "single");
         stage.senderFile(folder, 2);
     }
 
@@ -359,7 +359,7 @@
     @Test
     void aStopForGoodThatLeavesSomethingIsToldSo() throws Exception {
         define(1, QUICK);
-        stage.become(1, StubUpstream.Mode.HANG);
+        stage.setMode(1, StubUpstream.Mode.HANG);
         up();
         await(this::allReady);
         // A message that is held, and a platform that is gone when its end is to be told.
@@ -368,7 +368,7 @@
                     .write(RespRequest.of("SUBMIT", "0000000000000000", "left", "c=quote-status,d=5000,dest=1", ""));
             assertEquals('+', client.getInputStream().read());
         }
-        stage.run(stage.platform()::shut);
+        stage.runOnLoop(stage.platform()::shutDown);
         JsonObject request = FleetClient.request("stop");
         request.addProperty("final", true);
         assertTrue(FleetClient.ask(definition.control(), request).get("ok").getAsBoolean());
@@ -383,7 +383,7 @@
     @Test
     void anInstanceThatMovesIsRestartedThereWithWhatItHeld() throws Exception {
         define(2, QUICK);
-        stage.become(1, StubUpstream.Mode.DEAD);
+        stage.setMode(1, StubUpstream.Mode.DEAD);
         Process first = up();
         await(this::allReady);
         List<Long> before = pids();
@@ -402,10 +402,10 @@
         up();
         await(() -> replaced(0, before.get(0)));
         assertEquals(before.get(1), pids().get(1));
-        stage.become(1, StubUpstream.Mode.UP);
+        stage.setMode(1, StubUpstream.Mode.UP);
         // Called, or told as over where the machine took longer for the restart than the message had.
-        await(() -> stage.partners().get(0).calls() > 0
-                || stage.on(() -> stage.platform().noticeLines()) > 0);
+        await(() -> stage.upstreams().get(0).calls() > 0
+                || stage.callOnLoop(() -> stage.platform().notificationLines()) > 0);
         try (java.net.Socket client = new java.net.Socket(InetAddress.getLoopbackAddress(), port + 2)) {
             client.getOutputStream().write(RespRequest.of("PING"));
             assertEquals('+', client.getInputStream().read());
--- a/testkit/src/main/java/amberroute/testkit/DeliveryHistory.java
+++ b/testkit/src/main/java/amberroute/testkit/DeliveryHistory.java
@@ -38,9 +38,9 @@
     }
 
     /** A notice may come so much behind the deadline: 300 ms, and 50 as each limit is longer on sockets. */
-    public static final long NOTICE_GRACE = 350_000;
+    public static final long NOTIFICATION_GRACE_MICROS = 350_000;
 
-    private static final int MOST_COMPLAINTS = 50;
+    private static final int MAX_VIOLATIONS = 50;
 
     /** One hand-in; a message that is handed in again is another entry with the same origin. */
     public static final class Entry {
@@ -52,14 +52,14 @@
         public final boolean ordered;
         public final int destination;
         public final int sender;
-        public final long deadline;
-        public final long aim;
-        private final long handedAt = TestEnvironment.micros();
-        private long answeredAt;
+        public final long deadlineMicros;
+        public final long latencyObjectiveMicros;
+        private final long submittedAtMicros = TestEnvironment.micros();
+        private long answeredAtMicros;
         Answer answer = Answer.NONE;
         End end = End.NONE;
-        long endedAt;
-        int effects;
+        long completedAtMicros;
+        int executions;
 
         Entry(
                 String id,
@@ -80,8 +80,8 @@
             this.ordered = ordered;
             this.destination = destination;
             this.sender = sender;
-            this.deadline = deadline;
-            this.aim = aim;
+            this.deadlineMicros = deadline;
+            this.latencyObjectiveMicros = aim;
         }
 
         public End end() {
@@ -93,72 +93,72 @@
         }
 
         /** When it was handed in. */
-        public long handedAt() {
-            return handedAt;
+        public long submittedAtMicros() {
+            return submittedAtMicros;
         }
 
         /** When its end was told; of a message without one 0. */
-        public long endedAt() {
-            return endedAt;
+        public long completedAtMicros() {
+            return completedAtMicros;
         }
     }
 
     /** The sums; {@code taken = delivered + returned + failed + open} is checked by {@link #totals}. */
     public record Totals(
-            long handed,
-            long taken,
-            long refused,
+            long submitted,
+            long accepted,
+            long rejected,
             long errors,
-            long silent,
+            long unanswered,
             long delivered,
             long returned,
             long failed,
             long open,
             long lost,
-            long doubled,
+            long duplicateExecutions,
             long outOfOrder,
-            long lateNotices,
+            long lateNotifications,
             long inTime,
-            long strange,
-            long unheardEffects) {
+            long unknownMessages,
+            long unreportedExecutions) {
 
         /** Whether no rule was broken and the sums agree. */
         public boolean ok() {
             return lost == 0
-                    && doubled == 0
+                    && duplicateExecutions == 0
                     && outOfOrder == 0
-                    && strange == 0
+                    && unknownMessages == 0
                     && open == 0
-                    && taken == delivered + returned + failed + open;
+                    && accepted == delivered + returned + failed + open;
         }
     }
 
     private final Map<String, Entry> entries = new HashMap<>();
-    private final Map<String, Integer> effectsOfOrigin = new HashMap<>();
+    private final Map<String, Integer> executionsByOrigin = new HashMap<>();
     /** Messages of each ordered key that are not over, in the order in which they were handed in. */
-    private final Map<Long, Deque<Entry>> turns = new HashMap<>();
+    private final Map<Long, Deque<Entry>> openByKey = new HashMap<>();
     /** Spans in which each sender was down or had just come back: notices are not overdue then. */
-    private final Map<Integer, List<long[]>> spans = new HashMap<>();
+    private final Map<Integer, List<long[]>> outages = new HashMap<>();
 
-    private final List<String> complaints = new ArrayList<>();
-    private long doubled;
+    private final List<String> violations = new ArrayList<>();
+    private long duplicateExecutions;
     private long outOfOrder;
-    private long strange;
-    private long unheard;
+    private long unknownMessages;
+    private long unreportedExecutions;
 
     /** A message leaves for a sender. */
-    public Entry handIn(Entry entry) {
+    public Entry submitted(Entry entry) {
         if (entries.put(entry.id, entry) != null) {
             throw new IllegalArgumentException("id handed in twice: " + entry.id);
         }
         if (entry.ordered) {
-            turns.computeIfAbsent(entry.key, k -> new ArrayDeque<>()).add(entry);
+            openByKey.computeIfAbsent(entry.key, k -> new ArrayDeque<>()).add(entry);
         }
         return entry;
     }
 
     /** A new entry; {@code aim} and {@code deadline} are moments. */
-    public Entry handIn(
+    public Entry submitted(
             String id,
             String origin,
             String className,
@@ -169,47 +169,48 @@
             int sender,
             long deadline,
             long aim) {
-        return handIn(new Entry(id, origin, className, effect, key, ordered, destination, sender, deadline, aim));
+        return submitted(new Entry(id, origin, className, effect, key, ordered, destination, sender, deadline, aim));
     }
 
     /** The sender's answer, or that none came. */
     public void answered(Entry entry, Answer answer) {
         entry.answer = answer;
-        entry.answeredAt = TestEnvironment.micros();
+        entry.answeredAtMicros = TestEnvironment.micros();
         if (answer != Answer.TAKEN) {
             // Nobody vouches for its place in the order any more: it was refused, or its client gave it up.
-            over(entry);
+            completed(entry);
         }
     }
 
     /** A partner carried a message out; whether it was answered comes with {@link #delivered}. */
-    public void effect(long now, String id, int destination) {
+    public void executed(long now, String id, int destination) {
         Entry entry = entries.get(id);
         if (entry == null || entry.destination != destination) {
-            strange++;
-            complain("effect of unknown message " + id + " at destination " + destination);
+            unknownMessages++;
+            recordViolation("effect of unknown message " + id + " at destination " + destination);
             return;
         }
-        entry.effects++;
+        entry.executions++;
         if (entry.answer == Answer.SILENT) {
-            unheard++;
+            unreportedExecutions++;
         } else if (entry.answer == Answer.REFUSED || entry.answer == Answer.ERROR) {
-            strange++;
-            complain("message " + id + " was turned away and carried out");
+            unknownMessages++;
+            recordViolation("message " + id + " was turned away and carried out");
         }
         if (entry.end == End.RETURNED && entry.effect == Effect.UNSAFE) {
-            strange++;
-            complain("unsafe message " + id + " was returned as never run and took effect");
+            unknownMessages++;
+            recordViolation("unsafe message " + id + " was returned as never run and took effect");
         }
-        int times = effectsOfOrigin.merge(entry.origin, 1, Integer::sum);
+        int times = executionsByOrigin.merge(entry.origin, 1, Integer::sum);
         if (entry.effect != Effect.SAFE && times > 1) {
-            doubled++;
-            complain(entry.effect + " message " + id + " of " + entry.origin + " took effect " + times + " times");
+            duplicateExecutions++;
+            recordViolation(
+                    entry.effect + " message " + id + " of " + entry.origin + " took effect " + times + " times");
         }
-        Deque<Entry> turn = entry.ordered ? turns.get(entry.key) : null;
+        Deque<Entry> turn = entry.ordered ? openByKey.get(entry.key) : null;
         if (turn != null && turn.contains(entry) && turn.peekFirst() != entry) {
             outOfOrder++;
-            complain("message " + id + " of key " + Long.toHexString(entry.key) + " ran ahead of "
+            recordViolation("message " + id + " of key " + Long.toHexString(entry.key) + " ran ahead of "
                     + turn.peekFirst().id);
         }
     }
@@ -218,50 +219,50 @@
     public void delivered(long now, String id) {
         Entry entry = entries.get(id);
         if (entry != null && entry.end == End.NONE) {
-            end(now, entry, End.DELIVERED);
+            complete(now, entry, End.DELIVERED);
         }
     }
 
     /** A notice came; one for a message that is over does no harm. */
-    public void noticed(long now, String id, boolean returned) {
+    public void notified(long now, String id, boolean returned) {
         Entry entry = entries.get(id);
         if (entry == null) {
-            strange++;
-            complain("notice for unknown message " + id);
+            unknownMessages++;
+            recordViolation("notice for unknown message " + id);
         } else if (entry.end == End.NONE) {
-            if (returned && entry.effect == Effect.UNSAFE && entry.effects > 0) {
-                strange++;
-                complain("unsafe message " + id + " took effect and was returned as never run");
+            if (returned && entry.effect == Effect.UNSAFE && entry.executions > 0) {
+                unknownMessages++;
+                recordViolation("unsafe message " + id + " took effect and was returned as never run");
             }
-            end(now, entry, returned ? End.RETURNED : End.FAILED);
+            complete(now, entry, returned ? End.RETURNED : End.FAILED);
         }
     }
 
-    private void end(long now, Entry entry, End end) {
+    private void complete(long now, Entry entry, End end) {
         entry.end = end;
-        entry.endedAt = now;
-        over(entry);
+        entry.completedAtMicros = now;
+        completed(entry);
     }
 
-    private void over(Entry entry) {
-        Deque<Entry> turn = entry.ordered ? turns.get(entry.key) : null;
+    private void completed(Entry entry) {
+        Deque<Entry> turn = entry.ordered ? openByKey.get(entry.key) : null;
         if (turn != null) {
             turn.remove(entry);
             if (turn.isEmpty()) {
-                turns.remove(entry.key);
+                openByKey.remove(entry.key);
             }
         }
     }
 
     /** A sender was stopped or died at {@code from} and was ready again at {@code to}. */
-    public void down(int sender, long from, long to) {
-        spans.computeIfAbsent(sender, s -> new ArrayList<>()).add(new long[] {from, to + 1_500_000});
+    public void senderDown(int sender, long from, long to) {
+        outages.computeIfAbsent(sender, s -> new ArrayList<>()).add(new long[] {from, to + 1_500_000});
     }
 
     /** When a message's end is overdue at the latest. */
-    private long dueBy(Entry entry) {
-        long due = entry.deadline + NOTICE_GRACE;
-        for (long[] span : spans.getOrDefault(entry.sender, List.of())) {
+    private long notificationDueMicros(Entry entry) {
+        long due = entry.deadlineMicros + NOTIFICATION_GRACE_MICROS;
+        for (long[] span : outages.getOrDefault(entry.sender, List.of())) {
             if (due >= span[0] && due < span[1]) {
                 due = span[1];
             }
@@ -270,15 +271,15 @@
     }
 
     /** The time to be told that a message is taken on, in microseconds, that this share of them had at most; 0 for none. */
-    public long takenWithin(double share) {
-        return takenWithin(share, Long.MIN_VALUE);
+    public long acceptLatencyPercentile(double share) {
+        return acceptLatencyPercentile(share, Long.MIN_VALUE);
     }
 
     /** The same of those that were handed in from a moment on. */
-    public long takenWithin(double share, long since) {
+    public long acceptLatencyPercentile(double share, long since) {
         long[] times = entries.values().stream()
-                .filter(e -> e.answer == Answer.TAKEN && e.handedAt >= since)
-                .mapToLong(e -> e.answeredAt - e.handedAt)
+                .filter(e -> e.answer == Answer.TAKEN && e.submittedAtMicros >= since)
+                .mapToLong(e -> e.answeredAtMicros - e.submittedAtMicros)
                 .sorted()
                 .toArray();
         return times.length == 0 ? 0 : times[(int) Math.min(times.length - 1, times.length * share)];
@@ -290,9 +291,9 @@
     }
 
     /** Messages taken on that were handed in from a moment on. */
-    public long takenSince(long since) {
+    public long acceptedSince(long since) {
         return entries.values().stream()
-                .filter(e -> e.answer == Answer.TAKEN && e.handedAt >= since)
+                .filter(e -> e.answer == Answer.TAKEN && e.submittedAtMicros >= since)
                 .count();
     }
 
@@ -320,15 +321,16 @@
             switch (e.end) {
                 case DELIVERED -> {
                     n[4]++;
-                    n[9] += e.endedAt <= e.aim ? 1 : 0;
+                    n[9] += e.completedAtMicros <= e.latencyObjectiveMicros ? 1 : 0;
                 }
                 case RETURNED -> n[5]++;
                 case FAILED -> n[6]++;
                 default -> n[7]++;
             }
-            if (e.end == End.NONE && now > dueBy(e)) {
+            if (e.end == End.NONE && now > notificationDueMicros(e)) {
                 n[8]++;
-            } else if ((e.end == End.RETURNED || e.end == End.FAILED) && e.endedAt > dueBy(e)) {
+            } else if ((e.end == End.RETURNED || e.end == End.FAILED)
+                    && e.completedAtMicros > notificationDueMicros(e)) {
                 n[10]++;
             }
         }
@@ -343,12 +345,12 @@
                 n[6],
                 n[7],
                 n[8],
-                doubled,
+                duplicateExecutions,
                 outOfOrder,
                 n[10],
                 n[9],
-                strange,
-                unheard);
+                unknownMessages,
+                unreportedExecutions);
     }
 
     /** Of the messages with their aim in this span, the share that was delivered within it; 1 where there are none. */
@@ -356,9 +358,9 @@
         long all = 0;
         long good = 0;
         for (Entry e : entries.values()) {
-            if (e.aim >= from && e.aim < to) {
+            if (e.latencyObjectiveMicros >= from && e.latencyObjectiveMicros < to) {
                 all++;
-                good += e.end == End.DELIVERED && e.endedAt <= e.aim ? 1 : 0;
+                good += e.end == End.DELIVERED && e.completedAtMicros <= e.latencyObjectiveMicros ? 1 : 0;
             }
         }
         return all == 0 ? 1 : (double) good / all;
@@ -367,8 +369,8 @@
     /** The ids of messages that were taken on and are open past their time, at most 50. */
     public List<String> lost(long now) {
         return entries.values().stream()
-                .filter(e -> e.answer == Answer.TAKEN && e.end == End.NONE && now > dueBy(e))
-                .limit(MOST_COMPLAINTS)
+                .filter(e -> e.answer == Answer.TAKEN && e.end == End.NONE && now > notificationDueMicros(e))
+                .limit(MAX_VIOLATIONS)
                 .map(e -> e.id + " (" + e.className + " at sender " + e.sender + ")")
                 .toList();
     }
@@ -378,21 +380,22 @@
         return entries.values().stream()
                 .filter(e -> e.answer == Answer.TAKEN
                         && (e.end == End.RETURNED || e.end == End.FAILED)
-                        && e.endedAt > dueBy(e))
-                .limit(MOST_COMPLAINTS)
-                .map(e -> e.id + " (" + e.className + " at sender " + e.sender + ", due " + dueBy(e) / 1_000 + ", "
-                        + (e.endedAt - dueBy(e)) / 1_000 + " ms late)")
+                        && e.completedAtMicros > notificationDueMicros(e))
+                .limit(MAX_VIOLATIONS)
+                .map(e -> e.id + " (" + e.className + " at sender " + e.sender + ", due "
+                        + notificationDueMicros(e) / 1_000 + ", "
+                        + (e.completedAtMicros - notificationDueMicros(e)) / 1_000 + " ms late)")
                 .toList();
     }
 
     /** What was wrong, the first 50 in words. */
-    public List<String> complaints() {
-        return List.copyOf(complaints);
+    public List<String> violations() {
+        return List.copyOf(violations);
     }
 
-    private void complain(String text) {
-        if (complaints.size() < MOST_COMPLAINTS) {
-            complaints.add(text);
+    private void recordViolation(String text) {
+        if (violations.size() < MAX_VIOLATIONS) {
+            violations.add(text);
         }
     }
 }
--- a/testkit/src/main/java/amberroute/testkit/FaultInjectionNetwork.java
+++ b/testkit/src/main/java/amberroute/testkit/FaultInjectionNetwork.java
@@ -22,7 +22,7 @@
  */
 public final class FaultInjectionNetwork implements AutoCloseable {
     /** What befalls datagrams on all ways: shares that are lost and doubled, and a delay of up to so many microseconds. */
-    public record LinkConditions(double loss, double doubled, long delay) {
+    public record LinkConditions(double loss, double duplicated, long maxDelayMicros) {
         public static final LinkConditions CLEAR = new LinkConditions(0, 0, 0);
     }
 
@@ -57,15 +57,17 @@
 
         private void pass(DatagramPacket packet) {
             passed++;
-            if (cut || random.nextDouble() < weather.loss()) {
+            if (cut || random.nextDouble() < conditions.loss()) {
                 return;
             }
-            for (int copies = random.nextDouble() < weather.doubled() ? 2 : 1; copies > 0; copies--) {
+            for (int copies = random.nextDouble() < conditions.duplicated() ? 2 : 1; copies > 0; copies--) {
                 packet.retain();
-                long delay = weather.delay() == 0 ? 0 : (long) (random.nextDouble() * weather.delay());
+                long delay = conditions.maxDelayMicros() == 0
+                        ? 0
+                        : (long) (random.nextDouble() * conditions.maxDelayMicros());
                 loop.schedule(
                         () -> {
-                            Link back = ways[to][from];
+                            Link back = links[to][from];
                             back.datagrams.writeAndFlush(new DatagramPacket(packet.content(), targets.get(to)));
                         },
                         delay,
@@ -77,17 +79,17 @@
         void cut(boolean on) {
             cut = on;
             connections.mute(true, on);
-            ways[to][from].connections.mute(false, on);
+            links[to][from].connections.mute(false, on);
         }
     }
 
     private final EventLoop loop;
     private final List<InetSocketAddress> targets;
-    private final Link[][] ways;
+    private final Link[][] links;
     private final int firstPort;
     private final long seed;
     private final Random random;
-    private LinkConditions weather = LinkConditions.CLEAR;
+    private LinkConditions conditions = LinkConditions.CLEAR;
     private long passed;
 
     /** {@code firstPort} begins as many free ports as there are ways, that is n times n. */
@@ -98,11 +100,11 @@
         this.firstPort = firstPort;
         this.seed = seed;
         random = new Random(seed);
-        ways = new Link[targets.size()][targets.size()];
+        links = new Link[targets.size()][targets.size()];
         for (int a = 0; a < targets.size(); a++) {
             for (int b = 0; b < targets.size(); b++) {
                 if (a != b) {
-                    ways[a][b] = new Link(a, b, port(a, b));
+                    links[a][b] = new Link(a, b, port(a, b));
                 }
             }
         }
@@ -119,7 +121,7 @@
 
     /** Cuts or heals one direction between two; on the event loop. */
     public void cut(int from, int to, boolean on) {
-        ways[from][to].cut(on);
+        links[from][to].cut(on);
     }
 
     /** Cuts or heals all between two sets of processes, both directions; on the event loop. */
@@ -127,21 +129,21 @@
         for (int a = 0; a < targets.size(); a++) {
             for (int b = 0; b < targets.size(); b++) {
                 if (a != b && some.contains(a) != some.contains(b)) {
-                    ways[a][b].cut(on);
+                    links[a][b].cut(on);
                 }
             }
         }
     }
 
     /** From now on, on all ways; on the event loop. */
-    public void weather(LinkConditions next) {
-        weather = next;
+    public void conditions(LinkConditions next) {
+        conditions = next;
     }
 
     /** Heals everything; on the event loop. */
     public void heal() {
-        weather = LinkConditions.CLEAR;
-        for (Link[] from : ways) {
+        conditions = LinkConditions.CLEAR;
+        for (Link[] from : links) {
             for (Link way : from) {
                 if (way != null && way.cut) {
                     way.cut(false);
@@ -159,7 +161,7 @@
     @Override
     public void close() {
         List<Link> all = new ArrayList<>();
-        for (Link[] from : ways) {
+        for (Link[] from : links) {
             for (Link way : from) {
                 if (way != null) {
                     all.add(way);
--- a/testkit/src/main/java/amberroute/testkit/FaultProxy.java
+++ b/testkit/src/main/java/amberroute/testkit/FaultProxy.java
@@ -35,7 +35,7 @@
      * sides after {@code resetAfter} bytes towards the target, or its answers vanish after {@code deafAfter} bytes
      * towards the client (-1: never); {@code readPause} microseconds pass between two reads from the client.
      */
-    public record Fault(long delay, long resetAfter, long deafAfter, long readPause) {
+    public record Fault(long delayMicros, long resetAfterBytes, long deafAfterBytes, long readPauseMicros) {
         public static final Fault NONE = new Fault(0, -1, -1, 0);
 
         public static Fault delayed(long micros) {
@@ -63,7 +63,7 @@
         SILENT
     }
 
-    private static final long MOST_WAITING = 1 << 20;
+    private static final long MAX_BUFFERED_BYTES = 1 << 20;
 
     private final EventLoop loop;
     private final InetSocketAddress target;
@@ -219,9 +219,9 @@
                 @Override
                 public void channelReadComplete(ChannelHandlerContext context) {
                     int side = fromClient ? 0 : 1;
-                    if (fromClient && fault.readPause() > 0) {
-                        loop.schedule(() -> context.read(), fault.readPause(), TimeUnit.MICROSECONDS);
-                    } else if (waiting[side] < MOST_WAITING) {
+                    if (fromClient && fault.readPauseMicros() > 0) {
+                        loop.schedule(() -> context.read(), fault.readPauseMicros(), TimeUnit.MICROSECONDS);
+                    } else if (waiting[side] < MAX_BUFFERED_BYTES) {
                         context.read();
                     }
                 }
@@ -253,20 +253,20 @@
             int size = bytes.readableBytes();
             if (cut == Cut.SILENT
                     || muted[side]
-                    || !fromClient && fault.deafAfter() >= 0 && passed[1] + size > fault.deafAfter()) {
+                    || !fromClient && fault.deafAfterBytes() >= 0 && passed[1] + size > fault.deafAfterBytes()) {
                 lost = true;
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            if (fromClient && fault.resetAfter() >= 0 && passed[0] + size > fault.resetAfter()) {
-                ByteBuf part = bytes.readRetainedSlice((int) Math.max(0, fault.resetAfter() - passed[0]));
+            if (fromClient && fault.resetAfterBytes() >= 0 && passed[0] + size > fault.resetAfterBytes()) {
+                ByteBuf part = bytes.readRetainedSlice((int) Math.max(0, fault.resetAfterBytes() - passed[0]));
                 ReferenceCountUtil.release(bytes);
                 server.writeAndFlush(part).addListener(sent -> resetBoth());
                 return;
             }
             passed[side] += size;
             waiting[side] += size;
-            long wait = fault.delay() == 0 ? 0 : (long) (fault.delay() * (1 + random.nextDouble())) * 1_000;
+            long wait = fault.delayMicros() == 0 ? 0 : (long) (fault.delayMicros() * (1 + random.nextDouble())) * 1_000;
             lastDue[side] = Math.max(System.nanoTime() + wait, lastDue[side]);
             delayed.get(side).add(new Delayed(bytes, lastDue[side]));
             if (delayed.get(side).size() == 1) {
@@ -284,10 +284,10 @@
                     return;
                 }
                 ByteBuf bytes = line.removeFirst().bytes();
-                boolean full = waiting[side] >= MOST_WAITING;
+                boolean full = waiting[side] >= MAX_BUFFERED_BYTES;
                 waiting[side] -= bytes.readableBytes();
                 (side == 0 ? server : client).writeAndFlush(bytes);
-                if (full && waiting[side] < MOST_WAITING) {
+                if (full && waiting[side] < MAX_BUFFERED_BYTES) {
                     (side == 0 ? client : server).read();
                 }
             }
--- a/testkit/src/main/java/amberroute/testkit/FaultScript.java
+++ b/testkit/src/main/java/amberroute/testkit/FaultScript.java
@@ -34,10 +34,10 @@
     }
 
     /** One fault: at which moment of the round it begins and how long it lasts, in milliseconds, and whom it befalls. */
-    public record Fault(Kind kind, int target, long at, long lasts) {
+    public record Fault(Kind kind, int target, long atMillis, long durationMillis) {
         @Override
         public String toString() {
-            return kind + ":" + target + ":" + at + ":" + lasts;
+            return kind + ":" + target + ":" + atMillis + ":" + durationMillis;
         }
     }
 
--- a/testkit/src/main/java/amberroute/testkit/LoadClients.java
+++ b/testkit/src/main/java/amberroute/testkit/LoadClients.java
@@ -33,22 +33,27 @@
 public final class LoadClients {
     /** A class of messages; spans are microseconds. */
     public record Kind(
-            String name, DeliveryHistory.Effect effect, boolean ordered, double share, long aim, long deadline) {}
+            String name,
+            DeliveryHistory.Effect effect,
+            boolean ordered,
+            double share,
+            long latencyObjectiveMicros,
+            long deadlineMicros) {}
 
     /** How much is asked: messages a second, the share of them in clumps of so many, and how many keys there are. */
-    public record Load(double perSecond, double clumps, int clumpSize, int keys, int tries) {}
+    public record Load(double perSecond, double burstShare, int burstSize, int keys, int maxAttempts) {}
 
-    private static final long ANSWER_MS = 400;
-    private static final long BACK_OFF_MS = 150;
-    private static final int BODY = 120;
-    private static final int MOST_IDLE = 64;
+    private static final long ANSWER_TIMEOUT_MILLIS = 400;
+    private static final long BACKOFF_MILLIS = 150;
+    private static final int BODY_BYTES = 120;
+    private static final int MAX_IDLE_CONNECTIONS = 64;
     private static final long AWAY_MICROS = 200_000;
 
     private final EventLoop loop;
-    private final DeliveryHistory book;
+    private final DeliveryHistory history;
     private final List<InetSocketAddress> senders;
     /** Where each key goes; there are as many as the load has keys. */
-    private final Map<Long, Integer> homes = new HashMap<>();
+    private final Map<Long, Integer> senderByKey = new HashMap<>();
 
     private int active;
     private final List<Kind> kinds;
@@ -57,13 +62,13 @@
     private final List<Deque<ClientConnection>> idle = new ArrayList<>();
     private final long[] awayUntil;
     /** Messages of each key that wait for the one before to be answered. */
-    private final Map<Long, Deque<Message>> lines = new HashMap<>();
+    private final Map<Long, Deque<Message>> waitingByKey = new HashMap<>();
 
     private Load load;
     private Future<?> timer;
     private long nextId;
-    private long handedIn;
-    private int working;
+    private long submittedCount;
+    private int openRequests;
 
     /** One message as its client sees it, over all its tries. */
     private static final class Message {
@@ -82,8 +87,8 @@
             this.key = key;
             this.idempotencyKey = idempotencyKey;
             this.destination = destination;
-            aim = now + kind.aim();
-            deadline = now + kind.deadline();
+            aim = now + kind.latencyObjectiveMicros();
+            deadline = now + kind.deadlineMicros();
         }
     }
 
@@ -95,7 +100,7 @@
             int destinations,
             long seed) {
         this.loop = loop;
-        this.book = book;
+        this.history = book;
         this.senders = List.copyOf(senders);
         active = senders.size();
         this.kinds = List.copyOf(kinds);
@@ -119,13 +124,13 @@
     }
 
     /** Messages whose clients still wait or will come again. */
-    public int working() {
-        return working;
+    public int openRequests() {
+        return openRequests;
     }
 
     /** All messages that were asked for, each counted once however often it was handed in. */
-    public long asked() {
-        return handedIn;
+    public long submittedCount() {
+        return submittedCount;
     }
 
     private void arrive() {
@@ -133,13 +138,14 @@
             timer = null;
             return;
         }
-        boolean clump = random.nextDouble() * load.clumpSize() < load.clumps();
+        boolean clump = random.nextDouble() * load.burstSize() < load.burstShare();
         int destination = destination();
-        for (int i = 0; i < (clump ? load.clumpSize() : 1); i++) {
-            ask(destination);
+        for (int i = 0; i < (clump ? load.burstSize() : 1); i++) {
+            submit(destination);
         }
-        double rate = load.perSecond() * (1 - load.clumps()) + load.perSecond() * load.clumps() / load.clumpSize();
-        double mean = 1e6 / Math.max(0.001, clump || load.clumps() == 0 ? load.perSecond() : rate);
+        double rate =
+                load.perSecond() * (1 - load.burstShare()) + load.perSecond() * load.burstShare() / load.burstSize();
+        double mean = 1e6 / Math.max(0.001, clump || load.burstShare() == 0 ? load.perSecond() : rate);
         timer = loop.schedule(this::arrive, (long) (-Math.log(1 - random.nextDouble()) * mean), TimeUnit.MICROSECONDS);
     }
 
@@ -148,7 +154,7 @@
         return 1 + (int) (destinations * Math.pow(random.nextDouble(), 1.5));
     }
 
-    private void ask(int destination) {
+    private void submit(int destination) {
         double at =
                 random.nextDouble() * kinds.stream().mapToDouble(Kind::share).sum();
         Kind kind = kinds.get(kinds.size() - 1);
@@ -170,41 +176,41 @@
                 kind.effect() == DeliveryHistory.Effect.KEYED ? "k" + origin : "",
                 to,
                 TestEnvironment.micros());
-        handedIn++;
-        working++;
+        submittedCount++;
+        openRequests++;
         if (kind.ordered()) {
-            Deque<Message> line = lines.computeIfAbsent(key, k -> new ArrayDeque<>());
+            Deque<Message> line = waitingByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
             line.add(m);
             if (line.size() > 1) {
                 return;
             }
         }
-        tryOne(m);
+        attempt(m);
     }
 
-    private void tryOne(Message m) {
+    private void attempt(Message m) {
         long now = TestEnvironment.micros();
-        if (now >= m.deadline || m.tries >= mostTries()) {
-            leave(m);
+        if (now >= m.deadline || m.tries >= maxAttempts()) {
+            finish(m);
             return;
         }
-        int sender = m.key != 0 ? home(m.key) : choose(now);
+        int sender = m.key != 0 ? senderOf(m.key) : choose(now);
         if (now < awayUntil[sender]) {
-            later(m, AWAY_MICROS / 1_000);
+            retryLater(m, AWAY_MICROS / 1_000);
             return;
         }
         ClientConnection link = idle.get(sender).pollLast();
         if (link != null && link.channel.isActive()) {
             link.send(m);
         } else if (link != null) {
-            tryOne(m);
+            attempt(m);
         } else {
             connect(m, sender);
         }
     }
 
-    private int mostTries() {
-        return load == null ? 8 : load.tries();
+    private int maxAttempts() {
+        return load == null ? 8 : load.maxAttempts();
     }
 
     private int choose(long now) {
@@ -216,17 +222,17 @@
     }
 
     /** A key moves only when the sender that it went to is gone for good. */
-    private int home(long key) {
-        int home = homes.computeIfAbsent(key, k -> (int) (k % senders.size()));
+    private int senderOf(long key) {
+        int home = senderByKey.computeIfAbsent(key, k -> (int) (k % senders.size()));
         if (home >= active) {
             home = (int) (key % active);
-            homes.put(key, home);
+            senderByKey.put(key, home);
         }
         return home;
     }
 
     /** Only the first so many senders are there from now on; those that have left hold nothing any more. */
-    public void active(int count) {
+    public void useSenders(int count) {
         active = Math.max(1, Math.min(count, senders.size()));
     }
 
@@ -236,7 +242,7 @@
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -251,25 +257,25 @@
                     } else {
                         // Nothing was written: whoever it was for has not seen it.
                         awayUntil[sender] = TestEnvironment.micros() + AWAY_MICROS;
-                        later(m, 20);
+                        retryLater(m, 20);
                     }
                 });
     }
 
-    private void later(Message m, long millis) {
-        loop.schedule(() -> tryOne(m), millis, TimeUnit.MILLISECONDS);
+    private void retryLater(Message m, long millis) {
+        loop.schedule(() -> attempt(m), millis, TimeUnit.MILLISECONDS);
     }
 
     /** Its client is done with it, whether it was taken on or not. */
-    private void leave(Message m) {
-        working--;
-        Deque<Message> line = lines.get(m.key);
+    private void finish(Message m) {
+        openRequests--;
+        Deque<Message> line = waitingByKey.get(m.key);
         if (m.key != 0 && line != null && line.peekFirst() == m) {
             line.removeFirst();
             if (line.isEmpty()) {
-                lines.remove(m.key);
+                waitingByKey.remove(m.key);
             } else {
-                tryOne(line.peekFirst());
+                attempt(line.peekFirst());
             }
         }
     }
@@ -293,7 +299,7 @@
             // Told a little less than is left, as the time on the way is the client's.
             long left = (m.deadline - now) / 1_000;
             String id = m.origin + "." + m.tries;
-            entry = book.handIn(
+            entry = history.submitted(
                     id,
                     m.origin,
                     m.kind.name(),
@@ -311,9 +317,9 @@
             if (m.tries > 1) {
                 options.append(",r=1");
             }
-            String body = String.format(Locale.ROOT, "%-" + BODY + "s", "message " + id);
+            String body = String.format(Locale.ROOT, "%-" + BODY_BYTES + "s", "message " + id);
             String key = String.format(Locale.ROOT, "%016x", m.key);
-            timeout = loop.schedule(() -> channel.close(), ANSWER_MS, TimeUnit.MILLISECONDS);
+            timeout = loop.schedule(() -> channel.close(), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             channel.writeAndFlush(Unpooled.wrappedBuffer(RespRequest.of("SUBMIT", key, id, options.toString(), body)));
             if (!channel.isActive()) {
                 // It ended between its choice and this write, perhaps with its last event behind it.
@@ -332,28 +338,28 @@
             DeliveryHistory.Entry handed = entry;
             message = null;
             String answer = line.toString(StandardCharsets.ISO_8859_1);
-            if (idle.get(sender).size() < MOST_IDLE) {
+            if (idle.get(sender).size() < MAX_IDLE_CONNECTIONS) {
                 idle.get(sender).addLast(this);
             } else {
                 context.close();
             }
             if (answer.startsWith("+")) {
-                book.answered(handed, DeliveryHistory.Answer.TAKEN);
-                leave(m);
+                history.answered(handed, DeliveryHistory.Answer.TAKEN);
+                finish(m);
             } else if (answer.startsWith("-BUSY")) {
-                book.answered(handed, DeliveryHistory.Answer.REFUSED);
+                history.answered(handed, DeliveryHistory.Answer.REFUSED);
                 String[] words = answer.split(" ");
                 long told = words.length > 1 ? Long.parseLong(words[1]) : 0;
                 if (m.key == 0 && told > 1_000) {
                     // This one is away for long; any other will do.
                     awayUntil[sender] = TestEnvironment.micros() + Math.min(told, 2_000) * 1_000;
-                    later(m, BACK_OFF_MS);
+                    retryLater(m, BACKOFF_MILLIS);
                 } else {
-                    later(m, told > 0 ? told : BACK_OFF_MS);
+                    retryLater(m, told > 0 ? told : BACKOFF_MILLIS);
                 }
             } else {
-                book.answered(handed, DeliveryHistory.Answer.ERROR);
-                leave(m);
+                history.answered(handed, DeliveryHistory.Answer.ERROR);
+                finish(m);
             }
         }
 
@@ -366,12 +372,12 @@
                 return;
             }
             timeout.cancel(false);
-            book.answered(entry, DeliveryHistory.Answer.SILENT);
+            history.answered(entry, DeliveryHistory.Answer.SILENT);
             // It may have been taken on: only what may be repeated is handed in anew.
             if (m.kind.effect() == DeliveryHistory.Effect.UNSAFE || m.kind.ordered()) {
-                leave(m);
+                finish(m);
             } else {
-                later(m, BACK_OFF_MS);
+                retryLater(m, BACKOFF_MILLIS);
             }
         }
 
--- a/testkit/src/main/java/amberroute/testkit/PlatformServer.java
+++ b/testkit/src/main/java/amberroute/testkit/PlatformServer.java
@@ -37,7 +37,7 @@
  * watch, and {@code POST /status}, on one loopback address. Owned by the event loop.
  */
 public final class PlatformServer {
-    private static final long BEAT_MS = 2_000;
+    private static final long WATCH_INTERVAL_MILLIS = 2_000;
 
     /** A listed endpoint. */
     private record Target(String uid, String address, int destination, String model, String state) {
@@ -56,18 +56,18 @@
     }
 
     private final EventLoop loop;
-    private final DeliveryHistory book;
+    private final DeliveryHistory history;
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Set<ChannelHandlerContext> watches = new LinkedHashSet<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
     private Channel server;
     private long version = 1;
     private boolean silent;
-    private long noticeLines;
+    private long notificationLines;
 
     public PlatformServer(EventLoop loop, DeliveryHistory book) {
         this.loop = loop;
-        this.book = book;
+        this.history = book;
     }
 
     /** Binds a port of loopback, 0 for any. */
@@ -87,7 +87,8 @@
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
                 .sync()
                 .channel();
-        loop.scheduleWithFixedDelay(() -> send("\n"), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> send("\n"), WATCH_INTERVAL_MILLIS, WATCH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         return this;
     }
 
@@ -96,7 +97,7 @@
     }
 
     /** Lists an endpoint or changes what the list says of it: Ready, Terminating or Gone. */
-    public void list(String uid, String address, int destination, String model, String state) {
+    public void listEndpoint(String uid, String address, int destination, String model, String state) {
         Target target = new Target(uid, address, destination, model, state);
         if (state.equals("Gone")) {
             targets.remove(uid);
@@ -106,7 +107,7 @@
         version++;
         JsonArray changes = new JsonArray();
         changes.add(target.json());
-        send(news(false, changes) + "\n");
+        send(watchEvent(false, changes) + "\n");
     }
 
     /** From now on the watch says nothing, or speaks again; notices are answered all the same. */
@@ -118,24 +119,24 @@
     }
 
     /** The whole list in discovery's form. */
-    public String wholeList() {
+    public String fullList() {
         JsonArray all = new JsonArray();
         targets.values().forEach(t -> all.add(t.json()));
-        return news(true, all).toString();
+        return watchEvent(true, all).toString();
     }
 
     /** Lines of notices that have come, repeats included. */
-    public long noticeLines() {
-        return noticeLines;
+    public long notificationLines() {
+        return notificationLines;
     }
 
     /** Goes away for good: its connections end and new ones are refused; on the event loop. */
-    public void shut() {
+    public void shutDown() {
         server.close();
         List.copyOf(connections).forEach(Channel::close);
     }
 
-    private JsonObject news(boolean whole, JsonArray entries) {
+    private JsonObject watchEvent(boolean whole, JsonArray entries) {
         JsonObject news = new JsonObject();
         news.addProperty("rev", version);
         news.addProperty("all", whole);
@@ -160,11 +161,11 @@
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
                 context.write(head);
                 context.writeAndFlush(new DefaultHttpContent(
-                        Unpooled.copiedBuffer(silent ? "" : wholeList() + "\n", StandardCharsets.UTF_8)));
+                        Unpooled.copiedBuffer(silent ? "" : fullList() + "\n", StandardCharsets.UTF_8)));
                 watches.add(context);
                 context.channel().closeFuture().addListener(closed -> watches.remove(context));
             } else if (request.uri().equals("/api/targets")) {
-                reply(context, 200, wholeList());
+                reply(context, 200, fullList());
             } else {
                 reply(context, 404, "");
             }
@@ -175,8 +176,8 @@
                 long now = TestEnvironment.micros();
                 for (String line : body.split("\n")) {
                     JsonObject notice = JsonParser.parseString(line).getAsJsonObject();
-                    noticeLines++;
-                    book.noticed(
+                    notificationLines++;
+                    history.notified(
                             now,
                             notice.get("id").getAsString(),
                             notice.get("state").getAsString().equals("returned"));
--- a/testkit/src/main/java/amberroute/testkit/StubUpstream.java
+++ b/testkit/src/main/java/amberroute/testkit/StubUpstream.java
@@ -27,69 +27,69 @@
      * {@code coldFrom} of its capacity and has all after {@code coldSpan}; more messages than {@code fallMultiple} of
      * its present capacity within {@code fallSpan} bring it down for {@code fallFor}.
      */
-    public record Figures(
+    public record Parameters(
             int slots,
             int queue,
-            long service,
+            long serviceMicros,
             double spread,
             double itemCost,
             double perSecond,
-            long window,
-            boolean tellsWait,
-            double coldFrom,
-            long coldSpan,
-            double fallMultiple,
-            long fallSpan,
-            long fallFor,
-            long keyLife) {
+            long windowMicros,
+            boolean sendsRetryAfter,
+            double slowStartFrom,
+            long slowStartMicros,
+            double overloadMultiple,
+            long overloadWindowMicros,
+            long overloadMicros,
+            long keyLifeMicros) {
 
         /** A quick partner with much room and no limit. */
-        public static Figures roomy() {
-            return new Figures(
+        public static Parameters unlimited() {
+            return new Parameters(
                     64, 256, 5_000, 0.5, 0.1, 0, 0, true, 0.15, 10_000_000, 2.5, 1_500_000, 2_000_000, 60_000_000);
         }
 
         /** The same with this many messages a second at most. */
-        public Figures limited(double most, long windowMicros) {
-            return new Figures(
+        public Parameters limited(double most, long windowMicros) {
+            return new Parameters(
                     slots,
                     queue,
-                    service,
+                    serviceMicros,
                     spread,
                     itemCost,
                     most,
                     windowMicros,
-                    tellsWait,
-                    coldFrom,
-                    coldSpan,
-                    fallMultiple,
-                    fallSpan,
-                    fallFor,
-                    keyLife);
+                    sendsRetryAfter,
+                    slowStartFrom,
+                    slowStartMicros,
+                    overloadMultiple,
+                    overloadWindowMicros,
+                    overloadMicros,
+                    keyLifeMicros);
         }
 
         /** The same with this many slots, places to wait and time for a call. */
-        public Figures sized(int calls, int waiting, long micros) {
-            return new Figures(
+        public Parameters sized(int calls, int waiting, long micros) {
+            return new Parameters(
                     calls,
                     waiting,
                     micros,
                     spread,
                     itemCost,
                     perSecond,
-                    window,
-                    tellsWait,
-                    coldFrom,
-                    coldSpan,
-                    fallMultiple,
-                    fallSpan,
-                    fallFor,
-                    keyLife);
+                    windowMicros,
+                    sendsRetryAfter,
+                    slowStartFrom,
+                    slowStartMicros,
+                    overloadMultiple,
+                    overloadWindowMicros,
+                    overloadMicros,
+                    keyLifeMicros);
         }
 
         /** Messages a second when warm. */
         public double capacity() {
-            return slots * 1e6 / service;
+            return slots * 1e6 / serviceMicros;
         }
     }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    private final Figures figures;
+    private final Parameters parameters;
     private final Random random;
     private final Map<String, Long> keys = new HashMap<>();
     private final Deque<long[]> recent = new ArrayDeque<>();
@@ -113,23 +113,23 @@
     private int running;
     private int waiting;
     private double tokens;
-    private long tokensAt;
-    private long windowAt;
-    private double inWindow;
-    private long coldSince = Long.MIN_VALUE / 2;
-    private long fallenUntil = Long.MIN_VALUE / 2;
-    private double highestShare;
-    private long falls;
+    private long tokensUpdatedAt;
+    private long windowStartedAt;
+    private double callsInWindow;
+    private long slowStartSince = Long.MIN_VALUE / 2;
+    private long overloadedUntil = Long.MIN_VALUE / 2;
+    private double highestSlowStartShare;
+    private long overloadCount;
     private long overLimit;
 
-    public StubUpstream(Figures figures, long seed) {
-        this.figures = figures;
+    public StubUpstream(Parameters figures, long seed) {
+        this.parameters = figures;
         random = new Random(seed);
         tokens = Math.max(1, figures.perSecond() / 4);
     }
 
-    public Figures figures() {
-        return figures;
+    public Parameters parameters() {
+        return parameters;
     }
 
     public Mode mode() {
@@ -137,18 +137,18 @@
     }
 
     /** Goes down or comes back; who comes back is cold. */
-    public void become(Mode next, long now) {
+    public void setMode(Mode next, long now) {
         if (next == Mode.UP && mode != Mode.UP) {
-            coldSince = now;
+            slowStartSince = now;
             recent.clear();
         }
         mode = next;
     }
 
     /** Share of its capacity that it has now. */
-    public double warmth(long now) {
-        double age = (double) (now - coldSince) / Math.max(1, figures.coldSpan());
-        return age >= 1 ? 1 : figures.coldFrom() + (1 - figures.coldFrom()) * Math.max(0, age);
+    public double slowStartProgress(long now) {
+        double age = (double) (now - slowStartSince) / Math.max(1, parameters.slowStartMicros());
+        return age >= 1 ? 1 : parameters.slowStartFrom() + (1 - parameters.slowStartFrom()) * Math.max(0, age);
     }
 
     /** A call of so many messages has come whole. */
@@ -156,7 +156,7 @@
         if (mode == Mode.HANG) {
             return new Verdict(Verdict.Kind.SILENT, 0);
         }
-        if (mode == Mode.REFUSE || now < fallenUntil) {
+        if (mode == Mode.REFUSE || now < overloadedUntil) {
             return new Verdict(Verdict.Kind.REFUSE_FULL, 0);
         }
         // Whatever comes weighs, also what is refused below.
@@ -166,12 +166,12 @@
         long wait = limit(now, messages);
         if (wait > 0) {
             overLimit++;
-            return new Verdict(Verdict.Kind.REFUSE_LIMIT, figures.tellsWait() ? wait : 0);
+            return new Verdict(Verdict.Kind.REFUSE_LIMIT, parameters.sendsRetryAfter() ? wait : 0);
         }
-        if (running + waiting >= figures.slots() + figures.queue()) {
+        if (running + waiting >= parameters.slots() + parameters.queue()) {
             return new Verdict(Verdict.Kind.REFUSE_FULL, 0);
         }
-        if (running < figures.slots()) {
+        if (running < parameters.slots()) {
             return begin(now, messages);
         }
         waiting++;
@@ -180,8 +180,9 @@
 
     private Verdict begin(long now, int messages) {
         running++;
-        double base = figures.service() * (1 + figures.itemCost() * (messages - 1)) / warmth(now);
-        double factor = 1 - figures.spread() + figures.spread() * -Math.log(1 - random.nextDouble());
+        double base =
+                parameters.serviceMicros() * (1 + parameters.itemCost() * (messages - 1)) / slowStartProgress(now);
+        double factor = 1 - parameters.spread() + parameters.spread() * -Math.log(1 - random.nextDouble());
         return new Verdict(Verdict.Kind.RUN, (long) Math.min(base * factor, base * 8));
     }
 
@@ -192,7 +193,7 @@
 
     /** Whether a waiting call may begin; the caller starts it with {@link #resume} or drops it with {@link #leave}. */
     public boolean mayResume() {
-        return waiting > 0 && running < figures.slots();
+        return waiting > 0 && running < parameters.slots();
     }
 
     /** The next waiting call begins. */
@@ -207,14 +208,14 @@
     }
 
     /** Whether an effect of this key happens now: not where the key was seen within its life. */
-    public boolean fresh(long now, String key) {
+    public boolean firstUseOfKey(long now, String key) {
         Long seen = keys.get(key);
-        if (seen != null && now - seen < figures.keyLife()) {
+        if (seen != null && now - seen < parameters.keyLifeMicros()) {
             return false;
         }
         if (keys.size() > 65_536) {
             for (Iterator<Long> it = keys.values().iterator(); it.hasNext(); ) {
-                if (now - it.next() >= figures.keyLife()) {
+                if (now - it.next() >= parameters.keyLifeMicros()) {
                     it.remove();
                 }
             }
@@ -225,24 +226,24 @@
 
     /** 0 where the limit has room, else how long until it has. */
     private long limit(long now, int messages) {
-        double rate = figures.perSecond();
+        double rate = parameters.perSecond();
         if (rate <= 0) {
             return 0;
         }
-        if (figures.window() > 0) {
-            long start = now - Math.floorMod(now, figures.window());
-            if (start != windowAt) {
-                windowAt = start;
-                inWindow = 0;
+        if (parameters.windowMicros() > 0) {
+            long start = now - Math.floorMod(now, parameters.windowMicros());
+            if (start != windowStartedAt) {
+                windowStartedAt = start;
+                callsInWindow = 0;
             }
-            if (inWindow + messages > Math.max(1, rate * figures.window() / 1e6)) {
-                return start + figures.window() - now;
+            if (callsInWindow + messages > Math.max(1, rate * parameters.windowMicros() / 1e6)) {
+                return start + parameters.windowMicros() - now;
             }
-            inWindow += messages;
+            callsInWindow += messages;
             return 0;
         }
-        tokens = Math.min(Math.max(messages, rate / 4), tokens + rate * (now - tokensAt) / 1e6);
-        tokensAt = now;
+        tokens = Math.min(Math.max(messages, rate / 4), tokens + rate * (now - tokensUpdatedAt) / 1e6);
+        tokensUpdatedAt = now;
         if (tokens < messages) {
             return (long) Math.ceil((messages - tokens) * 1e6 / rate);
         }
@@ -252,21 +253,25 @@
 
     /** Counts what is sent to a cold endpoint, and falls over where that is too much for what it can do. */
     private boolean overrun(long now, int messages) {
-        if (warmth(now) >= 1) {
+        if (slowStartProgress(now) >= 1) {
             recent.clear();
             return false;
         }
         recent.addLast(new long[] {now, messages});
-        while (recent.peekFirst()[0] < now - figures.fallSpan()) {
+        while (recent.peekFirst()[0] < now - parameters.overloadWindowMicros()) {
             recent.removeFirst();
         }
         double sum = recent.stream().mapToLong(r -> r[1]).sum();
-        double room = figures.fallMultiple() * figures.capacity() * warmth(now) * figures.fallSpan() / 1e6;
-        highestShare = Math.max(highestShare, sum / Math.max(1, room));
-        if (sum > Math.max(room, figures.slots())) {
-            falls++;
-            fallenUntil = now + figures.fallFor();
-            coldSince = fallenUntil;
+        double room = parameters.overloadMultiple()
+                * parameters.capacity()
+                * slowStartProgress(now)
+                * parameters.overloadWindowMicros()
+                / 1e6;
+        highestSlowStartShare = Math.max(highestSlowStartShare, sum / Math.max(1, room));
+        if (sum > Math.max(room, parameters.slots())) {
+            overloadCount++;
+            overloadedUntil = now + parameters.overloadMicros();
+            slowStartSince = overloadedUntil;
             recent.clear();
             return true;
         }
@@ -274,13 +279,13 @@
     }
 
     /** The largest share of what it could stand that was used while it was cold; above 1 it fell over. */
-    public double highestShare() {
-        return highestShare;
+    public double highestSlowStartShare() {
+        return highestSlowStartShare;
     }
 
     /** How often it fell over. */
-    public long falls() {
-        return falls;
+    public long overloadCount() {
+        return overloadCount;
     }
 
     /** Calls refused above the limit. */
--- a/testkit/src/main/java/amberroute/testkit/StubUpstreamServer.java
+++ b/testkit/src/main/java/amberroute/testkit/StubUpstreamServer.java
@@ -34,17 +34,17 @@
  * to its end though its caller has gone.
  */
 public final class StubUpstreamServer {
-    private static final int LARGEST_CALL = 8 << 20;
+    private static final int MAX_CALL_BYTES = 8 << 20;
 
     /** One message of a call. */
     private record Item(String id, String key) {}
 
     private final EventLoop loop;
-    private final DeliveryHistory book;
+    private final DeliveryHistory history;
     private final int destination;
     private final String uid;
-    private final StubUpstream partner;
-    private final StubUpstream memory;
+    private final StubUpstream upstream;
+    private final StubUpstream keyMemory;
     private final Deque<Call> queue = new ArrayDeque<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
     private Channel server;
@@ -73,11 +73,11 @@
             StubUpstream partner,
             StubUpstream memory) {
         this.loop = loop;
-        this.book = book;
+        this.history = book;
         this.destination = destination;
         this.uid = uid;
-        this.partner = partner;
-        this.memory = memory;
+        this.upstream = partner;
+        this.keyMemory = memory;
     }
 
     /** Binds a port of loopback, 0 for any. */
@@ -90,14 +90,15 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (partner.mode() == StubUpstream.Mode.DEAD) {
+                        if (upstream.mode() == StubUpstream.Mode.DEAD) {
                             channel.close();
                             return;
                         }
                         connections.add(channel);
                         channel.closeFuture().addListener(closed -> connections.remove(channel));
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_CALL), new Handler());
+                                .addLast(
+                                        new HttpServerCodec(), new HttpObjectAggregator(MAX_CALL_BYTES), new Handler());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
@@ -122,8 +123,8 @@
         return destination;
     }
 
-    public StubUpstream partner() {
-        return partner;
+    public StubUpstream upstream() {
+        return upstream;
     }
 
     /** Calls that have come whole. */
@@ -132,8 +133,8 @@
     }
 
     /** Goes down or comes back, on the event loop; one that dies resets its connections. */
-    public void become(StubUpstream.Mode mode) {
-        partner.become(mode, TestEnvironment.micros());
+    public void setMode(StubUpstream.Mode mode) {
+        upstream.setMode(mode, TestEnvironment.micros());
         if (mode == StubUpstream.Mode.DEAD) {
             for (Channel channel : List.copyOf(connections)) {
                 if (channel.isOpen()) {
@@ -151,7 +152,7 @@
 
     private void arrive(Call call) {
         calls++;
-        StubUpstream.Verdict verdict = partner.arrive(TestEnvironment.micros(), call.items.size());
+        StubUpstream.Verdict verdict = upstream.arrive(TestEnvironment.micros(), call.items.size());
         switch (verdict.kind()) {
             case RUN -> run(call, verdict.time());
             case WAIT -> queue.add(call);
@@ -169,21 +170,21 @@
     private void finish(Call call) {
         long now = TestEnvironment.micros();
         for (Item item : call.items) {
-            if (item.key().isEmpty() || memory.fresh(now, item.key())) {
-                book.effect(now, item.id(), destination);
+            if (item.key().isEmpty() || keyMemory.firstUseOfKey(now, item.key())) {
+                history.executed(now, item.id(), destination);
             }
         }
-        if (partner.mode() != StubUpstream.Mode.HANG) {
+        if (upstream.mode() != StubUpstream.Mode.HANG) {
             answer(call, 200, 0);
         }
-        partner.end();
-        while (partner.mayResume()) {
+        upstream.end();
+        while (upstream.mayResume()) {
             Call next = queue.remove();
             if (next.context.channel().isActive()) {
-                run(next, partner.resume(now, next.items.size()).time());
+                run(next, upstream.resume(now, next.items.size()).time());
             } else {
                 // Its caller has gone: it is dropped unbegun.
-                partner.leave();
+                upstream.leave();
             }
         }
     }
@@ -208,7 +209,7 @@
         }
         channel.writeAndFlush(response).addListener(sent -> {
             if (sent.isSuccess() && status == 200) {
-                call.items.forEach(item -> book.delivered(TestEnvironment.micros(), item.id()));
+                call.items.forEach(item -> history.delivered(TestEnvironment.micros(), item.id()));
             }
         });
     }
--- a/testkit/src/main/java/amberroute/testkit/TestEnvironment.java
+++ b/testkit/src/main/java/amberroute/testkit/TestEnvironment.java
@@ -25,17 +25,17 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final DeliveryHistory book = new DeliveryHistory();
-    private final List<StubUpstreamServer> partners = new ArrayList<>();
+    private final DeliveryHistory history = new DeliveryHistory();
+    private final List<StubUpstreamServer> upstreams = new ArrayList<>();
     private final List<FaultProxy> proxies = new ArrayList<>();
-    private final List<FaultInjectionNetwork> nets = new ArrayList<>();
+    private final List<FaultInjectionNetwork> networks = new ArrayList<>();
     private final long seed;
     private PlatformServer platform;
     private LoadClients clients;
 
     public TestEnvironment(long seed) throws InterruptedException {
         this.seed = seed;
-        platform = new PlatformServer(loop, book).listen(0);
+        platform = new PlatformServer(loop, history).listen(0);
     }
 
     /** Microseconds since this class was loaded, on the monotonic clock. */
@@ -44,7 +44,7 @@
     }
 
     /** Does something on the event loop and waits for it. */
-    public <T> T on(Callable<T> work) {
+    public <T> T callOnLoop(Callable<T> work) {
         try {
             return loop.inEventLoop() ? work.call() : loop.submit(work).get(30, TimeUnit.SECONDS);
         } catch (Exception e) {
@@ -53,33 +53,33 @@
     }
 
     /** As {@link #on(Callable)}, without a result. */
-    public void run(Runnable work) {
-        on(() -> {
+    public void runOnLoop(Runnable work) {
+        callOnLoop(() -> {
             work.run();
             return null;
         });
     }
 
     /** Adds a destination with so many endpoints of these figures, listed as ready. */
-    public TestEnvironment destination(int number, int endpoints, StubUpstream.Figures figures, String model)
+    public TestEnvironment destination(int number, int endpoints, StubUpstream.Parameters figures, String model)
             throws InterruptedException {
         return destination(number, endpoints, figures, model, false);
     }
 
     /** As above; where asked for, each endpoint is listed by the address of a {@link FaultProxy} in front of it. */
     public TestEnvironment destination(
-            int number, int endpoints, StubUpstream.Figures figures, String model, boolean proxied)
+            int number, int endpoints, StubUpstream.Parameters figures, String model, boolean proxied)
             throws InterruptedException {
         StubUpstream memory = new StubUpstream(figures, seed);
         for (int i = 0; i < endpoints; i++) {
             String uid = "p" + number + "-" + i;
             StubUpstreamServer server = new StubUpstreamServer(
-                            loop, book, number, uid, new StubUpstream(figures, seed + 31L * number + i), memory)
+                            loop, history, number, uid, new StubUpstream(figures, seed + 31L * number + i), memory)
                     .listen(0);
-            partners.add(server);
+            upstreams.add(server);
             String address =
                     !proxied ? server.address() : proxy(server.socketAddress()).address();
-            run(() -> platform.list(uid, address, number, model, "Ready"));
+            runOnLoop(() -> platform.listEndpoint(uid, address, number, model, "Ready"));
         }
         return this;
     }
@@ -92,47 +92,47 @@
     }
 
     /** A net on this stage's loop between processes at these addresses; it needs n times n free ports from this one on. */
-    public FaultInjectionNetwork net(List<InetSocketAddress> targets, int firstPort) throws InterruptedException {
+    public FaultInjectionNetwork network(List<InetSocketAddress> targets, int firstPort) throws InterruptedException {
         FaultInjectionNetwork net = new FaultInjectionNetwork(loop, targets, firstPort, seed);
-        nets.add(net);
+        networks.add(net);
         return net;
     }
 
     /** Stand-in clients for these senders; they ask for nothing before they are told to. */
     public LoadClients clients(List<InetSocketAddress> senders, List<LoadClients.Kind> kinds) {
-        int destinations = partners.stream()
+        int destinations = upstreams.stream()
                 .mapToInt(StubUpstreamServer::destination)
                 .max()
                 .orElse(1);
-        clients = new LoadClients(loop, book, senders, kinds, destinations, seed);
+        clients = new LoadClients(loop, history, senders, kinds, destinations, seed);
         return clients;
     }
 
     /** The book; to be touched on the loop alone. */
-    public DeliveryHistory book() {
-        return book;
+    public DeliveryHistory history() {
+        return history;
     }
 
     public PlatformServer platform() {
         return platform;
     }
 
-    public List<StubUpstreamServer> partners() {
-        return partners;
+    public List<StubUpstreamServer> upstreams() {
+        return upstreams;
     }
 
     public DeliveryHistory.Totals totals() {
-        return on(() -> book.totals(micros()));
+        return callOnLoop(() -> history.totals(micros()));
     }
 
     /** Sets a fault for the connections that open from now on through any proxy. */
     public void fault(FaultProxy.Fault fault) {
-        run(() -> proxies.forEach(p -> p.fault(fault)));
+        runOnLoop(() -> proxies.forEach(p -> p.fault(fault)));
     }
 
     /** Resets all connections through one of the proxies, chosen by the number given. */
     public void resetOne(int choice) {
-        run(() -> {
+        runOnLoop(() -> {
             FaultProxy one = proxies.get(Math.floorMod(choice, proxies.size()));
             one.cut(FaultProxy.Cut.RESET);
             one.cut(FaultProxy.Cut.NONE);
@@ -140,25 +140,27 @@
     }
 
     /** All endpoints of a destination go down or come back. */
-    public void become(int destination, StubUpstream.Mode mode) {
-        run(() -> partners.stream().filter(p -> p.destination() == destination).forEach(p -> p.become(mode)));
+    public void setMode(int destination, StubUpstream.Mode mode) {
+        runOnLoop(() ->
+                upstreams.stream().filter(p -> p.destination() == destination).forEach(p -> p.setMode(mode)));
     }
 
     /** The largest share of what a cold endpoint could stand that was used. */
-    public double highestColdShare() {
-        return on(() -> partners.stream()
-                .mapToDouble(p -> p.partner().highestShare())
+    public double highestSlowStartShare() {
+        return callOnLoop(() -> upstreams.stream()
+                .mapToDouble(p -> p.upstream().highestSlowStartShare())
                 .max()
                 .orElse(0));
     }
 
     /** How often endpoints fell over. */
-    public long falls() {
-        return on(() -> partners.stream().mapToLong(p -> p.partner().falls()).sum());
+    public long overloadCount() {
+        return callOnLoop(() ->
+                upstreams.stream().mapToLong(p -> p.upstream().overloadCount()).sum());
     }
 
     /** The three classes that the demo and the rigs use; the sender file of {@link #senderFile} has the same. */
-    public static List<LoadClients.Kind> kinds() {
+    public static List<LoadClients.Kind> messageKinds() {
         return List.of(
                 new LoadClients.Kind("quote-status", DeliveryHistory.Effect.SAFE, false, 0.45, 1_500_000, 6_000_000),
                 new LoadClients.Kind("policy-order", DeliveryHistory.Effect.KEYED, true, 0.35, 1_500_000, 6_000_000),
@@ -262,10 +264,10 @@
     }
 
     /** Clients ask for nothing new; waits until all that they asked has its end in the book, for 20 s at most. */
-    public void settle(Runnable meanwhile) throws InterruptedException {
-        run(clients::pause);
+    public void awaitCompletion(Runnable meanwhile) throws InterruptedException {
+        runOnLoop(clients::pause);
         long end = System.nanoTime() + 20_000_000_000L;
-        while (System.nanoTime() < end && on(() -> clients.working() > 0 || book.open() > 0)) {
+        while (System.nanoTime() < end && callOnLoop(() -> clients.openRequests() > 0 || history.open() > 0)) {
             meanwhile.run();
             Thread.sleep(50);
         }
@@ -297,11 +299,11 @@
 
     @Override
     public void close() {
-        run(() -> {
-            platform.shut();
-            partners.forEach(StubUpstreamServer::close);
+        runOnLoop(() -> {
+            platform.shutDown();
+            upstreams.forEach(StubUpstreamServer::close);
             proxies.forEach(FaultProxy::close);
-            nets.forEach(FaultInjectionNetwork::close);
+            networks.forEach(FaultInjectionNetwork::close);
         });
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
--- a/testkit/src/test/java/amberroute/testkit/DeliveryHistoryTest.java
+++ b/testkit/src/test/java/amberroute/testkit/DeliveryHistoryTest.java
@@ -13,7 +13,7 @@
     private final DeliveryHistory book = new DeliveryHistory();
 
     private DeliveryHistory.Entry taken(String id, String origin, Effect effect, long key) {
-        DeliveryHistory.Entry entry = book.handIn(id, origin, "c", effect, key, key != 0, 1, 0, 1_000_000, 500_000);
+        DeliveryHistory.Entry entry = book.submitted(id, origin, "c", effect, key, key != 0, 1, 0, 1_000_000, 500_000);
         book.answered(entry, Answer.TAKEN);
         return entry;
     }
@@ -27,15 +27,15 @@
         taken("a", "a", Effect.SAFE, 0);
         taken("b", "b", Effect.SAFE, 0);
         taken("c", "c", Effect.UNSAFE, 0);
-        DeliveryHistory.Entry refused = book.handIn("d", "d", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
+        DeliveryHistory.Entry refused = book.submitted("d", "d", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
         book.answered(refused, Answer.REFUSED);
-        book.effect(1, "a", 1);
+        book.executed(1, "a", 1);
         book.delivered(1, "a");
-        book.noticed(2, "b", true);
-        book.noticed(3, "c", false);
-        book.noticed(4, "a", false);
+        book.notified(2, "b", true);
+        book.notified(3, "c", false);
+        book.notified(4, "a", false);
         DeliveryHistory.Totals t = totals();
-        assertEquals(3, t.taken());
+        assertEquals(3, t.accepted());
         assertEquals(1, t.delivered());
         assertEquals(1, t.returned());
         assertEquals(1, t.failed());
@@ -46,8 +46,14 @@
     @Test
     void findsALostMessageOnlyWhenItsTimeIsUp() {
         taken("a", "a", Effect.SAFE, 0);
-        assertEquals(0, book.totals(1_000_000 + DeliveryHistory.NOTICE_GRACE).lost());
-        assertEquals(1, book.totals(1_000_001 + DeliveryHistory.NOTICE_GRACE).lost());
+        assertEquals(
+                0,
+                book.totals(1_000_000 + DeliveryHistory.NOTIFICATION_GRACE_MICROS)
+                        .lost());
+        assertEquals(
+                1,
+                book.totals(1_000_001 + DeliveryHistory.NOTIFICATION_GRACE_MICROS)
+                        .lost());
         assertFalse(totals().ok());
         assertEquals(1, book.lost(100_000_000).size());
     }
@@ -56,22 +62,22 @@
     void forgivesALateNoticeOnlyRoundARestart() {
         taken("a", "a", Effect.SAFE, 0);
         taken("b", "b", Effect.SAFE, 0);
-        book.down(0, 900_000, 3_000_000);
-        book.noticed(4_400_000, "a", true);
-        book.noticed(4_600_000, "b", true);
-        assertEquals(1, totals().lateNotices());
+        book.senderDown(0, 900_000, 3_000_000);
+        book.notified(4_400_000, "a", true);
+        book.notified(4_600_000, "b", true);
+        assertEquals(1, totals().lateNotifications());
     }
 
     @Test
     void findsAnEffectThatHappenedTwice() {
         taken("a.1", "a", Effect.UNSAFE, 0);
-        book.effect(1, "a.1", 1);
+        book.executed(1, "a.1", 1);
         taken("a.2", "a", Effect.UNSAFE, 0);
-        book.effect(2, "a.2", 1);
+        book.executed(2, "a.2", 1);
         taken("b", "b", Effect.SAFE, 0);
-        book.effect(1, "b", 1);
-        book.effect(2, "b", 1);
-        assertEquals(1, totals().doubled());
+        book.executed(1, "b", 1);
+        book.executed(2, "b", 1);
+        assertEquals(1, totals().duplicateExecutions());
     }
 
     @Test
@@ -79,10 +85,10 @@
         taken("a", "a", Effect.KEYED, 7);
         taken("b", "b", Effect.KEYED, 7);
         taken("c", "c", Effect.KEYED, 8);
-        book.effect(1, "c", 1);
-        book.effect(2, "b", 1);
+        book.executed(1, "c", 1);
+        book.executed(2, "b", 1);
         assertEquals(1, totals().outOfOrder());
-        assertTrue(book.complaints().get(0).contains("ran ahead of a"));
+        assertTrue(book.violations().get(0).contains("ran ahead of a"));
     }
 
     @Test
@@ -90,38 +96,38 @@
         taken("a", "a", Effect.KEYED, 7);
         taken("b", "b", Effect.KEYED, 7);
         taken("c", "c", Effect.KEYED, 7);
-        book.noticed(1, "a", false);
-        book.effect(2, "b", 1);
+        book.notified(1, "a", false);
+        book.executed(2, "b", 1);
         book.delivered(3, "b");
-        book.effect(4, "c", 1);
+        book.executed(4, "c", 1);
         assertEquals(0, totals().outOfOrder());
     }
 
     @Test
     void findsWhatNobodyHandedInAndWhatWasTurnedAway() {
-        book.effect(1, "ghost", 1);
+        book.executed(1, "ghost", 1);
         taken("a", "a", Effect.SAFE, 0);
-        book.effect(1, "a", 2);
-        DeliveryHistory.Entry refused = book.handIn("r", "r", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
+        book.executed(1, "a", 2);
+        DeliveryHistory.Entry refused = book.submitted("r", "r", "c", Effect.SAFE, 0, false, 1, 0, 1, 1);
         book.answered(refused, Answer.REFUSED);
-        book.effect(2, "r", 1);
-        book.noticed(3, "ghost", true);
-        assertEquals(4, totals().strange());
+        book.executed(2, "r", 1);
+        book.notified(3, "ghost", true);
+        assertEquals(4, totals().unknownMessages());
     }
 
     @Test
     void findsAnUnsafeMessageThatWasReturnedAndRan() {
         taken("a", "a", Effect.UNSAFE, 0);
-        book.noticed(1, "a", true);
-        book.effect(2, "a", 1);
-        assertEquals(1, totals().strange());
+        book.notified(1, "a", true);
+        book.executed(2, "a", 1);
+        assertEquals(1, totals().unknownMessages());
     }
 
     @Test
     void findsAnUnsafeMessageThatRanAndWasReturned() {
         taken("a", "a", Effect.UNSAFE, 0);
-        book.effect(1, "a", 1);
-        book.noticed(2, "a", true);
-        assertEquals(1, totals().strange());
+        book.executed(1, "a", 1);
+        book.notified(2, "a", true);
+        assertEquals(1, totals().unknownMessages());
     }
 }
--- a/testkit/src/test/java/amberroute/testkit/FaultInjectionNetworkTest.java
+++ b/testkit/src/test/java/amberroute/testkit/FaultInjectionNetworkTest.java
@@ -26,9 +26,9 @@
                 DatagramSocket a = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket b = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            FaultInjectionNetwork net = stage.net(
+            FaultInjectionNetwork net = stage.network(
                     List.of(address(a.getLocalPort()), address(b.getLocalPort())), TestEnvironment.freePorts(4, 1));
-            FaultInjectionNetwork lines = stage.net(
+            FaultInjectionNetwork lines = stage.network(
                     List.of(address(listener.getLocalPort()), address(listener.getLocalPort())),
                     TestEnvironment.freePorts(4, 2));
             a.setSoTimeout(5_000);
@@ -38,17 +38,17 @@
             send(a, bForA);
             // It arrives from the address by which b knows a.
             assertEquals(aForB.getPort(), receive(b).getPort());
-            stage.run(() -> net.cut(0, 1, true));
+            stage.runOnLoop(() -> net.cut(0, 1, true));
             send(a, bForA);
             b.setSoTimeout(200);
             assertThrows(SocketTimeoutException.class, () -> receive(b));
             send(b, aForB);
             assertEquals(bForA.getPort(), receive(a).getPort());
-            stage.run(net::heal);
+            stage.runOnLoop(net::heal);
             b.setSoTimeout(5_000);
             send(a, bForA);
             receive(b);
-            stage.run(() -> net.weather(new FaultInjectionNetwork.LinkConditions(0, 1, 0)));
+            stage.runOnLoop(() -> net.conditions(new FaultInjectionNetwork.LinkConditions(0, 1, 0)));
             send(a, bForA);
             receive(b);
             receive(b);
@@ -59,7 +59,7 @@
                     Socket served = listener.accept()) {
                 client.getOutputStream().write('x');
                 assertEquals('x', served.getInputStream().read());
-                stage.run(() -> lines.cut(1, 0, true));
+                stage.runOnLoop(() -> lines.cut(1, 0, true));
                 served.getOutputStream().write('y');
                 client.getOutputStream().write('z');
                 assertEquals('z', served.getInputStream().read());
--- a/testkit/src/test/java/amberroute/testkit/FaultProxyTest.java
+++ b/testkit/src/test/java/amberroute/testkit/FaultProxyTest.java
@@ -55,7 +55,7 @@
     }
 
     private Socket open(FaultProxy.Fault fault) throws IOException {
-        stage.run(() -> proxy.fault(fault));
+        stage.runOnLoop(() -> proxy.fault(fault));
         Socket socket = new Socket(
                 InetAddress.getLoopbackAddress(),
                 Integer.parseInt(proxy.address().substring(proxy.address().indexOf(':') + 1)));
@@ -122,16 +122,16 @@
     void cutsWhatIsOpenAndWhatComes() throws IOException {
         try (Socket socket = open(FaultProxy.Fault.NONE)) {
             pass(socket, new byte[4]);
-            stage.run(() -> proxy.cut(FaultProxy.Cut.RESET));
+            stage.runOnLoop(() -> proxy.cut(FaultProxy.Cut.RESET));
             assertThrows(SocketException.class, () -> socket.getInputStream().read());
         }
-        stage.run(() -> proxy.cut(FaultProxy.Cut.SILENT));
+        stage.runOnLoop(() -> proxy.cut(FaultProxy.Cut.SILENT));
         try (Socket socket = open(FaultProxy.Fault.NONE)) {
             socket.getOutputStream().write(1);
             socket.setSoTimeout(200);
             assertThrows(
                     SocketTimeoutException.class, () -> socket.getInputStream().read());
-            stage.run(() -> proxy.cut(FaultProxy.Cut.NONE));
+            stage.runOnLoop(() -> proxy.cut(FaultProxy.Cut.NONE));
             socket.setSoTimeout(10_000);
             assertThrows(SocketException.class, () -> socket.getInputStream().read());
         }
--- a/testkit/src/test/java/amberroute/testkit/StubUpstreamTest.java
+++ b/testkit/src/test/java/amberroute/testkit/StubUpstreamTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class StubUpstreamTest {
-    private static final StubUpstream.Figures FIGURES =
-            StubUpstream.Figures.roomy().sized(2, 1, 100_000);
+    private static final StubUpstream.Parameters FIGURES =
+            StubUpstream.Parameters.unlimited().sized(2, 1, 100_000);
 
     private static Kind arrive(StubUpstream partner, long now) {
         return partner.arrive(now, 1).kind();
@@ -57,10 +57,10 @@
     @Test
     void isColdAfterAnOutageAndFallsOverWhenRushed() {
         StubUpstream partner = new StubUpstream(FIGURES.sized(10, 1_000, 100_000), 1);
-        partner.become(Mode.DEAD, 0);
-        partner.become(Mode.UP, 1_000_000);
-        assertEquals(0.15, partner.warmth(1_000_000), 1e-9);
-        assertEquals(1, partner.warmth(11_000_000), 1e-9);
+        partner.setMode(Mode.DEAD, 0);
+        partner.setMode(Mode.UP, 1_000_000);
+        assertEquals(0.15, partner.slowStartProgress(1_000_000), 1e-9);
+        assertEquals(1, partner.slowStartProgress(11_000_000), 1e-9);
         // 10 slots of 100 ms are 100 a second; 0.15 of that, 2.5 times, in 1.5 s: 56 messages.
         Kind last = Kind.RUN;
         int sent = 0;
@@ -69,31 +69,31 @@
             sent++;
         }
         assertEquals(57, sent);
-        assertEquals(1, partner.falls());
-        assertTrue(partner.highestShare() > 1);
+        assertEquals(1, partner.overloadCount());
+        assertTrue(partner.highestSlowStartShare() > 1);
         assertEquals(Kind.REFUSE_FULL, arrive(partner, 2_000_000));
-        assertEquals(0.15, partner.warmth(3_000_000 + sent), 0.01);
+        assertEquals(0.15, partner.slowStartProgress(3_000_000 + sent), 0.01);
     }
 
     @Test
     void aColdPartnerIsSlower() {
         StubUpstream warm = new StubUpstream(FIGURES, 7);
         StubUpstream cold = new StubUpstream(FIGURES, 7);
-        cold.become(Mode.REFUSE, 0);
-        cold.become(Mode.UP, 0);
+        cold.setMode(Mode.REFUSE, 0);
+        cold.setMode(Mode.UP, 0);
         assertTrue(cold.arrive(0, 1).time() > 3 * warm.arrive(0, 1).time());
     }
 
     @Test
     void hangsRefusesAndKnowsKeysForTheirLife() {
         StubUpstream partner = new StubUpstream(FIGURES, 1);
-        partner.become(Mode.HANG, 0);
+        partner.setMode(Mode.HANG, 0);
         assertEquals(Kind.SILENT, arrive(partner, 0));
-        partner.become(Mode.REFUSE, 0);
+        partner.setMode(Mode.REFUSE, 0);
         assertEquals(Kind.REFUSE_FULL, arrive(partner, 0));
-        assertTrue(partner.fresh(0, "k"));
-        assertFalse(partner.fresh(59_999_999, "k"));
-        assertTrue(partner.fresh(60_000_000, "k"));
+        assertTrue(partner.firstUseOfKey(0, "k"));
+        assertFalse(partner.firstUseOfKey(59_999_999, "k"));
+        assertTrue(partner.firstUseOfKey(60_000_000, "k"));
     }
 
     @Test
--- a/testkit/src/test/java/amberroute/testkit/TestEnvironmentTest.java
+++ b/testkit/src/test/java/amberroute/testkit/TestEnvironmentTest.java
@@ -92,24 +92,24 @@
     }
 
     private DeliveryHistory.Entry handIn(String id, Effect effect) {
-        return stage.on(() -> {
-            DeliveryHistory.Entry entry =
-                    stage.book().handIn(id, id, "c", effect, 0, false, 1, 0, Long.MAX_VALUE / 2, Long.MAX_VALUE / 2);
-            stage.book().answered(entry, Answer.TAKEN);
+        return stage.callOnLoop(() -> {
+            DeliveryHistory.Entry entry = stage.history()
+                    .submitted(id, id, "c", effect, 0, false, 1, 0, Long.MAX_VALUE / 2, Long.MAX_VALUE / 2);
+            stage.history().answered(entry, Answer.TAKEN);
             return entry;
         });
     }
 
-    private StubUpstreamServer partner(StubUpstream.Figures figures) throws Exception {
+    private StubUpstreamServer partner(StubUpstream.Parameters figures) throws Exception {
         stage.destination(1, 1, figures, "std");
-        return stage.partners().get(0);
+        return stage.upstreams().get(0);
     }
 
     // ---- Partners. ----
 
     @Test
     void aPartnerCarriesOutAndBooksIt() throws Exception {
-        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy());
+        StubUpstreamServer partner = partner(StubUpstream.Parameters.unlimited());
         handIn("a", Effect.KEYED);
         try (Socket socket = connect(partner.address())) {
             assertTrue(http(socket, "POST", "/receive", "x", "X-Request-ID: a", "Idempotency-Key: k")
@@ -123,13 +123,13 @@
         }
         DeliveryHistory.Totals totals = stage.totals();
         assertEquals(1, totals.delivered());
-        assertEquals(0, totals.doubled());
+        assertEquals(0, totals.duplicateExecutions());
         assertEquals(2, partner.calls());
     }
 
     @Test
     void aPartnerReadsManyMessagesInOneCall() throws Exception {
-        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy());
+        StubUpstreamServer partner = partner(StubUpstream.Parameters.unlimited());
         handIn("a", Effect.SAFE);
         handIn("b", Effect.SAFE);
         try (Socket socket = connect(partner.address())) {
@@ -144,7 +144,7 @@
 
     @Test
     void aPartnerAboveItsLimitTellsATrueWait() throws Exception {
-        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy().limited(2, 400_000));
+        StubUpstreamServer partner = partner(StubUpstream.Parameters.unlimited().limited(2, 400_000));
         for (int i = 0; i < 3; i++) {
             handIn("m" + i, Effect.SAFE);
         }
@@ -167,17 +167,17 @@
 
     @Test
     void aPartnerThatDiesResetsAndOneThatHangsIsSilent() throws Exception {
-        StubUpstreamServer partner = partner(StubUpstream.Figures.roomy());
+        StubUpstreamServer partner = partner(StubUpstream.Parameters.unlimited());
         handIn("a", Effect.SAFE);
         try (Socket socket = connect(partner.address())) {
             assertTrue(http(socket, "POST", "/receive", "", "X-Request-ID: a").startsWith("HTTP/1.1 200"));
-            stage.become(1, StubUpstream.Mode.HANG);
+            stage.setMode(1, StubUpstream.Mode.HANG);
             socket.setSoTimeout(200);
             assertThrows(IOException.class, () -> http(socket, "POST", "/receive", "", "X-Request-ID: a"));
-            stage.become(1, StubUpstream.Mode.DEAD);
+            stage.setMode(1, StubUpstream.Mode.DEAD);
             assertThrows(IOException.class, () -> http(socket, "POST", "/receive", "", "X-Request-ID: a"));
         }
-        stage.become(1, StubUpstream.Mode.REFUSE);
+        stage.setMode(1, StubUpstream.Mode.REFUSE);
         try (Socket socket = connect(partner.address())) {
             assertTrue(http(socket, "POST", "/receive", "", "X-Request-ID: a").startsWith("HTTP/1.1 503"));
         }
@@ -185,10 +185,10 @@
 
     @Test
     void aProxiedDestinationIsListedByItsProxy() throws Exception {
-        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std", true);
+        stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "std", true);
         handIn("a", Effect.SAFE);
-        String list = stage.on(stage.platform()::wholeList);
-        assertFalse(list.contains(stage.partners().get(0).address()), list);
+        String list = stage.callOnLoop(stage.platform()::fullList);
+        assertFalse(list.contains(stage.upstreams().get(0).address()), list);
         String listed = list.substring(list.indexOf("127.0.0.1:")).split("\"")[0];
         try (Socket socket = connect(listed)) {
             assertTrue(http(socket, "POST", "/receive", "", "X-Request-ID: a").startsWith("HTTP/1.1 200"));
@@ -201,7 +201,7 @@
 
     @Test
     void thePlatformListsWatchesAndTakesNotices() throws Exception {
-        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
+        stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "std");
         handIn("a", Effect.SAFE);
         handIn("b", Effect.SAFE);
         try (Socket watch = connect(stage.platform().address());
@@ -212,7 +212,7 @@
             BufferedReader lines =
                     new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
             assertTrue(next(lines).contains("\"all\":true"));
-            stage.run(() -> stage.platform().list("p1-0", "127.0.0.1:9", 1, "std", "Terminating"));
+            stage.runOnLoop(() -> stage.platform().listEndpoint("p1-0", "127.0.0.1:9", 1, "std", "Terminating"));
             String change = next(lines);
             assertTrue(change.contains("Terminating") && change.contains("\"all\":false"), change);
             assertTrue(http(
@@ -306,13 +306,13 @@
     }
 
     private LoadClients ask(Script script, Effect effect, boolean ordered, int most) throws Exception {
-        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
+        stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "std");
         LoadClients clients = stage.clients(
                 List.of(script.address()),
                 List.of(new LoadClients.Kind("c", effect, ordered, 1, 1_000_000, 3_000_000)));
-        stage.run(() -> clients.run(new LoadClients.Load(500, 0, 1, 1, 5)));
-        await(() -> stage.on(clients::asked) >= most);
-        stage.run(clients::pause);
+        stage.runOnLoop(() -> clients.run(new LoadClients.Load(500, 0, 1, 1, 5)));
+        await(() -> stage.callOnLoop(clients::submittedCount) >= most);
+        stage.runOnLoop(clients::pause);
         return clients;
     }
 
@@ -320,7 +320,7 @@
     void clientsComeAgainWhenTheyAreTold() throws Exception {
         try (Script script = new Script(id -> id.endsWith(".1") ? "-BUSY 300\r\n" : "+OK\r\n")) {
             LoadClients clients = ask(script, Effect.UNSAFE, false, 3);
-            await(() -> stage.on(clients::working) == 0);
+            await(() -> stage.callOnLoop(clients::openRequests) == 0);
             long again = script.ids.stream().filter(id -> id.endsWith(".2")).count();
             assertTrue(again >= 3, script.ids.toString());
             for (String id : script.ids) {
@@ -331,7 +331,7 @@
             }
         }
         DeliveryHistory.Totals totals = stage.totals();
-        assertEquals(totals.taken(), totals.refused());
+        assertEquals(totals.accepted(), totals.rejected());
     }
 
     /** Where no answer came an unsafe message may have been taken on: it is not handed in again. */
@@ -340,10 +340,10 @@
     void clientsRepeatWithoutAnAnswerOnlyWhatMayBe(Effect effect) throws Exception {
         try (Script script = new Script(id -> id.endsWith(".1") ? null : "+OK\r\n")) {
             LoadClients clients = ask(script, effect, false, 2);
-            await(() -> stage.on(clients::working) == 0);
+            await(() -> stage.callOnLoop(clients::openRequests) == 0);
             assertEquals(effect == Effect.SAFE, script.ids.stream().anyMatch(id -> id.endsWith(".2")));
         }
-        assertTrue(stage.totals().silent() >= 2);
+        assertTrue(stage.totals().unanswered() >= 2);
     }
 
     @Test
@@ -365,7 +365,7 @@
             return "+OK\r\n";
         })) {
             LoadClients clients = ask(script, Effect.KEYED, true, 20);
-            await(() -> stage.on(clients::working) == 0);
+            await(() -> stage.callOnLoop(clients::openRequests) == 0);
             assertEquals(1, most[0]);
             List<Long> numbers = script.ids.stream()
                     .map(id -> Long.parseLong(id.substring(1, id.indexOf('.')), 16))
@@ -380,13 +380,13 @@
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = (InetSocketAddress) probe.getLocalSocketAddress();
         }
-        stage.destination(1, 1, StubUpstream.Figures.roomy(), "std");
+        stage.destination(1, 1, StubUpstream.Parameters.unlimited(), "std");
         LoadClients clients = stage.clients(
                 List.of(nobody), List.of(new LoadClients.Kind("c", Effect.UNSAFE, false, 1, 1_000, 400_000)));
-        stage.run(() -> clients.run(new LoadClients.Load(200, 0, 1, 1, 5)));
-        await(() -> stage.on(clients::asked) >= 3);
-        stage.run(clients::pause);
-        await(() -> stage.on(clients::working) == 0);
-        assertEquals(0, stage.totals().handed());
+        stage.runOnLoop(() -> clients.run(new LoadClients.Load(200, 0, 1, 1, 5)));
+        await(() -> stage.callOnLoop(clients::submittedCount) >= 3);
+        stage.runOnLoop(clients::pause);
+        await(() -> stage.callOnLoop(clients::openRequests) == 0);
+        assertEquals(0, stage.totals().submitted());
     }
 }
