--- a/cli/src/main/java/amberroute/cli/FailoverExperiment.java
+++ b/cli/src/main/java/amberroute/cli/FailoverExperiment.java
@@ -101,7 +101,6 @@
 
     private long notWhole;
     private String lacking = "";
-    private long restarts;
     private long cpuMillis;
     private long startCpuMillis;
     private long steadySince;
@@ -163,7 +162,6 @@
         void look() throws IOException {
             if (!held && !process.isAlive()) {
                 estatesOver += process.exitValue() == OVER ? 1 : 0;
-                restarts++;
                 start();
             }
         }
--- a/cli/src/main/java/amberroute/cli/OverloadExperiment.java
+++ b/cli/src/main/java/amberroute/cli/OverloadExperiment.java
@@ -27,7 +27,6 @@
         })
 final class OverloadExperiment implements Callable<Integer> {
     private static final int DESTINATIONS = 2;
-    private static final long READY_MS = 60_000;
     private static final long WARM_MS = 4_000;
     private static final long EASY_MS = 8_000;
     /** Behind a spike the fleet is back once so much of what came within a second is served in time. */
--- a/cli/src/main/java/amberroute/cli/ScenarioRun.java
+++ b/cli/src/main/java/amberroute/cli/ScenarioRun.java
@@ -13,6 +13,7 @@
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -116,7 +117,7 @@
                 stage.fleetFile(folder, plan.daemons(), port, InstallationDirectory.daemonJar(), more + plan.rolling());
         List<InetSocketAddress> senders = new ArrayList<>();
         for (int i = 0; i < plan.daemons(); i++) {
-            senders.add(new InetSocketAddress("127.0.0.1", port + i));
+            senders.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i));
         }
         clients = stage.clients(senders, TestEnvironment.messageKinds());
         fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
--- a/cli/src/test/java/amberroute/cli/KnownRedTest.java
+++ b/cli/src/test/java/amberroute/cli/KnownRedTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.BeforeEach;
@@ -33,7 +34,7 @@
         Process process = new ProcessBuilder(SCRIPT.toString(), what, file.toString(), root.toString())
                 .redirectErrorStream(true)
                 .start();
-        String text = new String(process.getInputStream().readAllBytes());
+        String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return new Outcome(process.waitFor(), text);
     }
 
--- a/testkit/src/main/java/amberroute/testkit/FaultProxy.java
+++ b/testkit/src/main/java/amberroute/testkit/FaultProxy.java
@@ -259,7 +259,8 @@
                 return;
             }
             if (fromClient && fault.resetAfterBytes() >= 0 && passed[0] + size > fault.resetAfterBytes()) {
-                ByteBuf part = bytes.readRetainedSlice((int) Math.max(0, fault.resetAfterBytes() - passed[0]));
+                ByteBuf part =
+                        bytes.readRetainedSlice(Math.toIntExact(Math.max(0, fault.resetAfterBytes() - passed[0])));
                 ReferenceCountUtil.release(bytes);
                 server.writeAndFlush(part).addListener(sent -> resetBoth());
                 return;
--- a/testkit/src/main/java/amberroute/testkit/StubUpstreamServer.java
+++ b/testkit/src/main/java/amberroute/testkit/StubUpstreamServer.java
@@ -50,7 +50,7 @@
     private Channel server;
     private long calls;
 
-    private final class Call {
+    private static final class Call {
         final ChannelHandlerContext context;
         final List<Item> items;
         final boolean many;
--- a/testkit/src/main/java/amberroute/testkit/TestEnvironment.java
+++ b/testkit/src/main/java/amberroute/testkit/TestEnvironment.java
@@ -258,7 +258,7 @@
     public static List<InetSocketAddress> addresses(int firstPort, int count) {
         List<InetSocketAddress> out = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            out.add(new InetSocketAddress("127.0.0.1", firstPort + i));
+            out.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), firstPort + i));
         }
         return out;
     }
--- a/testkit/src/test/java/amberroute/testkit/TestEnvironmentTest.java
+++ b/testkit/src/test/java/amberroute/testkit/TestEnvironmentTest.java
@@ -82,7 +82,7 @@
             if (answer.toString().endsWith("\r\n\r\n") && length == 0) {
                 length = answer.toString()
                         .lines()
-                        .filter(l -> l.toLowerCase().startsWith("content-length:"))
+                        .filter(l -> l.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:"))
                         .mapToInt(l -> Integer.parseInt(l.substring(15).strip()))
                         .findFirst()
                         .orElse(0);
@@ -156,7 +156,7 @@
             }
             assertTrue(answer.startsWith("HTTP/1.1 429"), answer);
             String wait = answer.lines()
-                    .filter(l -> l.toLowerCase().startsWith("retry-after:"))
+                    .filter(l -> l.toLowerCase(java.util.Locale.ROOT).startsWith("retry-after:"))
                     .findFirst()
                     .orElseThrow();
             Thread.sleep((long) (Double.parseDouble(wait.substring(12).strip()) * 1_000) + 1);
