--- /dev/null
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
@@ -0,0 +1,317 @@
+package amberroute.decisions.reference;
+
+import amberroute.decisions.AtcDeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.AttemptOutcome;
+import amberroute.decisions.DeliveryScheduler.EndpointListKind;
+import amberroute.decisions.DeliveryScheduler.Event;
+import java.lang.reflect.RecordComponent;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.stream.LongStream;
+
+/**
+ * Plays random scenarios against the scheduler and digests all that it does: each action with its arguments, the number of
+ * avoided endpoints behind each step, and now and then what it would transfer to another process. Events that
+ * {@link RandomScenario} does not have (admission prices, transferred and restored health, paused keys, calls in flight, changed
+ * settings, failed and cached lists, shutdown) are added at fixed steps. Records are digested by the values of their components
+ * and enums by their ordinals, so renaming them does not change a digest.
+ */
+final class DecisionTrace {
+    private static final int SEEDS_PER_PLAN = 7;
+    private static final int STEPS = 2_000;
+    private static final int ADDED_EVENT_PERIOD_STEPS = 29;
+    private static final int SNAPSHOT_PERIOD_STEPS = 250;
+    private static final int SHUTDOWN_STEP = 1_700;
+    private static final long FIRST_ADDED_ID = 1_000_000;
+
+    static final List<RandomScenario.Plan> PLANS = List.of(
+            new RandomScenario.Plan(4, 2, 8, 60, 60, 6, false),
+            new RandomScenario.Plan(4, 2, 8, 60, 60, 6, true),
+            new RandomScenario.Plan(30, 1, 16, 200, 200, 40, false),
+            new RandomScenario.Plan(1, 5, 4, 100, 80, 3, true),
+            new RandomScenario.Plan(60, 3, 40, 400, 400, 0, true),
+            // Overload: far more messages than slots, so that arrivals are rejected and the least are shed.
+            new RandomScenario.Plan(12, 2, 3, 150, 600, 20, true),
+            // More dispatch queues than one choice puts in order.
+            new RandomScenario.Plan(250, 2, 5, 1_500, 1_500, 60, false),
+            // One slot only: silent calls are called off for those that wait.
+            new RandomScenario.Plan(3, 3, 1, 40, 40, 2, true));
+
+    private final int plan;
+    private final MessageDigest digest;
+    private final RandomScenario.Plan size;
+    private final SplittableRandom random;
+    private final List<Event> scheduled = new ArrayList<>();
+    private DeliveryScheduler.Settings settings;
+    private long lastAddedId = FIRST_ADDED_ID;
+
+    private DecisionTrace(int plan, long seed, MessageDigest digest) {
+        this.plan = plan;
+        this.digest = digest;
+        size = PLANS.get(plan);
+        random = new SplittableRandom(seed * 77 + 5);
+        settings = settings(seed);
+    }
+
+    /** The seeds of one plan, as text. */
+    static String seeds(int plan) {
+        return (1 + 100 * plan) + " to " + (100 * plan + SEEDS_PER_PLAN);
+    }
+
+    /** SHA-256, in hexadecimal, of all that the scheduler does in the scenarios of one plan. */
+    static String digest(int plan) {
+        try {
+            MessageDigest digest = MessageDigest.getInstance("SHA-256");
+            LongStream.rangeClosed(1, SEEDS_PER_PLAN)
+                    .forEach(seed -> new DecisionTrace(plan, 100 * plan + seed, digest).play(100 * plan + seed));
+            return HexFormat.of().formatHex(digest.digest());
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private void play(long seed) {
+        DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings, size.concludes());
+        RandomScenario scenario = new RandomScenario(seed, size);
+        Event event = scenario.first();
+        for (int step = 0; step < STEPS; step++) {
+            step(scheduler, scenario, event);
+            if (step % ADDED_EVENT_PERIOD_STEPS == 0) {
+                for (Event added : addedEvents(scheduler, scenario.now())) {
+                    step(scheduler, scenario, added);
+                }
+            }
+            if (step == SHUTDOWN_STEP && seed % 2 == 0) {
+                step(scheduler, scenario, new Event.ShutdownStarted(3_000_000));
+            }
+            step(scheduler, scenario, new Event.Decide());
+            record("avoided", scheduler.avoidedEndpointCount());
+            if (step % SNAPSHOT_PERIOD_STEPS == SNAPSHOT_PERIOD_STEPS - 1) {
+                scheduler.snapshots(scenario.now()).forEach(snapshot -> record("snapshot", snapshot));
+                scheduler.pausedKeys(scenario.now()).forEach(pause -> record("paused", pause));
+            }
+            event = scenario.next();
+        }
+    }
+
+    private void step(DeliveryScheduler scheduler, RandomScenario scenario, Event event) {
+        ScenarioActions actions = new ScenarioActions();
+        scheduler.step(scenario.now(), event, actions);
+        scenario.follow(actions.recorder);
+    }
+
+    /** Settings of the scenario; for some seeds with listed weights and zone tolls. */
+    private DeliveryScheduler.Settings settings(long seed) {
+        DeliveryScheduler.Settings plain = RandomScenario.settings(seed, size);
+        return new DeliveryScheduler.Settings(
+                plain.seed(),
+                plain.senderCount(),
+                plain.zone(),
+                plain.tickMicros(),
+                plain.endpointListPolled(),
+                plain.overQuotaWeightFactor(),
+                plain.lateValueDecay(),
+                seed % 5 == 0 ? DeliveryScheduler.WeightKind.NOMINAL : plain.weightKind(),
+                plain.classes(),
+                plain.tenants(),
+                plain.kinds(),
+                plain.limits(),
+                plain.rules(),
+                seed % 3 == 0 ? new DeliveryScheduler.Prices(0.1, 0.2, List.of(0.01, 0.2)) : plain.prices(),
+                plain.reportFields());
+    }
+
+    private List<Event> addedEvents(DeliveryScheduler scheduler, long now) {
+        List<Event> events = new ArrayList<>(scheduled);
+        scheduled.clear();
+        int destination = random.nextInt(size.destinations());
+        switch (random.nextInt(10)) {
+            case 0 -> events.add(new Event.AdmissionPriceChanged(
+                    destination,
+                    random.nextDouble() * 2,
+                    2 + random.nextDouble() * 3,
+                    random.nextDouble(),
+                    random.nextLong(2_000_000)));
+            case 1 -> events.add(new Event.KeyPaused(new DeliveryScheduler.KeyPause(
+                    1 + random.nextInt(Math.max(1, size.keys())),
+                    random.nextLong(1_500_000),
+                    random.nextInt(3) == 0 ? 1 + random.nextInt(500) : 0)));
+            case 2 -> {
+                List<DeliveryScheduler.UpstreamSnapshot> snapshots = scheduler.snapshots(now);
+                if (!snapshots.isEmpty()) {
+                    events.add(new Event.UpstreamStateTransferred(snapshots.get(random.nextInt(snapshots.size()))));
+                }
+            }
+            case 3 -> events.add(restored(destination));
+            case 4 -> events.add(new Event.SettingsChanged(changedSettings()));
+            case 5 -> events.add(new Event.EndpointListUpdated(EndpointListKind.FAILED, List.of()));
+            case 6 -> events.add(new Event.EndpointListUpdated(
+                    random.nextBoolean() ? EndpointListKind.CACHED : EndpointListKind.FULL, weightedList()));
+            case 7 -> {
+                events.add(new Event.CompletedMessageRecovered(++lastAddedId, 1 + random.nextInt(5)));
+                scheduled.add(new Event.CompletionAcknowledged(lastAddedId));
+            }
+            case 8 -> addCallInFlight(events, destination);
+            default -> events.add(new Event.FleetRateLimitChanged(
+                    destination,
+                    random.nextBoolean() ? Double.POSITIVE_INFINITY : random.nextDouble() * 20,
+                    random.nextDouble(),
+                    random.nextBoolean()));
+        }
+        return events;
+    }
+
+    private Event restored(int destination) {
+        DeliveryScheduler.UpstreamStatus[] statuses = DeliveryScheduler.UpstreamStatus.values();
+        return new Event.HealthRestored(
+                new DeliveryScheduler.HealthCheckpoint(
+                        destination,
+                        random.nextBoolean() ? 0 : firstEndpoint(destination),
+                        statuses[random.nextInt(statuses.length)],
+                        random.nextLong(4_000_000),
+                        random.nextDouble() * 30,
+                        random.nextInt(4) == 0 ? 0 : 10_000 + random.nextDouble() * 200_000),
+                random.nextLong(2_000_000));
+    }
+
+    private DeliveryScheduler.Settings changedSettings() {
+        List<DeliveryScheduler.MessageClass> classes = new ArrayList<>();
+        for (DeliveryScheduler.MessageClass before : settings.classes()) {
+            classes.add(new DeliveryScheduler.MessageClass(
+                    before.priorityWeight() * (0.8 + random.nextDouble() * 0.4),
+                    before.lateValueShare(),
+                    before.latencyObjectiveMicros(),
+                    before.deadlineMicros(),
+                    before.idempotency(),
+                    before.keyScope(),
+                    before.keyLifeMicros(),
+                    before.ordered()));
+        }
+        settings = settings.withClasses(classes);
+        return settings;
+    }
+
+    private List<DeliveryScheduler.EndpointEntry> weightedList() {
+        List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
+        for (int destination = 0; destination < size.destinations(); destination++) {
+            for (int i = 0; i < size.endpointsEach(); i++) {
+                entries.add(new DeliveryScheduler.EndpointEntry(
+                        firstEndpoint(destination) + i,
+                        destination,
+                        DeliveryScheduler.EndpointState.READY,
+                        random.nextInt(3) * 20.0,
+                        i % 2,
+                        destination % 2));
+            }
+        }
+        return entries;
+    }
+
+    private void addCallInFlight(List<Event> events, int destination) {
+        long id = ++lastAddedId;
+        long endpoint = firstEndpoint(destination);
+        events.add(new Event.MessageRecovered(id, random.nextInt(3), 0, 6_000_000, destination, 0, -1, 0, false));
+        events.add(new Event.CallInFlight(List.of(id), endpoint, random.nextLong(3_000_000)));
+        AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+        scheduled.add(new Event.AttemptCompleted(
+                id, 0, endpoint, outcome, 50_000 + random.nextLong(2_000_000), true, 0, List.of(), -1));
+    }
+
+    private long firstEndpoint(int destination) {
+        return 1 + destination * (long) size.endpointsEach();
+    }
+
+    private void record(String kind, Object... values) {
+        StringBuilder line = new StringBuilder().append(plan).append(' ').append(kind);
+        for (Object value : values) {
+            append(line.append(' '), value);
+        }
+        digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static void append(StringBuilder line, Object value) {
+        if (value instanceof Enum<?> constant) {
+            line.append(constant.ordinal());
+        } else if (value instanceof Record) {
+            for (RecordComponent component : value.getClass().getRecordComponents()) {
+                append(line.append(' '), valueOf(component, value));
+            }
+        } else {
+            line.append(value);
+        }
+    }
+
+    private static Object valueOf(RecordComponent component, Object of) {
+        try {
+            return component.getAccessor().invoke(of);
+        } catch (ReflectiveOperationException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** Digests each action and passes it on to what the scenario follows. */
+    private final class ScenarioActions implements DeliveryScheduler.Actions {
+        final RandomScenario.Recorder recorder = new RandomScenario.Recorder();
+
+        @Override
+        public void send(long id, long endpoint, long giveUpAt) {
+            record("send", id, endpoint, giveUpAt);
+            recorder.send(id, endpoint, giveUpAt);
+        }
+
+        @Override
+        public void reject(long id, long retryAfter) {
+            record("reject", id, retryAfter);
+            recorder.reject(id, retryAfter);
+        }
+
+        @Override
+        public void fail(long id) {
+            record("fail", id);
+            recorder.fail(id);
+        }
+
+        @Override
+        public void cancel(long id, int attempt) {
+            record("cancel", id, attempt);
+            recorder.cancel(id, attempt);
+        }
+
+        @Override
+        public void closeIdle(long endpoint) {
+            record("closeIdle", endpoint);
+        }
+
+        @Override
+        public void limitIdleReuse(long longest) {
+            record("limitIdleReuse", longest);
+        }
+
+        @Override
+        public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint checkpoint) {
+            record("saveCheckpoint", checkpoint);
+        }
+
+        @Override
+        public void scheduleTimer(long delay, long token) {
+            record("scheduleTimer", delay, token);
+            recorder.scheduleTimer(delay, token);
+        }
+
+        @Override
+        public void subscribe() {
+            record("subscribe");
+        }
+
+        @Override
+        public void log(String text) {
+            record("log", text);
+        }
+    }
+}
