--- a/cli/src/main/java/amberroute/cli/ClassArchive.java
+++ b/cli/src/main/java/amberroute/cli/ClassArchive.java
@@ -25,9 +25,9 @@
  * dies. Where none can be made the build goes on, and says so.
  */
 public final class ClassArchive {
-    private static final Pattern READY = Pattern.compile("ready at \\S*?/?([0-9.]+):([0-9]+)");
-    private static final int MESSAGES = 12;
-    private static final long MOST_MS = 30_000;
+    private static final Pattern READY_LINE = Pattern.compile("ready at \\S*?/?([0-9.]+):([0-9]+)");
+    private static final int MESSAGE_COUNT = 12;
+    private static final long MAX_MILLIS = 30_000;
 
     private ClassArchive() {}
 
@@ -81,9 +81,9 @@
     }
 
     private static InetSocketAddress address(Path log, Process daemon) throws Exception {
-        long end = System.nanoTime() + MOST_MS * 1_000_000;
+        long end = System.nanoTime() + MAX_MILLIS * 1_000_000;
         while (System.nanoTime() < end && daemon.isAlive()) {
-            Matcher m = READY.matcher(Files.readString(log));
+            Matcher m = READY_LINE.matcher(Files.readString(log));
             if (m.find()) {
                 return new InetSocketAddress(m.group(1), Integer.parseInt(m.group(2)));
             }
@@ -99,7 +99,7 @@
             socket.setSoTimeout(5_000);
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
-            for (int i = 0; i < MESSAGES; i++) {
+            for (int i = 0; i < MESSAGE_COUNT; i++) {
                 String options = "c=" + List.of("safe", "keyed", "unsafe").get(i % 3) + ",d=" + (i == 0 ? 1 : 2_000)
                         + ",dest=1,k=k" + i;
                 socket.getOutputStream()
@@ -121,7 +121,7 @@
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        if (!jcmd.waitFor(MOST_MS, TimeUnit.MILLISECONDS) || !Files.exists(file)) {
+        if (!jcmd.waitFor(MAX_MILLIS, TimeUnit.MILLISECONDS) || !Files.exists(file)) {
             jcmd.destroyForcibly();
             throw new IOException("this JVM writes no archive");
         }
--- a/cli/src/main/java/amberroute/cli/ExperimentDaemon.java
+++ b/cli/src/main/java/amberroute/cli/ExperimentDaemon.java
@@ -9,7 +9,7 @@
 
 /** One daemon of a rig, as a process of its own with the platform's kind of JVM settings but for the heap. */
 final class ExperimentDaemon {
-    private static final long READY_MS = 60_000;
+    private static final long READY_TIMEOUT_MILLIS = 60_000;
     final Path state;
     final Path log;
     final Process process;
@@ -57,7 +57,7 @@
     }
 
     void awaitReady() throws Exception {
-        long end = System.nanoTime() + READY_MS * 1_000_000;
+        long end = System.nanoTime() + READY_TIMEOUT_MILLIS * 1_000_000;
         while (true) {
             try {
                 if (status().get("state").getAsString().equals("ready")) {
--- a/cli/src/main/java/amberroute/cli/RunsBySize.java
+++ b/cli/src/main/java/amberroute/cli/ExperimentSeries.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /** One run of a rig for each size: a line for each, and one of all at the end. */
-final class RunsBySize {
+final class ExperimentSeries {
     interface Run {
         /** Plays one size; the result has {@code ok}. */
-        JsonObject play(int size) throws Exception;
+        JsonObject run(int size) throws Exception;
     }
 
-    private RunsBySize() {}
+    private ExperimentSeries() {}
 
     /** Returns the exit code, 0 where all runs are ok. */
-    static int play(List<Integer> sizes, long seed, Run run) throws Exception {
+    static int runAll(List<Integer> sizes, long seed, Run run) throws Exception {
         JsonArray runs = new JsonArray();
         boolean ok = true;
         for (int size : sizes) {
-            JsonObject result = run.play(size);
+            JsonObject result = run.run(size);
             System.out.println(result);
             runs.add(result);
             ok &= result.get("ok").getAsBoolean();
--- a/cli/src/main/java/amberroute/cli/FailoverExperiment.java
+++ b/cli/src/main/java/amberroute/cli/FailoverExperiment.java
@@ -35,15 +35,15 @@
         })
 final class FailoverExperiment implements Callable<Integer> {
     private static final int DESTINATIONS = 4;
-    private static final long READY_MS = 30_000;
+    private static final long READY_TIMEOUT_MILLIS = 30_000;
     /** A loss is told in docs/survival.md as costing so much: what falls due meanwhile is told late. */
-    private static final long TAKEOVER_MICROS = 4_000_000;
+    private static final long FAILOVER_TIMEOUT_MICROS = 4_000_000;
     /** The longest that a message of the stage's classes lives. */
-    private static final long LIFE_MICROS = 6_000_000;
+    private static final long MESSAGE_LIFETIME_MICROS = 6_000_000;
 
-    private static final int OVER = 7;
-    private static final int COPIES = 3;
-    private static final long WHOLE_MS = 15_000;
+    private static final int EXIT_LEADERSHIP_LOST = 7;
+    private static final int REPLICA_COUNT = 3;
+    private static final long REPLICATED_TIMEOUT_MILLIS = 15_000;
 
     @Option(names = "--daemons", defaultValue = "7", description = "how many (${DEFAULT-VALUE})")
     private int daemons;
@@ -76,7 +76,7 @@
     private int quiet;
 
     @Option(names = "--off", description = "without copies: what the same costs there")
-    private boolean off;
+    private boolean replicationOff;
 
     @Option(names = "--direct", description = "without the net of faults between the daemons, for what copies cost")
     private boolean direct;
@@ -84,41 +84,41 @@
     @Option(names = "--logs", description = "print the daemons' logs at the end")
     private boolean logs;
 
-    private final List<Slot> slots = new ArrayList<>();
-    private final List<Long> takeovers = new ArrayList<>();
+    private final List<DaemonSlot> slots = new ArrayList<>();
+    private final List<Long> failoverMillis = new ArrayList<>();
     /** When each daemon was last befallen: what it had may be at any other since. */
-    private final Map<Integer, Long> faulted = new TreeMap<>();
+    private final Map<Integer, Long> faultedAtMillis = new TreeMap<>();
 
-    private final Map<Kind, Integer> played = new TreeMap<>();
+    private final Map<Kind, Integer> faultCounts = new TreeMap<>();
     private Path folder;
     private Path file;
-    private FaultInjectionNetwork net;
-    private TestEnvironment stage;
-    private long estatesOver;
+    private FaultInjectionNetwork network;
+    private TestEnvironment environment;
+    private long replicasTakenOver;
     private long released;
     /** How long it took behind each round until all estates had all their copies again. */
-    private final List<Long> wholeMs = new ArrayList<>();
+    private final List<Long> fullyReplicatedMillis = new ArrayList<>();
 
-    private long notWhole;
-    private String lacking = "";
+    private long notFullyReplicated;
+    private String missingReplicas = "";
     private long cpuMillis;
     private long startCpuMillis;
     private long steadySince;
     private long steadyCpuMillis;
 
     /** One daemon over all its processes. */
-    private final class Slot {
+    private final class DaemonSlot {
         final int index;
         final int port;
-        final String handOver;
+        final String handoffAddress;
         Process process;
-        long lostAt;
-        boolean held;
+        long lostAtMillis;
+        boolean stopped;
 
-        Slot(int index, int port, String handOver) {
+        DaemonSlot(int index, int port, String handOver) {
             this.index = index;
             this.port = port;
-            this.handOver = handOver;
+            this.handoffAddress = handOver;
         }
 
         Path state() {
@@ -130,7 +130,7 @@
             for (int i = 0; i < daemons; i++) {
                 if (i != index) {
                     // What costs are measured for has no net between, which is a daemon's equal in work.
-                    peers.add("s" + i + "=" + (direct ? slots.get(i).handOver : net.address(index, i)));
+                    peers.add("s" + i + "=" + (direct ? slots.get(i).handoffAddress : network.address(index, i)));
                 }
             }
             process = new ExperimentDaemon(
@@ -139,7 +139,7 @@
                             "s" + index,
                             port,
                             96,
-                            Map.of("GW_HANDOVER", handOver, "GW_PEERS", String.join(",", peers)),
+                            Map.of("GW_HANDOVER", handoffAddress, "GW_PEERS", String.join(",", peers)),
                             true)
                     .process;
         }
@@ -159,9 +159,9 @@
         }
 
         /** A process that ended because its estate goes on elsewhere is started again, as a supervisor does. */
-        void look() throws IOException {
-            if (!held && !process.isAlive()) {
-                estatesOver += process.exitValue() == OVER ? 1 : 0;
+        void poll() throws IOException {
+            if (!stopped && !process.isAlive()) {
+                replicasTakenOver += process.exitValue() == EXIT_LEADERSHIP_LOST ? 1 : 0;
                 start();
             }
         }
@@ -172,37 +172,37 @@
         folder = Files.createTempDirectory("amberroute-survivors-");
         Random random = new Random(seed);
         try (TestEnvironment made = new TestEnvironment(seed)) {
-            stage = made;
+            environment = made;
             for (int d = 1; d <= DESTINATIONS; d++) {
-                stage.destination(
+                environment.destination(
                         d,
                         2,
                         StubUpstream.Parameters.unlimited().sized(8, 32, 40_000),
                         d % 2 == 0 ? "batch" : "single");
             }
-            file = stage.senderFile(
+            file = environment.senderFile(
                     folder,
                     daemons,
                     "handover.listen = \"127.0.0.1:1\"\nhandover.peers = [\"none=127.0.0.1:1\"]\n"
-                            + (off ? "" : "survival.on = true\n"));
+                            + (replicationOff ? "" : "survival.on = true\n"));
             int port = TestEnvironment.freePorts(2 * daemons + daemons * daemons, seed);
             List<InetSocketAddress> senders = TestEnvironment.addresses(port, daemons);
             List<InetSocketAddress> listeners = TestEnvironment.addresses(port + daemons, daemons);
             for (int i = 0; i < daemons; i++) {
-                slots.add(new Slot(i, port + i, "127.0.0.1:" + (port + daemons + i)));
+                slots.add(new DaemonSlot(i, port + i, "127.0.0.1:" + (port + daemons + i)));
             }
-            net = stage.network(listeners, port + 2 * daemons);
-            for (Slot slot : slots) {
+            network = environment.network(listeners, port + 2 * daemons);
+            for (DaemonSlot slot : slots) {
                 slot.start();
             }
             awaitReady();
-            startCpuMillis = cpu();
-            LoadClients clients = stage.clients(senders, TestEnvironment.messageKinds());
-            stage.runOnLoop(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
+            startCpuMillis = totalCpuMillis();
+            LoadClients clients = environment.clients(senders, TestEnvironment.messageKinds());
+            environment.runOnLoop(() -> clients.run(new LoadClients.Load(perSecond, 0.2, 8, 40, 8)));
             // The first half warms the daemons up: what is compiled there is not what a message costs.
             Thread.sleep(quiet * 500L);
             steadySince = TestEnvironment.micros();
-            steadyCpuMillis = cpu();
+            steadyCpuMillis = totalCpuMillis();
             Thread.sleep(quiet * 500L);
             for (int round = 0; round < rounds; round++) {
                 FaultScript faults =
@@ -211,20 +211,20 @@
                 System.out.println("round " + round + " at " + TestEnvironment.micros() / 1_000 + " destination " + away
                         + " faults " + faults);
                 // A partner that is away fills what is in hand.
-                stage.setMode(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
+                environment.setMode(away, random.nextBoolean() ? StubUpstream.Mode.DEAD : StubUpstream.Mode.HANG);
                 Thread.sleep(400);
                 play(faults, away);
             }
-            stage.awaitCompletion(() -> slots.forEach(slot -> quietly(slot)));
+            environment.awaitCompletion(() -> slots.forEach(slot -> killQuietly(slot)));
             return result();
         } finally {
             if (logs) {
-                for (Slot slot : slots) {
+                for (DaemonSlot slot : slots) {
                     System.out.println("-- s" + slot.index);
                     System.out.println(Files.readString(folder.resolve("s" + slot.index + ".log")));
                 }
             }
-            for (Slot slot : slots) {
+            for (DaemonSlot slot : slots) {
                 slot.process.destroyForcibly().waitFor();
             }
             LocalFleet.delete(folder);
@@ -232,7 +232,7 @@
     }
 
     /** Milliseconds of CPU of all processes so far, those that are gone among them. */
-    private long cpu() {
+    private long totalCpuMillis() {
         return cpuMillis
                 + slots.stream()
                         .mapToLong(slot -> slot.process
@@ -243,23 +243,23 @@
                         .sum();
     }
 
-    private static void quietly(Slot slot) {
+    private static void killQuietly(DaemonSlot slot) {
         try {
-            slot.look();
+            slot.poll();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private void awaitReady() throws Exception {
-        long end = System.nanoTime() + READY_MS * 1_000_000;
-        for (Slot slot : slots) {
+        long end = System.nanoTime() + READY_TIMEOUT_MILLIS * 1_000_000;
+        for (DaemonSlot slot : slots) {
             while (!ready(slot)) {
                 if (System.nanoTime() > end) {
                     throw new IOException("s" + slot.index + " is not ready: "
                             + Files.readString(folder.resolve("s" + slot.index + ".log")));
                 }
-                slot.look();
+                slot.poll();
                 Thread.sleep(20);
             }
         }
@@ -269,26 +269,28 @@
      * What one folder's loss leaves is made whole before the next folder is taken, as two of a group's at once are not survived:
      * each estate that goes on has all its holders' copies, and they count.
      */
-    private void awaitWhole() throws Exception {
+    private void awaitFullyReplicated() throws Exception {
         long from = System.nanoTime();
-        while (!off && !whole() && System.nanoTime() - from < WHOLE_MS * 1_000_000) {
-            for (Slot slot : slots) {
+        while (!replicationOff
+                && !fullyReplicated()
+                && System.nanoTime() - from < REPLICATED_TIMEOUT_MILLIS * 1_000_000) {
+            for (DaemonSlot slot : slots) {
                 // A process may find only now that its estate goes on elsewhere.
-                slot.look();
+                slot.poll();
             }
             Thread.sleep(50);
         }
         long took = (System.nanoTime() - from) / 1_000_000;
-        wholeMs.add(took);
-        if (took >= WHOLE_MS) {
-            notWhole++;
-            System.out.println("not whole: " + lacking);
+        fullyReplicatedMillis.add(took);
+        if (took >= REPLICATED_TIMEOUT_MILLIS) {
+            notFullyReplicated++;
+            System.out.println("not whole: " + missingReplicas);
         }
     }
 
-    private boolean whole() {
+    private boolean fullyReplicated() {
         try {
-            for (Slot slot : slots) {
+            for (DaemonSlot slot : slots) {
                 for (JsonElement each : FleetClient.ask(slot.state().resolve("control"), FleetClient.request("estates"))
                         .getAsJsonArray("estates")) {
                     JsonObject one = each.getAsJsonObject();
@@ -296,22 +298,22 @@
                     boolean open = here.equals("own") || here.equals("taken over");
                     if (open
                             && (!one.has("behind")
-                                    || one.getAsJsonObject("behind").size() < Math.min(COPIES, daemons)
+                                    || one.getAsJsonObject("behind").size() < Math.min(REPLICA_COUNT, daemons)
                                     || one.getAsJsonObject("behind").asMap().values().stream()
                                             .anyMatch(n -> n.getAsLong() < 0))) {
-                        lacking = "at s" + slot.index + " " + one;
+                        missingReplicas = "at s" + slot.index + " " + one;
                         return false;
                     }
                 }
             }
             return true;
         } catch (IOException | RuntimeException e) {
-            lacking = e.toString();
+            missingReplicas = e.toString();
             return false;
         }
     }
 
-    private static boolean ready(Slot slot) {
+    private static boolean ready(DaemonSlot slot) {
         try {
             return ExperimentDaemon.status(slot.state())
                     .get("state")
@@ -323,31 +325,31 @@
     }
 
     /** One thing that is to be done at a moment of the round. */
-    private record Due(long at, Callable<Void> work) {}
+    private record ScheduledStep(long at, Callable<Void> work) {}
 
     private void play(FaultScript faults, int away) throws Exception {
-        List<Due> due = new ArrayList<>();
+        List<ScheduledStep> due = new ArrayList<>();
         long longest = 0;
         for (Fault f : faults.faults()) {
-            played.merge(f.kind(), 1, Integer::sum);
-            due.add(new Due(f.atMillis(), () -> begin(f)));
+            faultCounts.merge(f.kind(), 1, Integer::sum);
+            due.add(new ScheduledStep(f.atMillis(), () -> begin(f)));
             if (f.kind() == Kind.FLAP) {
                 for (long at = f.atMillis() + 200; at < f.atMillis() + f.durationMillis(); at += 200) {
                     boolean cut = (at - f.atMillis()) / 200 % 2 == 0;
-                    due.add(new Due(at, () -> split(List.of(f.target()), cut)));
+                    due.add(new ScheduledStep(at, () -> split(List.of(f.target()), cut)));
                 }
             }
             if (f.kind() == Kind.SLOW) {
                 for (long at = f.atMillis(); at < f.atMillis() + f.durationMillis(); at += 100) {
-                    due.add(new Due(at, () -> signal(f.target(), "STOP")));
-                    due.add(new Due(at + 90, () -> signal(f.target(), "CONT")));
+                    due.add(new ScheduledStep(at, () -> signal(f.target(), "STOP")));
+                    due.add(new ScheduledStep(at + 90, () -> signal(f.target(), "CONT")));
                 }
             }
-            due.add(new Due(f.atMillis() + f.durationMillis(), () -> end(f)));
+            due.add(new ScheduledStep(f.atMillis() + f.durationMillis(), () -> end(f)));
             longest = Math.max(longest, f.atMillis() + f.durationMillis());
         }
-        due.add(new Due(1_200, () -> {
-            stage.setMode(away, StubUpstream.Mode.UP);
+        due.add(new ScheduledStep(1_200, () -> {
+            environment.setMode(away, StubUpstream.Mode.UP);
             return null;
         }));
         due.sort((a, b) -> Long.compare(a.at(), b.at()));
@@ -359,41 +361,41 @@
                     && (System.nanoTime() - start) / 1_000_000 >= due.get(next).at()) {
                 due.get(next++).work().call();
             }
-            for (Slot slot : slots) {
-                slot.look();
+            for (DaemonSlot slot : slots) {
+                slot.poll();
             }
             Thread.sleep(10);
         }
-        stage.runOnLoop(net::heal);
+        environment.runOnLoop(network::heal);
         awaitReady();
-        awaitWhole();
-        for (Slot slot : slots) {
-            if (slot.lostAt > 0) {
-                long took = takenOver(slot);
+        awaitFullyReplicated();
+        for (DaemonSlot slot : slots) {
+            if (slot.lostAtMillis > 0) {
+                long took = failoversOf(slot);
                 if (took >= 0) {
-                    takeovers.add(took);
+                    failoverMillis.add(took);
                 }
-                slot.lostAt = 0;
+                slot.lostAtMillis = 0;
             }
         }
     }
 
     private Void begin(Fault f) throws Exception {
-        Slot slot = slots.get(f.target());
+        DaemonSlot slot = slots.get(f.target());
         long now = TestEnvironment.micros();
         switch (f.kind()) {
             case KILL, LOSE, OLD_FOLDER -> {
-                if (slot.held) {
+                if (slot.stopped) {
                     return null;
                 }
-                slot.held = true;
+                slot.stopped = true;
                 if (f.kind() == Kind.OLD_FOLDER) {
                     copy(slot.state(), folder.resolve("old" + slot.index));
                     Thread.sleep(100);
                 }
                 slot.kill();
                 if (f.kind() == Kind.LOSE) {
-                    slot.lostAt = System.currentTimeMillis();
+                    slot.lostAtMillis = System.currentTimeMillis();
                     LocalFleet.delete(slot.state());
                 }
             }
@@ -404,28 +406,29 @@
             case CUT, FLAP -> split(List.of(f.target()), true);
             case ONE_WAY -> oneWay(f.target(), true);
             case SPLIT -> split(half(f.target()), true);
-            default -> stage.runOnLoop(
-                    () -> net.conditions(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
+            default -> environment.runOnLoop(
+                    () -> network.conditions(new FaultInjectionNetwork.LinkConditions(0.2, 0.05, 60_000)));
         }
-        long until = now + Math.max(TAKEOVER_MICROS, f.durationMillis() * 1_000);
-        stage.runOnLoop(() -> stage.history().senderDown(f.target(), now, until));
+        long until = now + Math.max(FAILOVER_TIMEOUT_MICROS, f.durationMillis() * 1_000);
+        environment.runOnLoop(() -> environment.history().senderDown(f.target(), now, until));
         // What this one had taken over, or been handed, is delayed with its own.
-        faulted.forEach((other, at) -> {
-            if (other != f.target() && now - at < LIFE_MICROS + TAKEOVER_MICROS) {
-                stage.runOnLoop(() -> stage.history().senderDown(other, now, until));
+        faultedAtMillis.forEach((other, at) -> {
+            if (other != f.target() && now - at < MESSAGE_LIFETIME_MICROS + FAILOVER_TIMEOUT_MICROS) {
+                environment.runOnLoop(() -> environment.history().senderDown(other, now, until));
             }
         });
-        faulted.put(f.target(), now);
+        faultedAtMillis.put(f.target(), now);
         if (f.kind() == Kind.SPLIT) {
             // A group may have its majority on the other side of whichever half its owner is in.
-            slots.forEach(s -> stage.runOnLoop(() ->
-                    stage.history().senderDown(s.index, now, now + f.durationMillis() * 1_000 + TAKEOVER_MICROS)));
+            slots.forEach(s -> environment.runOnLoop(() -> environment
+                    .history()
+                    .senderDown(s.index, now, now + f.durationMillis() * 1_000 + FAILOVER_TIMEOUT_MICROS)));
         }
         return null;
     }
 
     private Void end(Fault f) throws Exception {
-        Slot slot = slots.get(f.target());
+        DaemonSlot slot = slots.get(f.target());
         switch (f.kind()) {
             case KILL, LOSE, OLD_FOLDER -> {
                 if (f.kind() == Kind.OLD_FOLDER) {
@@ -433,7 +436,7 @@
                     copy(folder.resolve("old" + slot.index), slot.state());
                     LocalFleet.delete(folder.resolve("old" + slot.index));
                 }
-                slot.held = false;
+                slot.stopped = false;
             }
             case PAUSE -> slot.signal("CONT");
             case SLOW -> slot.signal("CONT");
@@ -441,26 +444,26 @@
             case CUT, FLAP -> split(List.of(f.target()), false);
             case ONE_WAY -> oneWay(f.target(), false);
             case SPLIT -> split(half(f.target()), false);
-            default -> stage.runOnLoop(() -> net.conditions(FaultInjectionNetwork.LinkConditions.CLEAR));
+            default -> environment.runOnLoop(() -> network.conditions(FaultInjectionNetwork.LinkConditions.CLEAR));
         }
         return null;
     }
 
     /** Milliseconds from a loss until an heir had resumed what was lost, as the daemons' logs tell; -1 where none did. */
-    private long takenOver(Slot lost) throws IOException {
+    private long failoversOf(DaemonSlot lost) throws IOException {
         long best = -1;
-        for (Slot slot : slots) {
+        for (DaemonSlot slot : slots) {
             boolean takes = false;
             for (String line : Files.readAllLines(folder.resolve("s" + slot.index + ".log"))) {
                 int space = line.indexOf(' ');
                 if (space < 1
                         || !line.substring(0, space).matches("[0-9]+")
-                        || Long.parseLong(line.substring(0, space)) < lost.lostAt) {
+                        || Long.parseLong(line.substring(0, space)) < lost.lostAtMillis) {
                     continue;
                 }
                 takes |= line.contains("takes over s" + lost.index + ".");
                 if (takes && line.contains("resumed")) {
-                    long took = Long.parseLong(line.substring(0, space)) - lost.lostAt;
+                    long took = Long.parseLong(line.substring(0, space)) - lost.lostAtMillis;
                     best = best < 0 ? took : Math.min(best, took);
                     break;
                 }
@@ -471,7 +474,7 @@
 
     /** Asks each daemon to let go of what it has taken over from this one. */
     private void release(int target) {
-        for (Slot slot : slots) {
+        for (DaemonSlot slot : slots) {
             try {
                 Path control = slot.state().resolve("control");
                 for (JsonElement each :
@@ -507,15 +510,15 @@
     }
 
     private Void split(List<Integer> some, boolean on) {
-        stage.runOnLoop(() -> net.split(some, on));
+        environment.runOnLoop(() -> network.split(some, on));
         return null;
     }
 
     private void oneWay(int from, boolean on) {
-        stage.runOnLoop(() -> {
+        environment.runOnLoop(() -> {
             for (int to = 0; to < daemons; to++) {
                 if (to != from) {
-                    net.cut(from, to, on);
+                    network.cut(from, to, on);
                 }
             }
         });
@@ -535,54 +538,59 @@
     }
 
     private int result() throws Exception {
-        DeliveryHistory.Totals t = stage.totals();
-        long allCpuMillis = cpu();
+        DeliveryHistory.Totals t = environment.totals();
+        long allCpuMillis = totalCpuMillis();
         JsonObject out = new JsonObject();
         out.addProperty("rounds", rounds);
         out.addProperty("daemons", daemons);
         out.addProperty("seed", seed);
-        out.addProperty("faults", played.toString());
+        out.addProperty("faults", faultCounts.toString());
         DeliveryTotalsJson.add(out, t);
         out.addProperty("refused", t.rejected());
         out.addProperty("errors", t.errors());
         out.addProperty("silent", t.unanswered());
         out.addProperty("in_time", t.inTime());
-        out.addProperty("estates_over", estatesOver);
-        out.addProperty("takeovers_seen", takeovers.size());
+        out.addProperty("estates_over", replicasTakenOver);
+        out.addProperty("takeovers_seen", failoverMillis.size());
         out.addProperty("released", released);
-        takeovers.sort(null);
-        if (!takeovers.isEmpty()) {
-            out.addProperty("takeover_ms_median", takeovers.get(takeovers.size() / 2));
-            out.addProperty("takeover_ms_p99", takeovers.get((int)
-                    Math.min(takeovers.size() - 1, takeovers.size() * 99L / 100)));
+        failoverMillis.sort(null);
+        if (!failoverMillis.isEmpty()) {
+            out.addProperty("takeover_ms_median", failoverMillis.get(failoverMillis.size() / 2));
+            out.addProperty("takeover_ms_p99", failoverMillis.get((int)
+                    Math.min(failoverMillis.size() - 1, failoverMillis.size() * 99L / 100)));
         }
-        wholeMs.sort(null);
-        if (!wholeMs.isEmpty()) {
-            out.addProperty("whole_ms_median", wholeMs.get(wholeMs.size() / 2));
-            out.addProperty("whole_ms_most", wholeMs.get(wholeMs.size() - 1));
-            out.addProperty("not_whole", notWhole);
+        fullyReplicatedMillis.sort(null);
+        if (!fullyReplicatedMillis.isEmpty()) {
+            out.addProperty("whole_ms_median", fullyReplicatedMillis.get(fullyReplicatedMillis.size() / 2));
+            out.addProperty("whole_ms_most", fullyReplicatedMillis.get(fullyReplicatedMillis.size() - 1));
+            out.addProperty("not_whole", notFullyReplicated);
         }
-        out.addProperty("taken_ms_p50", stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.5)) / 1e3);
-        out.addProperty("taken_ms_p99", stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.99)) / 1e3);
+        out.addProperty(
+                "taken_ms_p50",
+                environment.callOnLoop(() -> environment.history().acceptLatencyPercentile(0.5)) / 1e3);
+        out.addProperty(
+                "taken_ms_p99",
+                environment.callOnLoop(() -> environment.history().acceptLatencyPercentile(0.99)) / 1e3);
         out.addProperty("start_cpu_ms", startCpuMillis);
         out.addProperty(
                 "cpu_us_a_message", t.accepted() == 0 ? 0 : (allCpuMillis - startCpuMillis) * 1_000 / t.accepted());
-        long steady = stage.callOnLoop(() -> stage.history().acceptedSince(steadySince));
+        long steady = environment.callOnLoop(() -> environment.history().acceptedSince(steadySince));
         out.addProperty("steady_taken", steady);
         out.addProperty(
                 "steady_ms_p50",
-                stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.5, steadySince)) / 1e3);
+                environment.callOnLoop(() -> environment.history().acceptLatencyPercentile(0.5, steadySince)) / 1e3);
         out.addProperty(
                 "steady_ms_p99",
-                stage.callOnLoop(() -> stage.history().acceptLatencyPercentile(0.99, steadySince)) / 1e3);
+                environment.callOnLoop(() -> environment.history().acceptLatencyPercentile(0.99, steadySince)) / 1e3);
         out.addProperty("steady_cpu_us_a_message", steady == 0 ? 0 : (allCpuMillis - steadyCpuMillis) * 1_000 / steady);
         boolean ok = t.ok() && t.lateNotifications() == 0 && t.accepted() > 0;
         out.addProperty("ok", ok);
         if (!ok) {
-            stage.callOnLoop(stage.history()::violations).forEach(c -> System.out.println("! " + c));
-            stage.callOnLoop(() -> stage.history().lost(TestEnvironment.micros()))
+            environment.callOnLoop(environment.history()::violations).forEach(c -> System.out.println("! " + c));
+            environment
+                    .callOnLoop(() -> environment.history().lost(TestEnvironment.micros()))
                     .forEach(c -> System.out.println("! lost " + c));
-            stage.callOnLoop(() -> stage.history().late()).forEach(c -> System.out.println("! late " + c));
+            environment.callOnLoop(() -> environment.history().late()).forEach(c -> System.out.println("! late " + c));
         }
         System.out.println(out);
         return ok ? 0 : Main.BAD;
--- a/cli/src/main/java/amberroute/cli/FleetSlowStartExperiment.java
+++ b/cli/src/main/java/amberroute/cli/FleetSlowStartExperiment.java
@@ -64,7 +64,8 @@
     private boolean startingOnly;
 
     /** What came of one run: times in milliseconds from the return on, -1 for never. */
-    private record Seen(double share, long falls, long usualMs, long answered, boolean books) {}
+    private record Measurement(
+            double share, long overloadCount, long usualMs, long answered, boolean historyConsistent) {}
 
     private double capacity() {
         return slots * 1e6 / SERVICE;
@@ -73,10 +74,10 @@
     @Override
     public Integer call() throws Exception {
         StubUpstream.Parameters figures = StubUpstream.Parameters.unlimited().sized(slots, 4 * slots, SERVICE);
-        Seen returning = startingOnly ? null : play(false, true);
-        Seen returningFree = startingOnly ? null : play(false, false);
-        Seen starting = play(true, true);
-        Seen startingFree = play(true, false);
+        Measurement returning = startingOnly ? null : run(false, true);
+        Measurement returningFree = startingOnly ? null : run(false, false);
+        Measurement starting = run(true, true);
+        Measurement startingFree = run(true, false);
         double warm = Math.max(0, usual - figures.slowStartFrom()) / (1 - figures.slowStartFrom());
         JsonObject out = new JsonObject();
         out.addProperty("daemons", daemons);
@@ -90,30 +91,30 @@
         }
         add(out, "starting", starting);
         add(out, "starting_free", startingFree);
-        boolean ok = (startingOnly || kept(returning) && returningFree.books())
-                && kept(starting)
-                && startingFree.books()
+        boolean ok = (startingOnly || withinLimit(returning) && returningFree.historyConsistent())
+                && withinLimit(starting)
+                && startingFree.historyConsistent()
                 && startingFree.share() > 1;
         out.addProperty("ok", ok);
         System.out.println(out);
         return ok ? 0 : Main.BAD;
     }
 
-    private static boolean kept(Seen seen) {
-        return seen.share() <= 1 && seen.falls() == 0 && seen.books() && seen.usualMs() >= 0;
+    private static boolean withinLimit(Measurement seen) {
+        return seen.share() <= 1 && seen.overloadCount() == 0 && seen.historyConsistent() && seen.usualMs() >= 0;
     }
 
-    private static void add(JsonObject out, String name, Seen seen) {
+    private static void add(JsonObject out, String name, Measurement seen) {
         JsonObject one = new JsonObject();
         one.addProperty("highest_share", Math.round(seen.share() * 1e3) / 1e3);
-        one.addProperty("falls", seen.falls());
+        one.addProperty("falls", seen.overloadCount());
         one.addProperty("usual_after_ms", seen.usualMs());
         one.addProperty("answered", seen.answered());
-        one.addProperty("books_close", seen.books());
+        one.addProperty("books_close", seen.historyConsistent());
         out.add(name, one);
     }
 
-    private Seen play(boolean starting, boolean gentle) throws Exception {
+    private Measurement run(boolean starting, boolean gentle) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-cold-");
         TestEnvironment stage = new TestEnvironment(seed);
         StubUpstream.Parameters figures = StubUpstream.Parameters.unlimited().sized(slots, 4 * slots, SERVICE);
@@ -151,12 +152,12 @@
                 Thread.sleep(BURST_MS);
                 stage.runOnLoop(() -> clients.run(load));
             }
-            long usualMs = follow(stage, figures.slowStartMicros() / 1_000 + 6_000);
+            long usualMs = awaitRecovery(stage, figures.slowStartMicros() / 1_000 + 6_000);
             long answered = stage.totals().delivered();
             stage.awaitCompletion(() -> {});
             fleet.stop(SupervisionPolicy.Mode.FINAL);
             DeliveryHistory.Totals t = stage.totals();
-            Seen seen = new Seen(
+            Measurement seen = new Measurement(
                     stage.highestSlowStartShare(),
                     stage.overloadCount(),
                     usualMs,
@@ -171,7 +172,7 @@
     }
 
     /** When the partner first answered nine tenths of its usual load over a second. */
-    private long follow(TestEnvironment stage, long span) throws InterruptedException {
+    private long awaitRecovery(TestEnvironment stage, long span) throws InterruptedException {
         long begun = System.nanoTime() / 1_000_000;
         List<long[]> seen = new ArrayList<>();
         long usualMs = -1;
--- a/cli/src/main/java/amberroute/cli/HandoffExperiment.java
+++ b/cli/src/main/java/amberroute/cli/HandoffExperiment.java
@@ -27,7 +27,7 @@
             "how many bytes it is, and how long the heir's loop was held up at most. Exit code 0 where all moved and none is owed twice."
         })
 final class HandoffExperiment implements Callable<Integer> {
-    private static final Pattern MOVED =
+    private static final Pattern HANDOFF_LINE =
             Pattern.compile("; ([0-9]+) messages were handed over in ([0-9]+) lots, ([0-9]+) bytes");
 
     @Option(
@@ -56,10 +56,10 @@
 
     @Override
     public Integer call() throws Exception {
-        return RunsBySize.play(sizes, seed, this::play);
+        return ExperimentSeries.runAll(sizes, seed, this::run);
     }
 
-    private JsonObject play(int size) throws Exception {
+    private JsonObject run(int size) throws Exception {
         folder = Files.createTempDirectory("amberroute-handover-");
         List<ExperimentDaemon> daemons = new ArrayList<>();
         try (TestEnvironment stage = new TestEnvironment(seed)) {
@@ -87,7 +87,7 @@
             daemons.add(heir);
             leaver.awaitReady();
             heir.awaitReady();
-            int taken = fill(port, size);
+            int taken = submitMessages(port, size);
             int held = leaver.status().get("held").getAsInt();
             long longestIdle = longestTurn(heir);
             JsonObject stop = FleetClient.request("stop");
@@ -98,7 +98,7 @@
             boolean ended = leaver.process.waitFor(within + 10L, TimeUnit.SECONDS);
             long took = (System.nanoTime() - begun) / 1_000;
             JsonObject status = heir.status();
-            Matcher moved = MOVED.matcher(Files.readString(leaver.log));
+            Matcher moved = HANDOFF_LINE.matcher(Files.readString(leaver.log));
             boolean told = moved.find();
             JsonObject out = new JsonObject();
             out.addProperty("messages", size);
@@ -141,9 +141,9 @@
     }
 
     /** Hands in so many, some at a time on one connection; returns how many were taken on. */
-    private int fill(int port, int size) throws IOException {
+    private int submitMessages(int port, int size) throws IOException {
         Random random = new Random(seed);
-        return PipelinedClient.hand(port, size, i -> {
+        return PipelinedClient.submit(port, size, i -> {
             boolean order = random.nextDouble() < keyed;
             String key = order ? String.format("%016x", 1 + i / 4) : PipelinedClient.NO_KEY;
             return RespRequest.of(
--- a/cli/src/main/java/amberroute/cli/LargeFleetExperiment.java
+++ b/cli/src/main/java/amberroute/cli/LargeFleetExperiment.java
@@ -57,22 +57,22 @@
     private long seed;
 
     /** The most that any daemon had, and what became of the messages. */
-    private record Seen(
+    private record Measurement(
             int daemons,
             int endpoints,
             double megabytes,
             long threads,
             long descriptors,
-            long taken,
+            long accepted,
             long delivered,
-            boolean books) {}
+            boolean historyConsistent) {}
 
     @Override
     public Integer call() throws Exception {
-        Seen few = play(small, Math.max(1, 2 * small), 2);
-        Seen many = play(daemons, destinations, endpoints);
-        boolean ok = few.books()
-                && many.books()
+        Measurement few = run(small, Math.max(1, 2 * small), 2);
+        Measurement many = run(daemons, destinations, endpoints);
+        boolean ok = few.historyConsistent()
+                && many.historyConsistent()
                 && many.threads() <= few.threads()
                 && many.megabytes() < growth * few.megabytes();
         JsonObject out = new JsonObject();
@@ -84,20 +84,20 @@
         return ok ? 0 : Main.BAD;
     }
 
-    private static JsonObject json(Seen seen) {
+    private static JsonObject json(Measurement seen) {
         JsonObject out = new JsonObject();
         out.addProperty("daemons", seen.daemons());
         out.addProperty("endpoints", seen.endpoints());
         out.addProperty("megabytes", Math.round(seen.megabytes() * 10) / 10.0);
         out.addProperty("threads", seen.threads());
         out.addProperty("descriptors", seen.descriptors());
-        out.addProperty("taken", seen.taken());
+        out.addProperty("taken", seen.accepted());
         out.addProperty("delivered", seen.delivered());
-        out.addProperty("books_close", seen.books());
+        out.addProperty("books_close", seen.historyConsistent());
         return out;
     }
 
-    private Seen play(int count, int partners, int each) throws Exception {
+    private Measurement run(int count, int partners, int each) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-wide-");
         TestEnvironment stage = new TestEnvironment(seed);
         for (int i = 1; i <= partners; i++) {
@@ -135,7 +135,7 @@
             stage.awaitCompletion(() -> {});
             fleet.stop(SupervisionPolicy.Mode.FINAL);
             DeliveryHistory.Totals t = stage.totals();
-            Seen seen = new Seen(
+            Measurement seen = new Measurement(
                     count,
                     partners * each,
                     megabytes,
--- a/cli/src/main/java/amberroute/cli/OmniscientBaseline.java
+++ b/cli/src/main/java/amberroute/cli/OmniscientBaseline.java
@@ -14,14 +14,22 @@
  * does not look ahead; but no sender knows more than it does.
  */
 final class OmniscientBaseline {
-    private static final Map<String, Double> WORTH =
+    private static final Map<String, Double> WEIGHT_BY_CLASS =
             Map.of("quote-status", 2.0, "policy-order", 1.0, "premium-charge", 4.0);
-    private static final double LATE = 0.5;
+    private static final double LATE_VALUE_SHARE = 0.5;
 
     /** One message over all its hand-ins; times in microseconds, {@code doneAt} 0 where it was not delivered. */
-    record Message(double worth, int destination, long from, long aim, long deadline, long doneAt) {
-        double worthAt(long at) {
-            return at <= aim ? worth : at <= deadline ? LATE * worth : 0;
+    record Message(
+            double priorityWeight,
+            int destination,
+            long from,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
+            long doneAt) {
+        double valueAt(long at) {
+            return at <= latencyObjectiveMicros
+                    ? priorityWeight
+                    : at <= deadlineMicros ? LATE_VALUE_SHARE * priorityWeight : 0;
         }
     }
 
@@ -46,7 +54,7 @@
                     .orElse(0);
             if (first >= from && first < to) {
                 out.add(new Message(
-                        WORTH.get(one.className),
+                        WEIGHT_BY_CLASS.get(one.className),
                         one.destination,
                         first,
                         one.latencyObjectiveMicros,
@@ -59,7 +67,7 @@
 
     static double served(List<Message> messages) {
         return messages.stream()
-                .mapToDouble(m -> m.doneAt() == 0 ? 0 : m.worthAt(m.doneAt()))
+                .mapToDouble(m -> m.doneAt() == 0 ? 0 : m.valueAt(m.doneAt()))
                 .sum();
     }
 
@@ -85,14 +93,14 @@
                 waiting.add(all.get(next++));
             }
             long at = now;
-            waiting.removeIf(m -> m.deadline() < at);
+            waiting.removeIf(m -> m.deadlineMicros() < at);
             Message best = waiting.stream()
-                    .max(Comparator.comparingDouble((Message m) -> m.worthAt(at))
-                            .thenComparing(m -> -m.aim()))
+                    .max(Comparator.comparingDouble((Message m) -> m.valueAt(at))
+                            .thenComparing(m -> -m.latencyObjectiveMicros()))
                     .orElse(null);
             if (best != null) {
                 waiting.remove(best);
-                sum += best.worthAt(now);
+                sum += best.valueAt(now);
             }
         }
         return sum;
--- a/cli/src/main/java/amberroute/cli/OrphanRecoveryExperiment.java
+++ b/cli/src/main/java/amberroute/cli/OrphanRecoveryExperiment.java
@@ -30,7 +30,7 @@
 final class OrphanRecoveryExperiment implements Callable<Integer> {
     private static final long READY_MS = 30_000;
     private static final int DESTINATIONS = 4;
-    private static final Pattern TOOK = Pattern.compile("took over ([0-9]+) messages from");
+    private static final Pattern RECOVERED_LINE = Pattern.compile("took over ([0-9]+) messages from");
 
     @Option(names = "--daemons", defaultValue = "3", description = "how many (${DEFAULT-VALUE})")
     private int daemons;
@@ -44,22 +44,22 @@
     @Option(names = "--per-second", defaultValue = "60", description = "messages a second (${DEFAULT-VALUE})")
     private double perSecond;
 
-    private final List<Slot> slots = new ArrayList<>();
+    private final List<DaemonSlot> slots = new ArrayList<>();
     private Path folder;
     private Path file;
     private long zombies;
     private long zombiesEnded;
-    private long takersKilled;
+    private long recoverersKilled;
     private long longestAway;
 
     /** One instance's name and address over all its processes, with the folders that they had. */
-    private final class Slot {
+    private final class DaemonSlot {
         final int index;
         final int port;
         final List<Path> folders = new ArrayList<>();
         Process process;
 
-        Slot(int index, int port) {
+        DaemonSlot(int index, int port) {
             this.index = index;
             this.port = port;
         }
@@ -141,10 +141,10 @@
             Files.writeString(file, "adoption = true\n" + Files.readString(made));
             int port = TestEnvironment.freePorts(daemons, seed);
             for (int i = 0; i < daemons; i++) {
-                slots.add(new Slot(i, port + i));
+                slots.add(new DaemonSlot(i, port + i));
                 slots.get(i).start();
             }
-            for (Slot slot : slots) {
+            for (DaemonSlot slot : slots) {
                 slot.awaitReady();
             }
             LoadClients clients =
@@ -164,14 +164,14 @@
             stage.awaitCompletion(() -> {});
             return result(stage);
         } finally {
-            for (Slot slot : slots) {
+            for (DaemonSlot slot : slots) {
                 slot.process.destroyForcibly().waitFor();
             }
             LocalFleet.delete(folder);
         }
     }
 
-    private void replace(TestEnvironment stage, Slot slot, Random random) throws Exception {
+    private void replace(TestEnvironment stage, DaemonSlot slot, Random random) throws Exception {
         Process old = slot.process;
         long from = TestEnvironment.micros();
         boolean zombie = random.nextInt(3) == 0;
@@ -187,7 +187,7 @@
             // Anywhere in its start, the taking over included.
             Thread.sleep(random.nextInt(700));
             slot.process.destroyForcibly().waitFor();
-            takersKilled++;
+            recoverersKilled++;
             slot.start();
         }
         if (zombie) {
@@ -204,7 +204,7 @@
     }
 
     /** Until the folder is another's, which the zombie has to find when it wakes up. */
-    private static void awaitFence(Path orphan, Slot slot) throws Exception {
+    private static void awaitFence(Path orphan, DaemonSlot slot) throws Exception {
         long end = System.nanoTime() + READY_MS * 1_000_000;
         while (!Files.exists(orphan.resolve("fence"))) {
             if (System.nanoTime() > end || !slot.process.isAlive()) {
@@ -223,9 +223,9 @@
     /** As the daemons' logs tell. */
     private long adopted() throws IOException {
         long sum = 0;
-        for (Slot slot : slots) {
+        for (DaemonSlot slot : slots) {
             for (String line : Files.readAllLines(folder.resolve("d" + slot.index + ".log"))) {
-                Matcher told = TOOK.matcher(line);
+                Matcher told = RECOVERED_LINE.matcher(line);
                 sum += told.find() ? Long.parseLong(told.group(1)) : 0;
             }
         }
@@ -241,7 +241,7 @@
         DeliveryTotalsJson.add(out, t);
         out.addProperty("zombies", zombies);
         out.addProperty("zombies_ended", zombiesEnded);
-        out.addProperty("takers_killed", takersKilled);
+        out.addProperty("takers_killed", recoverersKilled);
         out.addProperty("adopted", adopted());
         out.addProperty("longest_away_ms", longestAway / 1_000);
         boolean ok = t.ok() && t.lateNotifications() == 0 && t.accepted() > 0 && zombies == zombiesEnded;
--- a/cli/src/main/java/amberroute/cli/OverloadExperiment.java
+++ b/cli/src/main/java/amberroute/cli/OverloadExperiment.java
@@ -30,14 +30,14 @@
     private static final long WARM_MS = 4_000;
     private static final long EASY_MS = 8_000;
     /** Behind a spike the fleet is back once so much of what came within a second is served in time. */
-    private static final double BACK = 0.9;
+    private static final double RECOVERED_SHARE = 0.9;
     /** Chance: two plays of the same differ by about so much in what they serve. */
     private static final double NOISE = 0.03;
 
-    private static final int LONG = 10;
+    private static final int LONG_RUN_SECONDS = 10;
 
     /** What befalls the fleet in the middle of the steady overload. */
-    enum Trouble {
+    enum InjectedFault {
         NONE,
         KILL,
         PAUSE,
@@ -64,48 +64,48 @@
     private int spike;
 
     @Option(names = "--trouble", defaultValue = "NONE", description = "${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Trouble trouble;
+    private InjectedFault fault;
 
     @Option(names = "--logs", description = "print the daemons' logs at the end")
     private boolean logs;
 
     /** Of one play: worth served against the one that sees all, in each part; calls refused a message; seconds until back. */
-    private record Seen(
+    private record Measurement(
             double steady,
             double spike,
             double easy,
             double refused,
             double backAfter,
-            boolean books,
+            boolean historyConsistent,
             JsonObject view) {}
 
     @Override
     public Integer call() throws Exception {
-        Seen without = play(false);
-        Seen with = play(true);
+        Measurement without = run(false);
+        Measurement with = run(true);
         JsonObject out = new JsonObject();
         out.addProperty("daemons", daemons);
         out.addProperty("seed", seed);
-        out.addProperty("trouble", trouble.name());
+        out.addProperty("trouble", fault.name());
         add(out, "alone", without);
         add(out, "priced", with);
         // Of a few seconds chance has too large a part.
-        boolean better =
-                steady < LONG || with.steady() + with.spike() >= without.steady() + without.spike() - 2 * NOISE;
-        boolean ok = without.books() && with.books() && better && with.view() != null;
+        boolean better = steady < LONG_RUN_SECONDS
+                || with.steady() + with.spike() >= without.steady() + without.spike() - 2 * NOISE;
+        boolean ok = without.historyConsistent() && with.historyConsistent() && better && with.view() != null;
         out.addProperty("ok", ok);
         System.out.println(out);
         return ok ? 0 : Main.BAD;
     }
 
-    private static void add(JsonObject out, String name, Seen seen) {
+    private static void add(JsonObject out, String name, Measurement seen) {
         JsonObject one = new JsonObject();
         one.addProperty("steady", round(seen.steady()));
         one.addProperty("spike", round(seen.spike()));
         one.addProperty("easy", round(seen.easy()));
         one.addProperty("refused_a_message", round(seen.refused()));
         one.addProperty("back_after_s", seen.backAfter());
-        one.addProperty("books_close", seen.books());
+        one.addProperty("books_close", seen.historyConsistent());
         out.add(name, one);
     }
 
@@ -113,7 +113,7 @@
         return Math.round(value * 1e3) / 1e3;
     }
 
-    private Seen play(boolean priced) throws Exception {
+    private Measurement run(boolean priced) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-overload-");
         List<ExperimentDaemon> all = new ArrayList<>();
         try (TestEnvironment stage = new TestEnvironment(seed)) {
@@ -141,7 +141,7 @@
             long steadyFrom = TestEnvironment.micros();
             load(stage, clients, 1.3);
             Thread.sleep(steady * 400L);
-            befall(stage, net, all, folder, file, port);
+            inject(stage, net, all, folder, file, port);
             Thread.sleep(Math.max(0, steady * 600L - 2_000));
             JsonObject view = priced ? ask(folder) : null;
             long spikeFrom = TestEnvironment.micros();
@@ -152,7 +152,7 @@
             Thread.sleep(EASY_MS);
             long easyTo = TestEnvironment.micros();
             stage.awaitCompletion(() -> {});
-            return seen(stage, view, new long[] {steadyFrom, spikeFrom, easyFrom, easyTo});
+            return measurement(stage, view, new long[] {steadyFrom, spikeFrom, easyFrom, easyTo});
         } finally {
             for (ExperimentDaemon daemon : all) {
                 daemon.process.destroyForcibly().waitFor();
@@ -187,7 +187,7 @@
     }
 
     /** Two seconds of it. */
-    private void befall(
+    private void inject(
             TestEnvironment stage,
             FaultInjectionNetwork net,
             List<ExperimentDaemon> all,
@@ -196,7 +196,7 @@
             int port)
             throws Exception {
         long from = TestEnvironment.micros();
-        switch (trouble) {
+        switch (fault) {
             case KILL -> {
                 all.get(0).process.destroyForcibly().waitFor();
                 Thread.sleep(1_000);
@@ -245,7 +245,7 @@
                 : null;
     }
 
-    private Seen seen(TestEnvironment stage, JsonObject view, long[] parts) {
+    private Measurement measurement(TestEnvironment stage, JsonObject view, long[] parts) {
         List<DeliveryHistory.Entry> entries =
                 stage.callOnLoop(() -> stage.history().all());
         DeliveryHistory.Totals totals = stage.totals();
@@ -258,9 +258,9 @@
         for (long at = parts[2]; back < 0 && at + 1_000_000 <= parts[3]; at += 250_000) {
             List<OmniscientBaseline.Message> some = OmniscientBaseline.messages(entries, at, at + 1_000_000);
             long inTime = some.stream()
-                    .filter(m -> m.doneAt() > 0 && m.doneAt() <= m.aim())
+                    .filter(m -> m.doneAt() > 0 && m.doneAt() <= m.latencyObjectiveMicros())
                     .count();
-            back = inTime >= BACK * some.size() ? (at - parts[2]) / 1e6 : back;
+            back = inTime >= RECOVERED_SHARE * some.size() ? (at - parts[2]) / 1e6 : back;
         }
         long refused = stage.callOnLoop(() -> stage.upstreams().stream()
                 .mapToLong(p -> p.upstream().overLimit())
@@ -269,7 +269,7 @@
         DeliveryTotalsJson.add(sums, totals);
         System.out.println(sums);
         stage.callOnLoop(stage.history()::violations).forEach(c -> System.out.println("! " + c));
-        return new Seen(
+        return new Measurement(
                 shares[0],
                 shares[1],
                 shares[2],
--- a/cli/src/main/java/amberroute/cli/PendingLoadExperiment.java
+++ b/cli/src/main/java/amberroute/cli/PendingLoadExperiment.java
@@ -44,10 +44,10 @@
 
     @Override
     public Integer call() throws Exception {
-        return RunsBySize.play(sizes, seed, this::play);
+        return ExperimentSeries.runAll(sizes, seed, this::run);
     }
 
-    private JsonObject play(int held) throws Exception {
+    private JsonObject run(int held) throws Exception {
         Path folder = Files.createTempDirectory("amberroute-held-");
         ExperimentDaemon daemon = null;
         try (TestEnvironment stage = new TestEnvironment(seed)) {
@@ -66,17 +66,17 @@
             daemon = new ExperimentDaemon(folder, file, "sender", port, Math.max(200, held / 50), Map.of());
             daemon.awaitReady();
             // The partner that is well is known, so that it is not taken to need its aim.
-            hand(port, 200, 2, "w");
-            settled(daemon, 0);
-            int taken = hand(port, held, 1, "h");
-            hand(port, messages / 4, 2, "v");
-            settled(daemon, taken);
+            submit(port, 200, 2, "w");
+            awaitPending(daemon, 0);
+            int taken = submit(port, held, 1, "h");
+            submit(port, messages / 4, 2, "v");
+            awaitPending(daemon, taken);
             long cpu = daemon.cpuMillis();
             longestTurn = 0;
             daemon.status();
             long from = System.nanoTime();
-            int passed = hand(port, messages, 2, "p");
-            int left = settled(daemon, taken);
+            int passed = submit(port, messages, 2, "p");
+            int left = awaitPending(daemon, taken);
             double seconds = (System.nanoTime() - from) / 1e9;
             JsonObject out = new JsonObject();
             out.addProperty("held", taken);
@@ -95,7 +95,7 @@
     }
 
     /** What is held once it is no more than so many, or some time has passed. */
-    private int settled(ExperimentDaemon daemon, int held) throws Exception {
+    private int awaitPending(ExperimentDaemon daemon, int held) throws Exception {
         long end = System.nanoTime() + DRAIN_MS * 1_000_000;
         while (true) {
             JsonObject status = daemon.status();
@@ -110,8 +110,8 @@
     }
 
     /** Hands in so many, some at a time on one connection; returns how many were taken on. */
-    private static int hand(int port, int size, int destination, String name) throws IOException {
-        return PipelinedClient.hand(
+    private static int submit(int port, int size, int destination, String name) throws IOException {
+        return PipelinedClient.submit(
                 port,
                 size,
                 i -> RespRequest.of(
--- a/cli/src/main/java/amberroute/cli/PipelinedClient.java
+++ b/cli/src/main/java/amberroute/cli/PipelinedClient.java
@@ -14,22 +14,22 @@
 final class PipelinedClient {
     static final String NO_KEY = "0000000000000000";
     static final String BODY = "x".repeat(120);
-    private static final int UNDER_WAY = 32;
-    private static final int PATIENCE_MS = 60_000;
+    private static final int MAX_IN_FLIGHT = 32;
+    private static final int READ_TIMEOUT_MILLIS = 60_000;
 
     private PipelinedClient() {}
 
     /** Hands in so many, each as its number makes it; returns how many were taken on. */
-    static int hand(int port, int size, IntFunction<byte[]> request) throws IOException {
+    static int submit(int port, int size, IntFunction<byte[]> request) throws IOException {
         int taken = 0;
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
             OutputStream out = new BufferedOutputStream(socket.getOutputStream(), 1 << 16);
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
-            for (int from = 0; from < size; from += UNDER_WAY) {
-                int n = Math.min(UNDER_WAY, size - from);
+            for (int from = 0; from < size; from += MAX_IN_FLIGHT) {
+                int n = Math.min(MAX_IN_FLIGHT, size - from);
                 for (int i = from; i < from + n; i++) {
                     out.write(request.apply(i));
                 }
--- a/cli/src/main/java/amberroute/cli/ScenarioRun.java
+++ b/cli/src/main/java/amberroute/cli/ScenarioRun.java
@@ -67,22 +67,22 @@
     }
 
     private static final int DESTINATIONS = 6;
-    private static final Pattern MOVED = Pattern.compile("; ([0-9]+) messages were handed over");
+    private static final Pattern HANDOFF_LINE = Pattern.compile("; ([0-9]+) messages were handed over");
     /** Calls to this one pass a proxy that delays them and now and then resets all its connections. */
-    private static final int SPOILT = 5;
+    private static final int MALFORMED_DESTINATION = 5;
 
-    private static final double RESETS = 0.1;
+    private static final double RESET_PROBABILITY = 0.1;
     private static final long READY_MS = 120_000;
     private static final long ROLL_MS = 600_000;
 
     private final Plan plan;
     private final Consumer<String> lines;
     private final Path folder;
-    private final TestEnvironment stage;
+    private final TestEnvironment environment;
     private final LoadClients clients;
     private final LocalFleet fleet;
     private final Map<String, Long> downSince = new HashMap<>();
-    private long lastLook;
+    private long lastPollMillis;
     private long upMillis;
     /** What the supervisor said last; the table is drawn on another thread. */
     private volatile JsonObject status;
@@ -96,7 +96,7 @@
         this.lines = lines;
         random = new Random(plan.seed());
         folder = Files.createTempDirectory("amberroute-");
-        stage = new TestEnvironment(plan.seed());
+        environment = new TestEnvironment(plan.seed());
         for (int d = 1; d <= DESTINATIONS; d++) {
             StubUpstream.Parameters figures = StubUpstream.Parameters.unlimited();
             // Two endpoints of 25 calls a second and slot: about 1.6 times what the busiest destination is asked.
@@ -104,22 +104,22 @@
             figures = d == 3
                     ? figures.limited(Math.max(20, plan.perSecond() / 3), 0)
                     : d == 4 ? figures.limited(Math.max(20, plan.perSecond() / 3), 1_000_000) : figures;
-            stage.destination(d, 2, figures, d % 2 == 0 ? "batch" : "single", d == SPOILT);
+            environment.destination(d, 2, figures, d % 2 == 0 ? "batch" : "single", d == MALFORMED_DESTINATION);
         }
-        stage.fault(FaultProxy.Fault.delayed(1_000));
+        environment.fault(FaultProxy.Fault.delayed(1_000));
         int port = TestEnvironment.freePorts(2 * plan.daemons(), plan.seed());
         String more = !plan.move()
                 ? ""
                 : "rolling.move = true\nhandover.gentle = true\nhandover.listen = \"127.0.0.1:"
                         + (port + plan.daemons()) + "\"\n";
-        stage.senderFile(folder, plan.daemons());
-        Path file =
-                stage.fleetFile(folder, plan.daemons(), port, InstallationDirectory.daemonJar(), more + plan.rolling());
+        environment.senderFile(folder, plan.daemons());
+        Path file = environment.fleetFile(
+                folder, plan.daemons(), port, InstallationDirectory.daemonJar(), more + plan.rolling());
         List<InetSocketAddress> senders = new ArrayList<>();
         for (int i = 0; i < plan.daemons(); i++) {
             senders.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i));
         }
-        clients = stage.clients(senders, TestEnvironment.messageKinds());
+        clients = environment.clients(senders, TestEnvironment.messageKinds());
         fleet = new LocalFleet(FleetDefinition.read(file, InstallationDirectory.daemonJar()));
     }
 
@@ -131,7 +131,7 @@
         upMillis = millis() - begun;
         lines.accept(plan.daemons() + " daemons are ready after " + upMillis + " ms");
         long quietFrom = TestEnvironment.micros();
-        stage.runOnLoop(() ->
+        environment.runOnLoop(() ->
                 clients.run(new LoadClients.Load(plan.perSecond(), 0.2, 12, Math.max(20, (int) plan.perSecond()), 8)));
         watch(plan.quiet());
         long quietTo = TestEnvironment.micros();
@@ -145,10 +145,10 @@
             if (i == 0 && plan.outage() > 0) {
                 watch(1_000);
                 lines.accept("destination 1 is out");
-                stage.setMode(1, StubUpstream.Mode.DEAD);
+                environment.setMode(1, StubUpstream.Mode.DEAD);
                 watch(plan.outage());
                 lines.accept("destination 1 is back, and cold");
-                stage.setMode(1, StubUpstream.Mode.UP);
+                environment.setMode(1, StubUpstream.Mode.UP);
             }
             while (killed < plan.kills()) {
                 watch(100 + random.nextInt(900));
@@ -167,9 +167,9 @@
         long rollTo = TestEnvironment.micros();
         watch(plan.after());
         rollTo = plan.scaleTo() > 0 ? TestEnvironment.micros() : rollTo;
-        stage.runOnLoop(clients::pause);
+        environment.runOnLoop(clients::pause);
         lines.accept("clients have stopped asking");
-        settle();
+        awaitCompletion();
         fleet.stop(SupervisionPolicy.Mode.FINAL);
         return result(quietFrom, quietTo, rollFrom, rollTo);
     }
@@ -179,7 +179,7 @@
         if (outage) {
             // Before anybody leaves, so that those who do hold something.
             lines.accept("destination 1 is out");
-            stage.setMode(1, StubUpstream.Mode.DEAD);
+            environment.setMode(1, StubUpstream.Mode.DEAD);
             watch(plan.outage() / 2);
         }
         long from = millis();
@@ -191,7 +191,7 @@
         }
         if (outage) {
             watch(plan.outage() / 2);
-            stage.setMode(1, StubUpstream.Mode.UP);
+            environment.setMode(1, StubUpstream.Mode.UP);
         }
         until(() -> status.get("scaled").getAsBoolean(), ROLL_MS, "the fleet to be scaled");
         scaleMillis = millis() - from;
@@ -205,7 +205,7 @@
             active = daemons.get(i).getAsJsonObject().get("state").getAsString().equals("out") ? active : i + 1;
         }
         int there = active;
-        stage.runOnLoop(() -> clients.useSenders(there));
+        environment.runOnLoop(() -> clients.useSenders(there));
     }
 
     private boolean rollOver() {
@@ -229,11 +229,11 @@
     }
 
     /** Until every message has its end, or its time is long gone. */
-    private void settle() throws Exception {
+    private void awaitCompletion() throws Exception {
         long end = millis() + 20_000;
         while (millis() < end
-                && stage.callOnLoop(
-                        () -> clients.openRequests() > 0 || stage.history().open() > 0)) {
+                && environment.callOnLoop(() ->
+                        clients.openRequests() > 0 || environment.history().open() > 0)) {
             watch(200);
         }
     }
@@ -244,7 +244,7 @@
 
     private void until(Condition condition, long most, String what) throws Exception {
         long end = millis() + most;
-        look();
+        poll();
         while (status == null || !condition.holds()) {
             if (millis() > end) {
                 throw new IOException("waited in vain for " + what + "; the supervisor says: " + fleet.log());
@@ -256,16 +256,16 @@
     private void watch(long span) throws Exception {
         long end = millis() + span;
         do {
-            look();
-            if (random.nextDouble() < RESETS) {
-                stage.resetOne(random.nextInt());
+            poll();
+            if (random.nextDouble() < RESET_PROBABILITY) {
+                environment.resetOne(random.nextInt());
             }
             Thread.sleep(Math.max(1, Math.min(100, end - millis())));
         } while (millis() < end);
     }
 
     /** Asks the supervisor how all are, and notes in the book when a daemon was away. */
-    private void look() {
+    private void poll() {
         long now = TestEnvironment.micros();
         try {
             status = fleet.ask("status");
@@ -280,28 +280,28 @@
             boolean ready = d.get("state").getAsString().equals("ready");
             int sender = i;
             if (!ready) {
-                downSince.putIfAbsent(name, lastLook);
+                downSince.putIfAbsent(name, lastPollMillis);
             } else if (downSince.containsKey(name)) {
                 long from = downSince.remove(name);
-                stage.runOnLoop(() -> stage.history().senderDown(sender, from, now));
+                environment.runOnLoop(() -> environment.history().senderDown(sender, from, now));
             }
         }
-        lastLook = now;
+        lastPollMillis = now;
     }
 
     /** A live table: each daemon, each destination, and the books so far. */
     List<String> table() {
         List<String> out = new ArrayList<>(status == null ? List.of("the fleet starts") : FleetCommand.table(status));
-        stage.runOnLoop(() -> {
-            for (int i = 0; i < stage.upstreams().size(); i += 2) {
-                StubUpstreamServer one = stage.upstreams().get(i);
+        environment.runOnLoop(() -> {
+            for (int i = 0; i < environment.upstreams().size(); i += 2) {
+                StubUpstreamServer one = environment.upstreams().get(i);
                 out.add(String.format(
                         "destination %d  %-7s  calls %6d  over its limit %4d",
                         one.destination(),
                         one.upstream().mode().name().toLowerCase(java.util.Locale.ROOT),
-                        one.calls() + stage.upstreams().get(i + 1).calls(),
+                        one.calls() + environment.upstreams().get(i + 1).calls(),
                         one.upstream().overLimit()
-                                + stage.upstreams().get(i + 1).upstream().overLimit()));
+                                + environment.upstreams().get(i + 1).upstream().overLimit()));
             }
         });
         out.add(line());
@@ -310,7 +310,7 @@
 
     /** All books in one line. */
     String line() {
-        DeliveryHistory.Totals t = stage.totals();
+        DeliveryHistory.Totals t = environment.totals();
         long ready = 0;
         long held = 0;
         if (status != null) {
@@ -338,27 +338,29 @@
     }
 
     private JsonObject result(long quietFrom, long quietTo, long rollFrom, long rollTo) {
-        DeliveryHistory.Totals t = stage.totals();
+        DeliveryHistory.Totals t = environment.totals();
         JsonObject out = new JsonObject();
         DeliveryTotalsJson.add(out, t);
-        out.addProperty("asked", stage.callOnLoop(clients::submittedCount));
+        out.addProperty("asked", environment.callOnLoop(clients::submittedCount));
         out.addProperty("refused", t.rejected());
         out.addProperty("silent", t.unanswered());
         out.addProperty("daemons", plan.daemons());
         out.addProperty("seed", plan.seed());
         out.addProperty("up_ms", upMillis);
         out.addProperty(
-                "in_time_quiet", round(stage.callOnLoop(() -> stage.history().shareInTime(quietFrom, quietTo))));
+                "in_time_quiet",
+                round(environment.callOnLoop(() -> environment.history().shareInTime(quietFrom, quietTo))));
         out.addProperty(
-                "in_time_rolling", round(stage.callOnLoop(() -> stage.history().shareInTime(rollFrom, rollTo))));
-        out.addProperty("cold_share", round(stage.highestSlowStartShare()));
-        out.addProperty("falls", stage.overloadCount());
+                "in_time_rolling",
+                round(environment.callOnLoop(() -> environment.history().shareInTime(rollFrom, rollTo))));
+        out.addProperty("cold_share", round(environment.highestSlowStartShare()));
+        out.addProperty("falls", environment.overloadCount());
         out.addProperty("kills", killed);
         if (plan.scaleTo() > 0) {
             out.addProperty("scaled_to", plan.scaleTo());
             out.addProperty("scale_ms", scaleMillis);
         }
-        out.addProperty("handed_over", handedOver());
+        out.addProperty("handed_over", handedOffMessages());
         out.addProperty("rolling", status.get("rolling").getAsString());
         boolean ok = t.ok()
                 && t.lateNotifications() == 0
@@ -368,8 +370,9 @@
                         || status.get("rolling").getAsString().equals("done"));
         out.addProperty("ok", ok);
         if (!ok) {
-            stage.callOnLoop(stage.history()::violations).forEach(c -> lines.accept("! " + c));
-            stage.callOnLoop(() -> stage.history().lost(TestEnvironment.micros()))
+            environment.callOnLoop(environment.history()::violations).forEach(c -> lines.accept("! " + c));
+            environment
+                    .callOnLoop(() -> environment.history().lost(TestEnvironment.micros()))
                     .forEach(c -> lines.accept("! lost " + c));
             lines.accept(fleet.log());
         }
@@ -377,13 +380,13 @@
     }
 
     /** As the daemons' logs tell. */
-    private long handedOver() {
+    private long handedOffMessages() {
         long sum = 0;
         try (Stream<Path> files = Files.list(folder.resolve("run"))) {
             for (Path log : files.filter(f -> f.getFileName().toString().contains(".log"))
                     .toList()) {
                 for (String line : Files.readAllLines(log)) {
-                    Matcher told = MOVED.matcher(line);
+                    Matcher told = HANDOFF_LINE.matcher(line);
                     sum += told.find() ? Long.parseLong(told.group(1)) : 0;
                 }
             }
@@ -423,7 +426,7 @@
     /** Ends what still runs and clears the run's folder. */
     @Override
     public void close() throws IOException {
-        try (stage;
+        try (environment;
                 fleet) {
             // Both are closed, the fleet first.
         } finally {
