--- a/cli/src/main/java/amberroute/cli/FailoverExperiment.java
+++ b/cli/src/main/java/amberroute/cli/FailoverExperiment.java
@@ -215,7 +215,7 @@
                 Thread.sleep(400);
                 play(faults, away);
             }
-            environment.awaitCompletion(() -> slots.forEach(slot -> killQuietly(slot)));
+            environment.awaitCompletion(() -> slots.forEach(slot -> pollUnchecked(slot)));
             return result();
         } finally {
             if (logs) {
@@ -243,7 +243,7 @@
                         .sum();
     }
 
-    private static void killQuietly(DaemonSlot slot) {
+    private static void pollUnchecked(DaemonSlot slot) {
         try {
             slot.poll();
         } catch (IOException e) {
