--- a/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
@@ -77,13 +77,21 @@
         waitPrediction = new WaitPrediction(this.settings, serviceTimes, backlog, index, calls, gate, recoveryRamp);
         admission = new AdmissionController(this.settings, random, messages, pending, index, waitPrediction);
         silentCalls = new SilentCallDetector(this.settings, messages, calls, attemptTimeout, breaker, connections);
+        selector = createSelector(attemptTimeout, gate);
+        outcomes = createOutcomeHandler(backoff, attemptTimeout, rateLimiter);
+    }
+
+    private DispatchSelector createSelector(AttemptTimeout attemptTimeout, UpstreamGate gate) {
         DispatchRisk risk = new DispatchRisk(attemptTimeout);
         EndpointSelector endpoints =
-                new EndpointSelector(this.settings, gate, risk, shutdownPolicy, connections, candidates, timer);
-        selector = new DispatchSelector(
-                pending, candidates, index, calls, endpoints, risk, shutdownPolicy, attemptTimeout);
-        outcomes = new AttemptOutcomeHandler(
-                this.settings,
+                new EndpointSelector(settings, gate, risk, shutdownPolicy, connections, candidates, timer);
+        return new DispatchSelector(pending, candidates, index, calls, endpoints, risk, shutdownPolicy, attemptTimeout);
+    }
+
+    private AttemptOutcomeHandler createOutcomeHandler(
+            Backoff backoff, AttemptTimeout attemptTimeout, RateLimiter rateLimiter) {
+        return new AttemptOutcomeHandler(
+                settings,
                 messages,
                 calls,
                 pending,
@@ -187,7 +195,7 @@
                 now, event.id(), event.messageClass(), event.key(), event.timeLeftMicros(), event.destination());
         message.attempts = event.attempts();
         if (message.attempts == 0 && message.messageClass.idempotency() != Idempotency.IDEMPOTENT) {
-            message.priorityWeight = settings.get().highestPriorityWeight();
+            message.priorityWeight = settings.highestPriorityWeight();
         }
         if (event.unknownOutcomeAgeMicros() >= 0) {
             message.unknownOutcomeSince = now - event.unknownOutcomeAgeMicros();
--- a/decisions/src/main/java/amberroute/decisions/AttemptTimeout.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptTimeout.java
@@ -64,8 +64,8 @@
         double latencyMicros = health.usualLatencyMicros > 0
                 ? Math.max(health.usualLatencyMicros, health.presentLatencyMicros)
                 : serviceTimes.usualLatencyMicros();
-        return Math.max((long) (MIN_SILENCE_DEADLINE_RATIO * settings.longestDeadlineMicros()), (long)
-                (SILENT_AFTER_LATENCIES * latencyMicros));
+        long leastMicros = (long) (MIN_SILENCE_DEADLINE_RATIO * settings.longestDeadlineMicros());
+        return Math.max(leastMicros, (long) (SILENT_AFTER_LATENCIES * latencyMicros));
     }
 
     /** Whether the message may run out of time before a slow answer: its call would time out before that is silence. */
--- a/decisions/src/main/java/amberroute/decisions/CurrentSettings.java
+++ b/decisions/src/main/java/amberroute/decisions/CurrentSettings.java
@@ -1,6 +1,7 @@
 package amberroute.decisions;
 
 import amberroute.decisions.DeliveryScheduler.Limits;
+import amberroute.decisions.DeliveryScheduler.MessageClass;
 import amberroute.decisions.DeliveryScheduler.Rules;
 import amberroute.decisions.DeliveryScheduler.Settings;
 
@@ -8,6 +9,7 @@
 final class CurrentSettings {
     private Settings settings;
     private long longestDeadlineMicros;
+    private double highestPriorityWeight;
 
     /**
      * Settings to begin with.
@@ -24,9 +26,33 @@
      * @throws IllegalArgumentException if one is out of range
      */
     void replace(Settings replacement) {
-        replacement.check();
+        check(replacement);
         settings = replacement;
-        longestDeadlineMicros = replacement.longestDeadlineMicros();
+        longestDeadlineMicros = 0;
+        highestPriorityWeight = 0;
+        for (MessageClass messageClass : replacement.classes()) {
+            longestDeadlineMicros = Math.max(longestDeadlineMicros, messageClass.deadlineMicros());
+            highestPriorityWeight = Math.max(highestPriorityWeight, messageClass.priorityWeight());
+        }
+    }
+
+    private static void check(Settings settings) {
+        Limits limits = settings.limits();
+        Rules rules = settings.rules();
+        require(settings.senderCount() > 0 && !settings.classes().isEmpty(), "senders or classes");
+        require(
+                limits.maxConcurrentCalls() > 0 && limits.maxPendingMessages() > 0 && limits.maxAttempts() > 0,
+                "limits");
+        require(rules.slowStartCapacity() > 0 && rules.slowStartMicros() >= 0 && rules.overloadMultiple() > 0, "rules");
+        for (MessageClass messageClass : settings.classes()) {
+            require(messageClass.deadlineMicros() > 0 && messageClass.latencyObjectiveMicros() > 0, "classes");
+        }
+    }
+
+    private static void require(boolean holds, String setting) {
+        if (!holds) {
+            throw new IllegalArgumentException("setting " + setting + " is out of range");
+        }
     }
 
     Settings get() {
@@ -38,6 +64,11 @@
         return longestDeadlineMicros;
     }
 
+    /** The priority weight of the class that has the highest. */
+    double highestPriorityWeight() {
+        return highestPriorityWeight;
+    }
+
     Limits limits() {
         return settings.limits();
     }
--- a/decisions/src/main/java/amberroute/decisions/settings/InvalidSettingsException.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/InvalidSettingsException.java
@@ -1,6 +1,6 @@
 package amberroute.decisions.settings;
 
-/** What came in cannot be read; the message says what and where. */
+/** Settings of the platform that are missing or cannot be read; the message names the path. */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
@@ -1,6 +1,17 @@
 package amberroute.decisions.settings;
 
-import amberroute.decisions.DeliveryScheduler;
+import amberroute.decisions.DeliveryScheduler.DestinationKind;
+import amberroute.decisions.DeliveryScheduler.Idempotency;
+import amberroute.decisions.DeliveryScheduler.KeyScope;
+import amberroute.decisions.DeliveryScheduler.LateValueDecay;
+import amberroute.decisions.DeliveryScheduler.Limits;
+import amberroute.decisions.DeliveryScheduler.MessageClass;
+import amberroute.decisions.DeliveryScheduler.Prices;
+import amberroute.decisions.DeliveryScheduler.ReportFields;
+import amberroute.decisions.DeliveryScheduler.Rules;
+import amberroute.decisions.DeliveryScheduler.Settings;
+import amberroute.decisions.DeliveryScheduler.Tenant;
+import amberroute.decisions.DeliveryScheduler.WeightKind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -8,16 +19,22 @@
 import java.util.function.Function;
 import java.util.function.IntFunction;
 
-/** Reads the path=value settings of an instance; the real sender flattens its JSON to the same paths. */
+/**
+ * Reads the platform's settings, pairs of path and value, and maps the platform's names to the terms of the module: lanes are
+ * message classes, parties are tenants, balancers are senders, an importance is a priority weight. The names of paths and values
+ * are the platform's and appear nowhere else in the module. Spans are microseconds (paths that end in {@code _us}).
+ */
 public final class PlatformSettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
-    /** Settings as lines of path=value; other lines are passed over. */
+    /** Settings as lines of {@code path=value}; other lines are ignored. */
     public PlatformSettingsReader(String text) {
         for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                values.put(line.substring(0, eq), line.substring(eq + 1).strip());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(
+                        line.substring(0, separator),
+                        line.substring(separator + 1).strip());
             }
         }
     }
@@ -27,123 +44,141 @@
         this.values.putAll(values);
     }
 
-    /** The settings in the module's own terms. */
-    public DeliveryScheduler.Settings settings(long seed) {
-        return new DeliveryScheduler.Settings(
+    /**
+     * The settings of a scheduler. Their ranges are checked by the scheduler.
+     *
+     * @param seed of all random choices
+     * @throws InvalidSettingsException if one is missing or cannot be read
+     */
+    public Settings settings(long seed) {
+        return new Settings(
                 seed,
-                whole("balancers"),
-                whole("az", 0),
+                integer("balancers"),
+                integer("az", 0),
                 micros("tick_us"),
                 text("membership_mode").equals("on_request"),
-                real("over_share_worth", 1),
-                lateWorth(),
+                decimal("over_share_worth", 1),
+                lateValueDecay(),
                 weightKind(),
                 items("lanes", this::messageClass),
-                items("parties", i -> new DeliveryScheduler.Tenant(real("parties." + i + ".quota_per_s"))),
-                kinds(),
+                items("parties", index -> new Tenant(decimal("parties." + index + ".quota_per_s"))),
+                destinationKinds(),
                 limits(),
                 rules(),
-                new DeliveryScheduler.Prices(
-                        real("prices.handshake", 0), real("prices.cross_zone", 0), reals("family_info.toll")),
+                new Prices(
+                        decimal("prices.handshake", 0), decimal("prices.cross_zone", 0), decimals("family_info.toll")),
                 reportFields());
     }
 
-    private DeliveryScheduler.LateValueDecay lateWorth() {
+    private LateValueDecay lateValueDecay() {
         return values.getOrDefault("family_info.late", "even").equals("by_half")
-                ? DeliveryScheduler.LateValueDecay.HALVING
-                : DeliveryScheduler.LateValueDecay.LINEAR;
+                ? LateValueDecay.HALVING
+                : LateValueDecay.LINEAR;
     }
 
-    private DeliveryScheduler.WeightKind weightKind() {
+    private WeightKind weightKind() {
         return switch (values.getOrDefault("weight_kind", "off")) {
-            case "nominal" -> DeliveryScheduler.WeightKind.NOMINAL;
-            case "rough" -> DeliveryScheduler.WeightKind.ESTIMATED;
-            default -> DeliveryScheduler.WeightKind.NONE;
+            case "nominal" -> WeightKind.NOMINAL;
+            case "rough" -> WeightKind.ESTIMATED;
+            default -> WeightKind.NONE;
         };
     }
 
-    private DeliveryScheduler.MessageClass messageClass(int i) {
-        String p = "lanes." + i + ".";
-        DeliveryScheduler.Idempotency effect =
-                switch (text(p + "effect")) {
-                    case "pure" -> DeliveryScheduler.Idempotency.IDEMPOTENT;
-                    case "token" -> DeliveryScheduler.Idempotency.KEYED;
-                    case "side_effect" -> DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
-                    default -> throw bad(p + "effect");
-                };
-        DeliveryScheduler.KeyScope scope =
-                switch (values.getOrDefault(p + "dedup_scope", "")) {
-                    case "all" -> DeliveryScheduler.KeyScope.DESTINATION;
-                    case "zone" -> DeliveryScheduler.KeyScope.ZONE;
-                    default -> DeliveryScheduler.KeyScope.ENDPOINT;
-                };
-        return new DeliveryScheduler.MessageClass(
-                real(p + "importance"),
-                real(p + "late_share", 0),
-                micros(p + "goal_time_us"),
-                micros(p + "deadline_us"),
-                effect,
-                scope,
-                effect == DeliveryScheduler.Idempotency.KEYED ? micros(p + "key_ttl_us") : 0,
-                flag(p + "sequential"));
-    }
-
-    private List<DeliveryScheduler.DestinationKind> kinds() {
-        List<String> names = list("kinds");
-        List<String> apart = list("family_info.routes_apart");
-        List<String> perCall = list("family_info.per_call");
-        List<DeliveryScheduler.DestinationKind> out = new ArrayList<>();
-        for (int i = 0; i < names.size(); i++) {
-            boolean isApart = i < apart.size() && apart.get(i).equals("true");
-            int messages = i < perCall.size() ? parse("family_info.per_call", perCall.get(i), Integer::parseInt) : 1;
-            out.add(new DeliveryScheduler.DestinationKind(isApart, messages));
+    private MessageClass messageClass(int index) {
+        String prefix = "lanes." + index + ".";
+        Idempotency idempotency = idempotency(prefix + "effect");
+        return new MessageClass(
+                decimal(prefix + "importance"),
+                decimal(prefix + "late_share", 0),
+                micros(prefix + "goal_time_us"),
+                micros(prefix + "deadline_us"),
+                idempotency,
+                keyScope(prefix + "dedup_scope"),
+                idempotency == Idempotency.KEYED ? micros(prefix + "key_ttl_us") : 0,
+                flag(prefix + "sequential"));
+    }
+
+    private Idempotency idempotency(String path) {
+        return switch (text(path)) {
+            case "pure" -> Idempotency.IDEMPOTENT;
+            case "token" -> Idempotency.KEYED;
+            case "side_effect" -> Idempotency.NON_IDEMPOTENT;
+            default -> throw unreadable(path);
+        };
+    }
+
+    private KeyScope keyScope(String path) {
+        return switch (values.getOrDefault(path, "")) {
+            case "all" -> KeyScope.DESTINATION;
+            case "zone" -> KeyScope.ZONE;
+            default -> KeyScope.ENDPOINT;
+        };
+    }
+
+    private List<DestinationKind> destinationKinds() {
+        int count = list("kinds").size();
+        List<String> independent = list("family_info.routes_apart");
+        List<String> messagesPerCall = list("family_info.per_call");
+        List<DestinationKind> kinds = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            boolean independentEndpoints =
+                    i < independent.size() && independent.get(i).equals("true");
+            int messages = i < messagesPerCall.size()
+                    ? parse("family_info.per_call", messagesPerCall.get(i), Integer::parseInt)
+                    : 1;
+            kinds.add(new DestinationKind(independentEndpoints, messages));
         }
-        return out;
+        return kinds;
     }
 
-    private DeliveryScheduler.Limits limits() {
-        return new DeliveryScheduler.Limits(
-                whole("family_info.calls_out"),
-                whole("allowed.open_cap"),
-                whole("allowed.max_attempts"),
+    private Limits limits() {
+        return new Limits(
+                integer("family_info.calls_out"),
+                integer("allowed.open_cap"),
+                integer("allowed.max_attempts"),
                 flag("allowed.parallel_tries"),
                 flag("allowed.cancel"),
                 flag("allowed.retry_after"),
                 micros("allowed.max_retry_after_us"),
-                whole("allowed.streams_per_conn"),
+                integer("allowed.streams_per_conn"),
                 micros("allowed.keepalive_us"),
                 micros("allowed.connect_timeout_us"));
     }
 
-    private DeliveryScheduler.Rules rules() {
-        return new DeliveryScheduler.Rules(
+    private Rules rules() {
+        return new Rules(
                 micros("rules.answer_slack_us"),
                 micros("rules.ask_within_us"),
-                real("rules.start_capacity"),
+                decimal("rules.start_capacity"),
                 micros("rules.cold_us"),
-                real("rules.fall_multiple"),
+                decimal("rules.fall_multiple"),
                 micros("rules.fall_us"),
                 values.containsKey("rules.settle_after_doubt_us") ? micros("rules.settle_after_doubt_us") : 0);
     }
 
-    private DeliveryScheduler.ReportFields reportFields() {
+    /** The platform names the values of a report x0 (allowance left) and x1 (limit). */
+    private ReportFields reportFields() {
         boolean inline = values.getOrDefault("reporting.how", "off").equals("inline");
         List<String> names = inline ? list("reporting.names") : List.of();
-        return new DeliveryScheduler.ReportFields(names.indexOf("x0"), names.indexOf("x1"));
+        return new ReportFields(names.indexOf("x0"), names.indexOf("x1"));
     }
 
     private <T> List<T> items(String path, IntFunction<T> reader) {
-        List<T> out = new ArrayList<>();
-        int n = whole(path + ".count", 0);
-        for (int i = 0; i < n; i++) {
-            out.add(reader.apply(i));
+        List<T> items = new ArrayList<>();
+        int count = integer(path + ".count", 0);
+        for (int i = 0; i < count; i++) {
+            items.add(reader.apply(i));
         }
-        return out;
+        return items;
     }
 
-    /** Names of the classes in the order of their indexes. */
+    /**
+     * Names of the message classes in the order of their indexes.
+     *
+     * @throws InvalidSettingsException if one is missing
+     */
     public List<String> classNames() {
-        return items("lanes", i -> text("lanes." + i + ".name"));
+        return items("lanes", index -> text("lanes." + index + ".name"));
     }
 
     /** A list of plain values; empty where the setting is absent. */
@@ -152,12 +187,12 @@
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    private List<Double> reals(String path) {
-        List<Double> out = new ArrayList<>();
+    private List<Double> decimals(String path) {
+        List<Double> decimals = new ArrayList<>();
         for (String value : list(path)) {
-            out.add(parse(path, value, Double::parseDouble));
+            decimals.add(parse(path, value, Double::parseDouble));
         }
-        return out;
+        return decimals;
     }
 
     private boolean flag(String path) {
@@ -167,7 +202,7 @@
     private String text(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw bad(path);
+            throw unreadable(path);
         }
         return value;
     }
@@ -176,31 +211,31 @@
         return parse(path, text(path), Long::parseLong);
     }
 
-    private int whole(String path) {
+    private int integer(String path) {
         return parse(path, text(path), Integer::parseInt);
     }
 
-    private int whole(String path, int absent) {
-        return values.containsKey(path) ? whole(path) : absent;
+    private int integer(String path, int absent) {
+        return values.containsKey(path) ? integer(path) : absent;
     }
 
-    private double real(String path) {
+    private double decimal(String path) {
         return parse(path, text(path), Double::parseDouble);
     }
 
-    private double real(String path, double absent) {
-        return values.containsKey(path) ? real(path) : absent;
+    private double decimal(String path, double absent) {
+        return values.containsKey(path) ? decimal(path) : absent;
     }
 
     private static <T> T parse(String path, String value, Function<String, T> parser) {
         try {
             return parser.apply(value);
         } catch (NumberFormatException e) {
-            throw bad(path);
+            throw unreadable(path);
         }
     }
 
-    private static InvalidSettingsException bad(String path) {
+    private static InvalidSettingsException unreadable(String path) {
         return new InvalidSettingsException("setting " + path + " is missing or cannot be read");
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
@@ -320,7 +320,10 @@
         PendingMessage m = take(now, e.id(), e.messageClass(), e.key(), e.timeLeftMicros(), e.destination());
         m.attempts = e.attempts();
         m.worth = m.attempts == 0 && m.type.idempotency() != Idempotency.IDEMPOTENT
-                ? settings.highestPriorityWeight()
+                ? settings.classes().stream()
+                        .mapToDouble(MessageClass::priorityWeight)
+                        .max()
+                        .orElse(0)
                 : m.worth;
         if (e.unknownOutcomeAgeMicros() >= 0) {
             m.doubtSince = now - e.unknownOutcomeAgeMicros();
