--- a/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
@@ -52,7 +52,7 @@
 
     /** Adds or removes a queue, as it has ready messages for a destination that is awake, and takes note of its values. */
     void update(DispatchQueue queue) {
-        boolean candidate = queue.messages.readies() > 0 && !queue.destination.asleep;
+        boolean candidate = queue.messages.readyCount() > 0 && !queue.destination.asleep;
         if (candidate && queue.candidatePosition < 0) {
             add(queue);
         } else if (!candidate && queue.candidatePosition >= 0) {
@@ -133,7 +133,7 @@
         for (IndexedTimerHeap.Entry<Destination> timer = wakeTimers.poll(now);
                 timer != null;
                 timer = wakeTimers.poll(now)) {
-            wake(timer.of());
+            wake(timer.item());
         }
     }
 
--- a/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
@@ -80,7 +80,7 @@
     int countAtLeast(long now, DispatchQueue queue, double index) {
         return queue.isEmpty() || candidates.bound(now, queue, queue.earliestDue, pressureSpanMicros()) < index
                 ? 0
-                : prepare(now, queue, scratch).atLeast(queue.messages, index);
+                : prepare(now, queue, scratch).countAtLeast(queue.messages, index);
     }
 
     /** The service times of all messages with less priority weight whose index is no less. */
--- a/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
@@ -52,9 +52,9 @@
     private int leastWaitingRisk(long now, Destination destination) {
         int least = Integer.MAX_VALUE;
         for (DispatchQueue queue : destination.queues) {
-            if (queue.messages.turns() > 0) {
+            if (queue.messages.firstOfKeyCount() > 0) {
                 long ampleTimeDue = attemptTimeout.ampleTimeDue(now, destination, queue.messageClass);
-                boolean shortOfTime = queue.messages.lastTurn() < ampleTimeDue;
+                boolean shortOfTime = queue.messages.latestFirstOfKeyDue() < ampleTimeDue;
                 least = Math.min(least, riskOf(queue.messageClass, shortOfTime));
             }
         }
--- a/decisions/src/main/java/amberroute/decisions/ExpirySchedule.java
+++ b/decisions/src/main/java/amberroute/decisions/ExpirySchedule.java
@@ -74,8 +74,8 @@
     /** When the next message expires, NEVER for none. */
     long nextAt(long now) {
         IndexedTimerHeap.Entry<DispatchQueue> timer = queueTimers.peek();
-        while (timer != null && expiryAt(now, timer.of(), timer.of().earliestDue) > timer.at()) {
-            queueTimers.set(timer, expiryAt(now, timer.of(), timer.of().earliestDue));
+        while (timer != null && expiryAt(now, timer.item(), timer.item().earliestDue) > timer.at()) {
+            queueTimers.set(timer, expiryAt(now, timer.item(), timer.item().earliestDue));
             timer = queueTimers.peek();
         }
         IndexedTimerHeap.Entry<PendingMessage> repeatLimit = repeatLimits.peek();
@@ -95,7 +95,7 @@
         for (IndexedTimerHeap.Entry<PendingMessage> limit = repeatLimits.poll(now);
                 limit != null;
                 limit = repeatLimits.poll(now)) {
-            expired.add(limit.of());
+            expired.add(limit.item());
         }
         rescheduleUnmeasured(now, nonEmptyQueues);
         for (IndexedTimerHeap.Entry<DispatchQueue> timer = queueTimers.poll(now);
@@ -122,7 +122,7 @@
     }
 
     private void expire(long now, IndexedTimerHeap.Entry<DispatchQueue> timer) {
-        DispatchQueue queue = timer.of();
+        DispatchQueue queue = timer.item();
         PendingMessage message = queue.messages.first();
         while (message != null && expiryAt(now, queue, message.due) <= now) {
             expired.add(message);
--- a/decisions/src/main/java/amberroute/decisions/PendingMessages.java
+++ b/decisions/src/main/java/amberroute/decisions/PendingMessages.java
@@ -108,7 +108,7 @@
         } else {
             queue.earliestDue = message.due == queue.earliestDue ? queue.messages.first().due : queue.earliestDue;
             queue.latestDue = message.due == queue.latestDue
-                    ? queue.messages.last(Long.MIN_VALUE, Long.MAX_VALUE, false).due
+                    ? queue.messages.latest(Long.MIN_VALUE, Long.MAX_VALUE, false).due
                     : queue.latestDue;
         }
         if (wasReady) {
@@ -166,9 +166,9 @@
 
     private void readinessChanged(DispatchQueue queue, long due, boolean ready) {
         if (ready) {
-            queue.earliestReadyDue = queue.messages.readies() == 1 ? due : Math.min(queue.earliestReadyDue, due);
-        } else if (queue.messages.readies() > 0 && due == queue.earliestReadyDue) {
-            queue.earliestReadyDue = queue.messages.from(Long.MIN_VALUE, Long.MAX_VALUE, true).due;
+            queue.earliestReadyDue = queue.messages.readyCount() == 1 ? due : Math.min(queue.earliestReadyDue, due);
+        } else if (queue.messages.readyCount() > 0 && due == queue.earliestReadyDue) {
+            queue.earliestReadyDue = queue.messages.earliest(Long.MIN_VALUE, Long.MAX_VALUE, true).due;
         }
         candidates.update(queue);
     }
@@ -178,7 +178,7 @@
         for (IndexedTimerHeap.Entry<PendingMessage> timer = resumeTimers.poll(now);
                 timer != null;
                 timer = resumeTimers.poll(now)) {
-            updateReadiness(now, timer.of());
+            updateReadiness(now, timer.item());
         }
         candidates.wakeDue(now);
     }
--- a/decisions/src/main/java/amberroute/decisions/collections/AtcIndex.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/AtcIndex.java
@@ -3,187 +3,204 @@
 import java.util.Arrays;
 
 /**
- * The index of messages of one kind as a function of their due dates alone, and the stretches of due dates in which it only
- * falls or only rises. Their worth, odds, service time and aim are common; the aim is the due date less a constant.
+ * The index of the messages of one dispatch queue as a function of their due dates alone, and the stretches of due dates in which
+ * it only falls or only rises. Priority weight, success probability and service time are common to them, and the latency objective
+ * of a message is its due date less a constant. All spans are microseconds. Not thread-safe.
  *
- * <p>The index is kept as its logarithm: I = w·left(t + p)·odds / p · exp(−max(d − t, 0) / K) falls below the least double
- * where due dates are some 700 K away, and messages would tie there. An index of 0 is −infinity. From the latest
- * due date to the earliest: what will be on time has all its worth left, so the index falls with the due date. Where worth
- * falls evenly it is (a + b·d)·exp(−d / K), which has one peak, K − a/b. Where it halves it is a stair, falling on each step. What
- * cannot be answered before it is due has the late share left.
+ * <p>The index I = w · left(t + s) · p / s · exp(−max(d − t, 0) / K), with weight w, success probability p, service time s, due date
+ * d and pressure span K, is kept as its logarithm: it falls below the least double where due dates are some 700 K away, and messages
+ * would tie there. An index of 0 is −infinity. From the latest due date to the earliest: what will be on time has all of its value
+ * left, so the index falls with the due date. Where the value falls linearly it is (a + b·d)·exp(−d / K), which has one peak, K −
+ * a/b. Where it halves it is a staircase that falls on each step. What cannot be answered before it is due has the late share left.
  */
 public final class AtcIndex {
-    /** Steps of a stair; what lies below the last has less than 2^−60 of its worth left, and is taken for one step. */
-    private static final int STEPS = 60;
+    /** Steps of a staircase; what lies below the last has less than 2^−60 of its value left, and counts as one step. */
+    private static final int MAX_STEPS = 60;
+
+    private static final int INITIAL_STRETCHES = 8;
 
     private double gain;
-    private double p;
-    private double k;
+    private double serviceMicros;
+    private double pressureSpanMicros;
     private long now;
-    private long slack;
-    private long aim;
+    /** Span from the latency objective to the due date. */
+    private long slackMicros;
+
+    private long objectiveMicros;
     private double lateShare;
     private boolean halving;
-    private int pieces;
-    private long[] from = new long[8];
-    private long[] to = new long[8];
-    private boolean[] rising = new boolean[8];
+    private int stretches;
+    private long[] begins = new long[INITIAL_STRETCHES];
+    private long[] ends = new long[INITIAL_STRETCHES];
+    private boolean[] rising = new boolean[INITIAL_STRETCHES];
 
     /**
-     * What all have in common: worth, share of calls that are answered, service time {@code p}, the span {@code k} by which
-     * pressure is measured, and of their class the spans from taking on to aim and to deadline and the share that is left
-     * at the deadline. All spans in microseconds and above 0.
+     * Sets what the messages have in common; spans are above 0.
+     *
+     * @param successProbability share of calls that succeed
+     * @param pressureSpan the span by which urgency grows
+     * @param toObjective span from the submission of a message to its latency objective
+     * @param toDeadline span from the submission of a message to its deadline
+     * @param lateValueShare share of the value that is left at the deadline
+     * @param halves whether the value halves with each latency objective, rather than falling linearly
      */
     public void set(
-            double worth,
-            double odds,
+            double priorityWeight,
+            double successProbability,
             double serviceTime,
             long at,
-            double span,
-            long toAim,
+            double pressureSpan,
+            long toObjective,
             long toDeadline,
-            double late,
+            double lateValueShare,
             boolean halves) {
-        gain = worth * odds / serviceTime;
-        p = serviceTime;
-        k = span;
+        gain = priorityWeight * successProbability / serviceTime;
+        serviceMicros = serviceTime;
+        pressureSpanMicros = pressureSpan;
         now = at;
-        aim = toAim;
-        slack = toDeadline - toAim;
-        lateShare = late;
+        objectiveMicros = toObjective;
+        slackMicros = toDeadline - toObjective;
+        lateShare = lateValueShare;
         halving = halves;
     }
 
-    /** The logarithm of the index of what is due then. */
+    /** The logarithm of the index of a message that is due then. */
     public double index(long due) {
-        return Math.log(left(due) * gain) - Math.max(due - now, 0) / k;
+        return Math.log(valueLeft(due) * gain) - Math.max(due - now, 0) / pressureSpanMicros;
     }
 
-    /** A bound from above for what is due then or later. */
-    public static double bound(double gain, long due, long now, double k) {
-        return Math.log(gain) - Math.max(due - now, 0) / k;
-    }
-
-    /** Share of the worth that is left when it has been served. */
-    private double left(long due) {
-        double late = now + p - (due - slack);
-        if (late <= 0) {
+    /** Share of the value that is left when the message has been served. */
+    private double valueLeft(long due) {
+        double lateMicros = now + serviceMicros - (due - slackMicros);
+        if (lateMicros <= 0) {
             return 1;
         }
         if (halving) {
-            return Math.max(lateShare, Math.pow(0.5, Math.ceil(late / aim)));
+            return Math.max(lateShare, Math.pow(0.5, Math.ceil(lateMicros / objectiveMicros)));
         }
-        return 1 - (1 - lateShare) * Math.min(1, late / Math.max(1, slack));
+        return 1 - (1 - lateShare) * Math.min(1, lateMicros / Math.max(1, slackMicros));
     }
 
     // ---- Stretches. ----
 
-    /** Divides all due dates from {@code first} on into stretches, also at the two that are given. */
+    /** Divides all due dates from {@code first} on into stretches, also at the two cuts that are given. */
     public void divide(long first, long cut, long otherCut) {
-        pieces = 0;
-        long served = (long) Math.ceil(now + p);
-        long onTime = served + slack;
+        stretches = 0;
+        long served = (long) Math.ceil(now + serviceMicros);
+        long onTime = served + slackMicros;
         if (lateShare >= 1) {
-            piece(Long.MIN_VALUE, onTime, false);
+            addStretch(Long.MIN_VALUE, onTime, false);
         } else if (halving) {
-            stairs(first, onTime);
-        } else if (slack <= 0) {
-            // All is lost within a microsecond of the aim.
-            piece(Long.MIN_VALUE, onTime - 1, false);
-            piece(onTime - 1, onTime, false);
+            addStaircase(first, onTime);
+        } else if (slackMicros <= 0) {
+            // All value is lost within a microsecond of the objective.
+            addStretch(Long.MIN_VALUE, onTime - 1, false);
+            addStretch(onTime - 1, onTime, false);
         } else {
-            long peak =
-                    (long) Math.ceil(Math.min(onTime, Math.max(served, k + now + p + slack - slack / (1 - lateShare))));
-            piece(Long.MIN_VALUE, served, false);
-            piece(served, peak, true);
-            piece(peak, onTime, false);
+            long peak = (long) Math.ceil(Math.min(
+                    onTime,
+                    Math.max(
+                            served,
+                            pressureSpanMicros + now + serviceMicros + slackMicros - slackMicros / (1 - lateShare))));
+            addStretch(Long.MIN_VALUE, served, false);
+            addStretch(served, peak, true);
+            addStretch(peak, onTime, false);
         }
-        piece(onTime, Long.MAX_VALUE, false);
+        addStretch(onTime, Long.MAX_VALUE, false);
         cut(cut);
         cut(otherCut);
     }
 
-    private void stairs(long first, long onTime) {
+    private void addStaircase(long first, long onTime) {
         int steps = 0;
-        while (steps < STEPS && Math.pow(0.5, steps + 1) > lateShare && stair(steps + 1) > first) {
+        while (steps < MAX_STEPS && Math.pow(0.5, steps + 1) > lateShare && stepBegin(steps + 1) > first) {
             steps++;
         }
-        piece(Long.MIN_VALUE, stair(steps), false);
+        addStretch(Long.MIN_VALUE, stepBegin(steps), false);
         for (int step = steps; step > 0; step--) {
-            piece(stair(step), step == 1 ? onTime : stair(step - 1), false);
+            addStretch(stepBegin(step), step == 1 ? onTime : stepBegin(step - 1), false);
         }
     }
 
-    /** Where the step begins, as a due date, on which so many halvings are lost. */
-    private long stair(int halvings) {
-        return (long) Math.ceil(now + p + slack - (double) halvings * aim);
+    /** The due date at which the step begins on which so many halvings are lost. */
+    private long stepBegin(int halvings) {
+        return (long) Math.ceil(now + serviceMicros + slackMicros - (double) halvings * objectiveMicros);
     }
 
-    private void piece(long begin, long end, boolean rises) {
+    private void addStretch(long begin, long end, boolean rises) {
         if (begin < end) {
-            if (pieces == from.length) {
-                from = Arrays.copyOf(from, 2 * pieces);
-                to = Arrays.copyOf(to, 2 * pieces);
-                rising = Arrays.copyOf(rising, 2 * pieces);
+            if (stretches == begins.length) {
+                begins = Arrays.copyOf(begins, 2 * stretches);
+                ends = Arrays.copyOf(ends, 2 * stretches);
+                rising = Arrays.copyOf(rising, 2 * stretches);
             }
-            from[pieces] = begin;
-            to[pieces] = end;
-            rising[pieces++] = rises;
+            begins[stretches] = begin;
+            ends[stretches] = end;
+            rising[stretches++] = rises;
         }
     }
 
     private void cut(long at) {
-        for (int i = 0; i < pieces; i++) {
-            if (from[i] < at && at < to[i]) {
-                long end = to[i];
-                to[i] = at;
-                piece(at, end, rising[i]);
+        for (int i = 0; i < stretches; i++) {
+            if (begins[i] < at && at < ends[i]) {
+                long end = ends[i];
+                ends[i] = at;
+                addStretch(at, end, rising[i]);
                 return;
             }
         }
     }
 
-    int pieces() {
-        return pieces;
+    int stretches() {
+        return stretches;
     }
 
-    long from(int piece) {
-        return from[piece];
+    /** The first due date of a stretch. */
+    long begin(int stretch) {
+        return begins[stretch];
     }
 
-    long to(int piece) {
-        return to[piece];
+    /** The due date behind a stretch. */
+    long end(int stretch) {
+        return ends[stretch];
     }
 
-    boolean rising(int piece) {
-        return rising[piece];
+    boolean rising(int stretch) {
+        return rising[stretch];
     }
 
-    // ---- Questions to a tree of such messages; divide() comes first. ----
+    // ---- Questions to a treap of such messages; divide() comes first. ----
 
-    /** How many have this index or a higher one. */
-    public <N extends DueDateTreap.Node<N>> int atLeast(DueDateTreap<N> tree, double least) {
+    /** How many messages have this index or a higher one. */
+    public <N extends DueDateTreap.Node<N>> int countAtLeast(DueDateTreap<N> messages, double least) {
         int count = 0;
-        for (int i = 0; i < pieces; i++) {
+        for (int i = 0; i < stretches; i++) {
             if (rising[i]) {
-                count += tree.count(tree.turning(from[i], to[i], due -> index(due) < least), to[i]);
+                long first = messages.boundary(begins[i], ends[i], due -> index(due) < least);
+                count += messages.count(first, ends[i]);
             } else {
-                count += tree.count(from[i], tree.turning(from[i], to[i], due -> index(due) >= least));
+                long end = messages.boundary(begins[i], ends[i], due -> index(due) >= least);
+                count += messages.count(begins[i], end);
             }
         }
         return count;
     }
 
-    /** The one with the least index, of equals the one with the smallest number; null in an empty tree. */
-    public <N extends DueDateTreap.Node<N>> N least(DueDateTreap<N> tree) {
+    /** The message with the least index, of equals the one with the smallest number; null in an empty treap. */
+    public <N extends DueDateTreap.Node<N>> N least(DueDateTreap<N> messages) {
         N least = null;
-        double lowest = 0;
-        for (int i = 0; i < pieces; i++) {
-            N here = rising[i] ? tree.from(from[i], to[i], false) : tree.last(from[i], to[i], false);
-            double index = here == null ? 0 : index(here.due);
-            if (here != null && (least == null || index < lowest || index == lowest && here.number < least.number)) {
-                least = here;
-                lowest = index;
+        double leastIndex = 0;
+        for (int i = 0; i < stretches; i++) {
+            N candidate = rising[i]
+                    ? messages.earliest(begins[i], ends[i], false)
+                    : messages.latest(begins[i], ends[i], false);
+            if (candidate == null) {
+                continue;
+            }
+            double index = index(candidate.due);
+            if (least == null || index < leastIndex || index == leastIndex && candidate.number < least.number) {
+                least = candidate;
+                leastIndex = index;
             }
         }
         return least;
--- a/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
@@ -3,109 +3,115 @@
 import java.util.function.LongPredicate;
 
 /**
- * Messages of one kind in the order of their due dates, equal ones in the order of their numbers: a treap whose nodes are the
- * messages themselves, so that nothing is allocated. Priorities are a hash of the number, so the same messages give the same
- * tree. Counts, with and without marks, cost the logarithm of the size on average.
+ * Messages in the order of their due dates, equal ones in the order of their numbers: a treap whose nodes are the messages
+ * themselves, so that nothing is allocated. Priorities are a hash of the number, so the same messages give the same tree. Each
+ * operation costs the logarithm of the size on average. Due dates are microseconds on the caller's clock. Not thread-safe.
  */
 public final class DueDateTreap<N extends DueDateTreap.Node<N>> {
-    /** What stands in a tree; in one at a time. */
+    /** A message, in one treap at a time. */
     public abstract static class Node<N extends Node<N>> {
-        /** Due date and number; neither may change while it stands in a tree. */
+        /** The due date; it must not change while the node is in a treap. */
         public long due;
-
+        /** The number, different for each node; it must not change while the node is in a treap. */
         public long number;
+
         private N left;
         private N right;
         private int priority;
         private boolean ready;
-        private boolean turn;
+        private boolean firstOfKey;
         private int size;
-        private int readies;
-        private int turns;
+        private int readyCount;
+        private int firstOfKeyCount;
 
         /** Whether it was marked as ready. */
         public final boolean ready() {
             return ready;
         }
 
-        /** Whether it was marked as having its turn. */
-        public final boolean turn() {
-            return turn;
+        /** Whether it was marked as the one that its key lets go. */
+        public final boolean firstOfKey() {
+            return firstOfKey;
         }
     }
 
     private N root;
 
+    /** How many messages there are. */
     public int size() {
         return root == null ? 0 : size(root);
     }
 
     /** How many are marked as ready. */
-    public int readies() {
-        return readies(root);
+    public int readyCount() {
+        return readyCount(root);
     }
 
-    /** How many are marked as having their turn. */
-    public int turns() {
-        return turns(root);
+    /** How many are marked as first of their key. */
+    public int firstOfKeyCount() {
+        return firstOfKeyCount(root);
     }
 
-    /** Puts one in, with both marks as they are given. */
-    public void add(N node, boolean ready, boolean turn) {
-        Node<N> fresh = node;
-        fresh.priority = (int) (mix(node.number) >>> 32);
-        fresh.ready = ready;
-        fresh.turn = turn;
-        fresh.left = null;
-        fresh.right = null;
+    /** Adds a message with these marks: ready to be sent, and first of a key that is not paused. */
+    public void add(N node, boolean ready, boolean firstOfKey) {
+        Node<N> added = node;
+        added.priority = (int) (mix(node.number) >>> 32);
+        added.ready = ready;
+        added.firstOfKey = firstOfKey;
+        added.left = null;
+        added.right = null;
         root = insert(root, node);
     }
 
-    /** Takes one out, which has to be there; its marks are gone. */
+    /**
+     * Removes a message and its marks.
+     *
+     * @throws IllegalStateException if it is not here
+     */
     public void remove(N node) {
         root = without(root, node);
-        Node<N> gone = node;
-        gone.left = null;
-        gone.right = null;
-        gone.ready = false;
-        gone.turn = false;
+        Node<N> removed = node;
+        removed.left = null;
+        removed.right = null;
+        removed.ready = false;
+        removed.firstOfKey = false;
     }
 
-    /** Marks one that is there. */
-    public void mark(N node, boolean ready, boolean turn) {
+    /** Marks a message that is here. */
+    public void mark(N node, boolean ready, boolean firstOfKey) {
         Node<N> marked = node;
-        int readies = (ready ? 1 : 0) - (marked.ready ? 1 : 0);
-        int turns = (turn ? 1 : 0) - (marked.turn ? 1 : 0);
-        if (readies == 0 && turns == 0) {
+        int readyDelta = (ready ? 1 : 0) - (marked.ready ? 1 : 0);
+        int firstOfKeyDelta = (firstOfKey ? 1 : 0) - (marked.firstOfKey ? 1 : 0);
+        if (readyDelta == 0 && firstOfKeyDelta == 0) {
             return;
         }
         marked.ready = ready;
-        marked.turn = turn;
+        marked.firstOfKey = firstOfKey;
         for (N at = root; at != null; at = at == node ? null : before(node, at) ? left(at) : right(at)) {
             Node<N> here = at;
-            here.readies += readies;
-            here.turns += turns;
+            here.readyCount += readyDelta;
+            here.firstOfKeyCount += firstOfKeyDelta;
         }
     }
 
-    /** The first of all, null where there is none. */
+    /** The message that is due first, null where there is none. */
     public N first() {
         return after(Long.MIN_VALUE, Long.MIN_VALUE, Long.MAX_VALUE, false);
     }
 
-    /** The first that is due at or behind this and ahead of {@code to}; with {@code ready} among those alone; null for none. */
-    public N from(long from, long to, boolean ready) {
+    /** The first of those due in [from, to), null for none; with {@code ready} among the ready ones only. */
+    public N earliest(long from, long to, boolean ready) {
         return after(from, Long.MIN_VALUE, to, ready);
     }
 
-    /** The first behind this due date and number, and due ahead of {@code to}; null for none. */
+    /** The first behind this due date and number that is due before {@code to}, null for none. */
     public N after(long due, long number, long to, boolean ready) {
         N found = after(root, due, number, ready);
         return found == null || found.due >= to ? null : found;
     }
 
     private static <N extends Node<N>> N after(N at, long due, long number, boolean ready) {
-        if (at == null || ready && readies(at) == 0) {
+        if (at == null || ready && readyCount(at) == 0) {
             return null;
         }
         if (at.due < due || at.due == due && at.number <= number) {
@@ -118,33 +124,35 @@
         return !ready || at.ready() ? at : after(right(at), due, number, true);
     }
 
-    /** Of those due in [from, to) that are due last the one with the smallest number; with {@code ready} of those alone. */
-    public N last(long from, long to, boolean ready) {
-        N found = last(root, to, ready, false);
+    /** Of those due last in [from, to) the one with the smallest number, null for none; with {@code ready} of the ready ones. */
+    public N latest(long from, long to, boolean ready) {
+        N found = latest(root, to, ready, false);
         return found == null || found.due < from ? null : after(found.due, Long.MIN_VALUE, Long.MAX_VALUE, ready);
     }
 
-    /** The greatest due date of those that have their turn, MIN_VALUE for none. */
-    public long lastTurn() {
-        N found = last(root, Long.MAX_VALUE, false, true);
+    /** The latest due date of those that are first of their key, MIN_VALUE for none. */
+    public long latestFirstOfKeyDue() {
+        N found = latest(root, Long.MAX_VALUE, false, true);
         return found == null ? Long.MIN_VALUE : found.due;
     }
 
-    private static <N extends Node<N>> N last(N at, long to, boolean ready, boolean turn) {
-        if (at == null || ready && readies(at) == 0 || turn && turns(at) == 0) {
+    private static <N extends Node<N>> N latest(N at, long to, boolean ready, boolean firstOfKey) {
+        if (at == null || ready && readyCount(at) == 0 || firstOfKey && firstOfKeyCount(at) == 0) {
             return null;
         }
         if (at.due >= to) {
-            return last(left(at), to, ready, turn);
+            return latest(left(at), to, ready, firstOfKey);
         }
-        N found = last(right(at), to, ready, turn);
+        N found = latest(right(at), to, ready, firstOfKey);
         if (found != null) {
             return found;
         }
-        return (!ready || at.ready()) && (!turn || at.turn()) ? at : last(left(at), to, ready, turn);
+        return (!ready || at.ready()) && (!firstOfKey || at.firstOfKey())
+                ? at
+                : latest(left(at), to, ready, firstOfKey);
     }
 
-    /** How many are due in [from, to). */
+    /** How many messages are due in [from, to). */
     public int count(long from, long to) {
         return to <= from ? 0 : below(to) - below(from);
     }
@@ -163,10 +171,10 @@
     }
 
     /**
-     * Where something that holds for the earlier due dates of [from, to) and not for the later ones turns: the first due date
-     * there at which it does not hold, {@code to} where it holds for all.
+     * The first due date in [from, to) for which a condition does not hold, {@code to} where it holds for all. It has to hold for
+     * the earlier due dates and not for the later ones.
      */
-    public long turning(long from, long to, LongPredicate holds) {
+    public long boundary(long from, long to, LongPredicate holds) {
         long found = to;
         for (N at = root; at != null; ) {
             if (at.due < from || at.due < to && holds.test(at.due)) {
@@ -193,12 +201,12 @@
         return node == null ? 0 : ((Node<N>) node).size;
     }
 
-    private static <N extends Node<N>> int readies(N node) {
-        return node == null ? 0 : ((Node<N>) node).readies;
+    private static <N extends Node<N>> int readyCount(N node) {
+        return node == null ? 0 : ((Node<N>) node).readyCount;
     }
 
-    private static <N extends Node<N>> int turns(N node) {
-        return node == null ? 0 : ((Node<N>) node).turns;
+    private static <N extends Node<N>> int firstOfKeyCount(N node) {
+        return node == null ? 0 : ((Node<N>) node).firstOfKeyCount;
     }
 
     private static <N extends Node<N>> boolean before(N a, N b) {
@@ -208,8 +216,8 @@
     private static <N extends Node<N>> N count(N node) {
         Node<N> here = node;
         here.size = 1 + size(here.left) + size(here.right);
-        here.readies = (here.ready ? 1 : 0) + readies(here.left) + readies(here.right);
-        here.turns = (here.turn ? 1 : 0) + turns(here.left) + turns(here.right);
+        here.readyCount = (here.ready ? 1 : 0) + readyCount(here.left) + readyCount(here.right);
+        here.firstOfKeyCount = (here.firstOfKey ? 1 : 0) + firstOfKeyCount(here.left) + firstOfKeyCount(here.right);
         return node;
     }
 
@@ -230,7 +238,7 @@
         return count(at);
     }
 
-    /** What of a tree is before the node becomes its left side, the rest its right side. */
+    /** Splits a subtree: what is before the node becomes its left side, the rest its right side. */
     private static <N extends Node<N>> void split(N at, N node) {
         Node<N> by = node;
         if (at == null) {
--- a/decisions/src/main/java/amberroute/decisions/collections/IndexOrderIterator.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexOrderIterator.java
@@ -3,89 +3,98 @@
 import java.util.Arrays;
 
 /**
- * Goes through the messages of one tree that are ready in the order of their index, the highest first, equal ones by their
- * numbers. A step costs the logarithm of the tree's size for each stretch in which the index only falls or rises. The
- * tree may lose what the walk has been at, and nothing else may change in it meanwhile.
+ * Goes through the ready messages of one treap in the order of their index, the highest first, equal ones by their numbers. A step
+ * costs the logarithm of the treap's size for each stretch in which the index only falls or rises. The treap may lose messages that
+ * the iterator has passed or is at, and must not change otherwise meanwhile. Not thread-safe.
  */
 public final class IndexOrderIterator<N extends DueDateTreap.Node<N>> {
-    private final DueDateTreap<N> tree;
+    private static final int INITIAL_STRETCHES = 8;
+
+    private final DueDateTreap<N> messages;
     private final AtcIndex shape = new AtcIndex();
-    private Object[] next = new Object[8];
-    private double[] keys = new double[8];
-    private int at;
+    /** The next message of each stretch, null for none, and its index. */
+    private Object[] next = new Object[INITIAL_STRETCHES];
+
+    private double[] indexes = new double[INITIAL_STRETCHES];
+    /** The stretch that the iterator is in; negative for none. */
+    private int current;
 
-    public IndexOrderIterator(DueDateTreap<N> tree) {
-        this.tree = tree;
+    /** An iterator that has to be begun. */
+    public IndexOrderIterator(DueDateTreap<N> messages) {
+        this.messages = messages;
     }
 
-    /** To be set and divided before {@link #begin}. */
+    /** The index that it goes by, to be set and divided before {@link #begin}. */
     public AtcIndex shape() {
         return shape;
     }
 
-    /** Goes to the highest; false where there is none. */
+    /** Goes to the message with the highest index; false where there is none. */
     public boolean begin() {
-        if (next.length < shape.pieces()) {
-            next = new Object[shape.pieces()];
-            keys = new double[shape.pieces()];
+        if (next.length < shape.stretches()) {
+            next = new Object[shape.stretches()];
+            indexes = new double[shape.stretches()];
         }
         Arrays.fill(next, null);
-        for (int piece = 0; piece < shape.pieces(); piece++) {
-            if (shape.rising(piece)) {
-                take(piece, tree.last(shape.from(piece), shape.to(piece), true));
+        for (int stretch = 0; stretch < shape.stretches(); stretch++) {
+            long begin = shape.begin(stretch);
+            long end = shape.end(stretch);
+            if (shape.rising(stretch)) {
+                set(stretch, messages.latest(begin, end, true));
             } else {
-                take(piece, tree.from(shape.from(piece), shape.to(piece), true));
+                set(stretch, messages.earliest(begin, end, true));
             }
         }
-        return highest();
+        return goToHighest();
     }
 
-    /** Where the walk is. */
+    /** The message that it is at; there has to be one. */
     @SuppressWarnings("unchecked")
     public N here() {
-        return (N) next[at];
+        return (N) next[current];
     }
 
-    /** Its index, as a logarithm. */
+    /** The logarithm of that message's index. */
     public double index() {
-        return keys[at];
+        return indexes[current];
     }
 
-    /** Goes on to the next; false where there is none. */
+    /** Goes on to the next message; false where there is none. */
     public boolean advance() {
         N here = here();
-        if (!shape.rising(at)) {
-            take(at, tree.after(here.due, here.number, shape.to(at), true));
+        if (!shape.rising(current)) {
+            set(current, messages.after(here.due, here.number, shape.end(current), true));
         } else {
-            N equal = tree.after(here.due, here.number, here.due + 1, true);
-            take(at, equal != null ? equal : tree.last(shape.from(at), here.due, true));
+            N equal = messages.after(here.due, here.number, here.due + 1, true);
+            set(current, equal != null ? equal : messages.latest(shape.begin(current), here.due, true));
         }
-        return highest();
+        return goToHighest();
     }
 
-    /** Passes over all else of the stretch it is in, as given to {@link AtcIndex#divide}; false where nothing is left. */
+    /** Passes over all else of the stretch that it is in, see {@link AtcIndex#divide}; false where nothing is left. */
     public boolean skip() {
-        next[at] = null;
-        return highest();
+        next[current] = null;
+        return goToHighest();
     }
 
-    private void take(int piece, N node) {
-        next[piece] = node;
-        keys[piece] = node == null ? 0 : shape.index(node.due);
+    private void set(int stretch, N message) {
+        next[stretch] = message;
+        indexes[stretch] = message == null ? 0 : shape.index(message.due);
     }
 
-    @SuppressWarnings("unchecked")
-    private boolean highest() {
-        at = -1;
-        for (int piece = 0; piece < shape.pieces(); piece++) {
-            N node = (N) next[piece];
-            if (node != null
-                    && (at < 0
-                            || keys[piece] > keys[at]
-                            || keys[piece] == keys[at] && node.number < ((N) next[at]).number)) {
-                at = piece;
+    private boolean goToHighest() {
+        current = -1;
+        for (int stretch = 0; stretch < shape.stretches(); stretch++) {
+            if (next[stretch] != null && (current < 0 || isHigher(stretch, current))) {
+                current = stretch;
             }
         }
-        return at >= 0;
+        return current >= 0;
+    }
+
+    @SuppressWarnings("unchecked")
+    private boolean isHigher(int stretch, int other) {
+        return indexes[stretch] > indexes[other]
+                || indexes[stretch] == indexes[other] && ((N) next[stretch]).number < ((N) next[other]).number;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/collections/IndexedTimerHeap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexedTimerHeap.java
@@ -3,82 +3,88 @@
 import java.util.Arrays;
 
 /**
- * A heap of things by time that can be moved and removed wherever they stand. Each stands in it once at most, by an
- * {@link Entry} of its own. Nothing is allocated but the array; {@link #set} and {@link #remove} cost the logarithm of the size.
- * Equal times come in no particular order.
+ * A heap of items by time that can be moved and removed wherever they are. Each is in it once at most, by an {@link Entry} of its
+ * own. Nothing is allocated but the array; {@link #set} and {@link #remove} cost the logarithm of the size. Equal times come in no
+ * particular order. Not thread-safe.
  */
 public final class IndexedTimerHeap<T> {
-    /** A thing's place in one queue. */
+    private static final int INITIAL_CAPACITY = 16;
+    private static final int NOT_QUEUED = -1;
+
+    /** An item's place in one heap. */
     public static final class Entry<T> {
-        private final T of;
+        private final T item;
         private long at;
-        private int place = -1;
+        private int position = NOT_QUEUED;
 
-        public Entry(T of) {
-            this.of = of;
+        /** An entry that is in no heap yet. */
+        public Entry(T item) {
+            this.item = item;
         }
 
-        public T of() {
-            return of;
+        /** The item that it stands for. */
+        public T item() {
+            return item;
         }
 
-        /** The time under which it stands, or stood last. */
+        /** The time that it was set to last. */
         public long at() {
             return at;
         }
 
+        /** Whether it is in a heap. */
         public boolean queued() {
-            return place >= 0;
+            return position >= 0;
         }
     }
 
     @SuppressWarnings({"unchecked", "rawtypes"})
-    private Entry<T>[] heap = new Entry[16];
+    private Entry<T>[] heap = new Entry[INITIAL_CAPACITY];
 
     private int size;
 
-    /** It stands at this time from now on. */
+    /** Adds an entry, or moves one that is here, to this time. */
     public void set(Entry<T> entry, long at) {
-        if (entry.place < 0) {
+        if (entry.position < 0) {
             if (size == heap.length) {
                 heap = Arrays.copyOf(heap, 2 * size);
             }
             entry.at = at;
             put(entry, size++);
-            up(entry);
+            siftUp(entry);
         } else {
             long before = entry.at;
             entry.at = at;
             if (at < before) {
-                up(entry);
+                siftUp(entry);
             } else {
-                down(entry);
+                siftDown(entry);
             }
         }
     }
 
-    /** Does nothing where it is not there. */
+    /** Removes an entry; does nothing where it is not queued. */
     public void remove(Entry<T> entry) {
-        if (entry.place < 0) {
+        if (entry.position < 0) {
             return;
         }
-        int hole = entry.place;
-        entry.place = -1;
+        int hole = entry.position;
+        entry.position = NOT_QUEUED;
         Entry<T> last = heap[--size];
         heap[size] = null;
         if (last != entry) {
             put(last, hole);
-            up(last);
-            down(last);
+            siftUp(last);
+            siftDown(last);
         }
     }
 
-    /** The earliest, null where there is none. */
+    /** The earliest entry, null where there is none. */
     public Entry<T> peek() {
         return size == 0 ? null : heap[0];
     }
 
-    /** Takes the earliest out if it is not behind this time; else null. */
+    /** Removes the earliest entry if it is not after this time; else null. */
     public Entry<T> poll(long now) {
         Entry<T> first = size == 0 || heap[0].at > now ? null : heap[0];
         if (first != null) {
@@ -87,41 +93,42 @@
         return first;
     }
 
+    /** How many entries are queued. */
     public int size() {
         return size;
     }
 
-    private void put(Entry<T> entry, int place) {
-        heap[place] = entry;
-        entry.place = place;
+    private void put(Entry<T> entry, int position) {
+        heap[position] = entry;
+        entry.position = position;
     }
 
-    private void up(Entry<T> entry) {
-        while (entry.place > 0) {
-            Entry<T> above = heap[(entry.place - 1) / 2];
-            if (above.at <= entry.at) {
+    private void siftUp(Entry<T> entry) {
+        while (entry.position > 0) {
+            Entry<T> parent = heap[(entry.position - 1) / 2];
+            if (parent.at <= entry.at) {
                 return;
             }
-            int place = above.place;
-            put(above, entry.place);
-            put(entry, place);
+            int position = parent.position;
+            put(parent, entry.position);
+            put(entry, position);
         }
     }
 
-    private void down(Entry<T> entry) {
+    private void siftDown(Entry<T> entry) {
         while (true) {
-            int child = 2 * entry.place + 1;
+            int child = 2 * entry.position + 1;
             if (child >= size) {
                 return;
             }
             if (child + 1 < size && heap[child + 1].at < heap[child].at) {
                 child++;
             }
-            Entry<T> below = heap[child];
-            if (below.at >= entry.at) {
+            Entry<T> earliestChild = heap[child];
+            if (earliestChild.at >= entry.at) {
                 return;
             }
-            put(below, entry.place);
+            put(earliestChild, entry.position);
             put(entry, child);
         }
     }
--- a/decisions/src/main/java/amberroute/decisions/collections/MaxHeap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/MaxHeap.java
@@ -3,46 +3,50 @@
 import java.util.Arrays;
 
 /**
- * Things by a key, the greatest first, equal keys by their number, the smallest first. The arrays are kept from one use to the
- * next. {@link #add} is for many at once, {@link #push} for one at a time.
+ * Items by a key, the greatest first, equal keys by their number, the smallest first. The arrays are kept from one use to the next.
+ * {@link #add} is for many at once, {@link #push} for one at a time. Not thread-safe.
  */
 public final class MaxHeap<T> {
-    private double[] keys = new double[64];
-    private long[] numbers = new long[64];
-    private Object[] things = new Object[64];
+    private static final int INITIAL_CAPACITY = 64;
+
+    private double[] keys = new double[INITIAL_CAPACITY];
+    private long[] numbers = new long[INITIAL_CAPACITY];
+    private Object[] items = new Object[INITIAL_CAPACITY];
     private int size;
-    private int ordered;
+    /** The size when the items were last in the order of a heap. */
+    private int orderedSize;
 
-    /** Forgets all; what it held is let go. */
+    /** Removes all items. */
     public void clear() {
-        Arrays.fill(things, 0, size, null);
+        Arrays.fill(items, 0, size, null);
         size = 0;
-        ordered = 0;
+        orderedSize = 0;
     }
 
+    /** Whether there are no items. */
     public boolean isEmpty() {
         return size == 0;
     }
 
-    /** Puts one in without order yet. */
-    public void add(T thing, double key, long number) {
+    /** Adds an item; the heap is put in order when it is next read. */
+    public void add(T item, double key, long number) {
         if (size == keys.length) {
             keys = Arrays.copyOf(keys, 2 * size);
             numbers = Arrays.copyOf(numbers, 2 * size);
-            things = Arrays.copyOf(things, 2 * size);
+            items = Arrays.copyOf(items, 2 * size);
         }
-        set(size++, thing, key, number);
+        set(size++, item, key, number);
     }
 
-    /** Puts one in its place. */
-    public void push(T thing, double key, long number) {
+    /** Adds an item at the cost of the logarithm of the size. */
+    public void push(T item, double key, long number) {
         order();
-        add(thing, key, number);
-        ordered = size;
-        int at = size - 1;
-        while (at > 0 && above(at, (at - 1) / 2)) {
-            swap(at, (at - 1) / 2);
-            at = (at - 1) / 2;
+        add(item, key, number);
+        orderedSize = size;
+        int position = size - 1;
+        while (position > 0 && isAbove(position, (position - 1) / 2)) {
+            swap(position, (position - 1) / 2);
+            position = (position - 1) / 2;
         }
     }
 
@@ -52,61 +56,61 @@
         return keys[0];
     }
 
-    /** Takes out what has the greatest key; there has to be one. */
+    /** Removes the item with the greatest key; there has to be one. */
     @SuppressWarnings("unchecked")
     public T pop() {
         order();
-        T top = (T) things[0];
+        T top = (T) items[0];
         size--;
-        ordered = size;
+        orderedSize = size;
         swap(0, size);
-        things[size] = null;
-        down(0);
+        items[size] = null;
+        siftDown(0);
         return top;
     }
 
     private void order() {
-        if (ordered != size) {
-            ordered = size;
+        if (orderedSize != size) {
+            orderedSize = size;
             for (int i = size / 2 - 1; i >= 0; i--) {
-                down(i);
+                siftDown(i);
             }
         }
     }
 
-    private void down(int from) {
-        int at = from;
+    private void siftDown(int start) {
+        int position = start;
         while (true) {
-            int child = 2 * at + 1;
+            int child = 2 * position + 1;
             if (child >= size) {
                 return;
             }
-            if (child + 1 < size && above(child + 1, child)) {
+            if (child + 1 < size && isAbove(child + 1, child)) {
                 child++;
             }
-            if (!above(child, at)) {
+            if (!isAbove(child, position)) {
                 return;
             }
-            swap(child, at);
-            at = child;
+            swap(child, position);
+            position = child;
         }
     }
 
-    private boolean above(int a, int b) {
-        return keys[a] > keys[b] || keys[a] == keys[b] && numbers[a] < numbers[b];
+    private boolean isAbove(int position, int other) {
+        return keys[position] > keys[other] || keys[position] == keys[other] && numbers[position] < numbers[other];
     }
 
-    private void set(int at, Object thing, double key, long number) {
-        things[at] = thing;
-        keys[at] = key;
-        numbers[at] = number;
+    private void set(int position, Object item, double key, long number) {
+        items[position] = item;
+        keys[position] = key;
+        numbers[position] = number;
     }
 
-    private void swap(int a, int b) {
-        Object thing = things[a];
-        double key = keys[a];
-        long number = numbers[a];
-        set(a, things[b], keys[b], numbers[b]);
-        set(b, thing, key, number);
+    private void swap(int position, int other) {
+        Object item = items[position];
+        double key = keys[position];
+        long number = numbers[position];
+        set(position, items[other], keys[other], numbers[other]);
+        set(other, item, key, number);
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
+++ b/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
@@ -71,12 +71,12 @@
                 boolean ready = random.nextBoolean();
                 Predicate<Item> counts = i -> !ready || i.isReady;
                 assertEquals(model.size(), tree.size(), at);
-                assertEquals(model.stream().filter(i -> i.isReady).count(), tree.readies(), at);
-                assertEquals(model.stream().filter(i -> i.hasTurn).count(), tree.turns(), at);
+                assertEquals(model.stream().filter(i -> i.isReady).count(), tree.readyCount(), at);
+                assertEquals(model.stream().filter(i -> i.hasTurn).count(), tree.firstOfKeyCount(), at);
                 assertSame(first(model, i -> true), tree.first(), at);
                 assertSame(
                         first(model, i -> counts.test(i) && i.due >= from && i.due < to),
-                        tree.from(from, to, ready),
+                        tree.earliest(from, to, ready),
                         at);
                 long number = random.nextInt(step + 1);
                 assertSame(
@@ -92,21 +92,21 @@
                         .mapToLong(i -> i.due)
                         .max()
                         .orElse(-9);
-                assertSame(first(model, i -> counts.test(i) && i.due == lastDue), tree.last(from, to, ready), at);
+                assertSame(first(model, i -> counts.test(i) && i.due == lastDue), tree.latest(from, to, ready), at);
                 assertEquals(
                         model.stream()
                                 .filter(i -> i.hasTurn)
                                 .mapToLong(i -> i.due)
                                 .max()
                                 .orElse(Long.MIN_VALUE),
-                        tree.lastTurn(),
+                        tree.latestFirstOfKeyDue(),
                         at);
                 assertEquals(
                         model.stream().filter(i -> i.due >= from && i.due < to).count(), tree.count(from, to), at);
                 long until = random.nextInt(dues + 1);
                 Item turn = first(model, i -> i.due >= from && i.due < to && i.due >= until);
                 if (from <= to) {
-                    assertEquals(turn == null ? to : turn.due, tree.turning(from, to, due -> due < until), at);
+                    assertEquals(turn == null ? to : turn.due, tree.boundary(from, to, due -> due < until), at);
                 }
             }
         }
@@ -311,7 +311,7 @@
                 long most = scene.items.stream()
                         .filter(item -> scene.shape.index(item.due) >= near)
                         .count();
-                int counted = scene.shape.atLeast(scene.tree, index);
+                int counted = scene.shape.countAtLeast(scene.tree, index);
                 assertTrue(
                         counted >= least && counted <= most,
                         "seed " + seed + ": " + counted + " of " + least + " to " + most);
