--- a/sender/src/main/java/amberroute/sender/decision/DecisionTrace.java
+++ b/sender/src/main/java/amberroute/sender/decision/DecisionTrace.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * A module whose events and actions are written down, a line each, for {@code bin/fleet-ledger}: only for plays whose
+ * A module whose events and actions are written down, a line each, for {@code bin/trace-ledger}: only for plays whose
  * loss is counted. It is asked for by the system property {@code amberroute.trace} and is not bounded.
  */
 public final class DecisionTrace implements DeliveryScheduler {
