--- a/sender/src/main/java/amberroute/sender/client/ClientServer.java
+++ b/sender/src/main/java/amberroute/sender/client/ClientServer.java
@@ -1,100 +1,66 @@
 package amberroute.sender.client;
 
-import amberroute.sender.util.Log;
-import io.netty.bootstrap.ServerBootstrap;
-import io.netty.buffer.Unpooled;
+import amberroute.sender.util.LogEvent;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Locale;
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import java.util.stream.Stream;
 
-/** Serves clients: reads what they hand in and gives each request its answer, in order. */
+/**
+ * Serves clients over RESP2: passes each {@code SUBMIT} on to an {@link Acceptor} and writes each request's reply in the order of the requests.
+ *
+ * <p>Composes the listener, the connections and their limits, and drains them. All methods but the constructor and {@code listen}, which are
+ * called while the sender starts, belong to the event loop.
+ */
 public final class ClientServer {
-    /** Share of the connections that those have which have not sent a good request yet. */
-    private static final double NEWCOMERS = 0.25;
-    /** With so many requests unanswered a connection is not read on; with more, all from one read, it ends. */
-    private static final int MANY_WAITING = 64;
-
-    private static final int MOST_WAITING = 4_096;
-    /** For the first request of a connection, and from the first byte of each later one. */
-    private static final long REQUEST_MS = 2_000;
-    /** A connection without a request is closed after this. */
-    private static final long IDLE_MS = 60_000;
+    private static final long SWEEP_INTERVAL_MILLIS = 100;
+    /** While draining, connections used more recently than this close after their next reply: a request may be on its way. */
+    private static final long DRAINING_IDLE_MILLIS = 250;
+
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
     /**
-     * With more than this share of the places taken, those that have been without a request for longest are closed
-     * after a moment: clients may hold only so many, and where each message brings a connection that stays, the next
-     * message would wait for a place. It covers clients that leak connections too. Harm: clients that ask seldom
-     * connect anew when there are many.
+     * A message as submitted by a client.
+     *
+     * @param timeLeft milliseconds until the deadline as of now; the time that the request may have waited unread is subtracted
      */
-    private static final double COMFORTABLE = 0.33;
-
-    private static final long SPARED_MS = 250;
-    private static final long SWEEP_MS = 100;
-    /** Connections in use so lately are closed behind their next answer rather than at once: that request may be on its way. */
-    private static final long DRAINING_IDLE_MS = 250;
-    /** After a request that makes no sense the next is read only after a pause, doubled with each in a row. */
-    private static final long PAUSE_MS = 50;
-    /** Until accepting is tried again behind a failure: short beside what clients wait, long beside what a try costs. */
-    private static final long ACCEPT_PAUSE_MS = 10;
-
-    private static final int MOST_BAD = 16;
-    /** A connection that ends is read on, so that what was written to it arrives, but only for so many bytes. */
-    private static final long LINGER_BYTES = 1 << 18;
-    /** Part of the places that is left to connections which have ended and linger, so that they can while newcomers come. */
-    private static final int LINGERING = 8;
-    /** So many looks of the loop at most go by until nobody waits to be accepted any more, and the door is shut. */
-    private static final int MOST_LOOKS = 64;
-
-    /** A message as handed in; {@code timeLeft} in milliseconds, as of now: what it may have waited unread is off. */
     public record Submission(
             long key, String id, String className, long timeLeft, int destination, String idempotencyKey, byte[] body) {
-        /** The same so many milliseconds later. */
+        /** The same submission {@code passed} milliseconds later. */
         public Submission after(long passed) {
             return new Submission(
                     key, id, className, Math.max(0, timeLeft - passed), destination, idempotencyKey, body);
         }
     }
 
-    /** Takes submissions on; each gets exactly one answer. */
+    /** Decides on submissions; each gets exactly one answer, during the call or later. */
     public interface Acceptor {
+        /** Takes a submission on the event loop; {@code answer} is to be given exactly once, on the event loop. */
         void submitted(Submission submission, Answer answer);
     }
 
-    /** Where the one answer to a request goes. */
+    /** Takes the one reply to a request. */
     public abstract static class Answer {
-        /** Whether anybody still waits: what a client that has left handed in counts for nothing. */
+        /** Whether the client is still connected; nothing is owed to one that has left. */
         public abstract boolean wanted();
 
-        /** Gives the answer, a whole line as the protocol has it. */
+        /** Gives the reply: a complete line of the protocol with its line end. */
         public abstract void line(String text);
 
+        /** The message is accepted. */
         public void ok() {
             line("+OK\r\n");
         }
 
-        /** The advice is in milliseconds, 0 for none. */
+        /** The message is rejected for now; {@code after} is the advised wait in milliseconds, 0 for none. */
         public void busy(long after) {
             line(after > 0 ? "-BUSY " + after + "\r\n" : "-BUSY\r\n");
         }
 
+        /** The request cannot be used. */
         public void error(String reason) {
             line("-ERR " + reason + "\r\n");
         }
@@ -102,584 +68,209 @@
 
     private final EventLoop loop;
     private final Acceptor acceptor;
-    private final int mostOpen;
-    private final int mostConnections;
+    private final RequestMemory requestMemory;
     private final OrderlyClose closing;
+    private final ConnectionTable connections;
+    private final SessionHost host = new SessionHost();
+    private final long createdNanos = System.nanoTime();
+    private OptionalLong servedUntilNanos = OptionalLong.empty();
     private Set<String> classNames = Set.of();
-    private final RespDecoder.Room room;
-    private QueueingDelay queueingDelay;
-    /** Null where this process listens itself: clients were refused while nobody did. */
-    private OutageBacklog backlog;
-    /** Those that have sent a good request, in the order of last use, and those that have not, by age. */
-    private final Set<Session> usual = new LinkedHashSet<>();
-
-    private final Set<Session> unproven = new LinkedHashSet<>();
-    private Channel server;
-    /** The socket is another process's too, or will be. */
-    private boolean passedDown;
-    /** Whether who connects is accepted here, but for moments in which that fails. */
-    private boolean accepting = true;
-
+    private RequestAge requestAge;
+    private ClientListener listener;
+    private boolean socketInherited;
+    /** Whether connections close after their next reply. */
     private boolean retiring;
-    private boolean drained;
-    /** Nobody is accepted any more but those who wait already. */
-    private boolean shutting;
 
-    private final long created = System.nanoTime();
-    /** Up to when another process served the same socket, where that is known. */
-    private OptionalLong servedUntil = OptionalLong.empty();
-    /** How many were ever accepted. */
-    private long accepted;
-    /** Requests that were read and not handed on, as their clients had given up waiting and closed. */
-    private long abandoned;
+    private boolean drained;
+    private long abandonedRequests;
 
+    /**
+     * Creates a server that does not listen yet.
+     *
+     * @param mostConnections connections that may be open at one time, those that are being closed included
+     * @param roomBytes memory in bytes that incomplete requests of all connections may hold
+     */
     public ClientServer(EventLoop loop, Acceptor acceptor, int mostConnections, long roomBytes) {
         this.loop = loop;
         this.acceptor = acceptor;
-        mostOpen = mostConnections;
-        this.mostConnections = Math.max(1, mostConnections - mostConnections / LINGERING);
         closing = new OrderlyClose(loop);
-        room = new RespDecoder.Room(roomBytes);
-        queueingDelay = new QueueingDelay(System.nanoTime());
+        connections = new ConnectionTable(mostConnections, closing);
+        requestMemory = new RequestMemory(roomBytes);
     }
 
-    /** Messages of these classes are taken from now on. */
+    /** Accepts messages of these classes from now on. */
     public void classes(Set<String> names) {
         classNames = names;
     }
 
-    /** Binds; from then on the sender is ready. Returns the address bound, as port 0 takes any. */
+    /** Binds a socket of its own and serves; returns the bound address, as port 0 takes any. */
     public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
-        // Nobody can have waited before there was anywhere to connect to.
-        queueingDelay = new QueueingDelay(System.nanoTime());
-        server = bootstrap()
-                .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 512)
-                .bind(address)
-                .sync()
-                .channel();
-        return listening();
+        requestAge = RequestAge.ofNewSocket(System.nanoTime());
+        listener = new ClientListener(loop, requestAge, this::initialize);
+        listener.bind(address);
+        return serve();
     }
 
-    /** To be called before {@link #listen(ServerSocketChannel)}: another process served clients up to this monotonic moment, in nanoseconds. */
+    /**
+     * Sets up to when another process served the same socket; to be called before {@link #listen(ServerSocketChannel)}.
+     *
+     * @param moment monotonic time in nanoseconds
+     */
     public void servedUntil(long moment) {
-        servedUntil = OptionalLong.of(moment);
+        servedUntilNanos = OptionalLong.of(moment);
     }
 
     /**
-     * Takes clients from a socket that listens already, perhaps for other processes too. Its queue outlives processes, so those in it
-     * may have waited since before this one began.
+     * Serves a socket that listens already, perhaps for other processes too. Its accept queue outlives processes, so requests in it may have
+     * waited since before this process began.
      */
     public InetSocketAddress listen(ServerSocketChannel inherited) throws InterruptedException {
-        passedDown = true;
-        long now = System.nanoTime();
-        queueingDelay = new QueueingDelay(now - TimeUnit.MILLISECONDS.toNanos(QueueingDelay.CLIENT_TIMEOUT_MS));
-        backlog = new OutageBacklog(created, now);
-        servedUntil.ifPresent(backlog::servedUntil);
-        server = bootstrap()
-                .channelFactory(() -> new NioServerSocketChannel(inherited))
-                .register()
-                .sync()
-                .channel();
-        return listening();
-    }
-
-    private ServerBootstrap bootstrap() {
-        return new ServerBootstrap()
-                .group(loop, loop)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .handler(new Accepted())
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        RespDecoder resp = new RespDecoder(room);
-                        channel.pipeline().addLast(resp, new Session(resp, queueingDelay.accepted()));
-                    }
-                });
+        socketInherited = true;
+        requestAge = RequestAge.ofInheritedSocket(createdNanos, System.nanoTime(), servedUntilNanos);
+        listener = new ClientListener(loop, requestAge, this::initialize);
+        listener.register(inherited);
+        return serve();
     }
 
-    /** Tells how long connections may have waited to be accepted, and goes on where accepting one fails. */
-    private final class Accepted extends ChannelInboundHandlerAdapter {
-        /**
-         * Netty's own way is to accept nobody for a second, which is longer than clients wait. A connection that was aborted concerns
-         * nobody else; with no descriptor or buffer left the others wait in the queue, and looking for them at once would spin.
-         */
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            Log.warn("accept: failed, tried again in " + ACCEPT_PAUSE_MS + " ms: " + cause.getMessage());
-            context.channel().config().setAutoRead(false);
-            loop.schedule(
-                    () -> context.channel().config().setAutoRead(accepting), ACCEPT_PAUSE_MS, TimeUnit.MILLISECONDS);
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext context, Object message) {
-            accepted++;
-            context.fireChannelRead(message);
-        }
-
-        @Override
-        public void channelReadComplete(ChannelHandlerContext context) {
-            queueingDelay.batchDone(context.channel().metadata().defaultMaxMessagesPerRead());
-            context.fireChannelReadComplete();
-        }
+    private void initialize(Channel channel) {
+        RespDecoder decoder = new RespDecoder(requestMemory);
+        channel.pipeline().addLast(decoder, new ClientSession(host, decoder, requestAge));
     }
 
-    private InetSocketAddress listening() {
+    private InetSocketAddress serve() {
         loop.scheduleWithFixedDelay(
-                () -> queueingDelay.tick(System.nanoTime()),
+                () -> requestAge.tick(System.nanoTime()),
                 QueueingDelay.TICK_MS,
                 QueueingDelay.TICK_MS,
                 TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        return (InetSocketAddress) server.localAddress();
+        loop.scheduleWithFixedDelay(
+                () -> connections.closeIdle(System.nanoTime()),
+                SWEEP_INTERVAL_MILLIS,
+                SWEEP_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
+        return listener.address();
     }
 
     /**
-     * Another process takes this one's place: it accepts no more, without closing the socket, which is the other's too.
-     * Connections close behind their next answer; those on which nobody asks are left to {@link #retireSome}.
+     * Stops accepting without closing the socket, which another process shares, and closes connections after their next reply. Those
+     * without a request are left to {@link #retireSome}.
      */
     public void retire() {
         retiring = true;
-        accept(false);
-    }
-
-    private void accept(boolean wanted) {
-        accepting = wanted;
-        server.config().setAutoRead(wanted);
+        listener.accept(false);
     }
 
-    /** Serves on after {@link #retire}: connections stay, and new ones are accepted. */
+    /** Undoes {@link #retire}: connections stay, and new ones are accepted. */
     public void resume() {
         retiring = false;
-        accept(true);
+        listener.accept(true);
     }
 
-    /** Connections close behind their next answer, as this process leaves; new ones are still told so. */
+    /** Closes connections after their next reply, while new ones are still accepted. */
     public void retireAnswered() {
         retiring = true;
     }
 
-    /** Closes so many connections on which nobody waits, the longest idle first. */
+    /** Closes up to {@code most} connections that owe no reply, the longest idle first. */
     public void retireSome(int most) {
         retireSome(most, 0);
     }
 
-    /** The same, but for those in use within so many milliseconds: a request may be on its way. */
+    /** Closes up to {@code most} connections that owe no reply and were last used at least {@code idle} milliseconds ago. */
     public void retireSome(int most, long idle) {
-        long since = System.nanoTime() - idle * 1_000_000;
-        Stream.concat(unproven.stream(), usual.stream())
-                .filter(s -> s.resting() && s.lastUse - since <= 0)
-                .limit(most)
-                .toList()
-                .forEach(Session::leave);
+        connections.closeResting(most, System.nanoTime() - idle * NANOS_PER_MILLI);
     }
 
-    /** To be called again and again while the process ends: lets go of connections as {@code draining} says. */
+    /**
+     * Closes as many connections as {@code draining} asks for by now; to be called repeatedly while the process ends.
+     *
+     * @param now milliseconds of the clock of {@code draining}
+     */
     public void drain(ConnectionDraining draining, long now) {
         if (!draining.begun(now) || drained) {
             return;
         }
-        if (passedDown) {
-            // Those who connect now wait for the process that takes this one's place.
-            accept(false);
+        if (socketInherited) {
+            // New connections wait in the queue for the process that takes this one's place.
+            listener.accept(false);
         } else {
             closeDoor();
         }
         retiring = true;
         if (draining.over(now)) {
-            // What has come of a next request cannot be answered any more; its client sends it once more.
-            Stream.concat(unproven.stream(), usual.stream())
-                    .filter(s -> s.waiting.isEmpty())
-                    .toList()
-                    .forEach(Session::leave);
-            drained = connections() == 0;
+            // The rest of an incomplete request can no longer be answered in time; its client sends it again.
+            connections.closeUnanswered();
+            drained = connections.size() == 0;
             if (drained) {
-                Log.warn("draining: all connections of clients are closed");
+                LogEvent.of("client_connections_drained").warn();
             }
         } else {
-            retireSome(draining.surplus(now, connections()), DRAINING_IDLE_MS);
+            retireSome(draining.surplus(now, connections.size()), DRAINING_IDLE_MILLIS);
         }
     }
 
-    /**
-     * Takes no new connection from now on. Whoever is connected and waits to be accepted would be reset with the socket: they are
-     * accepted first.
-     */
+    /** Closes the listening socket once the connections in its accept queue, which would be reset with it, are accepted. */
     public void closeDoor() {
-        if (server != null && !shutting) {
-            shutting = true;
-            closeDoorBehind(accepted, MOST_LOOKS);
+        if (listener != null) {
+            listener.closeWhenQueueIsEmpty();
         }
     }
 
-    /** Looks once more for who waits; where nobody has come by that, or after so many looks, the socket closes. */
-    private void closeDoorBehind(long before, int looks) {
-        loop.schedule(
-                () -> {
-                    if (accepted == before || looks == 0) {
-                        server.close();
-                    } else {
-                        closeDoorBehind(accepted, looks - 1);
-                    }
-                },
-                1,
-                TimeUnit.MILLISECONDS);
-    }
-
-    /** Closes the connections on which nobody waits; a client whose request crosses that sends it once more. */
+    /** Closes the connections that owe no reply; a client whose request crosses the close sends it again. */
     public void closeIdle() {
-        Stream.concat(unproven.stream(), usual.stream())
-                .filter(s -> s.waiting.isEmpty())
-                .toList()
-                .forEach(Session::leave);
-    }
-
-    private void sweep() {
-        long now = System.nanoTime();
-        double over = usual.size() - COMFORTABLE * mostConnections;
-        for (Session session : List.copyOf(usual)) {
-            if (now - session.lastUse < (over > 0 ? SPARED_MS : IDLE_MS) * 1_000_000) {
-                return;
-            }
-            if (session.resting()) {
-                session.leave();
-                over--;
-            }
-        }
-    }
-
-    /**
-     * One too many: first goes who has never sent a good request, then who has sent none for longest; but newcomers
-     * have some places that the usual, idle for good, cannot fill, else they would push out each other. Whoever has begun
-     * a request goes behind all who rest. It is forgotten here, as its end is told only after this pass of the loop, in
-     * which many more may have come.
-     */
-    private void makeRoom(Session latest) {
-        boolean crowd = unproven.size() > mostConnections * NEWCOMERS;
-        List<Session> unanswered = Stream.concat(
-                        crowd ? unproven.stream() : usual.stream(), crowd ? usual.stream() : unproven.stream())
-                .filter(s -> s.waiting.isEmpty() && s != latest)
-                .toList();
-        unanswered.stream()
-                .filter(Session::resting)
-                .findFirst()
-                .or(() -> unanswered.stream().findFirst())
-                .orElse(latest)
-                .leave();
+        connections.closeUnanswered();
     }
 
-    /** Requests so far whose clients had given up before they were read. */
+    /** Requests so far that were read but not passed on, as their clients had timed out and disconnected. */
     public long abandoned() {
-        return abandoned;
+        return abandonedRequests;
     }
 
     /** Connections that are served. */
     public int connections() {
-        return unproven.size() + usual.size();
+        return connections.size();
     }
 
-    /** Connections that are served, and those that have ended and linger until their clients have read what they were told. */
+    /** Connections that are served, and those that are being closed until their clients have read the last replies. */
     public int open() {
-        return connections() + closing.lingering();
+        return connections.open();
     }
 
-    /** The place of one answer in its connection's order. */
-    private static final class Reply extends Answer {
-        private final Session session;
-        private String text;
-        private boolean last;
-        /** Of the message that this answers, 0 for none. */
-        private long key;
-
-        Reply(Session session) {
-            this.session = session;
-        }
-
+    /** What sessions need of the server. */
+    private final class SessionHost implements ClientSession.Host {
         @Override
-        public boolean wanted() {
-            return session.channel.isActive();
+        public EventLoop loop() {
+            return loop;
         }
 
         @Override
-        public void line(String answer) {
-            text = answer;
-            session.answered(key);
-            session.flush();
-        }
-    }
-
-    private final class Session extends SimpleChannelInboundHandler<RespDecoder.Request> {
-        private final Deque<Reply> waiting = new ArrayDeque<>();
-        private final RespDecoder resp;
-        private Channel channel;
-        private long lastUse = System.nanoTime();
-        private Future<?> deadline;
-        private int bad;
-        private boolean paused;
-        private boolean ending;
-
-        /** Since when what it reads next may have waited, 0 where only the loop's own lag counts. */
-        private long unread;
-
-        private long stopped;
-
-        Session(RespDecoder resp, long unread) {
-            this.resp = resp;
-            this.unread = unread;
-        }
-
-        @Override
-        public void channelActive(ChannelHandlerContext context) {
-            channel = context.channel();
-            unproven.add(this);
-            startDeadline();
-            if (connections() > mostConnections) {
-                makeRoom(this);
-            }
-            if (open() > mostOpen) {
-                closing.closeOldest();
-            }
+        public ConnectionTable connections() {
+            return connections;
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext context) {
-            forget();
-            stopDeadline();
-        }
-
-        private void forget() {
-            unproven.remove(this);
-            usual.remove(this);
-        }
-
-        /** Ends the connection behind what was written to it; nothing that still comes is read as a request. */
-        private void leave() {
-            ending = true;
-            stopDeadline();
-            resp.stop();
-            forget();
-            closing.close((SocketChannel) channel);
-        }
-
-        /** Between requests: it owes no answer, and nothing of a next one has come. */
-        private boolean resting() {
-            return waiting.isEmpty() && !resp.unfinished();
-        }
-
-        private void leaveIfResting() {
-            if (!ending && resting()) {
-                leave();
-            }
-        }
-
-        private void startDeadline() {
-            deadline = loop.schedule(this::outOfTime, REQUEST_MS, TimeUnit.MILLISECONDS);
-        }
-
-        /** An error is said of a request that has begun; with none, one that crosses the end would take it for its answer. */
-        private void outOfTime() {
-            if (resp.unfinished()) {
-                end("no whole request in time");
-            } else {
-                leave();
-            }
-        }
-
-        private void stopDeadline() {
-            if (deadline != null) {
-                deadline.cancel(false);
-                deadline = null;
-            }
-        }
-
-        /** Ends the connection with an error behind what is still owed on it. */
-        private void end(String reason) {
-            if (!ending) {
-                Reply reply = new Reply(this);
-                waiting.add(reply);
-                endWith(reply, reason);
-            }
-        }
-
-        private void endWith(Reply reply, String reason) {
-            ending = true;
-            stopDeadline();
-            resp.stop();
-            reply.last = true;
-            reply.error(reason);
+        public OrderlyClose closing() {
+            return closing;
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, RespDecoder.Request request) {
-            if (ending || !channel.isActive()) {
-                return;
-            }
-            stopDeadline();
-            Reply reply = new Reply(this);
-            waiting.add(reply);
-            if (request.fatal()) {
-                endWith(reply, request.error());
-            } else if (waiting.size() > MOST_WAITING) {
-                endWith(reply, "too many requests at once");
-            } else {
-                if (waiting.size() > MANY_WAITING) {
-                    unreadFromNow();
-                }
-                command(request.values(), reply);
-            }
+        public Set<String> classNames() {
+            return classNames;
         }
 
         @Override
-        public void channelReadComplete(ChannelHandlerContext context) {
-            unread = channel.config().isAutoRead() ? 0 : stopped;
-            if (ending && resp.discarded() > LINGER_BYTES) {
-                if (waiting.isEmpty()) {
-                    context.close();
-                } else {
-                    channel.config().setAutoRead(false);
-                }
-            } else if (!ending && deadline == null && resp.unfinished()) {
-                startDeadline();
-            }
+        public boolean retiring() {
+            return retiring;
         }
 
-        private void command(List<byte[]> values, Reply reply) {
-            try {
-                String name = values.isEmpty()
-                        ? ""
-                        : SubmitCommand.text(values.get(0)).toUpperCase(Locale.ROOT);
-                switch (name) {
-                    case "PING" -> {
-                        good();
-                        reply.line("+PONG\r\n");
-                    }
-                    case "SUBMIT" -> {
-                        long waited = queueingDelay.millis(unread, System.nanoTime());
-                        Submission told = SubmitCommand.parse(values, classNames);
-                        Submission submission = told.after(Math.max(waited, waitedInClient(told.key())));
-                        reply.key = submission.key();
-                        good();
-                        if (waited < QueueingDelay.CLIENT_TIMEOUT_MS) {
-                            acceptor.submitted(submission, reply);
-                        } else {
-                            outageStillFelt();
-                            submitIfStillConnected(submission, reply);
-                        }
-                    }
-                    default -> throw new IllegalArgumentException("unknown command");
-                }
-            } catch (IllegalArgumentException e) {
-                bad(reply, e.getMessage());
-            }
-        }
-
-        /**
-         * Hands a request on whose client has probably given up: behind a restart most of the accept queue is such connections, and
-         * work on them would keep those behind them waiting until they give up too. The end of a connection is read one pass of the
-         * loop behind its last request; the inner task runs in the next pass, behind what that one reads.
-         */
-        private void submitIfStillConnected(Submission submission, Reply reply) {
-            long read = System.nanoTime();
-            loop.execute(() -> loop.schedule(
-                    () -> {
-                        if (reply.wanted()) {
-                            long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - read);
-                            acceptor.submitted(submission.after(passed), reply);
-                        } else {
-                            abandoned++;
-                        }
-                    },
-                    0,
-                    TimeUnit.MILLISECONDS));
-        }
-
-        private void good() {
-            bad = 0;
-            lastUse = System.nanoTime();
-            unproven.remove(this);
-            usual.remove(this);
-            usual.add(this);
-        }
-
-        /** A client that sends the same again as soon as it is turned away must not take the others' time. */
-        private void bad(Reply reply, String reason) {
-            if (++bad >= MOST_BAD) {
-                endWith(reply, reason);
-                return;
-            }
-            reply.error(reason);
-            if (!paused) {
-                paused = true;
-                unreadFromNow();
-                loop.schedule(
-                        () -> {
-                            paused = false;
-                            channel.config().setAutoRead(true);
-                        },
-                        PAUSE_MS << Math.min(bad - 1, 4),
-                        TimeUnit.MILLISECONDS);
-            }
-        }
-
-        /** What comes from here on waits until reading goes on. */
-        private void unreadFromNow() {
-            stopped = channel.config().isAutoRead() ? System.nanoTime() : stopped;
-            channel.config().setAutoRead(false);
-        }
-
-        private void answered(long key) {
-            if (backlog != null) {
-                backlog.answered(System.nanoTime(), key);
-            }
-        }
-
-        private long waitedInClient(long key) {
-            return backlog == null ? 0 : backlog.millis(System.nanoTime(), key);
-        }
-
-        private void outageStillFelt() {
-            if (backlog != null) {
-                backlog.stillFelt(System.nanoTime());
-            }
-        }
-
-        private void flush() {
-            boolean wrote = false;
-            boolean last = false;
-            while (!waiting.isEmpty() && waiting.peek().text != null) {
-                Reply reply = waiting.poll();
-                wrote = true;
-                channel.write(Unpooled.copiedBuffer(reply.text, StandardCharsets.ISO_8859_1));
-                last = reply.last;
-            }
-            if (wrote) {
-                channel.flush();
-                if (last) {
-                    leave();
-                } else if (retiring) {
-                    // Behind what this pass has read: a request that came with the answered one is owed an answer too.
-                    loop.execute(this::leaveIfResting);
-                }
-                if (!paused && !ending && waiting.size() <= MANY_WAITING && channel.isWritable()) {
-                    channel.config().setAutoRead(true);
-                }
-            }
-        }
-
-        /** A client that does not read its answers is not read either. */
         @Override
-        public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (!paused && !channel.isWritable()) {
-                unreadFromNow();
-            } else if (!paused) {
-                channel.config().setAutoRead(true);
-            }
+        public void submit(Submission submission, Answer answer) {
+            acceptor.submitted(submission, answer);
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();
+        public void countAbandoned() {
+            abandonedRequests++;
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/client/ConnectionDraining.java
+++ b/sender/src/main/java/amberroute/sender/client/ConnectionDraining.java
@@ -1,58 +1,59 @@
 package amberroute.sender.client;
 
 /**
- * When a process that was told to end, and will be killed, lets go of its clients. They send on every connection that stays
- * open, and a kill between the last byte of a request and its answer leaves a message that nobody can tell the end of: so
- * before the kill no connection may be left. One that is closed between requests does no harm: a request that crosses that is
- * sent once more, to whoever takes clients. Decides only; times are milliseconds of one monotonic clock.
+ * When a process that was told to end, and will be killed, closes its clients' connections. Clients send on every connection that stays
+ * open, and a kill between the last byte of a request and its reply leaves a message whose fate nobody can tell, so no connection may
+ * be open at the kill. Closing one between requests is harmless: a request that crosses the close is sent again elsewhere.
+ *
+ * <p>Decides only and reads no clock; times are milliseconds of one monotonic clock. Not safe for use by several threads.
  */
 public final class ConnectionDraining {
-    /** Connections are closed so far apart that their clients do not rush to others in one moment. */
+    /** Time over which connections close, so that their clients do not reconnect elsewhere in one moment. */
     static final long SPREAD_MS = 600;
 
-    private final long begin;
-    private final long over;
-    private final long last;
-    private int first = -1;
+    private final long beginMillis;
+    private final long lastRequestMillis;
+    private final long killMillis;
+    private int connectionsAtBegin = -1;
 
     /**
-     * Told to end at {@code now}, killed {@code within} later at the soonest. Whoever asked before {@link #over} has an answer, or
-     * is gone, when that comes: clients wait no longer than {@link QueueingDelay#CLIENT_TIMEOUT_MS}.
+     * Told to end at {@code now}, killed {@code within} milliseconds later at the soonest. Requests read before {@link #over} have a reply,
+     * or their clients have timed out, by then: clients wait no longer than {@link QueueingDelay#CLIENT_TIMEOUT_MS}.
      */
     public ConnectionDraining(long now, long within) {
-        last = now + within;
-        over = last - Math.min(within, QueueingDelay.CLIENT_TIMEOUT_MS);
-        begin = Math.max(now, over - SPREAD_MS);
+        killMillis = now + within;
+        lastRequestMillis = killMillis - Math.min(within, QueueingDelay.CLIENT_TIMEOUT_MS);
+        beginMillis = Math.max(now, lastRequestMillis - SPREAD_MS);
     }
 
-    /** Whether connections close behind their next answer, and none is taken any more. */
+    /** Whether connections close after their next reply and no new ones are accepted. */
     public boolean begun(long now) {
-        return now >= begin;
+        return now >= beginMillis;
     }
 
-    /** Whether no request may be read any more: every connection closes that owes no answer, whatever has come of the next. */
+    /** Whether no request may be read any more: every connection closes that owes no reply, even in the middle of a request. */
     public boolean over(long now) {
-        return now >= over;
+        return now >= lastRequestMillis;
     }
 
     /** Milliseconds until the kill may come, 0 from then on. */
     public long left(long now) {
-        return Math.max(0, last - now);
+        return Math.max(0, killMillis - now);
     }
 
     /** Whether the kill may come. */
     public boolean last(long now) {
-        return now >= last;
+        return now >= killMillis;
     }
 
-    /** How many of so many open connections have to be closed by now. */
+    /** How many of {@code open} connections have to be closed by now. */
     public int surplus(long now, int open) {
         if (!begun(now)) {
             return 0;
         }
-        if (first < 0) {
-            first = open;
+        if (connectionsAtBegin < 0) {
+            connectionsAtBegin = open;
         }
-        return over(now) ? open : (int) Math.max(0, open - first * (over - now) / SPREAD_MS);
+        return over(now) ? open : (int) Math.max(0, open - connectionsAtBegin * (lastRequestMillis - now) / SPREAD_MS);
     }
 }
--- a/sender/src/main/java/amberroute/sender/client/OrderlyClose.java
+++ b/sender/src/main/java/amberroute/sender/client/OrderlyClose.java
@@ -9,17 +9,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends connections so that what was written on them arrives. Closed while bytes lie unread, a connection is reset, and a reset
- * takes with it what the other side has not read yet: an answer, perhaps. So its output is stopped behind the last byte that was
- * written, what still comes is read and thrown away, and it closes when the other side has, at the latest after
- * {@link #LINGER_MS}. Whoever hands a connection over reads no request from it any more: one that crosses the end is
- * sent once more by its client, and carried out here too it would be two.
+ * Closes connections so that what was written on them arrives. Closing a connection with unread input resets it, and a reset discards what
+ * the peer has not read yet, perhaps a reply. So the output is shut down after the last written byte, input is read and discarded,
+ * and the connection closes when the peer closes it, at the latest after {@link #LINGER_MS}. The caller reads no more requests from it: a
+ * request that crosses the close is sent again by its client, and would be executed twice.
  *
- * <p>A connection that lingers holds its descriptor until then; whoever needs that calls {@link #closeOldest}. Belongs to the
- * event loop.
+ * <p>A lingering connection holds its descriptor until then; {@link #closeOldest} frees one. Belongs to the event loop.
  */
 public final class OrderlyClose {
+    /** Longest time in milliseconds that a connection lingers. */
     public static final long LINGER_MS = 1_000;
+
     private final EventLoop loop;
     private final Map<SocketChannel, Future<?>> lingering = new LinkedHashMap<>();
 
@@ -32,7 +32,7 @@
         return lingering.size();
     }
 
-    /** Ends a connection behind all that was written to it; a second call for the same one changes nothing. */
+    /** Closes a connection after all that was written to it; a second call for the same one has no effect. */
     void close(SocketChannel channel) {
         if (!channel.isActive()) {
             channel.close();
@@ -48,7 +48,7 @@
                 timer.cancel(false);
             }
         });
-        // Nothing is written by it, but it is done only when all before it is.
+        // An empty write completes only when all writes before it have.
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> {
             if (channel.isActive()) {
                 channel.shutdownOutput();
@@ -57,7 +57,7 @@
         });
     }
 
-    /** Closes the one that has lingered longest, at once, and has forgotten it when this returns; nothing where none does. */
+    /** Closes the connection that has lingered longest at once; it no longer counts when this returns. */
     void closeOldest() {
         if (!lingering.isEmpty()) {
             SocketChannel oldest = lingering.keySet().iterator().next();
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/client/ReplyQueue.java
@@ -0,0 +1,93 @@
+package amberroute.sender.client;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.Deque;
+
+/**
+ * The replies that one connection owes, written in the order of their requests however late each is given. Belongs to the event loop.
+ */
+final class ReplyQueue {
+    /** What {@link #flush} has written. */
+    enum Flushed {
+        NOTHING,
+        REPLIES,
+        /** Replies up to the last one of the connection. */
+        LAST_REPLY
+    }
+
+    /** Takes notice of a reply that was given. */
+    interface Listener {
+        /** The message of this key, 0 for none, has its reply, which may now be written. */
+        void replyGiven(long key);
+    }
+
+    private final Deque<Reply> pending = new ArrayDeque<>();
+    private final Channel channel;
+    private final Listener listener;
+
+    /** Replies for the client of {@code channel}. */
+    ReplyQueue(Channel channel, Listener listener) {
+        this.channel = channel;
+        this.listener = listener;
+    }
+
+    /** Adds the place of the next request's reply. */
+    Reply add() {
+        Reply reply = new Reply();
+        pending.add(reply);
+        return reply;
+    }
+
+    boolean isEmpty() {
+        return pending.isEmpty();
+    }
+
+    int size() {
+        return pending.size();
+    }
+
+    /** Writes the replies at the head that have been given. */
+    Flushed flush() {
+        Flushed flushed = Flushed.NOTHING;
+        while (!pending.isEmpty() && pending.peek().text != null) {
+            Reply reply = pending.poll();
+            channel.write(Unpooled.copiedBuffer(reply.text, StandardCharsets.ISO_8859_1));
+            flushed = reply.last ? Flushed.LAST_REPLY : Flushed.REPLIES;
+        }
+        if (flushed != Flushed.NOTHING) {
+            channel.flush();
+        }
+        return flushed;
+    }
+
+    /** The reply to one request. */
+    final class Reply extends ClientServer.Answer {
+        private String text;
+        private boolean last;
+        private long key;
+
+        /** The connection ends after this reply. */
+        void setLast() {
+            last = true;
+        }
+
+        /** The reply is for a message of this key, 0 for none. */
+        void setKey(long key) {
+            this.key = key;
+        }
+
+        @Override
+        public boolean wanted() {
+            return channel.isActive();
+        }
+
+        @Override
+        public void line(String reply) {
+            text = reply;
+            listener.replyGiven(key);
+        }
+    }
+}
--- a/sender/src/main/java/amberroute/sender/client/RespDecoder.java
+++ b/sender/src/main/java/amberroute/sender/client/RespDecoder.java
@@ -8,90 +8,76 @@
 import java.util.List;
 
 /**
- * Reads RESP2 requests, arrays of bulk strings, within bounds. Netty's own codec lets a peer announce half
- * a gigabyte and buffers it, which a sender with little memory cannot afford.
+ * Decodes RESP2 requests, arrays of bulk strings, within bounds. Netty's own codec lets a peer announce half a gigabyte and buffers it,
+ * which a sender with little memory cannot afford.
+ *
+ * <p>A request that cannot be decoded is passed on as a {@link Request} with an error; nothing is decoded after it. One decoder serves one
+ * connection on the event loop.
  */
 public final class RespDecoder extends ByteToMessageDecoder {
+    /** Largest value of a request in bytes. */
     public static final int LARGEST_VALUE = 1 << 16;
-    private static final int LARGEST_REQUEST = LARGEST_VALUE + 4_096;
-    private static final int MOST_VALUES = 16;
-    private static final int LONGEST_LINE = 4_096;
-    /** Values up to this size need no room of their own, as there are only so many connections. */
-    private static final int SMALL = 4_096;
 
-    /** A whole request, or why it cannot be read; after {@code fatal} the stream makes no more sense. */
-    record Request(List<byte[]> values, String error, boolean fatal) {}
-
-    /** Bytes that all connections together may hold in requests that are not whole yet. */
-    static final class Room {
-        private long left;
+    private static final int MAX_REQUEST_BYTES = LARGEST_VALUE + 4_096;
+    private static final int MAX_VALUES = 16;
+    private static final int MAX_LINE_BYTES = 4_096;
+    /** Values up to this size are not reserved in the request memory: the number of connections bounds them. */
+    private static final int MAX_UNRESERVED_BYTES = 4_096;
 
-        Room(long bytes) {
-            left = bytes;
-        }
-
-        private boolean take(long bytes) {
-            boolean fits = bytes <= left;
-            left -= fits ? bytes : 0;
-            return fits;
-        }
-
-        private void give(long bytes) {
-            left += bytes;
-        }
-    }
+    /** A complete request, or why it cannot be decoded; after a {@code fatal} one the stream cannot be decoded any more. */
+    record Request(List<byte[]> values, String error, boolean fatal) {}
 
-    private final Room room;
+    private final RequestMemory requestMemory;
     private final List<byte[]> values = new ArrayList<>();
-    private int missing = -1;
-    private int length = -1;
-    private long total;
-    private long taken;
-    private boolean started;
-    private boolean dead;
-    private long discarded;
-
-    RespDecoder(Room room) {
-        this.room = room;
+    private int missingValues = -1;
+    private int valueLength = -1;
+    private long requestBytes;
+    private long reservedBytes;
+    private boolean unfinished;
+    private boolean stopped;
+    private long discardedBytes;
+
+    RespDecoder(RequestMemory requestMemory) {
+        this.requestMemory = requestMemory;
     }
 
-    /** Whether bytes have come of a request that is not whole yet; blank lines count, as they bring none. */
+    /** Whether a request is incomplete; blank lines count as the begin of one. */
     boolean unfinished() {
-        return started;
+        return unfinished;
     }
 
-    /** Bytes that came after the stream stopped making sense. */
+    /** Bytes discarded since decoding stopped. */
     long discarded() {
-        return discarded;
+        return discardedBytes;
     }
 
-    /** Nothing that still comes is read any more. */
+    /** Stops decoding: what still arrives is discarded. */
     void stop() {
-        dead = true;
+        stopped = true;
         release();
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-        if (dead) {
-            discarded += in.readableBytes();
+        if (stopped) {
+            discardedBytes += in.readableBytes();
             in.skipBytes(in.readableBytes());
             return;
         }
-        started = true;
-        if (length < 0) {
+        unfinished = true;
+        if (valueLength < 0) {
             String line = line(in, out);
             if (line != null) {
                 head(line, out);
             }
-        } else if (in.readableBytes() >= length + 2) {
-            byte[] value = new byte[length];
+        } else if (in.readableBytes() >= valueLength + 2) {
+            byte[] value = new byte[valueLength];
             in.readBytes(value);
             if (in.readByte() != '\r' || in.readByte() != '\n') {
                 fail("a value is not as long as it says", out);
                 return;
             }
-            length = -1;
+            valueLength = -1;
             value(value, out);
         }
     }
@@ -103,7 +89,7 @@
 
     private String line(ByteBuf in, List<Object> out) {
         int end = in.bytesBefore((byte) '\n');
-        if (end > LONGEST_LINE || end < 0 && in.readableBytes() > LONGEST_LINE) {
+        if (end > MAX_LINE_BYTES || end < 0 && in.readableBytes() > MAX_LINE_BYTES) {
             fail("too long a line", out);
             return null;
         }
@@ -116,10 +102,10 @@
     }
 
     private void head(String line, List<Object> out) {
-        if (missing < 0 && !line.startsWith("*")) {
+        if (missingValues < 0 && !line.startsWith("*")) {
             if (!line.isBlank()) {
                 List<byte[]> words = new ArrayList<>();
-                for (String word : line.strip().split(" +", MOST_VALUES)) {
+                for (String word : line.strip().split(" +", MAX_VALUES)) {
                     words.add(word.getBytes(StandardCharsets.ISO_8859_1));
                 }
                 pass(words, out);
@@ -127,23 +113,23 @@
             return;
         }
         long n = number(line);
-        if (missing < 0) {
-            if (n < 0 || n > MOST_VALUES) {
+        if (missingValues < 0) {
+            if (n < 0 || n > MAX_VALUES) {
                 fail("invalid multibulk length", out);
             } else if (n > 0) {
-                missing = (int) n;
+                missingValues = (int) n;
             }
         } else if (!line.startsWith("$") || n < 0) {
             fail("invalid bulk length", out);
-        } else if (n > LARGEST_VALUE || total + n > LARGEST_REQUEST) {
-            // Said when it is announced: the value itself may take long to come, or never come.
+        } else if (n > LARGEST_VALUE || requestBytes + n > MAX_REQUEST_BYTES) {
+            // Rejected when it is announced: the value itself may take long to arrive, or never arrive.
             fail("value over 64 KiB", out);
-        } else if (n > SMALL && !room.take(n)) {
+        } else if (n > MAX_UNRESERVED_BYTES && !requestMemory.reserve(n)) {
             fail("too many large requests at once", out);
         } else {
-            taken += n > SMALL ? n : 0;
-            length = (int) n;
-            total += n;
+            reservedBytes += n > MAX_UNRESERVED_BYTES ? n : 0;
+            valueLength = (int) n;
+            requestBytes += n;
         }
     }
 
@@ -157,7 +143,7 @@
 
     private void value(byte[] value, List<Object> out) {
         values.add(value);
-        if (--missing == 0) {
+        if (--missingValues == 0) {
             pass(List.copyOf(values), out);
         }
     }
@@ -168,18 +154,18 @@
     }
 
     private void fail(String reason, List<Object> out) {
-        dead = true;
+        stopped = true;
         out.add(new Request(List.of(), "Protocol error: " + reason, true));
         release();
     }
 
     private void release() {
-        room.give(taken);
-        taken = 0;
+        requestMemory.release(reservedBytes);
+        reservedBytes = 0;
         values.clear();
-        missing = -1;
-        length = -1;
-        total = 0;
-        started = false;
+        missingValues = -1;
+        valueLength = -1;
+        requestBytes = 0;
+        unfinished = false;
     }
 }
--- a/sender/src/main/java/amberroute/sender/client/SubmitCommand.java
+++ b/sender/src/main/java/amberroute/sender/client/SubmitCommand.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The words of a client's SUBMIT command (PROTOCOL, "Clients to senders"): key, id, names and values, body. What makes no sense is
- * an {@link IllegalArgumentException} whose message may be told to the client.
+ * Parses a client's SUBMIT command (PROTOCOL, "Clients to senders"): key, id, names and values, body. An invalid command throws
+ * {@link IllegalArgumentException} with a message that may be sent to the client. Stateless.
  */
 public final class SubmitCommand {
     private static final int WORDS = 5;
@@ -19,7 +19,7 @@
 
     private SubmitCommand() {}
 
-    /** The submission with the time left as the client tells it, in milliseconds; its class is one of {@code classNames}. */
+    /** The submission with the time left in milliseconds as the client states it; its class is one of {@code classNames}. */
     static ClientServer.Submission parse(List<byte[]> words, Set<String> classNames) {
         require(words.size() == WORDS, "SUBMIT takes key, id, names and values, body");
         String id = text(words.get(2));
--- a/sender/src/test/java/amberroute/sender/ConnectionDrainingTest.java
+++ b/sender/src/test/java/amberroute/sender/ConnectionDrainingTest.java
@@ -102,7 +102,7 @@
             assertThrows(IOException.class, half::answer);
             assertThrows(IOException.class, () -> new SenderFixture.Client(process.port()), "the door stayed open");
         }
-        await(() -> process.logged("draining: all connections of clients are closed"));
+        await(() -> process.logged("event=client_connections_drained"));
         assertTrue(process.alive(), "it ended, and nobody had the time to see it off");
         assertTrue(takenBehind.get() > 6, "nothing was taken any more behind SIGTERM");
         assertEquals(List.of(), spoilt);
