--- a/sender/src/main/java/amberroute/sender/upstream/CallBatching.java
+++ b/sender/src/main/java/amberroute/sender/upstream/CallBatching.java
@@ -7,31 +7,31 @@
 import java.util.Map;
 import java.util.function.LongToIntFunction;
 
-/** Which sends of one turn travel as one call. */
+/** Groups the sends of one decision into calls with several messages. Stateless. */
 public final class CallBatching {
     private record BatchKey(long endpoint, long giveUpAt) {}
 
     private CallBatching() {}
 
     /**
-     * Those to one endpoint that are given up at one time, as far as its kind takes several messages: the module gives all
-     * messages of a call one time, and where it starts two calls to one endpoint in a turn, messages that have little time
-     * left must not be given up as late as the others.
+     * Groups sends to one endpoint with one time-out, up to the number of messages that the endpoint takes. The scheduler gives all messages of
+     * a call the same time-out; where it starts two calls to one endpoint in one decision, messages with little time left must not
+     * get the time-out of the others.
      */
     public static List<List<SchedulerAction.Send>> of(
             List<SchedulerAction.Send> sends, LongToIntFunction messagesPerCall) {
-        List<List<SchedulerAction.Send>> groups = new ArrayList<>();
-        Map<BatchKey, List<SchedulerAction.Send>> open = new LinkedHashMap<>();
-        for (SchedulerAction.Send s : sends) {
-            BatchKey key = new BatchKey(s.endpoint(), s.giveUpAt());
-            List<SchedulerAction.Send> group = open.get(key);
-            if (group == null || group.size() >= messagesPerCall.applyAsInt(s.endpoint())) {
-                group = new ArrayList<>();
-                groups.add(group);
-                open.put(key, group);
+        List<List<SchedulerAction.Send>> calls = new ArrayList<>();
+        Map<BatchKey, List<SchedulerAction.Send>> openCalls = new LinkedHashMap<>();
+        for (SchedulerAction.Send send : sends) {
+            BatchKey key = new BatchKey(send.endpoint(), send.giveUpAt());
+            List<SchedulerAction.Send> call = openCalls.get(key);
+            if (call == null || call.size() >= messagesPerCall.applyAsInt(send.endpoint())) {
+                call = new ArrayList<>();
+                calls.add(call);
+                openCalls.put(key, call);
             }
-            group.add(s);
+            call.add(send);
         }
-        return groups;
+        return calls;
     }
 }
--- a/sender/src/main/java/amberroute/sender/upstream/ResponseReader.java
+++ b/sender/src/main/java/amberroute/sender/upstream/ResponseReader.java
@@ -21,122 +21,133 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads the answers on one connection to a receiver, one for each call. It keeps the first line of an answer that
- * is spoilt further on, bounds the bytes and the time of each, and tells whether the connection can be used again.
+ * Reads the responses on one connection to an endpoint, one for each call. Keeps the status of a response that is malformed further on,
+ * bounds the bytes and the time of each response, and says whether the connection can be reused.
+ *
+ * <p>A response is judged when all that came in one event loop iteration is decoded, as only then it is known what follows it. Belongs to the
+ * event loop.
  */
 final class ResponseReader {
-    private static final int LARGEST = 1 << 17;
-    private static final int LONGEST_LINE = 4_096;
-    private static final int LARGEST_HEAD = 16_384;
-    /** From the first byte of an answer to its last: what takes longer is taken to be cut or without end. */
-    private static final long SPAN_MS = 500;
+    private static final int MAX_RESPONSE_BYTES = 1 << 17;
+    private static final int MAX_LINE_BYTES = 4_096;
+    private static final int MAX_HEAD_BYTES = 16_384;
+    /** From the first byte of a response to its last; one that takes longer counts as incomplete. */
+    private static final long RESPONSE_TIMEOUT_MILLIS = 500;
 
     /**
-     * What came back. {@code status} is that of the first line, 0 where that could not be read; {@code whole} says
-     * that the rest could be read too, {@code reusable} that nothing followed and another call may.
+     * A response.
+     *
+     * @param status of the status line, 0 where that could not be read
+     * @param whole whether the rest is complete and well-formed
+     * @param reusable whether the connection can carry another call
+     * @param headers null where none could be read
+     * @param body empty unless {@code whole}
      */
     record Response(int status, boolean whole, boolean reusable, HttpHeaders headers, String body) {}
 
-    /** Learns of answers on the event loop. */
+    /** Learns of responses on the event loop. */
     interface Listener {
-        void answered(Response answer);
+        /** The response to the expected call, complete or not. */
+        void responseReceived(Response response);
 
-        /** Bytes came that belong to no call: nothing on this connection can be trusted any more. */
-        void strayed();
+        /** Bytes came that belong to no call, so that the connection cannot be trusted any more. */
+        void unexpectedBytes();
 
-        /** The connection has ended; an answer it still brought was told before. */
-        void ended();
+        /** The connection has closed; a response that it still brought was reported before. */
+        void connectionClosed();
     }
 
     private final Listener listener;
-    private final Decoder decoder = new Decoder();
+    private final StatusDecoder decoder = new StatusDecoder();
     private boolean expecting;
-    private long bytes;
-    private int firstLine;
+    private long receivedBytes;
+    private int status;
     private HttpResponse head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
     private boolean complete;
-    private boolean broken;
-    private boolean surplus;
-    private Future<?> deadline;
+    private boolean malformed;
+    private boolean bytesFollow;
+    private Future<?> responseTimeout;
 
     ResponseReader(Listener listener) {
         this.listener = listener;
     }
 
+    /** Adds the codec and this reader to a new connection's pipeline. */
     void install(ChannelPipeline pipeline) {
-        pipeline.addLast(new Bytes(), decoder, new HttpRequestEncoder(), new ResponseHandler());
+        pipeline.addLast(new ByteCounter(), decoder, new HttpRequestEncoder(), new ResponseAssembler());
     }
 
     /** To be called before a call's first byte is written. */
     void expect() {
         expecting = true;
-        bytes = 0;
-        firstLine = 0;
+        receivedBytes = 0;
+        status = 0;
         head = null;
         body = Unpooled.buffer(64);
         complete = false;
-        broken = false;
-        surplus = false;
+        malformed = false;
+        bytesFollow = false;
     }
 
-    /** The status on the first line of the answer that is expected, 0 while there is none. */
-    int firstLine() {
-        return firstLine;
+    /** The status line of the response in progress, 0 while there is none. */
+    int status() {
+        return status;
     }
 
     private void finish(boolean whole) {
         expecting = false;
-        if (deadline != null) {
-            deadline.cancel(false);
-            deadline = null;
+        if (responseTimeout != null) {
+            responseTimeout.cancel(false);
+            responseTimeout = null;
         }
-        boolean reusable = whole && HttpUtil.isKeepAlive(head) && delimited() && !surplus && !decoder.holdsBytes();
+        boolean reusable =
+                whole && HttpUtil.isKeepAlive(head) && endIsDelimited() && !bytesFollow && !decoder.holdsBytes();
         String text = whole ? body.toString(StandardCharsets.ISO_8859_1) : "";
         body = Unpooled.EMPTY_BUFFER;
-        listener.answered(new Response(firstLine, whole, reusable, head == null ? null : head.headers(), text));
+        listener.responseReceived(new Response(status, whole, reusable, head == null ? null : head.headers(), text));
     }
 
-    /** Whether the answer itself tells where it ends, rather than the end of its connection. */
-    private boolean delimited() {
+    /** Whether the response itself says where it ends, rather than the end of its connection. */
+    private boolean endIsDelimited() {
         return HttpUtil.isContentLengthSet(head)
                 || HttpUtil.isTransferEncodingChunked(head)
                 || head.status().code() == 204
                 || head.status().code() == 304;
     }
 
-    /** Everything that has come in this pass of the loop has been decoded: only now is it known what follows. */
-    private void judge() {
-        if (expecting && (broken || bytes > LARGEST)) {
+    /** To be called when all bytes of an event loop iteration are decoded. */
+    private void finishIfKnown() {
+        if (expecting && (malformed || receivedBytes > MAX_RESPONSE_BYTES)) {
             finish(false);
         } else if (expecting && complete) {
             finish(true);
         }
     }
 
-    /** Counts what comes before anything is decoded. */
-    private final class Bytes extends ChannelInboundHandlerAdapter {
+    /** Counts bytes before they are decoded, and starts the time-out at the first. */
+    private final class ByteCounter extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (!expecting) {
                 ReferenceCountUtil.release(message);
-                listener.strayed();
+                listener.unexpectedBytes();
                 return;
             }
-            bytes += ((ByteBuf) message).readableBytes();
-            if (deadline == null) {
-                deadline = context.executor()
+            receivedBytes += ((ByteBuf) message).readableBytes();
+            if (responseTimeout == null) {
+                responseTimeout = context.executor()
                         .schedule(
                                 () -> {
-                                    deadline = null;
+                                    responseTimeout = null;
                                     if (expecting) {
                                         finish(false);
                                     }
                                 },
-                                SPAN_MS,
+                                RESPONSE_TIMEOUT_MILLIS,
                                 TimeUnit.MILLISECONDS);
             }
-            if (broken || bytes > LARGEST) {
+            if (malformed || receivedBytes > MAX_RESPONSE_BYTES) {
                 ReferenceCountUtil.release(message);
                 return;
             }
@@ -146,28 +157,28 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             context.fireChannelReadComplete();
-            judge();
+            finishIfKnown();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             context.fireChannelInactive();
-            judge();
-            if (expecting && bytes > 0) {
+            finishIfKnown();
+            if (expecting && receivedBytes > 0) {
                 finish(false);
             }
             expecting = false;
-            listener.ended();
+            listener.connectionClosed();
         }
     }
 
-    /** Takes any 1xx, a 101 too, for what precedes the answer: nothing here ever asks to switch protocols. */
-    private final class Decoder extends HttpResponseDecoder {
-        Decoder() {
+    /** Keeps the status, and takes any 1xx as informational, also a 101: no request asks to switch protocols. */
+    private final class StatusDecoder extends HttpResponseDecoder {
+        StatusDecoder() {
             super(new HttpDecoderConfig()
-                    .setMaxInitialLineLength(LONGEST_LINE)
-                    .setMaxHeaderSize(LARGEST_HEAD)
-                    .setMaxChunkSize(LARGEST_HEAD));
+                    .setMaxInitialLineLength(MAX_LINE_BYTES)
+                    .setMaxHeaderSize(MAX_HEAD_BYTES)
+                    .setMaxChunkSize(MAX_HEAD_BYTES));
         }
 
         boolean holdsBytes() {
@@ -177,16 +188,16 @@
         @Override
         protected HttpMessage createMessage(String[] line) {
             HttpMessage message = super.createMessage(line);
-            int status = ((HttpResponse) message).status().code();
-            if (!complete && status >= 200 && status < 600) {
-                firstLine = status;
+            int code = ((HttpResponse) message).status().code();
+            if (!complete && code >= 200 && code < 600) {
+                status = code;
             }
             return message;
         }
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            return interim((HttpResponse) message) || super.isContentAlwaysEmpty(message);
+            return isInformational((HttpResponse) message) || super.isContentAlwaysEmpty(message);
         }
 
         @Override
@@ -195,12 +206,12 @@
         }
     }
 
-    private static boolean interim(HttpResponse response) {
+    private static boolean isInformational(HttpResponse response) {
         return response.status().code() >= 100 && response.status().code() < 200;
     }
 
-    /** Puts the decoded parts of an answer together. */
-    private final class ResponseHandler extends ChannelInboundHandlerAdapter {
+    /** Assembles the decoded parts of a response. */
+    private final class ResponseAssembler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             try {
@@ -212,16 +223,16 @@
 
         private void take(HttpObject part) {
             if (complete) {
-                surplus = true;
+                bytesFollow = true;
                 return;
             }
-            broken |= !part.decoderResult().isSuccess();
-            if (broken) {
+            malformed |= !part.decoderResult().isSuccess();
+            if (malformed) {
                 return;
             }
             if (part instanceof HttpResponse response) {
-                head = interim(response) ? null : response;
-                broken = head != null && (firstLine == 0 || announced(response) > LARGEST);
+                head = isInformational(response) ? null : response;
+                malformed = head != null && (status == 0 || announcedBytes(response) > MAX_RESPONSE_BYTES);
             }
             if (part instanceof HttpContent content && head != null) {
                 body.writeBytes(content.content());
@@ -229,7 +240,7 @@
             }
         }
 
-        private static long announced(HttpResponse response) {
+        private static long announcedBytes(HttpResponse response) {
             return HttpUtil.getContentLength(response, 0L);
         }
 
