--- a/sender/src/main/java/amberroute/sender/discovery/EndpointFile.java
+++ b/sender/src/main/java/amberroute/sender/discovery/EndpointFile.java
@@ -3,7 +3,7 @@
 import amberroute.config.ConfigException;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.config.StandaloneConfig;
-import amberroute.sender.util.Log;
+import amberroute.sender.util.LogEvent;
 import com.google.gson.JsonObject;
 import java.io.Closeable;
 import java.io.IOException;
@@ -14,68 +14,77 @@
 import java.util.function.Consumer;
 
 /**
- * Follows a list of endpoints in a file, on a thread of its own, as reading may be slow. A file counts as new when its
- * inode, size or time of change differs, so whoever writes it should write aside and rename. One that cannot be used
- * changes nothing and is named once in the log.
+ * Polls an endpoint list in a file on a thread of its own, as reading may be slow. A file counts as changed when its inode, size or
+ * modification time differs, so it should be written aside and renamed. A file that cannot be used changes nothing and is logged once.
  */
 public final class EndpointFile implements Closeable {
-    private static final long LOOK_MS = 250;
+    private static final long POLL_INTERVAL_MILLIS = 250;
 
-    private record Stamp(Object file, long size, long time) {}
+    /** Tells one state of the file from another. */
+    private record FileVersion(Object inode, long size, long modifiedMillis) {}
 
     private final Path path;
     private final SenderConfig config;
-    private final Consumer<JsonObject> taken;
+    private final Consumer<JsonObject> listener;
     private final Thread thread;
-    private final AtomicBoolean asked = new AtomicBoolean();
+    private final AtomicBoolean readRequested = new AtomicBoolean();
     private volatile boolean closed;
-    /** Null before the first look: the file may have been replaced since the sender read it for its start. */
-    private Stamp seen;
+    /** Null before the first poll: the file may have been replaced since the sender read it at its start. */
+    private FileVersion lastRead;
 
-    /** {@code taken} is called on the follower's thread with each new list that can be used. */
-    public EndpointFile(Path path, SenderConfig config, Consumer<JsonObject> taken) {
+    /** Starts polling; {@code listener} is called on the polling thread with each changed list that can be used. */
+    public EndpointFile(Path path, SenderConfig config, Consumer<JsonObject> listener) {
         this.path = path;
         this.config = config;
-        this.taken = taken;
-        thread = new Thread(this::follow, "endpoints");
+        this.listener = listener;
+        thread = new Thread(this::poll, "endpoints");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Reads the file again though it looks the same; from any thread. */
+    /** Reads the file again even if it has not changed; from any thread. */
     public void ask() {
-        asked.set(true);
+        readRequested.set(true);
         thread.interrupt();
     }
 
-    private void follow() {
+    private void poll() {
         while (!closed) {
             try {
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
-                // Asked to look at once, or to end.
+                // Asked to read at once, or to end.
             }
-            Stamp now = stamp();
-            if (closed || !asked.getAndSet(false) && now.equals(seen)) {
+            FileVersion now = currentVersion();
+            if (closed || !readRequested.getAndSet(false) && now.equals(lastRead)) {
                 continue;
             }
-            seen = now;
+            lastRead = now;
             try {
                 JsonObject list = StandaloneConfig.endpoints(path, config);
-                Log.warn("endpoints: took " + list.getAsJsonArray("targets").size() + " from " + path);
-                taken.accept(list);
+                LogEvent.of("endpoint_file_loaded")
+                        .with("endpoints", list.getAsJsonArray("targets").size())
+                        .with("path", path)
+                        .warn();
+                listener.accept(list);
             } catch (ConfigException e) {
-                Log.warn("endpoints: not taken, the old list stays: " + e.getMessage());
+                LogEvent.of("endpoint_file_rejected")
+                        .with("path", path)
+                        .cause(e)
+                        .warn();
             }
         }
     }
 
-    private Stamp stamp() {
+    private FileVersion currentVersion() {
         try {
-            BasicFileAttributes a = Files.readAttributes(path, BasicFileAttributes.class);
-            return new Stamp(a.fileKey(), a.size(), a.lastModifiedTime().toMillis());
+            BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+            return new FileVersion(
+                    attributes.fileKey(),
+                    attributes.size(),
+                    attributes.lastModifiedTime().toMillis());
         } catch (IOException e) {
-            return new Stamp("", -1, 0);
+            return new FileVersion("", -1, 0);
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/discovery/JsonObjectAssembler.java
+++ b/sender/src/main/java/amberroute/sender/discovery/JsonObjectAssembler.java
@@ -1,17 +1,17 @@
 package amberroute.sender.discovery;
 
 /**
- * Puts one object of discovery's list together from the lines that it came in: usually one, several where it is indented. A blank
- * line, or one that opens an object at its first character, ends one that is not whole: it was cut short. How long an object may
- * be is for whoever adds lines to say ({@link #length}).
+ * Assembles a JSON object from the lines that it came in: usually one, several where it is indented. A blank line, or one with an opening
+ * brace as its first character, shows that an incomplete object was truncated. The caller bounds the length by {@link #length}. Not safe
+ * for use by several threads.
  */
 final class JsonObjectAssembler {
     private final StringBuilder text = new StringBuilder();
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
 
-    /** Whether this line shows that the object before it was cut short; that one is dropped. */
+    /** Whether this line shows that the object before it was truncated; that object is dropped. */
     boolean cutBy(String line) {
         boolean cut = text.length() > 0 && (line.isBlank() || line.charAt(0) == '{');
         if (cut) {
@@ -20,14 +20,14 @@
         return cut;
     }
 
-    /** The next line, not a blank one, without its end; returns the object that it completes, or null. */
+    /** Adds the next line, not a blank one, without its line end; returns the object that it completes, or null. */
     String add(String line) {
         text.append(line).append('\n');
         for (int i = 0; i < line.length(); i++) {
-            look(line.charAt(i));
+            scan(line.charAt(i));
         }
-        // A text ends with its line.
-        quoted = false;
+        // A string ends with its line at the latest.
+        inString = false;
         escaped = false;
         if (depth > 0) {
             return null;
@@ -37,17 +37,17 @@
         return whole;
     }
 
-    /** Characters of what is not whole yet. */
+    /** Characters of the incomplete object. */
     int length() {
         return text.length();
     }
 
-    private void look(char c) {
-        if (quoted) {
-            quoted = escaped || c != '"';
+    private void scan(char c) {
+        if (inString) {
+            inString = escaped || c != '"';
             escaped = !escaped && c == '\\';
         } else if (c == '"') {
-            quoted = true;
+            inString = true;
         } else if (c == '{' || c == '[') {
             depth++;
         } else if (c == '}' || c == ']') {
