--- a/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
+++ b/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
@@ -78,7 +78,7 @@
             long longestIdleMicros =
                     repeatable ? SchedulerDriver.UNLIMITED_MICROS : scheduler.longestTrustedIdleMicros();
             folder.journal()
-                    .whenSafe(
+                    .whenDurable(
                             () -> callWanted(route, items, giveUpAtMicros, longestIdleMicros),
                             () -> abort(route, items));
         }
@@ -141,14 +141,14 @@
 
     /** Cancels an attempt, in flight or while its record is forced. */
     void cancel(AcceptedMessage message, int attempt) {
-        if (!upstream.cancel(message, attempt) && folder.journal().waiting() > 0) {
+        if (!upstream.cancel(message, attempt) && folder.journal().deferredEffects() > 0) {
             cancelled.add(new UpstreamClient.CallMessage(message, attempt));
         }
     }
 
     /** To be called at the end of an iteration: nothing can still be cancelled once all records are durable. */
     void forgetCancelled() {
-        if (folder.journal().waiting() == 0) {
+        if (folder.journal().deferredEffects() == 0) {
             cancelled.clear();
         }
     }
--- a/sender/src/main/java/amberroute/sender/FailoverSender.java
+++ b/sender/src/main/java/amberroute/sender/FailoverSender.java
@@ -69,7 +69,7 @@
     @Override
     public boolean idle() {
         return state.lifecycle().ready()
-                && journal().live().isEmpty()
+                && journal().pendingMessages().isEmpty()
                 && delivery.upstream.callsOut() == 0
                 && peers.offeredCount() == 0;
     }
--- a/sender/src/main/java/amberroute/sender/FolderAdoption.java
+++ b/sender/src/main/java/amberroute/sender/FolderAdoption.java
@@ -60,12 +60,12 @@
         if (Files.isSameFile(orphaned, config.state())) {
             throw new InvalidSettingsException(orphaned + " is this process's own");
         }
-        StateLock orphanedLock = StateLock.tryTake(orphaned, false);
+        StateLock orphanedLock = StateLock.tryAcquire(orphaned, false);
         try {
             if (orphanedLock == null) {
                 checkFence(orphaned, fenced);
             }
-            checkRoom(JournalView.read(orphaned).owed());
+            checkRoom(JournalView.read(orphaned).pendingCount());
             return adoptFenced(FencingToken.raise(orphaned, config.name(), config.state()), orphaned);
         } finally {
             if (orphanedLock != null) {
@@ -85,7 +85,7 @@
             return;
         }
         FencingToken token = FencingToken.read(orphaned);
-        if (token == null || !token.done()) {
+        if (token == null || !token.completed()) {
             adopt(orphaned, true);
         }
     }
@@ -98,7 +98,7 @@
         if (!fenced) {
             throw new InvalidSettingsException("a process holds " + orphaned + "; only a fence could stop it");
         }
-        if (!StateLock.guarded(orphaned)) {
+        if (!StateLock.fenceWatched(orphaned)) {
             throw new InvalidSettingsException("the process that holds " + orphaned + " does not look for a fence");
         }
     }
@@ -116,9 +116,9 @@
     private Result adoptFenced(FencingToken token, Path orphaned) throws IOException {
         int adopted = 0;
         int adoptedBefore = 0;
-        try (Journal journal = Journal.peek(orphaned)) {
+        try (Journal journal = Journal.openReadOnly(orphaned)) {
             Map<String, List<AcceptedMessage>> batches =
-                    OrphanedJournalRecovery.lots(token.lots(), journal.live(), folder.steadyMillis());
+                    OrphanedJournalRecovery.lots(token.handoffId(), journal.pendingMessages(), folder.steadyMillis());
             for (Map.Entry<String, List<AcceptedMessage>> batch : batches.entrySet()) {
                 int taken = adoptOnLoop(batch.getKey(), batch.getValue(), orphaned);
                 adopted += taken;
@@ -145,10 +145,12 @@
 
     /** What that process had taken over itself, and not finished, goes on here. */
     private void continueAdoptions(Journal orphaned) {
-        orphaned.lots().forEach((batch, handoff) -> {
+        orphaned.handoffBatches().forEach((batch, handoff) -> {
             if (batch.startsWith(OrphanedJournalRecovery.PREFIX)) {
-                loop.submit(() -> folder.journal().lots().containsKey(batch)
-                                || folder.journal().lot(batch, handoff.ownership(), handoff.until(), List.of()))
+                loop.submit(() -> folder.journal().handoffBatches().containsKey(batch)
+                                || folder.journal()
+                                        .writeHandoffBatch(
+                                                batch, handoff.ownership(), handoff.untilMillis(), List.of()))
                         .syncUninterruptibly();
             }
         });
@@ -156,7 +158,7 @@
 
     /** Returns how many messages are this process's now, 0 where the batch had been taken before, -1 where there is no room. */
     private int adoptBatch(String batch, List<AcceptedMessage> orphans) {
-        if (folder.journal().lots().containsKey(batch)) {
+        if (folder.journal().handoffBatches().containsKey(batch)) {
             return 0;
         }
         List<AcceptedMessage> copies = orphans.stream()
@@ -168,7 +170,7 @@
         long until =
                 copies.stream().mapToLong(copy -> copy.deadline).max().orElse(0) + OrphanedJournalRecovery.FORGOTTEN_MS;
         Ownership owned = new Ownership(1, Ownership.Status.OWNED, "");
-        if (lifecycle.ownershipReleased() || !folder.journal().adopt(batch, owned, until, copies)) {
+        if (lifecycle.ownershipReleased() || !folder.journal().acceptHandoffBatch(batch, owned, until, copies)) {
             return -1;
         }
         folder.forceOrHalt();
--- a/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
@@ -68,7 +68,7 @@
         Map<Long, List<AcceptedMessage>> byKey = new LinkedHashMap<>();
         Set<Long> waitingKeys = new HashSet<>(keyHolds.blockedKeys());
         // The journal has the order of acceptance, which is that of each key.
-        for (AcceptedMessage message : folder.journal().live()) {
+        for (AcceptedMessage message : folder.journal().pendingMessages()) {
             boolean ordered = messages.ordered(message);
             if (message.notice != null || message.frozen || message.out) {
                 // Nothing of an ordered key moves before this message completes.
@@ -112,7 +112,8 @@
     @Override
     public boolean offer(
             String lot, Ownership ownership, List<AcceptedMessage> offered, List<Long> keys, long holdUntil) {
-        if (!folder.journal().offer(lot, ownership, lastDeadline(offered), offered, config.name(), keys, holdUntil)) {
+        if (!folder.journal()
+                .offerHandoffBatch(lot, ownership, lastDeadline(offered), offered, config.name(), keys, holdUntil)) {
             return false;
         }
         folder.forceOrHalt();
@@ -128,7 +129,7 @@
     public boolean record(String lot, Ownership ownership, List<AcceptedMessage> offered) {
         boolean written = ownership.mine()
                 ? takeBack(lot, ownership, offered)
-                : folder.journal().lot(lot, ownership, lastDeadline(offered), offered);
+                : folder.journal().writeHandoffBatch(lot, ownership, lastDeadline(offered), offered);
         if (written) {
             folder.forceOrHalt();
         }
@@ -139,8 +140,8 @@
     private boolean takeBack(String lot, Ownership ownership, List<AcceptedMessage> offered) {
         List<Long> keys = orderedKeys(offered);
         List<AcceptedMessage> later = keyHolds.blockedMessages(keys);
-        List<Long> released =
-                folder.journal().takeBack(lot, ownership, lastDeadline(offered), offered, config.name(), keys);
+        List<Long> released = folder.journal()
+                .reclaimHandoffBatch(lot, ownership, lastDeadline(offered), offered, config.name(), keys);
         if (released == null) {
             return false;
         }
@@ -210,20 +211,21 @@
         adopted.forEach(message -> message.type = messages.classes().number(message.className));
         List<Long> keys = orderedKeys(adopted);
         List<AcceptedMessage> later = keyHolds.blockedMessages(keys);
-        if (!folder.journal().adopt(lot, ownership, lastDeadline(adopted), adopted, origin, later)) {
+        if (!folder.journal().acceptHandoffBatch(lot, ownership, lastDeadline(adopted), adopted, origin, later)) {
             return false;
         }
         folder.forceOrHalt();
         resumeAhead(adopted, later);
         scheduler.recordPause(SchedulerClock.micros() - startMicros);
-        keyHolds.release(
-                keys.stream().filter(key -> !folder.journal().holds().held(key)).toList());
+        keyHolds.release(keys.stream()
+                .filter(key -> !folder.journal().keyHolds().held(key))
+                .toList());
         return true;
     }
 
     @Override
     public boolean hold(String origin, List<Long> keys, long until) {
-        if (lifecycle.ownershipReleased() || !folder.journal().hold(origin, keys, until)) {
+        if (lifecycle.ownershipReleased() || !folder.journal().holdKeys(origin, keys, until)) {
             return false;
         }
         folder.forceOrHalt();
@@ -234,10 +236,10 @@
     @Override
     public void release(String origin, List<Long> keys) {
         List<Long> known = keys.stream()
-                .filter(key -> folder.journal().holds().origins(key).contains(origin))
+                .filter(key -> folder.journal().keyHolds().origins(key).contains(origin))
                 .toList();
         if (!lifecycle.ownershipReleased() && !known.isEmpty()) {
-            keyHolds.release(folder.journal().release(origin, known));
+            keyHolds.release(folder.journal().releaseKeys(origin, known));
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/JournalMaintenance.java
+++ b/sender/src/main/java/amberroute/sender/JournalMaintenance.java
@@ -32,7 +32,7 @@
     void start() {
         repeat(TIDY_INTERVAL_MS, () -> {
             folder.journal().retry();
-            folder.journal().tidy();
+            folder.journal().compactSlice();
             folder.clock().record();
         });
     }
@@ -40,8 +40,8 @@
     /** Starts the expiry of key holds, for senders with a handoff. */
     void startExpiry() {
         repeat(EXPIRY_INTERVAL_MS, () -> {
-            folder.journal().dropOldLots(folder.steadyMillis());
-            keyHolds.release(folder.journal().expireHolds(folder.steadyMillis()));
+            folder.journal().expireHandoffBatches(folder.steadyMillis());
+            keyHolds.release(folder.journal().expireKeyHolds(folder.steadyMillis()));
         });
     }
 
--- a/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
+++ b/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
@@ -83,7 +83,7 @@
         if (blocked.isEmpty()) {
             return List.of();
         }
-        return folder.journal().live().stream()
+        return folder.journal().pendingMessages().stream()
                 .filter(message -> blocked.contains(message.key) && untried(message))
                 .toList();
     }
@@ -98,7 +98,7 @@
     /** For each ordered key with a message here: when the last of them is surely completed. */
     Map<Long, Long> orderedKeys() {
         Map<Long, Long> ends = new HashMap<>();
-        for (AcceptedMessage message : folder.journal().live()) {
+        for (AcceptedMessage message : folder.journal().pendingMessages()) {
             if (messages.ordered(message)) {
                 ends.merge(message.key, completedBy(message), Math::max);
             }
@@ -119,7 +119,7 @@
     /** As {@link #orderedKeys}, with the keys of which other daemons have messages from here. */
     Map<Long, Long> orderedKeysWithHolds() {
         Map<Long, Long> ends = orderedKeys();
-        folder.journal().holds().all().stream()
+        folder.journal().keyHolds().all().stream()
                 .filter(hold -> hold.origin().equals(senderName))
                 .forEach(hold -> ends.merge(hold.key(), hold.until(), Math::max));
         return ends;
--- a/sender/src/main/java/amberroute/sender/MessageAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/MessageAcceptance.java
@@ -67,7 +67,7 @@
             // With
             // it the client has no answer until it is replicated, as another daemon may deliver it, or none.
             folder.journal()
-                    .whenSafe(
+                    .whenDurable(
                             () -> arrival.reply().ok(),
                             peers.replication() != null
                                     ? null
@@ -79,7 +79,7 @@
             scheduler.submit(new Event.MessageCancelled(message.number));
         } else {
             submissions.shed(
-                    message.className, arrival.reply(), folder.journal().again());
+                    message.className, arrival.reply(), folder.journal().retryAfterMillis());
             scheduler.submit(new Event.MessageCancelled(message.number));
         }
     }
--- a/sender/src/main/java/amberroute/sender/MessageCompletion.java
+++ b/sender/src/main/java/amberroute/sender/MessageCompletion.java
@@ -56,7 +56,7 @@
         report(lateCompletions, message);
         metrics.ended(message.className, result);
         folder.journal().end(message, notification, () -> notifyWhenDurable(message));
-        if (folder.journal().owes(message)) {
+        if (folder.journal().hasPendingWrite(message)) {
             loop.schedule(
                     () -> notifyWithoutRecord(message),
                     message.deadline - folder.steadyMillis(),
@@ -74,14 +74,15 @@
 
     /** Notifies the client at the deadline even if the outcome could not be journaled: recovery drops expired messages. */
     private void notifyWithoutRecord(AcceptedMessage message) {
-        if (!lifecycle.ownershipReleased() && folder.journal().owes(message)) {
+        if (!lifecycle.ownershipReleased() && folder.journal().hasPendingWrite(message)) {
             notifier.send(message);
         }
     }
 
     private void notifyWhenDurable(AcceptedMessage message) {
         folder.journal()
-                .whenSafe(() -> notifier.send(message), peers.replicated() ? () -> notifyUnreplicated(message) : null);
+                .whenDurable(
+                        () -> notifier.send(message), peers.replicated() ? () -> notifyUnreplicated(message) : null);
     }
 
     /** The outcome was not replicated in time, so another daemon may deliver the message: only a failure promises nothing. */
--- a/sender/src/main/java/amberroute/sender/MessageRecovery.java
+++ b/sender/src/main/java/amberroute/sender/MessageRecovery.java
@@ -79,9 +79,9 @@
         restoreHealth();
         folder.journal().classes().forEach(messages.classes()::restore);
         settings.run();
-        folder.journal().expireHolds(folder.steadyMillis());
-        keyHolds.block(folder.journal().holds().keys());
-        List.copyOf(folder.journal().live()).forEach(this::restoreMessage);
+        folder.journal().expireKeyHolds(folder.steadyMillis());
+        keyHolds.block(folder.journal().keyHolds().keys());
+        List.copyOf(folder.journal().pendingMessages()).forEach(this::restoreMessage);
         if (transfers.state() != null) {
             resumeCalls();
             endpoints.release(leaving);
@@ -90,25 +90,25 @@
 
     private void restoreHealth() {
         folder.journal()
-                .memories()
+                .healthRecords()
                 .forEach(health -> fleet.healthFound(
                         health.destination(),
                         health.health(),
                         Math.max(
                                 0,
                                 SchedulerClock.micros()
-                                        - (folder.steadyMillis() - health.since()) * MICROS_PER_MILLI)));
+                                        - (folder.steadyMillis() - health.sinceMillis()) * MICROS_PER_MILLI)));
         folder.journal()
-                .memories()
+                .healthRecords()
                 .forEach(health -> scheduler.submit(new Event.HealthRestored(
                         new DeliveryScheduler.HealthCheckpoint(
                                 health.destination(),
                                 endpointNumber(health.uid()),
                                 health.health(),
                                 0,
-                                health.pace(),
-                                health.usual()),
-                        Math.max(0, folder.steadyMillis() - health.since()) * MICROS_PER_MILLI)));
+                                health.callsPerSecond(),
+                                health.usualLatencyMicros()),
+                        Math.max(0, folder.steadyMillis() - health.sinceMillis()) * MICROS_PER_MILLI)));
     }
 
     private void restoreMessage(AcceptedMessage message) {
--- a/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
@@ -115,10 +115,10 @@
 
     /** Runs the code of the recovery once without effect, so that its classes are loaded when it has to be quick. */
     private void rehearse() {
-        try (Journal journal = Journal.peek(config.state())) {
+        try (Journal journal = Journal.openReadOnly(config.state())) {
             DeliveryScheduler trial = SchedulerDriver.checked(config.settings());
             long atMicros = SchedulerClock.micros();
-            for (AcceptedMessage message : journal.live()) {
+            for (AcceptedMessage message : journal.pendingMessages()) {
                 Event event = new Event.MessageRecovered(
                         message.number,
                         Math.max(0, config.classes().indexOf(message.className)),
--- a/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
@@ -99,7 +99,7 @@
         OutgoingTransfer.UnacknowledgedWork unsettled = transfers.outgoing().takeBack();
         JsonArray leaving = endpoints.resume(callsInFlight.endpointNumbers()::contains);
         Map<Long, AcceptedMessage> live = new HashMap<>();
-        folder.journal().live().forEach(message -> live.put(message.number, message));
+        folder.journal().pendingMessages().forEach(message -> live.put(message.number, message));
         upstream.rebind(item -> unsettledAttempt(live, item.message()));
         List<UpstreamClient.Result> unsettledOutcomes = unsettled.outcomes().stream()
                 .map(result -> unsettledOutcome(live, result))
--- a/sender/src/main/java/amberroute/sender/PeerServices.java
+++ b/sender/src/main/java/amberroute/sender/PeerServices.java
@@ -113,8 +113,8 @@
     private boolean handoffNeeded(StandaloneConfig.Standalone standalone) {
         return standalone.handOver() != null
                 || !standalone.peers().isEmpty()
-                || !folder.journal().lots().isEmpty()
-                || folder.journal().holds().size() > 0;
+                || !folder.journal().handoffBatches().isEmpty()
+                || folder.journal().keyHolds().size() > 0;
     }
 
     /** Listens for peers and begins to talk to them. Not on the event loop. */
--- a/sender/src/main/java/amberroute/sender/SchedulerActions.java
+++ b/sender/src/main/java/amberroute/sender/SchedulerActions.java
@@ -88,7 +88,7 @@
     private void saveCheckpoint(DeliveryScheduler.HealthCheckpoint health) {
         fleet.healthFound(health.destination(), health.status(), health.sinceMicros());
         folder.journal()
-                .remember(new Journal.HealthRecord(
+                .recordHealth(new Journal.HealthRecord(
                         health.destination(),
                         endpoints.uid(health.endpoint()),
                         health.status(),
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -375,7 +375,7 @@
             Log.guarded("calls", () -> delivery.attempts.startCalls(actions));
         }
         actions.forEach(action -> Log.guarded("action", () -> delivery.actions.carryOut(action)));
-        folder.journal().tidy();
+        folder.journal().compactSlice();
         delivery.attempts.forgetCancelled();
     }
 
@@ -453,7 +453,7 @@
 
     /** The number of messages that are not over yet, with those whose notification is not acknowledged. */
     int pendingMessages() {
-        return loop.submit(() -> folder.journal().live().size())
+        return loop.submit(() -> folder.journal().pendingMessages().size())
                 .syncUninterruptibly()
                 .getNow();
     }
--- a/sender/src/main/java/amberroute/sender/SettingsActivation.java
+++ b/sender/src/main/java/amberroute/sender/SettingsActivation.java
@@ -45,7 +45,7 @@
     String apply(SenderConfig config) {
         DeliveryScheduler.Settings settings = config.settings();
         Set<Integer> classesInUse = new HashSet<>();
-        folder.journal().live().forEach(message -> classesInUse.add(message.type));
+        folder.journal().pendingMessages().forEach(message -> classesInUse.add(message.type));
         messages.arriving().values().forEach(arrival -> classesInUse.add(arrival.message().type));
         if (!messages.classes().take(config.classes(), settings.classes(), classesInUse::contains)) {
             return "held messages still need too many other classes";
@@ -66,7 +66,7 @@
     private void recordClasses() {
         for (int i = 0; i < messages.classes().size(); i++) {
             MessageClassRegistry classes = messages.classes();
-            if (classes.version(i) != null && !folder.journal().define(i, classes.version(i))) {
+            if (classes.version(i) != null && !folder.journal().defineClass(i, classes.version(i))) {
                 // After a restart its messages would be known by the name of their class only.
                 Log.warn("class " + classes.version(i).name() + " could not be recorded");
             }
--- a/sender/src/main/java/amberroute/sender/StatusReport.java
+++ b/sender/src/main/java/amberroute/sender/StatusReport.java
@@ -57,9 +57,9 @@
             status.addProperty("calls", upstream.callsOut());
             status.addProperty("notices", notifier.pending());
             status.addProperty("clients", clientServer.connections());
-            status.addProperty("disk_used", folder.journal().used());
+            status.addProperty("disk_used", folder.journal().usedBytes());
             status.addProperty("disk_live", folder.journal().liveBytes());
-            status.addProperty("disk_trouble", folder.journal().trouble());
+            status.addProperty("disk_trouble", folder.journal().writeFailure());
             status.addProperty("longest_turn_us", scheduler.takeLongestIterationMicros());
         }
         return status;
--- a/sender/src/main/java/amberroute/sender/SubmissionHandler.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionHandler.java
@@ -78,7 +78,7 @@
         } else if (verdict instanceof SubmissionVerdict.Forward) {
             forward(submission, reply);
         } else if (verdict instanceof SubmissionVerdict.Duplicate duplicate) {
-            duplicate.journal().whenSafe(reply::ok, null);
+            duplicate.journal().whenDurable(reply::ok, null);
         } else if (verdict instanceof SubmissionVerdict.Reject rejection) {
             reject(rejection, submission, reply);
         } else if (verdict instanceof SubmissionVerdict.Invalid invalid) {
@@ -99,7 +99,7 @@
                 folder.steadyMillis() + submission.timeLeft(),
                 submission.body());
         message.type = messages.classes().number(submission.className());
-        if (messages.ordered(message) && folder.journal().holds().held(message.key)) {
+        if (messages.ordered(message) && folder.journal().keyHolds().held(message.key)) {
             peers.handoff().turnedUp(message.key);
         }
         messages.arriving().put(message.number, new PendingAcceptance(message, reply));
--- a/sender/src/main/java/amberroute/sender/lifecycle/JournalForceExecutor.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/JournalForceExecutor.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void beside(Runnable work, Runnable then) {
+    public void runInBackground(Runnable work, Runnable then) {
         thread.execute(() -> {
             work.run();
             loop.execute(then);
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public void soon(Runnable work) {
+    public void runOnLoop(Runnable work) {
         loop.execute(work);
     }
 }
--- a/sender/src/main/java/amberroute/sender/lifecycle/StateFolder.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/StateFolder.java
@@ -47,12 +47,12 @@
 
     /** Takes the lock. Fails where another process has it. */
     public void lock() throws IOException {
-        lock = StateLock.take(config.state(), config.standalone() != null);
+        lock = StateLock.acquire(config.state(), config.standalone() != null);
     }
 
     /** Takes the lock and returns true, or returns false where another process has it. */
     public boolean tryLock() throws IOException {
-        lock = StateLock.tryOwn(config.state(), config.standalone() != null);
+        lock = StateLock.tryAcquireOwn(config.state(), config.standalone() != null);
         return lock != null;
     }
 
@@ -89,8 +89,8 @@
     public void open(EventLoop loop, OpenListener listener) throws IOException {
         FencingToken fence = FencingToken.read(config.state());
         if (fence != null) {
-            throw new InvalidSettingsException("state folder " + config.state() + " was taken over by " + fence.by()
-                    + "; this instance needs another one");
+            throw new InvalidSettingsException("state folder " + config.state() + " was taken over by "
+                    + fence.successor() + "; this instance needs another one");
         }
         listener.lockHeld();
         StandaloneConfig.Standalone standalone = config.standalone();
@@ -111,12 +111,12 @@
     }
 
     private void guardWithFence(EventLoop loop) throws IOException {
-        lock.tellGuarded();
+        lock.recordFenceWatched();
         if (!fenceChecked) {
             fenceChecked = true;
             loop.scheduleWithFixedDelay(this::checkFence, FENCE_CHECK_MS, FENCE_CHECK_MS, TimeUnit.MILLISECONDS);
         }
-        journal.guard(() -> {
+        journal.watchFence(() -> {
             // No orderly stop: all messages of this process belong to another one already.
             Log.warn("the state folder was taken over; this process ends");
             Runtime.getRuntime().halt(EXIT_FENCED);
@@ -134,7 +134,7 @@
      * ahead of its folder, and the next process goes on from the folder.
      */
     public void forceOrHalt() {
-        if (!journal.makeSafe()) {
+        if (!journal.forceAll()) {
             Log.warn("journal: cannot be forced, and another daemon depends on it; this process ends");
             Runtime.getRuntime().halt(EXIT_NOT_DURABLE);
         }
--- a/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -127,7 +127,7 @@
     /** The term is this daemon's; false where that cannot be written. */
     boolean begin(long term, LogPosition at, ReplicaSet group) {
         tenure = new LeaderTerm(self, term, at.number(), group);
-        if (!journal.holders(ReplicationMessages.group(estate, group))) {
+        if (!journal.replicaSet(ReplicationMessages.group(estate, group))) {
             tenure = null;
             return false;
         }
@@ -137,7 +137,7 @@
 
     /** A change of the group, one more or one less; not before the last one is agreed on. */
     boolean regroup(ReplicaSet next) {
-        if (tenure == null || !tenure.settled() || !journal.holders(ReplicationMessages.group(estate, next))) {
+        if (tenure == null || !tenure.settled() || !journal.replicaSet(ReplicationMessages.group(estate, next))) {
             return false;
         }
         List<String> before = tenure.group().holders();
@@ -245,14 +245,14 @@
     // ---- The journal's side. ----
 
     @Override
-    public byte[] place() {
+    public byte[] replicationPosition() {
         return tenure == null || tenure.over()
                 ? null
                 : ReplicationMessages.place(new LogPosition(tenure.term(), tenure.last() + 1));
     }
 
     @Override
-    public void wrote(Batch batch) {
+    public void batchWritten(Batch batch) {
         tenure.wrote();
         if (!links.isEmpty()) {
             String change = ReplicationMessages.encoded(batch);
@@ -265,7 +265,7 @@
     }
 
     @Override
-    public void whenAgreed(Runnable effect, Runnable failed) {
+    public void whenReplicated(Runnable effect, Runnable failed) {
         long number = tenure == null ? 0 : tenure.last();
         if (waiting.isEmpty() && tenure != null && !tenure.over() && reached >= number) {
             effect.run();
@@ -457,7 +457,7 @@
             taught = false;
             pending.clear();
             pendingBytes = 0;
-            whole = journal.contents().iterator();
+            whole = journal.snapshotBatches().iterator();
             first = true;
             pump();
         }
@@ -513,7 +513,7 @@
                 if (last) {
                     sent = tenure.last();
                     line.addProperty("upto", sent);
-                    some.add(ReplicationMessages.encoded(journal.placed()));
+                    some.add(ReplicationMessages.encoded(journal.replicationPositionBatch()));
                     whole = null;
                 }
                 first = false;
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -143,8 +143,8 @@
             kept.log = SegmentLog.open(new FolderDisk(kept.copyFolder()), limits(), ReplicaStore::salt);
             byte[][] found = new byte[2][];
             kept.log.read((owner, kind, version, content) -> {
-                if (kind == Journal.PLACE || kind == Journal.GROUP) {
-                    found[kind == Journal.PLACE ? 0 : 1] = bytes(content);
+                if (kind == Journal.REPLICATION_POSITION || kind == Journal.REPLICA_SET) {
+                    found[kind == Journal.REPLICATION_POSITION ? 0 : 1] = bytes(content);
                 }
             });
             if (!kept.log.losses().isEmpty() || found[0] == null || found[1] == null) {
@@ -322,7 +322,7 @@
         for (Batch batch : batches) {
             log.write(batch);
         }
-        if (log.worthCompacting()) {
+        if (log.shouldCompact()) {
             log.compact(SLICE);
         }
     }
--- a/sender/src/main/java/amberroute/sender/peer/ReplicationMessages.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationMessages.java
@@ -32,7 +32,7 @@
 
     /** As it travels, to each holder the same. */
     public static String encoded(Batch batch) {
-        return Base64.getEncoder().encodeToString(batch.bytes());
+        return Base64.getEncoder().encodeToString(batch.encode());
     }
 
     public static void add(JsonObject line, List<String> batches) {
@@ -55,7 +55,7 @@
     static List<Batch> batches(JsonObject line) {
         List<Batch> out = new ArrayList<>();
         for (JsonElement item : line.getAsJsonArray("batches")) {
-            out.add(Batch.read(Base64.getDecoder().decode(item.getAsString())));
+            out.add(Batch.decode(Base64.getDecoder().decode(item.getAsString())));
         }
         return out;
     }
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -187,8 +187,8 @@
 
     private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.PLACE, ReplicationMessages.place(new LogPosition(term, number)))
-                .put(1, Journal.GROUP, ReplicationMessages.group(ESTATE, holders));
+                .put(1, Journal.REPLICATION_POSITION, ReplicationMessages.place(new LogPosition(term, number)))
+                .put(1, Journal.REPLICA_SET, ReplicationMessages.group(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
@@ -307,19 +307,19 @@
     @Test
     void anOwnEstateWithoutItsPromisesIsGivenUp() throws Exception {
         survival();
-        journal.copyTo(new Journal.ChangeListener() {
+        journal.replicateTo(new Journal.ChangeListener() {
             @Override
-            public byte[] place() {
+            public byte[] replicationPosition() {
                 return ReplicationMessages.place(new LogPosition(3, 8));
             }
 
             @Override
-            public void wrote(Batch batch) {}
+            public void batchWritten(Batch batch) {}
 
             @Override
-            public void whenAgreed(Runnable effect, Runnable failed) {}
+            public void whenReplicated(Runnable effect, Runnable failed) {}
         });
-        assertTrue(journal.holders(
+        assertTrue(journal.replicaSet(
                 ReplicationMessages.group("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
         loop.submit(survival::close).sync();
         journal.close();
@@ -344,7 +344,7 @@
         assertTrue(store.promise(store.of("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
-        journal.holders(ReplicationMessages.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
+        journal.replicaSet(ReplicationMessages.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
