--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/HealthRecord.java
@@ -0,0 +1,26 @@
+package amberroute.sender.journal;
+
+import amberroute.decisions.DeliveryScheduler;
+
+/**
+ * The journaled health of one endpoint, or of a whole destination where {@code uid} is empty.
+ *
+ * @param destination number of the destination
+ * @param uid uid of the endpoint, empty for the destination as a whole
+ * @param health last known status
+ * @param sinceMillis when that status began, by the {@link SteadyClock}
+ * @param callsPerSecond rate that was in force
+ * @param usualLatencyMicros usual latency of a call
+ */
+public record HealthRecord(
+        int destination,
+        String uid,
+        DeliveryScheduler.UpstreamStatus health,
+        long sinceMillis,
+        double callsPerSecond,
+        double usualLatencyMicros) {
+    /** Identifies the endpoint or destination; at most one record is journaled for each. */
+    String upstreamKey() {
+        return destination + " " + uid;
+    }
+}
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -10,14 +10,17 @@
 import amberroute.sender.util.Log;
 import amberroute.sender.util.ModifiedUtf8;
 import amberroute.storage.Batch;
+import amberroute.storage.ContentReader;
+import amberroute.storage.DataLoss;
 import amberroute.storage.Disk;
 import amberroute.storage.FolderDisk;
+import amberroute.storage.LogFullException;
+import amberroute.storage.LogLimits;
+import amberroute.storage.PendingForce;
 import amberroute.storage.SegmentLog;
 import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.DataInputStream;
-import java.io.DataOutputStream;
 import java.io.File;
 import java.io.IOException;
 import java.io.InputStream;
@@ -53,18 +56,6 @@
  * not made, and nothing is taken on meanwhile ({@link #trouble}).
  */
 public final class Journal implements Closeable {
-    // What an owner has. Numbers are in files: never used for anything else.
-    private static final int MESSAGE = 1;
-    private static final int STANDING = 2;
-    private static final int LOT = 3;
-    private static final int HOLD = 4;
-    private static final int MEMORY = 5;
-    private static final int CLASS = 6;
-    private static final int RANK = 7;
-    /** How far the estate's record has come, and who holds copies of it; for whoever keeps copies. */
-    public static final int PLACE = 8;
-
-    public static final int GROUP = 9;
     // Forms of a message.
     private static final int WHOLE = 0;
     private static final int ENDED = 1;
@@ -109,49 +100,9 @@
     private static final int PEEKS = 5;
     private static final int MOST_FORCES = 5;
 
-    /** What the module wants to know of a place again, {@code uid} empty for a whole destination; wall time. */
-    public record HealthRecord(
-            int destination,
-            String uid,
-            DeliveryScheduler.UpstreamStatus health,
-            long since,
-            double pace,
-            double usual) {
-        String place() {
-            return destination + " " + uid;
-        }
-    }
-
-    /**
-     * What is known of a lot that moved or was to move: whose it is, until when that has to be kept (wall time), and the
-     * numbers of its messages here.
-     */
-    public record HandoffBatchRecord(Ownership ownership, long until, List<Long> numbers) {}
-
     /** What an owner has to have on the disk and has not yet; what then may follow. */
     private record PendingWrite(Batch batch, Runnable then) {}
 
-    /** Lets slow work run beside the event loop. */
-    public interface BackgroundExecutor {
-        /** {@code work} on another thread, then {@code then} on the loop. */
-        void beside(Runnable work, Runnable then);
-
-        /** On the loop, behind what is due there now: what comes together is forced together. */
-        void soon(Runnable work);
-    }
-
-    /** Takes each change on to where copies of this journal are kept. */
-    public interface ChangeListener {
-        /** What stands with the next change of its place in the estate's record; null where that is not counted now. */
-        byte[] place();
-
-        /** The change is on the disk. */
-        void wrote(Batch batch);
-
-        /** Runs an effect when all that was written so far is copied; {@code failed}, if there is one, when it is not in time. */
-        void whenAgreed(Runnable effect, Runnable failed);
-    }
-
     /** What may happen once all up to a record is on the disk for good; {@code failed} is null where it just waits on. */
     private record DeferredEffect(long sequence, Runnable effect, Runnable failed) {}
 
@@ -160,7 +111,7 @@
     private final Durability durability;
     private final BackgroundExecutor helper;
     private final Deque<DeferredEffect> waiting = new ArrayDeque<>();
-    private SegmentLog.Force forcing;
+    private PendingForce forcing;
     private boolean forceDue;
     /** Of the force that is under way: that it has run, and what has to follow on the loop. */
     private CountDownLatch ended;
@@ -188,7 +139,7 @@
     /** Looked for behind each record, null where nobody may take the folder over. */
     private File fence;
     /** Null where nobody keeps copies. */
-    private ChangeListener copies;
+    private JournalChangeListener copies;
 
     private byte[] place;
     private byte[] holders;
@@ -208,8 +159,8 @@
         this.log = log;
         this.durability = durability;
         this.helper = helper;
-        long budget = log.limits().budget();
-        room = budget - log.overhead();
+        long budget = log.limits().budgetBytes();
+        room = budget - log.reservedBytes();
         long most = Math.min(MOST_REMEMBERED, budget / REMEMBERED_SHARE);
         remembered = new DeduplicationCache(most);
         mostMemories = (int) Math.min(1 << 16, Math.max(LEAST_MEMORIES, budget / MEMORIES_SHARE / MEMORY_BYTES));
@@ -229,11 +180,11 @@
     /** {@code helper} forces off the event loop, for {@link Durability#BATCH}. */
     public static Journal open(Path folder, Disk disk, long budget, Durability durability, BackgroundExecutor helper)
             throws IOException {
-        if (budget - 4_096 < SegmentLog.Limits.LEAST) {
+        if (budget - 4_096 < LogLimits.MIN_BUDGET_BYTES) {
             throw new IOException(
-                    "the journal needs " + (SegmentLog.Limits.LEAST + 4_096) + " bytes of disk, and has " + budget);
+                    "the journal needs " + (LogLimits.MIN_BUDGET_BYTES + 4_096) + " bytes of disk, and has " + budget);
         }
-        SegmentLog.Limits limits = SegmentLog.Limits.of(budget - 4_096, durability != Durability.NONE);
+        LogLimits limits = LogLimits.of(budget - 4_096, durability != Durability.NONE);
         LegacyJournalReader old = folder == null ? null : LegacyJournalReader.read(folder);
         boolean moves = old != null && !old.moved;
         if (moves) {
@@ -267,7 +218,7 @@
     }
 
     /** Reads a folder's journal and leaves it as it is, also while its process writes; for looking only. */
-    public static Journal peek(Path folder) throws IOException {
+    public static Journal openReadOnly(Path folder) throws IOException {
         LegacyJournalReader old = LegacyJournalReader.read(folder);
         if (old == null) {
             throw new NoSuchFileException(
@@ -275,7 +226,8 @@
         }
         for (int attempt = 1; ; attempt++) {
             try {
-                Journal journal = new Journal(folder, SegmentLog.peek(new FolderDisk(folder)), Durability.NONE, null);
+                Journal journal =
+                        new Journal(folder, SegmentLog.openReadOnly(new FolderDisk(folder)), Durability.NONE, null);
                 if (old.moved) {
                     journal.read(false);
                 } else {
@@ -305,7 +257,7 @@
         if (log.tornBytes() > 0) {
             Log.warn("journal: passed over " + log.tornBytes() + " bytes of torn ends");
         }
-        for (SegmentLog.Loss loss : log.losses()) {
+        for (DataLoss loss : log.losses()) {
             Log.warn("journal: DAMAGED: "
                     + (loss.damage().to() == 0
                             ? "segment " + loss.segment() + " is missing"
@@ -341,8 +293,8 @@
     }
 
     /** Bytes on the disk, and of them those that are wanted. */
-    public long used() {
-        return log.used();
+    public long usedBytes() {
+        return log.usedBytes();
     }
 
     public long liveBytes() {
@@ -353,7 +305,7 @@
      * From now on a raised {@link FencingToken} is noticed behind each record and before any effect that it allows; then this is
      * run, which has to end the process.
      */
-    public void guard(Runnable fenced) {
+    public void watchFence(Runnable fenced) {
         fence = FencingToken.file(folder);
         onFenced = fenced;
     }
@@ -369,8 +321,10 @@
     // ---- Writing. ----
 
     private boolean write(Batch batch) {
-        byte[] at = copies == null || batch.isEmpty() ? null : copies.place();
-        Batch whole = at == null ? batch : new Batch().and(batch).put(numberOf("estate"), PLACE, at);
+        byte[] at = copies == null || batch.isEmpty() ? null : copies.replicationPosition();
+        Batch whole = at == null
+                ? batch
+                : new Batch().addAll(batch).put(numberOf("estate"), RecordKind.REPLICATION_POSITION, at);
         try {
             log.write(whole);
         } catch (IOException e) {
@@ -379,12 +333,12 @@
         }
         if (at != null) {
             place = at;
-            copies.wrote(whole);
+            copies.batchWritten(whole);
         }
         if (durability == Durability.EACH) {
             forceNow();
         }
-        if (!trouble.isEmpty() && owed.isEmpty() && !log.uncertain() && !log.unsafe()) {
+        if (!trouble.isEmpty() && owed.isEmpty() && !log.uncertain() && !log.needsRewrite()) {
             Log.warn("journal: can be written again");
             trouble = "";
         }
@@ -399,23 +353,24 @@
      * loss of the machine where copies are kept; at once where neither is. Where that fails, or takes too long, {@code failed}
      * runs in its place; with null it waits until what was written is safe by other ways.
      */
-    public void whenSafe(Runnable effect, Runnable failed) {
+    public void whenDurable(Runnable effect, Runnable failed) {
         if (copies == null) {
             whenForced(effect, failed);
         } else {
-            copies.whenAgreed(() -> whenForced(effect, failed), failed);
+            copies.whenReplicated(() -> whenForced(effect, failed), failed);
         }
     }
 
     private void whenForced(Runnable effect, Runnable failed) {
-        if (durability == Durability.NONE || waiting.isEmpty() && !log.unsafe() && log.forced() >= log.sequence()) {
+        if (durability == Durability.NONE
+                || waiting.isEmpty() && !log.needsRewrite() && log.forcedSequence() >= log.sequence()) {
             effect.run();
             return;
         }
         waiting.add(new DeferredEffect(log.sequence(), effect, failed));
         if (!forceDue && helper != null) {
             forceDue = true;
-            helper.soon(this::force);
+            helper.runOnLoop(this::force);
         }
     }
 
@@ -425,12 +380,12 @@
         if (forcing != null || durability == Durability.NONE) {
             return;
         }
-        forcing = log.prepare();
+        forcing = log.prepareForce();
         if (forcing == null) {
             runSafe();
             return;
         }
-        SegmentLog.Force mine = forcing;
+        PendingForce mine = forcing;
         IOException[] error = new IOException[1];
         CountDownLatch ran = new CountDownLatch(1);
         ended = ran;
@@ -442,7 +397,7 @@
             }
         };
         Runnable complete = completion;
-        helper.beside(
+        helper.runInBackground(
                 () -> {
                     try {
                         mine.run();
@@ -454,14 +409,14 @@
                 },
                 () -> {
                     complete.run();
-                    if (!waiting.isEmpty() && !log.unsafe()) {
+                    if (!waiting.isEmpty() && !log.needsRewrite()) {
                         force();
                     }
                 });
     }
 
-    private void forced(SegmentLog.Force force, IOException error) {
-        log.done(force, error == null);
+    private void forced(PendingForce force, IOException error) {
+        log.forceCompleted(force, error == null);
         if (error == null) {
             runSafe();
             return;
@@ -480,14 +435,14 @@
     }
 
     private void runSafe() {
-        while (!log.unsafe() && !waiting.isEmpty() && waiting.peek().sequence() <= log.forced()) {
+        while (!log.needsRewrite() && !waiting.isEmpty() && waiting.peek().sequence() <= log.forcedSequence()) {
             waiting.poll().effect().run();
         }
     }
 
     /** Forces on this thread; slow. False where what was written is not safe. */
     private boolean forceNow() {
-        SegmentLog.Force force = forcing == null ? log.prepare() : null;
+        PendingForce force = forcing == null ? log.prepareForce() : null;
         if (force != null) {
             IOException error = null;
             try {
@@ -497,14 +452,14 @@
             }
             forced(force, error);
         }
-        return !log.unsafe() && log.forced() >= log.sequence();
+        return !log.needsRewrite() && log.forcedSequence() >= log.sequence();
     }
 
     /**
      * For what others are told at once, as between daemons: all that was written is on the disk for good when this returns
      * true, which takes a force, or several where one fails. Slow.
      */
-    public boolean makeSafe() {
+    public boolean forceAll() {
         if (durability == Durability.NONE) {
             return true;
         }
@@ -530,7 +485,7 @@
     /** What a failed force has left in doubt is copied on, so that the next one covers it. */
     private void copyOn() {
         try {
-            while (log.unsafe() && log.compact(SLICE)) {
+            while (log.needsRewrite() && log.compact(SLICE)) {
                 // A slice after another.
             }
         } catch (IOException e) {
@@ -539,13 +494,12 @@
     }
 
     /** Effects that wait for a force. */
-    public int waiting() {
+    public int deferredEffects() {
         return waiting.size();
     }
 
     private void failed(IOException e) {
-        String now =
-                e instanceof SegmentLog.LogFullException ? "the disk budget is spent" : String.valueOf(e.getMessage());
+        String now = e instanceof LogFullException ? "the disk budget is spent" : String.valueOf(e.getMessage());
         if (!now.equals(trouble)) {
             Log.warn("journal: cannot be written: " + e);
         }
@@ -553,12 +507,12 @@
     }
 
     /** Why nothing is taken on just now; empty while all is well. */
-    public String trouble() {
+    public String writeFailure() {
         return trouble;
     }
 
     /** When a client that is turned away for it should come again, in milliseconds; 0 where nothing is in the way. */
-    public long again() {
+    public long retryAfterMillis() {
         return trouble.isEmpty() ? 0 : AGAIN_MS;
     }
 
@@ -571,7 +525,7 @@
     }
 
     /** Changes that are not on the disk yet. */
-    int owed() {
+    int pendingWriteCount() {
         return owed.size();
     }
 
@@ -587,7 +541,7 @@
 
     /** Tries again what could not be written; to be called from time to time. */
     public void retry() {
-        if (log.unsafe() && forcing == null) {
+        if (log.needsRewrite() && forcing == null) {
             copyOn();
             force();
         }
@@ -595,7 +549,7 @@
             return;
         }
         try {
-            log.settle();
+            log.resolveUncertainWrite();
         } catch (IOException e) {
             failed(e);
             return;
@@ -609,23 +563,23 @@
             first.remove();
             next.getValue().then().run();
         }
-        log.refill();
-        if (owed.isEmpty() && !log.uncertain() && !log.unsafe() && log.hasReserve() && !trouble.isEmpty()) {
+        log.refillReserve();
+        if (owed.isEmpty() && !log.uncertain() && !log.needsRewrite() && log.hasReserve() && !trouble.isEmpty()) {
             Log.warn("journal: can be written again");
             trouble = "";
         }
     }
 
     /** Copies a slice on, where room should be won back; to be called between turns. Returns whether there is more to do. */
-    public boolean tidy() {
-        if (!log.worthCompacting()) {
+    public boolean compactSlice() {
+        if (!log.shouldCompact()) {
             return false;
         }
-        if (log.wantsForce() && helper != null && forcing == null) {
+        if (log.awaitsForce() && helper != null && forcing == null) {
             force();
         }
         try {
-            return log.compact(SLICE) && log.worthCompacting();
+            return log.compact(SLICE) && log.shouldCompact();
         } catch (IOException e) {
             failed(e);
             return false;
@@ -639,28 +593,28 @@
     // ---- Copies of it elsewhere. ----
 
     /** From now on each change goes on to copies, and effects wait for them. */
-    public void copyTo(ChangeListener to) {
+    public void replicateTo(JournalChangeListener to) {
         copies = to;
     }
 
     /** Where the estate's record had come to when this journal was last written, null where it never was copied. */
-    public byte[] place() {
+    public byte[] replicationPosition() {
         return place;
     }
 
     /** Who holds copies, as last written; null where nobody ever did. */
-    public byte[] holders() {
+    public byte[] replicaSet() {
         return holders;
     }
 
     /** The place as a change of its own, for the end of a whole copy. */
-    public Batch placed() {
-        return new Batch().put(numberOf("estate"), PLACE, place);
+    public Batch replicationPositionBatch() {
+        return new Batch().put(numberOf("estate"), RecordKind.REPLICATION_POSITION, place);
     }
 
     /** Writes who holds copies: a change like others. */
-    public boolean holders(byte[] group) {
-        if (!write(new Batch().put(numberOf("estate"), GROUP, group))) {
+    public boolean replicaSet(byte[] group) {
+        if (!write(new Batch().put(numberOf("estate"), RecordKind.REPLICA_SET, group))) {
             return false;
         }
         holders = group;
@@ -670,7 +624,7 @@
     // ---- Messages. ----
 
     /** Messages that have not been concluded, in the order of acceptance. */
-    public Collection<AcceptedMessage> live() {
+    public Collection<AcceptedMessage> pendingMessages() {
         return live.values();
     }
 
@@ -692,10 +646,10 @@
     /** Takes a message on; false where the budget or the disk has no room for it, or trouble is not over. */
     public boolean accept(AcceptedMessage m) {
         doubtful = false;
-        if (!fits(reserve(m)) || !owed.isEmpty() || log.uncertain() || log.unsafe()) {
+        if (!fits(reserve(m)) || !owed.isEmpty() || log.uncertain() || log.needsRewrite()) {
             return false;
         }
-        if (!write(new Batch().put(m.number, MESSAGE, whole(m)))) {
+        if (!write(new Batch().put(m.number, RecordKind.MESSAGE, whole(m)))) {
             doubtful = log.uncertain();
             return false;
         }
@@ -709,7 +663,7 @@
         m.attempt(uid, wall);
         // What is owed of it stands in this as well.
         if (owed.containsKey(m.number) && owed.get(m.number).then() != NOTHING
-                || !write(new Batch().put(m.number, STANDING, standing(m)))) {
+                || !write(new Batch().put(m.number, RecordKind.ATTEMPTS, standing(m)))) {
             m.restore(before);
             doubtful = log.uncertain();
             return false;
@@ -724,11 +678,11 @@
      */
     public void attemptUnrecorded(AcceptedMessage m, String uid, long wall) {
         m.attempt(uid, wall);
-        mustWrite(m.number, new Batch().put(m.number, STANDING, standing(m)), NOTHING);
+        mustWrite(m.number, new Batch().put(m.number, RecordKind.ATTEMPTS, standing(m)), NOTHING);
     }
 
     /** Whether a change of this message is not on the disk yet. */
-    public boolean owes(AcceptedMessage m) {
+    public boolean hasPendingWrite(AcceptedMessage m) {
         return live.containsKey(m.number) && owed.containsKey(m.number);
     }
 
@@ -737,7 +691,7 @@
     public void outcome(AcceptedMessage m, boolean mayHaveRun) {
         m.outcome(mayHaveRun);
         if (live.containsKey(m.number) && m.notice == null) {
-            mustWrite(m.number, new Batch().put(m.number, STANDING, standing(m)), NOTHING);
+            mustWrite(m.number, new Batch().put(m.number, RecordKind.ATTEMPTS, standing(m)), NOTHING);
         }
     }
 
@@ -746,7 +700,7 @@
         reserved -= reserve(m);
         m.end(notice);
         reserved += reserve(m);
-        mustWrite(m.number, new Batch().putSole(m.number, MESSAGE, ended(m)), written);
+        mustWrite(m.number, new Batch().putExclusive(m.number, RecordKind.MESSAGE, ended(m)), written);
     }
 
     public void end(AcceptedMessage m, String notice) {
@@ -756,8 +710,8 @@
     /** Nothing more is owed: it was delivered, or its notice has been answered. */
     public void conclude(AcceptedMessage m) {
         if (live.containsKey(m.number)) {
-            Batch batch = new Batch().putSole(m.number, MESSAGE, gone(m));
-            drop(m).forEach(batch::end);
+            Batch batch = new Batch().putExclusive(m.number, RecordKind.MESSAGE, gone(m));
+            drop(m).forEach(batch::delete);
             mustWrite(m.number, batch, NOTHING);
         }
     }
@@ -788,7 +742,7 @@
     }
 
     private static byte[] gone(String id, int content, DeliveryScheduler.Idempotency effect) {
-        return bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeByte(GONE);
             out.writeUTF(id);
             out.writeInt(content);
@@ -812,11 +766,11 @@
     }
 
     /** To be called before a message of this version is taken on; false where it could not be written. */
-    public boolean define(int number, MessageClassRegistry.Version version) {
+    public boolean defineClass(int number, MessageClassRegistry.Version version) {
         if (version.equals(classes.get(number))) {
             return true;
         }
-        if (!write(new Batch().put(numberOf("class " + number), CLASS, defined(number, version)))) {
+        if (!write(new Batch().put(numberOf("class " + number), RecordKind.MESSAGE_CLASS, defined(number, version)))) {
             return false;
         }
         keep(number, version);
@@ -837,12 +791,12 @@
     }
 
     /** What was remembered of places, one for each. */
-    public Collection<HealthRecord> memories() {
+    public Collection<HealthRecord> healthRecords() {
         return memories.values();
     }
 
     /** That a place is well need not be kept. */
-    public void remember(HealthRecord memory) {
+    public void recordHealth(HealthRecord memory) {
         Batch batch = new Batch();
         long number = keep(memory, batch);
         if (!batch.isEmpty()) {
@@ -851,14 +805,14 @@
     }
 
     private long keep(HealthRecord memory, Batch batch) {
-        forget(memory.place(), batch);
+        forget(memory.upstreamKey(), batch);
         if (memory.health() == DeliveryScheduler.UpstreamStatus.HEALTHY) {
             return 0;
         }
-        long number = numberOf("place " + memory.place());
-        memories.put(memory.place(), memory);
+        long number = numberOf("place " + memory.upstreamKey());
+        memories.put(memory.upstreamKey(), memory);
         reserved += MEMORY_BYTES + memory.uid().length();
-        batch.put(number, MEMORY, remembered(memory));
+        batch.put(number, RecordKind.HEALTH, remembered(memory));
         if (memories.size() > mostMemories) {
             forget(memories.keySet().iterator().next(), batch);
         }
@@ -871,19 +825,19 @@
             reserved -= MEMORY_BYTES + old.uid().length();
             long number = numbers.remove("place " + place);
             owed.remove(number);
-            batch.end(number);
+            batch.delete(number);
         }
     }
 
     // ---- Lots. ----
 
     /** All lots of which something is known. */
-    public Map<String, HandoffBatchRecord> lots() {
+    public Map<String, HandoffBatchRecord> handoffBatches() {
         return lots;
     }
 
     /** Those of these messages that are still owed here, in the order given. */
-    public List<AcceptedMessage> messages(List<Long> numbers) {
+    public List<AcceptedMessage> pendingMessages(List<Long> numbers) {
         return numbers.stream()
                 .map(live::get)
                 .filter(m -> m != null && m.notice == null)
@@ -891,29 +845,31 @@
     }
 
     /** Writes whose a lot is. One that is given drops its messages, as they are another's now. */
-    public boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return lot(name, ownership, until, messages, new Batch());
+    public boolean writeHandoffBatch(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
+        return writeHandoffBatch(name, ownership, until, messages, new Batch());
     }
 
-    private boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages, Batch more) {
+    private boolean writeHandoffBatch(
+            String name, Ownership ownership, long until, List<AcceptedMessage> messages, Batch more) {
         HandoffBatchRecord lot = new HandoffBatchRecord(
                 ownership, until, messages.stream().map(m -> m.number).toList());
         if (!roomForLot(name) || !mayChange(lot)) {
             return false;
         }
-        Batch batch = new Batch().and(more).put(numberOf("lot " + name), LOT, lotContent(name, lot));
+        Batch batch =
+                new Batch().addAll(more).put(numberOf("lot " + name), RecordKind.HANDOFF_BATCH, lotContent(name, lot));
         List<AcceptedMessage> given = ownership.status() != Ownership.Status.GIVEN
                 ? List.of()
-                : lot.numbers().stream()
+                : lot.messageNumbers().stream()
                         .filter(live::containsKey)
                         .map(live::get)
                         .toList();
-        given.forEach(m -> batch.putSole(m.number, MESSAGE, gone(m)));
+        given.forEach(m -> batch.putExclusive(m.number, RecordKind.MESSAGE, gone(m)));
         if (!write(batch)) {
             return false;
         }
         Batch forgotten = new Batch();
-        given.forEach(m -> drop(m).forEach(forgotten::end));
+        given.forEach(m -> drop(m).forEach(forgotten::delete));
         // Where this cannot be written they are remembered for longer.
         write(forgotten);
         apply(name, lot);
@@ -925,14 +881,14 @@
         if (!owed.isEmpty()) {
             retry();
         }
-        return lot.numbers().stream().noneMatch(owed::containsKey);
+        return lot.messageNumbers().stream().noneMatch(owed::containsKey);
     }
 
     /**
      * Writes that a lot is offered, and in the same batch that what comes of its keys after a restart has to wait; false
      * without room for either.
      */
-    public boolean offer(
+    public boolean offerHandoffBatch(
             String name,
             Ownership ownership,
             long until,
@@ -945,7 +901,7 @@
         }
         Batch batch = new Batch();
         keys.forEach(key -> holdOn(batch, origin, key, holdUntil));
-        if (!lot(name, ownership, until, messages, batch)) {
+        if (!writeHandoffBatch(name, ownership, until, messages, batch)) {
             return false;
         }
         keepHolds(origin, keys, holdUntil);
@@ -953,7 +909,7 @@
     }
 
     /** Writes that a lot is this daemon's own again, and its keys with it; null where that could not be written. */
-    public List<Long> takeBack(
+    public List<Long> reclaimHandoffBatch(
             String name,
             Ownership ownership,
             long until,
@@ -962,14 +918,14 @@
             List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> letGo(batch, origin, key));
-        return lot(name, ownership, until, messages, batch) ? dropHolds(origin, keys) : null;
+        return writeHandoffBatch(name, ownership, until, messages, batch) ? dropHolds(origin, keys) : null;
     }
 
     /**
      * Takes messages over from another daemon: they and whose they are stand in one batch, so never one alone. In the
      * same batch the origin's holds on the messages' keys end, and those that came here while they were held go behind.
      */
-    public boolean adopt(
+    public boolean acceptHandoffBatch(
             String name,
             Ownership ownership,
             long until,
@@ -987,20 +943,20 @@
         if (!roomForLot(name) || !fits(more) || !owed.isEmpty()) {
             return false;
         }
-        Batch batch = new Batch().put(numberOf("lot " + name), LOT, lotContent(name, lot));
+        Batch batch = new Batch().put(numberOf("lot " + name), RecordKind.HANDOFF_BATCH, lotContent(name, lot));
         for (AcceptedMessage m : messages) {
             if (m.notice == null) {
-                batch.put(m.number, MESSAGE, whole(m));
-                batch.put(m.number, STANDING, standing(m));
+                batch.put(m.number, RecordKind.MESSAGE, whole(m));
+                batch.put(m.number, RecordKind.ATTEMPTS, standing(m));
             } else {
-                batch.putSole(m.number, MESSAGE, ended(m));
+                batch.putExclusive(m.number, RecordKind.MESSAGE, ended(m));
             }
         }
         keys.forEach(key -> letGo(batch, origin, key));
         List<Long> ranks = behind.stream().map(m -> log.nextOwner()).toList();
         for (int i = 0; i < ranks.size(); i++) {
             long rank = ranks.get(i);
-            batch.put(behind.get(i).number, RANK, bytes(out -> out.writeLong(rank)));
+            batch.put(behind.get(i).number, RecordKind.RANK, RecordBytes.encode(out -> out.writeLong(rank)));
         }
         if (!write(batch)) {
             return false;
@@ -1019,28 +975,28 @@
     }
 
     /** Without any key that another daemon may have. */
-    public boolean adopt(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return adopt(name, ownership, until, messages, "", List.of());
+    public boolean acceptHandoffBatch(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
+        return acceptHandoffBatch(name, ownership, until, messages, "", List.of());
     }
 
     private boolean roomForLot(String name) {
-        long most = Math.min(MOST_LOTS, log.limits().budget() / LOTS_SHARE / LOT_BYTES);
+        long most = Math.min(MOST_LOTS, log.limits().budgetBytes() / LOTS_SHARE / LOT_BYTES);
         if (lots.size() >= most) {
-            dropOldLots(told);
+            expireHandoffBatches(told);
         }
         return lots.size() < most || lots.containsKey(name);
     }
 
     /** What nobody can ask for any more: a late offer of messages whose time is up is refused for that. */
-    public void dropOldLots(long now) {
+    public void expireHandoffBatches(long now) {
         told = now;
         List<String> old = lots.entrySet().stream()
-                .filter(lot -> lot.getValue().until() < now
+                .filter(lot -> lot.getValue().untilMillis() < now
                         && lot.getValue().ownership().status() != Ownership.Status.OFFERED)
                 .map(Map.Entry::getKey)
                 .toList();
         Batch batch = new Batch();
-        old.forEach(name -> batch.end(numberOf("lot " + name)));
+        old.forEach(name -> batch.delete(numberOf("lot " + name)));
         if (write(batch)) {
             for (String name : old) {
                 numbers.remove("lot " + name);
@@ -1050,13 +1006,13 @@
     }
 
     private static long reserve(HandoffBatchRecord lot) {
-        return LOT_BYTES + 8L * lot.numbers().size();
+        return LOT_BYTES + 8L * lot.messageNumbers().size();
     }
 
     private void apply(String name, HandoffBatchRecord lot) {
         HandoffBatchRecord before = lots.put(name, lot);
         reserved += reserve(lot) - (before == null ? 0 : reserve(before));
-        for (long number : lot.numbers()) {
+        for (long number : lot.messageNumbers()) {
             AcceptedMessage m = live.get(number);
             if (m != null && lot.ownership().status() != Ownership.Status.ENDED) {
                 m.frozen = lot.ownership().status() == Ownership.Status.OFFERED;
@@ -1066,16 +1022,16 @@
 
     // ---- Keys of which another daemon still has messages. ----
 
-    public KeyHolds holds() {
+    public KeyHolds keyHolds() {
         return holds;
     }
 
     /** Writes that these keys are held for the origin; false where there is no room for it, or for some of them. */
-    public boolean hold(String origin, List<Long> keys, long until) {
+    public boolean holdKeys(String origin, List<Long> keys, long until) {
         if (!roomForHolds(keys.size())) {
             return false;
         }
-        int most = (int) Math.max(1, (log.limits().segment() - 1_024) / HOLD_BYTES);
+        int most = (int) Math.max(1, (log.limits().segmentBytes() - 1_024) / HOLD_BYTES);
         for (int from = 0; from < keys.size(); from += most) {
             List<Long> some = keys.subList(from, Math.min(keys.size(), from + most));
             Batch batch = new Batch();
@@ -1088,12 +1044,12 @@
         return true;
     }
 
-    private static String hold(String origin, long key) {
+    private static String holdKeys(String origin, long key) {
         return "hold " + key + " " + origin;
     }
 
     private void holdOn(Batch batch, String origin, long key, long until) {
-        batch.put(numberOf(hold(origin, key)), HOLD, bytes(out -> {
+        batch.put(numberOf(holdKeys(origin, key)), RecordKind.KEY_HOLD, RecordBytes.encode(out -> {
             out.writeUTF(origin);
             out.writeLong(key);
             out.writeLong(until);
@@ -1101,20 +1057,20 @@
     }
 
     private void letGo(Batch batch, String origin, long key) {
-        Long number = numbers.get(hold(origin, key));
+        Long number = numbers.get(holdKeys(origin, key));
         if (number != null) {
-            batch.end(number);
+            batch.delete(number);
         }
     }
 
     private boolean roomForHolds(int more) {
         return holds.fits(more)
-                && (holds.size() + more) * (long) HOLD_BYTES <= log.limits().budget() / HOLDS_SHARE
+                && (holds.size() + more) * (long) HOLD_BYTES <= log.limits().budgetBytes() / HOLDS_SHARE
                 && fits(more * (long) HOLD_BYTES);
     }
 
     /** The origin has nothing of these keys any more. If that cannot be written the hold only lasts longer. */
-    public List<Long> release(String origin, List<Long> keys) {
+    public List<Long> releaseKeys(String origin, List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> letGo(batch, origin, key));
         write(batch);
@@ -1130,13 +1086,13 @@
     private List<Long> dropHolds(String origin, List<Long> keys) {
         int before = holds.size();
         List<Long> free = holds.release(origin, keys);
-        keys.forEach(key -> numbers.remove(hold(origin, key)));
+        keys.forEach(key -> numbers.remove(holdKeys(origin, key)));
         reserved += (holds.size() - before) * (long) HOLD_BYTES;
         return free;
     }
 
     /** Ends holds whose time is up; where that cannot be written their time stands with them. */
-    public List<Long> expireHolds(long wall) {
+    public List<Long> expireKeyHolds(long wall) {
         int before = holds.size();
         List<KeyHolds.KeyHold> over =
                 holds.all().stream().filter(hold -> hold.until() <= wall).toList();
@@ -1146,7 +1102,7 @@
         Batch batch = new Batch();
         for (KeyHolds.KeyHold hold : over) {
             letGo(batch, hold.origin(), hold.key());
-            numbers.remove(hold(hold.origin(), hold.key()));
+            numbers.remove(holdKeys(hold.origin(), hold.key()));
         }
         write(batch);
         List<Long> free = holds.expire(wall);
@@ -1174,7 +1130,7 @@
     }
 
     /** A content that is whole and still ends early, as of a version that this one does not know, is an error like others. */
-    private void readAll(SegmentLog.Reader reader) throws IOException {
+    private void readAll(ContentReader reader) throws IOException {
         try {
             log.read(reader);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
@@ -1192,8 +1148,8 @@
         RecoveredOwner[] last = {new RecoveredOwner(0)};
         ModifiedUtf8 texts = new ModifiedUtf8();
         readAll((owner, kind, version, content) -> {
-            if (kind <= STANDING || kind == RANK) {
-                if (kind == MESSAGE && content.get(0) == GONE) {
+            if (kind <= RecordKind.ATTEMPTS || kind == RecordKind.RANK) {
+                if (kind == RecordKind.MESSAGE && content.get(0) == GONE) {
                     gone.put(owner, readGone(content));
                     return;
                 }
@@ -1201,8 +1157,8 @@
                     last[0] = found.computeIfAbsent(owner, RecoveredOwner::new);
                 }
                 switch (kind) {
-                    case MESSAGE -> last[0].message = readMessage(owner, content, texts);
-                    case STANDING -> last[0].standing = readStanding(content, texts);
+                    case RecordKind.MESSAGE -> last[0].message = readMessage(owner, content, texts);
+                    case RecordKind.ATTEMPTS -> last[0].standing = readStanding(content, texts);
                     default -> last[0].rank = content.getLong();
                 }
                 return;
@@ -1210,18 +1166,18 @@
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(
                     content.array(), content.arrayOffset() + content.position(), content.remaining()));
             switch (kind) {
-                case LOT -> {
+                case RecordKind.HANDOFF_BATCH -> {
                     String name = in.readUTF();
                     numbers.put("lot " + name, owner);
                     lotsByVersion.put(version * 4_096 + lotsByVersion.size() % 4_096, new Object[] {name, readLot(in)});
                 }
-                case HOLD -> {
+                case RecordKind.KEY_HOLD -> {
                     String origin = in.readUTF();
                     long key = in.readLong();
-                    numbers.put(hold(origin, key), owner);
+                    numbers.put(holdKeys(origin, key), owner);
                     keepHolds(origin, List.of(key), in.readLong());
                 }
-                case MEMORY -> {
+                case RecordKind.HEALTH -> {
                     HealthRecord memory = new HealthRecord(
                             in.readInt(),
                             in.readUTF(),
@@ -1229,25 +1185,25 @@
                             in.readLong(),
                             in.readDouble(),
                             in.readDouble());
-                    numbers.put("place " + memory.place(), owner);
+                    numbers.put("place " + memory.upstreamKey(), owner);
                     memoriesByVersion.put(owner, memory);
                 }
-                case CLASS -> {
+                case RecordKind.MESSAGE_CLASS -> {
                     int number = in.readInt();
                     numbers.put("class " + number, owner);
                     keep(number, readVersion(in));
                 }
-                case PLACE, GROUP -> {
+                case RecordKind.REPLICATION_POSITION, RecordKind.REPLICA_SET -> {
                     numbers.put("estate", owner);
                     byte[] bytes = in.readAllBytes();
-                    place = kind == PLACE ? bytes : place;
-                    holders = kind == GROUP ? bytes : holders;
+                    place = kind == RecordKind.REPLICATION_POSITION ? bytes : place;
+                    holders = kind == RecordKind.REPLICA_SET ? bytes : holders;
                 }
                 default -> throw new IOException("content of kind " + kind + ", which this version does not know");
             }
         });
         memoriesByVersion.values().forEach(memory -> {
-            memories.put(memory.place(), memory);
+            memories.put(memory.upstreamKey(), memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         });
         Batch orphans = new Batch();
@@ -1255,7 +1211,7 @@
         for (RecoveredOwner f : found.values()) {
             if (f.message == null) {
                 // Its acceptance was in a part that could not be read.
-                orphans.end(f.number);
+                orphans.delete(f.number);
                 continue;
             }
             if (f.standing != null) {
@@ -1273,7 +1229,7 @@
             CompletedRecord g = entry.getValue();
             remembered
                     .add(g.id(), g.content(), g.effect(), entry.getKey(), clock.getAsLong())
-                    .forEach(orphans::end);
+                    .forEach(orphans::delete);
         }
         if (mend && !orphans.isEmpty()) {
             // On a disk that cannot be written they are met again at the next start.
@@ -1294,9 +1250,9 @@
         for (Map.Entry<String, Integer> id : old.ended.entrySet()) {
             long number = log.nextOwner();
             Batch batch = new Batch()
-                    .putSole(
+                    .putExclusive(
                             number,
-                            MESSAGE,
+                            RecordKind.MESSAGE,
                             gone(id.getKey(), id.getValue(), DeliveryScheduler.Idempotency.NON_IDEMPOTENT));
             remembered
                     .add(
@@ -1305,7 +1261,7 @@
                             DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
                             number,
                             clock.getAsLong())
-                    .forEach(batch::end);
+                    .forEach(batch::delete);
             log.write(batch);
         }
     }
@@ -1316,10 +1272,11 @@
      */
     static void repair(Path from, Path into) throws IOException {
         Files.createDirectories(into);
-        if (Files.exists(into.resolve(LegacyJournalReader.NAME)) || SegmentLog.isThere(new FolderDisk(into).list())) {
+        if (Files.exists(into.resolve(LegacyJournalReader.NAME))
+                || SegmentLog.containsLog(new FolderDisk(into).list())) {
             throw new IOException("there is a journal in " + into + " already");
         }
-        try (Journal source = peek(from);
+        try (Journal source = openReadOnly(from);
                 Journal copy = open(into, Math.max(3L << 20, 4 * source.liveBytes() + (1L << 20)))) {
             copy.take(
                     source.live.values(),
@@ -1331,7 +1288,10 @@
             copy.writeAll();
             for (DeduplicationCache.CompletedMessage known : source.remembered.all()) {
                 copy.log.write(new Batch()
-                        .putSole(copy.log.nextOwner(), MESSAGE, gone(known.id(), known.content(), known.effect())));
+                        .putExclusive(
+                                copy.log.nextOwner(),
+                                RecordKind.MESSAGE,
+                                gone(known.id(), known.content(), known.effect())));
             }
         }
     }
@@ -1347,25 +1307,31 @@
      * All that is wanted, an owner after another and each as it is when it is asked for, empty where it is gone by then:
      * whoever takes this and each change from now on in their order has all.
      */
-    public List<Supplier<Batch>> contents() {
+    public List<Supplier<Batch>> snapshotBatches() {
         List<Supplier<Batch>> parts = parts();
         for (DeduplicationCache.CompletedMessage known : remembered.all()) {
             parts.add(() -> !remembered.knows(known.id())
                     ? new Batch()
-                    : new Batch().putSole(known.number(), MESSAGE, gone(known.id(), known.content(), known.effect())));
-        }
-        parts.add(() -> holders == null ? new Batch() : new Batch().put(numberOf("estate"), GROUP, holders));
+                    : new Batch()
+                            .putExclusive(
+                                    known.number(),
+                                    RecordKind.MESSAGE,
+                                    gone(known.id(), known.content(), known.effect())));
+        }
+        parts.add(() ->
+                holders == null ? new Batch() : new Batch().put(numberOf("estate"), RecordKind.REPLICA_SET, holders));
         return parts;
     }
 
     private List<Supplier<Batch>> parts() {
         List<Supplier<Batch>> parts = new ArrayList<>();
         for (int number : classes.keySet()) {
-            parts.add(() -> new Batch().put(numberOf("class " + number), CLASS, defined(number, classes.get(number))));
+            parts.add(() -> new Batch()
+                    .put(numberOf("class " + number), RecordKind.MESSAGE_CLASS, defined(number, classes.get(number))));
         }
         for (String place : memories.keySet()) {
             parts.add(() -> memories.containsKey(place)
-                    ? new Batch().put(numberOf("place " + place), MEMORY, remembered(memories.get(place)))
+                    ? new Batch().put(numberOf("place " + place), RecordKind.HEALTH, remembered(memories.get(place)))
                     : new Batch());
         }
         for (KeyHolds.KeyHold hold : holds.all()) {
@@ -1381,15 +1347,16 @@
             parts.add(() -> !live.containsKey(m.number)
                     ? new Batch()
                     : m.notice != null
-                            ? new Batch().putSole(m.number, MESSAGE, ended(m))
+                            ? new Batch().putExclusive(m.number, RecordKind.MESSAGE, ended(m))
                             : new Batch()
-                                    .put(m.number, MESSAGE, whole(m))
-                                    .put(m.number, STANDING, standing(m))
-                                    .put(m.number, RANK, bytes(out -> out.writeLong(m.rank))));
+                                    .put(m.number, RecordKind.MESSAGE, whole(m))
+                                    .put(m.number, RecordKind.ATTEMPTS, standing(m))
+                                    .put(m.number, RecordKind.RANK, RecordBytes.encode(out -> out.writeLong(m.rank))));
         }
         for (String name : lots.keySet()) {
             parts.add(() -> lots.containsKey(name)
-                    ? new Batch().put(numberOf("lot " + name), LOT, lotContent(name, lots.get(name)))
+                    ? new Batch()
+                            .put(numberOf("lot " + name), RecordKind.HANDOFF_BATCH, lotContent(name, lots.get(name)))
                     : new Batch());
         }
         return parts;
@@ -1408,7 +1375,7 @@
             long next) {
         versions.forEach(this::keep);
         for (HealthRecord memory : places) {
-            memories.put(memory.place(), memory);
+            memories.put(memory.upstreamKey(), memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         }
         held.all().forEach(hold -> keepHolds(hold.origin(), List.of(hold.key()), hold.until()));
@@ -1418,26 +1385,12 @@
             add(m);
         }
         // Numbers of these messages stay theirs, and those that come later have later ranks.
-        log.skipOwners(rank);
+        log.reserveOwnersBelow(rank);
         known.forEach(this::apply);
     }
 
     // ---- Contents. ----
 
-    public interface Content {
-        void write(DataOutputStream out) throws IOException;
-    }
-
-    public static byte[] bytes(Content content) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            content.write(out);
-        } catch (IOException e) {
-            throw new IllegalArgumentException(e);
-        }
-        return bytes.toByteArray();
-    }
-
     private static byte[] whole(AcceptedMessage m) {
         return message(m, WHOLE, out -> {
             out.writeInt(m.body.length);
@@ -1452,8 +1405,8 @@
         });
     }
 
-    private static byte[] message(AcceptedMessage m, int form, Content rest) {
-        return bytes(out -> {
+    private static byte[] message(AcceptedMessage m, int form, RecordBytes.Content rest) {
+        return RecordBytes.encode(out -> {
             out.writeByte(form);
             out.writeUTF(m.id);
             out.writeUTF(m.idempotencyKey);
@@ -1510,7 +1463,7 @@
 
     /** All that attempts have left behind. */
     private static byte[] standing(AcceptedMessage m) {
-        return bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeInt(m.attempts);
             out.writeLong(m.doubtSince);
             out.writeUTF(m.doubtAt);
@@ -1540,7 +1493,7 @@
 
     private static byte[] defined(int number, MessageClassRegistry.Version version) {
         DeliveryScheduler.MessageClass c = version.type();
-        return bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeInt(number);
             out.writeUTF(version.name());
             out.writeDouble(c.priorityWeight());
@@ -1570,25 +1523,25 @@
     }
 
     private static byte[] remembered(HealthRecord memory) {
-        return bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeInt(memory.destination());
             out.writeUTF(memory.uid());
             out.writeUTF(memory.health().storedName());
-            out.writeLong(memory.since());
-            out.writeDouble(memory.pace());
-            out.writeDouble(memory.usual());
+            out.writeLong(memory.sinceMillis());
+            out.writeDouble(memory.callsPerSecond());
+            out.writeDouble(memory.usualLatencyMicros());
         });
     }
 
     private static byte[] lotContent(String name, HandoffBatchRecord lot) {
-        return bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeUTF(name);
             out.writeLong(lot.ownership().generation());
             out.writeUTF(lot.ownership().status().name());
             out.writeUTF(lot.ownership().peer());
-            out.writeLong(lot.until());
-            out.writeInt(lot.numbers().size());
-            for (long number : lot.numbers()) {
+            out.writeLong(lot.untilMillis());
+            out.writeInt(lot.messageNumbers().size());
+            for (long number : lot.messageNumbers()) {
                 out.writeLong(number);
             }
         });
--- a/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -36,8 +36,8 @@
     /** What ended under each id, 0 where that is no longer known. */
     final Map<String, Integer> ended = new LinkedHashMap<>();
 
-    final Map<String, Journal.HealthRecord> memories = new LinkedHashMap<>();
-    final Map<String, Journal.HandoffBatchRecord> lots = new LinkedHashMap<>();
+    final Map<String, HealthRecord> memories = new LinkedHashMap<>();
+    final Map<String, HandoffBatchRecord> lots = new LinkedHashMap<>();
     final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
     final KeyHolds holds = new KeyHolds();
     private final Map<String, Integer> ids = new HashMap<>();
@@ -62,7 +62,7 @@
 
     /** The bytes of the mark: a message, and behind it a record of it that earlier versions do not know. */
     static byte[] mark() {
-        byte[] accepted = Journal.bytes(out -> {
+        byte[] accepted = RecordBytes.encode(out -> {
             out.writeByte('A');
             out.writeLong(1);
             out.writeUTF("this journal stands in segments");
@@ -74,7 +74,7 @@
             out.writeInt(0);
             out.writeInt(-1);
         });
-        byte[] moved = Journal.bytes(out -> {
+        byte[] moved = RecordBytes.encode(out -> {
             out.writeByte(MOVED);
             out.writeLong(1);
         });
@@ -144,16 +144,16 @@
             }
             case 'W', 'F' -> replayHold(in, type == 'W');
             case 'M' -> {
-                Journal.HealthRecord memory = new Journal.HealthRecord(
+                HealthRecord memory = new HealthRecord(
                         in.readInt(),
                         in.readUTF(),
                         DeliveryScheduler.UpstreamStatus.ofStoredName(in.readUTF()),
                         in.readLong(),
                         in.readDouble(),
                         in.readDouble());
-                memories.remove(memory.place());
+                memories.remove(memory.upstreamKey());
                 if (memory.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
-                    memories.put(memory.place(), memory);
+                    memories.put(memory.upstreamKey(), memory);
                 }
             }
             default -> replayMessage(type, in);
@@ -228,7 +228,7 @@
         for (int parts = told < 0 ? -told : 2 * told; parts > 0; parts--) {
             replay(in.readNBytes(in.readInt()));
         }
-        lots.put(name, new Journal.HandoffBatchRecord(ownership, until, numbers));
+        lots.put(name, new HandoffBatchRecord(ownership, until, numbers));
         for (long number : numbers) {
             AcceptedMessage m = live.get(number);
             if (m != null && ownership.status() == Ownership.Status.GIVEN) {
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/RecordBytes.java
@@ -0,0 +1,33 @@
+package amberroute.sender.journal;
+
+import java.io.ByteArrayOutputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+
+/** Encodes a record's content with {@link DataOutputStream}: big-endian numbers, text in modified UTF-8. */
+public final class RecordBytes {
+    private static final int INITIAL_BYTES = 128;
+
+    private RecordBytes() {}
+
+    /** Writes the fields of one record. */
+    public interface Content {
+        /** Writes all fields in the order of the layout. */
+        void write(DataOutputStream out) throws IOException;
+    }
+
+    /**
+     * Returns the bytes that {@code content} writes.
+     *
+     * @throws IllegalArgumentException where a text is longer than its length field can say
+     */
+    public static byte[] encode(Content content) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
+        try (DataOutputStream out = new DataOutputStream(bytes)) {
+            content.write(out);
+        } catch (IOException e) {
+            throw new IllegalArgumentException(e);
+        }
+        return bytes.toByteArray();
+    }
+}
--- a/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
@@ -227,8 +227,8 @@
      * has messages of a key, later ones of the key wait.
      */
     public void recover() {
-        journal.lots().forEach((lot, kept) -> {
-            List<AcceptedMessage> messages = journal.messages(kept.numbers());
+        journal.handoffBatches().forEach((lot, kept) -> {
+            List<AcceptedMessage> messages = journal.pendingMessages(kept.messageNumbers());
             if (kept.ownership().status() == Ownership.Status.OFFERED && !messages.isEmpty()) {
                 Offer offer = new Offer(
                         lot,
@@ -392,7 +392,7 @@
         }
         Set<Long> alive = new HashSet<>();
         Set<Long> aliveAdopted = new HashSet<>();
-        for (AcceptedMessage m : journal.live()) {
+        for (AcceptedMessage m : journal.pendingMessages()) {
             alive.add(m.key);
             if (m.adopted) {
                 aliveAdopted.add(m.key);
@@ -401,7 +401,7 @@
         if (naming != null) {
             List<Long> done = naming.keys().stream()
                     .filter(key -> !alive.contains(key)
-                            && !journal.holds().origins(key).contains(name))
+                            && !journal.keyHolds().origins(key).contains(name))
                     .toList();
             if (!done.isEmpty()) {
                 naming.done(done);
@@ -432,7 +432,7 @@
 
     /** A daemon that gave keys away and was restarted meanwhile has not heard of what came of them: it asks. */
     private void askWhetherOver() {
-        List<KeyHolds.KeyHold> given = journal.holds().all().stream()
+        List<KeyHolds.KeyHold> given = journal.keyHolds().all().stream()
                 .filter(hold -> hold.origin().equals(name))
                 .limit(KeyHoldAnnouncement.BATCH)
                 .toList();
@@ -461,7 +461,7 @@
             return;
         }
         JsonObject line = PeerMessageCodec.want(name, key);
-        for (String origin : journal.holds().origins(key)) {
+        for (String origin : journal.keyHolds().origins(key)) {
             Channel channel = spoke.get(origin);
             if (channel != null && channel.isActive()) {
                 channel.writeAndFlush(PeerMessageCodec.bytes(line));
@@ -507,7 +507,7 @@
                     offer.sentOn = link.channel;
                     offer.sentAt = millis();
                     // One that cannot leave yet, or any more, is asked again.
-                    journal.whenSafe(
+                    journal.whenDurable(
                             () -> {
                                 if (link.ready()) {
                                     link.send(send.word(), offer);
@@ -533,7 +533,7 @@
         }
         if (naming != null) {
             peers.keySet().forEach(this::nameTo);
-        } else if (journal.holds().size() > 0) {
+        } else if (journal.keyHolds().size() > 0) {
             askWhetherOver();
         }
     }
@@ -721,7 +721,7 @@
                             // The whole that the holders get first has it.
                             held.run();
                         } else {
-                            journal.whenSafe(held, IGNORED);
+                            journal.whenDurable(held, IGNORED);
                         }
                     }
                 }
@@ -755,8 +755,8 @@
             List<AcceptedMessage> messages = word.kind() == HandoffMessage.Kind.OFFER
                     ? PeerMessageCodec.messages(line, host::nextNumber)
                     : List.of();
-            Ownership known = journal.lots().containsKey(word.lot())
-                    ? journal.lots().get(word.lot()).ownership()
+            Ownership known = journal.handoffBatches().containsKey(word.lot())
+                    ? journal.handoffBatches().get(word.lot()).ownership()
                     : Ownership.NONE;
             HandoffPlacement.RejectionReason refusal = messages.isEmpty()
                     ? HandoffPlacement.RejectionReason.UNFIT
@@ -788,7 +788,7 @@
                     if (send.word().kind() == HandoffMessage.Kind.NO && refusal != null) {
                         answer.addProperty("why", refusal.name());
                     }
-                    journal.whenSafe(() -> context.writeAndFlush(PeerMessageCodec.bytes(answer)), IGNORED);
+                    journal.whenDurable(() -> context.writeAndFlush(PeerMessageCodec.bytes(answer)), IGNORED);
                 } else if (effect instanceof HandoffEffect.PersistOwnership write) {
                     boolean mine = write.ownership().mine();
                     boolean written = mine
--- a/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -4,6 +4,7 @@
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
 import amberroute.sender.util.Backoff;
 import amberroute.sender.util.Log;
 import amberroute.storage.Batch;
@@ -41,7 +42,7 @@
  * <p>What waits for a holder is bounded by {@value #MOST_PENDING} bytes, beyond which its connection is closed and it gets
  * the whole again; effects that wait are bounded by what is held. Lives on the event loop.
  */
-public final class JournalReplicator implements Journal.ChangeListener {
+public final class JournalReplicator implements JournalChangeListener {
     /** Encoded bytes in one line, so that with a last batch, of a lot at most, it stays within what a peer reads. */
     private static final int LINE_BYTES = 64 << 10;
 
@@ -127,7 +128,7 @@
     /** The term is this daemon's; false where that cannot be written. */
     boolean begin(long term, LogPosition at, ReplicaSet group) {
         tenure = new LeaderTerm(self, term, at.number(), group);
-        if (!journal.holders(ReplicationMessages.group(estate, group))) {
+        if (!journal.replicaSet(ReplicationMessages.group(estate, group))) {
             tenure = null;
             return false;
         }
@@ -137,7 +138,7 @@
 
     /** A change of the group, one more or one less; not before the last one is agreed on. */
     boolean regroup(ReplicaSet next) {
-        if (tenure == null || !tenure.settled() || !journal.holders(ReplicationMessages.group(estate, next))) {
+        if (tenure == null || !tenure.settled() || !journal.replicaSet(ReplicationMessages.group(estate, next))) {
             return false;
         }
         List<String> before = tenure.group().holders();
@@ -245,14 +246,14 @@
     // ---- The journal's side. ----
 
     @Override
-    public byte[] place() {
+    public byte[] replicationPosition() {
         return tenure == null || tenure.over()
                 ? null
                 : ReplicationMessages.place(new LogPosition(tenure.term(), tenure.last() + 1));
     }
 
     @Override
-    public void wrote(Batch batch) {
+    public void batchWritten(Batch batch) {
         tenure.wrote();
         if (!links.isEmpty()) {
             String change = ReplicationMessages.encoded(batch);
@@ -265,7 +266,7 @@
     }
 
     @Override
-    public void whenAgreed(Runnable effect, Runnable failed) {
+    public void whenReplicated(Runnable effect, Runnable failed) {
         long number = tenure == null ? 0 : tenure.last();
         if (waiting.isEmpty() && tenure != null && !tenure.over() && reached >= number) {
             effect.run();
@@ -457,7 +458,7 @@
             taught = false;
             pending.clear();
             pendingBytes = 0;
-            whole = journal.contents().iterator();
+            whole = journal.snapshotBatches().iterator();
             first = true;
             pump();
         }
@@ -513,7 +514,7 @@
                 if (last) {
                     sent = tenure.last();
                     line.addProperty("upto", sent);
-                    some.add(ReplicationMessages.encoded(journal.placed()));
+                    some.add(ReplicationMessages.encoded(journal.replicationPositionBatch()));
                     whole = null;
                 }
                 first = false;
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -3,10 +3,11 @@
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.RecordKind;
 import amberroute.sender.util.Log;
 import amberroute.storage.Batch;
 import amberroute.storage.FolderDisk;
+import amberroute.storage.LogLimits;
 import amberroute.storage.SegmentLog;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -143,8 +144,8 @@
             kept.log = SegmentLog.open(new FolderDisk(kept.copyFolder()), limits(), ReplicaStore::salt);
             byte[][] found = new byte[2][];
             kept.log.read((owner, kind, version, content) -> {
-                if (kind == Journal.PLACE || kind == Journal.GROUP) {
-                    found[kind == Journal.PLACE ? 0 : 1] = bytes(content);
+                if (kind == RecordKind.REPLICATION_POSITION || kind == RecordKind.REPLICA_SET) {
+                    found[kind == RecordKind.REPLICATION_POSITION ? 0 : 1] = bytes(content);
                 }
             });
             if (!kept.log.losses().isEmpty() || found[0] == null || found[1] == null) {
@@ -165,8 +166,8 @@
         return bytes;
     }
 
-    private SegmentLog.Limits limits() {
-        return SegmentLog.Limits.of(budget - 4_096, false);
+    private LogLimits limits() {
+        return LogLimits.of(budget - 4_096, false);
     }
 
     private static long salt() {
@@ -322,7 +323,7 @@
         for (Batch batch : batches) {
             log.write(batch);
         }
-        if (log.worthCompacting()) {
+        if (log.shouldCompact()) {
             log.compact(SLICE);
         }
     }
--- a/sender/src/main/java/amberroute/sender/peer/ReplicationCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationCoordinator.java
@@ -163,20 +163,20 @@
         this.host = host;
         this.probes = probes;
         store = new ReplicaStore(config.state().resolve("copies"), config.diskBytes());
-        String estate = journal.holders() == null
+        String estate = journal.replicaSet() == null
                 ? self + "." + Long.toString(System.currentTimeMillis(), 36)
-                : ReplicationMessages.estate(journal.holders());
+                : ReplicationMessages.estate(journal.replicaSet());
         own = store.of(estate);
         if (own == null) {
             throw new IOException(
                     "copies of too many estates in " + config.state().resolve("copies"));
         }
         own.open = true;
-        newborn = journal.holders() == null;
-        chosen = newborn ? null : ReplicationMessages.group(journal.holders());
-        own.holding = own.holding.reaching(ReplicationMessages.place(journal.place()));
+        newborn = journal.replicaSet() == null;
+        chosen = newborn ? null : ReplicationMessages.group(journal.replicaSet());
+        own.holding = own.holding.reaching(ReplicationMessages.place(journal.replicationPosition()));
         copying = new JournalReplicator(loop, self, estate, journal, peers, (term, owner) -> lose(own, term, owner));
-        journal.copyTo(copying);
+        journal.replicateTo(copying);
     }
 
     /** Begins to try for what is this daemon's, and to look at others'. */
@@ -634,7 +634,8 @@
                                         store.takeBack(kept);
                                     }
                                 } else {
-                                    care.taken = there.journal().live().size();
+                                    care.taken =
+                                            there.journal().pendingMessages().size();
                                 }
                             });
                         },
@@ -647,14 +648,14 @@
         if (!cares.containsKey(kept.estate)) {
             throw new IOException("the term is over");
         }
-        LogPosition at = ReplicationMessages.place(taker.journal().place());
+        LogPosition at = ReplicationMessages.place(taker.journal().replicationPosition());
         JournalReplicator running = new JournalReplicator(
                 loop, self, kept.estate, taker.journal(), peers, (t, owner) -> lose(kept, t, owner));
-        taker.journal().copyTo(running);
+        taker.journal().replicateTo(running);
         cares.get(kept.estate).taker = taker;
         if (!kept.holding.granted(term, self)
                 || !running.begin(
-                        term, at, ReplicationMessages.group(taker.journal().holders()))) {
+                        term, at, ReplicationMessages.group(taker.journal().replicaSet()))) {
             running.close();
             throw new IOException("the term is over");
         }
--- a/sender/src/main/java/amberroute/sender/peer/ReplicationMessages.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationMessages.java
@@ -2,7 +2,7 @@
 
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.RecordBytes;
 import amberroute.storage.Batch;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -32,7 +32,7 @@
 
     /** As it travels, to each holder the same. */
     public static String encoded(Batch batch) {
-        return Base64.getEncoder().encodeToString(batch.bytes());
+        return Base64.getEncoder().encodeToString(batch.encode());
     }
 
     public static void add(JsonObject line, List<String> batches) {
@@ -55,13 +55,13 @@
     static List<Batch> batches(JsonObject line) {
         List<Batch> out = new ArrayList<>();
         for (JsonElement item : line.getAsJsonArray("batches")) {
-            out.add(Batch.read(Base64.getDecoder().decode(item.getAsString())));
+            out.add(Batch.decode(Base64.getDecoder().decode(item.getAsString())));
         }
         return out;
     }
 
     public static byte[] place(LogPosition at) {
-        return Journal.bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeLong(at.term());
             out.writeLong(at.number());
         });
@@ -77,7 +77,7 @@
 
     /** With the estate's name, which a folder keeps for as long as what is in it is one estate. */
     public static byte[] group(String estate, ReplicaSet group) {
-        return Journal.bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeUTF(estate);
             out.writeLong(group.version());
             out.writeByte(group.holders().size());
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -13,6 +13,8 @@
 import amberroute.replication.ReplicaState;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
+import amberroute.sender.journal.RecordKind;
 import amberroute.sender.peer.PeerMessageCodec;
 import amberroute.sender.peer.PeerSocket;
 import amberroute.sender.peer.ReplicaStore;
@@ -187,8 +189,8 @@
 
     private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.PLACE, ReplicationMessages.place(new LogPosition(term, number)))
-                .put(1, Journal.GROUP, ReplicationMessages.group(ESTATE, holders));
+                .put(1, RecordKind.REPLICATION_POSITION, ReplicationMessages.place(new LogPosition(term, number)))
+                .put(1, RecordKind.REPLICA_SET, ReplicationMessages.group(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
@@ -307,19 +309,19 @@
     @Test
     void anOwnEstateWithoutItsPromisesIsGivenUp() throws Exception {
         survival();
-        journal.copyTo(new Journal.ChangeListener() {
+        journal.replicateTo(new JournalChangeListener() {
             @Override
-            public byte[] place() {
+            public byte[] replicationPosition() {
                 return ReplicationMessages.place(new LogPosition(3, 8));
             }
 
             @Override
-            public void wrote(Batch batch) {}
+            public void batchWritten(Batch batch) {}
 
             @Override
-            public void whenAgreed(Runnable effect, Runnable failed) {}
+            public void whenReplicated(Runnable effect, Runnable failed) {}
         });
-        assertTrue(journal.holders(
+        assertTrue(journal.replicaSet(
                 ReplicationMessages.group("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
         loop.submit(survival::close).sync();
         journal.close();
@@ -344,7 +346,7 @@
         assertTrue(store.promise(store.of("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
-        journal.holders(ReplicationMessages.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
+        journal.replicaSet(ReplicationMessages.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
--- a/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -66,12 +66,12 @@
 
         @Override
         public void between(Object journal) {
-            ((Journal) journal).tidy();
+            ((Journal) journal).compactSlice();
         }
 
         @Override
         public int live(Object journal) {
-            return ((Journal) journal).live().size();
+            return ((Journal) journal).pendingMessages().size();
         }
 
         @Override
@@ -201,19 +201,15 @@
         Path folder = folder();
         Deque<Runnable> due = new ArrayDeque<>();
         Journal journal = Journal.open(
-                folder,
-                new amberroute.storage.FolderDisk(folder),
-                64 << 20,
-                durability,
-                new Journal.BackgroundExecutor() {
+                folder, new amberroute.storage.FolderDisk(folder), 64 << 20, durability, new BackgroundExecutor() {
                     @Override
-                    public void beside(Runnable work, Runnable then) {
+                    public void runInBackground(Runnable work, Runnable then) {
                         work.run();
                         then.run();
                     }
 
                     @Override
-                    public void soon(Runnable work) {
+                    public void runOnLoop(Runnable work) {
                         due.add(work);
                     }
                 });
@@ -225,14 +221,14 @@
                 AcceptedMessage m =
                         new AcceptedMessage(number, "id" + number, "", "quote-status", 0, 7, SOON, new byte[200]);
                 journal.accept(m);
-                journal.whenSafe(() -> told[0]++, null);
+                journal.whenDurable(() -> told[0]++, null);
                 journal.attempt(m, "uid", 5);
-                journal.whenSafe(() -> journal.conclude(m), null);
+                journal.whenDurable(() -> journal.conclude(m), null);
             }
             while (!due.isEmpty()) {
                 due.poll().run();
             }
-            journal.tidy();
+            journal.compactSlice();
         }
         double took = (System.nanoTime() - from) / 1e9;
         System.out.printf(
--- a/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
@@ -109,7 +109,7 @@
                             journal,
                             Map.of("two", two.address(), "three", three.address()),
                             (term, owner) -> {});
-                    journal.copyTo(copying);
+                    journal.replicateTo(copying);
                     assertTrue(copying.begin(1, LogPosition.NONE, new ReplicaSet(0, List.of("one", "two", "three"))));
                 })
                 .sync();
@@ -134,9 +134,9 @@
         loop.submit(() -> {
                     int before = had.get();
                     for (int i = 0; i < idle + 1; i++) {
-                        copying.wrote(new Batch().put(1_000 + i, 1, new byte[10]));
+                        copying.batchWritten(new Batch().put(1_000 + i, 1, new byte[10]));
                     }
-                    copying.whenAgreed(had::incrementAndGet, null);
+                    copying.whenReplicated(had::incrementAndGet, null);
                     assertEquals(before, had.get(), "nothing was agreed on yet");
                 })
                 .sync();
@@ -152,7 +152,7 @@
         assertEquals(5, three.copies.get(0).getAsJsonArray("batches").size());
         // The group is told with the whole and not again.
         assertFalse(two.copies.get(0).has("holders"));
-        loop.submit(() -> copying.wrote(new Batch().put(2_000, 1, new byte[10])))
+        loop.submit(() -> copying.batchWritten(new Batch().put(2_000, 1, new byte[10])))
                 .sync();
         // It goes by itself as well, to both.
         await(() -> two.copies.size() == 2 && three.copies.size() == 2);
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -8,6 +8,7 @@
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.Batch;
 import java.io.IOException;
@@ -28,30 +29,30 @@
     Path folder;
 
     /** An owner's journal, whose changes are caught as a copy gets them. */
-    private final class Owner implements Journal.ChangeListener, AutoCloseable {
+    private final class Owner implements JournalChangeListener, AutoCloseable {
         final Journal journal;
         final java.util.ArrayList<Batch> changes = new java.util.ArrayList<>();
         long number;
 
         Owner() throws IOException {
             journal = Journal.open(folder.resolve("owner"), BUDGET);
-            journal.copyTo(this);
-            journal.holders(ReplicationMessages.group(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
+            journal.replicateTo(this);
+            journal.replicaSet(ReplicationMessages.group(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
         }
 
         @Override
-        public byte[] place() {
+        public byte[] replicationPosition() {
             return ReplicationMessages.place(new LogPosition(1, number + 1));
         }
 
         @Override
-        public void wrote(Batch batch) {
+        public void batchWritten(Batch batch) {
             number++;
-            changes.add(Batch.read(batch.bytes()));
+            changes.add(Batch.decode(batch.encode()));
         }
 
         @Override
-        public void whenAgreed(Runnable effect, Runnable failed) {
+        public void whenReplicated(Runnable effect, Runnable failed) {
             effect.run();
         }
 
@@ -81,12 +82,12 @@
 
     private static ReplicaStore.StoredReplica whole(ReplicaStore store, Owner owner, Object on) {
         ReplicaStore.StoredReplica kept = store.of(ESTATE);
-        List<Batch> all = owner.journal.contents().stream()
+        List<Batch> all = owner.journal.snapshotBatches().stream()
                 .map(part -> part.get())
                 .filter(b -> !b.isEmpty())
                 .toList();
         assertTrue(store.part(kept, true, 1, all, on));
-        assertTrue(store.part(kept, false, 1, List.of(owner.journal.placed()), on));
+        assertTrue(store.part(kept, false, 1, List.of(owner.journal.replicationPositionBatch()), on));
         assertTrue(store.whole(kept, kept.holding.whole(1, "s1", owner.number, true)));
         return kept;
     }
@@ -113,10 +114,10 @@
             try (Journal copy = Journal.open(again.lend(read), BUDGET)) {
                 assertEquals(
                         List.of("first", "second"),
-                        copy.live().stream().map(m -> m.id).toList());
-                assertTrue(copy.live().iterator().next().out);
+                        copy.pendingMessages().stream().map(m -> m.id).toList());
+                assertTrue(copy.pendingMessages().iterator().next().out);
                 assertTrue(copy.knows("over"));
-                assertEquals(new LogPosition(1, owner.number), ReplicationMessages.place(copy.place()));
+                assertEquals(new LogPosition(1, owner.number), ReplicationMessages.place(copy.replicationPosition()));
             }
         }
     }
@@ -127,13 +128,13 @@
             owner.accept("first");
             ReplicaStore store = store();
             ReplicaStore.StoredReplica kept = store.of(ESTATE);
-            List<Batch> all = owner.journal.contents().stream()
+            List<Batch> all = owner.journal.snapshotBatches().stream()
                     .map(part -> part.get())
                     .filter(b -> !b.isEmpty())
                     .toList();
             assertTrue(store.part(kept, true, 1, all, "new"));
             assertFalse(store.part(kept, false, 1, all, "old"));
-            assertTrue(store.part(kept, false, 1, List.of(owner.journal.placed()), "new"));
+            assertTrue(store.part(kept, false, 1, List.of(owner.journal.replicationPositionBatch()), "new"));
             store.close();
         }
     }
@@ -207,7 +208,7 @@
                     System.currentTimeMillis() + 60_000,
                     new byte[60 << 10]);
             assertTrue(owner.journal.accept(large));
-            List<Batch> all = owner.journal.contents().stream()
+            List<Batch> all = owner.journal.snapshotBatches().stream()
                     .map(part -> part.get())
                     .filter(b -> !b.isEmpty())
                     .toList();
--- a/sender/src/test/java/amberroute/sender/util/ModifiedUtf8Test.java
+++ b/sender/src/test/java/amberroute/sender/util/ModifiedUtf8Test.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.RecordBytes;
 import java.io.IOException;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -14,7 +14,7 @@
 class ModifiedUtf8Test {
     private static ByteBuffer written(String... texts) {
         // Behind other bytes, as contents stand in a segment.
-        byte[] content = Journal.bytes(out -> {
+        byte[] content = RecordBytes.encode(out -> {
             out.writeLong(77);
             for (String text : texts) {
                 out.writeUTF(text);
--- /dev/null
+++ b/storage/src/main/java/amberroute/storage/DataLoss.java
@@ -0,0 +1,18 @@
+package amberroute.storage;
+
+/**
+ * A part of the log that could not be read.
+ *
+ * @param segment file name of the segment; its number in hexadecimal where the file is missing
+ * @param damage the unreadable bytes; its {@code to} is 0 for a missing file
+ */
+public record DataLoss(String segment, Segment.Damage damage) {
+    static DataLoss missingSegment(long number) {
+        return new DataLoss(String.format("%016x", number), new Segment.Damage(0, 0));
+    }
+
+    /** Returns whether the whole segment is missing. */
+    public boolean missing() {
+        return damage.to() == 0;
+    }
+}
--- /dev/null
+++ b/storage/src/main/java/amberroute/storage/SpaceReserve.java
@@ -0,0 +1,74 @@
+package amberroute.storage;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+
+/**
+ * A file of zeros that is truncated when the disk itself is full, so that the outcomes of pending messages can still be written.
+ * Not thread-safe.
+ */
+final class SpaceReserve {
+    static final String NAME = "reserve";
+    private static final int CHUNK_BYTES = 8_192;
+
+    private final Disk disk;
+    private final long targetBytes;
+    private long bytes;
+
+    SpaceReserve(Disk disk, long targetBytes) {
+        this.disk = disk;
+        this.targetBytes = targetBytes;
+    }
+
+    /** Takes the size of the file as recovery found it. */
+    void recovered(long foundBytes) {
+        bytes = foundBytes;
+    }
+
+    long bytes() {
+        return bytes;
+    }
+
+    boolean full() {
+        return bytes >= targetBytes;
+    }
+
+    /** Truncates the file; returns false where it has nothing to give, or cannot. */
+    boolean release() {
+        if (bytes == 0) {
+            return false;
+        }
+        try (Disk.Handle handle = disk.open(NAME)) {
+            handle.truncate(0);
+            bytes = 0;
+            return true;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    /** Writes the file anew; returns whether all of it was written. */
+    boolean refill() {
+        try (Disk.Handle handle = disk.open(NAME)) {
+            try {
+                handle.truncate(0);
+                fill(handle);
+                bytes = targetBytes;
+            } catch (IOException e) {
+                handle.truncate(0);
+                bytes = 0;
+            }
+        } catch (IOException e) {
+            return false;
+        }
+        return full();
+    }
+
+    private void fill(Disk.Handle handle) throws IOException {
+        ByteBuffer zeros = ByteBuffer.allocate(CHUNK_BYTES);
+        while (handle.size() < targetBytes) {
+            zeros.clear().limit((int) Math.min(zeros.capacity(), targetBytes - handle.size()));
+            SegmentWriter.writeFully(handle, zeros);
+        }
+    }
+}
