--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/DataLossReport.java
@@ -0,0 +1,66 @@
+package amberroute.sender.journal;
+
+import amberroute.sender.util.LogEvent;
+import amberroute.storage.DataLoss;
+import amberroute.storage.SegmentLog;
+import java.util.ArrayList;
+import java.util.List;
+
+/** What of a journal could not be read when it was opened. */
+final class DataLossReport {
+    private final SegmentLog log;
+    /** Unreadable bytes at the end of an earlier version's file, where that is what was opened. */
+    private final long legacyUnreadBytes;
+
+    DataLossReport(SegmentLog log, long legacyUnreadBytes) {
+        this.log = log;
+        this.legacyUnreadBytes = legacyUnreadBytes;
+    }
+
+    /** Returns one line for each unreadable part, damage before torn writes; empty where all was read. */
+    List<String> lines() {
+        List<String> out = new ArrayList<>();
+        log.losses().forEach(loss -> out.add(line(loss)));
+        if (log.tornBytes() > 0) {
+            out.add(log.tornBytes() + " bytes of torn ends");
+        }
+        if (legacyUnreadBytes > 0) {
+            out.add(legacyUnreadBytes + " bytes at the end of an earlier version's file");
+        }
+        return out;
+    }
+
+    private static String line(DataLoss loss) {
+        return loss.missing()
+                ? "segment " + loss.segment() + " is missing"
+                : "segment " + loss.segment() + ": bytes " + loss.damage().from() + " to "
+                        + loss.damage().to();
+    }
+
+    /** Returns whether more than a torn write could not be read. */
+    boolean damaged() {
+        return !log.losses().isEmpty() || legacyUnreadBytes > 0;
+    }
+
+    /** Logs torn writes, and each damaged or missing segment. */
+    void log() {
+        if (log.tornBytes() > 0) {
+            LogEvent.of("journal_torn_write_skipped")
+                    .with("bytes", log.tornBytes())
+                    .warn();
+        }
+        for (DataLoss loss : log.losses()) {
+            if (loss.missing()) {
+                LogEvent.of("journal_segment_missing")
+                        .with("segment", loss.segment())
+                        .warn();
+            } else {
+                LogEvent.of("journal_segment_damaged")
+                        .with("segment", loss.segment())
+                        .with("from", loss.damage().from())
+                        .with("to", loss.damage().to())
+                        .warn();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
@@ -0,0 +1,178 @@
+package amberroute.sender.journal;
+
+import amberroute.handoff.KeyHolds;
+import amberroute.handoff.Ownership;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.storage.Batch;
+import amberroute.storage.LogLimits;
+import amberroute.storage.SegmentLog;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Journals who owns the messages of each handoff batch. A batch's state and all that follows from it, such as the messages and
+ * key holds that come or go with it, is one write: after a crash a message has one owner, and is not lost. Used on the event loop
+ * only.
+ */
+final class HandoffJournal {
+    /** Batches that are recorded at most; none is offered or accepted beyond. */
+    private static final int MAX_BATCHES = 4_096;
+
+    private static final int BUDGET_SHARE = 8;
+
+    private final SegmentLog log;
+    private final JournalContents contents;
+    private final JournalWriter writer;
+    private final KeyHoldJournal keyHolds;
+    private final long maxBatches;
+    /** Time at which expired batches were last looked for, in milliseconds of the caller's clock. */
+    private long lastExpiryMillis;
+
+    HandoffJournal(SegmentLog log, JournalContents contents, JournalWriter writer, KeyHoldJournal keyHolds) {
+        this.log = log;
+        this.contents = contents;
+        this.writer = writer;
+        this.keyHolds = keyHolds;
+        LogLimits limits = log.limits();
+        maxBatches = Math.min(MAX_BATCHES, limits.budgetBytes() / BUDGET_SHARE / RecordSizes.HANDOFF_BATCH_BYTES);
+    }
+
+    /** Writes a batch's state; the messages of one that was given away are completed here. */
+    boolean write(String name, HandoffBatchRecord record) {
+        return write(name, record, new Batch());
+    }
+
+    private boolean write(String name, HandoffBatchRecord record, Batch more) {
+        if (!fits(name) || !canChange(record)) {
+            return false;
+        }
+        Batch batch = new Batch().addAll(more);
+        put(batch, name, record);
+        List<AcceptedMessage> given = givenAway(record);
+        given.forEach(message -> MessageRecords.putCompleted(batch, message.number, contents.completedRecord(message)));
+        if (!writer.write(batch)) {
+            return false;
+        }
+        Batch forgotten = new Batch();
+        given.forEach(message -> contents.complete(message).forEach(forgotten::delete));
+        // Where the disk does not take this, their ids are remembered for longer.
+        writer.write(forgotten);
+        contents.putHandoffBatch(name, record);
+        return true;
+    }
+
+    private void put(Batch batch, String name, HandoffBatchRecord record) {
+        long owner = contents.owners.of(OwnerNumbers.handoffBatch(name));
+        batch.put(owner, RecordKind.HANDOFF_BATCH, JournalRecordCodec.encodeHandoffBatch(name, record));
+    }
+
+    private List<AcceptedMessage> givenAway(HandoffBatchRecord record) {
+        if (record.ownership().status() != Ownership.Status.GIVEN) {
+            return List.of();
+        }
+        return record.messageNumbers().stream()
+                .filter(contents.pending::containsKey)
+                .map(contents.pending::get)
+                .toList();
+    }
+
+    /** Pending writes of the batch's messages come first: they would undo what the batch changes. */
+    private boolean canChange(HandoffBatchRecord record) {
+        if (!writer.pendingWrites().isEmpty()) {
+            writer.retry();
+        }
+        return record.messageNumbers().stream().noneMatch(writer.pendingWrites()::contains);
+    }
+
+    /** Writes an offer, and in the same batch the holds that make messages of its keys wait after a restart. */
+    boolean offer(String name, HandoffBatchRecord record, String origin, List<Long> keys, long holdUntilMillis) {
+        if (!keys.isEmpty() && !keyHolds.fits(keys.size())) {
+            return false;
+        }
+        Batch batch = new Batch();
+        keys.forEach(key -> keyHolds.put(batch, new KeyHolds.KeyHold(origin, key, holdUntilMillis)));
+        if (!write(name, record, batch)) {
+            return false;
+        }
+        contents.holdKeys(origin, keys, holdUntilMillis);
+        return true;
+    }
+
+    /** Writes that a batch and its keys are this daemon's again; returns the free keys, null where it was not written. */
+    List<Long> reclaim(String name, HandoffBatchRecord record, String origin, List<Long> keys) {
+        Batch batch = new Batch();
+        keys.forEach(key -> keyHolds.delete(batch, origin, key));
+        return write(name, record, batch) ? contents.releaseKeys(origin, keys) : null;
+    }
+
+    /**
+     * Accepts messages of another daemon, and in the same batch ends the origin's holds on their keys and ranks the messages that
+     * waited for these keys behind them.
+     */
+    boolean accept(
+            String name,
+            HandoffBatchRecord record,
+            List<AcceptedMessage> messages,
+            String origin,
+            List<AcceptedMessage> behind) {
+        long bytes = messages.stream().mapToLong(RecordSizes::of).sum();
+        if (!fits(name)
+                || !contents.space.fits(bytes)
+                || !writer.pendingWrites().isEmpty()) {
+            return false;
+        }
+        List<Long> keys = heldKeys(messages, origin);
+        Batch batch = new Batch();
+        put(batch, name, record);
+        messages.forEach(message -> MessageRecords.putCurrent(batch, message));
+        keys.forEach(key -> keyHolds.delete(batch, origin, key));
+        List<Long> ranks = behind.stream().map(message -> log.nextOwner()).toList();
+        for (int i = 0; i < ranks.size(); i++) {
+            MessageRecords.putRank(batch, behind.get(i).number, ranks.get(i));
+        }
+        if (!writer.write(batch)) {
+            return false;
+        }
+        messages.forEach(contents::add);
+        contents.releaseKeys(origin, keys);
+        for (int i = 0; i < ranks.size(); i++) {
+            contents.moveBehind(behind.get(i), ranks.get(i));
+        }
+        contents.putHandoffBatch(name, record);
+        return true;
+    }
+
+    private List<Long> heldKeys(List<AcceptedMessage> messages, String origin) {
+        return messages.stream()
+                .map(message -> message.key)
+                .filter(key -> contents.keyHolds.origins(key).contains(origin))
+                .distinct()
+                .toList();
+    }
+
+    private boolean fits(String name) {
+        if (contents.handoffBatches.size() >= maxBatches) {
+            expire(lastExpiryMillis);
+        }
+        return contents.handoffBatches.size() < maxBatches || contents.handoffBatches.containsKey(name);
+    }
+
+    /** Deletes batches whose time is over; a late offer of one is rejected, since its messages are past their deadline. */
+    void expire(long nowMillis) {
+        lastExpiryMillis = nowMillis;
+        List<String> expired = contents.handoffBatches.entrySet().stream()
+                .filter(entry -> isExpired(entry.getValue(), nowMillis))
+                .map(Map.Entry::getKey)
+                .toList();
+        Batch batch = new Batch();
+        expired.forEach(name -> batch.delete(contents.owners.of(OwnerNumbers.handoffBatch(name))));
+        if (writer.write(batch)) {
+            expired.forEach(contents::removeHandoffBatch);
+        }
+    }
+
+    /** The answer to an offer is awaited whatever the time. */
+    private static boolean isExpired(HandoffBatchRecord record, long nowMillis) {
+        return record.untilMillis() < nowMillis && record.ownership().status() != Ownership.Status.OFFERED;
+    }
+}
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -1,1559 +1,505 @@
 package amberroute.sender.journal;
 
-import amberroute.decisions.DeliveryScheduler;
 import amberroute.handoff.KeyHolds;
 import amberroute.handoff.Ownership;
 import amberroute.sender.config.Durability;
 import amberroute.sender.message.AcceptedMessage;
-import amberroute.sender.message.DeduplicationCache;
 import amberroute.sender.message.MessageClassRegistry;
-import amberroute.sender.util.Log;
-import amberroute.sender.util.ModifiedUtf8;
 import amberroute.storage.Batch;
-import amberroute.storage.ContentReader;
-import amberroute.storage.DataLoss;
 import amberroute.storage.Disk;
 import amberroute.storage.FolderDisk;
-import amberroute.storage.LogFullException;
-import amberroute.storage.LogLimits;
-import amberroute.storage.PendingForce;
 import amberroute.storage.SegmentLog;
-import java.io.ByteArrayInputStream;
 import java.io.Closeable;
-import java.io.DataInputStream;
-import java.io.File;
 import java.io.IOException;
-import java.io.InputStream;
-import java.nio.BufferUnderflowException;
-import java.nio.ByteBuffer;
-import java.nio.file.Files;
-import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.security.SecureRandom;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
-import java.util.Deque;
-import java.util.HashMap;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
-import java.util.concurrent.CountDownLatch;
-import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
 /**
- * What this sender owes, in a folder that outlasts its process: each change is written before the effect that it tells of.
- * What the kernel has outlasts the process; what is to outlast a loss of power is forced, as {@link Durability} has it.
+ * The write-ahead journal of a sender: each change is written before the effect that it allows. What was written survives the end
+ * of the process; what has to survive a loss of power is forced, as {@link Durability} says.
  *
- * <p>Stands on {@link SegmentLog}: a message, a lot, a hold, a class and a place that is remembered are owners there, under a
- * number each. Every message reserves room for all that can come to stand of it, so that once taken on it can always be ended.
- * What could not be written is kept and tried again ({@link #retry}); a notice waits for that ({@link #end}), an attempt is
- * not made, and nothing is taken on meanwhile ({@link #trouble}).
+ * <p>Messages, handoff batches, key holds, health records and classes are owners in a {@link SegmentLog}. Each message reserves
+ * room for all its later records, so that an accepted one can always be completed. What the disk does not take is retried ({@link
+ * #retry}): meanwhile no message is accepted, no recorded attempt is made, and the effect of an outcome waits for its record.
+ *
+ * <p>Used on the event loop only. The state is in {@link JournalContents}, the write path in {@link JournalWriter}, the byte
+ * layout in {@link JournalRecordCodec}.
  */
 public final class Journal implements Closeable {
-    // Forms of a message.
-    private static final int WHOLE = 0;
-    private static final int ENDED = 1;
-    private static final int GONE = 2;
-
-    /** Bytes that an item has beside its content. */
-    private static final int ITEM = 24;
-    /**
-     * What can stand of a message beside its acceptance: its attempts with two uids of up to 128 characters, its rank, its
-     * notice.
-     */
-    private static final int LATER = 480;
-    /** The share of the budget that ids of ended messages may take, and the most of them in bytes. */
-    private static final int REMEMBERED_SHARE = 32;
-
-    private static final long MOST_REMEMBERED = 4 << 20;
-    /**
-     * What is remembered of destinations that are out or cold may take so much of the budget, the longest unchanged forgotten
-     * first: 1,950 of them with 3 MB. One that is forgotten is taken for well by the next process, which its trials mend.
-     */
-    private static final int MEMORIES_SHARE = 16;
-
-    private static final int LEAST_MEMORIES = 128;
-    private static final int MEMORY_BYTES = 96;
-    /** Lots of which something is known; with more, none is offered or taken. */
-    private static final int MOST_LOTS = 4_096;
-    /** Room for a lot, but for the numbers of its messages: names have 128 and 64 characters at most. */
-    private static final int LOT_BYTES = 256;
-    /** Room for one origin's hold on one key. */
-    private static final int HOLD_BYTES = 112;
-    /** Part of the budget that holds on keys may take, and another that lots may, so that messages keep their room. */
-    private static final int HOLDS_SHARE = 8;
-
-    private static final int LOTS_SHARE = 8;
-    /** Changes that could not be written are tried again so many at a time. */
-    private static final int RETRIED = 64;
-    /** Bytes copied on between two turns at most; some tens of microseconds. */
-    private static final long SLICE = 16 * 1_024;
-    /** When to come again where the disk is in the way. */
-    private static final long AGAIN_MS = 1_000;
-
-    private static final int PEEKS = 5;
-    private static final int MOST_FORCES = 5;
-
-    /** What an owner has to have on the disk and has not yet; what then may follow. */
-    private record PendingWrite(Batch batch, Runnable then) {}
-
-    /** What may happen once all up to a record is on the disk for good; {@code failed} is null where it just waits on. */
-    private record DeferredEffect(long sequence, Runnable effect, Runnable failed) {}
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Path folder;
     private final SegmentLog log;
-    private final Durability durability;
-    private final BackgroundExecutor helper;
-    private final Deque<DeferredEffect> waiting = new ArrayDeque<>();
-    private PendingForce forcing;
-    private boolean forceDue;
-    /** Of the force that is under way: that it has run, and what has to follow on the loop. */
-    private CountDownLatch ended;
-
-    private Runnable completion;
-    /** Live contents may have so many bytes. */
-    private final long room;
-
-    private final Map<Long, AcceptedMessage> live = new LinkedHashMap<>();
-    private final Map<String, Integer> liveIds = new HashMap<>();
-    private final DeduplicationCache remembered;
-    private final int mostMemories;
-    private final Map<String, HealthRecord> memories = new LinkedHashMap<>();
-    private final Map<String, HandoffBatchRecord> lots = new LinkedHashMap<>();
-    /** Versions of classes that were taken on in, by number: at most {@link MessageClassRegistry#MOST}. */
-    private final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
-
-    private final KeyHolds holds = new KeyHolds();
-    /** Owners' numbers of lots, holds, memories and classes, by what they are of. */
-    private final Map<String, Long> numbers = new HashMap<>();
-    /** By owner; at most one for each live message and place. */
-    private final Map<Long, PendingWrite> owed = new LinkedHashMap<>();
-
-    private final LongSupplier clock = System::nanoTime;
-    /** Looked for behind each record, null where nobody may take the folder over. */
-    private File fence;
-    /** Null where nobody keeps copies. */
-    private JournalChangeListener copies;
-
-    private byte[] place;
-    private byte[] holders;
-    private Runnable onFenced = () -> {};
-    /** When old lots were last looked for, by the clock that their times are told by. */
-    private long told;
-
-    private long reserved;
-    /** Bytes of an earlier version's file that could not be read, where that is what was looked at. */
-    private long oldUnread;
-
-    private String trouble = "";
-    private boolean doubtful;
-
-    private Journal(Path folder, SegmentLog log, Durability durability, BackgroundExecutor helper) {
+    private final JournalContents contents;
+    private final JournalWriter writer;
+    private final HealthJournal health;
+    private final KeyHoldJournal keyHolds;
+    private final HandoffJournal handoff;
+    private final DataLossReport dataLoss;
+    /** Whether the record of the last failed acceptance or attempt may be found after a restart. */
+    private boolean uncertain;
+
+    Journal(Path folder, SegmentLog log, Durability durability, BackgroundExecutor executor, long legacyUnreadBytes) {
         this.folder = folder;
         this.log = log;
-        this.durability = durability;
-        this.helper = helper;
-        long budget = log.limits().budgetBytes();
-        room = budget - log.reservedBytes();
-        long most = Math.min(MOST_REMEMBERED, budget / REMEMBERED_SHARE);
-        remembered = new DeduplicationCache(most);
-        mostMemories = (int) Math.min(1 << 16, Math.max(LEAST_MEMORIES, budget / MEMORIES_SHARE / MEMORY_BYTES));
-        reserved = most;
+        contents = new JournalContents(log);
+        writer = new JournalWriter(log, durability, executor, contents);
+        health = new HealthJournal(contents, writer);
+        keyHolds = new KeyHoldJournal(contents, writer, log.limits());
+        handoff = new HandoffJournal(log, contents, writer, keyHolds);
+        dataLoss = new DataLossReport(log, legacyUnreadBytes);
     }
 
-    /** Opens or begins the journal; one that an earlier version wrote is moved into segments. Nothing is forced. */
-    public static Journal open(Path folder, long budget) throws IOException {
-        return open(folder, new FolderDisk(folder), budget);
+    /** Opens or begins the journal without forcing it; one of an earlier version is migrated into segments. */
+    public static Journal open(Path folder, long budgetBytes) throws IOException {
+        return open(folder, new FolderDisk(folder), budgetBytes);
     }
 
-    /** The same on a disk of the tests' own, where there is no earlier version's journal. */
-    static Journal open(Path folder, Disk disk, long budget) throws IOException {
-        return open(folder, disk, budget, Durability.NONE, null);
+    /** As {@link #open(Path, long)}, on a given disk. */
+    static Journal open(Path folder, Disk disk, long budgetBytes) throws IOException {
+        return open(folder, disk, budgetBytes, Durability.NONE, null);
     }
 
-    /** {@code helper} forces off the event loop, for {@link Durability#BATCH}. */
-    public static Journal open(Path folder, Disk disk, long budget, Durability durability, BackgroundExecutor helper)
+    /**
+     * Opens or begins the journal.
+     *
+     * @param budgetBytes bound of all files together
+     * @param executor forces off the event loop, for {@link Durability#BATCH}
+     * @throws IOException where the budget is too small, the folder cannot be written, or a later version has written it
+     */
+    public static Journal open(
+            Path folder, Disk disk, long budgetBytes, Durability durability, BackgroundExecutor executor)
             throws IOException {
-        if (budget - 4_096 < LogLimits.MIN_BUDGET_BYTES) {
-            throw new IOException(
-                    "the journal needs " + (LogLimits.MIN_BUDGET_BYTES + 4_096) + " bytes of disk, and has " + budget);
-        }
-        LogLimits limits = LogLimits.of(budget - 4_096, durability != Durability.NONE);
-        LegacyJournalReader old = folder == null ? null : LegacyJournalReader.read(folder);
-        boolean moves = old != null && !old.moved;
-        if (moves) {
-            // What a move that was not finished left; the old file still has all of it.
-            for (String name : disk.list()) {
-                if (SegmentLog.isSegment(name)) {
-                    disk.delete(name);
-                }
-            }
-        }
-        Journal journal = new Journal(folder, SegmentLog.open(disk, limits, Journal::salt), durability, helper);
-        try {
-            journal.read(true);
-            if (moves) {
-                journal.moveIn(old);
-            }
-            if (durability != Durability.NONE && !journal.forceNow()) {
-                throw new IOException("the journal in " + folder + " cannot be forced to the disk");
-            }
-            if (folder != null && (old == null || moves)) {
-                Path fresh = folder.resolve(LegacyJournalReader.NAME + ".new");
-                Files.write(fresh, LegacyJournalReader.mark());
-                Files.move(fresh, folder.resolve(LegacyJournalReader.NAME), StandardCopyOption.ATOMIC_MOVE);
-            }
-        } catch (IOException | RuntimeException e) {
-            journal.close();
-            throw e;
-        }
-        journal.tell();
-        return journal;
+        return new JournalOpener(folder, disk, durability, executor).open(budgetBytes);
     }
 
-    /** Reads a folder's journal and leaves it as it is, also while its process writes; for looking only. */
+    /**
+     * Reads a folder's journal without changing it, also while its process writes.
+     *
+     * @throws java.nio.file.NoSuchFileException where there is none
+     */
     public static Journal openReadOnly(Path folder) throws IOException {
-        LegacyJournalReader old = LegacyJournalReader.read(folder);
-        if (old == null) {
-            throw new NoSuchFileException(
-                    folder.resolve(LegacyJournalReader.NAME).toString());
-        }
-        for (int attempt = 1; ; attempt++) {
-            try {
-                Journal journal =
-                        new Journal(folder, SegmentLog.openReadOnly(new FolderDisk(folder)), Durability.NONE, null);
-                if (old.moved) {
-                    journal.read(false);
-                } else {
-                    journal.take(old);
-                    journal.oldUnread = old.unread;
-                }
-                return journal;
-            } catch (NoSuchFileException e) {
-                // A segment was retired between its being listed and its being read.
-                if (attempt == PEEKS) {
-                    throw e;
-                }
-            }
-        }
+        return JournalOpener.openReadOnly(folder);
     }
 
-    /** Eight bytes that nobody outside knows; the JDK's own source would load its security providers at each start. */
-    private static long salt() {
-        try (InputStream random = Files.newInputStream(Path.of("/dev/urandom"))) {
-            return ByteBuffer.wrap(random.readNBytes(Long.BYTES)).getLong();
-        } catch (IOException | RuntimeException e) {
-            return new SecureRandom().nextLong();
-        }
-    }
+    // ---- Opening. ----
 
-    private void tell() {
-        if (log.tornBytes() > 0) {
-            Log.warn("journal: passed over " + log.tornBytes() + " bytes of torn ends");
-        }
-        for (DataLoss loss : log.losses()) {
-            Log.warn("journal: DAMAGED: "
-                    + (loss.damage().to() == 0
-                            ? "segment " + loss.segment() + " is missing"
-                            : "segment " + loss.segment() + " from byte "
-                                    + loss.damage().from() + " to "
-                                    + loss.damage().to() + " cannot be read")
-                    + "; what it held is lost, all else was read");
+    /** Reads the log, and deletes records that belong to nothing; where that fails the next start finds them again. */
+    void recover() throws IOException {
+        Batch orphans = new JournalRecovery(log, contents).run();
+        if (!orphans.isEmpty()) {
+            writer.write(orphans);
         }
     }
 
-    /** What could not be read: damage first, then torn ends; empty where everything could. */
-    List<String> unread() {
-        List<String> out = new ArrayList<>();
-        log.losses()
-                .forEach(loss -> out.add(
-                        loss.damage().to() == 0
-                                ? "segment " + loss.segment() + " is missing"
-                                : "segment " + loss.segment() + ": bytes "
-                                        + loss.damage().from() + " to "
-                                        + loss.damage().to()));
-        if (log.tornBytes() > 0) {
-            out.add(log.tornBytes() + " bytes of torn ends");
-        }
-        if (oldUnread > 0) {
-            out.add(oldUnread + " bytes at the end of an earlier version's file");
-        }
-        return out;
+    void recoverReadOnly() throws IOException {
+        new JournalRecovery(log, contents).run();
     }
 
-    /** Whether more than a torn end could not be read. */
-    boolean damaged() {
-        return !log.losses().isEmpty() || oldUnread > 0;
+    void takeWithoutWriting(JournalImport records) {
+        records.applyTo(contents, log);
     }
 
-    /** Bytes on the disk, and of them those that are wanted. */
-    public long usedBytes() {
-        return log.usedBytes();
+    /** Takes the records of another journal and writes them. */
+    void importAll(JournalImport records) throws IOException {
+        records.applyTo(contents, log);
+        for (Supplier<Batch> batch : JournalSnapshot.withoutCompleted(contents, keyHolds)) {
+            log.write(batch.get());
+        }
     }
 
-    public long liveBytes() {
-        return log.liveBytes();
+    void importCompleted(CompletedRecord completed) throws IOException {
+        long number = log.nextOwner();
+        Batch batch = MessageRecords.putCompleted(new Batch(), number, completed);
+        contents.addCompleted(number, completed).forEach(batch::delete);
+        log.write(batch);
     }
 
-    /**
-     * From now on a raised {@link FencingToken} is noticed behind each record and before any effect that it allows; then this is
-     * run, which has to end the process.
-     */
-    public void watchFence(Runnable fenced) {
-        fence = FencingToken.file(folder);
-        onFenced = fenced;
+    /** Writes a completed message that this process itself need not know. */
+    void importCompletedWithoutCache(CompletedRecord completed) throws IOException {
+        log.write(MessageRecords.putCompleted(new Batch(), log.nextOwner(), completed));
     }
 
-    /** To be called right before an effect that comes later than its record. */
-    public void checkFence() {
-        if (fence != null && fence.exists()) {
-            onFenced.run();
-            throw new IllegalStateException("this folder was taken over");
-        }
+    JournalImport exportAll() {
+        return new JournalImport(
+                contents.pending.values(),
+                contents.classes,
+                contents.health.values(),
+                contents.keyHolds,
+                contents.handoffBatches,
+                log.nextOwner());
     }
 
-    // ---- Writing. ----
-
-    private boolean write(Batch batch) {
-        byte[] at = copies == null || batch.isEmpty() ? null : copies.replicationPosition();
-        Batch whole = at == null
-                ? batch
-                : new Batch().addAll(batch).put(numberOf("estate"), RecordKind.REPLICATION_POSITION, at);
-        try {
-            log.write(whole);
-        } catch (IOException e) {
-            failed(e);
-            return false;
-        }
-        if (at != null) {
-            place = at;
-            copies.batchWritten(whole);
-        }
-        if (durability == Durability.EACH) {
-            forceNow();
-        }
-        if (!trouble.isEmpty() && owed.isEmpty() && !log.uncertain() && !log.needsRewrite()) {
-            Log.warn("journal: can be written again");
-            trouble = "";
-        }
-        checkFence();
-        return true;
+    List<CompletedRecord> completedRecords() {
+        return contents.completed.all().stream()
+                .map(JournalSnapshot::completedRecord)
+                .toList();
     }
 
-    // ---- Power. ----
-
-    /**
-     * Runs an effect as soon as all that was written for it outlasts what it has to: a loss of power where that is forced, a
-     * loss of the machine where copies are kept; at once where neither is. Where that fails, or takes too long, {@code failed}
-     * runs in its place; with null it waits until what was written is safe by other ways.
-     */
-    public void whenDurable(Runnable effect, Runnable failed) {
-        if (copies == null) {
-            whenForced(effect, failed);
-        } else {
-            copies.whenReplicated(() -> whenForced(effect, failed), failed);
-        }
+    DataLossReport dataLoss() {
+        return dataLoss;
     }
 
-    private void whenForced(Runnable effect, Runnable failed) {
-        if (durability == Durability.NONE
-                || waiting.isEmpty() && !log.needsRewrite() && log.forcedSequence() >= log.sequence()) {
-            effect.run();
-            return;
-        }
-        waiting.add(new DeferredEffect(log.sequence(), effect, failed));
-        if (!forceDue && helper != null) {
-            forceDue = true;
-            helper.runOnLoop(this::force);
-        }
+    boolean forceNow() {
+        return writer.forces().forceNow();
     }
 
-    /** One force for all that has been written by now; while one runs, what comes waits for the next. */
-    private void force() {
-        forceDue = false;
-        if (forcing != null || durability == Durability.NONE) {
-            return;
-        }
-        forcing = log.prepareForce();
-        if (forcing == null) {
-            runSafe();
-            return;
-        }
-        PendingForce mine = forcing;
-        IOException[] error = new IOException[1];
-        CountDownLatch ran = new CountDownLatch(1);
-        ended = ran;
-        completion = () -> {
-            // Once: whoever waits for it on the loop completes it ahead of the helper.
-            if (forcing == mine) {
-                forcing = null;
-                forced(mine, error[0]);
-            }
-        };
-        Runnable complete = completion;
-        helper.runInBackground(
-                () -> {
-                    try {
-                        mine.run();
-                    } catch (IOException e) {
-                        error[0] = e;
-                    } finally {
-                        ran.countDown();
-                    }
-                },
-                () -> {
-                    complete.run();
-                    if (!waiting.isEmpty() && !log.needsRewrite()) {
-                        force();
-                    }
-                });
-    }
-
-    private void forced(PendingForce force, IOException error) {
-        log.forceCompleted(force, error == null);
-        if (error == null) {
-            runSafe();
-            return;
-        }
-        failed(new IOException(
-                "forcing failed, what was written since the last one is written anew: " + error.getMessage()));
-        List<DeferredEffect> all = List.copyOf(waiting);
-        waiting.clear();
-        for (DeferredEffect one : all) {
-            if (one.failed() == null) {
-                waiting.add(one);
-            } else {
-                one.failed().run();
-            }
-        }
+    // ---- Writing. ----
+
+    /** Returns the bytes of all files of the log. */
+    public long usedBytes() {
+        return log.usedBytes();
     }
 
-    private void runSafe() {
-        while (!log.needsRewrite() && !waiting.isEmpty() && waiting.peek().sequence() <= log.forcedSequence()) {
-            waiting.poll().effect().run();
-        }
+    /** Returns the bytes of all live records. */
+    public long liveBytes() {
+        return log.liveBytes();
     }
 
-    /** Forces on this thread; slow. False where what was written is not safe. */
-    private boolean forceNow() {
-        PendingForce force = forcing == null ? log.prepareForce() : null;
-        if (force != null) {
-            IOException error = null;
-            try {
-                force.run();
-            } catch (IOException e) {
-                error = e;
-            }
-            forced(force, error);
-        }
-        return !log.needsRewrite() && log.forcedSequence() >= log.sequence();
+    /**
+     * From now on the {@link FencingToken} is checked behind each write, and by {@link #checkFence}.
+     *
+     * @param fenced runs when the token is there; it has to end the process
+     */
+    public void watchFence(Runnable fenced) {
+        writer.watchFence(folder, fenced);
     }
 
     /**
-     * For what others are told at once, as between daemons: all that was written is on the disk for good when this returns
-     * true, which takes a force, or several where one fails. Slow.
+     * Has to be called right before an effect that comes later than its record.
+     *
+     * @throws IllegalStateException where the folder was taken over
      */
-    public boolean forceAll() {
-        if (durability == Durability.NONE) {
-            return true;
-        }
-        if (forcing != null) {
-            // The helper's own comes first: its files must not be closed under it.
-            try {
-                ended.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-                return false;
-            }
-            completion.run();
-        }
-        for (int i = 0; i < MOST_FORCES; i++) {
-            if (forceNow()) {
-                return true;
-            }
-            copyOn();
-        }
-        return false;
+    public void checkFence() {
+        writer.checkFence();
     }
 
-    /** What a failed force has left in doubt is copied on, so that the next one covers it. */
-    private void copyOn() {
-        try {
-            while (log.needsRewrite() && log.compact(SLICE)) {
-                // A slice after another.
-            }
-        } catch (IOException e) {
-            failed(e);
-        }
+    /**
+     * Runs an effect when all that was written so far survives what it has to: a loss of power where that is forced, the loss of
+     * the machine where the journal is replicated; at once where neither is.
+     *
+     * @param failed runs in its place where that fails or takes too long; null to wait without bound
+     */
+    public void whenDurable(Runnable effect, Runnable failed) {
+        writer.whenDurable(effect, failed);
     }
 
-    /** Effects that wait for a force. */
-    public int deferredEffects() {
-        return waiting.size();
+    /** Forces all that was written so far on this thread. Slow. Returns whether that succeeded. */
+    public boolean forceAll() {
+        return writer.forces().forceAll();
     }
 
-    private void failed(IOException e) {
-        String now = e instanceof LogFullException ? "the disk budget is spent" : String.valueOf(e.getMessage());
-        if (!now.equals(trouble)) {
-            Log.warn("journal: cannot be written: " + e);
-        }
-        trouble = now;
+    /** Returns the number of effects that wait for a force. */
+    public int deferredEffects() {
+        return writer.forces().deferredEffects();
     }
 
-    /** Why nothing is taken on just now; empty while all is well. */
+    /** Returns why the journal cannot be written just now, empty while it can. */
     public String writeFailure() {
-        return trouble;
+        return writer.failure().reason();
     }
 
-    /** When a client that is turned away for it should come again, in milliseconds; 0 where nothing is in the way. */
+    /** Returns when a client that is rejected for it should retry, in milliseconds; 0 while the journal can be written. */
     public long retryAfterMillis() {
-        return trouble.isEmpty() ? 0 : AGAIN_MS;
+        return writer.failure().present() ? RETRY_AFTER_MILLIS : 0;
     }
 
-    /**
-     * Whether the message that was not taken on last may be found after all: then a refusal must not promise that coming
-     * again is harmless.
-     */
+    /** Returns whether the last rejected message may be found after a restart: then a retry is not known to be harmless. */
     public boolean uncertain() {
-        return doubtful;
+        return uncertain;
     }
 
-    /** Changes that are not on the disk yet. */
+    /** Returns the number of changes that are not on the disk yet. */
     int pendingWriteCount() {
-        return owed.size();
-    }
-
-    /** The owner's last state has to be written: now, or as soon as it can be. */
-    private void mustWrite(long number, Batch batch, Runnable then) {
-        if (owed.isEmpty() && write(batch)) {
-            then.run();
-        } else {
-            owed.put(number, new PendingWrite(batch, then));
-            retry();
-        }
+        return writer.pendingWrites().size();
     }
 
-    /** Tries again what could not be written; to be called from time to time. */
+    /** Tries again what the disk did not take; to be called from time to time. */
     public void retry() {
-        if (log.needsRewrite() && forcing == null) {
-            copyOn();
-            force();
-        }
-        if (trouble.isEmpty() && owed.isEmpty()) {
-            return;
-        }
-        try {
-            log.resolveUncertainWrite();
-        } catch (IOException e) {
-            failed(e);
-            return;
-        }
-        for (int i = 0; i < RETRIED && !owed.isEmpty(); i++) {
-            Iterator<Map.Entry<Long, PendingWrite>> first = owed.entrySet().iterator();
-            Map.Entry<Long, PendingWrite> next = first.next();
-            if (!write(next.getValue().batch())) {
-                return;
-            }
-            first.remove();
-            next.getValue().then().run();
-        }
-        log.refillReserve();
-        if (owed.isEmpty() && !log.uncertain() && !log.needsRewrite() && log.hasReserve() && !trouble.isEmpty()) {
-            Log.warn("journal: can be written again");
-            trouble = "";
-        }
+        writer.retry();
     }
 
-    /** Copies a slice on, where room should be won back; to be called between turns. Returns whether there is more to do. */
+    /** Does a step of compaction where that is needed, between other work; returns whether there is more to do. */
     public boolean compactSlice() {
-        if (!log.shouldCompact()) {
-            return false;
-        }
-        if (log.awaitsForce() && helper != null && forcing == null) {
-            force();
-        }
-        try {
-            return log.compact(SLICE) && log.shouldCompact();
-        } catch (IOException e) {
-            failed(e);
-            return false;
-        }
+        return writer.compactStep();
     }
 
-    private boolean fits(long more) {
-        return reserved + more <= room;
-    }
+    // ---- Replication. ----
 
-    // ---- Copies of it elsewhere. ----
-
-    /** From now on each change goes on to copies, and effects wait for them. */
-    public void replicateTo(JournalChangeListener to) {
-        copies = to;
+    /** From now on each change is given to the listener, and {@link #whenDurable} waits for it. */
+    public void replicateTo(JournalChangeListener listener) {
+        writer.replicateTo(listener);
     }
 
-    /** Where the estate's record had come to when this journal was last written, null where it never was copied. */
+    /** Returns the position in the replicated log that was last written, null where the journal was never replicated. */
     public byte[] replicationPosition() {
-        return place;
+        return contents.replicationPosition;
     }
 
-    /** Who holds copies, as last written; null where nobody ever did. */
+    /** Returns the replica set that was last written, null where there never was one. */
     public byte[] replicaSet() {
-        return holders;
+        return contents.replicaSet;
     }
 
-    /** The place as a change of its own, for the end of a whole copy. */
+    /** Returns the replication position as a change of its own, for the end of a snapshot. */
     public Batch replicationPositionBatch() {
-        return new Batch().put(numberOf("estate"), RecordKind.REPLICATION_POSITION, place);
+        return new Batch()
+                .put(
+                        contents.owners.of(OwnerNumbers.replication()),
+                        RecordKind.REPLICATION_POSITION,
+                        contents.replicationPosition);
     }
 
-    /** Writes who holds copies: a change like others. */
-    public boolean replicaSet(byte[] group) {
-        if (!write(new Batch().put(numberOf("estate"), RecordKind.REPLICA_SET, group))) {
+    /** Writes the replica set; false where the disk does not take it. */
+    public boolean replicaSet(byte[] replicaSet) {
+        long owner = contents.owners.of(OwnerNumbers.replication());
+        if (!writer.write(new Batch().put(owner, RecordKind.REPLICA_SET, replicaSet))) {
             return false;
         }
-        holders = group;
+        contents.replicaSet = replicaSet;
         return true;
     }
 
+    /** Returns all live records as batches, each encoded when it is asked for; see {@link JournalSnapshot}. */
+    public List<Supplier<Batch>> snapshotBatches() {
+        return JournalSnapshot.whole(contents, keyHolds);
+    }
+
     // ---- Messages. ----
 
-    /** Messages that have not been concluded, in the order of acceptance. */
+    /** Returns the messages that are not completed, in the order of acceptance. */
     public Collection<AcceptedMessage> pendingMessages() {
-        return live.values();
+        return contents.pending.values();
     }
 
+    /** Returns those of these messages that are still to be delivered, in the order given. */
+    public List<AcceptedMessage> pendingMessages(List<Long> numbers) {
+        return numbers.stream()
+                .map(contents.pending::get)
+                .filter(message -> message != null && message.notice == null)
+                .toList();
+    }
+
+    /** Returns a number for a new message. */
     public long nextNumber() {
         return log.nextOwner();
     }
 
-    /** Whether this id was taken on, now or not long ago. */
+    /** Returns whether a message of this id is pending or was completed not long ago. */
     public boolean knows(String id) {
-        return liveIds.containsKey(id) || remembered.knows(id);
+        return contents.knows(id);
     }
 
-    /** Whether what is known under this id is another message, as far as can be told. */
-    public boolean differs(String id, int content) {
-        int known = liveIds.containsKey(id) ? liveIds.get(id) : remembered.content(id);
-        return known != 0 && known != content;
+    /** Returns whether the message known under this id has another content hash, as far as that is known. */
+    public boolean differs(String id, int contentHash) {
+        return contents.differs(id, contentHash);
     }
 
-    /** Takes a message on; false where the budget or the disk has no room for it, or trouble is not over. */
-    public boolean accept(AcceptedMessage m) {
-        doubtful = false;
-        if (!fits(reserve(m)) || !owed.isEmpty() || log.uncertain() || log.needsRewrite()) {
+    /** Writes a new message; false where there is no room for it, or the disk does not take it. */
+    public boolean accept(AcceptedMessage message) {
+        uncertain = false;
+        if (!contents.space.fits(RecordSizes.of(message)) || !writer.settled()) {
             return false;
         }
-        if (!write(new Batch().put(m.number, RecordKind.MESSAGE, whole(m)))) {
-            doubtful = log.uncertain();
+        if (!writer.write(MessageRecords.putPending(new Batch(), message))) {
+            uncertain = writer.uncertain();
             return false;
         }
-        add(m);
+        contents.add(message);
         return true;
     }
 
-    /** To be called before the attempt's first byte; false where it could not be written. */
-    public boolean attempt(AcceptedMessage m, String uid, long wall) {
-        AcceptedMessage.Attempts before = m.attempts();
-        m.attempt(uid, wall);
-        // What is owed of it stands in this as well.
-        if (owed.containsKey(m.number) && owed.get(m.number).then() != NOTHING
-                || !write(new Batch().put(m.number, RecordKind.ATTEMPTS, standing(m)))) {
-            m.restore(before);
-            doubtful = log.uncertain();
+    /**
+     * Writes an attempt, before its first byte is sent: a restart must know that the upstream may have carried the message out.
+     *
+     * @return false where the disk does not take it; then the attempt must not be made, and the message is as before
+     */
+    public boolean attempt(AcceptedMessage message, String uid, long wallMillis) {
+        AcceptedMessage.Attempts before = message.attempts();
+        message.attempt(uid, wallMillis);
+        if (writer.pendingWrites().hasEffect(message.number)
+                || !writer.write(MessageRecords.putAttempts(new Batch(), message))) {
+            message.restore(before);
+            uncertain = writer.uncertain();
             return false;
         }
-        owed.remove(m.number);
+        // This record has the outcome of the attempt before, too.
+        writer.pendingWrites().remove(message.number);
         return true;
     }
 
     /**
-     * An attempt whose record the disk does not take now, of a message that may be repeated without harm: it is recorded as soon as it
-     * can be, and a restart before that makes the attempt once more.
+     * Notes an attempt, of an idempotent message, that is made although the disk does not take its record now. A restart before it
+     * does makes the attempt once more.
      */
-    public void attemptUnrecorded(AcceptedMessage m, String uid, long wall) {
-        m.attempt(uid, wall);
-        mustWrite(m.number, new Batch().put(m.number, RecordKind.ATTEMPTS, standing(m)), NOTHING);
-    }
-
-    /** Whether a change of this message is not on the disk yet. */
-    public boolean hasPendingWrite(AcceptedMessage m) {
-        return live.containsKey(m.number) && owed.containsKey(m.number);
-    }
-
-    private static final Runnable NOTHING = () -> {};
-
-    public void outcome(AcceptedMessage m, boolean mayHaveRun) {
-        m.outcome(mayHaveRun);
-        if (live.containsKey(m.number) && m.notice == null) {
-            mustWrite(m.number, new Batch().put(m.number, RecordKind.ATTEMPTS, standing(m)), NOTHING);
-        }
+    public void attemptUnrecorded(AcceptedMessage message, String uid, long wallMillis) {
+        message.attempt(uid, wallMillis);
+        writeAttempts(message);
     }
 
-    /** The end is decided and its notice owed; {@code written} runs once that is on the disk, and sends it. */
-    public void end(AcceptedMessage m, String notice, Runnable written) {
-        reserved -= reserve(m);
-        m.end(notice);
-        reserved += reserve(m);
-        mustWrite(m.number, new Batch().putExclusive(m.number, RecordKind.MESSAGE, ended(m)), written);
+    private void writeAttempts(AcceptedMessage message) {
+        Batch batch = MessageRecords.putAttempts(new Batch(), message);
+        writer.writeEventually(message.number, batch, PendingWrites.NO_EFFECT);
     }
 
-    public void end(AcceptedMessage m, String notice) {
-        end(m, notice, NOTHING);
+    /** Returns whether a change of this message is not on the disk yet. */
+    public boolean hasPendingWrite(AcceptedMessage message) {
+        return contents.isPending(message) && writer.pendingWrites().contains(message.number);
     }
 
-    /** Nothing more is owed: it was delivered, or its notice has been answered. */
-    public void conclude(AcceptedMessage m) {
-        if (live.containsKey(m.number)) {
-            Batch batch = new Batch().putExclusive(m.number, RecordKind.MESSAGE, gone(m));
-            drop(m).forEach(batch::delete);
-            mustWrite(m.number, batch, NOTHING);
+    /** Writes the outcome of an attempt, now or as soon as the disk takes it. */
+    public void outcome(AcceptedMessage message, boolean mayHaveRun) {
+        message.outcome(mayHaveRun);
+        if (contents.isPending(message) && message.notice == null) {
+            writeAttempts(message);
         }
     }
 
-    private void add(AcceptedMessage m) {
-        live.put(m.number, m);
-        liveIds.put(m.id, m.content);
-        reserved += reserve(m);
-    }
-
-    /** Of a message that is over its id is left, for a while; returns what is forgotten for it. */
-    private List<Long> drop(AcceptedMessage m) {
-        live.remove(m.number);
-        liveIds.remove(m.id);
-        reserved -= reserve(m);
-        return remembered.add(m.id, m.content, effect(m), m.number, clock.getAsLong());
-    }
-
-    private DeliveryScheduler.Idempotency effect(AcceptedMessage m) {
-        MessageClassRegistry.Version version = classes.get(m.type);
-        return version == null
-                ? DeliveryScheduler.Idempotency.NON_IDEMPOTENT
-                : version.type().idempotency();
-    }
-
-    private byte[] gone(AcceptedMessage m) {
-        return gone(m.id, m.content, effect(m));
+    /** Writes the end of a message and its notice; {@code written} runs when that is on the disk, and sends the notice. */
+    public void end(AcceptedMessage message, String notice, Runnable written) {
+        contents.end(message, notice);
+        writer.writeEventually(message.number, MessageRecords.putEnded(new Batch(), message), written);
     }
 
-    private static byte[] gone(String id, int content, DeliveryScheduler.Idempotency effect) {
-        return RecordBytes.encode(out -> {
-            out.writeByte(GONE);
-            out.writeUTF(id);
-            out.writeInt(content);
-            out.writeByte(effect.ordinal());
-        });
+    /** Writes the end of a message and its notice, now or as soon as the disk takes it. */
+    public void end(AcceptedMessage message, String notice) {
+        end(message, notice, PendingWrites.NO_EFFECT);
     }
 
-    private static long reserve(AcceptedMessage m) {
-        return 5 * ITEM
-                + m.body.length
-                + 3L * (m.id.length() + m.idempotencyKey.length() + m.className.length())
-                + (m.notice == null ? 0 : m.notice.length())
-                + LATER;
+    /** Completes a message: it was delivered, or its notice was answered. Its id is remembered for a while. */
+    public void conclude(AcceptedMessage message) {
+        if (contents.isPending(message)) {
+            Batch batch = MessageRecords.putCompleted(new Batch(), message.number, contents.completedRecord(message));
+            contents.complete(message).forEach(batch::delete);
+            writer.writeEventually(message.number, batch, PendingWrites.NO_EFFECT);
+        }
     }
 
-    // ---- Classes and places. ----
+    // ---- Message classes and health. ----
 
-    /** The versions of classes that were defined, by number. */
+    /** Returns the versions of message classes by number. */
     public Map<Integer, MessageClassRegistry.Version> classes() {
-        return classes;
+        return contents.classes;
     }
 
-    /** To be called before a message of this version is taken on; false where it could not be written. */
+    /** Writes a version of a class, before a message of it is accepted; false where the disk does not take it. */
     public boolean defineClass(int number, MessageClassRegistry.Version version) {
-        if (version.equals(classes.get(number))) {
+        if (version.equals(contents.classes.get(number))) {
             return true;
         }
-        if (!write(new Batch().put(numberOf("class " + number), RecordKind.MESSAGE_CLASS, defined(number, version)))) {
+        long owner = contents.owners.of(OwnerNumbers.messageClass(number));
+        byte[] content = JournalRecordCodec.encodeClass(number, version);
+        if (!writer.write(new Batch().put(owner, RecordKind.MESSAGE_CLASS, content))) {
             return false;
         }
-        keep(number, version);
+        contents.putClass(number, version);
         return true;
     }
 
-    private void keep(int number, MessageClassRegistry.Version version) {
-        MessageClassRegistry.Version before = classes.put(number, version);
-        reserved += reserve(version) - (before == null ? 0 : reserve(before));
-    }
-
-    private static long reserve(MessageClassRegistry.Version version) {
-        return 80 + ITEM + 3L * version.name().length();
-    }
-
-    private long numberOf(String name) {
-        return numbers.computeIfAbsent(name, n -> log.nextOwner());
-    }
-
-    /** What was remembered of places, one for each. */
+    /** Returns the health records, one for each upstream that is not healthy. */
     public Collection<HealthRecord> healthRecords() {
-        return memories.values();
+        return contents.health.values();
     }
 
-    /** That a place is well need not be kept. */
-    public void recordHealth(HealthRecord memory) {
-        Batch batch = new Batch();
-        long number = keep(memory, batch);
-        if (!batch.isEmpty()) {
-            mustWrite(number, batch, NOTHING);
-        }
-    }
-
-    private long keep(HealthRecord memory, Batch batch) {
-        forget(memory.upstreamKey(), batch);
-        if (memory.health() == DeliveryScheduler.UpstreamStatus.HEALTHY) {
-            return 0;
-        }
-        long number = numberOf("place " + memory.upstreamKey());
-        memories.put(memory.upstreamKey(), memory);
-        reserved += MEMORY_BYTES + memory.uid().length();
-        batch.put(number, RecordKind.HEALTH, remembered(memory));
-        if (memories.size() > mostMemories) {
-            forget(memories.keySet().iterator().next(), batch);
-        }
-        return number;
-    }
-
-    private void forget(String place, Batch batch) {
-        HealthRecord old = memories.remove(place);
-        if (old != null) {
-            reserved -= MEMORY_BYTES + old.uid().length();
-            long number = numbers.remove("place " + place);
-            owed.remove(number);
-            batch.delete(number);
-        }
+    /** Writes a health record, now or as soon as the disk takes it; that of a healthy upstream deletes an earlier one. */
+    public void recordHealth(HealthRecord record) {
+        health.record(record);
     }
 
-    // ---- Lots. ----
+    // ---- Handoff. ----
 
-    /** All lots of which something is known. */
+    /** Returns all handoff batches by name. */
     public Map<String, HandoffBatchRecord> handoffBatches() {
-        return lots;
+        return contents.handoffBatches;
     }
 
-    /** Those of these messages that are still owed here, in the order given. */
-    public List<AcceptedMessage> pendingMessages(List<Long> numbers) {
-        return numbers.stream()
-                .map(live::get)
-                .filter(m -> m != null && m.notice == null)
-                .toList();
+    /** Writes who owns a batch; false where there is no room or the disk does not take it. One given away has no message here. */
+    public boolean writeHandoffBatch(
+            String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
+        return handoff.write(name, record(ownership, untilMillis, messages));
     }
 
-    /** Writes whose a lot is. One that is given drops its messages, as they are another's now. */
-    public boolean writeHandoffBatch(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return writeHandoffBatch(name, ownership, until, messages, new Batch());
+    private static HandoffBatchRecord record(Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
+        List<Long> numbers = messages.stream().map(message -> message.number).toList();
+        return new HandoffBatchRecord(ownership, untilMillis, numbers);
     }
 
-    private boolean writeHandoffBatch(
-            String name, Ownership ownership, long until, List<AcceptedMessage> messages, Batch more) {
-        HandoffBatchRecord lot = new HandoffBatchRecord(
-                ownership, until, messages.stream().map(m -> m.number).toList());
-        if (!roomForLot(name) || !mayChange(lot)) {
-            return false;
-        }
-        Batch batch =
-                new Batch().addAll(more).put(numberOf("lot " + name), RecordKind.HANDOFF_BATCH, lotContent(name, lot));
-        List<AcceptedMessage> given = ownership.status() != Ownership.Status.GIVEN
-                ? List.of()
-                : lot.messageNumbers().stream()
-                        .filter(live::containsKey)
-                        .map(live::get)
-                        .toList();
-        given.forEach(m -> batch.putExclusive(m.number, RecordKind.MESSAGE, gone(m)));
-        if (!write(batch)) {
-            return false;
-        }
-        Batch forgotten = new Batch();
-        given.forEach(m -> drop(m).forEach(forgotten::delete));
-        // Where this cannot be written they are remembered for longer.
-        write(forgotten);
-        apply(name, lot);
-        return true;
-    }
-
-    /** What is owed of its messages comes first. */
-    private boolean mayChange(HandoffBatchRecord lot) {
-        if (!owed.isEmpty()) {
-            retry();
-        }
-        return lot.messageNumbers().stream().noneMatch(owed::containsKey);
-    }
-
-    /**
-     * Writes that a lot is offered, and in the same batch that what comes of its keys after a restart has to wait; false
-     * without room for either.
-     */
+    /** Writes an offer of a batch and holds on its keys, in one write; false where there is no room for either. */
     public boolean offerHandoffBatch(
             String name,
             Ownership ownership,
-            long until,
+            long untilMillis,
             List<AcceptedMessage> messages,
             String origin,
             List<Long> keys,
-            long holdUntil) {
-        if (!keys.isEmpty() && !roomForHolds(keys.size())) {
-            return false;
-        }
-        Batch batch = new Batch();
-        keys.forEach(key -> holdOn(batch, origin, key, holdUntil));
-        if (!writeHandoffBatch(name, ownership, until, messages, batch)) {
-            return false;
-        }
-        keepHolds(origin, keys, holdUntil);
-        return true;
+            long holdUntilMillis) {
+        return handoff.offer(name, record(ownership, untilMillis, messages), origin, keys, holdUntilMillis);
     }
 
-    /** Writes that a lot is this daemon's own again, and its keys with it; null where that could not be written. */
+    /** Writes that a batch and its keys are this daemon's again; returns the free keys, null where it was not written. */
     public List<Long> reclaimHandoffBatch(
             String name,
             Ownership ownership,
-            long until,
+            long untilMillis,
             List<AcceptedMessage> messages,
             String origin,
             List<Long> keys) {
-        Batch batch = new Batch();
-        keys.forEach(key -> letGo(batch, origin, key));
-        return writeHandoffBatch(name, ownership, until, messages, batch) ? dropHolds(origin, keys) : null;
+        return handoff.reclaim(name, record(ownership, untilMillis, messages), origin, keys);
     }
 
     /**
-     * Takes messages over from another daemon: they and whose they are stand in one batch, so never one alone. In the
-     * same batch the origin's holds on the messages' keys end, and those that came here while they were held go behind.
+     * Accepts the messages of another daemon's batch, in one write with who owns them, the end of the origin's holds on their
+     * keys, and the new rank of the messages that waited for these keys.
+     *
+     * @param behind messages that go behind the accepted ones
+     * @return false where there is no room or the disk does not take it
      */
     public boolean acceptHandoffBatch(
             String name,
             Ownership ownership,
-            long until,
+            long untilMillis,
             List<AcceptedMessage> messages,
             String origin,
             List<AcceptedMessage> behind) {
-        long more = messages.stream().mapToLong(Journal::reserve).sum();
-        HandoffBatchRecord lot = new HandoffBatchRecord(
-                ownership, until, messages.stream().map(m -> m.number).toList());
-        List<Long> keys = messages.stream()
-                .map(m -> m.key)
-                .filter(key -> holds.origins(key).contains(origin))
-                .distinct()
-                .toList();
-        if (!roomForLot(name) || !fits(more) || !owed.isEmpty()) {
-            return false;
-        }
-        Batch batch = new Batch().put(numberOf("lot " + name), RecordKind.HANDOFF_BATCH, lotContent(name, lot));
-        for (AcceptedMessage m : messages) {
-            if (m.notice == null) {
-                batch.put(m.number, RecordKind.MESSAGE, whole(m));
-                batch.put(m.number, RecordKind.ATTEMPTS, standing(m));
-            } else {
-                batch.putExclusive(m.number, RecordKind.MESSAGE, ended(m));
-            }
-        }
-        keys.forEach(key -> letGo(batch, origin, key));
-        List<Long> ranks = behind.stream().map(m -> log.nextOwner()).toList();
-        for (int i = 0; i < ranks.size(); i++) {
-            long rank = ranks.get(i);
-            batch.put(behind.get(i).number, RecordKind.RANK, RecordBytes.encode(out -> out.writeLong(rank)));
-        }
-        if (!write(batch)) {
-            return false;
-        }
-        messages.forEach(this::add);
-        dropHolds(origin, keys);
-        for (int i = 0; i < ranks.size(); i++) {
-            AcceptedMessage m = behind.get(i);
-            m.rank = ranks.get(i);
-            if (live.remove(m.number) != null) {
-                live.put(m.number, m);
-            }
-        }
-        apply(name, lot);
-        return true;
-    }
-
-    /** Without any key that another daemon may have. */
-    public boolean acceptHandoffBatch(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return acceptHandoffBatch(name, ownership, until, messages, "", List.of());
-    }
-
-    private boolean roomForLot(String name) {
-        long most = Math.min(MOST_LOTS, log.limits().budgetBytes() / LOTS_SHARE / LOT_BYTES);
-        if (lots.size() >= most) {
-            expireHandoffBatches(told);
-        }
-        return lots.size() < most || lots.containsKey(name);
-    }
-
-    /** What nobody can ask for any more: a late offer of messages whose time is up is refused for that. */
-    public void expireHandoffBatches(long now) {
-        told = now;
-        List<String> old = lots.entrySet().stream()
-                .filter(lot -> lot.getValue().untilMillis() < now
-                        && lot.getValue().ownership().status() != Ownership.Status.OFFERED)
-                .map(Map.Entry::getKey)
-                .toList();
-        Batch batch = new Batch();
-        old.forEach(name -> batch.delete(numberOf("lot " + name)));
-        if (write(batch)) {
-            for (String name : old) {
-                numbers.remove("lot " + name);
-                reserved -= reserve(lots.remove(name));
-            }
-        }
+        return handoff.accept(name, record(ownership, untilMillis, messages), messages, origin, behind);
     }
 
-    private static long reserve(HandoffBatchRecord lot) {
-        return LOT_BYTES + 8L * lot.messageNumbers().size();
+    /** Accepts a batch without any key that another daemon may hold. */
+    public boolean acceptHandoffBatch(
+            String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
+        return acceptHandoffBatch(name, ownership, untilMillis, messages, "", List.of());
     }
 
-    private void apply(String name, HandoffBatchRecord lot) {
-        HandoffBatchRecord before = lots.put(name, lot);
-        reserved += reserve(lot) - (before == null ? 0 : reserve(before));
-        for (long number : lot.messageNumbers()) {
-            AcceptedMessage m = live.get(number);
-            if (m != null && lot.ownership().status() != Ownership.Status.ENDED) {
-                m.frozen = lot.ownership().status() == Ownership.Status.OFFERED;
-            }
-        }
+    /** Deletes batches whose time is over, but for such as are offered. */
+    public void expireHandoffBatches(long nowMillis) {
+        handoff.expire(nowMillis);
     }
 
-    // ---- Keys of which another daemon still has messages. ----
-
+    /** Returns the holds of other daemons on keys. */
     public KeyHolds keyHolds() {
-        return holds;
+        return contents.keyHolds;
     }
 
-    /** Writes that these keys are held for the origin; false where there is no room for it, or for some of them. */
-    public boolean holdKeys(String origin, List<Long> keys, long until) {
-        if (!roomForHolds(keys.size())) {
-            return false;
-        }
-        int most = (int) Math.max(1, (log.limits().segmentBytes() - 1_024) / HOLD_BYTES);
-        for (int from = 0; from < keys.size(); from += most) {
-            List<Long> some = keys.subList(from, Math.min(keys.size(), from + most));
-            Batch batch = new Batch();
-            some.stream().distinct().forEach(key -> holdOn(batch, origin, key, until));
-            if (!write(batch)) {
-                return false;
-            }
-            keepHolds(origin, some, until);
-        }
-        return true;
+    /** Writes that the origin holds these keys; false where there is no room for it, or for some of them. */
+    public boolean holdKeys(String origin, List<Long> keys, long untilMillis) {
+        return keyHolds.hold(origin, keys, untilMillis);
     }
 
-    private static String holdKeys(String origin, long key) {
-        return "hold " + key + " " + origin;
-    }
-
-    private void holdOn(Batch batch, String origin, long key, long until) {
-        batch.put(numberOf(holdKeys(origin, key)), RecordKind.KEY_HOLD, RecordBytes.encode(out -> {
-            out.writeUTF(origin);
-            out.writeLong(key);
-            out.writeLong(until);
-        }));
-    }
-
-    private void letGo(Batch batch, String origin, long key) {
-        Long number = numbers.get(holdKeys(origin, key));
-        if (number != null) {
-            batch.delete(number);
-        }
-    }
-
-    private boolean roomForHolds(int more) {
-        return holds.fits(more)
-                && (holds.size() + more) * (long) HOLD_BYTES <= log.limits().budgetBytes() / HOLDS_SHARE
-                && fits(more * (long) HOLD_BYTES);
-    }
-
-    /** The origin has nothing of these keys any more. If that cannot be written the hold only lasts longer. */
+    /** Releases the origin's holds; returns the keys that nobody holds any more. */
     public List<Long> releaseKeys(String origin, List<Long> keys) {
-        Batch batch = new Batch();
-        keys.forEach(key -> letGo(batch, origin, key));
-        write(batch);
-        return dropHolds(origin, keys);
-    }
-
-    private void keepHolds(String origin, List<Long> keys, long until) {
-        int before = holds.size();
-        holds.hold(origin, keys, until);
-        reserved += (holds.size() - before) * (long) HOLD_BYTES;
-    }
-
-    private List<Long> dropHolds(String origin, List<Long> keys) {
-        int before = holds.size();
-        List<Long> free = holds.release(origin, keys);
-        keys.forEach(key -> numbers.remove(holdKeys(origin, key)));
-        reserved += (holds.size() - before) * (long) HOLD_BYTES;
-        return free;
+        return keyHolds.release(origin, keys);
     }
 
-    /** Ends holds whose time is up; where that cannot be written their time stands with them. */
-    public List<Long> expireKeyHolds(long wall) {
-        int before = holds.size();
-        List<KeyHolds.KeyHold> over =
-                holds.all().stream().filter(hold -> hold.until() <= wall).toList();
-        if (over.isEmpty()) {
-            return List.of();
-        }
-        Batch batch = new Batch();
-        for (KeyHolds.KeyHold hold : over) {
-            letGo(batch, hold.origin(), hold.key());
-            numbers.remove(holdKeys(hold.origin(), hold.key()));
-        }
-        write(batch);
-        List<Long> free = holds.expire(wall);
-        reserved += (holds.size() - before) * (long) HOLD_BYTES;
-        return free;
+    /** Ends holds whose time is over; returns the keys that nobody holds any more. */
+    public List<Long> expireKeyHolds(long wallMillis) {
+        return keyHolds.expire(wallMillis);
     }
 
     @Override
     public void close() throws IOException {
         log.close();
     }
-
-    // ---- Reading. ----
-
-    /** What was read of one owner, in whatever order its contents stand. */
-    private static final class RecoveredOwner {
-        final long number;
-        AcceptedMessage message;
-        AttemptHistory standing;
-        long rank;
-
-        RecoveredOwner(long number) {
-            this.number = number;
-        }
-    }
-
-    /** A content that is whole and still ends early, as of a version that this one does not know, is an error like others. */
-    private void readAll(ContentReader reader) throws IOException {
-        try {
-            log.read(reader);
-        } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
-            throw new IOException("a content of the journal cannot be read by this version", e);
-        }
-    }
-
-    /** {@code mend}: contents that belong to nothing are ended. */
-    private void read(boolean mend) throws IOException {
-        Map<Long, RecoveredOwner> found = new HashMap<>();
-        TreeMap<Long, Object[]> lotsByVersion = new TreeMap<>();
-        TreeMap<Long, HealthRecord> memoriesByVersion = new TreeMap<>();
-        TreeMap<Long, CompletedRecord> gone = new TreeMap<>();
-        // Contents of one owner mostly stand behind one another.
-        RecoveredOwner[] last = {new RecoveredOwner(0)};
-        ModifiedUtf8 texts = new ModifiedUtf8();
-        readAll((owner, kind, version, content) -> {
-            if (kind <= RecordKind.ATTEMPTS || kind == RecordKind.RANK) {
-                if (kind == RecordKind.MESSAGE && content.get(0) == GONE) {
-                    gone.put(owner, readGone(content));
-                    return;
-                }
-                if (last[0].number != owner) {
-                    last[0] = found.computeIfAbsent(owner, RecoveredOwner::new);
-                }
-                switch (kind) {
-                    case RecordKind.MESSAGE -> last[0].message = readMessage(owner, content, texts);
-                    case RecordKind.ATTEMPTS -> last[0].standing = readStanding(content, texts);
-                    default -> last[0].rank = content.getLong();
-                }
-                return;
-            }
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(
-                    content.array(), content.arrayOffset() + content.position(), content.remaining()));
-            switch (kind) {
-                case RecordKind.HANDOFF_BATCH -> {
-                    String name = in.readUTF();
-                    numbers.put("lot " + name, owner);
-                    lotsByVersion.put(version * 4_096 + lotsByVersion.size() % 4_096, new Object[] {name, readLot(in)});
-                }
-                case RecordKind.KEY_HOLD -> {
-                    String origin = in.readUTF();
-                    long key = in.readLong();
-                    numbers.put(holdKeys(origin, key), owner);
-                    keepHolds(origin, List.of(key), in.readLong());
-                }
-                case RecordKind.HEALTH -> {
-                    HealthRecord memory = new HealthRecord(
-                            in.readInt(),
-                            in.readUTF(),
-                            DeliveryScheduler.UpstreamStatus.ofStoredName(in.readUTF()),
-                            in.readLong(),
-                            in.readDouble(),
-                            in.readDouble());
-                    numbers.put("place " + memory.upstreamKey(), owner);
-                    memoriesByVersion.put(owner, memory);
-                }
-                case RecordKind.MESSAGE_CLASS -> {
-                    int number = in.readInt();
-                    numbers.put("class " + number, owner);
-                    keep(number, readVersion(in));
-                }
-                case RecordKind.REPLICATION_POSITION, RecordKind.REPLICA_SET -> {
-                    numbers.put("estate", owner);
-                    byte[] bytes = in.readAllBytes();
-                    place = kind == RecordKind.REPLICATION_POSITION ? bytes : place;
-                    holders = kind == RecordKind.REPLICA_SET ? bytes : holders;
-                }
-                default -> throw new IOException("content of kind " + kind + ", which this version does not know");
-            }
-        });
-        memoriesByVersion.values().forEach(memory -> {
-            memories.put(memory.upstreamKey(), memory);
-            reserved += MEMORY_BYTES + memory.uid().length();
-        });
-        Batch orphans = new Batch();
-        List<AcceptedMessage> messages = new ArrayList<>(found.size());
-        for (RecoveredOwner f : found.values()) {
-            if (f.message == null) {
-                // Its acceptance was in a part that could not be read.
-                orphans.delete(f.number);
-                continue;
-            }
-            if (f.standing != null) {
-                f.standing.apply(f.message);
-            }
-            f.message.rank = Math.max(f.message.rank, f.rank);
-            messages.add(f.message);
-        }
-        messages.sort(Comparator.comparingLong(m -> m.rank));
-        messages.forEach(this::add);
-        for (Object[] lot : lotsByVersion.values()) {
-            apply((String) lot[0], (HandoffBatchRecord) lot[1]);
-        }
-        for (Map.Entry<Long, CompletedRecord> entry : gone.entrySet()) {
-            CompletedRecord g = entry.getValue();
-            remembered
-                    .add(g.id(), g.content(), g.effect(), entry.getKey(), clock.getAsLong())
-                    .forEach(orphans::delete);
-        }
-        if (mend && !orphans.isEmpty()) {
-            // On a disk that cannot be written they are met again at the next start.
-            write(orphans);
-        }
-    }
-
-    /** Everything that an earlier version's file has, as one owner after another. */
-    private void moveIn(LegacyJournalReader old) throws IOException {
-        Log.warn("journal: moves " + old.live.size() + " messages of an earlier version's file into segments");
-        if (old.unread > 0) {
-            Path aside = folder.resolve(LegacyJournalReader.NAME + ".damaged");
-            Files.copy(folder.resolve(LegacyJournalReader.NAME), aside, StandardCopyOption.REPLACE_EXISTING);
-            Log.warn("journal: the last " + old.unread + " bytes of that file cannot be read; it is kept as " + aside);
-        }
-        take(old);
-        writeAll();
-        for (Map.Entry<String, Integer> id : old.ended.entrySet()) {
-            long number = log.nextOwner();
-            Batch batch = new Batch()
-                    .putExclusive(
-                            number,
-                            RecordKind.MESSAGE,
-                            gone(id.getKey(), id.getValue(), DeliveryScheduler.Idempotency.NON_IDEMPOTENT));
-            remembered
-                    .add(
-                            id.getKey(),
-                            id.getValue(),
-                            DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
-                            number,
-                            clock.getAsLong())
-                    .forEach(batch::delete);
-            log.write(batch);
-        }
-    }
-
-    /**
-     * Writes all that can be read of a journal into another folder, which may not have one; the original is read only. The
-     * copy has four times the room of what was read, at least 3 MB.
-     */
-    static void repair(Path from, Path into) throws IOException {
-        Files.createDirectories(into);
-        if (Files.exists(into.resolve(LegacyJournalReader.NAME))
-                || SegmentLog.containsLog(new FolderDisk(into).list())) {
-            throw new IOException("there is a journal in " + into + " already");
-        }
-        try (Journal source = openReadOnly(from);
-                Journal copy = open(into, Math.max(3L << 20, 4 * source.liveBytes() + (1L << 20)))) {
-            copy.take(
-                    source.live.values(),
-                    source.classes,
-                    source.memories.values(),
-                    source.holds,
-                    source.lots,
-                    source.log.nextOwner());
-            copy.writeAll();
-            for (DeduplicationCache.CompletedMessage known : source.remembered.all()) {
-                copy.log.write(new Batch()
-                        .putExclusive(
-                                copy.log.nextOwner(),
-                                RecordKind.MESSAGE,
-                                gone(known.id(), known.content(), known.effect())));
-            }
-        }
-    }
-
-    /** All that is known but ids, as one owner after another. */
-    private void writeAll() throws IOException {
-        for (Supplier<Batch> part : parts()) {
-            log.write(part.get());
-        }
-    }
-
-    /**
-     * All that is wanted, an owner after another and each as it is when it is asked for, empty where it is gone by then:
-     * whoever takes this and each change from now on in their order has all.
-     */
-    public List<Supplier<Batch>> snapshotBatches() {
-        List<Supplier<Batch>> parts = parts();
-        for (DeduplicationCache.CompletedMessage known : remembered.all()) {
-            parts.add(() -> !remembered.knows(known.id())
-                    ? new Batch()
-                    : new Batch()
-                            .putExclusive(
-                                    known.number(),
-                                    RecordKind.MESSAGE,
-                                    gone(known.id(), known.content(), known.effect())));
-        }
-        parts.add(() ->
-                holders == null ? new Batch() : new Batch().put(numberOf("estate"), RecordKind.REPLICA_SET, holders));
-        return parts;
-    }
-
-    private List<Supplier<Batch>> parts() {
-        List<Supplier<Batch>> parts = new ArrayList<>();
-        for (int number : classes.keySet()) {
-            parts.add(() -> new Batch()
-                    .put(numberOf("class " + number), RecordKind.MESSAGE_CLASS, defined(number, classes.get(number))));
-        }
-        for (String place : memories.keySet()) {
-            parts.add(() -> memories.containsKey(place)
-                    ? new Batch().put(numberOf("place " + place), RecordKind.HEALTH, remembered(memories.get(place)))
-                    : new Batch());
-        }
-        for (KeyHolds.KeyHold hold : holds.all()) {
-            parts.add(() -> {
-                Batch batch = new Batch();
-                if (holds.origins(hold.key()).contains(hold.origin())) {
-                    holdOn(batch, hold.origin(), hold.key(), hold.until());
-                }
-                return batch;
-            });
-        }
-        for (AcceptedMessage m : live.values()) {
-            parts.add(() -> !live.containsKey(m.number)
-                    ? new Batch()
-                    : m.notice != null
-                            ? new Batch().putExclusive(m.number, RecordKind.MESSAGE, ended(m))
-                            : new Batch()
-                                    .put(m.number, RecordKind.MESSAGE, whole(m))
-                                    .put(m.number, RecordKind.ATTEMPTS, standing(m))
-                                    .put(m.number, RecordKind.RANK, RecordBytes.encode(out -> out.writeLong(m.rank))));
-        }
-        for (String name : lots.keySet()) {
-            parts.add(() -> lots.containsKey(name)
-                    ? new Batch()
-                            .put(numberOf("lot " + name), RecordKind.HANDOFF_BATCH, lotContent(name, lots.get(name)))
-                    : new Batch());
-        }
-        return parts;
-    }
-
-    private void take(LegacyJournalReader old) {
-        take(old.live.values(), old.classes, old.memories.values(), old.holds, old.lots, old.next);
-    }
-
-    private void take(
-            Collection<AcceptedMessage> messages,
-            Map<Integer, MessageClassRegistry.Version> versions,
-            Collection<HealthRecord> places,
-            KeyHolds held,
-            Map<String, HandoffBatchRecord> known,
-            long next) {
-        versions.forEach(this::keep);
-        for (HealthRecord memory : places) {
-            memories.put(memory.upstreamKey(), memory);
-            reserved += MEMORY_BYTES + memory.uid().length();
-        }
-        held.all().forEach(hold -> keepHolds(hold.origin(), List.of(hold.key()), hold.until()));
-        long rank = next;
-        for (AcceptedMessage m : messages) {
-            m.rank = rank++;
-            add(m);
-        }
-        // Numbers of these messages stay theirs, and those that come later have later ranks.
-        log.reserveOwnersBelow(rank);
-        known.forEach(this::apply);
-    }
-
-    // ---- Contents. ----
-
-    private static byte[] whole(AcceptedMessage m) {
-        return message(m, WHOLE, out -> {
-            out.writeInt(m.body.length);
-            out.write(m.body);
-        });
-    }
-
-    private static byte[] ended(AcceptedMessage m) {
-        return message(m, ENDED, out -> {
-            out.writeInt(m.attempts);
-            out.writeUTF(m.notice == null ? "" : m.notice);
-        });
-    }
-
-    private static byte[] message(AcceptedMessage m, int form, RecordBytes.Content rest) {
-        return RecordBytes.encode(out -> {
-            out.writeByte(form);
-            out.writeUTF(m.id);
-            out.writeUTF(m.idempotencyKey);
-            out.writeUTF(m.className);
-            out.writeLong(m.key);
-            out.writeInt(m.destination);
-            out.writeLong(m.deadline);
-            out.writeInt(m.type);
-            out.writeInt(m.content);
-            out.writeLong(m.rank);
-            rest.write(out);
-        });
-    }
-
-    private static AcceptedMessage readMessage(long number, ByteBuffer in, ModifiedUtf8 texts) throws IOException {
-        int form = in.get();
-        String id = ModifiedUtf8.read(in);
-        String idempotencyKey = ModifiedUtf8.read(in);
-        String className = texts.shared(in);
-        long key = in.getLong();
-        int destination = in.getInt();
-        long deadline = in.getLong();
-        int type = in.getInt();
-        int content = in.getInt();
-        long rank = in.getLong();
-        if (form != WHOLE && form != ENDED) {
-            throw new IOException("a message of form " + form + ", which this version does not know");
-        }
-        int length = form == WHOLE ? in.getInt() : 0;
-        if (length > in.remaining()) {
-            throw new BufferUnderflowException();
-        }
-        byte[] body = new byte[length];
-        in.get(body);
-        AcceptedMessage m =
-                new AcceptedMessage(number, id, idempotencyKey, className, key, destination, deadline, body, content);
-        m.type = type;
-        m.rank = rank;
-        if (form == ENDED) {
-            m.attempts = in.getInt();
-            m.end(ModifiedUtf8.read(in));
-        }
-        return m;
-    }
-
-    /** The id of a message that is over. */
-    private record CompletedRecord(String id, int content, DeliveryScheduler.Idempotency effect) {}
-
-    private static CompletedRecord readGone(ByteBuffer in) throws IOException {
-        in.get();
-        return new CompletedRecord(
-                ModifiedUtf8.read(in), in.getInt(), DeliveryScheduler.Idempotency.values()[in.get()]);
-    }
-
-    /** All that attempts have left behind. */
-    private static byte[] standing(AcceptedMessage m) {
-        return RecordBytes.encode(out -> {
-            out.writeInt(m.attempts);
-            out.writeLong(m.doubtSince);
-            out.writeUTF(m.doubtAt);
-            out.writeBoolean(m.out);
-            out.writeLong(m.sentAt);
-            out.writeUTF(m.sentTo);
-        });
-    }
-
-    /** What attempts have left behind, as it was read. */
-    private record AttemptHistory(
-            int attempts, long doubtSince, String doubtAt, boolean out, long sentAt, String sentTo) {
-        void apply(AcceptedMessage m) {
-            m.attempts = attempts;
-            m.doubtSince = doubtSince;
-            m.doubtAt = doubtAt;
-            m.out = out;
-            m.sentAt = sentAt;
-            m.sentTo = sentTo;
-        }
-    }
-
-    private static AttemptHistory readStanding(ByteBuffer in, ModifiedUtf8 texts) throws IOException {
-        return new AttemptHistory(
-                in.getInt(), in.getLong(), texts.shared(in), in.get() != 0, in.getLong(), texts.shared(in));
-    }
-
-    private static byte[] defined(int number, MessageClassRegistry.Version version) {
-        DeliveryScheduler.MessageClass c = version.type();
-        return RecordBytes.encode(out -> {
-            out.writeInt(number);
-            out.writeUTF(version.name());
-            out.writeDouble(c.priorityWeight());
-            out.writeDouble(c.lateValueShare());
-            out.writeLong(c.latencyObjectiveMicros());
-            out.writeLong(c.deadlineMicros());
-            out.writeByte(c.idempotency().ordinal());
-            out.writeByte(c.keyScope().ordinal());
-            out.writeLong(c.keyLifeMicros());
-            out.writeBoolean(c.ordered());
-        });
-    }
-
-    static MessageClassRegistry.Version readVersion(DataInputStream in) throws IOException {
-        String name = in.readUTF();
-        return new MessageClassRegistry.Version(
-                name,
-                new DeliveryScheduler.MessageClass(
-                        in.readDouble(),
-                        in.readDouble(),
-                        in.readLong(),
-                        in.readLong(),
-                        DeliveryScheduler.Idempotency.values()[in.readByte()],
-                        DeliveryScheduler.KeyScope.values()[in.readByte()],
-                        in.readLong(),
-                        in.readBoolean()));
-    }
-
-    private static byte[] remembered(HealthRecord memory) {
-        return RecordBytes.encode(out -> {
-            out.writeInt(memory.destination());
-            out.writeUTF(memory.uid());
-            out.writeUTF(memory.health().storedName());
-            out.writeLong(memory.sinceMillis());
-            out.writeDouble(memory.callsPerSecond());
-            out.writeDouble(memory.usualLatencyMicros());
-        });
-    }
-
-    private static byte[] lotContent(String name, HandoffBatchRecord lot) {
-        return RecordBytes.encode(out -> {
-            out.writeUTF(name);
-            out.writeLong(lot.ownership().generation());
-            out.writeUTF(lot.ownership().status().name());
-            out.writeUTF(lot.ownership().peer());
-            out.writeLong(lot.untilMillis());
-            out.writeInt(lot.messageNumbers().size());
-            for (long number : lot.messageNumbers()) {
-                out.writeLong(number);
-            }
-        });
-    }
-
-    private static HandoffBatchRecord readLot(DataInputStream in) throws IOException {
-        Ownership ownership = new Ownership(in.readLong(), Ownership.Status.valueOf(in.readUTF()), in.readUTF());
-        long until = in.readLong();
-        List<Long> numbers = new ArrayList<>();
-        for (int i = in.readInt(); i > 0; i--) {
-            numbers.add(in.readLong());
-        }
-        return new HandoffBatchRecord(ownership, until, numbers);
-    }
 }
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/JournalContents.java
@@ -0,0 +1,173 @@
+package amberroute.sender.journal;
+
+import amberroute.decisions.DeliveryScheduler;
+import amberroute.handoff.KeyHolds;
+import amberroute.handoff.Ownership;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.DeduplicationCache;
+import amberroute.sender.message.MessageClassRegistry;
+import amberroute.storage.SegmentLog;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.LongSupplier;
+
+/**
+ * All live records of a journal in memory, and the room that they reserve. Every change of it follows the write that records it,
+ * or the reading of the record. Writes nothing itself. Used on the event loop only.
+ */
+final class JournalContents {
+    /** The share of the budget that ids of completed messages may take, and a bound in bytes. */
+    private static final int COMPLETED_SHARE = 32;
+
+    private static final long MAX_COMPLETED_BYTES = 4 << 20;
+
+    final Map<Long, AcceptedMessage> pending = new LinkedHashMap<>();
+    final DeduplicationCache completed;
+    /** By {@link HealthRecord#upstreamKey}, the longest unchanged first. */
+    final Map<String, HealthRecord> health = new LinkedHashMap<>();
+
+    final Map<String, HandoffBatchRecord> handoffBatches = new LinkedHashMap<>();
+    /** Versions of message classes by number. */
+    final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
+
+    final KeyHolds keyHolds = new KeyHolds();
+    final OwnerNumbers owners;
+    final JournalSpace space;
+    /** Null where the journal was never replicated. */
+    byte[] replicationPosition;
+
+    byte[] replicaSet;
+    /** Content hash of each pending message by its id. */
+    private final Map<String, Integer> pendingIds = new HashMap<>();
+
+    private final LongSupplier nanoClock = System::nanoTime;
+
+    JournalContents(SegmentLog log) {
+        owners = new OwnerNumbers(log);
+        space = new JournalSpace(log);
+        long completedBytes = Math.min(MAX_COMPLETED_BYTES, space.budgetBytes() / COMPLETED_SHARE);
+        completed = new DeduplicationCache(completedBytes);
+        space.reserve(completedBytes);
+    }
+
+    /** Returns whether a message of this id is pending or was completed not long ago. */
+    boolean knows(String id) {
+        return pendingIds.containsKey(id) || completed.knows(id);
+    }
+
+    /** Returns whether the message known under this id has other content, as far as that is known. */
+    boolean differs(String id, int contentHash) {
+        int known = pendingIds.containsKey(id) ? pendingIds.get(id) : completed.content(id);
+        return known != 0 && known != contentHash;
+    }
+
+    boolean isPending(AcceptedMessage message) {
+        return pending.containsKey(message.number);
+    }
+
+    void add(AcceptedMessage message) {
+        pending.put(message.number, message);
+        pendingIds.put(message.id, message.content);
+        space.reserve(RecordSizes.of(message));
+    }
+
+    /** Changes what a pending message needs, such as its body for a notice. */
+    void end(AcceptedMessage message, String notice) {
+        space.release(RecordSizes.of(message));
+        message.end(notice);
+        space.reserve(RecordSizes.of(message));
+    }
+
+    /** Moves a message behind all others. */
+    void moveBehind(AcceptedMessage message, long rank) {
+        message.rank = rank;
+        if (pending.remove(message.number) != null) {
+            pending.put(message.number, message);
+        }
+    }
+
+    /** Leaves only the id of a message; returns the numbers of completed messages that are forgotten for it. */
+    List<Long> complete(AcceptedMessage message) {
+        pending.remove(message.number);
+        pendingIds.remove(message.id);
+        space.release(RecordSizes.of(message));
+        return addCompleted(message.number, completedRecord(message));
+    }
+
+    /** Returns the numbers of completed messages that are forgotten for this one. */
+    List<Long> addCompleted(long number, CompletedRecord record) {
+        return completed.add(record.id(), record.content(), record.idempotency(), number, nanoClock.getAsLong());
+    }
+
+    CompletedRecord completedRecord(AcceptedMessage message) {
+        MessageClassRegistry.Version version = classes.get(message.type);
+        return new CompletedRecord(
+                message.id,
+                message.content,
+                version == null
+                        ? DeliveryScheduler.Idempotency.NON_IDEMPOTENT
+                        : version.type().idempotency());
+    }
+
+    void putClass(int number, MessageClassRegistry.Version version) {
+        MessageClassRegistry.Version before = classes.put(number, version);
+        space.reserve(RecordSizes.of(version) - (before == null ? 0 : RecordSizes.of(before)));
+    }
+
+    void putHealth(HealthRecord record) {
+        health.put(record.upstreamKey(), record);
+        space.reserve(RecordSizes.of(record));
+    }
+
+    /** Returns the removed record, or null. */
+    HealthRecord removeHealth(String upstreamKey) {
+        HealthRecord removed = health.remove(upstreamKey);
+        if (removed != null) {
+            space.release(RecordSizes.of(removed));
+        }
+        return removed;
+    }
+
+    /** Puts a batch's state; its pending messages are frozen while it is offered, since the peer may own them already. */
+    void putHandoffBatch(String name, HandoffBatchRecord batch) {
+        HandoffBatchRecord before = handoffBatches.put(name, batch);
+        space.reserve(RecordSizes.of(batch) - (before == null ? 0 : RecordSizes.of(before)));
+        Ownership.Status status = batch.ownership().status();
+        for (long number : batch.messageNumbers()) {
+            AcceptedMessage message = pending.get(number);
+            if (message != null && status != Ownership.Status.ENDED) {
+                message.frozen = status == Ownership.Status.OFFERED;
+            }
+        }
+    }
+
+    void removeHandoffBatch(String name) {
+        owners.remove(OwnerNumbers.handoffBatch(name));
+        space.release(RecordSizes.of(handoffBatches.remove(name)));
+    }
+
+    void holdKeys(String origin, List<Long> keys, long untilMillis) {
+        int before = keyHolds.size();
+        keyHolds.hold(origin, keys, untilMillis);
+        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - before));
+    }
+
+    /** Returns the keys that nobody holds any more. */
+    List<Long> releaseKeys(String origin, List<Long> keys) {
+        int before = keyHolds.size();
+        List<Long> free = keyHolds.release(origin, keys);
+        keys.forEach(key -> owners.remove(OwnerNumbers.keyHold(origin, key)));
+        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - before));
+        return free;
+    }
+
+    /** Returns the keys that nobody holds any more. */
+    List<Long> expireKeyHolds(long wallMillis) {
+        int before = keyHolds.size();
+        List<Long> free = keyHolds.expire(wallMillis);
+        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - before));
+        return free;
+    }
+}
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/JournalImport.java
@@ -0,0 +1,38 @@
+package amberroute.sender.journal;
+
+import amberroute.handoff.KeyHolds;
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.message.MessageClassRegistry;
+import amberroute.storage.SegmentLog;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * All records of another journal, to be taken into an empty one.
+ *
+ * @param messages in the order of acceptance
+ * @param firstFreeNumber the lowest number that no message of it has
+ */
+record JournalImport(
+        Collection<AcceptedMessage> messages,
+        Map<Integer, MessageClassRegistry.Version> classes,
+        Collection<HealthRecord> health,
+        KeyHolds keyHolds,
+        Map<String, HandoffBatchRecord> handoffBatches,
+        long firstFreeNumber) {
+    /** Puts all records into the contents; they are not written yet. Messages retain their numbers. */
+    void applyTo(JournalContents contents, SegmentLog log) {
+        classes.forEach(contents::putClass);
+        health.forEach(contents::putHealth);
+        keyHolds.all().forEach(hold -> contents.holdKeys(hold.origin(), List.of(hold.key()), hold.until()));
+        long rank = firstFreeNumber;
+        for (AcceptedMessage message : messages) {
+            message.rank = rank++;
+            contents.add(message);
+        }
+        // Later messages have higher ranks.
+        log.reserveOwnersBelow(rank);
+        handoffBatches.forEach(contents::putHandoffBatch);
+    }
+}
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
@@ -0,0 +1,152 @@
+package amberroute.sender.journal;
+
+import amberroute.sender.message.AcceptedMessage;
+import amberroute.sender.util.ModifiedUtf8;
+import amberroute.storage.Batch;
+import amberroute.storage.SegmentLog;
+import java.io.ByteArrayInputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.nio.BufferUnderflowException;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * Fills a journal's contents from its log. Contents come in the order of segments, so they are collected first and put in their
+ * own order: messages by rank, handoff batches by version, health records and completed ids by owner.
+ */
+final class JournalRecovery {
+    /** Handoff batches of one record have one version; this many of them are told apart. */
+    private static final int BATCHES_PER_VERSION = 4_096;
+
+    /** The records of one message, in whatever order they are read. */
+    private static final class RecoveredMessage {
+        final long number;
+        AcceptedMessage message;
+        AttemptHistory attempts;
+        long rank;
+
+        RecoveredMessage(long number) {
+            this.number = number;
+        }
+    }
+
+    private final SegmentLog log;
+    private final JournalContents contents;
+    private final Map<Long, RecoveredMessage> messages = new HashMap<>();
+    private final TreeMap<Long, NamedHandoffBatch> batches = new TreeMap<>();
+    private final TreeMap<Long, HealthRecord> health = new TreeMap<>();
+    private final TreeMap<Long, CompletedRecord> completed = new TreeMap<>();
+    private final ModifiedUtf8 texts = new ModifiedUtf8();
+    /** The message that was read last: the records of one message mostly follow one another. */
+    private RecoveredMessage last = new RecoveredMessage(0);
+
+    JournalRecovery(SegmentLog log, JournalContents contents) {
+        this.log = log;
+        this.contents = contents;
+    }
+
+    /**
+     * Reads the log.
+     *
+     * @return the deletion of records that belong to nothing, since what they belong to could not be read
+     * @throws IOException where a record is of a later version
+     */
+    Batch run() throws IOException {
+        try {
+            log.read(this::read);
+        } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
+            throw new IOException("a content of the journal cannot be read by this version", e);
+        }
+        health.values().forEach(contents::putHealth);
+        Batch orphans = new Batch();
+        recoverMessages(orphans);
+        batches.values().forEach(named -> contents.putHandoffBatch(named.name(), named.batch()));
+        completed.forEach(
+                (number, record) -> contents.addCompleted(number, record).forEach(orphans::delete));
+        return orphans;
+    }
+
+    private void read(long owner, int kind, long version, ByteBuffer content) throws IOException {
+        switch (kind) {
+            case RecordKind.MESSAGE -> readMessage(owner, content);
+            case RecordKind.ATTEMPTS -> message(owner).attempts = JournalRecordCodec.decodeAttempts(content, texts);
+            case RecordKind.RANK -> message(owner).rank = content.getLong();
+            default -> readOther(owner, kind, version, content);
+        }
+    }
+
+    private void readMessage(long owner, ByteBuffer content) throws IOException {
+        if (JournalRecordCodec.isCompleted(content)) {
+            completed.put(owner, JournalRecordCodec.decodeCompleted(content));
+        } else {
+            message(owner).message = JournalRecordCodec.decodeMessage(owner, content, texts);
+        }
+    }
+
+    private RecoveredMessage message(long owner) {
+        if (last.number != owner) {
+            last = messages.computeIfAbsent(owner, RecoveredMessage::new);
+        }
+        return last;
+    }
+
+    private void readOther(long owner, int kind, long version, ByteBuffer content) throws IOException {
+        DataInputStream in = new DataInputStream(new ByteArrayInputStream(
+                content.array(), content.arrayOffset() + content.position(), content.remaining()));
+        switch (kind) {
+            case RecordKind.HANDOFF_BATCH -> {
+                NamedHandoffBatch named = JournalRecordCodec.decodeHandoffBatch(in);
+                contents.owners.recovered(OwnerNumbers.handoffBatch(named.name()), owner);
+                batches.put(version * BATCHES_PER_VERSION + batches.size() % BATCHES_PER_VERSION, named);
+            }
+            case RecordKind.KEY_HOLD -> {
+                var hold = JournalRecordCodec.decodeKeyHold(in);
+                contents.owners.recovered(OwnerNumbers.keyHold(hold.origin(), hold.key()), owner);
+                contents.holdKeys(hold.origin(), List.of(hold.key()), hold.until());
+            }
+            case RecordKind.HEALTH -> {
+                HealthRecord record = JournalRecordCodec.decodeHealth(in);
+                contents.owners.recovered(OwnerNumbers.upstream(record), owner);
+                health.put(owner, record);
+            }
+            case RecordKind.MESSAGE_CLASS -> {
+                NumberedClass numbered = JournalRecordCodec.decodeClass(in);
+                contents.owners.recovered(OwnerNumbers.messageClass(numbered.number()), owner);
+                contents.putClass(numbered.number(), numbered.version());
+            }
+            case RecordKind.REPLICATION_POSITION -> {
+                contents.owners.recovered(OwnerNumbers.replication(), owner);
+                contents.replicationPosition = in.readAllBytes();
+            }
+            case RecordKind.REPLICA_SET -> {
+                contents.owners.recovered(OwnerNumbers.replication(), owner);
+                contents.replicaSet = in.readAllBytes();
+            }
+            default -> throw new IOException("content of kind " + kind + ", which this version does not know");
+        }
+    }
+
+    private void recoverMessages(Batch orphans) {
+        List<AcceptedMessage> recovered = new ArrayList<>(messages.size());
+        for (RecoveredMessage records : messages.values()) {
+            if (records.message == null) {
+                // Its acceptance was in bytes that could not be read.
+                orphans.delete(records.number);
+                continue;
+            }
+            if (records.attempts != null) {
+                records.attempts.applyTo(records.message);
+            }
+            records.message.rank = Math.max(records.message.rank, records.rank);
+            recovered.add(records.message);
+        }
+        recovered.sort(Comparator.comparingLong(message -> message.rank));
+        recovered.forEach(contents::add);
+    }
+}
--- a/sender/src/main/java/amberroute/sender/journal/JournalView.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalView.java
@@ -7,86 +7,98 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a state folder owed at the moment of reading. Writes nothing, so it may be read beside a running daemon. */
+/**
+ * The pending messages of a state folder at the moment of reading, for operators. Writes nothing, so a folder may be read while
+ * its daemon runs.
+ */
 public final class JournalView {
-    private final List<AcceptedMessage> owed;
-    private final List<String> unread;
+    private final List<AcceptedMessage> pending;
+    private final List<String> unreadable;
     private final boolean damaged;
-    private final long used;
-    private final long live;
+    private final long usedBytes;
+    private final long liveBytes;
 
-    private JournalView(List<AcceptedMessage> owed, List<String> unread, boolean damaged, long used, long live) {
-        this.owed = owed;
-        this.unread = unread;
-        this.damaged = damaged;
-        this.used = used;
-        this.live = live;
+    private JournalView(Journal journal) {
+        pending = List.copyOf(journal.pendingMessages());
+        unreadable = journal.dataLoss().lines();
+        damaged = journal.dataLoss().damaged();
+        usedBytes = journal.usedBytes();
+        liveBytes = journal.liveBytes();
     }
 
-    /** Reads the folder's journal, also one of an earlier version; its process may go on writing. */
+    /**
+     * Reads the folder's journal, also one of an earlier version.
+     *
+     * @throws IOException where there is none, or a later version has written it
+     */
     public static JournalView read(Path folder) throws IOException {
-        if (!Files.isRegularFile(folder.resolve("journal"))) {
+        if (!Files.isRegularFile(folder.resolve(LegacyJournalReader.NAME))) {
             throw new IOException("no journal in " + folder);
         }
-        Journal journal = Journal.openReadOnly(folder);
-        try (journal) {
-            return new JournalView(
-                    List.copyOf(journal.pendingMessages()),
-                    journal.unread(),
-                    journal.damaged(),
-                    journal.usedBytes(),
-                    journal.liveBytes());
+        try (Journal journal = Journal.openReadOnly(folder)) {
+            return new JournalView(journal);
         }
     }
 
-    /** Each message on a line, in the order of acceptance: id, class, destination, time left, attempts and state. */
+    /**
+     * Copies all that can be read into another folder, and reads that.
+     *
+     * @throws IOException where there is a journal in {@code into} already, or a folder cannot be read or written
+     */
+    public static JournalView repair(Path from, Path into) throws IOException {
+        JournalRepair.run(from, into);
+        return read(into);
+    }
+
+    /** Returns a line for each message, in the order of acceptance: id, class, destination, time left, attempts and state. */
     public List<String> lines(long wallMillis) {
         List<String> out = new ArrayList<>();
-        for (AcceptedMessage m : owed) {
-            String state = m.notice != null
-                    ? "ended, its notice is not answered: " + m.notice
-                    : m.out
-                            ? "a call is out to " + m.sentTo
-                            : m.doubtSince != 0
-                                    ? "may have run at " + m.doubtAt
-                                    : m.attempts > 0 ? "has not run" : "not tried";
-            out.add(m.id + " " + m.className + " dest=" + m.destination
-                    + (m.key == 0 ? "" : " key=" + Long.toHexString(m.key)) + " left=" + (m.deadline - wallMillis)
-                    + "ms attempts=" + m.attempts
-                    + " (" + state + ")");
+        for (AcceptedMessage message : pending) {
+            out.add(message.id + " " + message.className + " dest=" + message.destination
+                    + (message.key == 0 ? "" : " key=" + Long.toHexString(message.key))
+                    + " left=" + (message.deadline - wallMillis) + "ms attempts=" + message.attempts
+                    + " (" + state(message) + ")");
         }
         return out;
     }
 
-    /** Counts for people. */
+    private static String state(AcceptedMessage message) {
+        if (message.notice != null) {
+            return "ended, its notice is not answered: " + message.notice;
+        }
+        if (message.out) {
+            return "a call is out to " + message.sentTo;
+        }
+        if (message.doubtSince != 0) {
+            return "may have run at " + message.doubtAt;
+        }
+        return message.attempts > 0 ? "has not run" : "not tried";
+    }
+
+    /** Returns a line of counts. */
     public String summary() {
-        long notices = owed.stream().filter(m -> m.notice != null).count();
-        long doubt = owed.stream()
-                .filter(m -> m.notice == null && (m.out || m.doubtSince != 0))
+        long notices =
+                pending.stream().filter(message -> message.notice != null).count();
+        long unknown = pending.stream()
+                .filter(message -> message.notice == null && (message.out || message.doubtSince != 0))
                 .count();
-        return owed.size() - notices + " messages held, " + doubt + " of them in doubt; " + notices
-                + " notices not answered; " + live + " of " + used + " bytes are wanted"
-                + (unread.isEmpty() ? "" : "; COULD NOT BE READ: " + String.join(", ", unread));
+        return pending.size() - notices + " messages held, " + unknown + " of them in doubt; " + notices
+                + " notices not answered; " + liveBytes + " of " + usedBytes + " bytes are wanted"
+                + (unreadable.isEmpty() ? "" : "; COULD NOT BE READ: " + String.join(", ", unreadable));
     }
 
-    /** What could not be read, a part each; empty for a sound journal. */
+    /** Returns a line for each part that could not be read; empty for a sound journal. */
     public List<String> unreadable() {
-        return unread;
+        return unreadable;
     }
 
-    /** Whether more than a torn end could not be read. */
+    /** Returns whether more than a torn write could not be read. */
     public boolean damaged() {
         return damaged;
     }
 
-    /** Writes all that can be read into another folder that has no journal, and reads that. */
-    public static JournalView repair(Path from, Path into) throws IOException {
-        Journal.repair(from, into);
-        return read(into);
-    }
-
-    /** Messages owed, notices included. */
+    /** Returns the number of messages, those with an unanswered notice included. */
     public int pendingCount() {
-        return owed.size();
+        return pending.size();
     }
 }
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/KeyHoldJournal.java
@@ -0,0 +1,90 @@
+package amberroute.sender.journal;
+
+import amberroute.handoff.KeyHolds;
+import amberroute.storage.Batch;
+import amberroute.storage.LogLimits;
+import java.util.List;
+
+/**
+ * Journals the ordered keys that other daemons hold: messages of such a key wait here until the hold is released or expires.
+ * Holds may take a share of the budget only, so that messages retain their room. Used on the event loop only.
+ */
+final class KeyHoldJournal {
+    private static final int BUDGET_SHARE = 8;
+    /** Room in a segment that a batch of holds leaves free. */
+    private static final int SEGMENT_MARGIN_BYTES = 1_024;
+
+    private final JournalContents contents;
+    private final JournalWriter writer;
+    private final LogLimits limits;
+
+    KeyHoldJournal(JournalContents contents, JournalWriter writer, LogLimits limits) {
+        this.contents = contents;
+        this.writer = writer;
+        this.limits = limits;
+    }
+
+    /** Writes holds; false where there is no room for all of them, or the disk does not take some. */
+    boolean hold(String origin, List<Long> keys, long untilMillis) {
+        if (!fits(keys.size())) {
+            return false;
+        }
+        int holdsPerBatch =
+                (int) Math.max(1, (limits.segmentBytes() - SEGMENT_MARGIN_BYTES) / RecordSizes.KEY_HOLD_BYTES);
+        for (int from = 0; from < keys.size(); from += holdsPerBatch) {
+            List<Long> some = keys.subList(from, Math.min(keys.size(), from + holdsPerBatch));
+            Batch batch = new Batch();
+            some.stream().distinct().forEach(key -> put(batch, new KeyHolds.KeyHold(origin, key, untilMillis)));
+            if (!writer.write(batch)) {
+                return false;
+            }
+            contents.holdKeys(origin, some, untilMillis);
+        }
+        return true;
+    }
+
+    /** Returns whether there is room for so many more holds. */
+    boolean fits(int more) {
+        KeyHolds holds = contents.keyHolds;
+        return holds.fits(more)
+                && RecordSizes.ofKeyHolds(holds.size() + more) <= limits.budgetBytes() / BUDGET_SHARE
+                && contents.space.fits(RecordSizes.ofKeyHolds(more));
+    }
+
+    void put(Batch batch, KeyHolds.KeyHold hold) {
+        long owner = contents.owners.of(OwnerNumbers.keyHold(hold.origin(), hold.key()));
+        batch.put(owner, RecordKind.KEY_HOLD, JournalRecordCodec.encodeKeyHold(hold));
+    }
+
+    void delete(Batch batch, String origin, long key) {
+        Long owner = contents.owners.find(OwnerNumbers.keyHold(origin, key));
+        if (owner != null) {
+            batch.delete(owner);
+        }
+    }
+
+    /** Releases holds and returns the keys that nobody holds any more; where the disk does not take it they last until expiry. */
+    List<Long> release(String origin, List<Long> keys) {
+        Batch batch = new Batch();
+        keys.forEach(key -> delete(batch, origin, key));
+        writer.write(batch);
+        return contents.releaseKeys(origin, keys);
+    }
+
+    /** Ends expired holds and returns the keys that nobody holds any more; a hold's expiry is on disk with it. */
+    List<Long> expire(long wallMillis) {
+        List<KeyHolds.KeyHold> expired = contents.keyHolds.all().stream()
+                .filter(hold -> hold.until() <= wallMillis)
+                .toList();
+        if (expired.isEmpty()) {
+            return List.of();
+        }
+        Batch batch = new Batch();
+        for (KeyHolds.KeyHold hold : expired) {
+            delete(batch, hold.origin(), hold.key());
+            contents.owners.remove(OwnerNumbers.keyHold(hold.origin(), hold.key()));
+        }
+        writer.write(batch);
+        return contents.expireKeyHolds(wallMillis);
+    }
+}
--- a/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -14,56 +14,89 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32;
 
 /**
- * Reads the single file in which earlier versions kept what they owed, up to the first record that cannot be read, as they
- * did. Writes nothing but the mark that stands in its place afterwards: an earlier version that meets the mark ends with an
- * error, instead of beginning an empty journal beside the messages that the segments hold.
+ * Replays the single journal file of earlier versions, up to the first record that cannot be read, as they did. Also gives the
+ * mark that replaces the file when its records are in segments: an earlier version that meets it ends with an error, where it
+ * would otherwise begin an empty journal beside the messages in the segments.
  */
 final class LegacyJournalReader {
-    private static final int HEAD = 8;
-    private static final int LARGEST = 1 << 18;
+    /** Name of the file, and of the mark. */
     static final String NAME = "journal";
-    /** A type that no version ever wrote; earlier ones end on it where its number is a message's. */
-    private static final byte MOVED = '!';
-
-    final Map<Long, AcceptedMessage> live = new LinkedHashMap<>();
-    /** What ended under each id, 0 where that is no longer known. */
-    final Map<String, Integer> ended = new LinkedHashMap<>();
-
-    final Map<String, HealthRecord> memories = new LinkedHashMap<>();
-    final Map<String, HandoffBatchRecord> lots = new LinkedHashMap<>();
-    final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
-    final KeyHolds holds = new KeyHolds();
-    private final Map<String, Integer> ids = new HashMap<>();
-    long next = 1;
+
+    /** Length and CRC32 of the payload. */
+    private static final int FRAME_BYTES = 8;
+
+    private static final int MAX_RECORD_BYTES = 1 << 18;
+
+    private static final byte ACCEPTED = 'A';
+    private static final byte ATTEMPT = 'T';
+    private static final byte OUTCOME = 'O';
+    private static final byte ENDED = 'E';
+    private static final byte COMPLETED = 'N';
+    private static final byte ATTEMPTS = 'S';
+    private static final byte COMPLETED_ID = 'K';
+    private static final byte HANDOFF_BATCH = 'H';
+    private static final byte HANDOFF_PARTS = 'P';
+    private static final byte MESSAGE_CLASS = 'D';
+    private static final byte MOVED_BEHIND = 'R';
+    private static final byte KEYS_HELD = 'W';
+    private static final byte KEYS_RELEASED = 'F';
+    private static final byte HEALTH = 'M';
+    /** A type that no earlier version wrote: each ends on it. */
+    private static final byte MIGRATED = '!';
+
+    final Map<Long, AcceptedMessage> pending = new LinkedHashMap<>();
+    /** Whether the file is the mark of a journal in segments. */
+    boolean migrated;
     /** Bytes behind the last record that could be read. */
-    long unread;
-    /** It is the mark of a journal that stands in segments. */
-    boolean moved;
+    long unreadBytes;
+
+    /** Content hash of each completed message by its id, 0 where it is unknown. */
+    private final Map<String, Integer> completed = new LinkedHashMap<>();
 
-    /** Null where there is no such file. */
+    private final Map<String, HealthRecord> health = new LinkedHashMap<>();
+    private final Map<String, HandoffBatchRecord> handoffBatches = new LinkedHashMap<>();
+    private final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
+    private final KeyHolds keyHolds = new KeyHolds();
+    private long firstFreeNumber = 1;
+
+    private LegacyJournalReader() {}
+
+    /** Reads the folder's file; null where there is none. */
     static LegacyJournalReader read(Path folder) throws IOException {
         Path path = folder.resolve(NAME);
         if (!Files.isRegularFile(path)) {
             return null;
         }
-        LegacyJournalReader journal = new LegacyJournalReader();
+        LegacyJournalReader reader = new LegacyJournalReader();
         try (FileChannel file = FileChannel.open(path, StandardOpenOption.READ)) {
-            journal.replayAll(file);
+            reader.replayAll(file);
         }
-        return journal;
+        return reader;
+    }
+
+    /** Returns all records but the ids of completed messages. */
+    JournalImport contents() {
+        return new JournalImport(pending.values(), classes, health.values(), keyHolds, handoffBatches, firstFreeNumber);
     }
 
-    /** The bytes of the mark: a message, and behind it a record of it that earlier versions do not know. */
+    /** Returns the completed messages; their classes are unknown, so they count as non-idempotent. */
+    List<CompletedRecord> completedRecords() {
+        return completed.entrySet().stream()
+                .map(entry -> new CompletedRecord(
+                        entry.getKey(), entry.getValue(), DeliveryScheduler.Idempotency.NON_IDEMPOTENT))
+                .toList();
+    }
+
+    /** Returns the bytes of the mark: a message, and a record of it of a type that earlier versions do not know. */
     static byte[] mark() {
         byte[] accepted = RecordBytes.encode(out -> {
-            out.writeByte('A');
+            out.writeByte(ACCEPTED);
             out.writeLong(1);
             out.writeUTF("this journal stands in segments");
             out.writeUTF("");
@@ -74,12 +107,12 @@
             out.writeInt(0);
             out.writeInt(-1);
         });
-        byte[] moved = RecordBytes.encode(out -> {
-            out.writeByte(MOVED);
+        byte[] mark = RecordBytes.encode(out -> {
+            out.writeByte(MIGRATED);
             out.writeLong(1);
         });
-        ByteBuffer all = ByteBuffer.allocate(2 * HEAD + accepted.length + moved.length);
-        for (byte[] payload : List.of(accepted, moved)) {
+        ByteBuffer all = ByteBuffer.allocate(2 * FRAME_BYTES + accepted.length + mark.length);
+        for (byte[] payload : List.of(accepted, mark)) {
             all.putInt(payload.length).putInt(checksum(payload)).put(payload);
         }
         return all.array();
@@ -93,24 +126,24 @@
 
     private void replayAll(FileChannel file) throws IOException {
         long length = file.size();
-        long size = 0;
-        ByteBuffer head = ByteBuffer.allocate(HEAD);
-        while (size + HEAD <= length && !moved) {
-            if (!fill(file, head.clear())) {
+        long read = 0;
+        ByteBuffer frame = ByteBuffer.allocate(FRAME_BYTES);
+        while (read + FRAME_BYTES <= length && !migrated) {
+            if (!fill(file, frame.clear())) {
                 break;
             }
-            int bytes = head.getInt(0);
-            if (bytes <= 0 || bytes > LARGEST || size + HEAD + bytes > length) {
+            int bytes = frame.getInt(0);
+            if (bytes <= 0 || bytes > MAX_RECORD_BYTES || read + FRAME_BYTES + bytes > length) {
                 break;
             }
             ByteBuffer payload = ByteBuffer.allocate(bytes);
-            if (!fill(file, payload) || checksum(payload.array()) != head.getInt(4)) {
+            if (!fill(file, payload) || checksum(payload.array()) != frame.getInt(4)) {
                 break;
             }
             replay(payload.array());
-            size += HEAD + bytes;
+            read += FRAME_BYTES + bytes;
         }
-        unread = moved ? 0 : length - size;
+        unreadBytes = migrated ? 0 : length - read;
     }
 
     private static boolean fill(FileChannel file, ByteBuffer buffer) throws IOException {
@@ -124,127 +157,128 @@
 
     private void replay(byte[] payload) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload));
-        int type = in.readByte();
+        byte type = in.readByte();
         switch (type) {
-            case MOVED -> moved = true;
-            case 'K' -> ended.put(in.readUTF(), 0);
-            case 'H', 'P' -> replayLot(in);
-            case 'D' -> {
-                in.readLong();
-                int number = in.readInt();
-                classes.put(number, Journal.readVersion(in));
-            }
-            case 'R' -> {
-                in.readLong();
-                AcceptedMessage m = live.get(in.readLong());
-                if (m != null) {
-                    live.remove(m.number);
-                    live.put(m.number, m);
-                }
-            }
-            case 'W', 'F' -> replayHold(in, type == 'W');
-            case 'M' -> {
-                HealthRecord memory = new HealthRecord(
-                        in.readInt(),
-                        in.readUTF(),
-                        DeliveryScheduler.UpstreamStatus.ofStoredName(in.readUTF()),
-                        in.readLong(),
-                        in.readDouble(),
-                        in.readDouble());
-                memories.remove(memory.upstreamKey());
-                if (memory.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
-                    memories.put(memory.upstreamKey(), memory);
-                }
-            }
+            case MIGRATED -> migrated = true;
+            case COMPLETED_ID -> completed.put(in.readUTF(), 0);
+            case HANDOFF_BATCH, HANDOFF_PARTS -> replayHandoffBatch(in);
+            case MESSAGE_CLASS -> replayClass(in);
+            case MOVED_BEHIND -> replayMovedBehind(in);
+            case KEYS_HELD -> replayKeysHeld(in);
+            case KEYS_RELEASED -> replayKeysReleased(in);
+            case HEALTH -> replayHealth(in);
             default -> replayMessage(type, in);
         }
     }
 
-    private void replayMessage(int type, DataInputStream in) throws IOException {
+    private void replayClass(DataInputStream in) throws IOException {
+        in.readLong();
+        NumberedClass numbered = JournalRecordCodec.decodeClass(in);
+        classes.put(numbered.number(), numbered.version());
+    }
+
+    private void replayMovedBehind(DataInputStream in) throws IOException {
+        in.readLong();
+        AcceptedMessage message = pending.remove(in.readLong());
+        if (message != null) {
+            pending.put(message.number, message);
+        }
+    }
+
+    private void replayHealth(DataInputStream in) throws IOException {
+        HealthRecord record = JournalRecordCodec.decodeHealth(in);
+        health.remove(record.upstreamKey());
+        if (record.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
+            health.put(record.upstreamKey(), record);
+        }
+    }
+
+    private void replayMessage(byte type, DataInputStream in) throws IOException {
         long number = in.readLong();
-        next = Math.max(next, number + 1);
-        if (type == 'A') {
-            AcceptedMessage m = new AcceptedMessage(
-                    number,
-                    in.readUTF(),
-                    in.readUTF(),
-                    in.readUTF(),
-                    in.readLong(),
-                    in.readInt(),
-                    in.readLong(),
-                    in.readNBytes(in.readInt()));
-            m.type = in.available() < Integer.BYTES ? -1 : in.readInt();
-            live.put(number, m);
-            ids.put(m.id, m.content);
+        firstFreeNumber = Math.max(firstFreeNumber, number + 1);
+        if (type == ACCEPTED) {
+            replayAccepted(number, in);
             return;
         }
-        AcceptedMessage m = live.get(number);
-        if (m == null) {
+        AcceptedMessage message = pending.get(number);
+        if (message == null) {
             return;
         }
         switch (type) {
-            case 'T' -> {
-                long wall = in.readLong();
-                m.attempt(in.readUTF(), wall);
+            case ATTEMPT -> {
+                long wallMillis = in.readLong();
+                message.attempt(in.readUTF(), wallMillis);
             }
-            case 'O' -> m.outcome(in.readBoolean());
-            case 'E' -> m.end(in.readUTF());
-            case 'N' -> drop(m);
-            case 'S' -> readStanding(in, m);
+            case OUTCOME -> message.outcome(in.readBoolean());
+            case ENDED -> message.end(in.readUTF());
+            case COMPLETED -> complete(message);
+            case ATTEMPTS -> readAttempts(in).applyTo(message);
             default -> throw new IOException("unknown record " + type);
         }
     }
 
-    private void drop(AcceptedMessage m) {
-        live.remove(m.number);
-        ids.remove(m.id);
-        ended.put(m.id, m.content);
+    private void replayAccepted(long number, DataInputStream in) throws IOException {
+        AcceptedMessage message = new AcceptedMessage(
+                number,
+                in.readUTF(),
+                in.readUTF(),
+                in.readUTF(),
+                in.readLong(),
+                in.readInt(),
+                in.readLong(),
+                in.readNBytes(in.readInt()));
+        // The number of the class was added by a later version of that format.
+        message.type = in.available() < Integer.BYTES ? -1 : in.readInt();
+        pending.put(number, message);
+    }
+
+    private void complete(AcceptedMessage message) {
+        pending.remove(message.number);
+        completed.put(message.id, message.content);
     }
 
-    private void replayHold(DataInputStream in, boolean held) throws IOException {
+    private void replayKeysHeld(DataInputStream in) throws IOException {
         in.readLong();
         String origin = in.readUTF();
-        long until = held ? in.readLong() : 0;
-        List<Long> keys = new ArrayList<>();
-        for (int i = in.readInt(); i > 0; i--) {
-            keys.add(in.readLong());
-        }
-        if (held) {
-            holds.hold(origin, keys, until);
-        } else {
-            holds.release(origin, keys);
-        }
+        long untilMillis = in.readLong();
+        keyHolds.hold(origin, readLongs(in), untilMillis);
+    }
+
+    private void replayKeysReleased(DataInputStream in) throws IOException {
+        in.readLong();
+        String origin = in.readUTF();
+        keyHolds.release(origin, readLongs(in));
     }
 
-    private void replayLot(DataInputStream in) throws IOException {
-        String name = in.readUTF();
-        Ownership ownership = new Ownership(in.readLong(), Ownership.Status.valueOf(in.readUTF()), in.readUTF());
-        long until = in.readLong();
-        List<Long> numbers = new ArrayList<>();
+    private static List<Long> readLongs(DataInputStream in) throws IOException {
+        List<Long> out = new ArrayList<>();
         for (int i = in.readInt(); i > 0; i--) {
-            numbers.add(in.readLong());
+            out.add(in.readLong());
         }
-        int told = in.readInt();
-        for (int parts = told < 0 ? -told : 2 * told; parts > 0; parts--) {
+        return out;
+    }
+
+    private void replayHandoffBatch(DataInputStream in) throws IOException {
+        NamedHandoffBatch named = JournalRecordCodec.decodeHandoffBatch(in);
+        // Records that came with the batch: so many where negative, two for each message where not.
+        int count = in.readInt();
+        for (int records = count < 0 ? -count : 2 * count; records > 0; records--) {
             replay(in.readNBytes(in.readInt()));
         }
-        lots.put(name, new HandoffBatchRecord(ownership, until, numbers));
-        for (long number : numbers) {
-            AcceptedMessage m = live.get(number);
-            if (m != null && ownership.status() == Ownership.Status.GIVEN) {
-                drop(m);
-            } else if (m != null && ownership.status() != Ownership.Status.ENDED) {
-                m.frozen = ownership.status() == Ownership.Status.OFFERED;
+        handoffBatches.put(named.name(), named.batch());
+        Ownership.Status status = named.batch().ownership().status();
+        for (long number : named.batch().messageNumbers()) {
+            AcceptedMessage message = pending.get(number);
+            if (message != null && status == Ownership.Status.GIVEN) {
+                complete(message);
+            } else if (message != null && status != Ownership.Status.ENDED) {
+                message.frozen = status == Ownership.Status.OFFERED;
             }
         }
     }
 
-    private static void readStanding(DataInputStream in, AcceptedMessage m) throws IOException {
-        m.attempts = in.readInt();
-        m.doubtSince = in.readLong();
-        m.doubtAt = in.readUTF();
-        m.out = in.readBoolean();
-        m.sentAt = in.readLong();
-        m.sentTo = in.readUTF();
+    private static AttemptHistory readAttempts(DataInputStream in) throws IOException {
+        return new AttemptHistory(
+                in.readInt(), in.readLong(), in.readUTF(), in.readBoolean(), in.readLong(), in.readUTF());
     }
 }
--- /dev/null
+++ b/sender/src/main/java/amberroute/sender/journal/PendingWrites.java
@@ -0,0 +1,60 @@
+package amberroute.sender.journal;
+
+import amberroute.storage.Batch;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.Predicate;
+
+/**
+ * Changes that the disk has not taken yet: the last one of each owner, and what may follow when it is written. There is at most
+ * one for each pending message and each upstream. Used on the event loop only.
+ */
+final class PendingWrites {
+    /** Follows a change that nothing depends on. */
+    static final Runnable NO_EFFECT = () -> {};
+
+    private record PendingWrite(Batch batch, Runnable effect) {}
+
+    private final Map<Long, PendingWrite> byOwner = new LinkedHashMap<>();
+
+    boolean isEmpty() {
+        return byOwner.isEmpty();
+    }
+
+    int size() {
+        return byOwner.size();
+    }
+
+    boolean contains(long owner) {
+        return byOwner.containsKey(owner);
+    }
+
+    /** Returns whether an effect waits for the change of this owner. */
+    boolean hasEffect(long owner) {
+        PendingWrite write = byOwner.get(owner);
+        return write != null && write.effect() != NO_EFFECT;
+    }
+
+    /** Replaces an earlier change of the owner: its last state is all that has to be written. */
+    void put(long owner, Batch batch, Runnable effect) {
+        byOwner.put(owner, new PendingWrite(batch, effect));
+    }
+
+    /** Drops a change that another write covers. */
+    void remove(long owner) {
+        byOwner.remove(owner);
+    }
+
+    /** Writes the oldest change and runs its effect; returns whether it was written. */
+    boolean writeFirst(Predicate<Batch> write) {
+        Iterator<PendingWrite> first = byOwner.values().iterator();
+        PendingWrite next = first.next();
+        if (!write.test(next.batch())) {
+            return false;
+        }
+        first.remove();
+        next.effect().run();
+        return true;
+    }
+}
--- a/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
+++ b/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
@@ -286,7 +286,7 @@
                         + version.type().keyLifeMicros() + " " + version.type().ordered()));
         out.add("replica set " + Arrays.toString(journal.replicaSet()));
         out.add("position " + Arrays.toString(journal.replicationPosition()));
-        out.add("unreadable " + journal.unread());
+        out.add("unreadable " + journal.dataLoss().lines());
         out.add("live bytes " + journal.liveBytes());
         out.add("next number " + journal.nextNumber());
         for (Supplier<Batch> part : journal.snapshotBatches()) {
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
@@ -425,7 +425,7 @@
         Map<String, AcceptedMessage> live = new LinkedHashMap<>();
         try (Journal journal = Journal.openReadOnly(folder)) {
             journal.pendingMessages().forEach(m -> live.put(m.id, m));
-            counts.wrong += journal.unread().stream()
+            counts.wrong += journal.dataLoss().lines().stream()
                     .filter(what -> what.contains("segment"))
                     .count();
         }
