--- a/sender/src/main/java/amberroute/sender/journal/FencingToken.java
+++ b/sender/src/main/java/amberroute/sender/journal/FencingToken.java
@@ -12,19 +12,28 @@
 import java.util.UUID;
 
 /**
- * The mark in a state folder that says who has taken over what is in it. It is raised once, whole and for one taker, and
- * never lowered: from then on no process may have an effect out of this folder. Raising goes by a hard link, which the
- * file system makes for one of several takers only.
+ * The fence of a state folder: names the daemon that has taken over what is in it. It is raised once, whole and for one successor,
+ * and never lowered: from then on no process may have an effect out of this folder. Raising makes a hard link, which the file
+ * system grants to one of several successors only.
+ *
+ * @param successor name of the daemon that takes over
+ * @param successorFolder its state folder, absolute
+ * @param handoffId identifies the takeover; prefix of its handoff batches
+ * @param completed whether nothing is left in the folder to take over
  */
 public record FencingToken(String successor, Path successorFolder, String handoffId, boolean completed) {
     private static final String NAME = "fence";
-    private static final int MOST_TAKERS = 10_000;
+    private static final int MAX_SUCCESSORS = 10_000;
 
     static File file(Path folder) {
         return folder.resolve(NAME).toFile();
     }
 
-    /** Null where the folder is not fenced. */
+    /**
+     * Reads the folder's fence; null where it is not fenced.
+     *
+     * @throws IOException where there is a fence that cannot be read
+     */
     public static FencingToken read(Path folder) throws IOException {
         Path file = folder.resolve(NAME);
         if (!Files.exists(file)) {
@@ -43,44 +52,50 @@
     }
 
     /**
-     * Raises it for whoever takes the folder over {@code into} another, or finds it raised for the same before; IOException
-     * where another was first. An earlier taker counts as the same once its own folder has been taken over whole into
-     * this one, as the lots that it had taken are known here then.
+     * Raises the fence for a successor, or finds it raised for the same one before. An earlier successor counts as the same once
+     * its own folder has been taken over completely into this one, as its handoff batches are known here then.
+     *
+     * @throws IOException where another successor was first
      */
-    public static FencingToken raise(Path folder, String by, Path into) throws IOException {
-        Path own = into.toAbsolutePath().normalize();
-        FencingToken fence = new FencingToken(by, own, UUID.randomUUID().toString(), false);
-        Path aside = folder.resolve(NAME + "." + fence.handoffId());
-        Files.writeString(aside, fence.text());
+    public static FencingToken raise(Path folder, String successor, Path successorFolder) throws IOException {
+        Path own = successorFolder.toAbsolutePath().normalize();
+        FencingToken fence = new FencingToken(successor, own, UUID.randomUUID().toString(), false);
+        Path temporary = folder.resolve(NAME + "." + fence.handoffId());
+        Files.writeString(temporary, fence.text());
         try {
-            Files.createLink(folder.resolve(NAME), aside);
+            Files.createLink(folder.resolve(NAME), temporary);
             return fence;
         } catch (FileAlreadyExistsException e) {
-            FencingToken first = read(folder);
-            int steps = 0;
-            for (FencingToken at = first; at != null && !at.successorFolder().equals(own); ) {
-                at = read(at.successorFolder());
-                // Two that took each other over lead in a circle.
-                if (at == null || !at.completed() || ++steps > MOST_TAKERS) {
-                    throw new IOException("folder " + folder + " was taken over by " + first.successor() + " into "
-                            + first.successorFolder());
-                }
-            }
-            return first;
+            return raisedBefore(folder, own);
         } finally {
-            Files.deleteIfExists(aside);
+            Files.deleteIfExists(temporary);
+        }
+    }
+
+    /** Follows the folders that were taken over one after another, from the fence of the first one. */
+    private static FencingToken raisedBefore(Path folder, Path own) throws IOException {
+        FencingToken first = read(folder);
+        int steps = 0;
+        for (FencingToken at = first; at != null && !at.successorFolder().equals(own); ) {
+            at = read(at.successorFolder());
+            // The bound ends a circle of folders that took each other over.
+            if (at == null || !at.completed() || ++steps > MAX_SUCCESSORS) {
+                throw new IOException("folder " + folder + " was taken over by " + first.successor() + " into "
+                        + first.successorFolder());
+            }
         }
+        return first;
     }
 
-    /** Notes that nothing is left in the folder to take. */
+    /** Records that nothing is left in the folder to take over. */
     public void finish(Path folder) throws IOException {
-        Path aside = folder.resolve(NAME + ".done");
+        Path temporary = folder.resolve(NAME + ".done");
         Files.write(
-                aside,
+                temporary,
                 new FencingToken(successor, successorFolder, handoffId, true)
                         .text()
                         .getBytes(StandardCharsets.UTF_8));
-        Files.move(aside, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
     }
 
     private String text() {
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -85,8 +85,6 @@
         return JournalOpener.openReadOnly(folder);
     }
 
-    // ---- Opening. ----
-
     /** Reads the log, and deletes records that belong to nothing; where that fails the next start finds them again. */
     void recover() throws IOException {
         Batch orphans = new JournalRecovery(log, contents).run();
@@ -147,8 +145,6 @@
         return writer.forces().forceNow();
     }
 
-    // ---- Writing. ----
-
     /** Returns the bytes of all files of the log. */
     public long usedBytes() {
         return log.usedBytes();
@@ -227,8 +223,6 @@
         return writer.compactStep();
     }
 
-    // ---- Replication. ----
-
     /** From now on each change is given to the listener, and {@link #whenDurable} waits for it. */
     public void replicateTo(JournalChangeListener listener) {
         writer.replicateTo(listener);
@@ -268,8 +262,6 @@
         return JournalSnapshot.whole(contents, keyHolds);
     }
 
-    // ---- Messages. ----
-
     /** Returns the messages that are not completed, in the order of acceptance. */
     public Collection<AcceptedMessage> pendingMessages() {
         return contents.pending.values();
@@ -378,8 +370,6 @@
         }
     }
 
-    // ---- Message classes and health. ----
-
     /** Returns the versions of message classes by number. */
     public Map<Integer, MessageClassRegistry.Version> classes() {
         return contents.classes;
@@ -409,8 +399,6 @@
         health.record(record);
     }
 
-    // ---- Handoff. ----
-
     /** Returns all handoff batches by name. */
     public Map<String, HandoffBatchRecord> handoffBatches() {
         return contents.handoffBatches;
@@ -467,7 +455,7 @@
         return handoff.accept(name, record(ownership, untilMillis, messages), messages, origin, behind);
     }
 
-    /** Accepts a batch without any key that another daemon may hold. */
+    /** As the other, without any key that another daemon may hold. */
     public boolean acceptHandoffBatch(
             String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
         return acceptHandoffBatch(name, ownership, untilMillis, messages, "", List.of());
--- a/sender/src/main/java/amberroute/sender/journal/StateLock.java
+++ b/sender/src/main/java/amberroute/sender/journal/StateLock.java
@@ -1,7 +1,7 @@
 package amberroute.sender.journal;
 
 import amberroute.decisions.settings.InvalidSettingsException;
-import amberroute.sender.util.Log;
+import amberroute.sender.util.LogEvent;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,51 +14,59 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Holds a state folder for one process. It is a record lock of the kernel on the file {@code lock}: whatever ends the
- * process frees it, SIGKILL too, so nothing is ever left over. Where asked for, the file tells the process's id.
+ * Exclusive ownership of a state folder: a record lock of the kernel on the file {@code lock}, which the end of the process
+ * releases however it comes, SIGKILL too. On request the file has the process's id.
  */
 public final class StateLock implements Closeable {
+    private static final String NAME = "lock";
+    private static final String FENCE_WATCHED = "guarded";
+
     private final FileChannel file;
 
     private StateLock(FileChannel file) {
         this.file = file;
     }
 
-    /** Takes the lock or says who has it. */
-    public static StateLock acquire(Path folder, boolean tellPid) throws IOException {
-        StateLock lock = tryAcquireOwn(folder, tellPid);
+    /**
+     * Acquires the lock.
+     *
+     * @param recordPid whether the file has the process's id
+     * @throws InvalidSettingsException where another process has it, which the message names
+     */
+    public static StateLock acquire(Path folder, boolean recordPid) throws IOException {
+        StateLock lock = tryAcquireOwn(folder, recordPid);
         if (lock != null) {
             return lock;
         }
-        throw new InvalidSettingsException("state folder " + folder + " is held by " + holder(folder));
+        throw new InvalidSettingsException("state folder " + folder + " is held by " + owner(folder));
     }
 
     /** As {@link #tryTake}, and the log says so: the folder is this sender's own from then on. */
-    public static StateLock tryAcquireOwn(Path folder, boolean tellPid) throws IOException {
-        StateLock lock = tryAcquire(folder, tellPid);
+    public static StateLock tryAcquireOwn(Path folder, boolean recordPid) throws IOException {
+        StateLock lock = tryAcquire(folder, recordPid);
         if (lock != null) {
-            Log.warn("lock: taken on " + folder);
+            LogEvent.of("state_lock_acquired").with("folder", folder).warn();
         }
         return lock;
     }
 
-    /** Takes the lock; null where another process, or another sender of this one, has it. */
-    public static StateLock tryAcquire(Path folder, boolean tellPid) throws IOException {
+    /** Acquires the lock; null where another process, or another sender of this one, has it. */
+    public static StateLock tryAcquire(Path folder, boolean recordPid) throws IOException {
         Files.createDirectories(folder);
         FileChannel file = FileChannel.open(
-                folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+                folder.resolve(NAME), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         try {
             FileLock lock = file.tryLock();
             if (lock != null) {
                 file.truncate(0);
-                if (tellPid) {
+                if (recordPid) {
                     file.write(
                             ByteBuffer.wrap((ProcessHandle.current().pid() + "\n").getBytes(StandardCharsets.UTF_8)));
                 }
                 return new StateLock(file);
             }
         } catch (OverlappingFileLockException e) {
-            // Another sender in this very process: as much another as any.
+            // Another sender of this process has it.
         } catch (IOException e) {
             file.close();
             throw e;
@@ -68,21 +76,20 @@
     }
 
     /**
-     * Notes that the holder looks for a {@link FencingToken} behind each of its records, so that its folder may be taken over
-     * while it cannot be asked.
+     * Records that the owner checks for a {@link FencingToken} behind each write, so that its folder may be taken over while it
+     * cannot be asked.
      */
     public void recordFenceWatched() throws IOException {
-        file.write(ByteBuffer.wrap("guarded\n".getBytes(StandardCharsets.UTF_8)));
+        file.write(ByteBuffer.wrap((FENCE_WATCHED + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Whether the last holder noted that. */
+    /** Returns whether the last owner recorded that it watches the fence. */
     public static boolean fenceWatched(Path folder) throws IOException {
-        return Files.readString(folder.resolve("lock")).contains("guarded");
+        return Files.readString(folder.resolve(NAME)).contains(FENCE_WATCHED);
     }
 
-    private static String holder(Path folder) throws IOException {
-        String pid =
-                Files.readString(folder.resolve("lock")).lines().findFirst().orElse("");
+    private static String owner(Path folder) throws IOException {
+        String pid = Files.readString(folder.resolve(NAME)).lines().findFirst().orElse("");
         return pid.matches("[0-9]{1,20}") ? "process " + pid : "another process";
     }
 
--- a/sender/src/main/java/amberroute/sender/journal/SteadyClock.java
+++ b/sender/src/main/java/amberroute/sender/journal/SteadyClock.java
@@ -1,6 +1,6 @@
 package amberroute.sender.journal;
 
-import amberroute.sender.util.Log;
+import amberroute.sender.util.LogEvent;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -9,13 +9,13 @@
 import java.util.zip.CRC32;
 
 /**
- * The clock that a state folder's times are told by, in milliseconds: it goes on evenly for as long as the machine runs, over
- * restarts of the process too, whatever becomes of the wall clock. It is the machine's monotonic clock, which on Linux all processes
- * share until the machine boots again ({@code CLOCK_MONOTONIC}), and an offset that makes it look like the wall clock of the moment
- * in which the folder was first used. The offset stands in the folder's file {@value #NAME}, with the boot's id and a checksum.
+ * The clock of a state folder's times, in milliseconds. It runs evenly while the machine runs, over restarts of the process too,
+ * whatever becomes of the wall clock: it is the machine's monotonic clock, which on Linux all processes share until the next boot
+ * ({@code CLOCK_MONOTONIC}), plus an offset that makes it equal the wall clock when the folder was first used. The offset is in
+ * the folder's file {@value #NAME}, with the boot's id and a checksum.
  *
- * <p>Behind a boot, on another machine, or where that file cannot be read, nobody knows how long the folder lay still: the wall
- * clock is asked again, and {@link #interrupted} says that spans over the gap cannot be trusted.
+ * <p>After a boot, on another machine, or where that file cannot be read, it is unknown how long the folder was unused: the offset
+ * is taken anew from the wall clock, and {@link #interrupted} says that spans over the gap cannot be trusted.
  */
 public final class SteadyClock {
     private static final String NAME = "clock";
@@ -23,21 +23,21 @@
 
     private final Path file;
     private final String boot;
-    private final long offset;
-    private final long interruptedAt;
+    private final long offsetMillis;
+    private final long interruptedAtMillis;
     private boolean recorded;
 
-    private SteadyClock(Path folder, String boot, long offset, boolean interrupted, boolean recorded) {
+    private SteadyClock(Path folder, String boot, long offsetMillis, boolean interrupted, boolean recorded) {
         file = folder.resolve(NAME);
         this.boot = boot;
-        this.offset = offset;
+        this.offsetMillis = offsetMillis;
         this.recorded = recorded;
-        interruptedAt = interrupted ? millis() : Long.MIN_VALUE;
+        interruptedAtMillis = interrupted ? millis() : Long.MIN_VALUE;
     }
 
     /**
-     * The clock of this folder, whose lock has to be held. Times in a folder without a clock are of an earlier version of this
-     * program, which told them by the wall clock.
+     * Opens the clock of a folder whose lock this process has. Times in a folder without a clock file are of an earlier version,
+     * which used the wall clock.
      */
     public static SteadyClock open(Path folder) {
         String boot = boot();
@@ -46,16 +46,16 @@
             return new SteadyClock(folder, boot, Long.parseLong(read[1]), false, true);
         }
         SteadyClock clock =
-                new SteadyClock(folder, boot, System.currentTimeMillis() - monotonic(), read != null, false);
+                new SteadyClock(folder, boot, System.currentTimeMillis() - monotonicMillis(), read != null, false);
         clock.record();
         return clock;
     }
 
-    private static long monotonic() {
+    private static long monotonicMillis() {
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Empty where the kernel does not tell it: then all processes are taken to be of one boot. */
+    /** Returns the id of this boot; without one from the kernel all processes are taken to be of one boot. */
     private static String boot() {
         try {
             return Files.readString(BOOT_ID).strip();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Boot id and offset; null where there is no whole file. */
+    /** Returns the boot id, the offset and the checksum; null where there is no whole file. */
     private static String[] read(Path file) {
         try {
             String[] words = Files.readString(file, StandardCharsets.US_ASCII).split(" ");
@@ -74,28 +74,28 @@
         }
     }
 
-    private static String checksum(String boot, String offset) {
+    private static String checksum(String boot, String offsetMillis) {
         CRC32 sum = new CRC32();
-        sum.update((boot + " " + offset).getBytes(StandardCharsets.US_ASCII));
+        sum.update((boot + " " + offsetMillis).getBytes(StandardCharsets.US_ASCII));
         return Long.toHexString(sum.getValue());
     }
 
-    /** Milliseconds that only grow, about those of the wall clock where that was never stepped. */
+    /** Returns milliseconds that never decrease; close to the wall clock's where that was never stepped. */
     public long millis() {
-        return monotonic() + offset;
+        return monotonicMillis() + offsetMillis;
     }
 
-    /** Whether an instant lies before a gap that nobody knows the length of. */
-    public boolean interrupted(long instant) {
-        return instant < interruptedAt;
+    /** Returns whether an instant in milliseconds lies before a gap of unknown length. */
+    public boolean interrupted(long instantMillis) {
+        return instantMillis < interruptedAtMillis;
     }
 
-    /** Tries again to write what a full or failing disk did not take; to be called from time to time by the folder's owner. */
+    /** Writes the file where the disk did not take it before; to be called from time to time by the folder's owner. */
     public void record() {
         if (recorded) {
             return;
         }
-        String text = boot + " " + offset + " " + checksum(boot, Long.toString(offset));
+        String text = boot + " " + offsetMillis + " " + checksum(boot, Long.toString(offsetMillis));
         Path fresh = file.resolveSibling(NAME + ".new");
         try {
             Files.createDirectories(file.getParent());
@@ -103,7 +103,7 @@
             Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
             recorded = true;
         } catch (IOException e) {
-            Log.warn("clock: cannot be recorded yet: " + e);
+            LogEvent.of("steady_clock_record_failed").cause(e).warn();
         }
     }
 }
--- a/storage/src/main/java/amberroute/storage/Batch.java
+++ b/storage/src/main/java/amberroute/storage/Batch.java
@@ -6,54 +6,66 @@
 import java.util.List;
 
 /**
- * What one write changes, all of it or nothing: contents of owners, each under a kind, and owners that are over. A content
- * takes the place of the one that the owner had under that kind.
+ * What one write changes, all of it or nothing: contents of owners, each under a kind, and deleted owners. A content replaces the
+ * one that the owner had under that kind. Not thread-safe.
  */
 public final class Batch {
+    /** Owner, kind, whether exclusive, and length. */
+    private static final int PUT_BYTES = 14;
+
+    /** One content of an owner; an exclusive one replaces all others of the owner. */
     record Put(long owner, int kind, byte[] content, boolean exclusive) {}
 
     final List<Put> puts = new ArrayList<>();
     final List<Long> deletedOwners = new ArrayList<>();
 
-    /** {@code kind} is 1 to {@value Segment#KINDS}; an owner may have each kind once in a batch. */
+    /**
+     * Puts a content.
+     *
+     * @param kind 1 to {@value SegmentFormat#MAX_KIND}; an owner may have each kind once in a batch
+     * @throws IllegalArgumentException where the kind or the owner's number is out of its range
+     */
     public Batch put(long owner, int kind, byte[] content) {
         return put(owner, kind, content, false);
     }
 
-    /** From now on this is all that the owner has; whatever is put for it later has to be such a content too. */
+    /** Puts a content that replaces all of the owner's; whatever is put for the owner later has to be exclusive too. */
     public Batch putExclusive(long owner, int kind, byte[] content) {
         return put(owner, kind, content, true);
     }
 
-    private Batch put(long owner, int kind, byte[] content, boolean sole) {
-        if (kind < 1 || kind > Segment.KINDS || owner < 1) {
+    private Batch put(long owner, int kind, byte[] content, boolean exclusive) {
+        if (kind < 1 || kind > SegmentFormat.MAX_KIND || owner < 1) {
             throw new IllegalArgumentException("kind " + kind + " of owner " + owner);
         }
-        puts.add(new Put(owner, kind, content, sole));
+        puts.add(new Put(owner, kind, content, exclusive));
         return this;
     }
 
-    /** Another batch's changes are made with this one's. */
+    /** Adds all changes of another batch. */
     public Batch addAll(Batch other) {
         puts.addAll(other.puts);
         deletedOwners.addAll(other.deletedOwners);
         return this;
     }
 
-    /** Nothing of this owner is wanted any more, also of what this batch puts. */
+    /** Deletes all contents of an owner, also those that this batch puts. */
     public Batch delete(long owner) {
         deletedOwners.add(owner);
         return this;
     }
 
-    /** Whether it changes nothing. */
+    /** Returns whether the batch changes nothing. */
     public boolean isEmpty() {
         return puts.isEmpty() && deletedOwners.isEmpty();
     }
 
-    /** The changes as bytes, for a copy of the log elsewhere; {@link #read} takes them. */
+    /**
+     * Returns the batch as bytes, for replication: {@code puts:int (owner:long kind:byte exclusive:byte length:int content)...
+     * deletions:int owner:long...}.
+     */
     public byte[] encode() {
-        int size = 8 + 8 * deletedOwners.size();
+        int size = 2 * Integer.BYTES + Long.BYTES * deletedOwners.size();
         for (Put put : puts) {
             size += PUT_BYTES + put.content().length;
         }
@@ -70,22 +82,17 @@
         return out.array();
     }
 
-    /** Reads what {@link #bytes} wrote; IllegalArgumentException where it is anything else. */
+    /**
+     * Decodes what {@link #encode} has returned.
+     *
+     * @throws IllegalArgumentException where the bytes are anything else
+     */
     public static Batch decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             Batch batch = new Batch();
             for (int i = in.getInt(); i > 0; i--) {
-                long owner = in.getLong();
-                int kind = in.get();
-                boolean sole = in.get() == 1;
-                int length = in.getInt();
-                if (length < 0 || length > in.remaining()) {
-                    throw new IllegalArgumentException("a content of " + length + " bytes");
-                }
-                byte[] content = new byte[length];
-                in.get(content);
-                batch.put(owner, kind, content, sole);
+                decodePut(in, batch);
             }
             for (int i = in.getInt(); i > 0; i--) {
                 batch.delete(in.getLong());
@@ -95,9 +102,20 @@
             }
             return batch;
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("less than a batch");
+            throw new IllegalArgumentException("less than a batch", e);
         }
     }
 
-    private static final int PUT_BYTES = 14;
+    private static void decodePut(ByteBuffer in, Batch batch) {
+        long owner = in.getLong();
+        int kind = in.get();
+        boolean exclusive = in.get() == 1;
+        int length = in.getInt();
+        if (length < 0 || length > in.remaining()) {
+            throw new IllegalArgumentException("a content of " + length + " bytes");
+        }
+        byte[] content = new byte[length];
+        in.get(content);
+        batch.put(owner, kind, content, exclusive);
+    }
 }
--- a/storage/src/main/java/amberroute/storage/Compactor.java
+++ b/storage/src/main/java/amberroute/storage/Compactor.java
@@ -158,7 +158,8 @@
     /** Copies live contents; where none is left, tombstones; where none of those is left, the segment can be deleted. */
     private void copySlice(long maxBytes) throws IOException {
         Slice slice = new Slice();
-        long limit = Math.min(maxBytes, files.limits.segmentBytes() - 4 * Segment.HEAD - Segment.FRAME);
+        long limit = Math.min(
+                maxBytes, files.limits.segmentBytes() - 4 * SegmentFormat.HEADER_BYTES - SegmentFormat.FRAME_BYTES);
         int next = cursor;
         for (boolean full = false; next < victim.copies && !full; next += full ? 0 : 1) {
             OwnerContents owner = index.find(victim.owners[next]);
@@ -176,7 +177,7 @@
 
     /** Live contents of the victim that are copied with one record. */
     private final class Slice {
-        final Segment.Items items = new Segment.Items();
+        final RecordBuilder items = new RecordBuilder();
         final List<ContentLocation> contents = new ArrayList<>();
         final List<OwnerContents> contentOwners = new ArrayList<>();
         final Set<OwnerContents> owners = new HashSet<>();
@@ -200,13 +201,13 @@
         }
 
         private void copy(OwnerContents owner, ContentLocation content) throws IOException {
-            byte[] bytes = Segment.content(
+            byte[] bytes = SegmentReader.findContent(
                     victimBytes, victim.salt, content.recordOffset, content.offset, owner.owner, content.version);
             if (bytes == null) {
                 throw new IOException(
                         "content of owner " + owner.owner + " in segment " + victim.name + " can no longer be read");
             }
-            int itemBytes = items.put(owner.owner, content.kind, content.exclusive, content.version, bytes);
+            int itemBytes = items.addContent(owner.owner, content.kind, content.exclusive, content.version, bytes);
             positions.add(new ItemPosition(items.size() - bytes.length, itemBytes));
             contents.add(content);
             contentOwners.add(owner);
@@ -224,7 +225,9 @@
                         content.exclusive,
                         content.version,
                         recordOffset,
-                        recordOffset + Segment.FRAME + positions.get(i).offset(),
+                        recordOffset
+                                + SegmentFormat.FRAME_BYTES
+                                + positions.get(i).offset(),
                         content.lengthBytes,
                         positions.get(i).itemBytes());
             }
@@ -240,8 +243,8 @@
             copiedSequence = writer.sequence();
             return;
         }
-        Segment.Items items = new Segment.Items();
-        int itemBytes = items.ends(needed);
+        RecordBuilder items = new RecordBuilder();
+        int itemBytes = items.addTombstone(needed);
         writer.append(items);
         index.addTombstone(writer.active(), needed, itemBytes);
         copiedBytes += items.size();
@@ -269,8 +272,8 @@
 
     /** The retirement is recorded before the file is deleted, so that a file that vanishes without it is known to be lost. */
     private void retireVictim() throws IOException {
-        Segment.Items items = new Segment.Items();
-        items.retired(victim.number);
+        RecordBuilder items = new RecordBuilder();
+        items.addSegmentRetired(victim.number);
         writer.append(items);
         files.remove(victim);
         SegmentFile retired = victim;
--- a/storage/src/main/java/amberroute/storage/DataLoss.java
+++ b/storage/src/main/java/amberroute/storage/DataLoss.java
@@ -6,9 +6,9 @@
  * @param segment file name of the segment; its number in hexadecimal where the file is missing
  * @param damage the unreadable bytes; its {@code to} is 0 for a missing file
  */
-public record DataLoss(String segment, Segment.Damage damage) {
+public record DataLoss(String segment, DamagedRange damage) {
     static DataLoss missingSegment(long number) {
-        return new DataLoss(String.format("%016x", number), new Segment.Damage(0, 0));
+        return new DataLoss(String.format("%016x", number), new DamagedRange(0, 0));
     }
 
     /** Returns whether the whole segment is missing. */
--- a/storage/src/main/java/amberroute/storage/Disk.java
+++ b/storage/src/main/java/amberroute/storage/Disk.java
@@ -6,41 +6,47 @@
 import java.util.List;
 
 /**
- * All that the storage asks of a folder. What was written but not forced may be lost, in any order, when power fails; when
- * only the process ends, what was written stays. A name is there after {@link #forceFolder()} for sure.
+ * The operations that a log needs of a folder. What was written but not forced may be lost, in any order, when power fails; it
+ * survives the end of the process. A name survives a loss of power after {@link #forceFolder()}.
  */
 public interface Disk {
-    /** Names of the files in the folder, in no order. */
+    /** Returns the names of the files in the folder, in no order. */
     List<String> list() throws IOException;
 
-    /** Opens a file for writing, or begins an empty one. */
+    /** Opens a file for writing, a new and empty one where there is none. The caller closes it. */
     Handle open(String name) throws IOException;
 
-    /** Opens a file that is there, and never changes it. */
+    /** Opens an existing file for reading only. The caller closes it. */
     Handle read(String name) throws IOException;
 
-    /** Replaces {@code to} in one step. */
+    /** Renames a file, and replaces {@code to} in one step. */
     void rename(String from, String to) throws IOException;
 
-    /** Nothing is done where it is gone already. */
+    /** Deletes a file; does nothing where there is none. */
     void delete(String name) throws IOException;
 
-    /** Names that were made, replaced or deleted outlast a loss of power from here on. */
+    /** Makes the names that were created, replaced or deleted survive a loss of power. Slow; may be called on any thread. */
     void forceFolder() throws IOException;
 
     /** One open file. */
     interface Handle extends Closeable {
+        /** Returns the size in bytes. */
         long size() throws IOException;
 
-        /** Reads up to the buffer's room from a place; -1 at the end. */
+        /** Reads up to the buffer's room from an offset; returns the bytes read, -1 at the end. */
         int read(long at, ByteBuffer into) throws IOException;
 
-        /** Writes at the end; fewer bytes than asked for, or an error behind some of them, are to be expected. */
+        /** Appends to the file and returns the bytes written: fewer than asked for, or an error behind some of them, may come. */
         int append(ByteBuffer from) throws IOException;
 
+        /** Cuts the file to a size in bytes. */
         void truncate(long size) throws IOException;
 
-        /** What was written outlasts a loss of power from here on. After an error that is unknown for good. */
+        /**
+         * Makes what was written survive a loss of power. Slow; may be called on any thread.
+         *
+         * @throws IOException where that failed: what the disk has is unknown from then on, a second call does not tell
+         */
         void force() throws IOException;
     }
 }
--- a/storage/src/main/java/amberroute/storage/FolderDisk.java
+++ b/storage/src/main/java/amberroute/storage/FolderDisk.java
@@ -10,11 +10,15 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A real folder. */
+/** A folder of the file system. Each operation is one or two system calls. */
 public final class FolderDisk implements Disk {
     private final Path folder;
 
-    /** Makes the folder where it is not there. */
+    /**
+     * Creates the folder where there is none.
+     *
+     * @throws IOException where that fails
+     */
     public FolderDisk(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
@@ -57,7 +61,7 @@
         }
     }
 
-    /** Its end is kept, so that an append is one call to the system. */
+    /** Remembers the end of the file, so that an append is one system call. */
     private static final class File implements Handle {
         private final FileChannel channel;
         private long end;
--- a/storage/src/main/java/amberroute/storage/LiveContentReading.java
+++ b/storage/src/main/java/amberroute/storage/LiveContentReading.java
@@ -84,29 +84,31 @@
     }
 
     private void readFile(SegmentFile segment) throws IOException {
-        Segment.read(files.load(segment, Long.MAX_VALUE), segment.salt, new Segment.Visitor() {
+        SegmentReader.read(files.load(segment, Long.MAX_VALUE), segment.salt, new SegmentVisitor() {
             private long recordOffset;
 
             @Override
-            public void record(long at, long sequence) {
-                recordOffset = at;
+            public void record(long offset, long sequence) {
+                recordOffset = offset;
             }
 
             @Override
-            public void put(
-                    long owner, int kind, boolean sole, long version, byte[] bytes, int at, int length, int size)
+            public void content(
+                    long owner,
+                    int kind,
+                    boolean exclusive,
+                    long version,
+                    byte[] bytes,
+                    int offset,
+                    int lengthBytes,
+                    int itemBytes)
                     throws IOException {
-                if (isLive(segment, owner, kind, recordOffset, at)) {
-                    reader.content(
-                            owner,
-                            kind,
-                            version,
-                            ByteBuffer.wrap(bytes, at, length).slice());
+                if (isLive(segment, owner, kind, recordOffset, offset)) {
+                    ByteBuffer content =
+                            ByteBuffer.wrap(bytes, offset, lengthBytes).slice();
+                    reader.content(owner, kind, version, content);
                 }
             }
-
-            @Override
-            public void ends(List<Long> deleted, int size) {}
         });
     }
 
--- a/storage/src/main/java/amberroute/storage/LogFiles.java
+++ b/storage/src/main/java/amberroute/storage/LogFiles.java
@@ -48,7 +48,7 @@
     /** Reads a segment's file, at most so many bytes. */
     byte[] load(SegmentFile segment, long maxBytes) throws IOException {
         try (Disk.Handle handle = disk.read(segment.name)) {
-            return Segment.load(handle, maxBytes);
+            return SegmentReader.load(handle, maxBytes);
         }
     }
 
--- a/storage/src/main/java/amberroute/storage/LogRecovery.java
+++ b/storage/src/main/java/amberroute/storage/LogRecovery.java
@@ -82,13 +82,16 @@
     private void readHeader(SegmentFile segment) throws IOException {
         try (Disk.Handle handle = files.disk.read(segment.name)) {
             segment.setBytes(handle.size());
-            Segment.Head head = Segment.read(Segment.load(handle, Segment.HEAD), segment.salt, Segment.IGNORE_ITEMS)
-                    .head();
-            if (head.whole() && head.previousNumber() >= 0) {
-                endRecorders.put(head.previousNumber(), segment);
-                recordedEnds.put(head.previousNumber(), head.previousEnd());
+            SegmentHeader header = SegmentReader.read(
+                            SegmentReader.load(handle, SegmentFormat.HEADER_BYTES),
+                            segment.salt,
+                            SegmentVisitor.IGNORE_ITEMS)
+                    .header();
+            if (header.whole() && header.previousNumber() >= 0) {
+                endRecorders.put(header.previousNumber(), segment);
+                recordedEnds.put(header.previousNumber(), header.previousEnd());
             }
-            index.reserveOwnersBelow(head.owners());
+            index.reserveOwnersBelow(header.firstFreeOwner());
         }
     }
 
@@ -98,19 +101,19 @@
             endRecorders.get(segment.number).endRecordedHere = segment;
         }
         byte[] all = files.load(segment, end);
-        Segment.Summary summary = Segment.read(all, segment.salt, new IndexingVisitor(segment));
+        SegmentSummary summary = SegmentReader.read(all, segment.salt, new IndexingVisitor(segment));
         summary.damages().forEach(damage -> losses.add(new DataLoss(segment.name, damage)));
-        boolean headDamaged = !summary.head().whole() && summary.records() > 0;
-        segment.damaged = !summary.damages().isEmpty() || headDamaged;
-        if (headDamaged) {
-            losses.add(new DataLoss(segment.name, new Segment.Damage(0, Segment.HEAD)));
+        boolean headerDamaged = !summary.header().whole() && summary.records() > 0;
+        segment.damaged = !summary.damages().isEmpty() || headerDamaged;
+        if (headerDamaged) {
+            losses.add(new DataLoss(segment.name, new DamagedRange(0, SegmentFormat.HEADER_BYTES)));
         }
-        tornBytes += summary.nothing() ? segment.bytes() : summary.tail();
+        tornBytes += summary.neverBegun() ? segment.bytes() : summary.tornBytes();
         files.cache.add(segment, all);
     }
 
     /** Adds the items of one segment to the index. */
-    private final class IndexingVisitor implements Segment.Visitor {
+    private final class IndexingVisitor implements SegmentVisitor {
         private final SegmentFile segment;
         private long recordOffset;
 
@@ -119,29 +122,37 @@
         }
 
         @Override
-        public void record(long at, long sequence) {
-            recordOffset = at;
+        public void record(long offset, long sequence) {
+            recordOffset = offset;
             lastSequence = Math.max(lastSequence, sequence);
         }
 
         @Override
-        public void put(long owner, int kind, boolean sole, long version, byte[] bytes, int at, int length, int size) {
-            index.addContent(segment, owner, kind, sole, version, recordOffset, at, length, size);
+        public void content(
+                long owner,
+                int kind,
+                boolean exclusive,
+                long version,
+                byte[] bytes,
+                int offset,
+                int lengthBytes,
+                int itemBytes) {
+            index.addContent(segment, owner, kind, exclusive, version, recordOffset, offset, lengthBytes, itemBytes);
         }
 
         @Override
-        public void ends(List<Long> deleted, int size) {
-            index.recoverTombstone(segment, deleted, size);
+        public void tombstone(List<Long> deleted, int itemBytes) {
+            index.recoverTombstone(segment, deleted, itemBytes);
         }
 
         @Override
-        public void parts(List<Long> numbers) {
+        public void segmentList(List<Long> numbers) {
             listed.clear();
             listed.addAll(numbers);
         }
 
         @Override
-        public void retired(long number) {
+        public void segmentRetired(long number) {
             listed.remove(number);
         }
     }
--- /dev/null
+++ b/storage/src/main/java/amberroute/storage/SegmentFormat.java
@@ -0,0 +1,84 @@
+package amberroute.storage;
+
+import java.nio.ByteBuffer;
+import java.util.zip.CRC32C;
+
+/**
+ * The byte layout of a segment: a header and records of items. Numbers are big-endian; a varint has seven bits a byte, the lowest
+ * first.
+ *
+ * <pre>
+ * header   magic:long formatVersion:short 0:short number:long previousNumber:long previousEnd:long firstFreeOwner:long
+ *          checksum:int (CRC32C of all before it)
+ * record   marker:int contentBytes:int sequence:long checksum:int (CRC32C of the salt, the frame before it and the items) item...
+ * item     kind:byte (1 to 63, plus 64 where exclusive) owner:varint version:varint length:varint content
+ *          0:byte  count:varint owner:varint...     tombstone of deleted owners
+ *          -1:byte count:varint segment:varint...   all segments, in the first record
+ *          -2:byte 1:varint segment:varint          a segment that is about to be deleted
+ * </pre>
+ *
+ * <p>The salt is in the file's name. Content from outside could otherwise imitate a record where one is searched behind damage.
+ */
+final class SegmentFormat {
+    static final int HEADER_BYTES = 48;
+    /** Bytes of a record before its items. */
+    static final int FRAME_BYTES = 20;
+    /** Bound of a record's items. */
+    static final int MAX_CONTENT_BYTES = 1 << 18;
+
+    static final long MAGIC = 0x414d4252_5345474dL;
+    static final short FORMAT_VERSION = 1;
+    static final int RECORD_MARKER = 0x5245_4331;
+    static final int LENGTH_OFFSET = 4;
+    static final int SEQUENCE_OFFSET = 8;
+    static final int CHECKSUM_OFFSET = FRAME_BYTES - Integer.BYTES;
+
+    /** The highest kind of a content. */
+    static final int MAX_KIND = 63;
+
+    static final int EXCLUSIVE_FLAG = 64;
+    static final int TOMBSTONE_ITEM = 0;
+    static final int SEGMENT_LIST_ITEM = -1;
+    static final int SEGMENT_RETIRED_ITEM = -2;
+    static final int MAX_VARINT_BYTES = 10;
+    private static final int VARINT_BITS = 7;
+    private static final int VARINT_MASK = 0x7f;
+    private static final int VARINT_CONTINUES = 0x80;
+
+    private SegmentFormat() {}
+
+    /** Returns the checksum of the record at this offset, over the frame without its checksum and the items. */
+    static int checksum(long salt, byte[] bytes, int offset, int contentBytes) {
+        CRC32C crc = new CRC32C();
+        byte[] saltBytes = new byte[Long.BYTES];
+        ByteBuffer.wrap(saltBytes).putLong(salt);
+        crc.update(saltBytes, 0, Long.BYTES);
+        crc.update(bytes, offset, CHECKSUM_OFFSET);
+        crc.update(bytes, offset + FRAME_BYTES, contentBytes);
+        return (int) crc.getValue();
+    }
+
+    static long readVarint(ByteBuffer in) {
+        long value = 0;
+        for (int shift = 0; shift < Long.SIZE; shift += VARINT_BITS) {
+            byte next = in.get();
+            value |= (long) (next & VARINT_MASK) << shift;
+            if (next >= 0) {
+                break;
+            }
+        }
+        return value;
+    }
+
+    /** Writes a number at an offset, which has {@link #MAX_VARINT_BYTES} of room; returns the offset behind it. */
+    static int writeVarint(long value, byte[] bytes, int offset) {
+        int end = offset;
+        long rest = value;
+        while ((rest & ~(long) VARINT_MASK) != 0) {
+            bytes[end++] = (byte) (rest & VARINT_MASK | VARINT_CONTINUES);
+            rest >>>= VARINT_BITS;
+        }
+        bytes[end++] = (byte) rest;
+        return end;
+    }
+}
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -104,7 +104,7 @@
         if (batch.isEmpty()) {
             return writer.sequence();
         }
-        Segment.Items items = new Segment.Items();
+        RecordBuilder items = new RecordBuilder();
         // A segment that is begun for this batch takes a sequence number too: the contents keep the version in the
         // items.
         long version = writer.sequence() + 1;
@@ -112,11 +112,11 @@
         List<Long> deleted = batch.deletedOwners.stream()
                 .filter(owner -> needsTombstone(owner, batch))
                 .toList();
-        int tombstoneBytes = deleted.isEmpty() ? 0 : items.ends(deleted);
+        int tombstoneBytes = deleted.isEmpty() ? 0 : items.addTombstone(deleted);
         if (items.size() == 0) {
             return writer.sequence();
         }
-        makeRoom(items.size() + Segment.FRAME);
+        makeRoom(items.size() + SegmentFormat.FRAME_BYTES);
         long recordOffset = writer.append(items);
         indexContents(batch, positions, version, recordOffset);
         if (!deleted.isEmpty()) {
@@ -125,14 +125,14 @@
         return writer.sequence();
     }
 
-    private List<ItemPosition> putItems(Segment.Items items, Batch batch, long version) {
+    private List<ItemPosition> putItems(RecordBuilder items, Batch batch, long version) {
         List<ItemPosition> positions = new ArrayList<>();
         for (Batch.Put put : batch.puts) {
             OwnerContents known = index.find(put.owner());
             if (!put.exclusive() && known != null && known.exclusiveVersion > 0) {
                 throw new IllegalArgumentException("owner " + put.owner() + " has an exclusive content");
             }
-            int itemBytes = items.put(put.owner(), put.kind(), put.exclusive(), version, put.content());
+            int itemBytes = items.addContent(put.owner(), put.kind(), put.exclusive(), version, put.content());
             positions.add(new ItemPosition(items.size() - put.content().length, itemBytes));
         }
         return positions;
@@ -153,7 +153,7 @@
                     put.exclusive(),
                     version,
                     recordOffset,
-                    recordOffset + Segment.FRAME + positions.get(i).offset(),
+                    recordOffset + SegmentFormat.FRAME_BYTES + positions.get(i).offset(),
                     put.content().length,
                     positions.get(i).itemBytes());
         }
@@ -162,7 +162,7 @@
     /** Compacts until so many bytes fit beside the segment that compaction itself needs. */
     private void makeRoom(long bytes) throws IOException {
         LogLimits limits = files.limits;
-        if (bytes + 2 * Segment.HEAD > limits.segmentBytes()) {
+        if (bytes + 2 * SegmentFormat.HEADER_BYTES > limits.segmentBytes()) {
             throw LogFullException.batchExceedsSegment(bytes, limits.segmentBytes());
         }
         long needed =
@@ -189,7 +189,8 @@
         LogLimits limits = files.limits;
         return WORKING_SEGMENTS * limits.segmentBytes()
                 + limits.reserveBytes()
-                + (limits.budgetBytes() / limits.segmentBytes() + 2) * (SegmentTotals.BLOCK_BYTES + 2 * Segment.HEAD)
+                + (limits.budgetBytes() / limits.segmentBytes() + 2)
+                        * (SegmentTotals.BLOCK_BYTES + 2 * SegmentFormat.HEADER_BYTES)
                 + DamagedFiles.MAX_FILES * (long) SegmentTotals.BLOCK_BYTES
                 + (long) (limits.budgetBytes() * (1 - Compactor.MAX_LIVE_RATIO));
     }
--- /dev/null
+++ b/storage/src/main/java/amberroute/storage/SegmentVisitor.java
@@ -0,0 +1,41 @@
+package amberroute.storage;
+
+import java.io.IOException;
+import java.util.List;
+
+/** Takes what a segment contains, in its order. Errors end the reading. */
+interface SegmentVisitor {
+    /** Ignores everything. */
+    SegmentVisitor IGNORE_ITEMS = new SegmentVisitor() {};
+
+    /** Takes the offset and the sequence number of a record; its items follow. */
+    default void record(long offset, long sequence) throws IOException {}
+
+    /**
+     * Takes a content.
+     *
+     * @param bytes bytes of the segment
+     * @param offset of the content in them
+     * @param lengthBytes length of the content
+     * @param itemBytes length with the item's own head
+     */
+    default void content(
+            long owner,
+            int kind,
+            boolean exclusive,
+            long version,
+            byte[] bytes,
+            int offset,
+            int lengthBytes,
+            int itemBytes)
+            throws IOException {}
+
+    /** Takes a list of deleted owners. */
+    default void tombstone(List<Long> owners, int itemBytes) throws IOException {}
+
+    /** Takes the numbers of all segments as of when this one was begun. */
+    default void segmentList(List<Long> numbers) throws IOException {}
+
+    /** Takes the number of a segment that was about to be deleted. */
+    default void segmentRetired(long number) throws IOException {}
+}
--- a/storage/src/main/java/amberroute/storage/SegmentWriter.java
+++ b/storage/src/main/java/amberroute/storage/SegmentWriter.java
@@ -75,7 +75,7 @@
      *
      * @throws IOException where the disk does not take it; then nothing has changed but perhaps the active segment
      */
-    long append(Segment.Items items) throws IOException {
+    long append(RecordBuilder items) throws IOException {
         if (readOnly) {
             throw new IOException("opened for looking only");
         }
@@ -89,8 +89,8 @@
         }
     }
 
-    private long appendOnce(Segment.Items items) throws IOException {
-        int bytes = Segment.FRAME + items.size();
+    private long appendOnce(RecordBuilder items) throws IOException {
+        int bytes = SegmentFormat.FRAME_BYTES + items.size();
         if (handle == null || uncertain || exceedsSegment(bytes)) {
             beginSegment();
         }
@@ -107,7 +107,7 @@
     }
 
     private boolean exceedsSegment(int bytes) {
-        return active.bytes() + bytes > files.limits.segmentBytes() && active.bytes() > 2 * Segment.HEAD;
+        return active.bytes() + bytes > files.limits.segmentBytes() && active.bytes() > 2 * SegmentFormat.HEADER_BYTES;
     }
 
     /** Writes all of a buffer; a write of nothing is an error, or this would never end. */
@@ -182,12 +182,12 @@
 
     /** Writes the header and the list of segments, so that recovery finds out about a missing one. */
     private void writeStart(SegmentFile next, Disk.Handle nextHandle) throws IOException {
-        writeFully(nextHandle, Segment.head(next.number, previousNumber, previousEnd, index.firstFreeOwner()));
-        next.setBytes(Segment.HEAD);
-        Segment.Items list = new Segment.Items();
+        writeFully(nextHandle, SegmentHeader.encode(next.number, previousNumber, previousEnd, index.firstFreeOwner()));
+        next.setBytes(SegmentFormat.HEADER_BYTES);
+        RecordBuilder list = new RecordBuilder();
         List<Long> numbers = new ArrayList<>(files.segments.keySet());
         numbers.add(next.number);
-        list.parts(numbers);
+        list.addSegmentList(numbers);
         ByteBuffer frame = list.frame(next.salt, sequence + 1);
         next.setBytes(next.bytes() + frame.remaining());
         writeFully(nextHandle, frame);
--- a/storage/src/main/java/amberroute/storage/SimulatedDisk.java
+++ b/storage/src/main/java/amberroute/storage/SimulatedDisk.java
@@ -11,28 +11,35 @@
 import java.util.TreeMap;
 
 /**
- * For tests and rigs: a disk in memory that dies, fails or fills up at an operation chosen by its number; how much of a write still lands is
- * drawn from a seed, so a run can be played again exactly. It remembers what was forced, and {@link #powerFails} loses the rest,
- * names and bytes each on their own.
+ * A disk in memory, for tests and experiments. It kills the process, fails or fills up at an operation chosen by its number. How
+ * much of a write lands is drawn from a seed, so a run can be repeated exactly. It records what was forced, and {@link
+ * #powerFails} loses the rest, each name and each file's end on its own. Not thread-safe.
  */
 public final class SimulatedDisk implements Disk {
-    /** The process was killed here: nothing more is done by it. */
+    /** The simulated process was killed: it must not do anything more. */
     public static final class Killed extends Error {
         private static final long serialVersionUID = 1;
     }
 
-    /** What happens at the chosen operation; the last ones only where that is a force, or a write of any kind. */
+    /** What happens at the chosen operation. */
     public enum Fault {
+        /** Nothing. */
         NONE,
+        /** The process dies; a write lands in part. */
         KILL,
+        /** One operation fails. */
         FAIL,
+        /** One operation fails, and truncating does too from then on. */
         FAIL_AND_TRUNCATE_FAILS,
+        /** Writes fail from then on for want of room. */
         FULL,
+        /** All changes fail from then on. */
         READ_ONLY,
+        /** Forces fail from then on. */
         FAIL_FORCES
     }
 
-    /** One file's bytes; a name that goes and comes is another file. */
+    /** One file's bytes; a name that is deleted and created again is another file. */
     private static final class Content {
         byte[] bytes = {};
         byte[] forced = {};
@@ -45,65 +52,65 @@
     private long faultAt;
     private long until = Long.MAX_VALUE;
     private long operations;
-    private boolean dead;
-    /** All files together have room for so many bytes. */
-    private long capacity = Long.MAX_VALUE;
+    private boolean killed;
+    /** Room for all files together, in bytes. */
+    private long capacityBytes = Long.MAX_VALUE;
 
-    private long most;
+    private long maxUsedBytes;
 
-    /** The next process on this disk, with its own fault. */
+    /** Begins the next process on this disk. The fault comes at the operation with this number, the first one being 1. */
     public void restart(long seed, Fault next, long at) {
         random = new SplittableRandom(seed);
         fault = next;
         faultAt = at;
         until = Long.MAX_VALUE;
         operations = 0;
-        dead = false;
+        killed = false;
     }
 
-    /** The fault, where it lasts, is over from this operation on. */
+    /** Ends a fault that lasts before the operation with this number. */
     public void until(long operation) {
         until = operation;
     }
 
-    /** All files together get room for so many bytes. */
+    /** Bounds all files together, in bytes, each counted in whole blocks. */
     public void capacity(long bytes) {
-        capacity = bytes;
+        capacityBytes = bytes;
     }
 
-    /** The largest sum of all files so far, each in whole blocks of 512 bytes. */
+    /** Returns the largest sum of all files so far, in bytes of whole blocks. */
     public long most() {
-        return most;
+        return maxUsedBytes;
     }
 
-    /** Operations of this process so far. */
+    /** Returns the operations of this process so far. */
     public long operations() {
         return operations;
     }
 
-    /** A file's bytes, as they are now. */
+    /** Returns a file's bytes as they are now. */
     public byte[] bytes(String name) {
         return files.get(name).bytes;
     }
 
-    /** Makes or replaces a file behind the process's back. */
+    /** Creates or replaces a file without the process. */
     public void put(String name, byte[] bytes) {
         files.computeIfAbsent(name, n -> new Content()).bytes = bytes;
     }
 
-    /** A file vanishes behind the process's back. */
+    /** Deletes a file without the process. */
     public void remove(String name) {
         files.remove(name);
     }
 
-    /** The names that are there, without counting as an operation. */
+    /** Returns the names of all files; not counted as an operation. */
     public List<String> names() {
         return List.copyOf(files.keySet());
     }
 
     /**
-     * What was not forced is lost or not, each name and each file's end as the seed has it: a name that was made may be gone,
-     * one that was deleted may be back, and a file has at least what was forced of it.
+     * Loses some of what was not forced, drawn from the seed: a name that was created may be missing, one that was deleted may be
+     * there again, and a file has at least what was forced of it.
      */
     public void powerFails(long seed) {
         SplittableRandom draw = new SplittableRandom(seed);
@@ -119,13 +126,13 @@
             }
         });
         for (Content content : after.values()) {
-            int kept = Math.min(content.forced.length, content.bytes.length);
-            int length = kept + draw.nextInt(content.bytes.length - kept + 1);
+            int forced = Math.min(content.forced.length, content.bytes.length);
+            int length = forced + draw.nextInt(content.bytes.length - forced + 1);
             byte[] bytes = Arrays.copyOf(content.bytes, length);
-            System.arraycopy(content.forced, 0, bytes, 0, kept);
-            if (length > kept && draw.nextBoolean()) {
+            System.arraycopy(content.forced, 0, bytes, 0, forced);
+            if (length > forced && draw.nextBoolean()) {
                 // A block that was never written behind one that was.
-                Arrays.fill(bytes, kept, kept + draw.nextInt(length - kept + 1), (byte) 0);
+                Arrays.fill(bytes, forced, forced + draw.nextInt(length - forced + 1), (byte) 0);
             }
             content.bytes = bytes;
             content.forced = bytes;
@@ -134,35 +141,36 @@
         forcedNames = new HashMap<>(after);
     }
 
-    private boolean lasting() {
+    private boolean faultLasts() {
         return fault == Fault.FULL || fault == Fault.READ_ONLY || fault == Fault.FAIL_FORCES;
     }
 
     /** Whether the fault strikes now. */
     private boolean strikes() {
-        if (dead) {
+        if (killed) {
             throw new Killed();
         }
         operations++;
-        return fault != Fault.NONE && (lasting() ? operations >= faultAt && operations < until : operations == faultAt);
+        return fault != Fault.NONE
+                && (faultLasts() ? operations >= faultAt && operations < until : operations == faultAt);
     }
 
-    private void simple(boolean changes) throws IOException {
+    private void operate(boolean changes) throws IOException {
         boolean struck = strikes();
         if (struck && (fault == Fault.READ_ONLY ? changes : fault != Fault.FULL && fault != Fault.FAIL_FORCES)) {
-            die();
+            killIfAsked();
             throw new IOException(fault == Fault.READ_ONLY ? "read-only file system" : "input/output error");
         }
     }
 
-    private void die() {
+    private void killIfAsked() {
         if (fault == Fault.KILL) {
-            dead = true;
+            killed = true;
             throw new Killed();
         }
     }
 
-    private Content there(String name) throws IOException {
+    private Content contentOf(String name) throws IOException {
         Content content = files.get(name);
         if (content == null) {
             throw new IOException("no such file: " + name);
@@ -170,40 +178,40 @@
         return content;
     }
 
-    private long size() {
+    private long usedBytes() {
         return files.values().stream()
-                .mapToLong(f -> (f.bytes.length + 511) / 512 * 512)
+                .mapToLong(f -> SegmentTotals.roundUp(f.bytes.length))
                 .sum();
     }
 
     @Override
     public List<String> list() throws IOException {
-        simple(false);
+        operate(false);
         return new ArrayList<>(files.keySet());
     }
 
     @Override
     public Handle open(String name) throws IOException {
-        simple(true);
+        operate(true);
         return new File(files.computeIfAbsent(name, n -> new Content()));
     }
 
     @Override
     public Handle read(String name) throws IOException {
-        simple(false);
-        return new File(there(name));
+        operate(false);
+        return new File(contentOf(name));
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        simple(true);
-        files.put(to, there(from));
+        operate(true);
+        files.put(to, contentOf(from));
         files.remove(from);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        simple(true);
+        operate(true);
         files.remove(name);
     }
 
@@ -214,7 +222,7 @@
 
     private void force(Runnable done) throws IOException {
         if (strikes() && fault != Fault.FULL && fault != Fault.READ_ONLY) {
-            die();
+            killIfAsked();
             throw new IOException("input/output error");
         }
         done.run();
@@ -246,23 +254,16 @@
         @Override
         public int append(ByteBuffer from) throws IOException {
             boolean struck = strikes() && fault != Fault.FAIL_FORCES;
-            long room = capacity - SimulatedDisk.this.size() - 511;
+            long room = capacityBytes - SimulatedDisk.this.usedBytes() - (SegmentTotals.BLOCK_BYTES - 1);
             boolean full = from.remaining() > room;
-            // The kernel may take a part at a time as well.
-            int n = struck && fault == Fault.READ_ONLY
-                    ? 0
-                    : struck
-                            ? random.nextInt(from.remaining() + 1)
-                            : full
-                                    ? (int) Math.max(0, Math.min(from.remaining(), room))
-                                    : random.nextInt(4) == 0 ? 1 + random.nextInt(from.remaining()) : from.remaining();
+            int n = landedBytes(from.remaining(), struck, full, room);
             byte[] before = content.bytes;
             byte[] after = Arrays.copyOf(before, before.length + n);
             from.get(after, before.length, n);
             content.bytes = after;
-            most = Math.max(most, SimulatedDisk.this.size());
+            maxUsedBytes = Math.max(maxUsedBytes, SimulatedDisk.this.usedBytes());
             if (struck) {
-                die();
+                killIfAsked();
                 throw new IOException(fault == Fault.FULL ? "no space left on device" : "input/output error");
             }
             if (full && n == 0) {
@@ -271,9 +272,20 @@
             return n;
         }
 
+        private int landedBytes(int asked, boolean struck, boolean full, long room) {
+            if (struck) {
+                return fault == Fault.READ_ONLY ? 0 : random.nextInt(asked + 1);
+            }
+            if (full) {
+                return (int) Math.max(0, Math.min(asked, room));
+            }
+            // A write may take a part of the bytes without an error.
+            return random.nextInt(4) == 0 ? 1 + random.nextInt(asked) : asked;
+        }
+
         @Override
         public void truncate(long size) throws IOException {
-            simple(true);
+            operate(true);
             if (fault == Fault.FAIL_AND_TRUNCATE_FAILS && operations > faultAt) {
                 throw new IOException("input/output error");
             }
--- a/storage/src/test/java/amberroute/storage/SegmentLogTest.java
+++ b/storage/src/test/java/amberroute/storage/SegmentLogTest.java
@@ -268,8 +268,8 @@
     void contentThatLooksLikeARecordIsNone() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
         SegmentLog log = open(disk, 1);
-        Segment.Items items = new Segment.Items();
-        items.put(77, 1, false, 5, new byte[5]);
+        RecordBuilder items = new RecordBuilder();
+        items.addContent(77, 1, false, 5, new byte[5]);
         ByteBuffer frame = items.frame(9, 77);
         byte[] forged = new byte[frame.remaining()];
         frame.get(forged);
@@ -277,7 +277,7 @@
         log.write(new Batch().put(log.nextOwner(), 1, new byte[] {4}));
         String name = disk.names().get(0);
         byte[] bad = disk.bytes(name).clone();
-        int first = Segment.HEAD + Segment.FRAME + 3;
+        int first = SegmentFormat.HEADER_BYTES + SegmentFormat.FRAME_BYTES + 3;
         bad[first + 5] ^= 1;
         disk.put(name, bad);
         assertEquals(List.of(2L), List.copyOf(read(disk).keySet()));
@@ -292,12 +292,12 @@
         String name = disk.names().get(0);
         byte[] bytes = disk.bytes(name).clone();
         ByteBuffer newer = ByteBuffer.wrap(bytes);
-        newer.putShort(8, (short) (Segment.VERSION + 1));
+        newer.putShort(8, (short) (SegmentFormat.FORMAT_VERSION + 1));
         CRC32C crc = new CRC32C();
-        crc.update(bytes, 0, Segment.HEAD - 4);
-        newer.putInt(Segment.HEAD - 4, (int) crc.getValue());
+        crc.update(bytes, 0, SegmentFormat.HEADER_BYTES - 4);
+        newer.putInt(SegmentFormat.HEADER_BYTES - 4, (int) crc.getValue());
         disk.put(name, bytes);
-        assertThrows(Segment.UnsupportedFormatException.class, () -> open(disk, 2));
+        assertThrows(UnsupportedFormatException.class, () -> open(disk, 2));
         assertArrayEquals(bytes, disk.bytes(name));
         assertEquals(List.of(name), disk.names());
     }
