--- a/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
@@ -54,7 +54,8 @@
             return false;
         }
         Batch forgotten = new Batch();
-        given.forEach(message -> contents.complete(message).forEach(forgotten::delete));
+        given.forEach(message ->
+                contents.complete(message, contents.completedRecord(message)).forEach(forgotten::delete));
         // Where the disk does not take this, their ids are remembered for longer.
         writer.write(forgotten);
         contents.putHandoffBatch(name, record);
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -364,8 +364,9 @@
     /** Completes a message: it was delivered, or its notice was answered. Its id is remembered for a while. */
     public void conclude(AcceptedMessage message) {
         if (contents.isPending(message)) {
-            Batch batch = MessageRecords.putCompleted(new Batch(), message.number, contents.completedRecord(message));
-            contents.complete(message).forEach(batch::delete);
+            CompletedRecord record = contents.completedRecord(message);
+            Batch batch = MessageRecords.putCompleted(new Batch(), message.number, record);
+            contents.complete(message, record).forEach(batch::delete);
             writer.writeEventually(message.number, batch, PendingWrites.NO_EFFECT);
         }
     }
--- a/sender/src/main/java/amberroute/sender/journal/JournalContents.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalContents.java
@@ -89,11 +89,11 @@
     }
 
     /** Leaves only the id of a message; returns the numbers of completed messages that are forgotten for it. */
-    List<Long> complete(AcceptedMessage message) {
+    List<Long> complete(AcceptedMessage message, CompletedRecord record) {
         pending.remove(message.number);
         pendingIds.remove(message.id);
         space.release(RecordSizes.of(message));
-        return addCompleted(message.number, completedRecord(message));
+        return addCompleted(message.number, record);
     }
 
     /** Returns the numbers of completed messages that are forgotten for this one. */
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -109,9 +109,7 @@
         // items.
         long version = writer.sequence() + 1;
         List<ItemPosition> positions = putItems(items, batch, version);
-        List<Long> deleted = batch.deletedOwners.stream()
-                .filter(owner -> needsTombstone(owner, batch))
-                .toList();
+        List<Long> deleted = deletionsToRecord(batch);
         int tombstoneBytes = deleted.isEmpty() ? 0 : items.addTombstone(deleted);
         if (items.size() == 0) {
             return writer.sequence();
@@ -138,9 +136,19 @@
         return positions;
     }
 
-    private boolean needsTombstone(long owner, Batch batch) {
+    /** Returns the deleted owners of which there is anything to delete. */
+    private List<Long> deletionsToRecord(Batch batch) {
+        if (batch.deletedOwners.isEmpty()) {
+            return List.of();
+        }
+        return batch.deletedOwners.stream()
+                .filter(owner -> isStored(owner) || batch.puts.stream().anyMatch(put -> put.owner() == owner))
+                .toList();
+    }
+
+    private boolean isStored(long owner) {
         OwnerContents known = index.find(owner);
-        return known != null && !known.deleted || batch.puts.stream().anyMatch(put -> put.owner() == owner);
+        return known != null && !known.deleted;
     }
 
     private void indexContents(Batch batch, List<ItemPosition> positions, long version, long recordOffset) {
