--- a/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -4,6 +4,7 @@
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
 import amberroute.sender.util.Backoff;
 import amberroute.sender.util.Log;
 import amberroute.storage.Batch;
@@ -41,7 +42,7 @@
  * <p>What waits for a holder is bounded by {@value #MOST_PENDING} bytes, beyond which its connection is closed and it gets
  * the whole again; effects that wait are bounded by what is held. Lives on the event loop.
  */
-public final class JournalReplicator implements Journal.ChangeListener {
+public final class JournalReplicator implements JournalChangeListener {
     /** Encoded bytes in one line, so that with a last batch, of a lot at most, it stays within what a peer reads. */
     private static final int LINE_BYTES = 64 << 10;
 
--- a/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -201,11 +201,7 @@
         Path folder = folder();
         Deque<Runnable> due = new ArrayDeque<>();
         Journal journal = Journal.open(
-                folder,
-                new amberroute.storage.FolderDisk(folder),
-                64 << 20,
-                durability,
-                new Journal.BackgroundExecutor() {
+                folder, new amberroute.storage.FolderDisk(folder), 64 << 20, durability, new BackgroundExecutor() {
                     @Override
                     public void runInBackground(Runnable work, Runnable then) {
                         work.run();
--- a/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -24,7 +24,7 @@
     private static final long BUDGET = 600_000;
 
     /** Runs what is due when a test says so: forces take their time. */
-    private static final class Steps implements Journal.BackgroundExecutor {
+    private static final class Steps implements BackgroundExecutor {
         final Deque<Runnable> due = new ArrayDeque<>();
         int forces;
 
@@ -198,7 +198,7 @@
         SimulatedDisk disk = new SimulatedDisk();
         List<Thread> threads = new ArrayList<>();
         List<Runnable> then = new ArrayList<>();
-        Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, new Journal.BackgroundExecutor() {
+        Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, new BackgroundExecutor() {
             @Override
             public void runInBackground(Runnable work, Runnable after) {
                 Thread thread = new Thread(work);
--- a/sender/src/test/java/amberroute/sender/journal/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -189,14 +189,14 @@
     void remembersAThousandOutages() throws IOException {
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             for (int i = 0; i < 1_500; i++) {
-                journal.recordHealth(new Journal.HealthRecord(
+                journal.recordHealth(new HealthRecord(
                         i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.UNAVAILABLE, i, 1, 2));
             }
         }
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             assertEquals(1_500, journal.healthRecords().size());
             for (int i = 0; i < 1_500; i++) {
-                journal.recordHealth(new Journal.HealthRecord(
+                journal.recordHealth(new HealthRecord(
                         5_000 + i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.UNAVAILABLE, i, 1, 2));
             }
             assertEquals(1_950, journal.healthRecords().size(), "they take their share of the disk, and no more");
--- a/storage/src/test/java/amberroute/storage/SegmentLogTest.java
+++ b/storage/src/test/java/amberroute/storage/SegmentLogTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SegmentLogTest {
-    private static final SegmentLog.Limits SMALL = new SegmentLog.Limits(80 * 4_096, 4_096, 0, false);
-    private static final SegmentLog.Limits SYNCED = new SegmentLog.Limits(80 * 4_096, 4_096, 0, true);
+    private static final LogLimits SMALL = new LogLimits(80 * 4_096, 4_096, 0, false);
+    private static final LogLimits SYNCED = new LogLimits(80 * 4_096, 4_096, 0, true);
 
     private static TreeMap<Long, byte[]> read(Disk disk) throws IOException {
         TreeMap<Long, byte[]> all = new TreeMap<>();
@@ -157,7 +157,7 @@
     void theBudgetHoldsWithFourFifthsOfItLive() throws Exception {
         for (long run = 0; run < 12; run++) {
             SimulatedDisk disk = new SimulatedDisk();
-            SegmentLog.Limits limits = SegmentLog.Limits.of(3 << 20, false);
+            LogLimits limits = LogLimits.of(3 << 20, false);
             SplittableRandom random = new SplittableRandom(run);
             SegmentLog log = SegmentLog.open(disk, limits, random::nextLong);
             List<Long> live = new ArrayList<>();
@@ -207,7 +207,7 @@
     @Test
     void slicesAreSmall() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
-        SegmentLog log = StorageScenario.normal(disk, new SegmentLog.Limits(64 << 20, 128 << 10, 0, false), 1);
+        SegmentLog log = StorageScenario.normal(disk, new LogLimits(64 << 20, 128 << 10, 0, false), 1);
         for (int i = 0; i < 4_000; i++) {
             log.write(new Batch().put(log.nextOwner(), 1, new byte[200]));
         }
@@ -227,7 +227,7 @@
     void aSpoiltByteCostsOneRecordOnly() throws Exception {
         SplittableRandom random = new SplittableRandom(3);
         SimulatedDisk disk = new SimulatedDisk();
-        SegmentLog.Limits one = new SegmentLog.Limits(4 << 20, 1 << 20, 0, false);
+        LogLimits one = new LogLimits(4 << 20, 1 << 20, 0, false);
         SegmentLog log = StorageScenario.normal(disk, one, 1);
         for (int i = 0; i < 200; i++) {
             byte[] content = new byte[random.nextInt(60)];
@@ -268,8 +268,8 @@
     void contentThatLooksLikeARecordIsNone() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
         SegmentLog log = open(disk, 1);
-        Segment.Items items = new Segment.Items();
-        items.put(77, 1, false, 5, new byte[5]);
+        RecordBuilder items = new RecordBuilder();
+        items.addContent(77, 1, false, 5, new byte[5]);
         ByteBuffer frame = items.frame(9, 77);
         byte[] forged = new byte[frame.remaining()];
         frame.get(forged);
@@ -277,7 +277,7 @@
         log.write(new Batch().put(log.nextOwner(), 1, new byte[] {4}));
         String name = disk.names().get(0);
         byte[] bad = disk.bytes(name).clone();
-        int first = Segment.HEAD + Segment.FRAME + 3;
+        int first = SegmentFormat.HEADER_BYTES + SegmentFormat.FRAME_BYTES + 3;
         bad[first + 5] ^= 1;
         disk.put(name, bad);
         assertEquals(List.of(2L), List.copyOf(read(disk).keySet()));
@@ -292,12 +292,12 @@
         String name = disk.names().get(0);
         byte[] bytes = disk.bytes(name).clone();
         ByteBuffer newer = ByteBuffer.wrap(bytes);
-        newer.putShort(8, (short) (Segment.VERSION + 1));
+        newer.putShort(8, (short) (SegmentFormat.FORMAT_VERSION + 1));
         CRC32C crc = new CRC32C();
-        crc.update(bytes, 0, Segment.HEAD - 4);
-        newer.putInt(Segment.HEAD - 4, (int) crc.getValue());
+        crc.update(bytes, 0, SegmentFormat.HEADER_BYTES - 4);
+        newer.putInt(SegmentFormat.HEADER_BYTES - 4, (int) crc.getValue());
         disk.put(name, bytes);
-        assertThrows(Segment.UnsupportedFormatException.class, () -> open(disk, 2));
+        assertThrows(UnsupportedFormatException.class, () -> open(disk, 2));
         assertArrayEquals(bytes, disk.bytes(name));
         assertEquals(List.of(name), disk.names());
     }
@@ -310,7 +310,7 @@
             for (int i = 0; i < 400; i++) {
                 log.write(new Batch().put(log.nextOwner(), 1, new byte[50]));
             }
-            SegmentLog.PendingForce force = log.prepareForce();
+            PendingForce force = log.prepareForce();
             force.run();
             log.forceCompleted(force, true);
             assertEquals(null, log.prepareForce());
--- a/storage/src/test/java/amberroute/storage/StorageScenario.java
+++ b/storage/src/test/java/amberroute/storage/StorageScenario.java
@@ -19,11 +19,11 @@
  */
 final class StorageScenario {
     interface Opener {
-        SegmentLog open(Disk disk, SegmentLog.Limits limits, long seed) throws IOException;
+        SegmentLog open(Disk disk, LogLimits limits, long seed) throws IOException;
     }
 
     final SimulatedDisk disk = new SimulatedDisk();
-    final SegmentLog.Limits limits;
+    final LogLimits limits;
     private final SplittableRandom random;
     private final Opener opener;
     /** What each owner has, by kind, as text; an owner that is over has no entry. */
@@ -40,14 +40,14 @@
     long written;
     long retired;
 
-    StorageScenario(SegmentLog.Limits limits, long seed, Opener opener) {
+    StorageScenario(LogLimits limits, long seed, Opener opener) {
         this.limits = limits;
         this.opener = opener;
         random = new SplittableRandom(seed);
         sinceForced.add(model);
     }
 
-    static SegmentLog normal(Disk disk, SegmentLog.Limits limits, long seed) throws IOException {
+    static SegmentLog normal(Disk disk, LogLimits limits, long seed) throws IOException {
         return SegmentLog.open(disk, limits, new SplittableRandom(seed)::nextLong);
     }
 
@@ -160,7 +160,7 @@
 
     /** Returns whether all that was written is on the disk for good. */
     boolean force() {
-        SegmentLog.PendingForce force = log.prepareForce();
+        PendingForce force = log.prepareForce();
         if (force == null) {
             return true;
         }
