--- a/sender/src/main/java/amberroute/sender/SchedulerActions.java
+++ b/sender/src/main/java/amberroute/sender/SchedulerActions.java
@@ -10,7 +10,7 @@
 import amberroute.sender.decision.SchedulerAction.SaveCheckpoint;
 import amberroute.sender.decision.SchedulerAction.ScheduleTimer;
 import amberroute.sender.discovery.EndpointWatch;
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.HealthRecord;
 import amberroute.sender.lifecycle.StateFolder;
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.sender.upstream.UpstreamClient;
@@ -88,7 +88,7 @@
     private void saveCheckpoint(DeliveryScheduler.HealthCheckpoint health) {
         fleet.healthFound(health.destination(), health.status(), health.sinceMicros());
         folder.journal()
-                .recordHealth(new Journal.HealthRecord(
+                .recordHealth(new HealthRecord(
                         health.destination(),
                         endpoints.uid(health.endpoint()),
                         health.status(),
--- a/sender/src/main/java/amberroute/sender/lifecycle/JournalForceExecutor.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/JournalForceExecutor.java
@@ -1,12 +1,12 @@
 package amberroute.sender.lifecycle;
 
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.BackgroundExecutor;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
 /** Runs the journal's forces on a thread of its own, one at a time, and their completion on the event loop. */
-final class JournalForceExecutor implements Journal.BackgroundExecutor {
+final class JournalForceExecutor implements BackgroundExecutor {
     private final EventLoop loop;
     private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> {
         Thread force = new Thread(work, "force");
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -13,6 +13,8 @@
 import amberroute.replication.ReplicaState;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
+import amberroute.sender.journal.RecordKind;
 import amberroute.sender.peer.PeerMessageCodec;
 import amberroute.sender.peer.PeerSocket;
 import amberroute.sender.peer.ReplicaStore;
@@ -187,8 +189,8 @@
 
     private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.REPLICATION_POSITION, ReplicationMessages.place(new LogPosition(term, number)))
-                .put(1, Journal.REPLICA_SET, ReplicationMessages.group(ESTATE, holders));
+                .put(1, RecordKind.REPLICATION_POSITION, ReplicationMessages.place(new LogPosition(term, number)))
+                .put(1, RecordKind.REPLICA_SET, ReplicationMessages.group(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
@@ -307,7 +309,7 @@
     @Test
     void anOwnEstateWithoutItsPromisesIsGivenUp() throws Exception {
         survival();
-        journal.replicateTo(new Journal.ChangeListener() {
+        journal.replicateTo(new JournalChangeListener() {
             @Override
             public byte[] replicationPosition() {
                 return ReplicationMessages.place(new LogPosition(3, 8));
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -8,6 +8,7 @@
 
 import amberroute.handoff.Ownership;
 import amberroute.sender.config.SenderConfig;
+import amberroute.sender.journal.HandoffBatchRecord;
 import amberroute.sender.journal.Journal;
 import amberroute.sender.journal.SegmentFiles;
 import amberroute.sender.lifecycle.ShutdownCoordinator;
@@ -254,7 +255,7 @@
         for (int end : SegmentFiles.ends(whole)) {
             SegmentFiles.cut(state, whole, end);
             try (Journal journal = Journal.openReadOnly(state)) {
-                for (Journal.HandoffBatchRecord lot : journal.handoffBatches().values()) {
+                for (HandoffBatchRecord lot : journal.handoffBatches().values()) {
                     boolean ended = lot.ownership().status() == Ownership.Status.ENDED;
                     gaveUp |= ended;
                     assertTrue(
