--- a/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
+++ b/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
@@ -20,19 +20,23 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/** The rules of the scheduler, in one scripted situation each. */
 class AtcDeliverySchedulerTest {
     private static SchedulerScript script() {
         return new SchedulerScript(SchedulerScript.settings(8, false, 1));
     }
 
-    /** Ten quick answers, one after the other, so that the usual pace is known. */
+    /** Ten quick answers, one after the other, so that the usual latency is known. */
     private static SchedulerScript warmed(int destination, int endpoints) {
-        SchedulerScript s = script().list(destination, endpoints);
+        SchedulerScript script = script().listEndpoints(destination, endpoints);
         for (int i = 0; i < 10; i++) {
-            s.arrive(1000 * destination + i, SchedulerScript.SAFE, destination).turn();
-            s.pass(200_000).end(1000 * destination + i, AttemptOutcome.OK).turn();
+            script.submit(1000 * destination + i, SchedulerScript.IDEMPOTENT, destination)
+                    .decide();
+            script.advance(200_000)
+                    .complete(1000 * destination + i, AttemptOutcome.OK)
+                    .decide();
         }
-        return s;
+        return script;
     }
 
     /** Lines that a file of the module may have. */
@@ -56,439 +60,460 @@
     }
 
     /** Time passes, and each call is answered after 50 ms. */
-    private static void answering(SchedulerScript s, long span) {
-        int seen = s.sends.size();
-        for (long end = s.now + span; s.now < end; ) {
-            s.pass(50_000);
-            List<SchedulerScript.Send> due = List.copyOf(s.sends.subList(seen, s.sends.size()));
+    private static void answering(SchedulerScript script, long span) {
+        int seen = script.sends.size();
+        for (long end = script.now + span; script.now < end; ) {
+            script.advance(50_000);
+            List<SchedulerScript.Send> due = List.copyOf(script.sends.subList(seen, script.sends.size()));
             for (SchedulerScript.Send send : due) {
-                if (s.now - send.at() >= 50_000) {
-                    s.end(send.id(), AttemptOutcome.OK).turn();
+                if (script.now - send.at() >= 50_000) {
+                    script.complete(send.id(), AttemptOutcome.OK).decide();
                     seen++;
                 }
             }
         }
     }
 
-    /** Worth in the script: 3 safe, 1 keyed, 4 unsafe, 1 ordered. */
-    @Test
-    void whatIsWorthLessThanACallCostsIsTurnedAwayWithAdvice() {
-        SchedulerScript s = script().list(1, 1);
-        s.with(new Event.AdmissionPriceChanged(1, 2, 2.4, 1, 500_000)).turn();
-        s.arrive(1, SchedulerScript.SAFE, 1)
-                .arrive(2, SchedulerScript.KEYED, 1)
-                .arrive(3, SchedulerScript.UNSAFE, 1)
-                .arrive(4, SchedulerScript.KEYED, 2)
-                .turn();
-        assertEquals(List.of(2L), s.refused);
-        // Of what is worth just the price a share goes on, and all of a key or nothing of it.
-        s.with(new Event.AdmissionPriceChanged(1, 0.9, 1.1, 0.5, 500_000)).turn();
-        s.refused.clear();
+    /** Priority weights in the script: 3 idempotent, 1 keyed, 4 non-idempotent, 1 ordered. */
+    @Test
+    void messageBelowThePriceOfACallIsRejectedWithAdvice() {
+        SchedulerScript script = script().listEndpoints(1, 1);
+        script.add(new Event.AdmissionPriceChanged(1, 2, 2.4, 1, 500_000)).decide();
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .submit(2, SchedulerScript.KEYED, 1)
+                .submit(3, SchedulerScript.NON_IDEMPOTENT, 1)
+                .submit(4, SchedulerScript.KEYED, 2)
+                .decide();
+        assertEquals(List.of(2L), script.rejected);
+        // Of messages at the price a share is admitted, and all of a key or nothing of it.
+        script.add(new Event.AdmissionPriceChanged(1, 0.9, 1.1, 0.5, 500_000)).decide();
+        script.rejected.clear();
         for (long id = 100; id < 140; id++) {
-            s.arrive(id, SchedulerScript.ORDERED, 1, 1 + id % 10);
+            script.submit(id, SchedulerScript.ORDERED, 1, 1 + id % 10);
         }
-        s.turn();
-        assertTrue(s.refused.size() >= 8 && s.refused.size() <= 32, s.refused.toString());
-        assertEquals(0, s.refused.size() % 4);
-        assertTrue(s.refused.stream().allMatch(id -> s.refused.contains(100 + (id - 100) % 10)), s.refused.toString());
-        // It costs nothing any more.
-        s.with(Event.AdmissionPriceChanged.NONE)
-                .with(new Event.AdmissionPriceChanged(1, 0, 0, 1, 0))
-                .turn();
-        s.refused.clear();
-        s.arrive(200, SchedulerScript.KEYED, 1).turn();
-        assertEquals(List.of(), s.refused);
-    }
-
-    /** Under a ceiling messages leave evenly, and at once when it is lifted. */
-    @Test
-    void aCeilingHoldsTheFlowToItsRate() {
-        SchedulerScript s = warmed(1, 1);
-        int before = s.sends.size();
-        s.with(new Event.FleetRateLimitChanged(1, 2, 0.5, false)).turn();
+        script.decide();
+        assertTrue(script.rejected.size() >= 8 && script.rejected.size() <= 32, script.rejected.toString());
+        assertEquals(0, script.rejected.size() % 4);
+        assertTrue(
+                script.rejected.stream().allMatch(id -> script.rejected.contains(100 + (id - 100) % 10)),
+                script.rejected.toString());
+        // The price is withdrawn.
+        script.add(Event.AdmissionPriceChanged.NONE)
+                .add(new Event.AdmissionPriceChanged(1, 0, 0, 1, 0))
+                .decide();
+        script.rejected.clear();
+        script.submit(200, SchedulerScript.KEYED, 1).decide();
+        assertEquals(List.of(), script.rejected);
+    }
+
+    /** Under a fleet rate limit messages leave evenly, and at once when it is lifted. */
+    @Test
+    void fleetRateLimitHoldsTheRate() {
+        SchedulerScript script = warmed(1, 1);
+        int before = script.sends.size();
+        script.add(new Event.FleetRateLimitChanged(1, 2, 0.5, false)).decide();
         for (int i = 1; i <= 6; i++) {
-            s.arrive(i, SchedulerScript.SAFE, 1).turn();
+            script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
         }
-        long from = s.now;
-        answering(s, 2_000_000);
-        List<SchedulerScript.Send> sent = s.sends.subList(before, s.sends.size());
+        long from = script.now;
+        answering(script, 2_000_000);
+        List<SchedulerScript.Send> sent = script.sends.subList(before, script.sends.size());
         assertEquals(
                 List.of(250_000L, 750_000L, 1_250_000L, 1_750_000L),
                 sent.stream().map(x -> x.at() - from).toList());
-        s.with(new Event.FleetRateLimitChanged(1, 0, 0, false)).turn();
-        answering(s, 1_000_000);
-        assertEquals(before + 4, s.sends.size());
-        s.with(new Event.FleetRateLimitChanged(1, Double.POSITIVE_INFINITY, 0, false))
-                .turn();
-        assertEquals(before + 6, s.sends.size());
-    }
-
-    /** A call with several messages uses up the ceiling for each of them. */
-    @Test
-    void aCeilingCountsMessagesAndNotCalls() {
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(8, false, 5)).list(1, 1);
-        s.arrive(100, SchedulerScript.SAFE, 1)
-                .turn()
-                .pass(50_000)
-                .end(100, AttemptOutcome.OK)
-                .turn();
-        int before = s.sends.size();
-        s.with(new Event.FleetRateLimitChanged(1, 1, 1, false)).turn();
+        script.add(new Event.FleetRateLimitChanged(1, 0, 0, false)).decide();
+        answering(script, 1_000_000);
+        assertEquals(before + 4, script.sends.size());
+        script.add(new Event.FleetRateLimitChanged(1, Double.POSITIVE_INFINITY, 0, false))
+                .decide();
+        assertEquals(before + 6, script.sends.size());
+    }
+
+    /** A call with several messages is charged for each of them. */
+    @Test
+    void fleetRateLimitCountsMessagesAndNotCalls() {
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(8, false, 5)).listEndpoints(1, 1);
+        script.submit(100, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(50_000)
+                .complete(100, AttemptOutcome.OK)
+                .decide();
+        int before = script.sends.size();
+        script.add(new Event.FleetRateLimitChanged(1, 1, 1, false)).decide();
         for (int i = 1; i <= 5; i++) {
-            s.arrive(i, SchedulerScript.SAFE, 1);
+            script.submit(i, SchedulerScript.IDEMPOTENT, 1);
         }
-        s.turn();
-        answering(s, 3_500_000);
-        assertEquals(4, s.sends.size() - before);
+        script.decide();
+        answering(script, 3_500_000);
+        assertEquals(4, script.sends.size() - before);
     }
 
-    /** Another daemon was answered: the destination is tried now, not when this sender's own turn comes. */
+    /** Another sender was answered: the destination is tried now, not when this sender's own trial is due. */
     @Test
-    void newsOfAReturnBringsTheNextTrialForward() {
-        SchedulerScript s = warmed(1, 1);
-        s.arrive(1, SchedulerScript.SAFE, 1).turn();
+    void recoverySeenByAnotherSenderBringsTheNextTrialForward() {
+        SchedulerScript script = warmed(1, 1);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
         int ended = 0;
         for (int i = 0; i < 80; i++) {
-            int out = s.sends.size();
+            int out = script.sends.size();
             if (out > ended + 10) {
-                s.end(1, AttemptOutcome.CONNECT_FAILED).turn();
+                script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
                 ended++;
             }
-            s.pass(50_000);
+            script.advance(50_000);
         }
-        // Its last call is out or over; the next of its own would come later than this.
-        if (s.sends.size() > ended + 10) {
-            s.end(1, AttemptOutcome.CONNECT_FAILED).turn();
+        // Its last call is in flight or completed; its own next trial would come later than this.
+        if (script.sends.size() > ended + 10) {
+            script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
         }
-        s.arrive(2, SchedulerScript.SAFE, 1).turn();
-        int before = s.sends.size();
-        s.turn();
-        assertEquals(before, s.sends.size(), "a trial was due anyhow");
-        s.with(new Event.FleetRateLimitChanged(1, 100, 1, true)).turn();
-        assertEquals(before + 1, s.sends.size());
+        script.submit(2, SchedulerScript.IDEMPOTENT, 1).decide();
+        int before = script.sends.size();
+        script.decide();
+        assertEquals(before, script.sends.size(), "a trial was due anyhow");
+        script.add(new Event.FleetRateLimitChanged(1, 100, 1, true)).decide();
+        assertEquals(before + 1, script.sends.size());
     }
 
     @Test
     void higherIndexGoesFirst() {
-        SchedulerScript s = warmed(1, 1);
-        s.arrive(1, SchedulerScript.KEYED, 1)
-                .arrive(2, SchedulerScript.UNSAFE, 1)
-                .arrive(3, SchedulerScript.SAFE, 1)
-                .turn();
-        s.pass(100_000)
-                .end(2, AttemptOutcome.OK)
-                .turn()
-                .end(3, AttemptOutcome.OK)
-                .turn();
+        SchedulerScript script = warmed(1, 1);
+        script.submit(1, SchedulerScript.KEYED, 1)
+                .submit(2, SchedulerScript.NON_IDEMPOTENT, 1)
+                .submit(3, SchedulerScript.IDEMPOTENT, 1)
+                .decide();
+        script.advance(100_000)
+                .complete(2, AttemptOutcome.OK)
+                .decide()
+                .complete(3, AttemptOutcome.OK)
+                .decide();
         assertEquals(
                 List.of(2L, 3L, 1L),
-                s.sends.stream()
+                script.sends.stream()
                         .map(SchedulerScript.Send::id)
                         .filter(id -> id < 100)
                         .toList());
     }
 
     @Test
-    void refusesAtOnceWhenTheWaitIsLongerThanTheTimeLeft() {
-        SchedulerScript s = warmed(1, 1);
+    void rejectsAtOnceWhenTheWaitIsLongerThanTheTimeLeft() {
+        SchedulerScript script = warmed(1, 1);
         for (int i = 0; i < 40; i++) {
-            s.arrive(1 + i, SchedulerScript.SAFE, 1);
+            script.submit(1 + i, SchedulerScript.IDEMPOTENT, 1);
         }
-        s.turn().pass(12_000_000);
-        s.arrive(100, SchedulerScript.KEYED, 1).turn();
-        assertTrue(s.refused.contains(100L), "refused at once: the destination has been silent for long");
+        script.decide().advance(12_000_000);
+        script.submit(100, SchedulerScript.KEYED, 1).decide();
+        assertTrue(script.rejected.contains(100L), "refused at once: the destination has been silent for long");
     }
 
     @Test
-    void messageWithoutEndpointIsHandedBackInTime() {
-        SchedulerScript s = script().arrive(1, SchedulerScript.UNSAFE, 9).turn().pass(17_000_000);
-        assertEquals(List.of(1L), s.refused);
+    void messageWithoutEndpointIsRejectedInTime() {
+        SchedulerScript script =
+                script().submit(1, SchedulerScript.NON_IDEMPOTENT, 9).decide().advance(17_000_000);
+        assertEquals(List.of(1L), script.rejected);
     }
 
     @Test
-    void toldWaitHoldsTheWholeDestination() {
-        SchedulerScript s = warmed(1, 2);
-        s.arrive(1, SchedulerScript.SAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.FULL, 900_000)
-                .arrive(2, SchedulerScript.SAFE, 1)
-                .turn();
-        assertFalse(s.isOut(2));
-        s.pass(1_500_000);
-        assertTrue(s.isOut(1) || s.isOut(2));
+    void retryAfterHoldsTheWholeDestination() {
+        SchedulerScript script = warmed(1, 2);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.FULL, 900_000)
+                .submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .decide();
+        assertFalse(script.isInFlight(2));
+        script.advance(1_500_000);
+        assertTrue(script.isInFlight(1) || script.isInFlight(2));
     }
 
     @Test
-    void unsafeIsNeverRepeatedAndKeyedOnlyWhileRemembered() {
-        SchedulerScript s = warmed(1, 1);
-        s.arrive(1, SchedulerScript.UNSAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.ERROR)
-                .turn()
-                .pass(100_000);
-        s.arrive(2, SchedulerScript.KEYED, 1)
-                .turn()
-                .end(2, AttemptOutcome.RESET)
-                .turn()
-                .pass(16_100_000);
-        assertEquals(List.of(1L), s.failed);
-        assertEquals(1, s.sends.stream().filter(x -> x.id() == 1).count());
-        assertTrue(s.sends.stream().filter(x -> x.id() == 2).count() > 1);
+    void nonIdempotentIsNeverRepeatedAndKeyedOnlyWhileRemembered() {
+        SchedulerScript script = warmed(1, 1);
+        script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.ERROR)
+                .decide()
+                .advance(100_000);
+        script.submit(2, SchedulerScript.KEYED, 1)
+                .decide()
+                .complete(2, AttemptOutcome.RESET)
+                .decide()
+                .advance(16_100_000);
+        assertEquals(List.of(1L), script.failed);
+        assertEquals(1, script.sends.stream().filter(x -> x.id() == 1).count());
+        assertTrue(script.sends.stream().filter(x -> x.id() == 2).count() > 1);
     }
 
     @Test
-    void unsafeGoesAgainWhenItNeverRan() {
-        SchedulerScript s = warmed(1, 2);
-        s.arrive(1, SchedulerScript.UNSAFE, 1).turn();
-        long first = s.last(1).endpoint();
-        s.end(1, AttemptOutcome.CONNECT_FAILED).turn();
-        assertNotEquals(first, s.last(1).endpoint(), "the sibling is tried next");
+    void nonIdempotentIsRepeatedWhenItNeverRan() {
+        SchedulerScript script = warmed(1, 2);
+        script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1).decide();
+        long first = script.last(1).endpoint();
+        script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
+        assertNotEquals(first, script.last(1).endpoint(), "the sibling is tried next");
     }
 
     @Test
-    void keysTakeTurnsAndRestAfterDoubt() {
-        SchedulerScript s = warmed(1, 1);
-        s.arrive(1, SchedulerScript.ORDERED, 1, 77)
-                .arrive(2, SchedulerScript.ORDERED, 1, 77)
-                .turn();
-        assertTrue(s.isOut(1) && !hasSent(s, 2));
-        s.with(new Event.MessageCancelled(1)).turn();
-        assertFalse(hasSent(s, 2), "the earlier attempt is still out");
-        s.end(1, AttemptOutcome.RESET);
-        s.with(new Event.MessageCancelled(1)).turn();
-        assertFalse(hasSent(s, 2), "the key rests");
+    void messagesOfAKeyGoInOrderAndPauseAfterAnUnknownOutcome() {
+        SchedulerScript script = warmed(1, 1);
+        script.submit(1, SchedulerScript.ORDERED, 1, 77)
+                .submit(2, SchedulerScript.ORDERED, 1, 77)
+                .decide();
+        assertTrue(script.isInFlight(1) && !hasSent(script, 2));
+        script.add(new Event.MessageCancelled(1)).decide();
+        assertFalse(hasSent(script, 2), "the earlier attempt is still out");
+        script.complete(1, AttemptOutcome.RESET);
+        script.add(new Event.MessageCancelled(1)).decide();
+        assertFalse(hasSent(script, 2), "the key rests");
     }
 
-    private static boolean hasSent(SchedulerScript s, long id) {
-        return s.sends.stream().anyMatch(x -> x.id() == id);
+    private static boolean hasSent(SchedulerScript script, long id) {
+        return script.sends.stream().anyMatch(x -> x.id() == id);
     }
 
     @Test
     void nothingNewToADrainingEndpoint() {
-        SchedulerScript s = warmed(1, 2).change(1, 0, EndpointState.DRAINING);
+        SchedulerScript script = warmed(1, 2).changeEndpoint(1, 0, EndpointState.DRAINING);
         for (int i = 1; i < 6; i++) {
-            s.arrive(i, SchedulerScript.SAFE, 1).turn();
+            script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
         }
-        s.change(1, 1, EndpointState.GONE).arrive(9, SchedulerScript.SAFE, 1).turn();
-        assertFalse(hasSent(s, 9));
+        script.changeEndpoint(1, 1, EndpointState.GONE)
+                .submit(9, SchedulerScript.IDEMPOTENT, 1)
+                .decide();
+        assertFalse(hasSent(script, 9));
     }
 
-    /** Incident of calls that nobody answered: they held all slots until their time-outs. */
+    /** Incident: calls without an answer held all slots until their time-outs. */
     @Test
-    void silenceOpensTheBreakerAndGivesSlotsBack() {
-        SchedulerScript s = warmed(1, 1);
+    void silentCallsOpenTheBreakerAndFreeTheirSlots() {
+        SchedulerScript script = warmed(1, 1);
         for (int i = 1; i <= 6; i++) {
-            s.arrive(i, SchedulerScript.SAFE, 1);
+            script.submit(i, SchedulerScript.IDEMPOTENT, 1);
         }
-        s.turn().pass(2_500_000);
-        assertFalse(s.cancelled.isEmpty(), "silent calls are called off");
-        long before = s.now;
-        s.pass(5_000_000);
-        assertTrue(s.sendsTo(1, before) <= 6, "single trials only: " + s.sendsTo(1, before));
+        script.decide().advance(2_500_000);
+        assertFalse(script.cancelled.isEmpty(), "silent calls are called off");
+        long before = script.now;
+        script.advance(5_000_000);
+        assertTrue(script.sendsTo(1, before) <= 6, "single trials only: " + script.sendsTo(1, before));
     }
 
     @Test
-    void oneSilentEndpointDoesNotShutItsSibling() {
-        SchedulerScript s = warmed(1, 2);
-        s.arrive(1, SchedulerScript.SAFE, 1).arrive(2, SchedulerScript.SAFE, 1).turn();
-        long sick = s.last(1).endpoint();
-        s.end(2, AttemptOutcome.OK).turn().pass(3_000_000);
+    void oneSilentEndpointDoesNotBlockItsSibling() {
+        SchedulerScript script = warmed(1, 2);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .decide();
+        long faulty = script.last(1).endpoint();
+        script.complete(2, AttemptOutcome.OK).decide().advance(3_000_000);
         for (int i = 3; i < 10; i++) {
-            s.arrive(i, SchedulerScript.SAFE, 1).turn();
-            assertNotEquals(sick, s.last(i).endpoint());
-            s.pass(100_000).end(i, AttemptOutcome.OK).turn();
+            script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
+            assertNotEquals(faulty, script.last(i).endpoint());
+            script.advance(100_000).complete(i, AttemptOutcome.OK).decide();
         }
     }
 
     @Test
-    void oneErrorDoesNotShutADestination() {
-        SchedulerScript s = warmed(1, 1);
-        s.arrive(1, SchedulerScript.SAFE, 1).turn().end(1, AttemptOutcome.ERROR).turn();
-        s.arrive(2, SchedulerScript.SAFE, 1).arrive(3, SchedulerScript.SAFE, 1).turn();
-        assertTrue(s.isOut(2) && s.isOut(3));
+    void oneErrorDoesNotOpenTheBreaker() {
+        SchedulerScript script = warmed(1, 1);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.ERROR)
+                .decide();
+        script.submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .submit(3, SchedulerScript.IDEMPOTENT, 1)
+                .decide();
+        assertTrue(script.isInFlight(2) && script.isInFlight(3));
     }
 
     @Test
     void slowStartAfterAnOutage() {
-        SchedulerScript s = warmed(1, 1);
+        SchedulerScript script = warmed(1, 1);
         for (int i = 1; i <= 20; i++) {
-            s.arrive(i, SchedulerScript.SAFE, 1).turn();
-            if (s.sends.stream().anyMatch(x -> x.id() == i0(s)) && s.isOut(i0(s))) {
-                s.end(i0(s), AttemptOutcome.CONNECT_FAILED).turn();
+            script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
+            if (script.sends.stream().anyMatch(x -> x.id() == i0(script)) && script.isInFlight(i0(script))) {
+                script.complete(i0(script), AttemptOutcome.CONNECT_FAILED).decide();
             }
-            s.pass(300_000);
+            script.advance(300_000);
         }
-        s.pass(3_000_000);
-        while (s.sends.stream().noneMatch(x -> s.isOut(x.id()))) {
-            s.pass(100_000);
+        script.advance(3_000_000);
+        while (script.sends.stream().noneMatch(x -> script.isInFlight(x.id()))) {
+            script.advance(100_000);
         }
-        s.end(i0(s), AttemptOutcome.OK).turn();
-        long from = s.now;
+        script.complete(i0(script), AttemptOutcome.OK).decide();
+        long from = script.now;
         for (int i = 0; i < 30; i++) {
-            s.pass(100_000);
-            while (s.sends.stream().anyMatch(x -> s.isOut(x.id()))) {
-                s.end(i0(s), AttemptOutcome.OK).turn();
+            script.advance(100_000);
+            while (script.sends.stream().anyMatch(x -> script.isInFlight(x.id()))) {
+                script.complete(i0(script), AttemptOutcome.OK).decide();
             }
         }
-        assertTrue(s.sendsTo(1, from) <= 6, "sent in the first three seconds: " + s.sendsTo(1, from));
+        assertTrue(script.sendsTo(1, from) <= 6, "sent in the first three seconds: " + script.sendsTo(1, from));
     }
 
     /** The message of the latest attempt. */
-    private static long i0(SchedulerScript s) {
-        return s.sends.get(s.sends.size() - 1).id();
+    private static long i0(SchedulerScript script) {
+        return script.sends.get(script.sends.size() - 1).id();
     }
 
-    /** Many senders with little traffic knocked at one door until its limit was used up by refusals. */
+    /** Many senders with little traffic used up a destination's limit by rejected calls. */
     @Test
-    void pausesGrowWhileADoorStaysShut() {
-        SchedulerScript s = warmed(1, 1);
-        s.arrive(1, SchedulerScript.SAFE, 1).turn();
-        for (int i = 0; i < 2_000 && !s.refused.contains(1L); i++) {
-            if (s.isOut(1)) {
-                s.end(1, AttemptOutcome.FULL).turn();
+    void backoffGrowsWhileADestinationRejects() {
+        SchedulerScript script = warmed(1, 1);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
+        for (int i = 0; i < 2_000 && !script.rejected.contains(1L); i++) {
+            if (script.isInFlight(1)) {
+                script.complete(1, AttemptOutcome.FULL).decide();
             }
-            s.pass(5_000);
+            script.advance(5_000);
         }
-        assertTrue(s.sends.stream().filter(x -> x.id() == 1).count() <= 8);
+        assertTrue(script.sends.stream().filter(x -> x.id() == 1).count() <= 8);
     }
 
     @Test
     void oneCallCarriesSeveralMessagesInOneSlot() {
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(1, false, 3)).list(1, 1);
-        s.arrive(1, SchedulerScript.SAFE, 1).arrive(2, SchedulerScript.SAFE, 1).arrive(3, SchedulerScript.SAFE, 1);
-        s.arrive(4, SchedulerScript.SAFE, 1).turn();
-        assertEquals(3, s.sends.size());
-    }
-
-    /** Idle connections of hundreds of senders filled the tables of destinations that each met seldom. */
-    @Test
-    void connectionsThatWillNotBeReusedAreShutWhereTablesAreFull() {
-        SchedulerScript s = warmed(1, 1);
-        assertEquals(List.of(), s.closed, "connections are to be had");
-        s.arrive(1, SchedulerScript.SAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.CONNECT_FAILED)
-                .turn()
-                .pass(3_000_000);
-        s.end(1, AttemptOutcome.OK).turn().pass(20_000_000);
-        s.arrive(2, SchedulerScript.SAFE, 1)
-                .turn()
-                .pass(200_000)
-                .end(2, AttemptOutcome.OK)
-                .turn();
-        int before = s.closed.size();
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(1, false, 3)).listEndpoints(1, 1);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .submit(3, SchedulerScript.IDEMPOTENT, 1);
+        script.submit(4, SchedulerScript.IDEMPOTENT, 1).decide();
+        assertEquals(3, script.sends.size());
+    }
+
+    /** Idle connections of hundreds of senders filled the tables of destinations that each called seldom. */
+    @Test
+    void connectionsThatWillNotBeReusedAreClosedWhereTablesAreFull() {
+        SchedulerScript script = warmed(1, 1);
+        assertEquals(List.of(), script.closedEndpoints, "connections are to be had");
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.CONNECT_FAILED)
+                .decide()
+                .advance(3_000_000);
+        script.complete(1, AttemptOutcome.OK).decide().advance(20_000_000);
+        script.submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(200_000)
+                .complete(2, AttemptOutcome.OK)
+                .decide();
+        int before = script.closedEndpoints.size();
         assertTrue(before > 0, "a gap longer than its life shows that it serves nobody");
-        s.pass(200_000)
-                .arrive(3, SchedulerScript.SAFE, 1)
-                .turn()
-                .pass(200_000)
-                .end(3, AttemptOutcome.OK)
-                .turn();
-        assertEquals(before, s.closed.size(), "calls close together keep theirs");
+        script.advance(200_000)
+                .submit(3, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(200_000)
+                .complete(3, AttemptOutcome.OK)
+                .decide();
+        assertEquals(before, script.closedEndpoints.size(), "calls close together keep theirs");
     }
 
-    /** Connections were dropped unseen while idle, and what was sent on one was lost. */
+    /** Connections were dropped unseen while idle, and calls on them were lost. */
     @Test
     void connectionsThatFailAfterIdlingAreNotReused() {
-        SchedulerScript s = warmed(1, 1).list(2, 1);
+        SchedulerScript script = warmed(1, 1).listEndpoints(2, 1);
         for (int i = 1; i <= 12; i++) {
-            s.pass(1_500_000).arrive(i, SchedulerScript.UNSAFE, 1).turn().pass(100_000);
-            if (s.sends.stream().anyMatch(x -> x.id() < 100) && s.isOut(i)) {
-                s.end(i, AttemptOutcome.RESET).turn();
+            script.advance(1_500_000)
+                    .submit(i, SchedulerScript.NON_IDEMPOTENT, 1)
+                    .decide()
+                    .advance(100_000);
+            if (script.sends.stream().anyMatch(x -> x.id() < 100) && script.isInFlight(i)) {
+                script.complete(i, AttemptOutcome.RESET).decide();
             }
-            s.arrive(100 + i, SchedulerScript.SAFE, 1).turn();
+            script.submit(100 + i, SchedulerScript.IDEMPOTENT, 1).decide();
             for (int k = 0; k < 40; k++) {
-                s.pass(100_000);
+                script.advance(100_000);
                 for (long id : List.of((long) i, 100L + i)) {
-                    if (s.isOut(id)) {
-                        s.end(id, AttemptOutcome.OK).turn();
+                    if (script.isInFlight(id)) {
+                        script.complete(id, AttemptOutcome.OK).decide();
                     }
                 }
             }
         }
-        s.arrive(50, SchedulerScript.SAFE, 1).turn();
-        assertFalse(s.closed.isEmpty(), "shut before it is used");
+        script.submit(50, SchedulerScript.IDEMPOTENT, 1).decide();
+        assertFalse(script.closedEndpoints.isEmpty(), "shut before it is used");
     }
 
-    /** With three slots, two unsafe calls without an answer stopped a sender until their deadline. */
+    /** With three slots, two silent non-idempotent calls stopped a sender until their deadline. */
     @Test
-    void silentUnsafeCallsGiveTheirSlotsBackUnderPressure() {
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(2, false, 1))
-                .list(1, 1)
-                .list(2, 1);
-        s.arrive(1, SchedulerScript.UNSAFE, 1)
-                .arrive(2, SchedulerScript.UNSAFE, 1)
-                .turn()
-                .pass(8_000_000);
-        assertTrue(s.cancelled.isEmpty(), "nobody waits");
-        s.arrive(3, SchedulerScript.SAFE, 2).turn().pass(100_000);
-        assertTrue(s.isOut(3), "a slot was given back");
-        assertEquals(1, s.cancelled.size());
+    void silentNonIdempotentCallsFreeTheirSlotsUnderPressure() {
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(2, false, 1))
+                .listEndpoints(1, 1)
+                .listEndpoints(2, 1);
+        script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1)
+                .submit(2, SchedulerScript.NON_IDEMPOTENT, 1)
+                .decide()
+                .advance(8_000_000);
+        assertTrue(script.cancelled.isEmpty(), "nobody waits");
+        script.submit(3, SchedulerScript.IDEMPOTENT, 2).decide().advance(100_000);
+        assertTrue(script.isInFlight(3), "a slot was given back");
+        assertEquals(1, script.cancelled.size());
     }
 
-    /** A slow start that only an answer could end left a destination shut to senders that met it seldom. */
+    /** A slow start that only an answer could end blocked a destination for senders that called it seldom. */
     @Test
     void slowStartEndsWithoutTraffic() {
-        SchedulerScript s = warmed(1, 1);
-        s.arrive(1, SchedulerScript.SAFE, 1)
-                .arrive(2, SchedulerScript.SAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.CONNECT_FAILED)
-                .turn();
-        s.end(2, AttemptOutcome.CONNECT_FAILED).turn().pass(1_000_000);
+        SchedulerScript script = warmed(1, 1);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.CONNECT_FAILED)
+                .decide();
+        script.complete(2, AttemptOutcome.CONNECT_FAILED).decide().advance(1_000_000);
         for (int i = 0; i < 120; i++) {
             for (long id : List.of(1L, 2L)) {
-                if (s.isOut(id)) {
-                    s.end(id, AttemptOutcome.OK).turn();
+                if (script.isInFlight(id)) {
+                    script.complete(id, AttemptOutcome.OK).decide();
                 }
             }
-            s.pass(100_000);
+            script.advance(100_000);
         }
-        s.arrive(5, SchedulerScript.SAFE, 1).arrive(6, SchedulerScript.SAFE, 1).turn();
-        assertTrue(s.isOut(5) && s.isOut(6));
+        script.submit(5, SchedulerScript.IDEMPOTENT, 1)
+                .submit(6, SchedulerScript.IDEMPOTENT, 1)
+                .decide();
+        assertTrue(script.isInFlight(5) && script.isInFlight(6));
     }
 
     /** With one call in tens of seconds an outage was over before a second failure was seen. */
     @Test
-    void oneFailureOpensTheBreakerWhereNothingWasAnsweredForLong() {
-        SchedulerScript s = warmed(1, 1);
-        s.pass(20_000_000)
-                .arrive(1, SchedulerScript.SAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.ERROR)
-                .turn();
-        s.arrive(2, SchedulerScript.SAFE, 1).arrive(3, SchedulerScript.SAFE, 1).turn();
-        assertFalse(s.isOut(2) || s.isOut(3));
+    void oneFailureOpensTheBreakerWhereNoSuccessIsRecent() {
+        SchedulerScript script = warmed(1, 1);
+        script.advance(20_000_000)
+                .submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.ERROR)
+                .decide();
+        script.submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .submit(3, SchedulerScript.IDEMPOTENT, 1)
+                .decide();
+        assertFalse(script.isInFlight(2) || script.isInFlight(3));
     }
 
-    /** A message whose attempts all failed made a dozen, and hundreds of senders pushed the destination over. */
+    /** Messages made a dozen attempts each, and hundreds of senders overloaded the destination. */
     @Test
     void aMessageMakesFewAttemptsAtADeadDestination() {
-        SchedulerScript s = new SchedulerScript(crowd(7)).list(1, 1);
-        s.arrive(1, SchedulerScript.SAFE, 1).turn();
-        while (!s.refused.contains(1L)) {
-            if (s.isOut(1)) {
-                s.end(1, AttemptOutcome.FULL).turn();
+        SchedulerScript script = new SchedulerScript(crowd(7)).listEndpoints(1, 1);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
+        while (!script.rejected.contains(1L)) {
+            if (script.isInFlight(1)) {
+                script.complete(1, AttemptOutcome.FULL).decide();
             }
-            s.pass(5_000);
+            script.advance(5_000);
         }
-        assertTrue(s.sends.size() <= 3, "attempts: " + s.sends.size());
+        assertTrue(script.sends.size() <= 3, "attempts: " + script.sends.size());
     }
 
-    /** A clump refused at hundreds of senders came back in one wave and pushed the destination over. */
+    /** A burst rejected at hundreds of senders came back at once and overloaded the destination. */
     @Test
-    void sendersRefusedTogetherComeBackFarApart() {
+    void rejectedSendersComeBackFarApart() {
         TreeSet<Long> returns = new TreeSet<>();
         for (int seed = 1; seed <= 20; seed++) {
-            SchedulerScript s = new SchedulerScript(crowd(seed)).list(1, 1);
-            s.arrive(1, SchedulerScript.SAFE, 1)
-                    .turn()
-                    .end(1, AttemptOutcome.FULL)
-                    .turn();
-            while (s.sends.size() < 2 && s.refused.isEmpty()) {
-                s.pass(50_000);
+            SchedulerScript script = new SchedulerScript(crowd(seed)).listEndpoints(1, 1);
+            script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                    .decide()
+                    .complete(1, AttemptOutcome.FULL)
+                    .decide();
+            while (script.sends.size() < 2 && script.rejected.isEmpty()) {
+                script.advance(50_000);
             }
-            returns.add(s.now - SchedulerScript.START);
+            returns.add(script.now - SchedulerScript.START);
         }
         assertTrue(returns.first() >= 8_000_000, "none soon: " + returns);
         assertTrue(returns.last() - returns.first() > 4_000_000 && returns.size() > 12, "apart: " + returns);
@@ -517,34 +542,36 @@
 
     @Test
     void subscribesOnRequestAndRenews() {
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(4, true, 1)).turn();
-        assertEquals(1, s.follows);
-        s.with(new Event.EndpointListUpdated(EndpointListKind.FAILED, List.of()))
-                .turn()
-                .pass(1_000_000);
-        assertEquals(2, s.follows);
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(4, true, 1)).decide();
+        assertEquals(1, script.subscriptions);
+        script.add(new Event.EndpointListUpdated(EndpointListKind.FAILED, List.of()))
+                .decide()
+                .advance(1_000_000);
+        assertEquals(2, script.subscriptions);
     }
 
     @Test
-    void badSettingsAreNamed() {
+    void settingsOutOfRangeAreNamed() {
         assertThrows(
                 IllegalArgumentException.class, () -> new AtcDeliveryScheduler(SchedulerScript.settings(0, false, 1)));
     }
 
     @Test
-    void oddEventsAreHarmless() {
-        SchedulerScript s = warmed(1, 1);
-        s.with(new Event.AttemptCompleted(999, 0, 5, AttemptOutcome.UNKNOWN, 1, false, 0, List.of()));
-        s.with(new Event.MessageCancelled(999)).with(new Event.TimerExpired(4)).with(new Event.StreamStarted(1, 2));
-        s.with(new Event.EndpointListUpdated(EndpointListKind.FULL, List.of()))
-                .turn()
-                .pass(100_000);
-        assertTrue(s.failed.isEmpty());
+    void unknownEventsAreHarmless() {
+        SchedulerScript script = warmed(1, 1);
+        script.add(new Event.AttemptCompleted(999, 0, 5, AttemptOutcome.UNKNOWN, 1, false, 0, List.of()));
+        script.add(new Event.MessageCancelled(999))
+                .add(new Event.TimerExpired(4))
+                .add(new Event.StreamStarted(1, 2));
+        script.add(new Event.EndpointListUpdated(EndpointListKind.FULL, List.of()))
+                .decide()
+                .advance(100_000);
+        assertTrue(script.failed.isEmpty());
     }
 
-    /** A long random day keeps the rules that the checker asserts, and goes the same way twice. */
+    /** Long random scenarios keep the rules that the script asserts, and give the same actions twice. */
     @Test
-    void randomDaysKeepTheRules() {
+    void randomScenariosKeepTheRules() {
         for (int seed = 1; seed <= 20; seed++) {
             assertEquals(randomDay(seed), randomDay(seed));
         }
@@ -553,15 +580,15 @@
     /** Instances share nothing: a step of one between the steps of another changes neither. */
     @Test
     void interleavedInstancesActAsAlone() {
-        SchedulerScript alone = script().list(1, 2);
-        SchedulerScript first = script().list(1, 2);
-        SchedulerScript second = script().list(1, 2);
+        SchedulerScript alone = script().listEndpoints(1, 2);
+        SchedulerScript first = script().listEndpoints(1, 2);
+        SchedulerScript second = script().listEndpoints(1, 2);
         for (int i = 0; i < 40; i++) {
-            for (SchedulerScript s : List.of(alone, first, second)) {
-                s.arrive(i, i % 3, 1).pass(40_000);
-                if (s.isOut(i)) {
-                    s.end(i, i % 5 == 0 ? AttemptOutcome.FULL : AttemptOutcome.OK)
-                            .turn();
+            for (SchedulerScript script : List.of(alone, first, second)) {
+                script.submit(i, i % 3, 1).advance(40_000);
+                if (script.isInFlight(i)) {
+                    script.complete(i, i % 5 == 0 ? AttemptOutcome.FULL : AttemptOutcome.OK)
+                            .decide();
                 }
             }
         }
@@ -572,142 +599,142 @@
 
     private static List<SchedulerScript.Send> randomDay(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(4, false, 1 + seed % 3))
-                .list(1, 2)
-                .list(2, 1)
-                .list(3, 3);
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(4, false, 1 + seed % 3))
+                .listEndpoints(1, 2)
+                .listEndpoints(2, 1)
+                .listEndpoints(3, 3);
         AttemptOutcome[] endings = AttemptOutcome.values();
         for (int i = 0; i < 300; i++) {
-            s.arrive(i, random.nextInt(4), 1 + random.nextInt(3), 1 + random.nextInt(5));
-            s.pass(5_000L * random.nextInt(1, 40));
-            for (SchedulerScript.Send send : List.copyOf(s.sends)) {
-                if (s.isOut(send.id()) && s.last(send.id()) == send && random.nextInt(3) > 0) {
+            script.submit(i, random.nextInt(4), 1 + random.nextInt(3), 1 + random.nextInt(5));
+            script.advance(5_000L * random.nextInt(1, 40));
+            for (SchedulerScript.Send send : List.copyOf(script.sends)) {
+                if (script.isInFlight(send.id()) && script.last(send.id()) == send && random.nextInt(3) > 0) {
                     AttemptOutcome ending = endings[random.nextInt(2) * random.nextInt(endings.length)];
-                    s.end(send.id(), ending, ending == AttemptOutcome.FULL ? random.nextInt(1_000_000) : 0);
+                    script.complete(send.id(), ending, ending == AttemptOutcome.FULL ? random.nextInt(1_000_000) : 0);
                 }
             }
-            s.turn();
+            script.decide();
         }
-        s.pass(20_000_000);
-        return s.sends;
-    }
-
-    /** One connection carries a call: its messages are given up together, so none outlives its due date. */
-    @Test
-    void messagesOfOneCallAreGivenUpTogether() {
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(1, false, 5)).list(1, 1);
-        s.arrive(9, SchedulerScript.SAFE, 1)
-                .turn()
-                .pass(50_000)
-                .end(9, AttemptOutcome.OK)
-                .turn();
-        s.arrive(1, SchedulerScript.SAFE, 1)
-                .arrive(2, SchedulerScript.UNSAFE, 1)
-                .arrive(3, SchedulerScript.KEYED, 1)
-                .turn();
-        assertEquals(4, s.sends.size());
+        script.advance(20_000_000);
+        return script.sends;
+    }
+
+    /** One connection carries a call: its messages time out together, so none outlives its due date. */
+    @Test
+    void messagesOfOneCallTimeOutTogether() {
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(1, false, 5)).listEndpoints(1, 1);
+        script.submit(9, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(50_000)
+                .complete(9, AttemptOutcome.OK)
+                .decide();
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .submit(2, SchedulerScript.NON_IDEMPOTENT, 1)
+                .submit(3, SchedulerScript.KEYED, 1)
+                .decide();
+        assertEquals(4, script.sends.size());
         assertEquals(
                 1,
-                s.sends.stream()
+                script.sends.stream()
                         .skip(1)
-                        .map(SchedulerScript.Send::giveUpAt)
+                        .map(SchedulerScript.Send::timeoutAt)
                         .distinct()
                         .count());
-        s.pass(16_100_000);
+        script.advance(16_100_000);
     }
 
-    /** An outcome that would come after the kill loses an unsafe message; a repeatable one resumes. */
+    /** An outcome that would come after the end of the process loses a non-idempotent message; others are recovered. */
     @Test
-    void startsNoUnsafeAttemptJustBeforeTheProcessEnds() {
-        SchedulerScript s = warmed(1, 1);
-        s.with(new DeliveryScheduler.Event.ShutdownStarted(100_000)).turn();
-        s.arrive(1, SchedulerScript.UNSAFE, 1)
-                .arrive(2, SchedulerScript.SAFE, 1)
-                .turn()
-                .pass(50_000);
-        assertEquals(0, s.sends.stream().filter(send -> send.id() == 1).count());
-        assertEquals(1, s.sends.stream().filter(send -> send.id() == 2).count());
+    void startsNoNonIdempotentAttemptJustBeforeTheProcessEnds() {
+        SchedulerScript script = warmed(1, 1);
+        script.add(new DeliveryScheduler.Event.ShutdownStarted(100_000)).decide();
+        script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1)
+                .submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(50_000);
+        assertEquals(0, script.sends.stream().filter(send -> send.id() == 1).count());
+        assertEquals(1, script.sends.stream().filter(send -> send.id() == 2).count());
     }
 
     @Test
-    void startsUnsafeAttemptsThatEndBeforeTheProcessDoes() {
-        SchedulerScript s = warmed(1, 1);
-        s.with(new DeliveryScheduler.Event.ShutdownStarted(3_600_000)).turn();
-        s.arrive(1, SchedulerScript.UNSAFE, 1).turn();
-        assertEquals(1, s.sends.stream().filter(send -> send.id() == 1).count());
+    void startsNonIdempotentAttemptsThatEndBeforeTheProcessDoes() {
+        SchedulerScript script = warmed(1, 1);
+        script.add(new DeliveryScheduler.Event.ShutdownStarted(3_600_000)).decide();
+        script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1).decide();
+        assertEquals(1, script.sends.stream().filter(send -> send.id() == 1).count());
     }
 
-    /** Where answers travel, a key's turn passes on only when the answer has been received. */
+    /** Where answers are acknowledged, the next message of a key goes only behind the acknowledgement. */
     @Test
-    void holdsTheKeysTurnUntilAnAnswerIsConcluded() {
+    void holdsTheKeyUntilAnAnswerIsAcknowledged() {
         List<Long> sent = new ArrayList<>();
         List<Long> answered = new ArrayList<>();
         DeliveryScheduler.Actions actions = recording(sent, answered);
-        AtcDeliveryScheduler policy = new AtcDeliveryScheduler(SchedulerScript.settings(4, false, 1), true);
+        AtcDeliveryScheduler scheduler = new AtcDeliveryScheduler(SchedulerScript.settings(4, false, 1), true);
         long now = SchedulerScript.START;
-        policy.step(
+        scheduler.step(
                 now,
                 new DeliveryScheduler.Event.EndpointListUpdated(
                         EndpointListKind.FULL,
                         List.of(new DeliveryScheduler.EndpointEntry(10, 1, EndpointState.READY, 1, 0, 0))),
                 actions);
-        policy.step(
+        scheduler.step(
                 now,
                 new DeliveryScheduler.Event.MessageSubmitted(1, SchedulerScript.ORDERED, 0, 5, 9_000_000, 2),
                 actions);
-        policy.step(
+        scheduler.step(
                 now,
                 new DeliveryScheduler.Event.MessageSubmitted(2, SchedulerScript.ORDERED, 0, 5, 16_000_000, 1),
                 actions);
-        policy.step(now, new DeliveryScheduler.Event.Decide(), actions);
-        policy.step(now + 8_900_000, new DeliveryScheduler.Event.Decide(), actions);
+        scheduler.step(now, new DeliveryScheduler.Event.Decide(), actions);
+        scheduler.step(now + 8_900_000, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(1L), answered);
         assertEquals(List.of(), sent);
-        policy.step(now + 9_000_000, new DeliveryScheduler.Event.CompletionAcknowledged(1), actions);
-        policy.step(now + 9_000_000, new DeliveryScheduler.Event.Decide(), actions);
+        scheduler.step(now + 9_000_000, new DeliveryScheduler.Event.CompletionAcknowledged(1), actions);
+        scheduler.step(now + 9_000_000, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(2L), sent);
     }
 
-    /** What was out at a kill may have run: unsafe fails, keyed goes on only while its key is remembered. */
+    /** What was in flight at a kill may have run: non-idempotent fails, keyed goes on only while its key is remembered. */
     @Test
-    void resumesByClass() {
+    void recoversByClass() {
         List<Long> sent = new ArrayList<>();
         List<Long> answered = new ArrayList<>();
         DeliveryScheduler.Actions actions = recording(sent, answered);
-        AtcDeliveryScheduler policy = new AtcDeliveryScheduler(SchedulerScript.settings(8, false, 1), true);
+        AtcDeliveryScheduler scheduler = new AtcDeliveryScheduler(SchedulerScript.settings(8, false, 1), true);
         long now = SchedulerScript.START;
-        policy.step(
+        scheduler.step(
                 now,
                 new DeliveryScheduler.Event.EndpointListUpdated(
                         EndpointListKind.CACHED,
                         List.of(new DeliveryScheduler.EndpointEntry(10, 1, EndpointState.READY, 1, 0, 0))),
                 actions);
-        resume(policy, now, 1, SchedulerScript.UNSAFE, 1, 2_000_000, actions);
-        resume(policy, now, 2, SchedulerScript.UNSAFE, 1, -1, actions);
-        resume(policy, now, 3, SchedulerScript.KEYED, 1, 2_000_000, actions);
-        resume(policy, now, 4, SchedulerScript.KEYED, 1, 6_500_000, actions);
-        resume(policy, now, 5, SchedulerScript.SAFE, 1, 9_000_000, actions);
-        resume(policy, now, 6, SchedulerScript.SAFE, 8, -1, actions);
-        policy.step(now, new DeliveryScheduler.Event.Decide(), actions);
+        resume(scheduler, now, 1, SchedulerScript.NON_IDEMPOTENT, 1, 2_000_000, actions);
+        resume(scheduler, now, 2, SchedulerScript.NON_IDEMPOTENT, 1, -1, actions);
+        resume(scheduler, now, 3, SchedulerScript.KEYED, 1, 2_000_000, actions);
+        resume(scheduler, now, 4, SchedulerScript.KEYED, 1, 6_500_000, actions);
+        resume(scheduler, now, 5, SchedulerScript.IDEMPOTENT, 1, 9_000_000, actions);
+        resume(scheduler, now, 6, SchedulerScript.IDEMPOTENT, 8, -1, actions);
+        scheduler.step(now, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(5L), sent, "the safe one tells whether the destination answers");
-        policy.step(
+        scheduler.step(
                 now + 50_000,
                 new DeliveryScheduler.Event.AttemptCompleted(5, 1, 10, AttemptOutcome.OK, 50_000, true, 0, List.of()),
                 actions);
-        policy.step(now + 50_000, new DeliveryScheduler.Event.Decide(), actions);
+        scheduler.step(now + 50_000, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(2L, 3L, 5L), sent.stream().sorted().toList());
         assertEquals(List.of(1L, 4L, 6L), answered.stream().sorted().toList());
     }
 
     private static void resume(
-            AtcDeliveryScheduler policy,
+            AtcDeliveryScheduler scheduler,
             long now,
             long id,
             int type,
             int attempts,
             long doubtAge,
             DeliveryScheduler.Actions actions) {
-        policy.step(
+        scheduler.step(
                 now,
                 new DeliveryScheduler.Event.MessageRecovered(
                         id, type, 0, 10_000_000, 1, attempts, doubtAge, 10, doubtAge >= 0),
@@ -751,9 +778,9 @@
     // ---- Settings that change. ----
 
     private static DeliveryScheduler.Settings fewer(
-            DeliveryScheduler.Settings s, int attempts, DeliveryScheduler.Idempotency effect) {
-        DeliveryScheduler.Limits l = s.limits();
-        List<DeliveryScheduler.MessageClass> classes = s.classes().stream()
+            DeliveryScheduler.Settings settings, int attempts, DeliveryScheduler.Idempotency effect) {
+        DeliveryScheduler.Limits limits = settings.limits();
+        List<DeliveryScheduler.MessageClass> classes = settings.classes().stream()
                 .map(c -> new DeliveryScheduler.MessageClass(
                         c.priorityWeight(),
                         c.lateValueShare(),
@@ -765,95 +792,98 @@
                         c.ordered()))
                 .toList();
         return new DeliveryScheduler.Settings(
-                s.seed(),
-                s.senderCount(),
-                s.zone(),
-                s.tickMicros(),
-                s.endpointListPolled(),
-                s.overQuotaWeightFactor(),
-                s.lateValueDecay(),
-                s.weightKind(),
+                settings.seed(),
+                settings.senderCount(),
+                settings.zone(),
+                settings.tickMicros(),
+                settings.endpointListPolled(),
+                settings.overQuotaWeightFactor(),
+                settings.lateValueDecay(),
+                settings.weightKind(),
                 classes,
-                s.tenants(),
-                s.kinds(),
+                settings.tenants(),
+                settings.kinds(),
                 new DeliveryScheduler.Limits(
-                        l.maxConcurrentCalls(),
-                        l.maxPendingMessages(),
+                        limits.maxConcurrentCalls(),
+                        limits.maxPendingMessages(),
                         attempts,
-                        l.parallelAttempts(),
-                        l.cancellationAllowed(),
-                        l.retryAdviceAllowed(),
-                        l.maxRetryAdviceMicros(),
-                        l.callsPerConnection(),
-                        l.idleConnectionLifeMicros(),
-                        l.connectTimeoutMicros()),
-                s.rules(),
-                s.prices(),
-                s.reportFields());
-    }
-
-    @Test
-    void aMessageUnderWayKeepsItsClassAndNewOnesGetTheNewOne() {
-        SchedulerScript s = warmed(1, 2);
-        s.arrive(1, SchedulerScript.SAFE, 1).turn();
-        s.with(new Event.SettingsChanged(
+                        limits.parallelAttempts(),
+                        limits.cancellationAllowed(),
+                        limits.retryAdviceAllowed(),
+                        limits.maxRetryAdviceMicros(),
+                        limits.callsPerConnection(),
+                        limits.idleConnectionLifeMicros(),
+                        limits.connectTimeoutMicros()),
+                settings.rules(),
+                settings.prices(),
+                settings.reportFields());
+    }
+
+    @Test
+    void pendingMessageKeepsItsClassAndNewOnesGetTheNewOne() {
+        SchedulerScript script = warmed(1, 2);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
+        script.add(new Event.SettingsChanged(
                         fewer(SchedulerScript.settings(8, false, 1), 12, DeliveryScheduler.Idempotency.NON_IDEMPOTENT)))
-                .turn();
-        s.pass(100_000).end(1, AttemptOutcome.ERROR).turn().pass(100_000);
-        assertTrue(s.isOut(1), "a safe message was not sent again");
-        s.end(1, AttemptOutcome.OK)
-                .arrive(2, SchedulerScript.SAFE, 1)
-                .turn()
-                .pass(100_000)
-                .end(2, AttemptOutcome.ERROR)
-                .turn();
-        assertTrue(s.failed.contains(2L), "an unsafe message may not go on");
-    }
-
-    @Test
-    void fewerAttemptsEndWhatHasHadThem() {
-        SchedulerScript s = warmed(1, 2);
-        s.arrive(1, SchedulerScript.SAFE, 1).turn().pass(100_000).end(1, AttemptOutcome.ERROR);
-        s.with(new Event.SettingsChanged(
+                .decide();
+        script.advance(100_000).complete(1, AttemptOutcome.ERROR).decide().advance(100_000);
+        assertTrue(script.isInFlight(1), "a safe message was not sent again");
+        script.complete(1, AttemptOutcome.OK)
+                .submit(2, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(100_000)
+                .complete(2, AttemptOutcome.ERROR)
+                .decide();
+        assertTrue(script.failed.contains(2L), "an unsafe message may not go on");
+    }
+
+    @Test
+    void fewerAttemptsAnswerWhatHasHadThem() {
+        SchedulerScript script = warmed(1, 2);
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(100_000)
+                .complete(1, AttemptOutcome.ERROR);
+        script.add(new Event.SettingsChanged(
                         fewer(SchedulerScript.settings(8, false, 1), 1, DeliveryScheduler.Idempotency.IDEMPOTENT)))
-                .turn();
-        assertEquals(List.of(1L), s.refused);
+                .decide();
+        assertEquals(List.of(1L), script.rejected);
     }
 
     @Test
     void settingsThatCannotBeUsedChangeNothing() {
-        SchedulerScript s = warmed(1, 2);
+        SchedulerScript script = warmed(1, 2);
         for (int attempts : new int[] {0, -1}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> s.configure(fewer(
+                    () -> script.configure(fewer(
                             SchedulerScript.settings(8, false, 1),
                             attempts,
                             DeliveryScheduler.Idempotency.NON_IDEMPOTENT)));
         }
-        s.arrive(1, SchedulerScript.SAFE, 1)
-                .turn()
-                .pass(100_000)
-                .end(1, AttemptOutcome.ERROR)
-                .turn()
-                .pass(100_000);
-        assertTrue(s.isOut(1), "the class had changed");
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .advance(100_000)
+                .complete(1, AttemptOutcome.ERROR)
+                .decide()
+                .advance(100_000);
+        assertTrue(script.isInFlight(1), "the class had changed");
     }
 
     @Test
-    void countsWhomItAvoids() {
-        SchedulerScript s = warmed(1, 2);
-        assertEquals(0, s.avoided());
-        s.arrive(1, SchedulerScript.SAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.CONNECT_FAILED)
-                .turn();
-        assertEquals(0, s.avoided(), "one failure is chance");
-        s.pass(500_000).end(1, AttemptOutcome.CONNECT_FAILED).turn();
-        assertEquals(2, s.avoided());
+    void countsAvoidedEndpoints() {
+        SchedulerScript script = warmed(1, 2);
+        assertEquals(0, script.avoidedEndpoints());
+        script.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.CONNECT_FAILED)
+                .decide();
+        assertEquals(0, script.avoidedEndpoints(), "one failure is chance");
+        script.advance(500_000).complete(1, AttemptOutcome.CONNECT_FAILED).decide();
+        assertEquals(2, script.avoidedEndpoints());
     }
 
-    // ---- Taking over from a process that still runs. ----
+    // ---- Transfer from a process that still runs. ----
 
     private static Event resumed(long id, int type, long key) {
         return new Event.MessageRecovered(id, type, key, 10_000_000, 1, 0, -1, 0, false);
@@ -864,95 +894,97 @@
     }
 
     @Test
-    void aCallOfTheOtherProcessHoldsItsSlotAndIsNotMadeAgain() {
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(1, false, 1)).list(1, 1);
-        s.with(resumed(1, SchedulerScript.UNSAFE, 0))
-                .with(new Event.CallInFlight(List.of(1L), 10, 50_000))
-                .turn();
-        s.arrive(2, SchedulerScript.SAFE, 1).turn().pass(50_000);
-        assertEquals(List.of(), s.sends);
-        s.with(ended(1, AttemptOutcome.OK)).turn();
-        assertTrue(s.isOut(2));
-        assertEquals(1, s.sends.size());
+    void callInFlightOfTheOtherProcessHoldsItsSlotAndIsNotRepeated() {
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(1, false, 1)).listEndpoints(1, 1);
+        script.add(resumed(1, SchedulerScript.NON_IDEMPOTENT, 0))
+                .add(new Event.CallInFlight(List.of(1L), 10, 50_000))
+                .decide();
+        script.submit(2, SchedulerScript.IDEMPOTENT, 1).decide().advance(50_000);
+        assertEquals(List.of(), script.sends);
+        script.add(ended(1, AttemptOutcome.OK)).decide();
+        assertTrue(script.isInFlight(2));
+        assertEquals(1, script.sends.size());
     }
 
-    /** Both messages of one call: one slot, and free only when both have been told. */
+    /** Both messages of one call: one slot, free only when both have their outcomes. */
     @Test
     void severalMessagesOfOneCallShareItsSlot() {
-        SchedulerScript s = new SchedulerScript(SchedulerScript.settings(2, false, 2))
-                .list(1, 1)
-                .list(2, 2);
-        s.with(resumed(1, SchedulerScript.UNSAFE, 0))
-                .with(resumed(2, SchedulerScript.UNSAFE, 0))
-                .with(new Event.CallInFlight(List.of(1L, 2L), 10, 50_000))
-                .turn();
-        s.arrive(3, SchedulerScript.SAFE, 2).arrive(4, SchedulerScript.SAFE, 2).turn();
+        SchedulerScript script = new SchedulerScript(SchedulerScript.settings(2, false, 2))
+                .listEndpoints(1, 1)
+                .listEndpoints(2, 2);
+        script.add(resumed(1, SchedulerScript.NON_IDEMPOTENT, 0))
+                .add(resumed(2, SchedulerScript.NON_IDEMPOTENT, 0))
+                .add(new Event.CallInFlight(List.of(1L, 2L), 10, 50_000))
+                .decide();
+        script.submit(3, SchedulerScript.IDEMPOTENT, 2)
+                .submit(4, SchedulerScript.IDEMPOTENT, 2)
+                .decide();
         assertEquals(
                 1,
-                s.sends.stream()
-                        .filter(send -> s.isOut(send.id()))
+                script.sends.stream()
+                        .filter(send -> script.isInFlight(send.id()))
                         .map(SchedulerScript.Send::endpoint)
                         .distinct()
                         .count());
-        s.with(ended(1, AttemptOutcome.OK))
-                .turn()
-                .with(ended(2, AttemptOutcome.OK))
-                .turn();
-        s.arrive(5, SchedulerScript.SAFE, 1).turn();
-        assertTrue(s.isOut(5), "the slot did not come back");
-    }
-
-    @Test
-    void aCallOfTheOtherProcessHoldsItsKeysTurn() {
-        SchedulerScript s = script().list(1, 2);
-        s.with(resumed(1, SchedulerScript.ORDERED, 5))
-                .with(new Event.CallInFlight(List.of(1L), 10, 0))
-                .turn();
-        s.arrive(2, SchedulerScript.ORDERED, 1, 5).turn().pass(100_000);
-        assertFalse(s.isOut(2));
-        s.with(ended(1, AttemptOutcome.OK)).turn();
-        assertTrue(s.isOut(2));
-    }
-
-    @Test
-    void aKeyRestsOnAndWaitsForANoticeThatIsOwed() {
-        SchedulerScript s = script().list(1, 2);
-        s.with(new Event.KeyPaused(new DeliveryScheduler.KeyPause(5, 80_000, 0)))
-                .with(new Event.CompletedMessageRecovered(9, 6))
-                .turn();
-        assertEquals(List.of(new DeliveryScheduler.KeyPause(5, 80_000, 0)), s.rests());
-        s.arrive(1, SchedulerScript.ORDERED, 1, 5)
-                .arrive(2, SchedulerScript.ORDERED, 1, 6)
-                .turn()
-                .pass(70_000);
-        assertFalse(s.isOut(1) || s.isOut(2));
-        s.pass(20_000);
-        assertTrue(s.isOut(1));
-        s.end(1, AttemptOutcome.OK).turn();
-        assertFalse(s.isOut(2));
-        s.with(new Event.CompletionAcknowledged(9)).turn();
-        assertTrue(s.isOut(2));
-    }
-
-    @Test
-    void whatWasLearnedBindsTheNextProcess() {
+        script.add(ended(1, AttemptOutcome.OK))
+                .decide()
+                .add(ended(2, AttemptOutcome.OK))
+                .decide();
+        script.submit(5, SchedulerScript.IDEMPOTENT, 1).decide();
+        assertTrue(script.isInFlight(5), "the slot did not come back");
+    }
+
+    @Test
+    void callInFlightOfTheOtherProcessHoldsItsKey() {
+        SchedulerScript script = script().listEndpoints(1, 2);
+        script.add(resumed(1, SchedulerScript.ORDERED, 5))
+                .add(new Event.CallInFlight(List.of(1L), 10, 0))
+                .decide();
+        script.submit(2, SchedulerScript.ORDERED, 1, 5).decide().advance(100_000);
+        assertFalse(script.isInFlight(2));
+        script.add(ended(1, AttemptOutcome.OK)).decide();
+        assertTrue(script.isInFlight(2));
+    }
+
+    @Test
+    void keyStaysPausedAndWaitsForAnOutstandingAcknowledgement() {
+        SchedulerScript script = script().listEndpoints(1, 2);
+        script.add(new Event.KeyPaused(new DeliveryScheduler.KeyPause(5, 80_000, 0)))
+                .add(new Event.CompletedMessageRecovered(9, 6))
+                .decide();
+        assertEquals(List.of(new DeliveryScheduler.KeyPause(5, 80_000, 0)), script.pausedKeys());
+        script.submit(1, SchedulerScript.ORDERED, 1, 5)
+                .submit(2, SchedulerScript.ORDERED, 1, 6)
+                .decide()
+                .advance(70_000);
+        assertFalse(script.isInFlight(1) || script.isInFlight(2));
+        script.advance(20_000);
+        assertTrue(script.isInFlight(1));
+        script.complete(1, AttemptOutcome.OK).decide();
+        assertFalse(script.isInFlight(2));
+        script.add(new Event.CompletionAcknowledged(9)).decide();
+        assertTrue(script.isInFlight(2));
+    }
+
+    @Test
+    void transferredStateBindsTheNextProcess() {
         SchedulerScript before = warmed(1, 2);
-        before.arrive(1, SchedulerScript.SAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.FULL, 900_000)
-                .turn();
-        List<DeliveryScheduler.UpstreamSnapshot> learned = before.learned();
-        SchedulerScript after = script().list(1, 2);
-        learned.forEach(l -> after.with(new Event.UpstreamStateTransferred(l)));
-        after.arrive(2, SchedulerScript.SAFE, 1).turn().pass(850_000);
-        assertFalse(after.isOut(2), "the told wait is not kept");
-        after.pass(900_000);
-        assertTrue(after.isOut(2));
-        List<DeliveryScheduler.UpstreamSnapshot> again = script().list(1, 2)
-                .with(new Event.UpstreamStateTransferred(learned.get(0)))
-                .turn()
-                .learned();
-        // How long a place has been well is not kept: nothing depends on it.
+        before.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.FULL, 900_000)
+                .decide();
+        List<DeliveryScheduler.UpstreamSnapshot> learned = before.snapshots();
+        SchedulerScript after = script().listEndpoints(1, 2);
+        learned.forEach(l -> after.add(new Event.UpstreamStateTransferred(l)));
+        after.submit(2, SchedulerScript.IDEMPOTENT, 1).decide().advance(850_000);
+        assertFalse(after.isInFlight(2), "the told wait is not kept");
+        after.advance(900_000);
+        assertTrue(after.isInFlight(2));
+        List<DeliveryScheduler.UpstreamSnapshot> again = script().listEndpoints(1, 2)
+                .add(new Event.UpstreamStateTransferred(learned.get(0)))
+                .decide()
+                .snapshots();
+        // For how long an upstream has been healthy is not kept: nothing depends on it.
         assertEquals(
                 learned.stream().map(AtcDeliverySchedulerTest::sinceEver).toList(),
                 again.stream().map(AtcDeliverySchedulerTest::sinceEver).toList());
@@ -978,20 +1010,20 @@
     }
 
     @Test
-    void anOutagePassesOn() {
+    void outageIsTransferred() {
         SchedulerScript before = warmed(1, 1);
-        before.arrive(1, SchedulerScript.SAFE, 1)
-                .turn()
-                .end(1, AttemptOutcome.CONNECT_FAILED)
-                .turn()
-                .pass(600_000);
-        while (before.avoided() == 0) {
-            before.end(1, AttemptOutcome.CONNECT_FAILED).turn().pass(600_000);
+        before.submit(1, SchedulerScript.IDEMPOTENT, 1)
+                .decide()
+                .complete(1, AttemptOutcome.CONNECT_FAILED)
+                .decide()
+                .advance(600_000);
+        while (before.avoidedEndpoints() == 0) {
+            before.complete(1, AttemptOutcome.CONNECT_FAILED).decide().advance(600_000);
         }
-        SchedulerScript after = script().list(1, 1);
-        before.learned().forEach(l -> after.with(new Event.UpstreamStateTransferred(l)));
-        after.turn();
-        assertEquals(1, after.avoided());
-        assertEquals(0, script().list(1, 1).turn().avoided());
+        SchedulerScript after = script().listEndpoints(1, 1);
+        before.snapshots().forEach(l -> after.add(new Event.UpstreamStateTransferred(l)));
+        after.decide();
+        assertEquals(1, after.avoidedEndpoints());
+        assertEquals(0, script().listEndpoints(1, 1).decide().avoidedEndpoints());
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
+++ b/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aTreeAnswersAsASortedListDoes() {
+    void treapAnswersAsASortedListDoes() {
         for (long seed = 1; seed <= 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             DueDateTreap<Item> tree = new DueDateTreap<>();
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aQueueGivesTheEarliestWhateverWasMovedOrRemoved() {
+    void timerHeapGivesTheEarliestWhateverWasMovedOrRemoved() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             IndexedTimerHeap<Integer> queue = new IndexedTimerHeap<>();
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void theGreatestKeyComesFirstHoweverThingsWerePutIn() {
+    void greatestKeyComesFirstHoweverItemsWereAdded() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             MaxHeap<Item> queue = new MaxHeap<>();
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void aSumFadesAsItsTermsDo() {
+    void sumDecaysAsItsTermsDo() {
         SplittableRandom random = new SplittableRandom(5);
         DecayingSum sum = new DecayingSum(1_000_000);
         List<double[]> terms = new ArrayList<>();
@@ -264,7 +264,7 @@
     }
 
     @Test
-    void walksInTheOrderOfTheIndex() {
+    void iteratesInTheOrderOfTheIndex() {
         for (long seed = 1; seed <= 4_000; seed++) {
             Scene scene = new Scene(seed);
             List<Item> walked = new ArrayList<>();
--- a/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
@@ -77,9 +77,9 @@
     }
 
     private void play(long seed) {
-        DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings, size.concludes());
+        DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings, size.acknowledgements());
         RandomScenario scenario = new RandomScenario(seed, size);
-        Event event = scenario.first();
+        Event event = scenario.initialList();
         for (int step = 0; step < STEPS; step++) {
             step(scheduler, scenario, event);
             if (step % ADDED_EVENT_PERIOD_STEPS == 0) {
@@ -96,14 +96,14 @@
                 scheduler.snapshots(scenario.now()).forEach(snapshot -> record("snapshot", snapshot));
                 scheduler.pausedKeys(scenario.now()).forEach(pause -> record("paused", pause));
             }
-            event = scenario.next();
+            event = scenario.nextEvent();
         }
     }
 
     private void step(DeliveryScheduler scheduler, RandomScenario scenario, Event event) {
         ScenarioActions actions = new ScenarioActions();
         scheduler.step(scenario.now(), event, actions);
-        scenario.follow(actions.recorder);
+        scenario.apply(actions.recorder);
     }
 
     /** Settings of the scenario; for some seeds with listed weights and zone tolls. */
--- a/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
@@ -16,101 +16,101 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What is hard for structures that order by time and sum up: each beside the module of before, which walks all messages. */
+/** Cases that are hard for structures that order by time and sum up, beside the reference scheduler, which visits all messages. */
 class HardCasesTest {
     private static final long LONG = 40_000_000;
 
-    /** Both modules, the same events to each, and what is out. */
-    private static final class Arena {
-        final ReferenceScheduler old;
-        final AtcDeliveryScheduler fresh;
-        final Map<Long, long[]> out = new LinkedHashMap<>();
+    /** Both schedulers, the same events to each, and the calls in flight. */
+    private static final class SideBySideFixture {
+        final ReferenceScheduler reference;
+        final AtcDeliveryScheduler scheduler;
+        final Map<Long, long[]> inFlight = new LinkedHashMap<>();
         final Map<Long, Integer> attempts = new LinkedHashMap<>();
-        final Set<Long> ended = new HashSet<>();
+        final Set<Long> completed = new HashSet<>();
         long now = 1_000_000;
         long ids;
-        /** Not where the old module's index has run out of digits, and messages tied. */
+        /** False where the index of the reference underflows and its messages tie. */
         boolean compared = true;
 
         int sends;
-        int refused;
+        int rejected;
         int failed;
 
-        Arena(DeliveryScheduler.Settings settings) {
-            old = new ReferenceScheduler(settings);
-            fresh = new AtcDeliveryScheduler(settings);
+        SideBySideFixture(DeliveryScheduler.Settings settings) {
+            reference = new ReferenceScheduler(settings);
+            scheduler = new AtcDeliveryScheduler(settings);
         }
 
-        void tell(Event event) {
+        void step(Event event) {
             RandomScenario.Recorder wanted = new RandomScenario.Recorder();
             RandomScenario.Recorder did = new RandomScenario.Recorder();
             if (compared) {
-                old.step(now, event, wanted);
+                reference.step(now, event, wanted);
             }
-            fresh.step(now, event, did);
+            scheduler.step(now, event, did);
             assertTrue(
-                    !compared || SideBySideRun.same(wanted.acts(), did.acts()),
-                    () -> "at " + now + " " + event + "\nbefore:\n" + String.join("\n", wanted.acts()) + "\nnow:\n"
-                            + String.join("\n", did.acts()));
+                    !compared || SideBySideRun.same(wanted.actionsWithoutTimers(), did.actionsWithoutTimers()),
+                    () -> "at " + now + " " + event + "\nbefore:\n" + String.join("\n", wanted.actionsWithoutTimers())
+                            + "\nnow:\n" + String.join("\n", did.actionsWithoutTimers()));
             for (long[] send : did.sends) {
-                out.put(send[0], send);
+                inFlight.put(send[0], send);
                 attempts.merge(send[0], 1, Integer::sum);
                 sends++;
             }
             for (String line : did.lines) {
-                refused += line.startsWith("refuse") ? 1 : 0;
+                rejected += line.startsWith("refuse") ? 1 : 0;
                 failed += line.startsWith("fail") ? 1 : 0;
             }
             for (long id : did.answered) {
-                assertTrue(ended.add(id), "two ends of " + id);
+                assertTrue(completed.add(id), "two ends of " + id);
             }
         }
 
-        void turn() {
-            tell(new Event.Decide());
+        void decide() {
+            step(new Event.Decide());
         }
 
-        void list(int destinations, int each, DeliveryScheduler.EndpointState state) {
+        void listEndpoints(int destinations, int each, DeliveryScheduler.EndpointState state) {
             List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
             for (int d = 0; d < destinations; d++) {
                 for (int i = 0; i < each; i++) {
                     entries.add(new DeliveryScheduler.EndpointEntry(1 + d * (long) each + i, d, state, 0, 0, 0));
                 }
             }
-            tell(new Event.EndpointListUpdated(DeliveryScheduler.EndpointListKind.DELTA, entries));
+            step(new Event.EndpointListUpdated(DeliveryScheduler.EndpointListKind.DELTA, entries));
         }
 
-        long arrive(int type, long key, long timeLeft, int destination) {
-            tell(new Event.MessageSubmitted(++ids, type, -1, key, timeLeft, destination));
+        long submit(int type, long key, long timeLeft, int destination) {
+            step(new Event.MessageSubmitted(++ids, type, -1, key, timeLeft, destination));
             return ids;
         }
 
-        /** The call that has been out longest ends. */
-        void end(AttemptOutcome ending, long took) {
-            long[] call = out.remove(out.keySet().iterator().next());
-            boolean closed = ending == AttemptOutcome.OK;
+        /** Completes the call that has been in flight longest. */
+        void complete(AttemptOutcome outcome, long took) {
+            long[] call = inFlight.remove(inFlight.keySet().iterator().next());
+            boolean closed = outcome == AttemptOutcome.OK;
             if (closed) {
-                assertTrue(ended.add(call[0]), "two ends of " + call[0]);
+                assertTrue(completed.add(call[0]), "two ends of " + call[0]);
             }
-            tell(new Event.AttemptCompleted(
-                    call[0], attempts.get(call[0]) - 1, call[1], ending, took, closed, 0, List.of(), 0));
+            step(new Event.AttemptCompleted(
+                    call[0], attempts.get(call[0]) - 1, call[1], outcome, took, closed, 0, List.of(), 0));
         }
 
-        /** So many calls end one after another, with a turn and some time behind each. */
-        void run(int calls, long took, AttemptOutcome ending) {
-            for (int i = 0; i < calls && !out.isEmpty(); i++) {
+        /** Completes so many calls one after another, with a decision and some time behind each. */
+        void completeCalls(int calls, long took, AttemptOutcome outcome) {
+            for (int i = 0; i < calls && !inFlight.isEmpty(); i++) {
                 now += 1_000;
-                end(ending, took);
-                turn();
+                complete(outcome, took);
+                decide();
             }
         }
 
-        /** Time passes in steps with a turn behind each. */
-        void pass(long span, long step) {
+        /** Lets time pass in steps with a decision behind each. */
+        void advance(long span, long step) {
             for (long end = now + span; now < end; ) {
                 now += step;
-                tell(new Event.TimerExpired(0));
-                turn();
+                step(new Event.TimerExpired(0));
+                decide();
             }
         }
     }
@@ -135,152 +135,170 @@
                 new DeliveryScheduler.ReportFields(-1, -1));
     }
 
-    private static DeliveryScheduler.MessageClass type(
-            double worth, double late, long aim, long deadline, DeliveryScheduler.Idempotency effect, boolean order) {
+    private static DeliveryScheduler.MessageClass messageClass(
+            double priorityWeight,
+            double late,
+            long latencyObjective,
+            long deadline,
+            DeliveryScheduler.Idempotency idempotency,
+            boolean order) {
         return new DeliveryScheduler.MessageClass(
-                worth, late, aim, deadline, effect, DeliveryScheduler.KeyScope.DESTINATION, deadline, order);
+                priorityWeight,
+                late,
+                latencyObjective,
+                deadline,
+                idempotency,
+                DeliveryScheduler.KeyScope.DESTINATION,
+                deadline,
+                order);
     }
 
-    private static final DeliveryScheduler.MessageClass SAFE =
-            type(2, 0.5, 3_000_000, LONG, DeliveryScheduler.Idempotency.IDEMPOTENT, false);
+    private static final DeliveryScheduler.MessageClass IDEMPOTENT =
+            messageClass(2, 0.5, 3_000_000, LONG, DeliveryScheduler.Idempotency.IDEMPOTENT, false);
     private static final DeliveryScheduler.MessageClass ORDERED =
-            type(1, 0.2, 2_000_000, LONG, DeliveryScheduler.Idempotency.KEYED, true);
-    private static final DeliveryScheduler.MessageClass UNSAFE =
-            type(4, 0.7, 1_000_000, LONG, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false);
+            messageClass(1, 0.2, 2_000_000, LONG, DeliveryScheduler.Idempotency.KEYED, true);
+    private static final DeliveryScheduler.MessageClass NON_IDEMPOTENT =
+            messageClass(4, 0.7, 1_000_000, LONG, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false);
 
-    private static Arena arena(int slots, int open) {
-        return new Arena(settings(slots, open, DeliveryScheduler.LateValueDecay.LINEAR, SAFE, ORDERED, UNSAFE));
+    private static SideBySideFixture fixture(int slots, int open) {
+        return new SideBySideFixture(
+                settings(slots, open, DeliveryScheduler.LateValueDecay.LINEAR, IDEMPOTENT, ORDERED, NON_IDEMPOTENT));
     }
 
-    /** Buckets change their order all at once as service times move, an outage makes one explode, and it falls back. */
+    /** Queues change their order all at once as service times move, an outage makes one explode, and it falls back. */
     @Test
-    void serviceTimesMoveWhileMessagesAreHeld() {
-        Arena a = arena(6, 5_000);
-        a.list(12, 2, DeliveryScheduler.EndpointState.READY);
+    void serviceTimesMoveWhileMessagesArePending() {
+        SideBySideFixture fixture = fixture(6, 5_000);
+        fixture.listEndpoints(12, 2, DeliveryScheduler.EndpointState.READY);
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 600; i++) {
-            a.arrive(random.nextInt(3), 1 + random.nextInt(40), LONG - random.nextInt(5_000_000), random.nextInt(12));
+            fixture.submit(
+                    random.nextInt(3), 1 + random.nextInt(40), LONG - random.nextInt(5_000_000), random.nextInt(12));
         }
-        a.turn();
+        fixture.decide();
         for (int i = 0; i < 200; i++) {
-            a.run(1, 1_000 + random.nextLong(30_000) * (1 + i % 9), AttemptOutcome.OK);
+            fixture.completeCalls(1, 1_000 + random.nextLong(30_000) * (1 + i % 9), AttemptOutcome.OK);
         }
-        a.run(20, 9_000_000, AttemptOutcome.TIMEOUT);
-        a.pass(4_000_000, 90_000);
-        a.run(150, 20_000, AttemptOutcome.OK);
-        assertTrue(a.sends > 200, a.sends + " sends");
+        fixture.completeCalls(20, 9_000_000, AttemptOutcome.TIMEOUT);
+        fixture.advance(4_000_000, 90_000);
+        fixture.completeCalls(150, 20_000, AttemptOutcome.OK);
+        assertTrue(fixture.sends > 200, fixture.sends + " sends");
     }
 
     @Test
-    void aClumpForOneDestinationInOneTurn() {
-        Arena a = arena(4, 4_000);
-        a.list(3, 2, DeliveryScheduler.EndpointState.READY);
-        a.arrive(0, 0, LONG, 0);
-        a.turn();
-        a.run(1, 5_000, AttemptOutcome.OK);
+    void burstForOneDestinationInOneDecision() {
+        SideBySideFixture fixture = fixture(4, 4_000);
+        fixture.listEndpoints(3, 2, DeliveryScheduler.EndpointState.READY);
+        fixture.submit(0, 0, LONG, 0);
+        fixture.decide();
+        fixture.completeCalls(1, 5_000, AttemptOutcome.OK);
         for (int i = 0; i < 2_000; i++) {
-            a.arrive(i % 3, i, LONG - i, 0);
+            fixture.submit(i % 3, i, LONG - i, 0);
         }
-        a.turn();
-        a.run(300, 5_000, AttemptOutcome.OK);
-        // Beyond the room the least are turned away.
+        fixture.decide();
+        fixture.completeCalls(300, 5_000, AttemptOutcome.OK);
+        // Near capacity the least are shed.
         for (int i = 0; i < 2_500; i++) {
-            a.arrive(i % 3, i, LONG - i, 1);
+            fixture.submit(i % 3, i, LONG - i, 1);
         }
-        a.turn();
-        assertTrue(a.refused > 500 && a.sends > 300, a.refused + " refused, " + a.sends + " sends");
+        fixture.decide();
+        assertTrue(
+                fixture.rejected > 500 && fixture.sends > 300,
+                fixture.rejected + " refused, " + fixture.sends + " sends");
     }
 
     @Test
     void manyDestinationsWithOneMessageEach() {
-        Arena a = arena(10, 2_000);
-        a.list(1_500, 1, DeliveryScheduler.EndpointState.READY);
+        SideBySideFixture fixture = fixture(10, 2_000);
+        fixture.listEndpoints(1_500, 1, DeliveryScheduler.EndpointState.READY);
         for (int d = 0; d < 1_500; d++) {
-            a.arrive(d % 3, 0, LONG, d);
+            fixture.submit(d % 3, 0, LONG, d);
         }
-        a.turn();
-        a.run(1_500, 8_000, AttemptOutcome.OK);
-        assertEquals(1_500, a.ended.size());
+        fixture.decide();
+        fixture.completeCalls(1_500, 8_000, AttemptOutcome.OK);
+        assertEquals(1_500, fixture.completed.size());
     }
 
     @Test
     void allAreDueInTheSameInstant() {
-        Arena a = arena(3, 2_000);
-        a.list(20, 1, DeliveryScheduler.EndpointState.READY);
+        SideBySideFixture fixture = fixture(3, 2_000);
+        fixture.listEndpoints(20, 1, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 900; i++) {
-            a.arrive(i % 3, 0, 3_000_000, i % 20);
+            fixture.submit(i % 3, 0, 3_000_000, i % 20);
         }
-        a.turn();
-        a.run(100, 9_000, AttemptOutcome.OK);
-        a.pass(4_000_000, 300_000);
-        assertEquals(900, a.ended.size() + a.out.size());
+        fixture.decide();
+        fixture.completeCalls(100, 9_000, AttemptOutcome.OK);
+        fixture.advance(4_000_000, 300_000);
+        assertEquals(900, fixture.completed.size() + fixture.inFlight.size());
     }
 
     @Test
-    void aKeyWithThousandsBehindOneInDoubt() {
-        Arena a = arena(4, 5_000);
-        a.list(2, 2, DeliveryScheduler.EndpointState.READY);
+    void keyWithThousandsBehindOneUnknownOutcome() {
+        SideBySideFixture fixture = fixture(4, 5_000);
+        fixture.listEndpoints(2, 2, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 1_500; i++) {
-            a.arrive(1, 7, LONG - i, 0);
+            fixture.submit(1, 7, LONG - i, 0);
         }
-        a.turn();
-        assertEquals(1, a.sends);
-        a.run(1, 2_000_000, AttemptOutcome.TIMEOUT);
-        a.pass(50_000, 10_000);
-        assertTrue(a.out.size() <= 1, "one of a key at a time");
-        a.pass(3_000_000, 100_000);
-        a.run(60, 4_000, AttemptOutcome.OK);
-        // Those in the middle run out of time, wherever they stand in the key's order.
-        a.pass(LONG, 2_000_000);
-        assertTrue(a.refused + a.failed > 1_000, a.refused + " refused, " + a.failed + " failed");
+        fixture.decide();
+        assertEquals(1, fixture.sends);
+        fixture.completeCalls(1, 2_000_000, AttemptOutcome.TIMEOUT);
+        fixture.advance(50_000, 10_000);
+        assertTrue(fixture.inFlight.size() <= 1, "one of a key at a time");
+        fixture.advance(3_000_000, 100_000);
+        fixture.completeCalls(60, 4_000, AttemptOutcome.OK);
+        // Messages in the middle of the key's order run out of time as well.
+        fixture.advance(LONG, 2_000_000);
+        assertTrue(
+                fixture.rejected + fixture.failed > 1_000,
+                fixture.rejected + " refused, " + fixture.failed + " failed");
     }
 
     @Test
-    void halfOfTheEndpointsLeaveWithAllThatIsHeldForThem() {
-        Arena a = arena(8, 3_000);
-        a.list(40, 1, DeliveryScheduler.EndpointState.READY);
+    void halfOfTheEndpointsAreRemovedWithPendingMessages() {
+        SideBySideFixture fixture = fixture(8, 3_000);
+        fixture.listEndpoints(40, 1, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 1_200; i++) {
-            a.arrive(i % 3, i % 50, LONG - 1_000L * i, i % 40);
+            fixture.submit(i % 3, i % 50, LONG - 1_000L * i, i % 40);
         }
-        a.turn();
-        a.run(60, 7_000, AttemptOutcome.OK);
-        a.list(20, 1, DeliveryScheduler.EndpointState.GONE);
-        a.turn();
-        a.run(120, 7_000, AttemptOutcome.OK);
-        a.pass(2_000_000, 200_000);
-        a.list(20, 1, DeliveryScheduler.EndpointState.READY);
-        a.turn();
-        a.run(120, 7_000, AttemptOutcome.OK);
-        assertTrue(a.sends > 250, a.sends + " sends");
+        fixture.decide();
+        fixture.completeCalls(60, 7_000, AttemptOutcome.OK);
+        fixture.listEndpoints(20, 1, DeliveryScheduler.EndpointState.GONE);
+        fixture.decide();
+        fixture.completeCalls(120, 7_000, AttemptOutcome.OK);
+        fixture.advance(2_000_000, 200_000);
+        fixture.listEndpoints(20, 1, DeliveryScheduler.EndpointState.READY);
+        fixture.decide();
+        fixture.completeCalls(120, 7_000, AttemptOutcome.OK);
+        assertTrue(fixture.sends > 250, fixture.sends + " sends");
     }
 
     @Test
-    void everyDestinationIsOutAtOnce() {
-        Arena a = arena(30, 3_000);
-        a.list(60, 1, DeliveryScheduler.EndpointState.READY);
+    void everyDestinationIsUnavailableAtOnce() {
+        SideBySideFixture fixture = fixture(30, 3_000);
+        fixture.listEndpoints(60, 1, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 900; i++) {
-            a.arrive(i % 3, i % 70, LONG, i % 60);
+            fixture.submit(i % 3, i % 70, LONG, i % 60);
         }
-        a.turn();
-        a.run(200, 6_000, AttemptOutcome.OK);
-        a.run(300, 3_000, AttemptOutcome.CONNECT_FAILED);
-        a.pass(6_000_000, 150_000);
-        a.run(120, 3_000, AttemptOutcome.CONNECT_FAILED);
-        a.pass(5_000_000, 250_000);
-        a.run(300, 9_000, AttemptOutcome.OK);
-        a.pass(1_000_000, 50_000);
-        assertTrue(a.sends > 400, a.sends + " sends");
+        fixture.decide();
+        fixture.completeCalls(200, 6_000, AttemptOutcome.OK);
+        fixture.completeCalls(300, 3_000, AttemptOutcome.CONNECT_FAILED);
+        fixture.advance(6_000_000, 150_000);
+        fixture.completeCalls(120, 3_000, AttemptOutcome.CONNECT_FAILED);
+        fixture.advance(5_000_000, 250_000);
+        fixture.completeCalls(300, 9_000, AttemptOutcome.OK);
+        fixture.advance(1_000_000, 50_000);
+        assertTrue(fixture.sends > 400, fixture.sends + " sends");
     }
 
     @Test
-    void aRestartResumesThousandsInOneTurn() {
-        Arena a = arena(8, 4_000);
-        a.list(30, 2, DeliveryScheduler.EndpointState.READY);
+    void restartRecoversThousandsInOneDecision() {
+        SideBySideFixture fixture = fixture(8, 4_000);
+        fixture.listEndpoints(30, 2, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 2_500; i++) {
-            a.attempts.put(++a.ids, i % 2);
+            fixture.attempts.put(++fixture.ids, i % 2);
             boolean doubt = i % 2 == 1 && i % 3 != 0;
-            a.tell(new Event.MessageRecovered(
-                    a.ids,
+            fixture.step(new Event.MessageRecovered(
+                    fixture.ids,
                     i % 3,
                     1 + i % 90,
                     LONG - 300L * (i * 37 % 2_500),
@@ -290,45 +308,56 @@
                     doubt ? 1 + i % 60 : 0,
                     doubt && i % 4 == 1));
         }
-        a.turn();
-        a.run(400, 6_000, AttemptOutcome.OK);
-        assertTrue(a.failed > 0 && a.sends > 350, a.failed + " failed, " + a.sends + " sends");
+        fixture.decide();
+        fixture.completeCalls(400, 6_000, AttemptOutcome.OK);
+        assertTrue(fixture.failed > 0 && fixture.sends > 350, fixture.failed + " failed, " + fixture.sends + " sends");
     }
 
-    /** No figure is not a number, nothing overflows, and every message gets an end; worth of nothing still has an order. */
+    /** Nothing is NaN or overflows, and every message gets its answer; messages without weight still have an order. */
     @Test
     void extremeClassesAndTimes() {
         for (DeliveryScheduler.LateValueDecay late : DeliveryScheduler.LateValueDecay.values()) {
-            Arena a = new Arena(settings(
+            SideBySideFixture fixture = new SideBySideFixture(settings(
                     3,
                     400,
                     late,
-                    type(0, 0, 1, 1, DeliveryScheduler.Idempotency.IDEMPOTENT, false),
-                    type(0, 0, 1, 400_000_000_000L, DeliveryScheduler.Idempotency.KEYED, true),
-                    type(1e9, 1, 90_000_000_000L, 90_000_000_000L, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false),
-                    type(1e-9, 0.5, 5, 1_000_000, DeliveryScheduler.Idempotency.IDEMPOTENT, false)));
-            a.compared = false;
-            a.list(5, 1, DeliveryScheduler.EndpointState.READY);
+                    messageClass(0, 0, 1, 1, DeliveryScheduler.Idempotency.IDEMPOTENT, false),
+                    messageClass(0, 0, 1, 400_000_000_000L, DeliveryScheduler.Idempotency.KEYED, true),
+                    messageClass(
+                            1e9,
+                            1,
+                            90_000_000_000L,
+                            90_000_000_000L,
+                            DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
+                            false),
+                    messageClass(1e-9, 0.5, 5, 1_000_000, DeliveryScheduler.Idempotency.IDEMPOTENT, false)));
+            fixture.compared = false;
+            fixture.listEndpoints(5, 1, DeliveryScheduler.EndpointState.READY);
             SplittableRandom random = new SplittableRandom(9);
             for (int round = 0; round < 60; round++) {
                 for (int i = 0; i < 6; i++) {
-                    a.arrive(
+                    fixture.submit(
                             random.nextInt(4),
                             random.nextInt(4),
                             random.nextInt(3) == 0 ? 1 : 500_000_000_000L,
                             random.nextInt(5));
                 }
-                a.turn();
-                a.run(2, random.nextBoolean() ? 0 : 1 + random.nextLong(3), AttemptOutcome.OK);
+                fixture.decide();
+                fixture.completeCalls(2, random.nextBoolean() ? 0 : 1 + random.nextLong(3), AttemptOutcome.OK);
             }
-            assertTrue(a.sends > 50 && a.refused > 50, late + ": " + a.sends + " sends, " + a.refused + " refused");
-            // What is out is given up, and all that is left runs out of time.
-            while (!a.out.isEmpty()) {
-                a.now += 1_000;
-                a.end(AttemptOutcome.TIMEOUT, 1_000);
+            assertTrue(
+                    fixture.sends > 50 && fixture.rejected > 50,
+                    late + ": " + fixture.sends + " sends, " + fixture.rejected + " refused");
+            // Calls in flight time out, and all other messages expire.
+            while (!fixture.inFlight.isEmpty()) {
+                fixture.now += 1_000;
+                fixture.complete(AttemptOutcome.TIMEOUT, 1_000);
             }
-            a.pass(600_000_000_000L, 100_000_000_000L);
-            assertEquals(a.ids, a.ended.size() + a.out.size(), late + ": all but what is out has its end");
+            fixture.advance(600_000_000_000L, 100_000_000_000L);
+            assertEquals(
+                    fixture.ids,
+                    fixture.completed.size() + fixture.inFlight.size(),
+                    late + ": all but what is out has its end");
         }
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
@@ -12,21 +12,21 @@
 import java.util.SplittableRandom;
 
 /**
- * A world of random events round one module: clients, destinations that are well, slow, away or full, told waits, keys, changes
- * of the list, restarts of what is held, changes of settings. It follows what the module does, so calls end as a world would
- * have them end. The same seed and module give the same events.
+ * Random events for one scheduler: clients, destinations that are healthy, slow, unreachable, rejecting or failing, Retry-After,
+ * keys, changes of the endpoint list, recovered and cancelled messages, rate limits. It follows the scheduler's actions, so that
+ * calls end as those of real upstreams would. The same seed and scheduler give the same events.
  */
 final class RandomScenario {
-    /** What a module did in one step, in its order. */
+    /** The actions of one step, in their order. */
     static final class Recorder implements DeliveryScheduler.Actions {
         final List<String> lines = new ArrayList<>();
         final List<long[]> sends = new ArrayList<>();
         final List<Long> answered = new ArrayList<>();
         final List<long[]> cancels = new ArrayList<>();
-        long wake = -1;
+        long timerDelayMicros = -1;
 
-        /** All but timers. */
-        List<String> acts() {
+        /** All actions but timers. */
+        List<String> actionsWithoutTimers() {
             return lines.stream().filter(line -> !line.startsWith("wake ")).toList();
         }
 
@@ -72,7 +72,7 @@
         @Override
         public void scheduleTimer(long delay, long token) {
             lines.add("wake " + delay);
-            wake = delay;
+            timerDelayMicros = delay;
         }
 
         @Override
@@ -86,49 +86,56 @@
         }
     }
 
-    /** How large and how bad a world is. */
+    /** How large a scenario is. */
     record Plan(
             int destinations,
             int endpointsEach,
-            int slots,
-            int openMessages,
+            int maxConcurrentCalls,
+            int maxPendingMessages,
             double perSecond,
             int keys,
-            boolean concludes) {}
+            boolean acknowledgements) {}
 
-    /** A call's end that is due. */
-    private record Due(long at, long id, int attempt, long endpoint, AttemptOutcome ending, long took, long toldWait) {}
+    /** The outcome of a call, for when it is due. */
+    private record ScheduledOutcome(
+            long at,
+            long id,
+            int attempt,
+            long endpoint,
+            AttemptOutcome outcome,
+            long durationMicros,
+            long retryAfterMicros) {}
 
-    enum Mood {
-        WELL,
+    enum UpstreamBehavior {
+        HEALTHY,
         SLOW,
-        AWAY,
-        FULL,
-        ERRORS
+        UNREACHABLE,
+        REJECTING,
+        FAILING
     }
 
     private final SplittableRandom random;
     private final Plan plan;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
+    private final PriorityQueue<ScheduledOutcome> scheduledOutcomes = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.id(), b.id()));
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final Map<Long, Due> out = new LinkedHashMap<>();
-    private final Map<Long, Boolean> held = new LinkedHashMap<>();
-    private final Mood[] moods;
+    private final Map<Long, ScheduledOutcome> inFlight = new LinkedHashMap<>();
+    private final Map<Long, Boolean> pending = new LinkedHashMap<>();
+    private final UpstreamBehavior[] behaviors;
     private final boolean[] listed;
-    private final List<Long> conclude = new ArrayList<>();
+    private final List<Long> unacknowledged = new ArrayList<>();
     private long now = 1_000_000;
     private long nextId = 1;
-    private long wakeAt = Long.MAX_VALUE;
-    private long nextArrival;
+    private long timerAt = Long.MAX_VALUE;
+    private long nextSubmissionAt;
 
     RandomScenario(long seed, Plan plan) {
         random = new SplittableRandom(seed);
         this.plan = plan;
-        moods = new Mood[plan.destinations()];
-        java.util.Arrays.fill(moods, Mood.WELL);
+        behaviors = new UpstreamBehavior[plan.destinations()];
+        java.util.Arrays.fill(behaviors, UpstreamBehavior.HEALTHY);
         listed = new boolean[plan.destinations() * plan.endpointsEach()];
-        nextArrival = now;
+        nextSubmissionAt = now;
     }
 
     static DeliveryScheduler.Settings settings(long seed, Plan plan) {
@@ -180,8 +187,8 @@
                         new DeliveryScheduler.DestinationKind(random.nextBoolean(), 1),
                         new DeliveryScheduler.DestinationKind(false, 5)),
                 new DeliveryScheduler.Limits(
-                        plan.slots(),
-                        plan.openMessages(),
+                        plan.maxConcurrentCalls(),
+                        plan.maxPendingMessages(),
                         3 + random.nextInt(10),
                         false,
                         true,
@@ -199,7 +206,7 @@
         return 1 + destination * (long) plan.endpointsEach() + i;
     }
 
-    Event first() {
+    Event initialList() {
         List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
         for (int d = 0; d < plan.destinations(); d++) {
             for (int i = 0; i < plan.endpointsEach(); i++) {
@@ -215,18 +222,19 @@
         return now;
     }
 
-    int held() {
-        return held.size();
+    int pendingCount() {
+        return pending.size();
     }
 
-    /** What happens next; every second event or so is the turn that follows. */
-    Event next() {
-        if (!conclude.isEmpty() && random.nextInt(3) == 0) {
-            return new Event.CompletionAcknowledged(conclude.remove(0));
+    /** What happens next; a decision follows each event. */
+    Event nextEvent() {
+        if (!unacknowledged.isEmpty() && random.nextInt(3) == 0) {
+            return new Event.CompletionAcknowledged(unacknowledged.remove(0));
         }
         int what = random.nextInt(1_000);
         if (what < 3) {
-            moods[random.nextInt(moods.length)] = Mood.values()[random.nextInt(Mood.values().length)];
+            behaviors[random.nextInt(behaviors.length)] =
+                    UpstreamBehavior.values()[random.nextInt(UpstreamBehavior.values().length)];
         } else if (what < 5) {
             int at = random.nextInt(listed.length);
             listed[at] = !listed[at];
@@ -245,35 +253,37 @@
                             at % plan.endpointsEach() % 2,
                             d % 2)));
         } else if (what < 6) {
-            return resumed();
-        } else if (what < 8 && !held.isEmpty()) {
-            long id = held.keySet().iterator().next();
-            held.remove(id);
+            return recovered();
+        } else if (what < 8 && !pending.isEmpty()) {
+            long id = pending.keySet().iterator().next();
+            pending.remove(id);
             return new Event.MessageCancelled(id);
         } else if (what < 9) {
             return new Event.FleetRateLimitChanged(
                     random.nextInt(plan.destinations()), random.nextInt(30), 1, random.nextBoolean());
         }
         long soonest = Math.min(
-                Math.min(wakeAt, nextArrival),
-                due.isEmpty() ? Long.MAX_VALUE : due.peek().at());
+                Math.min(timerAt, nextSubmissionAt),
+                scheduledOutcomes.isEmpty()
+                        ? Long.MAX_VALUE
+                        : scheduledOutcomes.peek().at());
         now = Math.max(now, soonest);
-        if (!due.isEmpty() && due.peek().at() <= now) {
-            return ended(due.poll());
+        if (!scheduledOutcomes.isEmpty() && scheduledOutcomes.peek().at() <= now) {
+            return completed(scheduledOutcomes.poll());
         }
-        if (wakeAt <= now) {
-            wakeAt = Long.MAX_VALUE;
+        if (timerAt <= now) {
+            timerAt = Long.MAX_VALUE;
             return new Event.TimerExpired(0);
         }
-        nextArrival = now
+        nextSubmissionAt = now
                 + (random.nextInt(200) == 0 ? 0 : (long) (-Math.log(1 - random.nextDouble()) / plan.perSecond() * 1e6));
-        return arrival();
+        return submitted();
     }
 
-    private Event arrival() {
+    private Event submitted() {
         int type = random.nextInt(3);
         long id = nextId++;
-        held.put(id, true);
+        pending.put(id, true);
         attempts.put(id, 0);
         long full = type == 0 ? 12_000_000 : type == 1 ? 10_000_000 : 8_000_000;
         return new Event.MessageSubmitted(
@@ -289,9 +299,9 @@
         return plan.keys() == 0 || random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(plan.keys());
     }
 
-    private Event resumed() {
+    private Event recovered() {
         long id = nextId++;
-        held.put(id, true);
+        pending.put(id, true);
         int tried = random.nextInt(3);
         attempts.put(id, tried);
         boolean doubt = tried > 0 && random.nextBoolean();
@@ -308,77 +318,77 @@
                 doubt && random.nextBoolean());
     }
 
-    private Event ended(Due call) {
-        out.remove(call.id());
-        boolean closed = call.ending() == AttemptOutcome.OK || random.nextInt(200) == 0;
+    private Event completed(ScheduledOutcome call) {
+        inFlight.remove(call.id());
+        boolean closed = call.outcome() == AttemptOutcome.OK || random.nextInt(200) == 0;
         if (closed) {
-            held.remove(call.id());
-            if (plan.concludes()) {
+            pending.remove(call.id());
+            if (plan.acknowledgements()) {
                 // As a sender does it: at once.
-                conclude.remove(call.id());
+                unacknowledged.remove(call.id());
             }
         }
         return new Event.AttemptCompleted(
                 call.id(),
                 call.attempt(),
                 call.endpoint(),
-                call.ending(),
-                call.took(),
+                call.outcome(),
+                call.durationMicros(),
                 closed,
-                call.toldWait(),
+                call.retryAfterMicros(),
                 random.nextInt(20) == 0 ? List.of(random.nextDouble(), 10 + random.nextDouble() * 50) : List.of(),
                 random.nextBoolean() ? -1 : random.nextLong(5_000_000));
     }
 
-    /** What the module did: calls get an end that comes later, by how their destination is. */
-    void follow(Recorder did) {
+    /** Takes note of the actions: calls get an outcome that comes later, by the behavior of their destination. */
+    void apply(Recorder did) {
         for (long[] send : did.sends) {
             int d = (int) ((send[1] - 1) / plan.endpointsEach());
             long took = 20_000 + random.nextLong(200_000);
-            AttemptOutcome ending = random.nextInt(100) == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK;
+            AttemptOutcome outcome = random.nextInt(100) == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK;
             long wait = 0;
-            switch (moods[d]) {
+            switch (behaviors[d]) {
                 case SLOW -> took *= 10;
-                case AWAY -> {
-                    ending = random.nextBoolean() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT;
-                    took = ending == AttemptOutcome.TIMEOUT ? Long.MAX_VALUE : took;
+                case UNREACHABLE -> {
+                    outcome = random.nextBoolean() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT;
+                    took = outcome == AttemptOutcome.TIMEOUT ? Long.MAX_VALUE : took;
                 }
-                case FULL -> {
-                    ending = random.nextInt(4) == 0 ? AttemptOutcome.OK : AttemptOutcome.FULL;
-                    wait = ending == AttemptOutcome.FULL && random.nextInt(3) == 0 ? random.nextLong(4_000_000) : 0;
+                case REJECTING -> {
+                    outcome = random.nextInt(4) == 0 ? AttemptOutcome.OK : AttemptOutcome.FULL;
+                    wait = outcome == AttemptOutcome.FULL && random.nextInt(3) == 0 ? random.nextLong(4_000_000) : 0;
                 }
-                case ERRORS -> ending = random.nextBoolean()
+                case FAILING -> outcome = random.nextBoolean()
                         ? AttemptOutcome.ERROR
                         : random.nextBoolean() ? AttemptOutcome.RESET : AttemptOutcome.OK;
                 default -> {}
             }
             long end = took == Long.MAX_VALUE ? send[2] : Math.min(send[2], now + took);
-            if (end == send[2] && ending != AttemptOutcome.CONNECT_FAILED) {
-                ending = AttemptOutcome.TIMEOUT;
+            if (end == send[2] && outcome != AttemptOutcome.CONNECT_FAILED) {
+                outcome = AttemptOutcome.TIMEOUT;
             }
             int attempt = attempts.merge(send[0], 1, Integer::sum) - 1;
-            Due call = new Due(end, send[0], attempt, send[1], ending, end - now, wait);
-            out.put(send[0], call);
-            due.add(call);
+            ScheduledOutcome call = new ScheduledOutcome(end, send[0], attempt, send[1], outcome, end - now, wait);
+            inFlight.put(send[0], call);
+            scheduledOutcomes.add(call);
         }
         for (long[] cancel : did.cancels) {
-            Due call = out.remove(cancel[0]);
+            ScheduledOutcome call = inFlight.remove(cancel[0]);
             if (call != null) {
-                due.remove(call);
-                Due early = new Due(
+                scheduledOutcomes.remove(call);
+                ScheduledOutcome early = new ScheduledOutcome(
                         now + 1_000, call.id(), call.attempt(), call.endpoint(), AttemptOutcome.CANCELLED, 1_000, 0);
-                out.put(call.id(), early);
-                due.add(early);
+                inFlight.put(call.id(), early);
+                scheduledOutcomes.add(early);
             }
         }
         for (long id : did.answered) {
-            held.remove(id);
-            if (plan.concludes()) {
-                conclude.add(id);
+            pending.remove(id);
+            if (plan.acknowledgements()) {
+                unacknowledged.add(id);
             }
         }
-        if (did.wake >= 0) {
-            wakeAt = now + did.wake;
+        if (did.timerDelayMicros >= 0) {
+            timerAt = now + did.timerDelayMicros;
         }
     }
 }
