--- a/sender/src/test/java/amberroute/sender/ArchitectureTest.java
+++ b/sender/src/test/java/amberroute/sender/ArchitectureTest.java
@@ -54,6 +54,7 @@
                     "client",
                     "config",
                     "decision",
+                    "eventloop",
                     "message",
                     "util")
             .whereLayer("peer")
