--- a/sender/src/main/java/amberroute/sender/FailoverSender.java
+++ b/sender/src/main/java/amberroute/sender/FailoverSender.java
@@ -36,7 +36,7 @@
         peers = delivery.peers;
         try {
             loop.submit(() -> {
-                        peers.setFailoverReplicator(replication.carry(replica, this, term));
+                        peers.setFailoverReplicator(replication.startReplication(replica, this, term));
                         return null;
                     })
                     .sync();
@@ -52,7 +52,7 @@
     private void announceKeys() {
         HandoffCoordinator handoff = peers.handoff();
         if (handoff != null && !state.lifecycle().ownershipReleased()) {
-            handoff.name(delivery.keyHolds.orderedKeysWithHolds());
+            handoff.announceKeyHolds(delivery.keyHolds.orderedKeysWithHolds());
         }
     }
 
@@ -62,12 +62,12 @@
     }
 
     @Override
-    public JournalReplicator copying() {
+    public JournalReplicator replicator() {
         return peers.failoverReplicator();
     }
 
     @Override
-    public boolean idle() {
+    public boolean isIdle() {
         return state.lifecycle().ready()
                 && journal().pendingMessages().isEmpty()
                 && delivery.upstream.callsOut() == 0
@@ -75,8 +75,8 @@
     }
 
     @Override
-    public boolean heldBy(String daemon) {
-        return peers.handoff() != null && peers.handoff().heldBy(daemon);
+    public boolean isHeldBy(String daemon) {
+        return peers.handoff() != null && peers.handoff().isHeldBy(daemon);
     }
 
     @Override
--- a/sender/src/main/java/amberroute/sender/FleetCoordination.java
+++ b/sender/src/main/java/amberroute/sender/FleetCoordination.java
@@ -137,7 +137,7 @@
 
     /** The socket for datagrams other than heartbeats, shared with the heartbeats where there are any. Not on the event loop. */
     Channel datagramSocket(InetSocketAddress address, Consumer<DatagramPacket> receiver) throws InterruptedException {
-        return heartbeats != null ? heartbeats.share(receiver) : PeerSocket.bind(loop, address, receiver);
+        return heartbeats != null ? heartbeats.shareSocket(receiver) : PeerSocket.bind(loop, address, receiver);
     }
 
     /** Whether daemons report their load. */
@@ -148,7 +148,7 @@
     /** Begins to report load on a socket. */
     void startReporting(Channel socket) {
         if (loadReports != null) {
-            loadReports.begin(socket);
+            loadReports.start(socket);
         }
     }
 
@@ -161,35 +161,35 @@
 
     /** The load reports for operators, null where there are none. */
     JsonObject describeLoad() {
-        return loadReports == null ? null : loadReports.show();
+        return loadReports == null ? null : loadReports.describe();
     }
 
     /** A message of this priority weight was submitted for a destination. */
     void submitted(int destination, double priorityWeight) {
         if (loadReports != null) {
-            loadReports.asked(destination, priorityWeight);
+            loadReports.onDemand(destination, priorityWeight);
         }
     }
 
     /** An attempt at a destination has completed. */
     void attemptCompleted(int destination, AttemptOutcome outcome) {
         if (loadReports != null) {
-            loadReports.ended(destination, outcome);
+            loadReports.onAttemptEnded(destination, outcome);
         }
     }
 
     /** A message was delivered: other daemons hear of it soon if its destination had been unavailable. */
     void delivered(int destination) {
-        if (limits != null && limits.answered(SchedulerClock.micros(), destination)) {
-            heartbeats.hurry();
+        if (limits != null && limits.onSuccess(SchedulerClock.micros(), destination)) {
+            heartbeats.announceSoon();
         }
     }
 
     /** The state of a destination became known; {@code sinceMicros} is as {@link SlowStartLimits#found} takes it. */
     void healthFound(int destination, DeliveryScheduler.UpstreamStatus status, long sinceMicros) {
         if (limits != null) {
-            limits.found(SchedulerClock.micros(), destination, heartbeatHealth(status), sinceMicros);
-            heartbeats.hurry();
+            limits.onHealthChanged(SchedulerClock.micros(), destination, heartbeatHealth(status), sinceMicros);
+            heartbeats.announceSoon();
         }
     }
 
@@ -199,7 +199,7 @@
             return;
         }
         for (DeliveryScheduler.EndpointEntry entry : entries) {
-            SlowStartLimits.RateLimit limit = limits.known(SchedulerClock.micros(), entry.destination());
+            SlowStartLimits.RateLimit limit = limits.onDestinationListed(SchedulerClock.micros(), entry.destination());
             if (limit != null) {
                 applyRateLimit(limit);
             }
@@ -207,8 +207,8 @@
     }
 
     private void applyRateLimit(SlowStartLimits.RateLimit limit) {
-        scheduler.submit(
-                new Event.FleetRateLimitChanged(limit.destination(), limit.perSecond(), limit.first(), limit.back()));
+        scheduler.submit(new Event.FleetRateLimitChanged(
+                limit.destination(), limit.perSecond(), limit.initialCredit(), limit.recoveredElsewhere()));
     }
 
     private double pendingFor(int destination) {
--- a/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public List<List<AcceptedMessage>> movable() {
+    public List<List<AcceptedMessage>> movableGroups() {
         List<List<AcceptedMessage>> groups = new ArrayList<>();
         if (!messages.arriving().isEmpty()) {
             return groups;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public boolean inOrder(AcceptedMessage message) {
+    public boolean isOrdered(AcceptedMessage message) {
         return messages.ordered(message);
     }
 
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public boolean offer(
+    public boolean recordOffer(
             String lot, Ownership ownership, List<AcceptedMessage> offered, List<Long> keys, long holdUntil) {
         if (!folder.journal()
                 .offerHandoffBatch(lot, ownership, lastDeadline(offered), offered, config.name(), keys, holdUntil)) {
@@ -126,8 +126,8 @@
     }
 
     @Override
-    public boolean record(String lot, Ownership ownership, List<AcceptedMessage> offered) {
-        boolean written = ownership.mine()
+    public boolean recordOwnership(String lot, Ownership ownership, List<AcceptedMessage> offered) {
+        boolean written = ownership.isOwned()
                 ? takeBack(lot, ownership, offered)
                 : folder.journal().writeHandoffBatch(lot, ownership, lastDeadline(offered), offered);
         if (written) {
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public HandoffPlacement.RejectionReason refuses(List<AcceptedMessage> offered, JsonObject theirClasses) {
+    public HandoffPlacement.RejectionReason rejectionReason(List<AcceptedMessage> offered, JsonObject theirClasses) {
         if (shutdown.stopping()
                 || !lifecycle.ready()
                 || messages.pendingCount() + offered.size()
@@ -176,7 +176,7 @@
         int type = messages.classes().number(message.className);
         return type >= 0
                 && endpoints.listed(message.destination)
-                && message.deadline - folder.steadyMillis() >= HandoffPlacement.LEAST_LEFT
+                && message.deadline - folder.steadyMillis() >= HandoffPlacement.MIN_TIME_LEFT_MILLIS
                 && theirClasses.has(message.className)
                 && theirClasses.get(message.className).getAsString().equals(meaning(type))
                 && !undeliverableRetry(message, messages.classes().type(type));
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public JsonObject classes(List<AcceptedMessage> offered) {
+    public JsonObject classMeanings(List<AcceptedMessage> offered) {
         JsonObject meanings = new JsonObject();
         offered.forEach(
                 message -> meanings.addProperty(message.className, message.type < 0 ? "" : meaning(message.type)));
@@ -206,7 +206,7 @@
     }
 
     @Override
-    public boolean adopt(String lot, Ownership ownership, List<AcceptedMessage> adopted, String origin) {
+    public boolean adoptBatch(String lot, Ownership ownership, List<AcceptedMessage> adopted, String origin) {
         long startMicros = SchedulerClock.micros();
         adopted.forEach(message -> message.type = messages.classes().number(message.className));
         List<Long> keys = orderedKeys(adopted);
@@ -218,13 +218,13 @@
         resumeAhead(adopted, later);
         scheduler.recordPause(SchedulerClock.micros() - startMicros);
         keyHolds.release(keys.stream()
-                .filter(key -> !folder.journal().keyHolds().held(key))
+                .filter(key -> !folder.journal().keyHolds().isHeld(key))
                 .toList());
         return true;
     }
 
     @Override
-    public boolean hold(String origin, List<Long> keys, long until) {
+    public boolean holdKeys(String origin, List<Long> keys, long until) {
         if (lifecycle.ownershipReleased() || !folder.journal().holdKeys(origin, keys, until)) {
             return false;
         }
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public void release(String origin, List<Long> keys) {
+    public void releaseKeys(String origin, List<Long> keys) {
         List<Long> known = keys.stream()
                 .filter(key -> folder.journal().keyHolds().origins(key).contains(origin))
                 .toList();
@@ -244,12 +244,12 @@
     }
 
     @Override
-    public void failed(List<AcceptedMessage> offered) {
+    public void failMessages(List<AcceptedMessage> offered) {
         completion.failOffered(offered);
     }
 
     @Override
-    public long nextNumber() {
+    public long nextMessageNumber() {
         return folder.journal().nextNumber();
     }
 }
--- a/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
+++ b/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
@@ -68,7 +68,7 @@
             }
         }
         if (peers.handoff() != null) {
-            peers.handoff().free(keys);
+            peers.handoff().onKeysReleased(keys);
         }
     }
 
@@ -119,9 +119,9 @@
     /** As {@link #orderedKeys}, with the keys of which other daemons have messages from here. */
     Map<Long, Long> orderedKeysWithHolds() {
         Map<Long, Long> ends = orderedKeys();
-        folder.journal().keyHolds().all().stream()
+        folder.journal().keyHolds().allHolds().stream()
                 .filter(hold -> hold.origin().equals(senderName))
-                .forEach(hold -> ends.merge(hold.key(), hold.until(), Math::max));
+                .forEach(hold -> ends.merge(hold.key(), hold.untilMillis(), Math::max));
         return ends;
     }
 }
--- a/sender/src/main/java/amberroute/sender/MessageRecovery.java
+++ b/sender/src/main/java/amberroute/sender/MessageRecovery.java
@@ -80,7 +80,7 @@
         folder.journal().classes().forEach(messages.classes()::restore);
         settings.run();
         folder.journal().expireKeyHolds(folder.steadyMillis());
-        keyHolds.block(folder.journal().keyHolds().keys());
+        keyHolds.block(folder.journal().keyHolds().heldKeys());
         List.copyOf(folder.journal().pendingMessages()).forEach(this::restoreMessage);
         if (transfers.state() != null) {
             resumeCalls();
--- a/sender/src/main/java/amberroute/sender/PeerServices.java
+++ b/sender/src/main/java/amberroute/sender/PeerServices.java
@@ -70,7 +70,7 @@
 
     /** The number of messages that are offered to peers and not adopted yet. */
     int offeredCount() {
-        return handoff == null ? 0 : handoff.waiting();
+        return handoff == null ? 0 : handoff.unansweredMessages();
     }
 
     /** Starts the replication of the journal where it is configured and enough daemons are. */
@@ -106,7 +106,7 @@
         }
         handoff = new HandoffCoordinator(
                 loop, config.name(), standalone.peers(), host, folder.journal(), folder::steadyMillis);
-        handoff.recover();
+        handoff.recoverOffers();
         return true;
     }
 
@@ -120,7 +120,7 @@
     /** Listens for peers and begins to talk to them. Not on the event loop. */
     void listen(FleetCoordination fleet) throws InterruptedException {
         if (replication != null) {
-            handoff.estates(replication);
+            handoff.handleReplicationWith(replication);
         }
         if (handoff != null && config.standalone().handOver() != null) {
             address = handoff.listen(config.standalone().handOver());
@@ -134,14 +134,14 @@
 
     private void receive(DatagramPacket packet, FleetCoordination fleet) {
         if (membership != null) {
-            membership.heard(packet);
+            membership.onDatagram(packet);
         }
         fleet.receive(packet);
     }
 
     private void startDatagrams(Channel socket, FleetCoordination fleet) {
         if (replication != null) {
-            membership.begin(socket);
+            membership.start(socket);
             replication.start();
         }
         fleet.startReporting(socket);
--- a/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
@@ -49,24 +49,24 @@
     public void fenced(String why) {
         Log.warn("survival: this estate is over here: " + why
                 + "; this process ends, and the next one begins a new estate");
-        SupersededReplicas.mark(config.state());
+        SupersededReplicas.markSuperseded(config.state());
         Runtime.getRuntime().halt(EXIT_SUPERSEDED);
     }
 
     @Override
-    public ReplicationCoordinator.Failover takeOver(ReplicaStore.StoredReplica replica, Path folder, long term)
+    public ReplicationCoordinator.Failover startFailover(ReplicaStore.StoredReplica replica, Path folder, long term)
             throws IOException {
         Map<String, InetSocketAddress> others =
                 new LinkedHashMap<>(config.standalone().peers());
         others.put(config.name(), peers.address());
         // Under the failed daemon's name: that daemon may come back, and has to hold these keys like any peer.
         SenderConfig failoverConfig =
-                config.caretaker(replica.estate, folder, config.standalone().caretaker(others));
+                config.caretaker(replica.journalId, folder, config.standalone().caretaker(others));
         return new FailoverSender(loop, peers.replication(), senders.create(failoverConfig), replica, term);
     }
 
     @Override
-    public long longestLife() {
+    public long maxMessageLifeMillis() {
         return activeSettings.settings().classes().stream()
                         .mapToLong(DeliveryScheduler.MessageClass::deadlineMicros)
                         .max()
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -187,7 +187,7 @@
             control.listen(config.standalone().control());
         }
         if (config.standalone().survive() != null) {
-            SupersededReplicas.putAside(config.state());
+            SupersededReplicas.setAside(config.state());
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/SenderCommands.java
+++ b/sender/src/main/java/amberroute/sender/SenderCommands.java
@@ -86,7 +86,7 @@
 
     @Override
     public void absentPeers(Set<String> names) {
-        peers.handoff().absent(names);
+        peers.handoff().excludeAbsentPeers(names);
     }
 
     @Override
@@ -101,17 +101,17 @@
 
     @Override
     public JsonArray replicas() {
-        return peers.replication().list();
+        return peers.replication().describeReplicas();
     }
 
     @Override
     public String takeReplica(String origin) {
-        return peers.replication().take(origin);
+        return peers.replication().requestFailover(origin);
     }
 
     @Override
     public String releaseReplica(String origin) {
-        return peers.replication().release(origin);
+        return peers.replication().releaseFailover(origin);
     }
 
     @Override
--- a/sender/src/main/java/amberroute/sender/ShutdownWork.java
+++ b/sender/src/main/java/amberroute/sender/ShutdownWork.java
@@ -56,14 +56,14 @@
     @Override
     public void announceKeys() {
         if (peers.handoff() != null) {
-            peers.handoff().name(keyHolds.orderedKeys());
+            peers.handoff().announceKeyHolds(keyHolds.orderedKeys());
         }
     }
 
     @Override
     public void offerMessages() {
         if (peers.handoff() != null) {
-            peers.handoff().offerAll();
+            peers.handoff().offerMovable();
         }
     }
 
@@ -71,14 +71,14 @@
     public void completeAll() {
         List.copyOf(messages.accepted().values()).forEach(completion::completeUndelivered);
         if (peers.handoff() != null) {
-            peers.handoff().giveUp();
+            peers.handoff().abandonOffers();
         }
     }
 
     @Override
     public void announceReturn() {
         if (peers.replication() != null) {
-            peers.replication().away(config.standalone().backMillis());
+            peers.replication().announceRestart(config.standalone().backMillis());
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
@@ -104,7 +104,7 @@
 
     private Optional<SubmissionVerdict> checkKnownIdOfFailover(ClientServer.Submission submission) {
         Journal journal =
-                peers.replication() == null ? null : peers.replication().knowing(submission.id());
+                peers.replication() == null ? null : peers.replication().failoverJournalKnowing(submission.id());
         if (journal == null) {
             return Optional.empty();
         }
@@ -126,7 +126,7 @@
 
     /** A message that is not accepted may be submitted again without harm. */
     private Optional<SubmissionVerdict> checkReplicas(ClientServer.Submission submission) {
-        if (peers.replication() == null || peers.replication().ready() || shutdown.stopping()) {
+        if (peers.replication() == null || peers.replication().isReady() || shutdown.stopping()) {
             return Optional.empty();
         }
         boolean advise = activeSettings.settings().limits().retryAdviceAllowed();
@@ -145,11 +145,13 @@
                 ? submission.key()
                 : 0;
         boolean mayMove = peers.handoff() != null && orderedKey != 0;
-        if (mayMove && peers.handoff().undecided(orderedKey) && deferredCount.getAsInt() < MAX_DEFERRED_SUBMISSIONS) {
+        if (mayMove
+                && peers.handoff().isHoldUndecided(orderedKey)
+                && deferredCount.getAsInt() < MAX_DEFERRED_SUBMISSIONS) {
             return new SubmissionVerdict.Defer(SubmissionVerdict.DeferReason.KEY_OWNER_UNKNOWN);
         }
         long adviceMillis = shutdown.retryAdviceMillis(random.nextDouble());
-        long keyMovedMillis = mayMove ? peers.handoff().stayAway(orderedKey) : 0;
+        long keyMovedMillis = mayMove ? peers.handoff().retryElsewhereDelayMillis(orderedKey) : 0;
         return new SubmissionVerdict.Reject(
                 SubmissionVerdict.RejectionReason.STOPPING, Math.max(adviceMillis, keyMovedMillis));
     }
--- a/sender/src/main/java/amberroute/sender/SubmissionHandler.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionHandler.java
@@ -99,8 +99,8 @@
                 folder.steadyMillis() + submission.timeLeft(),
                 submission.body());
         message.type = messages.classes().number(submission.className());
-        if (messages.ordered(message) && folder.journal().keyHolds().held(message.key)) {
-            peers.handoff().turnedUp(message.key);
+        if (messages.ordered(message) && folder.journal().keyHolds().isHeld(message.key)) {
+            peers.handoff().requestKey(message.key);
         }
         messages.arriving().put(message.number, new PendingAcceptance(message, reply));
         messages.arrivingIds().add(message.id);
--- a/sender/src/main/java/amberroute/sender/journal/JournalImport.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalImport.java
@@ -25,7 +25,7 @@
     void applyTo(JournalContents contents, SegmentLog log) {
         classes.forEach(contents::putClass);
         health.forEach(contents::putHealth);
-        keyHolds.all().forEach(hold -> contents.holdKeys(hold.origin(), List.of(hold.key()), hold.until()));
+        keyHolds.allHolds().forEach(hold -> contents.holdKeys(hold.origin(), List.of(hold.key()), hold.untilMillis()));
         long rank = firstFreeNumber;
         for (AcceptedMessage message : messages) {
             message.rank = rank++;
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
@@ -183,7 +183,7 @@
         return RecordBytes.encode(out -> {
             out.writeUTF(hold.origin());
             out.writeLong(hold.key());
-            out.writeLong(hold.until());
+            out.writeLong(hold.untilMillis());
         });
     }
 
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
@@ -108,7 +108,7 @@
             case RecordKind.KEY_HOLD -> {
                 var hold = JournalRecordCodec.decodeKeyHold(in);
                 contents.owners.recovered(OwnerNumbers.keyHold(hold.origin(), hold.key()), owner);
-                contents.holdKeys(hold.origin(), List.of(hold.key()), hold.until());
+                contents.holdKeys(hold.origin(), List.of(hold.key()), hold.untilMillis());
             }
             case RecordKind.HEALTH -> {
                 HealthRecord record = JournalRecordCodec.decodeHealth(in);
--- a/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
@@ -28,7 +28,7 @@
         JournalSnapshot snapshot = new JournalSnapshot(contents, keyHolds);
         contents.classes.keySet().forEach(snapshot::addClass);
         contents.health.keySet().forEach(snapshot::addHealth);
-        contents.keyHolds.all().forEach(snapshot::addKeyHold);
+        contents.keyHolds.allHolds().forEach(snapshot::addKeyHold);
         contents.pending.values().forEach(snapshot::addMessage);
         contents.handoffBatches.keySet().forEach(snapshot::addHandoffBatch);
         return snapshot.batches;
--- a/sender/src/main/java/amberroute/sender/journal/KeyHoldJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/KeyHoldJournal.java
@@ -46,7 +46,7 @@
     /** Returns whether there is room for so many more holds. */
     boolean fits(int more) {
         KeyHolds holds = contents.keyHolds;
-        return holds.fits(more)
+        return holds.hasCapacity(more)
                 && RecordSizes.ofKeyHolds(holds.size() + more) <= limits.budgetBytes() / BUDGET_SHARE
                 && contents.space.fits(RecordSizes.ofKeyHolds(more));
     }
@@ -73,8 +73,8 @@
 
     /** Ends expired holds and returns the keys that nobody holds any more; a hold's expiry is on disk with it. */
     List<Long> expire(long wallMillis) {
-        List<KeyHolds.KeyHold> expired = contents.keyHolds.all().stream()
-                .filter(hold -> hold.until() <= wallMillis)
+        List<KeyHolds.KeyHold> expired = contents.keyHolds.allHolds().stream()
+                .filter(hold -> hold.untilMillis() <= wallMillis)
                 .toList();
         if (expired.isEmpty()) {
             return List.of();
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -143,7 +143,7 @@
             AcceptedMessage ended = message(journal, "ended", "safe", 0, 7);
             journal.end(ended, ended.returned(0));
             AcceptedMessage offered = message(journal, "offered", "unsafe", 0, 7);
-            assertTrue(journal.writeHandoffBatch("lot", Ownership.taken(), ended.deadline, List.of(offered)));
+            assertTrue(journal.writeHandoffBatch("lot", Ownership.initial(), ended.deadline, List.of(offered)));
             assertTrue(journal.writeHandoffBatch(
                     "lot", new Ownership(2, Ownership.Status.OFFERED, "elsewhere"), ended.deadline, List.of(offered)));
         }
--- a/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
+++ b/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
@@ -273,8 +273,8 @@
                         out.add("batch " + name + " " + batch.ownership().generation() + " "
                                 + batch.ownership().status().name() + " "
                                 + batch.ownership().peer() + " " + batch.untilMillis() + " " + batch.messageNumbers()));
-        for (KeyHolds.KeyHold hold : journal.keyHolds().all()) {
-            out.add("hold " + hold.origin() + " " + hold.key() + " " + hold.until());
+        for (KeyHolds.KeyHold hold : journal.keyHolds().allHolds()) {
+            out.add("hold " + hold.origin() + " " + hold.key() + " " + hold.untilMillis());
         }
         journal.classes()
                 .forEach((number, version) -> out.add("class " + number + " " + version.name() + " "
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -159,7 +159,7 @@
             assertEquals(12_345, doubt.doubtSince);
             assertEquals("s-1", doubt.doubtAt);
             assertEquals("idem-doubt", doubt.idempotencyKey);
-            assertTrue(journal.handoffBatches().get("lot").ownership().mine());
+            assertTrue(journal.handoffBatches().get("lot").ownership().isOwned());
         }
     }
 
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -72,7 +72,7 @@
                 DeliveryScheduler.UpstreamStatus.UNAVAILABLE,
                 journal.healthRecords().iterator().next().health());
         assertEquals("policy-order", journal.classes().get(1).name());
-        assertTrue(journal.keyHolds().held(31) && !journal.keyHolds().held(32));
+        assertTrue(journal.keyHolds().isHeld(31) && !journal.keyHolds().isHeld(32));
         assertTrue(journal.nextNumber()
                 > live.stream().mapToLong(m -> m.number).max().orElse(0));
     }
