--- a/handoff/src/main/java/amberroute/handoff/HandoffEffect.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffEffect.java
@@ -3,8 +3,8 @@
 /** What a host has to carry out, in the order given; a record is on disk before the next effect. */
 public sealed interface HandoffEffect {
     /** Replaces what the journal says of a lot. */
-    record PersistOwnership(String lot, Ownership ownership) implements HandoffEffect {}
+    record PersistOwnership(String batchId, Ownership ownership) implements HandoffEffect {}
 
     /** Sends a word; it may be lost, late or doubled. */
-    record SendMessage(String to, HandoffMessage word) implements HandoffEffect {}
+    record SendMessage(String recipient, HandoffMessage message) implements HandoffEffect {}
 }
--- a/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
@@ -1,7 +1,7 @@
 package amberroute.handoff;
 
 /** One word between two daemons about one lot; an offer's messages travel with it. */
-public record HandoffMessage(Kind kind, String lot, long generation) {
+public record HandoffMessage(Kind kind, String batchId, long generation) {
     /** OFFER and CANCEL go to the heir, YES and NO come back. */
     public enum Kind {
         OFFER,
@@ -11,7 +11,7 @@
     }
 
     /** Whether it is for an heir. */
-    public boolean forHeir() {
+    public boolean isForSuccessor() {
         return kind == Kind.OFFER || kind == Kind.CANCEL;
     }
 }
--- a/handoff/src/main/java/amberroute/handoff/Ownership.java
+++ b/handoff/src/main/java/amberroute/handoff/Ownership.java
@@ -27,12 +27,12 @@
     public static final Ownership NONE = new Ownership(0, Status.REFUSED, "");
 
     /** A lot that was taken on from clients. */
-    public static Ownership taken() {
+    public static Ownership initial() {
         return new Ownership(1, Status.OWNED, "");
     }
 
     /** Whether this daemon may work on the lot. */
-    public boolean mine() {
+    public boolean isOwned() {
         return status == Status.OWNED;
     }
 
@@ -40,7 +40,7 @@
 
     /** Offers an owned lot: the record first, then the word. Nothing where it is not owned. */
     public List<HandoffEffect> offer(String lot, String heir) {
-        if (!mine()) {
+        if (!isOwned()) {
             return List.of();
         }
         Ownership next = new Ownership(generation + 1, Status.OFFERED, heir);
@@ -51,7 +51,7 @@
     }
 
     /** Asks again for an answer that has not come, or asks to have the lot back; only the heir can tell whose it is. */
-    public List<HandoffEffect> ask(String lot, boolean back) {
+    public List<HandoffEffect> requestReply(String lot, boolean back) {
         return status != Status.OFFERED
                 ? List.of()
                 : List.of(new HandoffEffect.SendMessage(
@@ -61,7 +61,7 @@
     }
 
     /** The heir's answer; one that belongs to another offer or comes again changes nothing. */
-    public List<HandoffEffect> answered(String lot, String from, HandoffMessage word) {
+    public List<HandoffEffect> onReply(String lot, String from, HandoffMessage word) {
         if (status != Status.OFFERED || word.generation() != generation || !from.equals(peer)) {
             return List.of();
         }
@@ -76,7 +76,7 @@
      * The lot's time is up. Whoever owns it ends it as it likes; whoever waits for an answer may only say that it
      * failed, which promises nothing, as the heir may have carried it out.
      */
-    public List<HandoffEffect> end(String lot) {
+    public List<HandoffEffect> expire(String lot) {
         return status == Status.OWNED || status == Status.OFFERED
                 ? List.of(new HandoffEffect.PersistOwnership(lot, new Ownership(generation, Status.ENDED, "")))
                 : List.of();
@@ -85,7 +85,7 @@
     // ---- The heir. ----
 
     /** An offer or its withdrawal; {@code room} is whether this daemon would take it. Decided once, and kept. */
-    public List<HandoffEffect> offered(String lot, String from, HandoffMessage word, boolean room) {
+    public List<HandoffEffect> onOffer(String lot, String from, HandoffMessage word, boolean room) {
         HandoffEffect yes = new HandoffEffect.SendMessage(
                 from, new HandoffMessage(HandoffMessage.Kind.YES, lot, word.generation()));
         HandoffEffect no =
--- a/handoff/src/test/java/amberroute/handoff/ExplorationTest.java
+++ b/handoff/src/test/java/amberroute/handoff/ExplorationTest.java
@@ -51,9 +51,9 @@
             Set<Sent> words = new TreeSet<>(sent);
             for (HandoffEffect effect : effects.subList(0, upTo)) {
                 if (effect instanceof HandoffEffect.PersistOwnership write) {
-                    changed.put(daemon + write.lot(), write.ownership());
+                    changed.put(daemon + write.batchId(), write.ownership());
                 } else if (effect instanceof HandoffEffect.SendMessage send) {
-                    words.add(new Sent(daemon, send.to(), send.word()));
+                    words.add(new Sent(daemon, send.recipient(), send.message()));
                 }
             }
             return new World(changed, words);
@@ -86,7 +86,7 @@
                             cut(out, world, daemon, wrong(own.offer(lot, peer), Host.SENDS_BEFORE_FREEZING));
                         }
                     }
-                    cut(out, world, daemon, own.ask(lot, true));
+                    cut(out, world, daemon, own.requestReply(lot, true));
                     if (host == Host.TAKES_BACK_UNASKED && own.status() == Status.OFFERED) {
                         cut(
                                 out,
@@ -98,11 +98,11 @@
                 }
             }
             for (Sent s : world.sent()) {
-                Ownership own = world.of(s.to(), s.word().lot());
+                Ownership own = world.of(s.to(), s.word().batchId());
                 HandoffMessage word = s.word();
-                if (word.forHeir()) {
+                if (word.isForSuccessor()) {
                     for (boolean room : new boolean[] {true, false}) {
-                        List<HandoffEffect> effects = own.offered(word.lot(), s.from(), word, room);
+                        List<HandoffEffect> effects = own.onOffer(word.batchId(), s.from(), word, room);
                         if (host == Host.FORGETS_REFUSALS) {
                             effects = effects.stream()
                                     .filter(e -> !(e instanceof HandoffEffect.PersistOwnership w
@@ -113,9 +113,9 @@
                     }
                 } else {
                     HandoffMessage heard = host == Host.IGNORES_GENERATIONS
-                            ? new HandoffMessage(word.kind(), word.lot(), own.generation())
+                            ? new HandoffMessage(word.kind(), word.batchId(), own.generation())
                             : word;
-                    cut(out, world, s.to(), own.answered(word.lot(), s.from(), heard));
+                    cut(out, world, s.to(), own.onReply(word.batchId(), s.from(), heard));
                 }
             }
             return out;
@@ -141,7 +141,7 @@
         private String broken(World world) {
             for (String lot : lots) {
                 List<String> owners =
-                        daemons.stream().filter(d -> world.of(d, lot).mine()).toList();
+                        daemons.stream().filter(d -> world.of(d, lot).isOwned()).toList();
                 if (owners.size() > 1) {
                     return "two owners of lot " + lot + ": " + owners;
                 }
@@ -173,9 +173,9 @@
                         continue;
                     }
                     HandoffMessage cancel = new HandoffMessage(HandoffMessage.Kind.CANCEL, lot, own.generation());
-                    List<HandoffEffect> heir = world.of(own.peer(), lot).offered(lot, daemon, cancel, false);
+                    List<HandoffEffect> heir = world.of(own.peer(), lot).onOffer(lot, daemon, cancel, false);
                     HandoffEffect.SendMessage answer = (HandoffEffect.SendMessage) heir.get(heir.size() - 1);
-                    if (own.answered(lot, own.peer(), answer.word()).isEmpty()) {
+                    if (own.onReply(lot, own.peer(), answer.message()).isEmpty()) {
                         return daemon + " never learns whose lot " + lot + " is";
                     }
                 }
@@ -187,7 +187,7 @@
         private String explore() {
             Map<String, Ownership> begin = new TreeMap<>();
             for (int i = 0; i < lots.size(); i++) {
-                begin.put(daemons.get(i % daemons.size()) + lots.get(i), Ownership.taken());
+                begin.put(daemons.get(i % daemons.size()) + lots.get(i), Ownership.initial());
             }
             World first = new World(begin, new TreeSet<>());
             Set<World> seen = new HashSet<>(Set.of(first));
@@ -240,12 +240,12 @@
     @Test
     void aWordFromElsewhereChangesNothing() {
         Ownership offered = new Ownership(2, Status.OFFERED, "B");
-        assertEquals(List.of(), offered.answered("1", "C", new HandoffMessage(HandoffMessage.Kind.YES, "1", 2)));
-        assertEquals(List.of(), offered.answered("1", "B", new HandoffMessage(HandoffMessage.Kind.YES, "1", 1)));
-        assertEquals(List.of(), offered.answered("1", "B", new HandoffMessage(HandoffMessage.Kind.OFFER, "1", 2)));
+        assertEquals(List.of(), offered.onReply("1", "C", new HandoffMessage(HandoffMessage.Kind.YES, "1", 2)));
+        assertEquals(List.of(), offered.onReply("1", "B", new HandoffMessage(HandoffMessage.Kind.YES, "1", 1)));
+        assertEquals(List.of(), offered.onReply("1", "B", new HandoffMessage(HandoffMessage.Kind.OFFER, "1", 2)));
         assertEquals(List.of(), offered.offer("1", "C"));
-        assertEquals(1, offered.end("1").size());
-        assertEquals(List.of(), new Ownership(2, Status.GIVEN, "B").end("1"));
+        assertEquals(1, offered.expire("1").size());
+        assertEquals(List.of(), new Ownership(2, Status.GIVEN, "B").expire("1"));
     }
 
     @Test
--- a/handoff/src/test/java/amberroute/handoff/HandoffPlacementTest.java
+++ b/handoff/src/test/java/amberroute/handoff/HandoffPlacementTest.java
@@ -27,7 +27,7 @@
     private static List<Long> firsts(List<HandoffBatch> lots) {
         return lots.stream()
                 .flatMap(l -> l.groups().stream())
-                .map(MessageGroup::first)
+                .map(MessageGroup::firstNumber)
                 .sorted()
                 .toList();
     }
@@ -35,12 +35,18 @@
     @Test
     void aKeyGoesWhereItsClientsTurnedUpElseByItsNumber() {
         HandoffPlacement placement = new HandoffPlacement(List.of("a", "b", "c"));
-        assertEquals("b", placement.place(0, List.of(keyed(1, 4, 3)), 8).get(0).heir());
-        placement.turnedUp(4, "c");
-        placement.turnedUp(4, "nobody");
-        assertEquals("c", placement.place(0, List.of(keyed(1, 4, 3)), 8).get(0).heir());
-        placement.unreachable(0, "c");
-        assertEquals("b", placement.place(1, List.of(keyed(1, 4, 3)), 8).get(0).heir());
+        assertEquals(
+                "b",
+                placement.assignBatches(0, List.of(keyed(1, 4, 3)), 8).get(0).successor());
+        placement.preferPeer(4, "c");
+        placement.preferPeer(4, "nobody");
+        assertEquals(
+                "c",
+                placement.assignBatches(0, List.of(keyed(1, 4, 3)), 8).get(0).successor());
+        placement.peerUnreachable(0, "c");
+        assertEquals(
+                "b",
+                placement.assignBatches(1, List.of(keyed(1, 4, 3)), 8).get(0).successor());
     }
 
     @Test
@@ -50,15 +56,18 @@
         for (int i = 1; i <= 1_000; i++) {
             groups.add(i % 3 == 0 ? keyed(i, i, 20) : single(i));
         }
-        List<HandoffBatch> lots = placement.place(0, groups, 1_000);
+        List<HandoffBatch> lots = placement.assignBatches(0, groups, 1_000);
         assertEquals(1_000, firsts(lots).size());
         assertEquals(1_000, new HashSet<>(firsts(lots)).size());
         for (HandoffBatch lot : lots) {
-            assertTrue(lot.groups().stream().mapToInt(MessageGroup::messages).sum() <= HandoffPlacement.MOST_MESSAGES);
-            assertTrue(lot.groups().stream().mapToLong(MessageGroup::bytes).sum() <= HandoffPlacement.MOST_BYTES);
+            assertTrue(
+                    lot.groups().stream().mapToInt(MessageGroup::messageCount).sum()
+                            <= HandoffPlacement.MAX_BATCH_MESSAGES);
+            assertTrue(
+                    lot.groups().stream().mapToLong(MessageGroup::sizeBytes).sum() <= HandoffPlacement.MAX_BATCH_BYTES);
         }
         assertTrue(lots.size() < 200, lots.size() + " lots");
-        assertEquals(3, placement.place(0, groups, 3).size());
+        assertEquals(3, placement.assignBatches(0, groups, 3).size());
     }
 
     @Test
@@ -66,11 +75,11 @@
         HandoffPlacement placement = new HandoffPlacement(List.of("a"));
         assertEquals(
                 List.of(3L),
-                firsts(placement.place(
+                firsts(placement.assignBatches(
                         0,
                         List.of(
-                                new MessageGroup(1, 0, 1, 1_000, HandoffPlacement.LEAST_LEFT - 1),
-                                new MessageGroup(2, 7, 200, HandoffPlacement.LARGEST_GROUP + 1, 9_000),
+                                new MessageGroup(1, 0, 1, 1_000, HandoffPlacement.MIN_TIME_LEFT_MILLIS - 1),
+                                new MessageGroup(2, 7, 200, HandoffPlacement.MAX_GROUP_BYTES + 1, 9_000),
                                 single(3)),
                         8)));
     }
@@ -80,35 +89,40 @@
     void whatAPeerCannotUseIsFoundOneByOne() {
         HandoffPlacement placement = new HandoffPlacement(List.of("a", "b"));
         List<MessageGroup> groups = List.of(keyed(1, 2, 1), keyed(3, 4, 1), keyed(5, 6, 1));
-        HandoffBatch all = placement.place(0, groups, 8).get(0);
+        HandoffBatch all = placement.assignBatches(0, groups, 8).get(0);
         assertEquals(3, all.groups().size());
-        assertEquals("a", all.heir());
-        placement.refused(0, all, RejectionReason.UNFIT);
-        List<HandoffBatch> alone = placement.place(1, groups, 8);
+        assertEquals("a", all.successor());
+        placement.batchRejected(0, all, RejectionReason.UNFIT);
+        List<HandoffBatch> alone = placement.assignBatches(1, groups, 8);
         assertEquals(3, alone.size());
-        placement.refused(1, alone.get(1), RejectionReason.UNFIT);
+        placement.batchRejected(1, alone.get(1), RejectionReason.UNFIT);
         Map<Long, String> heirs = new TreeMap<>();
-        placement.place(2, groups, 8).forEach(l -> heirs.put(l.groups().get(0).first(), l.heir()));
+        placement
+                .assignBatches(2, groups, 8)
+                .forEach(l -> heirs.put(l.groups().get(0).firstNumber(), l.successor()));
         assertEquals(Map.of(1L, "a", 3L, "b", 5L, "a"), heirs);
-        placement.refused(2, new HandoffBatch("b", List.of(groups.get(1))), RejectionReason.UNFIT);
-        assertEquals(List.of(1L, 5L), firsts(placement.place(3, groups, 8)));
+        placement.batchRejected(2, new HandoffBatch("b", List.of(groups.get(1))), RejectionReason.UNFIT);
+        assertEquals(List.of(1L, 5L), firsts(placement.assignBatches(3, groups, 8)));
     }
 
     @Test
     void aPeerWithoutRoomIsAskedAgainLaterAndTheOthersMeanwhile() {
         HandoffPlacement placement = new HandoffPlacement(List.of("a", "b"));
-        HandoffBatch lot = placement.place(0, List.of(keyed(1, 2, 1)), 8).get(0);
-        assertEquals("a", lot.heir());
-        placement.refused(0, lot, RejectionReason.ROOM);
-        assertEquals("b", placement.place(1, List.of(keyed(1, 2, 1)), 8).get(0).heir());
-        placement.refused(1, new HandoffBatch("b", lot.groups()), RejectionReason.ROOM);
-        assertEquals(0, placement.place(2, List.of(keyed(1, 2, 1)), 8).size());
+        HandoffBatch lot =
+                placement.assignBatches(0, List.of(keyed(1, 2, 1)), 8).get(0);
+        assertEquals("a", lot.successor());
+        placement.batchRejected(0, lot, RejectionReason.ROOM);
+        assertEquals(
+                "b",
+                placement.assignBatches(1, List.of(keyed(1, 2, 1)), 8).get(0).successor());
+        placement.batchRejected(1, new HandoffBatch("b", lot.groups()), RejectionReason.ROOM);
+        assertEquals(0, placement.assignBatches(2, List.of(keyed(1, 2, 1)), 8).size());
         assertEquals(
                 "a",
                 placement
-                        .place(HandoffPlacement.NO_ROOM, List.of(keyed(1, 2, 1)), 8)
+                        .assignBatches(HandoffPlacement.NO_CAPACITY_PAUSE_MILLIS, List.of(keyed(1, 2, 1)), 8)
                         .get(0)
-                        .heir());
+                        .successor());
     }
 
     /** Whatever peers answer, offers end: nothing is offered without bound, and nothing twice in one round. */
@@ -124,21 +138,21 @@
             long offered = 0;
             for (long now = 0; now < 60_000; now += 50) {
                 Set<Long> round = new HashSet<>();
-                for (HandoffBatch lot : placement.place(now, groups, 4)) {
+                for (HandoffBatch lot : placement.assignBatches(now, groups, 4)) {
                     for (MessageGroup group : lot.groups()) {
                         offered++;
-                        assertTrue(round.add(group.first()), "seed " + seed);
+                        assertTrue(round.add(group.firstNumber()), "seed " + seed);
                     }
                     if (random.nextInt(3) == 0) {
-                        placement.unreachable(now, lot.heir());
+                        placement.peerUnreachable(now, lot.successor());
                     } else {
-                        placement.refused(
+                        placement.batchRejected(
                                 now, lot, random.nextBoolean() ? RejectionReason.ROOM : RejectionReason.UNFIT);
                     }
                 }
             }
-            assertTrue(offered <= 60L * HandoffPlacement.MOST_OFFERS, "seed " + seed + ": " + offered);
-            assertEquals(0, placement.place(100_000, groups, 64).size(), "seed " + seed);
+            assertTrue(offered <= 60L * HandoffPlacement.MAX_OFFERS_PER_GROUP, "seed " + seed + ": " + offered);
+            assertEquals(0, placement.assignBatches(100_000, groups, 64).size(), "seed " + seed);
         }
     }
 }
--- a/handoff/src/test/java/amberroute/handoff/KeyHoldAnnouncementTest.java
+++ b/handoff/src/test/java/amberroute/handoff/KeyHoldAnnouncementTest.java
@@ -16,26 +16,27 @@
     @Test
     void clientsMayGoOnlyWhenAllPeersHold() {
         KeyHoldAnnouncement naming = new KeyHoldAnnouncement(1_000, List.of("a", "b"), Map.of(7L, 9_000L), 400);
-        assertFalse(naming.settled(1_100));
-        naming.held("a", 0);
-        naming.held("a", 0);
-        naming.held("stranger", 0);
-        assertFalse(naming.settled(1_100));
-        assertEquals(9_000 + KeyHoldAnnouncement.CLOCKS - 1_100, naming.stayAway(1_100, 7));
-        assertTrue(naming.settled(1_400), "patience is over");
-        assertTrue(naming.stayAway(1_400, 7) > 0, "b may not know of it");
-        naming.held("b", 0);
-        assertEquals(0, naming.stayAway(1_500, 7));
-        assertEquals(0, naming.stayAway(1_500, 8), "nothing of 8 is here");
+        assertFalse(naming.isSettled(1_100));
+        naming.acknowledge("a", 0);
+        naming.acknowledge("a", 0);
+        naming.acknowledge("stranger", 0);
+        assertFalse(naming.isSettled(1_100));
+        assertEquals(9_000 + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS - 1_100, naming.retryElsewhereDelayMillis(1_100, 7));
+        assertTrue(naming.isSettled(1_400), "patience is over");
+        assertTrue(naming.retryElsewhereDelayMillis(1_400, 7) > 0, "b may not know of it");
+        naming.acknowledge("b", 0);
+        assertEquals(0, naming.retryElsewhereDelayMillis(1_500, 7));
+        assertEquals(0, naming.retryElsewhereDelayMillis(1_500, 8), "nothing of 8 is here");
     }
 
     @Test
     void aHoldOutlastsItsMessages() {
         KeyHoldAnnouncement naming = new KeyHoldAnnouncement(0, List.of("a"), Map.of(1L, 5_000L, 2L, 6_000L), 400);
-        assertTrue(naming.unanswered("a").get(0).until() >= 6_000 + KeyHoldAnnouncement.CLOCKS);
-        naming.done(List.of(2L));
-        assertFalse(naming.named(2));
-        assertEquals(0, naming.stayAway(10, 2));
+        assertTrue(naming.unacknowledgedBatches("a").get(0).untilMillis()
+                >= 6_000 + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS);
+        naming.keysDone(List.of(2L));
+        assertFalse(naming.isAnnounced(2));
+        assertEquals(0, naming.retryElsewhereDelayMillis(10, 2));
     }
 
     @Test
@@ -45,14 +46,14 @@
             ends.put(key, 10_000L + key);
         }
         KeyHoldAnnouncement naming = new KeyHoldAnnouncement(0, List.of("a"), ends, 400);
-        List<KeyHoldAnnouncement.KeyBatch> batches = naming.unanswered("a");
+        List<KeyHoldAnnouncement.KeyBatch> batches = naming.unacknowledgedBatches("a");
         Set<Long> named = new HashSet<>();
         batches.forEach(b -> named.addAll(b.keys()));
         assertEquals(ends.keySet(), named);
-        naming.held("a", batches.get(0).number());
-        assertEquals(batches.size() - 1, naming.unanswered("a").size());
+        naming.acknowledge("a", batches.get(0).number());
+        assertEquals(batches.size() - 1, naming.unacknowledgedBatches("a").size());
         for (long key : ends.keySet()) {
-            assertEquals(batches.get(0).keys().contains(key), naming.stayAway(1, key) == 0);
+            assertEquals(batches.get(0).keys().contains(key), naming.retryElsewhereDelayMillis(1, key) == 0);
         }
     }
 
@@ -84,11 +85,11 @@
                     long one = k;
                     assertEquals(
                             plain.keySet().stream().anyMatch(p -> p.endsWith(":" + one)),
-                            holds.held(k),
+                            holds.isHeld(k),
                             "seed " + seed);
                 }
                 assertEquals(plain.size(), holds.size(), "seed " + seed);
-                assertEquals(plain.size(), holds.all().size(), "seed " + seed);
+                assertEquals(plain.size(), holds.allHolds().size(), "seed " + seed);
             }
         }
     }
@@ -96,8 +97,8 @@
     @Test
     void holdsAreBounded() {
         KeyHolds holds = new KeyHolds();
-        assertTrue(holds.fits(KeyHolds.MOST));
+        assertTrue(holds.hasCapacity(KeyHolds.MAX_HOLDS));
         holds.hold("a", List.of(1L), 10);
-        assertFalse(holds.fits(KeyHolds.MOST));
+        assertFalse(holds.hasCapacity(KeyHolds.MAX_HOLDS));
     }
 }
--- a/membership/src/main/java/amberroute/membership/DatagramChecks.java
+++ b/membership/src/main/java/amberroute/membership/DatagramChecks.java
@@ -2,11 +2,11 @@
 
 /** Checks of what a datagram says; whatever is out of range is an IllegalArgumentException, for which the datagram is passed over. */
 public final class DatagramChecks {
-    private static final float MOST_RATE = 1e9f;
+    private static final float MAX_PER_SECOND = 1e9f;
 
     private DatagramChecks() {}
 
-    public static int within(int value, int least, int most) {
+    public static int intInRange(int value, int least, int most) {
         if (value < least || value > most) {
             throw new IllegalArgumentException("out of range");
         }
@@ -14,7 +14,7 @@
     }
 
     /** A share of a whole, 0 to 1. */
-    public static float part(float value) {
+    public static float fraction(float value) {
         if (!(value >= 0) || value > 1) {
             throw new IllegalArgumentException("no part");
         }
@@ -22,8 +22,8 @@
     }
 
     /** So much a second. */
-    public static float rate(float value) {
-        if (!(value >= 0) || value > MOST_RATE) {
+    public static float perSecond(float value) {
+        if (!(value >= 0) || value > MAX_PER_SECOND) {
             throw new IllegalArgumentException("no rate");
         }
         return value;
--- a/membership/src/main/java/amberroute/membership/Heartbeat.java
+++ b/membership/src/main/java/amberroute/membership/Heartbeat.java
@@ -8,7 +8,7 @@
 
 /**
  * One datagram between daemons: who says it, in which of its lives, what it has to tell of partners, and requests for and
- * grants of shares. At most {@value #MOST_BYTES} bytes, so that it is never cut up on the way. The form is ours:
+ * grants of shares. At most {@value #MAX_DATAGRAM_BYTES} bytes, so that it is never cut up on the way. The form is ours:
  *
  * <pre>
  * "AR", version 1, phase, length and bytes of the name, incarnation (8), number (8),
@@ -19,22 +19,22 @@
  * All numbers are big-endian. What is not so, or has values out of range, is no beat.
  */
 public record Heartbeat(
-        String from,
+        String sender,
         long incarnation,
-        long number,
+        long sequence,
         MembershipView.Phase phase,
-        List<SlowStartUpdate> news,
+        List<SlowStartUpdate> updates,
         List<QuotaLoan> loans) {
     /** Below what any link carries whole. */
-    public static final int MOST_BYTES = 1_400;
+    public static final int MAX_DATAGRAM_BYTES = 1_400;
 
-    public static final int MOST_NEWS = 24;
-    public static final int MOST_LOANS = 32;
+    public static final int MAX_UPDATES = 24;
+    public static final int MAX_LOANS = 32;
     /** The largest age that can be told, in milliseconds: some twelve days. */
-    public static final int LONGEST_AGE = 1 << 30;
+    public static final int MAX_AGE_MILLIS = 1 << 30;
 
     private static final byte VERSION = 1;
-    private static final int LONGEST_NAME = 64;
+    private static final int MAX_NAME_BYTES = 64;
 
     /** How a partner fares as one daemon sees it; NEW is one that has not answered it yet. */
     public enum Health {
@@ -52,81 +52,84 @@
     public record SlowStartUpdate(
             int destination,
             Health health,
-            int outAgo,
-            int backAgo,
-            int okAgo,
-            float served,
-            float usual,
-            float waiting) {}
+            int outageAgoMillis,
+            int recoveryAgoMillis,
+            int successAgoMillis,
+            float servedPerSecond,
+            float peakPerSecond,
+            float pendingMessages) {}
 
     /** A request for a part of a partner's limit, or its answer under the same number. */
-    public record QuotaLoan(boolean grant, int destination, long number, float part) {}
+    public record QuotaLoan(boolean granted, int destination, long requestNumber, float fraction) {}
 
     /** The bytes to send, from 0 to the limit. */
-    public ByteBuffer write() {
-        byte[] name = from.getBytes(StandardCharsets.US_ASCII);
-        if (name.length == 0 || name.length > LONGEST_NAME || news.size() > MOST_NEWS || loans.size() > MOST_LOANS) {
+    public ByteBuffer encode() {
+        byte[] name = sender.getBytes(StandardCharsets.US_ASCII);
+        if (name.length == 0
+                || name.length > MAX_NAME_BYTES
+                || updates.size() > MAX_UPDATES
+                || loans.size() > MAX_LOANS) {
             throw new IllegalArgumentException("too much for a datagram");
         }
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
+        ByteBuffer out = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         out.put((byte) 'A')
                 .put((byte) 'R')
                 .put(VERSION)
                 .put((byte) phase.ordinal())
                 .put((byte) name.length)
                 .put(name);
-        out.putLong(incarnation).putLong(number).put((byte) news.size());
-        for (SlowStartUpdate n : news) {
+        out.putLong(incarnation).putLong(sequence).put((byte) updates.size());
+        for (SlowStartUpdate n : updates) {
             out.putInt(n.destination)
                     .put((byte) n.health.ordinal())
-                    .putInt(n.outAgo)
-                    .putInt(n.backAgo)
-                    .putInt(n.okAgo)
-                    .putFloat(n.served)
-                    .putFloat(n.usual)
-                    .putFloat(n.waiting);
+                    .putInt(n.outageAgoMillis)
+                    .putInt(n.recoveryAgoMillis)
+                    .putInt(n.successAgoMillis)
+                    .putFloat(n.servedPerSecond)
+                    .putFloat(n.peakPerSecond)
+                    .putFloat(n.pendingMessages);
         }
         out.put((byte) loans.size());
         for (QuotaLoan l : loans) {
-            out.put((byte) (l.grant ? 1 : 0))
+            out.put((byte) (l.granted ? 1 : 0))
                     .putInt(l.destination)
-                    .putLong(l.number)
-                    .putFloat(l.part);
+                    .putLong(l.requestNumber)
+                    .putFloat(l.fraction);
         }
         return out.flip();
     }
 
     /** Reads a datagram; null where it is none of ours. */
-    public static Heartbeat read(ByteBuffer in) {
+    public static Heartbeat decode(ByteBuffer in) {
         try {
             if (in.get() != 'A' || in.get() != 'R' || in.get() != VERSION) {
                 return null;
             }
             int phase = in.get();
-            byte[] name = new byte[DatagramChecks.within(in.get(), 1, LONGEST_NAME)];
+            byte[] name = new byte[DatagramChecks.intInRange(in.get(), 1, MAX_NAME_BYTES)];
             in.get(name);
             String from = new String(name, StandardCharsets.US_ASCII);
             long incarnation = in.getLong();
             long number = in.getLong();
             List<SlowStartUpdate> news = new ArrayList<>();
-            for (int i = DatagramChecks.within(in.get(), 0, MOST_NEWS); i > 0; i--) {
+            for (int i = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); i > 0; i--) {
                 news.add(new SlowStartUpdate(
                         in.getInt(),
-                        Health.values()[DatagramChecks.within(in.get(), 0, 3)],
-                        age(in.getInt()),
-                        age(in.getInt()),
-                        age(in.getInt()),
-                        DatagramChecks.rate(in.getFloat()),
-                        DatagramChecks.rate(in.getFloat()),
-                        DatagramChecks.rate(in.getFloat())));
+                        Health.values()[DatagramChecks.intInRange(in.get(), 0, 3)],
+                        checkedAgeMillis(in.getInt()),
+                        checkedAgeMillis(in.getInt()),
+                        checkedAgeMillis(in.getInt()),
+                        DatagramChecks.perSecond(in.getFloat()),
+                        DatagramChecks.perSecond(in.getFloat()),
+                        DatagramChecks.perSecond(in.getFloat())));
             }
             List<QuotaLoan> loans = new ArrayList<>();
-            for (int i = DatagramChecks.within(in.get(), 0, MOST_LOANS); i > 0; i--) {
+            for (int i = DatagramChecks.intInRange(in.get(), 0, MAX_LOANS); i > 0; i--) {
                 loans.add(new QuotaLoan(
-                        DatagramChecks.within(in.get(), 0, 1) == 1,
+                        DatagramChecks.intInRange(in.get(), 0, 1) == 1,
                         in.getInt(),
                         in.getLong(),
-                        DatagramChecks.part(in.getFloat())));
+                        DatagramChecks.fraction(in.getFloat())));
             }
             if (in.hasRemaining() || !from.matches("[A-Za-z0-9._-]+") || number < 0 || incarnation < 0) {
                 return null;
@@ -135,7 +138,7 @@
                     from,
                     incarnation,
                     number,
-                    MembershipView.Phase.values()[DatagramChecks.within(phase, 0, 2)],
+                    MembershipView.Phase.values()[DatagramChecks.intInRange(phase, 0, 2)],
                     List.copyOf(news),
                     List.copyOf(loans));
         } catch (BufferUnderflowException | IllegalArgumentException e) {
@@ -143,7 +146,7 @@
         }
     }
 
-    private static int age(int value) {
-        return DatagramChecks.within(value, -1, LONGEST_AGE);
+    private static int checkedAgeMillis(int value) {
+        return DatagramChecks.intInRange(value, -1, MAX_AGE_MILLIS);
     }
 }
--- a/membership/src/main/java/amberroute/membership/MembershipView.java
+++ b/membership/src/main/java/amberroute/membership/MembershipView.java
@@ -15,9 +15,9 @@
      * One peer. {@code alive} is whether it was heard of lately, {@code heardAgo} how long ago in microseconds (-1 for
      * never), {@code incarnation} tells its processes apart and grows.
      */
-    record Member(String name, boolean alive, Phase phase, long heardAgo, long incarnation) {
+    record Member(String name, boolean alive, Phase phase, long heardAgoMicros, long incarnation) {
         /** Whether it takes messages on. */
-        public boolean serves() {
+        public boolean acceptsMessages() {
             return alive && phase == Phase.READY;
         }
     }
--- a/membership/src/main/java/amberroute/membership/SwimMessage.java
+++ b/membership/src/main/java/amberroute/membership/SwimMessage.java
@@ -9,7 +9,7 @@
 
 /**
  * One datagram of the membership protocol: a question, its answer or a request to ask somebody else, with news of members. At
- * most {@value Heartbeat#MOST_BYTES} bytes. The form is ours, the version tells it from a {@link Heartbeat}:
+ * most {@value Heartbeat#MAX_DATAGRAM_BYTES} bytes. The form is ours, the version tells it from a {@link Heartbeat}:
  *
  * <pre>
  * "AR", version 2, kind, number (8), the sender's incarnation (8), phase,
@@ -19,19 +19,19 @@
  */
 public record SwimMessage(
         Kind kind,
-        long number,
-        String from,
+        long sequence,
+        String sender,
         long incarnation,
         MembershipView.Phase phase,
         String zone,
         String target,
-        List<MemberUpdate> news) {
+        List<MemberUpdate> updates) {
     private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9._-]*");
     /** What it wants: an answer, is one, wants the target to be asked, or says that the target did not answer. */
     public enum Kind {
         PING,
         ACK,
-        ASK,
+        PING_REQUEST,
         NACK
     }
 
@@ -39,39 +39,39 @@
     public enum MemberState {
         ALIVE,
         SUSPECT,
-        GONE
+        FAILED
     }
 
     /** Of one member; the higher incarnation counts, and of the same one the worse state. */
     public record MemberUpdate(
             String name, MemberState state, long incarnation, MembershipView.Phase phase, String zone) {
-        int bytes() {
+        int encodedBytes() {
             return 12 + name.length() + zone.length();
         }
     }
 
     /** Room for news in one datagram, whatever the names before them. */
-    static final int NEWS_BYTES = Heartbeat.MOST_BYTES - 256;
+    static final int MAX_UPDATE_BYTES = Heartbeat.MAX_DATAGRAM_BYTES - 256;
 
     private static final byte VERSION = 2;
-    private static final int LONGEST = 64;
-    private static final int MOST_NEWS = 100;
+    private static final int MAX_TEXT_BYTES = 64;
+    private static final int MAX_UPDATES = 100;
 
     /** The bytes to send, from 0 to the limit. */
-    public ByteBuffer write() {
-        ByteBuffer out = ByteBuffer.allocate(Heartbeat.MOST_BYTES);
+    public ByteBuffer encode() {
+        ByteBuffer out = ByteBuffer.allocate(Heartbeat.MAX_DATAGRAM_BYTES);
         out.put((byte) 'A')
                 .put((byte) 'R')
                 .put(VERSION)
                 .put((byte) kind.ordinal())
-                .putLong(number)
+                .putLong(sequence)
                 .putLong(incarnation)
                 .put((byte) phase.ordinal());
-        text(out, from);
+        text(out, sender);
         text(out, zone);
         text(out, target);
-        out.put((byte) news.size());
-        for (MemberUpdate n : news) {
+        out.put((byte) updates.size());
+        for (MemberUpdate n : updates) {
             out.put((byte) n.state.ordinal()).put((byte) n.phase.ordinal()).putLong(n.incarnation);
             text(out, n.name);
             text(out, n.zone);
@@ -81,19 +81,19 @@
 
     private static void text(ByteBuffer out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-        if (bytes.length > LONGEST) {
+        if (bytes.length > MAX_TEXT_BYTES) {
             throw new IllegalArgumentException("too long for a datagram: " + text);
         }
         out.put((byte) bytes.length).put(bytes);
     }
 
     /** Reads a datagram; null where it is none of this kind. */
-    public static SwimMessage read(ByteBuffer in) {
+    public static SwimMessage decode(ByteBuffer in) {
         try {
             if (in.get() != 'A' || in.get() != 'R' || in.get() != VERSION) {
                 return null;
             }
-            Kind kind = Kind.values()[DatagramChecks.within(in.get(), 0, Kind.values().length - 1)];
+            Kind kind = Kind.values()[DatagramChecks.intInRange(in.get(), 0, Kind.values().length - 1)];
             long number = in.getLong();
             long incarnation = in.getLong();
             MembershipView.Phase phase = phase(in);
@@ -101,9 +101,9 @@
             String zone = text(in);
             String target = text(in);
             List<MemberUpdate> news = new ArrayList<>();
-            for (int i = DatagramChecks.within(in.get(), 0, MOST_NEWS); i > 0; i--) {
+            for (int i = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); i > 0; i--) {
                 MemberState state =
-                        MemberState.values()[DatagramChecks.within(in.get(), 0, MemberState.values().length - 1)];
+                        MemberState.values()[DatagramChecks.intInRange(in.get(), 0, MemberState.values().length - 1)];
                 MembershipView.Phase theirs = phase(in);
                 long of = in.getLong();
                 news.add(new MemberUpdate(text(in), state, of, theirs, text(in)));
@@ -121,11 +121,11 @@
 
     private static MembershipView.Phase phase(ByteBuffer in) {
         return MembershipView.Phase.values()[
-                DatagramChecks.within(in.get(), 0, MembershipView.Phase.values().length - 1)];
+                DatagramChecks.intInRange(in.get(), 0, MembershipView.Phase.values().length - 1)];
     }
 
     private static String text(ByteBuffer in) {
-        byte[] bytes = new byte[DatagramChecks.within(in.get(), 0, LONGEST)];
+        byte[] bytes = new byte[DatagramChecks.intInRange(in.get(), 0, MAX_TEXT_BYTES)];
         in.get(bytes);
         String text = new String(bytes, StandardCharsets.US_ASCII);
         if (!PLAIN.matcher(text).matches()) {
--- a/membership/src/test/java/amberroute/membership/SwimMembershipTest.java
+++ b/membership/src/test/java/amberroute/membership/SwimMembershipTest.java
@@ -44,7 +44,7 @@
             for (int i = 0; i < size; i++) {
                 SwimMembership swim =
                         new SwimMembership("m" + i, "z" + i % 3, names, 1_000, new SplittableRandom(seed + i));
-                swim.phase(MembershipView.Phase.READY);
+                swim.setPhase(MembershipView.Phase.READY);
                 members.add(swim);
             }
         }
@@ -56,8 +56,8 @@
                 while (!ways.isEmpty() && ways.peek().due() <= now) {
                     Flying f = ways.poll();
                     if (!stopped.contains(f.to())) {
-                        SwimMessage probe = SwimMessage.read(f.bytes());
-                        send(members.get(Integer.parseInt(f.to().substring(1))).heard(f.due(), probe));
+                        SwimMessage probe = SwimMessage.decode(f.bytes());
+                        send(members.get(Integer.parseInt(f.to().substring(1))).onMessage(f.due(), probe));
                     }
                 }
                 for (int i = 0; i < members.size(); i++) {
@@ -70,20 +70,23 @@
 
         private void send(List<SwimMembership.OutgoingMessage> out) {
             for (SwimMembership.OutgoingMessage o : out) {
-                ByteBuffer written = o.probe().write();
+                ByteBuffer written = o.message().encode();
                 sent++;
                 bytes += written.remaining();
                 largest = Math.max(largest, written.remaining());
                 if (random.nextDouble() >= loss) {
                     // What a slow member hears and says comes late.
-                    long late = slow.contains(o.to()) || slow.contains(o.probe().from()) ? 300_000 : 0;
-                    ways.add(new Flying(now + 1_000 + random.nextInt(10_000) + late, sent, o.to(), written));
+                    long late = slow.contains(o.recipient())
+                                    || slow.contains(o.message().sender())
+                            ? 300_000
+                            : 0;
+                    ways.add(new Flying(now + 1_000 + random.nextInt(10_000) + late, sent, o.recipient(), written));
                 }
             }
         }
 
         long takenForGone(String name) {
-            return members.stream().filter(m -> m.gone(name)).count();
+            return members.stream().filter(m -> m.hasFailed(name)).count();
         }
 
         /** Living members that some living member takes for gone. */
@@ -93,7 +96,7 @@
                     .filter(n -> {
                         for (int i = 0; i < names.size(); i++) {
                             if (!stopped.contains(names.get(i))
-                                    && members.get(i).gone(n)) {
+                                    && members.get(i).hasFailed(n)) {
                                 return true;
                             }
                         }
@@ -111,7 +114,8 @@
             Fleet fleet = new Fleet(size, 7);
             fleet.run(10_000_000);
             assertEquals(0, fleet.falselyGone());
-            assertTrue(fleet.members.get(0).members(fleet.now).stream().allMatch(MembershipView.Member::serves));
+            assertTrue(
+                    fleet.members.get(0).members(fleet.now).stream().allMatch(MembershipView.Member::acceptsMessages));
             long before = fleet.sent;
             fleet.run(10_000_000);
             each[at++] = (fleet.sent - before) / 10.0 / size;
@@ -124,7 +128,7 @@
                     + fleet.largest + ", known to all after ms " + (fleet.now - since) / 1_000);
             assertTrue(fleet.now - since < 6_000_000, "known to all after " + (fleet.now - since));
             assertEquals(0, fleet.falselyGone());
-            assertTrue(fleet.largest <= Heartbeat.MOST_BYTES);
+            assertTrue(fleet.largest <= Heartbeat.MAX_DATAGRAM_BYTES);
         }
         assertTrue(each[1] < 1.3 * each[0], each[0] + " to " + each[1]);
     }
@@ -148,7 +152,7 @@
         assertTrue(each < 14, each + " datagrams a member a second");
         assertTrue(fleet.now - since < 30_000_000);
         assertEquals(0, fleet.falselyGone());
-        assertTrue(fleet.largest <= Heartbeat.MOST_BYTES);
+        assertTrue(fleet.largest <= Heartbeat.MAX_DATAGRAM_BYTES);
     }
 
     @Test
@@ -164,13 +168,14 @@
         }
         System.out.println("falsely taken for gone, sums of seconds over members that are not slow: " + falsely);
         assertEquals(0, falsely);
-        assertTrue(fleet.members.get(1).unwell() > 0 || fleet.members.get(2).unwell() > 0);
+        assertTrue(fleet.members.get(1).localHealthScore() > 0
+                || fleet.members.get(2).localHealthScore() > 0);
     }
 
     private static long names(Fleet fleet) {
         return fleet.names.stream()
                 .filter(n -> !fleet.slow.contains(n))
-                .filter(n -> fleet.members.stream().anyMatch(m -> m.gone(n)))
+                .filter(n -> fleet.members.stream().anyMatch(m -> m.hasFailed(n)))
                 .count();
     }
 
@@ -190,14 +195,14 @@
                         .orElseThrow()
                         .incarnation()
                 > 1_000);
-        assertEquals("z2", fleet.members.get(0).zone("m2"));
+        assertEquals("z2", fleet.members.get(0).zoneOf("m2"));
     }
 
     @Test
     void whatIsNoProbeIsPassedOver() {
         Random random = new Random(5);
         SwimMessage probe = new SwimMessage(
-                SwimMessage.Kind.ASK,
+                SwimMessage.Kind.PING_REQUEST,
                 7,
                 "m1",
                 9,
@@ -206,22 +211,22 @@
                 "m2",
                 List.of(new SwimMessage.MemberUpdate(
                         "m3", SwimMessage.MemberState.SUSPECT, 4, MembershipView.Phase.READY, "")));
-        assertEquals(probe, SwimMessage.read(probe.write()));
-        byte[] good = new byte[probe.write().remaining()];
-        probe.write().get(good);
+        assertEquals(probe, SwimMessage.decode(probe.encode()));
+        byte[] good = new byte[probe.encode().remaining()];
+        probe.encode().get(good);
         for (int i = 0; i < good.length; i++) {
-            assertNull(SwimMessage.read(ByteBuffer.wrap(good, 0, i)));
+            assertNull(SwimMessage.decode(ByteBuffer.wrap(good, 0, i)));
         }
         int read = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] bad = new byte[random.nextInt(100)];
             random.nextBytes(bad);
-            read += SwimMessage.read(ByteBuffer.wrap(bad)) == null ? 0 : 1;
+            read += SwimMessage.decode(ByteBuffer.wrap(bad)) == null ? 0 : 1;
         }
         assertEquals(0, read);
-        assertNull(Heartbeat.read(probe.write()));
+        assertNull(Heartbeat.decode(probe.encode()));
         assertFalse(new SwimMembership("a", "", List.of("a", "b"), 1, new SplittableRandom(1))
-                .heard(0, probe)
+                .onMessage(0, probe)
                 .iterator()
                 .hasNext());
     }
--- a/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
+++ b/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
@@ -16,18 +16,18 @@
  * prices; nobody's safety rests on that. Demand is counted at the door, before anything is turned away, so what is told does not
  * depend on the price, which is why news that are old do not make it swing.
  *
- * <p>What one sender tells a second does not grow with the fleet: {@value #FAN} datagrams in each round. Times are microseconds on
- * the caller's clock; at most {@value #MOST} destinations.
+ * <p>What one sender tells a second does not grow with the fleet: {@value #REPORT_FAN_OUT} datagrams in each round. Times are microseconds on
+ * the caller's clock; at most {@value #MAX_DESTINATIONS} destinations.
  */
 public final class FleetAdmissionControl {
-    static final int MOST = 1_024;
+    static final int MAX_DESTINATIONS = 1_024;
     /** So many peers are told in a round, taken by chance; four reach all of forty while a digest counts. */
-    static final int FAN = 4;
+    static final int REPORT_FAN_OUT = 4;
     /** Microseconds between rounds. */
-    public static final long ROUND = 200_000;
+    public static final long ROUND_MICROS = 200_000;
 
     /** A datagram for a peer. */
-    public record OutgoingReport(String to, LoadReport digest) {}
+    public record OutgoingReport(String recipient, LoadReport report) {}
 
     /** The calls a second that this daemon may make from now on; infinite for any. */
     public record RateLimit(int destination, double perSecond) {}
@@ -35,29 +35,29 @@
     /** For operators: what all have to do with a destination, what it is taken to be able to do, and the price. */
     public record DestinationReport(
             int destination,
-            double asked,
-            double served,
-            double full,
-            double waiting,
-            double capacity,
+            double demandPerSecond,
+            double servedPerSecond,
+            double rejectedPerSecond,
+            double pendingMessages,
+            double capacityPerSecond,
             AdmissionPrice price,
-            double part) {}
+            double fraction) {}
 
     private final String self;
     private final List<String> peers;
     private final long incarnation;
     private final RandomGenerator random;
-    private final FleetLoadEstimate picture;
-    private final Map<Integer, LocalLoadCounter> tallies = new LinkedHashMap<>();
+    private final FleetLoadEstimate fleetLoad;
+    private final Map<Integer, LocalLoadCounter> counters = new LinkedHashMap<>();
     private final Map<Integer, CapacityEstimate> capacities = new LinkedHashMap<>();
     private final Map<Integer, AdmissionPrice> prices = new LinkedHashMap<>();
-    private final List<DestinationReport> rows = new ArrayList<>();
-    private final Map<Integer, RateShare> parts = new LinkedHashMap<>();
+    private final List<DestinationReport> destinationReports = new ArrayList<>();
+    private final Map<Integer, RateShare> shares = new LinkedHashMap<>();
     private final int daemons;
-    private final boolean held;
-    private final long quietUntil;
-    private long number;
-    private int turn;
+    private final boolean enforceShares;
+    private final long quietUntilMicros;
+    private long lastSequence;
+    private int reportOffset;
 
     /**
      * {@code incarnation} is higher than that of any earlier process of this sender; wall time will do. {@code daemons} is among how
@@ -72,81 +72,84 @@
             boolean held,
             long incarnation,
             RandomGenerator random) {
-        this.held = held;
+        this.enforceShares = held;
         this.daemons = Math.max(daemons, peers.size());
-        quietUntil = now + QuotaShare.quiet(RateShare.LEASE);
+        quietUntilMicros = now + QuotaShare.quietPeriodMicros(RateShare.LEASE_MICROS);
         this.self = self;
         this.peers = new ArrayList<>(peers);
         this.peers.remove(self);
         this.incarnation = incarnation;
         this.random = random;
-        picture = new FleetLoadEstimate(this.peers, FAN, (double) FleetLoadEstimate.FRESH / ROUND);
+        fleetLoad = new FleetLoadEstimate(
+                this.peers, REPORT_FAN_OUT, (double) FleetLoadEstimate.REPORT_LIFE_MICROS / ROUND_MICROS);
     }
 
-    private LocalLoadCounter tally(int destination) {
-        LocalLoadCounter tally = tallies.get(destination);
-        if (tally == null && tallies.size() < MOST) {
+    private LocalLoadCounter counter(int destination) {
+        LocalLoadCounter tally = counters.get(destination);
+        if (tally == null && counters.size() < MAX_DESTINATIONS) {
             tally = new LocalLoadCounter();
-            tallies.put(destination, tally);
+            counters.put(destination, tally);
         }
         return tally;
     }
 
     /** Somebody came with a message of this worth, whatever becomes of it. */
-    public void asked(long now, int destination, double worth) {
-        LocalLoadCounter tally = tally(destination);
+    public void onDemand(long now, int destination, double worth) {
+        LocalLoadCounter tally = counter(destination);
         if (tally != null) {
-            tally.asked(now, worth);
+            tally.onDemand(now, worth);
         }
     }
 
     /** A message was answered as done. */
-    public void served(long now, int destination) {
-        LocalLoadCounter tally = tally(destination);
+    public void onServed(long now, int destination) {
+        LocalLoadCounter tally = counter(destination);
         if (tally != null) {
-            tally.served(now);
+            tally.onServed(now);
         }
     }
 
     /** A message was refused there for want of room. */
-    public void full(long now, int destination) {
-        LocalLoadCounter tally = tally(destination);
+    public void onRejected(long now, int destination) {
+        LocalLoadCounter tally = counter(destination);
         if (tally != null) {
-            tally.full(now);
+            tally.onRejected(now);
         }
     }
 
-    private RateShare parts(long now, int destination) {
-        return parts.computeIfAbsent(destination, d -> new RateShare(now, incarnation, daemons, now < quietUntil));
+    private RateShare share(long now, int destination) {
+        return shares.computeIfAbsent(
+                destination, d -> new RateShare(now, incarnation, daemons, now < quietUntilMicros));
     }
 
     /** A peer's word; returns what is to be said to it, null for nothing. */
-    public OutgoingReport heard(long now, LoadReport digest) {
-        if (!picture.heard(now, digest)) {
+    public OutgoingReport onReport(long now, LoadReport digest) {
+        if (!fleetLoad.onReport(now, digest)) {
             return null;
         }
         List<LoadReport.QuotaLoan> answers = new ArrayList<>();
         for (LoadReport.QuotaLoan loan : digest.loans()) {
-            if (!parts.containsKey(loan.destination()) && parts.size() >= MOST) {
+            if (!shares.containsKey(loan.destination()) && shares.size() >= MAX_DESTINATIONS) {
                 continue;
             }
-            RateShare ours = parts(now, loan.destination());
-            if (loan.grant()) {
-                ours.granted(now, digest.from(), loan);
+            RateShare ours = share(now, loan.destination());
+            if (loan.granted()) {
+                ours.onLoanGrant(now, digest.sender(), loan);
             } else {
-                answers.add(ours.asked(now, digest.from(), loan));
+                answers.add(ours.onLoanRequest(now, digest.sender(), loan));
             }
         }
         return answers.isEmpty()
                 ? null
-                : new OutgoingReport(digest.from(), new LoadReport(self, incarnation, ++number, Map.of(), answers));
+                : new OutgoingReport(
+                        digest.sender(), new LoadReport(self, incarnation, ++lastSequence, Map.of(), answers));
     }
 
-    /** To be called behind {@link #round}: the ceilings that have changed. */
-    public List<RateLimit> ceilings(long now) {
+    /** To be called behind {@link #runRound}: the ceilings that have changed. */
+    public List<RateLimit> changedRateLimits(long now) {
         List<RateLimit> out = new ArrayList<>();
         capacities.forEach((destination, capacity) -> {
-            double rate = parts(now, destination).changed(now, capacity.limit());
+            double rate = share(now, destination).changedPerSecond(now, capacity.enforcedPerSecond());
             if (rate >= 0) {
                 out.add(new RateLimit(destination, rate));
             }
@@ -155,112 +158,113 @@
     }
 
     /** The part of a destination that this daemon may use now, whether or not anything limits it. */
-    double part(long now, int destination) {
-        return parts(now, destination).ceiling(now);
+    double usableFraction(long now, int destination) {
+        return share(now, destination).usableFraction(now);
     }
 
     /** Requests for parts of what is limited, by peer. */
-    public List<OutgoingReport> asks(long now) {
+    public List<OutgoingReport> loanRequests(long now) {
         Map<String, List<LoadReport.QuotaLoan>> to = new LinkedHashMap<>();
         capacities.forEach((destination, capacity) -> {
-            if (Double.isFinite(capacity.limit())) {
-                RateShare ours = parts(now, destination);
-                for (QuotaLending.Request r :
-                        ours.asks(now, picture.below(now, destination, ours.owned() * capacity.perSecond()))) {
+            if (Double.isFinite(capacity.enforcedPerSecond())) {
+                RateShare ours = share(now, destination);
+                for (QuotaLending.Request r : ours.requestLoans(
+                        now, fleetLoad.peersBelow(now, destination, ours.ownFraction() * capacity.perSecond()))) {
                     to.computeIfAbsent(r.peer(), p -> new ArrayList<>())
-                            .add(new LoadReport.QuotaLoan(false, destination, r.number(), r.part()));
+                            .add(new LoadReport.QuotaLoan(false, destination, r.number(), r.fraction()));
                 }
             }
         });
         List<OutgoingReport> out = new ArrayList<>();
         to.forEach((peer, loans) -> {
-            for (int from = 0; from < loans.size(); from += LoadReport.MOST_LOANS) {
+            for (int from = 0; from < loans.size(); from += LoadReport.MAX_LOANS) {
                 out.add(new OutgoingReport(
                         peer,
                         new LoadReport(
                                 self,
                                 incarnation,
-                                ++number,
+                                ++lastSequence,
                                 Map.of(),
                                 List.copyOf(
-                                        loans.subList(from, Math.min(loans.size(), from + LoadReport.MOST_LOANS))))));
+                                        loans.subList(from, Math.min(loans.size(), from + LoadReport.MAX_LOANS))))));
             }
         });
         return out;
     }
 
     /** To be called once a round; {@code waiting} tells what is held here for a destination. Returns prices that have changed. */
-    public List<AdmissionPrice> round(long now, IntToDoubleFunction waiting) {
+    public List<AdmissionPrice> runRound(long now, IntToDoubleFunction waiting) {
         List<AdmissionPrice> changed = new ArrayList<>();
-        rows.clear();
-        tallies.forEach((destination, tally) -> {
-            tally.waiting(waiting.applyAsDouble(destination));
+        destinationReports.clear();
+        counters.forEach((destination, tally) -> {
+            tally.setPendingMessages(waiting.applyAsDouble(destination));
             DestinationLoad own = tally.load(now);
-            DestinationLoad all = picture.all(now, destination, own);
-            CapacityEstimate capacity = capacities.computeIfAbsent(destination, d -> new CapacityEstimate(held));
-            double room = capacity.next(now, all);
+            DestinationLoad all = fleetLoad.fleetLoad(now, destination, own);
+            CapacityEstimate capacity =
+                    capacities.computeIfAbsent(destination, d -> new CapacityEstimate(enforceShares));
+            double room = capacity.update(now, all);
             AdmissionPrice price = Double.isInfinite(room)
                     ? AdmissionPrice.none(destination)
-                    : AdmissionPrice.of(destination, all.demand(), room);
-            RateShare ours = parts(now, destination);
-            ours.need(own, price, capacity.perSecond());
+                    : AdmissionPrice.fromDemand(destination, all.demandByBand(), room);
+            RateShare ours = share(now, destination);
+            ours.updateNeed(own, price, capacity.perSecond());
             AdmissionPrice before = prices.getOrDefault(destination, AdmissionPrice.none(destination));
-            if (!price.like(before)) {
+            if (!price.isSimilarTo(before)) {
                 prices.put(destination, price);
                 changed.add(price);
             }
-            rows.add(new DestinationReport(
+            destinationReports.add(new DestinationReport(
                     destination,
-                    all.asked(),
-                    all.served(),
-                    all.full(),
-                    all.waiting(),
+                    all.totalDemand(),
+                    all.servedPerSecond(),
+                    all.rejectedPerSecond(),
+                    all.pendingMessages(),
                     capacity.perSecond(),
                     price,
-                    ours.ceiling(now)));
+                    ours.usableFraction(now)));
         });
         return changed;
     }
 
     /** What to tell in this round, and whom. */
-    public List<OutgoingReport> tell(long now) {
+    public List<OutgoingReport> nextReports(long now) {
         if (peers.isEmpty()) {
             return List.of();
         }
-        LoadReport digest = digest(now);
+        LoadReport digest = buildReport(now);
         Collections.shuffle(peers, new java.util.Random(random.nextLong()));
         return peers.stream()
-                .limit(FAN)
+                .limit(REPORT_FAN_OUT)
                 .map(peer -> new OutgoingReport(peer, digest))
                 .toList();
     }
 
     /** As many destinations as fit, the next ones in the next round. */
-    private LoadReport digest(long now) {
-        List<Integer> all = new ArrayList<>(tallies.keySet());
+    private LoadReport buildReport(long now) {
+        List<Integer> all = new ArrayList<>(counters.keySet());
         Map<Integer, DestinationLoad> loads = new LinkedHashMap<>();
-        int bytes = LoadReport.head(self);
-        int from = all.isEmpty() ? 0 : turn % all.size();
+        int bytes = LoadReport.headerBytes(self);
+        int from = all.isEmpty() ? 0 : reportOffset % all.size();
         for (int i = 0; i < all.size(); i++) {
             int destination = all.get((from + i) % all.size());
-            DestinationLoad load = tallies.get(destination).load(now);
+            DestinationLoad load = counters.get(destination).load(now);
             if (!LoadReport.fits(bytes, loads.size(), load)) {
-                turn = from + i;
+                reportOffset = from + i;
                 break;
             }
-            bytes += LoadReport.bytes(load);
+            bytes += LoadReport.encodedBytes(load);
             loads.put(destination, load);
         }
-        return new LoadReport(self, incarnation, ++number, loads, List.of());
+        return new LoadReport(self, incarnation, ++lastSequence, loads, List.of());
     }
 
     /** As of the last round. */
-    public List<DestinationReport> rows() {
-        return List.copyOf(rows);
+    public List<DestinationReport> destinationReports() {
+        return List.copyOf(destinationReports);
     }
 
     /** Peers that this sender has heard of lately. */
-    public int heardOf(long now) {
-        return picture.heardOf(now);
+    public int reachablePeers(long now) {
+        return fleetLoad.reachablePeers(now);
     }
 }
--- a/overload/src/main/java/amberroute/overload/FleetLoadEstimate.java
+++ b/overload/src/main/java/amberroute/overload/FleetLoadEstimate.java
@@ -16,84 +16,85 @@
  */
 final class FleetLoadEstimate {
     /** A digest counts for so long, in microseconds. */
-    static final long FRESH = 2_000_000;
+    static final long REPORT_LIFE_MICROS = 2_000_000;
 
-    private record ReceivedReport(long at, DestinationLoad load) {}
+    private record ReceivedReport(long atMicros, DestinationLoad load) {}
 
     private static final class Peer {
         long incarnation = -1;
-        long number = -1;
-        long heardAt = Long.MIN_VALUE;
-        final Map<Integer, ReceivedReport> loads = new HashMap<>();
+        long sequence = -1;
+        long heardAtMicros = Long.MIN_VALUE;
+        final Map<Integer, ReceivedReport> reportByDestination = new HashMap<>();
     }
 
     private final Map<String, Peer> peers = new HashMap<>();
     /** The chance that a peer that is there was heard while a digest counts. */
-    private final double chance;
+    private final double reachProbability;
 
     /** {@code fan} peers are told in each of {@code rounds} while a digest counts. */
     FleetLoadEstimate(List<String> names, int fan, double rounds) {
         names.forEach(name -> peers.put(name, new Peer()));
-        chance = names.isEmpty() ? 1 : 1 - Math.pow(1 - Math.min(1, (double) fan / names.size()), rounds);
+        reachProbability = names.isEmpty() ? 1 : 1 - Math.pow(1 - Math.min(1, (double) fan / names.size()), rounds);
     }
 
     /** False for one that is older than what is known, from a stranger, or of an earlier process. */
-    boolean heard(long now, LoadReport digest) {
-        Peer peer = peers.get(digest.from());
+    boolean onReport(long now, LoadReport digest) {
+        Peer peer = peers.get(digest.sender());
         if (peer == null
                 || digest.incarnation() < peer.incarnation
-                || digest.incarnation() == peer.incarnation && digest.number() <= peer.number) {
+                || digest.incarnation() == peer.incarnation && digest.sequence() <= peer.sequence) {
             return false;
         }
         if (digest.incarnation() > peer.incarnation) {
-            peer.loads.clear();
+            peer.reportByDestination.clear();
         }
         peer.incarnation = digest.incarnation();
-        peer.number = digest.number();
-        peer.heardAt = now;
+        peer.sequence = digest.sequence();
+        peer.heardAtMicros = now;
         digest.loads().forEach((destination, load) -> {
-            if (peer.loads.containsKey(destination) || peer.loads.size() < FleetAdmissionControl.MOST) {
-                peer.loads.put(destination, new ReceivedReport(now, load));
+            if (peer.reportByDestination.containsKey(destination)
+                    || peer.reportByDestination.size() < FleetAdmissionControl.MAX_DESTINATIONS) {
+                peer.reportByDestination.put(destination, new ReceivedReport(now, load));
             }
         });
         return true;
     }
 
     /** With this sender's own load. */
-    DestinationLoad all(long now, int destination, DestinationLoad own) {
+    DestinationLoad fleetLoad(long now, int destination, DestinationLoad own) {
         List<DestinationLoad> heard = new ArrayList<>();
         for (Peer peer : peers.values()) {
-            ReceivedReport h = peer.loads.get(destination);
-            if (h != null && now - h.at() < FRESH) {
+            ReceivedReport h = peer.reportByDestination.get(destination);
+            if (h != null && now - h.atMicros() < REPORT_LIFE_MICROS) {
                 heard.add(h.load());
             }
         }
         DestinationLoad sum = own;
         for (DestinationLoad load : heard) {
-            sum = sum.plus(load, 1 / chance);
+            sum = sum.plusScaled(load, 1 / reachProbability);
         }
         if (heard.size() > 1) {
             // Two cannot tell which of them tells nonsense.
             DestinationLoad all = sum;
             for (DestinationLoad load : heard) {
-                DestinationLoad rest = all.plus(load, -1 / chance);
-                DestinationLoad most = load.within(rest, chance);
-                sum = sum.plus(load, -1 / chance).plus(most, 1 / chance);
+                DestinationLoad rest = all.plusScaled(load, -1 / reachProbability);
+                DestinationLoad most = load.cappedAt(rest, reachProbability);
+                sum = sum.plusScaled(load, -1 / reachProbability).plusScaled(most, 1 / reachProbability);
             }
         }
         return sum;
     }
 
     /** Peers that were heard of lately and do less at a destination than this. */
-    List<String> below(long now, int destination, double perSecond) {
+    List<String> peersBelow(long now, int destination, double perSecond) {
         List<String> out = new ArrayList<>();
         peers.forEach((name, peer) -> {
-            ReceivedReport h = peer.loads.get(destination);
-            boolean there = peer.heardAt != Long.MIN_VALUE && now - peer.heardAt < FRESH;
+            ReceivedReport h = peer.reportByDestination.get(destination);
+            boolean there = peer.heardAtMicros != Long.MIN_VALUE && now - peer.heardAtMicros < REPORT_LIFE_MICROS;
             if (there
                     && (h == null
-                            || now - h.at() >= FRESH
-                            || h.load().served() + h.load().waiting() < perSecond)) {
+                            || now - h.atMicros() >= REPORT_LIFE_MICROS
+                            || h.load().servedPerSecond() + h.load().pendingMessages() < perSecond)) {
                 out.add(name);
             }
         });
@@ -101,9 +102,9 @@
     }
 
     /** Peers that were heard of lately. */
-    int heardOf(long now) {
+    int reachablePeers(long now) {
         return (int) peers.values().stream()
-                .filter(p -> p.heardAt != Long.MIN_VALUE && now - p.heardAt < FRESH)
+                .filter(p -> p.heardAtMicros != Long.MIN_VALUE && now - p.heardAtMicros < REPORT_LIFE_MICROS)
                 .count();
     }
 }
--- a/overload/src/main/java/amberroute/overload/LocalLoadCounter.java
+++ b/overload/src/main/java/amberroute/overload/LocalLoadCounter.java
@@ -7,33 +7,34 @@
 /** What this sender itself has to do with one destination. */
 final class LocalLoadCounter {
     /** Short enough to follow a spike, long enough that some tens of messages a second are no noise. */
-    private static final double SPAN = 1_000_000;
+    private static final double WINDOW_MICROS = 1_000_000;
 
-    private final Map<Integer, DecayingRate> demand = new TreeMap<>();
-    private final DecayingRate served = new DecayingRate(SPAN);
-    private final DecayingRate full = new DecayingRate(SPAN);
-    private double waiting;
+    private final Map<Integer, DecayingRate> demandByBand = new TreeMap<>();
+    private final DecayingRate served = new DecayingRate(WINDOW_MICROS);
+    private final DecayingRate rejected = new DecayingRate(WINDOW_MICROS);
+    private double pendingMessages;
 
-    void asked(long now, double worth) {
-        demand.computeIfAbsent(PriorityBands.step(worth), s -> new DecayingRate(SPAN))
+    void onDemand(long now, double worth) {
+        demandByBand
+                .computeIfAbsent(PriorityBands.bandOf(worth), s -> new DecayingRate(WINDOW_MICROS))
                 .add(now, 1);
     }
 
-    void served(long now) {
+    void onServed(long now) {
         served.add(now, 1);
     }
 
-    void full(long now) {
-        full.add(now, 1);
+    void onRejected(long now) {
+        rejected.add(now, 1);
     }
 
-    void waiting(double messages) {
-        waiting = messages;
+    void setPendingMessages(double messages) {
+        pendingMessages = messages;
     }
 
     DestinationLoad load(long now) {
-        double[] steps = new double[PriorityBands.STEPS];
-        demand.forEach((step, meter) -> steps[step] = meter.perSecond(now));
-        return new DestinationLoad(steps, served.perSecond(now), full.perSecond(now), waiting);
+        double[] steps = new double[PriorityBands.COUNT];
+        demandByBand.forEach((step, meter) -> steps[step] = meter.perSecond(now));
+        return new DestinationLoad(steps, served.perSecond(now), rejected.perSecond(now), pendingMessages);
     }
 }
--- a/overload/src/test/java/amberroute/overload/FleetAdmissionControlTest.java
+++ b/overload/src/test/java/amberroute/overload/FleetAdmissionControlTest.java
@@ -16,9 +16,9 @@
 /** What senders believe of the whole, what they take a destination to be able to do, and what a call costs. */
 class FleetAdmissionControlTest {
     private static DestinationLoad load(double dear, double cheap, double served, double full, double waiting) {
-        double[] demand = new double[PriorityBands.STEPS];
-        demand[PriorityBands.step(4)] = dear;
-        demand[PriorityBands.step(1)] = cheap;
+        double[] demand = new double[PriorityBands.COUNT];
+        demand[PriorityBands.bandOf(4)] = dear;
+        demand[PriorityBands.bandOf(1)] = cheap;
         return new DestinationLoad(demand, served, full, waiting);
     }
 
@@ -114,43 +114,44 @@
                 new FleetAdmissionControl(0, "s0", names, 6, false, 1, new SplittableRandom(1));
         long now = 1_000_000;
         for (int i = 0; i < 60; i++) {
-            overload.asked(now, 1, 1);
-            overload.served(now, 1);
+            overload.onDemand(now, 1, 1);
+            overload.onServed(now, 1);
         }
         for (int i = 1; i < 5; i++) {
-            overload.heard(now, new LoadReport("s" + i, 1, 1, Map.of(1, load(0, 60, 50, 10, 0)), List.of()));
+            overload.onReport(now, new LoadReport("s" + i, 1, 1, Map.of(1, load(0, 60, 50, 10, 0)), List.of()));
         }
-        overload.heard(now, new LoadReport("liar", 1, 1, Map.of(1, load(1e9, 0, 0, 1e9, 1e9)), List.of()));
-        overload.round(now, d -> 0);
-        FleetAdmissionControl.DestinationReport row = overload.rows().get(0);
+        overload.onReport(now, new LoadReport("liar", 1, 1, Map.of(1, load(1e9, 0, 0, 1e9, 1e9)), List.of()));
+        overload.runRound(now, d -> 0);
+        FleetAdmissionControl.DestinationReport row =
+                overload.destinationReports().get(0);
         // Its word at most doubles what is asked: of the cheap messages that all others have about half still go.
-        assertTrue(row.asked() < 2.2 * 300, row.toString());
-        assertTrue(row.price().worth() <= 4 && row.full() < 200, row.toString());
+        assertTrue(row.demandPerSecond() < 2.2 * 300, row.toString());
+        assertTrue(row.price().priorityFloor() <= 4 && row.rejectedPerSecond() < 200, row.toString());
         // Older words, and those of a stranger, change nothing.
-        overload.heard(now, new LoadReport("s1", 1, 1, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
-        overload.heard(now, new LoadReport("who", 1, 9, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
-        overload.round(now, d -> 0);
-        assertEquals(row.asked(), overload.rows().get(0).asked(), 1e-6);
+        overload.onReport(now, new LoadReport("s1", 1, 1, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
+        overload.onReport(now, new LoadReport("who", 1, 9, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
+        overload.runRound(now, d -> 0);
+        assertEquals(row.demandPerSecond(), overload.destinationReports().get(0).demandPerSecond(), 1e-6);
         // And after a while nobody's.
-        overload.round(now + FleetLoadEstimate.FRESH, d -> 0);
-        assertTrue(overload.rows().get(0).asked() < 60);
+        overload.runRound(now + FleetLoadEstimate.REPORT_LIFE_MICROS, d -> 0);
+        assertTrue(overload.destinationReports().get(0).demandPerSecond() < 60);
     }
 
     @Test
     void whatIsOutTellsNothingOfWhatItCanDo() {
         CapacityEstimate capacity = new CapacityEstimate(false);
-        assertEquals(Double.POSITIVE_INFINITY, capacity.next(1, load(0, 500, 0, 0, 3_000)));
-        assertEquals(Double.POSITIVE_INFINITY, capacity.next(3_200_000, load(0, 500, 100, 0, 0)));
+        assertEquals(Double.POSITIVE_INFINITY, capacity.update(1, load(0, 500, 0, 0, 3_000)));
+        assertEquals(Double.POSITIVE_INFINITY, capacity.update(3_200_000, load(0, 500, 100, 0, 0)));
         // Averages have not settled; then what it refuses shows.
-        assertEquals(Double.POSITIVE_INFINITY, capacity.next(3_400_000, load(0, 500, 100, 50, 0)));
-        double limited = capacity.next(6_400_000, load(0, 500, 100, 50, 0));
+        assertEquals(Double.POSITIVE_INFINITY, capacity.update(3_400_000, load(0, 500, 100, 50, 0)));
+        double limited = capacity.update(6_400_000, load(0, 500, 100, 50, 0));
         assertEquals(100, limited, 1);
         // Out: as it was known before, however much waits.
-        assertEquals(limited, capacity.next(6_600_000, load(0, 500, 5, 0, 5_000)), 1e-6);
+        assertEquals(limited, capacity.update(6_600_000, load(0, 500, 5, 0, 5_000)), 1e-6);
         // What waits is worked off: less is taken on.
-        assertTrue(capacity.next(6_800_000, load(0, 500, 100, 50, 300)) < 60);
+        assertTrue(capacity.update(6_800_000, load(0, 500, 100, 50, 300)) < 60);
         // Asked for little, it has no limit.
-        assertEquals(Double.POSITIVE_INFINITY, capacity.next(7_000_000, load(0, 20, 20, 0, 0)));
+        assertEquals(Double.POSITIVE_INFINITY, capacity.update(7_000_000, load(0, 20, 20, 0, 0)));
     }
 
     /** What was idle without a limit for long takes on no more than others once there is one. */
@@ -158,29 +159,34 @@
     void anEasyTimeLiftsNothing() {
         CapacityEstimate capacity = new CapacityEstimate(false);
         for (long at = 1; at < 20_000_000; at += 200_000) {
-            assertEquals(Double.POSITIVE_INFINITY, capacity.next(at, load(0, 20, 20, 0, 0)));
+            assertEquals(Double.POSITIVE_INFINITY, capacity.update(at, load(0, 20, 20, 0, 0)));
         }
-        assertEquals(100, capacity.next(20_200_000, load(0, 500, 100, 50, 50)), 1);
+        assertEquals(100, capacity.update(20_200_000, load(0, 500, 100, 50, 50)), 1);
     }
 
     @Test
     void thePriceIsTheWorthAboveWhichDemandFits() {
-        AdmissionPrice price = AdmissionPrice.of(1, load(50, 200, 0, 0, 0).demand(), 150);
-        assertTrue(price.worth() <= 1 && price.upTo() > 1 && price.upTo() < 1.3, price.toString());
-        assertEquals(0.5, price.share(), 1e-6);
-        AdmissionPrice dear = AdmissionPrice.of(1, load(200, 200, 0, 0, 0).demand(), 150);
-        assertTrue(dear.worth() > 1 && dear.worth() <= 4 && dear.upTo() > 4, dear.toString());
-        assertTrue(dear.again() > price.again());
+        AdmissionPrice price =
+                AdmissionPrice.fromDemand(1, load(50, 200, 0, 0, 0).demandByBand(), 150);
+        assertTrue(
+                price.priorityFloor() <= 1 && price.priorityCeiling() > 1 && price.priorityCeiling() < 1.3,
+                price.toString());
+        assertEquals(0.5, price.admittedFraction(), 1e-6);
+        AdmissionPrice dear =
+                AdmissionPrice.fromDemand(1, load(200, 200, 0, 0, 0).demandByBand(), 150);
+        assertTrue(
+                dear.priorityFloor() > 1 && dear.priorityFloor() <= 4 && dear.priorityCeiling() > 4, dear.toString());
+        assertTrue(dear.retryAfterMicros() > price.retryAfterMicros());
         assertEquals(
                 AdmissionPrice.none(1),
-                AdmissionPrice.of(1, load(50, 50, 0, 0, 0).demand(), 150));
+                AdmissionPrice.fromDemand(1, load(50, 50, 0, 0, 0).demandByBand(), 150));
         // Every worth is at or above the floor of its step and below the next.
         Random random = new Random(4);
         for (int i = 0; i < 10_000; i++) {
             double worth = Math.exp(random.nextDouble() * 10 - 5);
             assertTrue(
-                    worth >= PriorityBands.floor(PriorityBands.step(worth))
-                            && worth < PriorityBands.floor(PriorityBands.step(worth) + 1),
+                    worth >= PriorityBands.lowerBound(PriorityBands.bandOf(worth))
+                            && worth < PriorityBands.lowerBound(PriorityBands.bandOf(worth) + 1),
                     "worth " + worth);
         }
     }
@@ -188,10 +194,10 @@
     @Test
     void whatIsNoDigestIsDropped() {
         LoadReport digest = new LoadReport("s1", 7, 8, Map.of(3, load(1, 2, 3, 4, 5)), List.of());
-        ByteBuffer bytes = digest.write();
-        LoadReport read = LoadReport.read(bytes.duplicate());
-        assertEquals(3.0, read.loads().get(3).served());
-        assertEquals(2.0, read.loads().get(3).demand()[PriorityBands.step(1)]);
+        ByteBuffer bytes = digest.encode();
+        LoadReport read = LoadReport.decode(bytes.duplicate());
+        assertEquals(3.0, read.loads().get(3).servedPerSecond());
+        assertEquals(2.0, read.loads().get(3).demandByBand()[PriorityBands.bandOf(1)]);
         Random random = new Random(2);
         int none = 0;
         for (int i = 0; i < 20_000; i++) {
@@ -200,23 +206,23 @@
             for (int flips = random.nextInt(3); spoilt.length > 0 && flips > 0; flips--) {
                 spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
             }
-            LoadReport other = LoadReport.read(ByteBuffer.wrap(spoilt));
+            LoadReport other = LoadReport.decode(ByteBuffer.wrap(spoilt));
             none += other == null ? 1 : 0;
-            assertTrue(
-                    other == null || other.loads().values().stream().allMatch(l -> l.asked() >= 0 && l.asked() < 1e12));
+            assertTrue(other == null
+                    || other.loads().values().stream().allMatch(l -> l.totalDemand() >= 0 && l.totalDemand() < 1e12));
         }
         assertTrue(none > 10_000, "only " + none);
-        assertNull(LoadReport.read(ByteBuffer.allocate(0)));
+        assertNull(LoadReport.decode(ByteBuffer.allocate(0)));
         // Of more destinations than fit in one the others are told next.
         FleetAdmissionControl overload =
                 new FleetAdmissionControl(0, "a", List.of("a", "b"), 2, false, 1, new SplittableRandom(1));
         for (int d = 0; d < 200; d++) {
-            overload.asked(1, d, 1);
+            overload.onDemand(1, d, 1);
         }
         List<Integer> told = new ArrayList<>();
         for (int round = 0; round < 5; round++) {
-            LoadReport next = overload.tell(1).get(0).digest();
-            assertTrue(next.write().remaining() <= LoadReport.MOST_BYTES);
+            LoadReport next = overload.nextReports(1).get(0).report();
+            assertTrue(next.encode().remaining() <= LoadReport.MAX_DATAGRAM_BYTES);
             told.addAll(next.loads().keySet());
         }
         assertEquals(200, told.stream().distinct().count());
--- a/overload/src/test/java/amberroute/overload/FleetSimulation.java
+++ b/overload/src/test/java/amberroute/overload/FleetSimulation.java
@@ -99,7 +99,7 @@
             idealTokens = Math.min(capacity / 10, idealTokens + capacity * STEP / 1e6);
             arrive();
             for (int i = 0; i < senders.size(); i++) {
-                if ((now + i * 7L * STEP) % FleetAdmissionControl.ROUND < STEP) {
+                if ((now + i * 7L * STEP) % FleetAdmissionControl.ROUND_MICROS < STEP) {
                     round(senders.get(i));
                 }
             }
@@ -107,7 +107,7 @@
             while (!ways.isEmpty() && ways.peek().at() <= now) {
                 Flying f = ways.poll();
                 FleetAdmissionControl.OutgoingReport answer =
-                        senders.get(f.to()).overload.heard(now, f.digest());
+                        senders.get(f.to()).overload.onReport(now, f.digest());
                 if (answer != null) {
                     send(answer);
                 }
@@ -122,15 +122,15 @@
     }
 
     private void round(Sender s) {
-        for (AdmissionPrice p :
-                s.overload.round(now, d -> s.held.stream().mapToInt(Deque::size).sum())) {
+        for (AdmissionPrice p : s.overload.runRound(
+                now, d -> s.held.stream().mapToInt(Deque::size).sum())) {
             s.price = p;
         }
         if (parts) {
-            s.overload.ceilings(now).forEach(c -> s.rate = c.perSecond());
-            s.overload.asks(now).forEach(this::send);
+            s.overload.changedRateLimits(now).forEach(c -> s.rate = c.perSecond());
+            s.overload.loanRequests(now).forEach(this::send);
         }
-        s.overload.tell(now).forEach(this::send);
+        s.overload.nextReports(now).forEach(this::send);
     }
 
     /**
@@ -140,19 +140,19 @@
     private void observeParts() {
         double sum = 0;
         for (Sender sender : senders) {
-            sum += sender.overload.part(now, 1);
+            sum += sender.overload.usableFraction(now, 1);
         }
         mostParts = Math.max(mostParts, sum);
     }
 
     private void send(FleetAdmissionControl.OutgoingReport out) {
-        bytes += out.digest().write().remaining();
+        bytes += out.report().encode().remaining();
         if (random.nextDouble() >= loss) {
             ways.add(new Flying(
                     now + 1_000 + (long) (random.nextDouble() * delay),
                     order++,
-                    Integer.parseInt(out.to().substring(1)),
-                    LoadReport.read(out.digest().write())));
+                    Integer.parseInt(out.recipient().substring(1)),
+                    LoadReport.decode(out.report().encode())));
         }
     }
 
@@ -178,15 +178,18 @@
         }
         Sender s = senders.get(to);
         double worth = WORTH[m.kind()];
-        s.overload.asked(now, 1, worth);
-        boolean cheap =
-                priced && (worth < s.price.worth() || worth < s.price.upTo() && random.nextDouble() >= s.price.share());
+        s.overload.onDemand(now, 1, worth);
+        boolean cheap = priced
+                && (worth < s.price.priorityFloor()
+                        || worth < s.price.priorityCeiling() && random.nextDouble() >= s.price.admittedFraction());
         // Without prices a sender turns away what it could not have done in time alone.
         boolean crowded =
                 s.held.stream().mapToInt(Deque::size).sum() > LIFE / 1e6 * capacity / senders.size() * s.weight;
         if (cheap || crowded) {
             turnedAway++;
-            long wait = cheap ? s.price.again() + (long) (random.nextDouble() * s.price.again()) : 500_000;
+            long wait = cheap
+                    ? s.price.retryAfterMicros() + (long) (random.nextDouble() * s.price.retryAfterMicros())
+                    : 500_000;
             if (now + wait < m.due()) {
                 again.add(new Again(now + wait, order++, m));
             }
@@ -208,10 +211,10 @@
                     tokens--;
                     served++;
                     worth += worth(m);
-                    s.overload.served(now, 1);
+                    s.overload.onServed(now, 1);
                 } else {
                     refused++;
-                    s.overload.full(now, 1);
+                    s.overload.onRejected(now, 1);
                     s.pausedUntil = now + PAUSE / 2 + (long) (random.nextDouble() * PAUSE);
                     kind.addFirst(m);
                 }
--- a/quota/src/main/java/amberroute/quota/DecayingRate.java
+++ b/quota/src/main/java/amberroute/quota/DecayingRate.java
@@ -2,21 +2,21 @@
 
 /** An exponentially averaged rate; times in microseconds. */
 public final class DecayingRate {
-    private final double span;
+    private final double windowMicros;
     private double sum;
-    private long at;
+    private long atMicros;
 
     public DecayingRate(double span) {
-        this.span = span;
+        this.windowMicros = span;
     }
 
     public void add(long now, double n) {
-        sum = sum * Math.exp((at - now) / span) + n;
-        at = now;
+        sum = sum * Math.exp((atMicros - now) / windowMicros) + n;
+        atMicros = now;
     }
 
     /** How many a second, averaged over about a span. */
     public double perSecond(long now) {
-        return sum * Math.exp((at - now) / span) * 1e6 / span;
+        return sum * Math.exp((atMicros - now) / windowMicros) * 1e6 / windowMicros;
     }
 }
--- a/quota/src/main/java/amberroute/quota/QuotaShare.java
+++ b/quota/src/main/java/amberroute/quota/QuotaShare.java
@@ -10,36 +10,36 @@
  *
  * <p>Safety: over all daemons the parts that may be used never add up to more than 1. A lender counts a loan as gone
  * for the whole lease, from its grant, by its own clock; a borrower uses it for less than that, from before it asked, by
- * its own: {@link #usable}. Clocks may differ in rate by {@link #DRIFT}, messages may be lost, late or doubled, and
+ * its own: {@link #usableLeaseMicros}. Clocks may differ in rate by {@link #MAX_CLOCK_DRIFT_RATIO}, messages may be lost, late or doubled, and
  * either side may die: each only leaves a part unused until its lease is over. A daemon that restarts knows of no loans
- * of its own, so it uses nothing before {@link #quiet} is over. Times are microseconds on the daemon's own monotonic
- * clock; parts are shares of the whole, 0 to 1. At most {@value #MOST_PEERS} peers are dealt with.
+ * of its own, so it uses nothing before {@link #quietPeriodMicros} is over. Times are microseconds on the daemon's own monotonic
+ * clock; parts are shares of the whole, 0 to 1. At most {@value #MAX_PEERS} peers are dealt with.
  */
 public final class QuotaShare {
     /** A clock may be so much fast or slow. */
-    public static final double DRIFT = 0.02;
+    public static final double MAX_CLOCK_DRIFT_RATIO = 0.02;
 
-    private static final int MOST_PEERS = 4_096;
+    private static final int MAX_PEERS = 4_096;
 
     /** What a peer is asked for. The number is the asker's and grows with each request. */
-    public record LoanRequest(long number, double part) {}
+    public record LoanRequest(long number, double fraction) {}
 
     /** What was lent, for the lease that both know from the settings; 0 is a no. */
-    public record LoanGrant(long number, double part) {}
+    public record LoanGrant(long number, double fraction) {}
 
-    private record Loan(double part, long until) {}
+    private record Loan(double fraction, long untilMicros) {}
 
-    private final double own;
-    private final long lease;
-    private final long quietUntil;
+    private final double ownFraction;
+    private final long leaseMicros;
+    private final long quietUntilMicros;
     /** Of each borrower: all loans that may still be in use; a renewal stands beside the one before. */
-    private final Map<String, Map<Long, Loan>> lent = new HashMap<>();
+    private final Map<String, Map<Long, Loan>> loansByBorrower = new HashMap<>();
 
-    private final Map<String, Long> lastAsked = new HashMap<>();
-    private final Map<String, Loan> borrowed = new HashMap<>();
-    private final Map<String, LoanRequest> asked = new HashMap<>();
-    private final Map<String, Long> askedAt = new HashMap<>();
-    private long numbers;
+    private final Map<String, Long> lastRequestNumber = new HashMap<>();
+    private final Map<String, Loan> loanByLender = new HashMap<>();
+    private final Map<String, LoanRequest> pendingRequests = new HashMap<>();
+    private final Map<String, Long> requestedAtMicros = new HashMap<>();
+    private long lastNumber;
 
     /**
      * {@code number} is higher than any that an earlier process of this daemon used for its asks, wall time will do;
@@ -49,56 +49,56 @@
         if (daemons < 1 || lease < 1_000) {
             throw new IllegalArgumentException("no daemons or no lease");
         }
-        own = 1.0 / daemons;
-        this.lease = lease;
-        numbers = number;
-        quietUntil = restarted ? now + quiet(lease) : now;
+        ownFraction = 1.0 / daemons;
+        this.leaseMicros = lease;
+        lastNumber = number;
+        quietUntilMicros = restarted ? now + quietPeriodMicros(lease) : now;
     }
 
     /** How long a borrower may use a lease, from before it asked for it. */
-    public static long usable(long lease) {
-        return (long) (lease * (1 - DRIFT) / (1 + DRIFT));
+    public static long usableLeaseMicros(long lease) {
+        return (long) (lease * (1 - MAX_CLOCK_DRIFT_RATIO) / (1 + MAX_CLOCK_DRIFT_RATIO));
     }
 
     /** How long a daemon that has just restarted uses nothing, as its earlier process may have lent all. */
-    public static long quiet(long lease) {
-        return (long) Math.ceil(lease * (1 + DRIFT) / (1 - DRIFT)) + 1;
+    public static long quietPeriodMicros(long lease) {
+        return (long) Math.ceil(lease * (1 + MAX_CLOCK_DRIFT_RATIO) / (1 - MAX_CLOCK_DRIFT_RATIO)) + 1;
     }
 
     /** The part that is this daemon's by the settings. */
-    public double owned() {
-        return own;
+    public double ownFraction() {
+        return ownFraction;
     }
 
     /** The part of the whole that may be used now. */
-    public double ceiling(long now) {
-        return Math.max(0, now < quietUntil ? 0 : own - lent(now)) + borrowed(now);
+    public double usableFraction(long now) {
+        return Math.max(0, now < quietUntilMicros ? 0 : ownFraction - lentFraction(now)) + borrowedFraction(now);
     }
 
     /** What is lent and may still be in use. */
-    public double lent(long now) {
+    public double lentFraction(long now) {
         double sum = 0;
-        for (Map<Long, Loan> loans : lent.values()) {
-            loans.values().removeIf(loan -> loan.until() <= now);
-            sum += loans.values().stream().mapToDouble(Loan::part).sum();
+        for (Map<Long, Loan> loans : loansByBorrower.values()) {
+            loans.values().removeIf(loan -> loan.untilMicros() <= now);
+            sum += loans.values().stream().mapToDouble(Loan::fraction).sum();
         }
-        lent.values().removeIf(Map::isEmpty);
+        loansByBorrower.values().removeIf(Map::isEmpty);
         return sum;
     }
 
-    private double borrowed(long now) {
-        borrowed.values().removeIf(loan -> loan.until() <= now);
-        return borrowed.values().stream().mapToDouble(Loan::part).sum();
+    private double borrowedFraction(long now) {
+        loanByLender.values().removeIf(loan -> loan.untilMicros() <= now);
+        return loanByLender.values().stream().mapToDouble(Loan::fraction).sum();
     }
 
     /** Asks a peer for a part; the request may be sent again as it is, and replaces one that was not answered. */
-    public LoanRequest ask(long now, String peer, double part) {
-        if (!asked.containsKey(peer) && asked.size() >= MOST_PEERS) {
-            throw new IllegalStateException("more than " + MOST_PEERS + " peers");
+    public LoanRequest requestLoan(long now, String peer, double part) {
+        if (!pendingRequests.containsKey(peer) && pendingRequests.size() >= MAX_PEERS) {
+            throw new IllegalStateException("more than " + MAX_PEERS + " peers");
         }
-        LoanRequest ask = new LoanRequest(++numbers, part);
-        asked.put(peer, ask);
-        askedAt.put(peer, now);
+        LoanRequest ask = new LoanRequest(++lastNumber, part);
+        pendingRequests.put(peer, ask);
+        requestedAtMicros.put(peer, now);
         return ask;
     }
 
@@ -106,33 +106,38 @@
      * A peer asks; {@code need} is the part that this daemon wants for itself. An old or repeated request gets a no: its
      * first answer may be on the way, and nobody may get a loan twice.
      */
-    public LoanGrant asked(long now, String peer, LoanRequest ask, double need) {
-        boolean known = lastAsked.containsKey(peer);
-        if (now < quietUntil
-                || known && ask.number() <= lastAsked.get(peer)
-                || !known && lastAsked.size() >= MOST_PEERS
-                || !(ask.part() > 0)) {
+    public LoanGrant onLoanRequest(long now, String peer, LoanRequest ask, double need) {
+        boolean known = lastRequestNumber.containsKey(peer);
+        if (now < quietUntilMicros
+                || known && ask.number() <= lastRequestNumber.get(peer)
+                || !known && lastRequestNumber.size() >= MAX_PEERS
+                || !(ask.fraction() > 0)) {
             return new LoanGrant(ask.number(), 0);
         }
-        lastAsked.put(peer, ask.number());
-        double part = Math.min(ask.part(), own - lent(now) - Math.max(0, need));
+        lastRequestNumber.put(peer, ask.number());
+        double part = Math.min(ask.fraction(), ownFraction - lentFraction(now) - Math.max(0, need));
         if (part <= 0) {
             return new LoanGrant(ask.number(), 0);
         }
-        lent.computeIfAbsent(peer, p -> new HashMap<>()).put(ask.number(), new Loan(part, now + lease));
+        loansByBorrower
+                .computeIfAbsent(peer, p -> new HashMap<>())
+                .put(ask.number(), new Loan(part, now + leaseMicros));
         return new LoanGrant(ask.number(), part);
     }
 
     /** A peer's answer; it counts from when it was asked for, so one that was long on the way is worth little. */
-    public void granted(long now, String peer, LoanGrant grant) {
-        LoanRequest ask = asked.get(peer);
-        if (ask == null || ask.number() != grant.number() || !(grant.part() > 0) || grant.part() > ask.part()) {
+    public void onLoanGrant(long now, String peer, LoanGrant grant) {
+        LoanRequest ask = pendingRequests.get(peer);
+        if (ask == null
+                || ask.number() != grant.number()
+                || !(grant.fraction() > 0)
+                || grant.fraction() > ask.fraction()) {
             return;
         }
-        asked.remove(peer);
-        long until = askedAt.remove(peer) + usable(lease);
+        pendingRequests.remove(peer);
+        long until = requestedAtMicros.remove(peer) + usableLeaseMicros(leaseMicros);
         if (until > now) {
-            borrowed.put(peer, new Loan(grant.part(), until));
+            loanByLender.put(peer, new Loan(grant.fraction(), until));
         }
     }
 }
--- a/quota/src/main/java/amberroute/quota/SlowStartLimit.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimit.java
@@ -22,43 +22,48 @@
  * taken from the most that all daemons were answered at one time; what it can do now is at least what it answers now. With
  * neither, all daemons together begin with {@code first} messages a second.
  *
- * <p>Times are microseconds on the daemon's monotonic clock. At most {@value #MOST_PEERS} peers count.
+ * <p>Times are microseconds on the daemon's monotonic clock. At most {@value #MAX_PEERS} peers count.
  */
 public final class SlowStartLimit {
     /** Share of the permitted push that is used by what it did when warm: endpoints do not get even parts. */
-    public static final double SAFETY = 0.85;
+    public static final double KNOWN_CAPACITY_RATIO = 0.85;
     /** The same by what it answers now, which averages over a while that is past. */
-    public static final double SHOWN = 0.9;
+    public static final double OBSERVED_RATE_RATIO = 0.9;
     /** Daemons send evenly but apart: so many deviations of chance in a window are allowed for. */
-    private static final double DEVIATIONS = 1;
+    private static final double ALLOWED_DEVIATIONS = 1;
     /** News of peers are believed for so long. */
-    static final long FRESH = 1_500_000;
+    static final long REPORT_LIFE_MICROS = 1_500_000;
     /** A partner that answered a peer within this is well, if it says so. */
-    static final long RECENT = 5_000_000;
+    static final long RECENT_SUCCESS_MICROS = 5_000_000;
     /** The most that was ever answered loses half of its weight in this time, as partners change. */
-    static final double HALVING = 600e6;
+    static final double PEAK_HALF_LIFE_MICROS = 600e6;
 
-    private static final double SMOOTH = 4e6;
+    private static final double SMOOTHING_MICROS = 4e6;
     /** What waits is to leave within this, for how much of the limit this daemon wants. */
-    private static final double HORIZON = 1e6;
+    private static final double QUEUE_DRAIN_MICROS = 1e6;
     /** Answers are remembered by spans of this length, for so many of them. */
-    private static final long SLOT = 250_000;
+    private static final long SLOT_MICROS = 250_000;
 
     private static final int SLOTS = 256;
-    static final int MOST_PEERS = 4_096;
+    static final int MAX_PEERS = 4_096;
 
     /**
      * The figures of the rule, as the settings tell them; spans in microseconds. {@code first} is how many messages a second
      * all daemons together give a partner of which nothing is known.
      */
-    public record Rules(double from, long span, double multiple, long window, double first) {}
+    public record Rules(
+            double initialFraction,
+            long warmUpMicros,
+            double overloadMultiple,
+            long overloadWindowMicros,
+            double initialPerSecond) {}
 
     /** A request to a peer. */
     public record LoanRequest(String peer, Heartbeat.QuotaLoan loan) {}
 
-    private record PeerReport(SlowStartUpdate news, long at) {
-        long ago(int millis, long now) {
-            return millis < 0 ? -1 : at - millis * 1_000L;
+    private record PeerReport(SlowStartUpdate update, long atMicros) {
+        long atMicrosOf(int millis, long now) {
+            return millis < 0 ? -1 : atMicros - millis * 1_000L;
         }
     }
 
@@ -66,19 +71,19 @@
     private final Rules rules;
     private final QuotaLending lending;
     private final DecayingRate served = new DecayingRate(1e6);
-    private final DecayingRate pace = new DecayingRate(8e6);
-    private final Map<String, PeerReport> told = new HashMap<>();
-    private final boolean[] answered = new boolean[SLOTS];
-    private long slot = Long.MIN_VALUE;
-    private Health mine = Health.NEW;
-    private long outAt = -1;
-    private long backAt = -1;
-    private long okAt = -1;
-    private double best;
-    private long bestAt;
-    private double smooth;
-    private long smoothAt;
-    private double waiting;
+    private final DecayingRate slowServed = new DecayingRate(8e6);
+    private final Map<String, PeerReport> reportByPeer = new HashMap<>();
+    private final boolean[] successSlots = new boolean[SLOTS];
+    private long latestSlot = Long.MIN_VALUE;
+    private Health localHealth = Health.NEW;
+    private long outageAtMicros = -1;
+    private long recoveryAtMicros = -1;
+    private long successAtMicros = -1;
+    private double peakPerSecond;
+    private long peakAtMicros;
+    private double smoothedPerSecond;
+    private long smoothedAtMicros;
+    private double pendingMessages;
 
     SlowStartLimit(int destination, Rules rules, QuotaShare share, long lease) {
         this.destination = destination;
@@ -89,79 +94,80 @@
     // ---- What is seen here. ----
 
     /** A message was answered as done. */
-    void answered(long now) {
-        long at = Math.floorDiv(now, SLOT);
-        for (long s = Math.max(slot + 1, at - SLOTS + 1); s <= at; s++) {
-            answered[Math.floorMod(s, SLOTS)] = false;
+    void onSuccess(long now) {
+        long at = Math.floorDiv(now, SLOT_MICROS);
+        for (long s = Math.max(latestSlot + 1, at - SLOTS + 1); s <= at; s++) {
+            successSlots[Math.floorMod(s, SLOTS)] = false;
         }
-        slot = Math.max(slot, at);
-        answered[Math.floorMod(at, SLOTS)] = true;
-        if (mine == Health.NEW) {
+        latestSlot = Math.max(latestSlot, at);
+        successSlots[Math.floorMod(at, SLOTS)] = true;
+        if (localHealth == Health.NEW) {
             // Cold from now, unless peers know better.
-            long back = coldSince(now);
-            mine = wellElsewhere(now) ? Health.HEALTHY : Health.SLOW_START;
-            backAt = back >= 0 ? back : now;
+            long back = slowStartSincePeers(now);
+            localHealth = isHealthyElsewhere(now) ? Health.HEALTHY : Health.SLOW_START;
+            recoveryAtMicros = back >= 0 ? back : now;
         }
-        okAt = now;
+        successAtMicros = now;
         served.add(now, 1);
-        pace.add(now, 1);
+        slowServed.add(now, 1);
     }
 
     /** What the decision module has found: an outage or its end, since when. */
-    void found(long now, Health health, long since) {
+    void onHealthChanged(long now, Health health, long since) {
         if (health == Health.UNAVAILABLE) {
-            outAt = since;
+            outageAtMicros = since;
         } else if (health == Health.SLOW_START) {
-            outAt = mine == Health.UNAVAILABLE ? outAt : since;
-            backAt = since;
+            outageAtMicros = localHealth == Health.UNAVAILABLE ? outageAtMicros : since;
+            recoveryAtMicros = since;
         }
-        mine = health;
+        localHealth = health;
     }
 
-    void waiting(double messages) {
-        waiting = messages;
+    void setPendingMessages(double messages) {
+        pendingMessages = messages;
     }
 
     // ---- What peers tell. ----
 
     /** True where a peer was just answered by a partner that is out for this daemon. */
-    boolean told(long now, String peer, SlowStartUpdate news) {
-        if (!told.containsKey(peer) && told.size() >= MOST_PEERS) {
+    boolean onPeerUpdate(long now, String peer, SlowStartUpdate news) {
+        if (!reportByPeer.containsKey(peer) && reportByPeer.size() >= MAX_PEERS) {
             return false;
         }
-        PeerReport before = told.put(peer, new PeerReport(news, now));
+        PeerReport before = reportByPeer.put(peer, new PeerReport(news, now));
         boolean well = news.health() == Health.HEALTHY || news.health() == Health.SLOW_START;
-        boolean wasWell =
-                before != null && now - before.at() < FRESH && before.news().health() == news.health();
-        return mine == Health.UNAVAILABLE
+        boolean wasWell = before != null
+                && now - before.atMicros() < REPORT_LIFE_MICROS
+                && before.update().health() == news.health();
+        return localHealth == Health.UNAVAILABLE
                 && well
                 && !wasWell
-                && news.okAgo() >= 0
-                && now - news.okAgo() * 1_000L > outAt;
+                && news.successAgoMillis() >= 0
+                && now - news.successAgoMillis() * 1_000L > outageAtMicros;
     }
 
-    private boolean fresh(long now, PeerReport t) {
-        return now - t.at() < FRESH;
+    private boolean isFresh(long now, PeerReport t) {
+        return now - t.atMicros() < REPORT_LIFE_MICROS;
     }
 
-    private boolean wellElsewhere(long now) {
-        return told.values().stream()
-                .anyMatch(t -> fresh(now, t)
-                        && t.news().health() == Health.HEALTHY
-                        && t.news().okAgo() >= 0
-                        && now - t.ago(t.news().okAgo(), now) < RECENT);
+    private boolean isHealthyElsewhere(long now) {
+        return reportByPeer.values().stream()
+                .anyMatch(t -> isFresh(now, t)
+                        && t.update().health() == Health.HEALTHY
+                        && t.update().successAgoMillis() >= 0
+                        && now - t.atMicrosOf(t.update().successAgoMillis(), now) < RECENT_SUCCESS_MICROS);
     }
 
     /** Since when it is cold by peers' word, -1 where no word stands against what was seen here. */
-    private long coldSince(long now) {
+    private long slowStartSincePeers(long now) {
         long latest = -1;
-        for (PeerReport t : told.values()) {
-            long back = t.ago(t.news().backAgo(), now);
-            if (fresh(now, t)
-                    && t.news().health() == Health.SLOW_START
+        for (PeerReport t : reportByPeer.values()) {
+            long back = t.atMicrosOf(t.update().recoveryAgoMillis(), now);
+            if (isFresh(now, t)
+                    && t.update().health() == Health.SLOW_START
                     && back >= 0
-                    && now - back < rules.span()
-                    && !answeredBetween(t.ago(t.news().outAgo(), now), back)) {
+                    && now - back < rules.warmUpMicros()
+                    && !hadSuccessBetween(t.atMicrosOf(t.update().outageAgoMillis(), now), back)) {
                 latest = Math.max(latest, back);
             }
         }
@@ -169,14 +175,14 @@
     }
 
     /** Whether this daemon was answered in an outage that another tells of; the edges are uncertain. */
-    private boolean answeredBetween(long from, long to) {
-        if (from < 0 || slot == Long.MIN_VALUE) {
+    private boolean hadSuccessBetween(long from, long to) {
+        if (from < 0 || latestSlot == Long.MIN_VALUE) {
             return false;
         }
-        long first = Math.max(Math.floorDiv(from, SLOT) + 2, slot - SLOTS + 1);
-        long last = Math.min(Math.floorDiv(to, SLOT) - 2, slot);
+        long first = Math.max(Math.floorDiv(from, SLOT_MICROS) + 2, latestSlot - SLOTS + 1);
+        long last = Math.min(Math.floorDiv(to, SLOT_MICROS) - 2, latestSlot);
         for (long s = first; s <= last; s++) {
-            if (answered[Math.floorMod(s, SLOTS)]) {
+            if (successSlots[Math.floorMod(s, SLOTS)]) {
                 return true;
             }
         }
@@ -186,141 +192,151 @@
     // ---- The limit. ----
 
     /** Since when it warms up; {@code now} while it has not come back, -1 where there is no limit. */
-    private long from(long now) {
-        if (mine == Health.SLOW_START && now - backAt >= rules.span()) {
-            mine = Health.HEALTHY;
+    private long warmUpStart(long now) {
+        if (localHealth == Health.SLOW_START && now - recoveryAtMicros >= rules.warmUpMicros()) {
+            localHealth = Health.HEALTHY;
         }
-        long elsewhere = coldSince(now);
-        return switch (mine) {
+        long elsewhere = slowStartSincePeers(now);
+        return switch (localHealth) {
             case UNAVAILABLE -> now;
-            case NEW -> wellElsewhere(now) ? -1 : elsewhere >= 0 ? elsewhere : now;
-            case SLOW_START -> Math.max(backAt, elsewhere);
+            case NEW -> isHealthyElsewhere(now) ? -1 : elsewhere >= 0 ? elsewhere : now;
+            case SLOW_START -> Math.max(recoveryAtMicros, elsewhere);
             case HEALTHY -> elsewhere;
         };
     }
 
     /** Whether there is a limit now. */
-    boolean limited(long now) {
-        return from(now) >= 0;
+    boolean isLimited(long now) {
+        return warmUpStart(now) >= 0;
     }
 
     /** What all daemons together may send now, in messages a second; infinite without a limit. */
-    double whole(long now) {
-        long from = from(now);
+    double fleetPerSecond(long now) {
+        long from = warmUpStart(now);
         if (from < 0) {
             return Double.POSITIVE_INFINITY;
         }
-        double warm = Math.min(1, (double) (now - from) / Math.max(1, rules.span()));
-        double capacity = rules.from() + (1 - rules.from()) * warm;
-        double known = SAFETY * rules.multiple() * capacity * best(now);
-        double shown = SHOWN * rules.multiple() * together(now, true);
-        return Math.max(rules.first(), even(Math.max(known, shown)));
+        double warm = Math.min(1, (double) (now - from) / Math.max(1, rules.warmUpMicros()));
+        double capacity = rules.initialFraction() + (1 - rules.initialFraction()) * warm;
+        double known = KNOWN_CAPACITY_RATIO * rules.overloadMultiple() * capacity * updatedPeak(now);
+        double shown = OBSERVED_RATE_RATIO * rules.overloadMultiple() * servedByFleet(now, true);
+        return Math.max(rules.initialPerSecond(), evenFlowUnder(Math.max(known, shown)));
     }
 
     /**
      * The even flow that stays under a push with chance allowed for: m messages in a window, from daemons that do not know
      * of one another's, are m and some square roots of m now and then.
      */
-    private double even(double perSecond) {
-        double window = rules.window() / 1e6;
-        double root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * perSecond * window) - DEVIATIONS) / 2;
+    private double evenFlowUnder(double perSecond) {
+        double window = rules.overloadWindowMicros() / 1e6;
+        double root =
+                (Math.sqrt(ALLOWED_DEVIATIONS * ALLOWED_DEVIATIONS + 4 * perSecond * window) - ALLOWED_DEVIATIONS) / 2;
         return root * root / window;
     }
 
     /** This daemon's part of it. */
-    double perSecond(long now) {
-        double whole = whole(now);
-        return Double.isInfinite(whole) ? whole : lending.ceiling(now) * whole;
+    double ownPerSecond(long now) {
+        double whole = fleetPerSecond(now);
+        return Double.isInfinite(whole) ? whole : lending.usableFraction(now) * whole;
     }
 
     /** Answered a second now, here and at all peers that tell of it. */
-    private double together(long now, boolean present) {
-        double sum = (present ? served : pace).perSecond(now);
-        for (PeerReport t : told.values()) {
-            sum += fresh(now, t) ? t.news().served() : 0;
+    private double servedByFleet(long now, boolean present) {
+        double sum = (present ? served : slowServed).perSecond(now);
+        for (PeerReport t : reportByPeer.values()) {
+            sum += isFresh(now, t) ? t.update().servedPerSecond() : 0;
         }
         return sum;
     }
 
     /** The most that was answered at one time, as far as anybody remembers; short peaks count for little. */
-    double best(long now) {
+    double updatedPeak(long now) {
         double told = 0;
-        for (PeerReport t : this.told.values()) {
-            told = fresh(now, t) ? Math.max(told, t.news().usual()) : told;
+        for (PeerReport t : this.reportByPeer.values()) {
+            told = isFresh(now, t) ? Math.max(told, t.update().peakPerSecond()) : told;
         }
-        smooth += (together(now, false) - smooth) * -Math.expm1((smoothAt - now) / SMOOTH);
-        smoothAt = now;
-        double left = best * Math.pow(0.5, (now - bestAt) / HALVING);
-        best = Math.max(left, Math.max(smooth, told));
-        bestAt = now;
-        return best;
+        smoothedPerSecond += (servedByFleet(now, false) - smoothedPerSecond)
+                * -Math.expm1((smoothedAtMicros - now) / SMOOTHING_MICROS);
+        smoothedAtMicros = now;
+        double left = peakPerSecond * Math.pow(0.5, (now - peakAtMicros) / PEAK_HALF_LIFE_MICROS);
+        peakPerSecond = Math.max(left, Math.max(smoothedPerSecond, told));
+        peakAtMicros = now;
+        return peakPerSecond;
     }
 
     // ---- Lending. ----
 
     /** The part of the whole that this daemon has use for. */
-    private double need(long now) {
-        double whole = whole(now);
-        return Double.isInfinite(whole) ? 1 : Math.min(1, (waiting * 1e6 / HORIZON + served.perSecond(now)) / whole);
+    private double neededFraction(long now) {
+        double whole = fleetPerSecond(now);
+        return Double.isInfinite(whole)
+                ? 1
+                : Math.min(1, (pendingMessages * 1e6 / QUEUE_DRAIN_MICROS + served.perSecond(now)) / whole);
     }
 
     /** Requests to peers that are there and seem to have parts to spare. */
-    List<LoanRequest> asks(long now, List<String> alive) {
-        double missing = limited(now) ? need(now) - lending.ceiling(now) : 0;
+    List<LoanRequest> loanRequests(long now, List<String> alive) {
+        double missing = isLimited(now) ? neededFraction(now) - lending.usableFraction(now) : 0;
         if (missing <= 0) {
             return List.of();
         }
-        double whole = whole(now);
+        double whole = fleetPerSecond(now);
         List<String> able = alive.stream()
                 .filter(peer -> {
-                    PeerReport t = told.get(peer);
+                    PeerReport t = reportByPeer.get(peer);
                     double use = t == null
                             ? 0
-                            : (t.news().waiting() * 1e6 / HORIZON + t.news().served()) / whole;
-                    return use < lending.owned();
+                            : (t.update().pendingMessages() * 1e6 / QUEUE_DRAIN_MICROS
+                                            + t.update().servedPerSecond())
+                                    / whole;
+                    return use < lending.ownFraction();
                 })
                 .toList();
-        return lending.asks(now, missing, able).stream()
-                .map(r -> new LoanRequest(r.peer(), new Heartbeat.QuotaLoan(false, destination, r.number(), r.part())))
+        return lending.requestLoans(now, missing, able).stream()
+                .map(r -> new LoanRequest(
+                        r.peer(), new Heartbeat.QuotaLoan(false, destination, r.number(), r.fraction())))
                 .toList();
     }
 
     /** A peer asks: its answer. Who has no limit uses its part itself. */
-    Heartbeat.QuotaLoan asked(long now, String peer, Heartbeat.QuotaLoan loan) {
+    Heartbeat.QuotaLoan onLoanRequest(long now, String peer, Heartbeat.QuotaLoan loan) {
         return new Heartbeat.QuotaLoan(
-                true, destination, loan.number(), lending.asked(now, peer, loan.number(), loan.part(), need(now)));
+                true,
+                destination,
+                loan.requestNumber(),
+                lending.onLoanRequest(now, peer, loan.requestNumber(), loan.fraction(), neededFraction(now)));
     }
 
-    void granted(long now, String peer, Heartbeat.QuotaLoan loan) {
-        lending.granted(now, peer, loan.number(), loan.part());
+    void onLoanGrant(long now, String peer, Heartbeat.QuotaLoan loan) {
+        lending.onLoanGrant(now, peer, loan.requestNumber(), loan.fraction());
     }
 
     // ---- What is told. ----
 
-    SlowStartUpdate news(long now) {
+    SlowStartUpdate currentUpdate(long now) {
         // An end of the cold span is noticed by looking.
-        from(now);
-        long since = mine == Health.SLOW_START || mine == Health.HEALTHY ? backAt : -1;
+        warmUpStart(now);
+        long since = localHealth == Health.SLOW_START || localHealth == Health.HEALTHY ? recoveryAtMicros : -1;
         return new SlowStartUpdate(
                 destination,
-                mine,
-                ago(now, outAt),
-                ago(now, since),
-                ago(now, okAt),
+                localHealth,
+                millisSince(now, outageAtMicros),
+                millisSince(now, since),
+                millisSince(now, successAtMicros),
                 (float) served.perSecond(now),
-                (float) best(now),
-                (float) waiting);
+                (float) updatedPeak(now),
+                (float) pendingMessages);
     }
 
-    private static int ago(long now, long at) {
-        return at < 0 ? -1 : (int) Math.max(0, Math.min(Heartbeat.LONGEST_AGE, (now - at) / 1_000));
+    private static int millisSince(long now, long at) {
+        return at < 0 ? -1 : (int) Math.max(0, Math.min(Heartbeat.MAX_AGE_MILLIS, (now - at) / 1_000));
     }
 
-    Health health() {
-        return mine;
+    Health localHealth() {
+        return localHealth;
     }
 
-    long answeredAt() {
-        return okAt;
+    long successAtMicros() {
+        return successAtMicros;
     }
 }
--- a/quota/src/test/java/amberroute/quota/QuotaShareTest.java
+++ b/quota/src/test/java/amberroute/quota/QuotaShareTest.java
@@ -21,65 +21,69 @@
 
     @Test
     void ownsAnEqualPart() {
-        assertEquals(0.05, fresh(20).ceiling(0), 1e-12);
+        assertEquals(0.05, fresh(20).usableFraction(0), 1e-12);
     }
 
     @Test
     void lendsAndGetsBackByTime() {
         QuotaShare lender = fresh(4);
         QuotaShare borrower = fresh(4);
-        LoanRequest ask = borrower.ask(0, "lender", 0.2);
-        LoanGrant grant = lender.asked(100, "borrower", ask, 0.1);
-        assertEquals(0.15, grant.part(), 1e-12);
-        borrower.granted(200, "lender", grant);
-        assertEquals(0.4, borrower.ceiling(200), 1e-12);
-        assertEquals(0.1, lender.ceiling(200), 1e-12);
-        assertEquals(0.25, borrower.ceiling(QuotaShare.usable(LEASE)), 1e-12);
-        assertEquals(0.1, lender.ceiling(LEASE), 1e-12);
-        assertEquals(0.25, lender.ceiling(100 + LEASE), 1e-12);
+        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
+        LoanGrant grant = lender.onLoanRequest(100, "borrower", ask, 0.1);
+        assertEquals(0.15, grant.fraction(), 1e-12);
+        borrower.onLoanGrant(200, "lender", grant);
+        assertEquals(0.4, borrower.usableFraction(200), 1e-12);
+        assertEquals(0.1, lender.usableFraction(200), 1e-12);
+        assertEquals(0.25, borrower.usableFraction(QuotaShare.usableLeaseMicros(LEASE)), 1e-12);
+        assertEquals(0.1, lender.usableFraction(LEASE), 1e-12);
+        assertEquals(0.25, lender.usableFraction(100 + LEASE), 1e-12);
     }
 
     @Test
     void aRepeatedRequestGetsNothingMore() {
         QuotaShare lender = fresh(2);
         QuotaShare borrower = fresh(2);
-        LoanRequest ask = borrower.ask(0, "lender", 0.2);
-        LoanGrant first = lender.asked(0, "borrower", ask, 0);
-        assertEquals(0, lender.asked(10, "borrower", ask, 0).part());
-        borrower.granted(10, "lender", first);
-        borrower.granted(20, "lender", first);
-        assertEquals(0.7, borrower.ceiling(20), 1e-12);
-        assertEquals(0.3, lender.ceiling(20), 1e-12);
+        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
+        LoanGrant first = lender.onLoanRequest(0, "borrower", ask, 0);
+        assertEquals(0, lender.onLoanRequest(10, "borrower", ask, 0).fraction());
+        borrower.onLoanGrant(10, "lender", first);
+        borrower.onLoanGrant(20, "lender", first);
+        assertEquals(0.7, borrower.usableFraction(20), 1e-12);
+        assertEquals(0.3, lender.usableFraction(20), 1e-12);
     }
 
     @Test
     void anAnswerThatCameTooLateIsWorthNothing() {
         QuotaShare borrower = fresh(2);
-        LoanRequest ask = borrower.ask(0, "lender", 0.2);
-        borrower.granted(LEASE, "lender", new LoanGrant(ask.number(), 0.2));
-        assertEquals(0.5, borrower.ceiling(LEASE), 1e-12);
+        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
+        borrower.onLoanGrant(LEASE, "lender", new LoanGrant(ask.number(), 0.2));
+        assertEquals(0.5, borrower.usableFraction(LEASE), 1e-12);
     }
 
     @Test
     void whoRestartsWaitsUntilItsLoansAreOver() {
         QuotaShare again = new QuotaShare(0, 5, 2, LEASE, true);
-        assertEquals(0, again.ceiling(QuotaShare.quiet(LEASE) - 1), 1e-12);
-        assertEquals(0, again.asked(0, "peer", new LoanRequest(1, 0.1), 0).part());
-        assertEquals(0.5, again.ceiling(QuotaShare.quiet(LEASE)), 1e-12);
+        assertEquals(0, again.usableFraction(QuotaShare.quietPeriodMicros(LEASE) - 1), 1e-12);
+        assertEquals(
+                0, again.onLoanRequest(0, "peer", new LoanRequest(1, 0.1), 0).fraction());
+        assertEquals(0.5, again.usableFraction(QuotaShare.quietPeriodMicros(LEASE)), 1e-12);
     }
 
     @Test
     void takesNoPartThatWasNotAskedFor() {
         QuotaShare borrower = fresh(2);
-        LoanRequest ask = borrower.ask(0, "lender", 0.2);
+        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
         for (double part : new double[] {-1, 0.3, Double.NaN, Double.POSITIVE_INFINITY}) {
-            borrower.granted(1, "lender", new LoanGrant(ask.number(), part));
+            borrower.onLoanGrant(1, "lender", new LoanGrant(ask.number(), part));
         }
-        borrower.granted(1, "other", new LoanGrant(ask.number(), 0.2));
-        assertEquals(0.5, borrower.ceiling(1), 1e-12);
+        borrower.onLoanGrant(1, "other", new LoanGrant(ask.number(), 0.2));
+        assertEquals(0.5, borrower.usableFraction(1), 1e-12);
+        assertEquals(
+                0,
+                fresh(2).onLoanRequest(0, "p", new LoanRequest(1, Double.NaN), 0)
+                        .fraction());
         assertEquals(
-                0, fresh(2).asked(0, "p", new LoanRequest(1, Double.NaN), 0).part());
-        assertEquals(0, fresh(2).asked(0, "p", new LoanRequest(1, -1), 0).part());
+                0, fresh(2).onLoanRequest(0, "p", new LoanRequest(1, -1), 0).fraction());
     }
 
     /** One daemon of a simulated fleet, with a clock of its own rate. */
@@ -124,8 +128,10 @@
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < daemons; i++) {
             double rate = i == 0
-                    ? 1 + QuotaShare.DRIFT
-                    : i == 1 ? 1 - QuotaShare.DRIFT : 1 + QuotaShare.DRIFT * (2 * random.nextDouble() - 1);
+                    ? 1 + QuotaShare.MAX_CLOCK_DRIFT_RATIO
+                    : i == 1
+                            ? 1 - QuotaShare.MAX_CLOCK_DRIFT_RATIO
+                            : 1 + QuotaShare.MAX_CLOCK_DRIFT_RATIO * (2 * random.nextDouble() - 1);
             nodes.add(new Node("d" + i, rate, random.nextInt(1_000_000), daemons));
         }
         List<Mail> mails = new ArrayList<>();
@@ -146,7 +152,7 @@
                 }
                 Node peer = nodes.get(random.nextInt(daemons));
                 if (peer != node) {
-                    LoanRequest ask = node.share.ask(node.clock(now), peer.name, random.nextDouble() / daemons);
+                    LoanRequest ask = node.share.requestLoan(node.clock(now), peer.name, random.nextDouble() / daemons);
                     post(
                             random,
                             mails,
@@ -166,7 +172,7 @@
             }
             double sum = 0;
             for (Node node : nodes) {
-                double part = node.alive ? node.share.ceiling(node.clock(now)) : 0;
+                double part = node.alive ? node.share.usableFraction(node.clock(now)) : 0;
                 sum += part;
                 highestOne = Math.max(highestOne, part * daemons);
             }
@@ -178,10 +184,11 @@
     private static void deliver(Random random, List<Mail> mails, long now, Mail mail) {
         Node to = mail.to();
         if (mail.content() instanceof LoanRequest ask) {
-            LoanGrant grant = to.share.asked(to.clock(now), mail.from().name, ask, 0.2 * random.nextDouble() / 40);
+            LoanGrant grant =
+                    to.share.onLoanRequest(to.clock(now), mail.from().name, ask, 0.2 * random.nextDouble() / 40);
             post(random, mails, now, to, mail.from(), grant, false);
         } else if (mail.content() instanceof LoanGrant grant) {
-            to.share.granted(to.clock(now), mail.from().name, grant);
+            to.share.onLoanGrant(to.clock(now), mail.from().name, grant);
         }
     }
 
--- a/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
+++ b/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
@@ -45,7 +45,11 @@
         }
 
         double now(long at) {
-            return capacity * Math.min(1, RULES.from() + (1 - RULES.from()) * Math.max(0, at - backAt) / RULES.span());
+            return capacity
+                    * Math.min(
+                            1,
+                            RULES.initialFraction()
+                                    + (1 - RULES.initialFraction()) * Math.max(0, at - backAt) / RULES.warmUpMicros());
         }
 
         /** Whether a message that comes now is answered as done; a refused one weighs as much. */
@@ -54,11 +58,11 @@
                 return false;
             }
             recent.addLast(at);
-            while (recent.peekFirst() < at - RULES.window()) {
+            while (recent.peekFirst() < at - RULES.overloadWindowMicros()) {
                 recent.removeFirst();
             }
-            double stands = RULES.multiple() * now(at) * RULES.window() / 1e6;
-            if (at - backAt < RULES.span()) {
+            double stands = RULES.overloadMultiple() * now(at) * RULES.overloadWindowMicros() / 1e6;
+            if (at - backAt < RULES.warmUpMicros()) {
                 highest = Math.max(highest, recent.size() / stands);
                 down += recent.size() > stands ? 1 : 0;
             }
@@ -137,10 +141,10 @@
             d.backlog = backlog / daemons;
             if (!fresh) {
                 // It has seen the outage, and what the partner did before.
-                d.limits.answered(now, PARTNER);
-                d.limits.found(now, PARTNER, Health.UNAVAILABLE, now);
+                d.limits.onSuccess(now, PARTNER);
+                d.limits.onHealthChanged(now, PARTNER, Health.UNAVAILABLE, now);
             }
-            set(d, now, d.limits.known(now, PARTNER));
+            set(d, now, d.limits.onDestinationListed(now, PARTNER));
             fleet.add(d);
         }
     }
@@ -150,7 +154,7 @@
             return;
         }
         if (Double.isInfinite(d.ceiling)) {
-            d.saved = c.first();
+            d.saved = c.initialCredit();
         } else {
             save(d, now);
         }
@@ -171,12 +175,13 @@
                     at + 200 + random.nextLong(Math.max(1, trouble.delay())),
                     order++,
                     to,
-                    Heartbeat.read(beat.write())));
+                    Heartbeat.decode(beat.encode())));
         }
     }
 
     private void tell(long at, Daemon d) {
-        Heartbeat beat = d.beats.next(d.clock(at), d.name, MembershipView.Phase.READY, d.limits.news(d.clock(at)));
+        Heartbeat beat = d.beats.nextHeartbeat(
+                d.clock(at), d.name, MembershipView.Phase.READY, d.limits.currentUpdates(d.clock(at)));
         for (Daemon other : fleet) {
             if (other != d) {
                 send(at, d, other.index, beat);
@@ -214,34 +219,36 @@
     private void deliver(long at, Packet packet) {
         Daemon d = fleet.get(packet.to());
         long now = d.clock(at);
-        if (d.dead || packet.beat() == null || !d.beats.heard(now, packet.beat())) {
+        if (d.dead || packet.beat() == null || !d.beats.onHeartbeat(now, packet.beat())) {
             return;
         }
-        d.limits.told(now, packet.beat().from(), packet.beat().news()).forEach(c -> set(d, now, c));
+        d.limits
+                .onPeerUpdates(now, packet.beat().sender(), packet.beat().updates())
+                .forEach(c -> set(d, now, c));
         List<Heartbeat.QuotaLoan> answers =
-                d.limits.loans(now, packet.beat().from(), packet.beat().loans());
+                d.limits.onLoans(now, packet.beat().sender(), packet.beat().loans());
         if (!answers.isEmpty()) {
             send(
                     at,
                     d,
-                    Integer.parseInt(packet.beat().from().substring(1)),
-                    d.beats.next(d.name, MembershipView.Phase.READY, answers));
+                    Integer.parseInt(packet.beat().sender().substring(1)),
+                    d.beats.nextHeartbeat(d.name, MembershipView.Phase.READY, answers));
         }
     }
 
     private void turn(long at, Daemon d, Deque<Long> answers) {
         long now = d.clock(at);
         if (at % 50_000 == 0) {
-            d.limits.tick(now, destination -> d.backlog).forEach(c -> set(d, now, c));
+            d.limits.changedLimits(now, destination -> d.backlog).forEach(c -> set(d, now, c));
             d.limits
-                    .asks(now, d.beats)
+                    .loanRequests(now, d.beats)
                     .forEach((peer, loans) -> send(
                             at,
                             d,
                             Integer.parseInt(peer.substring(1)),
-                            d.beats.next(d.name, MembershipView.Phase.READY, loans)));
+                            d.beats.nextHeartbeat(d.name, MembershipView.Phase.READY, loans)));
         }
-        if (d.beats.due(now)) {
+        if (d.beats.isDue(now)) {
             tell(at, d);
         }
         // What the sender's own slots allow, 16 calls of 20 ms.
@@ -256,12 +263,12 @@
             if (partner.take(at)) {
                 d.backlog--;
                 answers.addLast(at);
-                if (d.limits.answered(now, PARTNER)) {
+                if (d.limits.onSuccess(now, PARTNER)) {
                     tell(at, d);
                 }
                 if (d.knowsOut) {
                     d.knowsOut = false;
-                    d.limits.found(now, PARTNER, Health.SLOW_START, now);
+                    d.limits.onHealthChanged(now, PARTNER, Health.SLOW_START, now);
                     tell(at, d);
                 }
             }
@@ -346,69 +353,71 @@
     @Test
     void aPartnerThatIsWellForAPeerIsWellForOneThatHasJustStarted() {
         SlowStartLimit limit = limit(10);
-        assertTrue(limit.limited(1_000));
-        limit.told(2_000, "b", well(100));
-        assertTrue(Double.isInfinite(limit.perSecond(3_000)));
-        limit.answered(4_000);
-        assertEquals(Health.HEALTHY, limit.health());
+        assertTrue(limit.isLimited(1_000));
+        limit.onPeerUpdate(2_000, "b", well(100));
+        assertTrue(Double.isInfinite(limit.ownPerSecond(3_000)));
+        limit.onSuccess(4_000);
+        assertEquals(Health.HEALTHY, limit.localHealth());
         // A word that is old or of an answer long ago says nothing.
         SlowStartLimit other = limit(10);
-        other.told(2_000, "b", well(6_000));
-        assertTrue(other.limited(3_000));
-        other.told(3_000, "b", well(100));
-        assertTrue(other.limited(3_000 + SlowStartLimit.FRESH));
+        other.onPeerUpdate(2_000, "b", well(6_000));
+        assertTrue(other.isLimited(3_000));
+        other.onPeerUpdate(3_000, "b", well(100));
+        assertTrue(other.isLimited(3_000 + SlowStartLimit.REPORT_LIFE_MICROS));
     }
 
     /** An outage that only a peer has seen, while this daemon was answered all along, is that peer's own. */
     @Test
     void aPeersOwnTroubleSlowsNobodyElse() {
         SlowStartLimit limit = limit(10);
-        limit.told(0, "c", well(100));
+        limit.onPeerUpdate(0, "c", well(100));
         for (long now = 0; now < 20_000_000; now += 50_000) {
-            limit.answered(now);
+            limit.onSuccess(now);
         }
         Heartbeat.SlowStartUpdate claims =
                 new Heartbeat.SlowStartUpdate(PARTNER, Health.SLOW_START, 8_000, 500, 100, 5, 100, 0);
-        limit.told(20_000_000, "b", claims);
-        assertTrue(Double.isInfinite(limit.perSecond(20_000_000)));
+        limit.onPeerUpdate(20_000_000, "b", claims);
+        assertTrue(Double.isInfinite(limit.ownPerSecond(20_000_000)));
         // One that was answered by nobody here meanwhile is believed.
         SlowStartLimit silent = limit(10);
-        silent.told(0, "c", well(100));
+        silent.onPeerUpdate(0, "c", well(100));
         for (long now = 0; now < 11_000_000; now += 50_000) {
-            silent.answered(now);
+            silent.onSuccess(now);
         }
-        silent.told(20_000_000, "b", claims);
-        assertTrue(silent.limited(20_000_000));
+        silent.onPeerUpdate(20_000_000, "b", claims);
+        assertTrue(silent.isLimited(20_000_000));
     }
 
     @Test
     void theNewsOfAReturnIsPassedOnOnce() {
         SlowStartLimit limit = limit(10);
-        limit.told(0, "c", well(100));
-        limit.answered(1_000);
-        limit.found(2_000_000, Health.UNAVAILABLE, 2_000_000);
-        assertTrue(!limit.told(2_100_000, "b", well(3_000)), "its answer is older than the outage");
+        limit.onPeerUpdate(0, "c", well(100));
+        limit.onSuccess(1_000);
+        limit.onHealthChanged(2_000_000, Health.UNAVAILABLE, 2_000_000);
+        assertTrue(!limit.onPeerUpdate(2_100_000, "b", well(3_000)), "its answer is older than the outage");
         Heartbeat.SlowStartUpdate back =
                 new Heartbeat.SlowStartUpdate(PARTNER, Health.SLOW_START, 4_000, 10, 10, 5, 100, 0);
-        assertTrue(limit.told(8_000_000, "b", back));
-        assertTrue(!limit.told(8_200_000, "b", back));
-        assertTrue(limit.limited(8_200_000));
+        assertTrue(limit.onPeerUpdate(8_000_000, "b", back));
+        assertTrue(!limit.onPeerUpdate(8_200_000, "b", back));
+        assertTrue(limit.isLimited(8_200_000));
     }
 
     /** The cold span over, nothing is limited any more, and what is told of it is the same. */
     @Test
     void aLimitEndsWithTheColdSpan() {
         SlowStartLimit limit = limit(4);
-        limit.found(1_000_000, Health.UNAVAILABLE, 1_000_000);
-        limit.found(5_000_000, Health.SLOW_START, 5_000_000);
+        limit.onHealthChanged(1_000_000, Health.UNAVAILABLE, 1_000_000);
+        limit.onHealthChanged(5_000_000, Health.SLOW_START, 5_000_000);
         double before = 0;
         Map<Long, Double> rates = new HashMap<>();
-        for (long now = 5_000_000; now < 5_000_000 + RULES.span(); now += 500_000) {
-            rates.put(now, limit.whole(now));
-            assertTrue(limit.whole(now) >= before);
-            before = limit.whole(now);
+        for (long now = 5_000_000; now < 5_000_000 + RULES.warmUpMicros(); now += 500_000) {
+            rates.put(now, limit.fleetPerSecond(now));
+            assertTrue(limit.fleetPerSecond(now) >= before);
+            before = limit.fleetPerSecond(now);
         }
-        assertTrue(Double.isInfinite(limit.whole(5_000_000 + RULES.span())));
-        assertEquals(Health.HEALTHY, limit.news(5_000_000 + RULES.span()).health());
+        assertTrue(Double.isInfinite(limit.fleetPerSecond(5_000_000 + RULES.warmUpMicros())));
+        assertEquals(
+                Health.HEALTHY,
+                limit.currentUpdate(5_000_000 + RULES.warmUpMicros()).health());
     }
 }
--- a/replication/src/main/java/amberroute/replication/Candidacy.java
+++ b/replication/src/main/java/amberroute/replication/Candidacy.java
@@ -9,68 +9,68 @@
  */
 public final class Candidacy {
     private final String self;
-    private final ReplicaSet group;
-    private final ReplicaState holding;
-    private final Set<String> granted = new HashSet<>();
-    private final Set<String> refused = new HashSet<>();
-    private long highest;
+    private final ReplicaSet replicaSet;
+    private final ReplicaState ownState;
+    private final Set<String> grantedBy = new HashSet<>();
+    private final Set<String> deniedBy = new HashSet<>();
+    private long highestTermSeen;
 
     /** {@code holding} is the claimant's own, with the term that it claims granted to itself. */
     public Candidacy(String self, ReplicaSet group, ReplicaState holding) {
-        if (!holding.granted(holding.term(), self)) {
+        if (!holding.hasGranted(holding.term(), self)) {
             throw new IllegalArgumentException("a term that was not granted by its claimant");
         }
         this.self = self;
-        this.group = group;
-        this.holding = holding;
-        highest = holding.term();
-        granted.add(self);
+        this.replicaSet = group;
+        this.ownState = holding;
+        highestTermSeen = holding.term();
+        grantedBy.add(self);
     }
 
     public long term() {
-        return holding.term();
+        return ownState.term();
     }
 
     /** How far the claimant's own copy reaches. */
-    public LogPosition copy() {
-        return holding.copy();
+    public LogPosition logPosition() {
+        return ownState.logPosition();
     }
 
-    public ReplicaSet group() {
-        return group;
+    public ReplicaSet replicaSet() {
+        return replicaSet;
     }
 
     /** A holder's answer; {@code term} is the highest that it knows of. One for another claim changes nothing. */
-    public void answered(String from, long asked, boolean yes, long term) {
-        highest = Math.max(highest, term);
-        if (asked == holding.term() && group.holders().contains(from)) {
-            (yes ? granted : refused).add(from);
+    public void onVote(String from, long asked, boolean yes, long term) {
+        highestTermSeen = Math.max(highestTermSeen, term);
+        if (asked == ownState.term() && replicaSet.members().contains(from)) {
+            (yes ? grantedBy : deniedBy).add(from);
         }
     }
 
     /** Whether the term is this claimant's. */
-    public boolean won() {
-        return group.majority(granted);
+    public boolean hasWon() {
+        return replicaSet.hasQuorum(grantedBy);
     }
 
     /** Whether so many have said no that it cannot be won any more. */
-    public boolean lost() {
-        Set<String> left = new HashSet<>(group.holders());
-        left.removeAll(refused);
-        return !group.majority(left);
+    public boolean hasLost() {
+        Set<String> left = new HashSet<>(replicaSet.members());
+        left.removeAll(deniedBy);
+        return !replicaSet.hasQuorum(left);
     }
 
     /** The least term that could be claimed next. */
-    public long next() {
-        return highest + 1;
+    public long nextTerm() {
+        return highestTermSeen + 1;
     }
 
     /** Who has not answered yet, and is to be asked again. */
-    public Set<String> unanswered() {
-        Set<String> left = new HashSet<>(group.holders());
+    public Set<String> pendingVoters() {
+        Set<String> left = new HashSet<>(replicaSet.members());
         left.remove(self);
-        left.removeAll(granted);
-        left.removeAll(refused);
+        left.removeAll(grantedBy);
+        left.removeAll(deniedBy);
         return left;
     }
 }
--- a/replication/src/main/java/amberroute/replication/ElectionSchedule.java
+++ b/replication/src/main/java/amberroute/replication/ElectionSchedule.java
@@ -12,7 +12,7 @@
      * What a holder sees of an estate's owner: whether that is itself (its process was restarted), whether membership takes
      * it for gone, and how long nothing was heard of the estate.
      */
-    public record OwnerObservation(boolean self, boolean gone, long silent) {}
+    public record OwnerObservation(boolean isSelf, boolean hasFailed, long silentNanos) {}
 
     private ElectionSchedule() {}
 
@@ -20,15 +20,15 @@
      * Whether to ask the group for the next term. {@code quiet} is how long nothing has to be heard of the estate from an owner that
      * is taken for gone, {@code longer} from one that is not: a process that lost its folder is there and owns nothing.
      */
-    public static boolean shouldTry(OwnerObservation seen, long quiet, long longer) {
-        return seen.self() || seen.gone() && seen.silent() >= quiet || seen.silent() >= longer;
+    public static boolean shouldStartElection(OwnerObservation seen, long quiet, long longer) {
+        return seen.isSelf() || seen.hasFailed() && seen.silentNanos() >= quiet || seen.silentNanos() >= longer;
     }
 
     /**
      * The owner and so many less one others: those behind it in the order of names, so that each holds for about as many,
      * and as far as there are any each in a zone that has none yet. Fewer where there are no more.
      */
-    public static List<String> holders(
+    public static List<String> chooseReplicas(
             String self, String zone, int size, List<String> others, UnaryOperator<String> zones) {
         List<String> ring = new ArrayList<>(others);
         ring.remove(self);
--- a/replication/src/main/java/amberroute/replication/ReplicaSet.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSet.java
@@ -9,32 +9,32 @@
  * or takes one away, never both: then any majority of before and any of after have somebody in common, so two groups can
  * never decide apart.
  */
-public record ReplicaSet(long version, List<String> holders) {
+public record ReplicaSet(long version, List<String> members) {
     /** More would make each message slower and the fleet no safer against what happens to it. */
-    public static final int MOST = 7;
+    public static final int MAX_MEMBERS = 7;
 
     public ReplicaSet {
-        holders = List.copyOf(holders);
-        if (holders.size() > MOST || holders.stream().distinct().count() != holders.size()) {
-            throw new IllegalArgumentException("no group: " + holders);
+        members = List.copyOf(members);
+        if (members.size() > MAX_MEMBERS || members.stream().distinct().count() != members.size()) {
+            throw new IllegalArgumentException("no group: " + members);
         }
     }
 
     /** Whether these are more than half of it; others do not count. */
-    public boolean majority(Collection<String> some) {
-        return 2 * holders.stream().filter(some::contains).count() > holders.size();
+    public boolean hasQuorum(Collection<String> some) {
+        return 2 * members.stream().filter(some::contains).count() > members.size();
     }
 
     /** The next version with one more. */
-    public ReplicaSet with(String name) {
-        List<String> more = new ArrayList<>(holders);
+    public ReplicaSet withMember(String name) {
+        List<String> more = new ArrayList<>(members);
         more.add(name);
         return new ReplicaSet(version + 1, more);
     }
 
     /** The next version without one. */
-    public ReplicaSet without(String name) {
+    public ReplicaSet withoutMember(String name) {
         return new ReplicaSet(
-                version + 1, holders.stream().filter(h -> !h.equals(name)).toList());
+                version + 1, members.stream().filter(h -> !h.equals(name)).toList());
     }
 }
--- a/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
@@ -15,13 +15,13 @@
     /** What to do with somebody; NONE names nobody. */
     public enum Kind {
         NONE,
-        WITHOUT,
-        TEACH,
-        WITH
+        REMOVE,
+        CATCH_UP,
+        ADD
     }
 
     /** One step. */
-    public record Step(Kind kind, String name) {
+    public record Step(Kind kind, String member) {
         static final Step NONE = new Step(Kind.NONE, "");
     }
 
@@ -29,65 +29,68 @@
      * How others stand: taken for gone by membership, came back with nothing, has all that there is; who is there, and where.
      */
     public record View(
-            Predicate<String> gone,
-            Predicate<String> fresh,
-            Predicate<String> taught,
+            Predicate<String> hasFailed,
+            Predicate<String> hasLostState,
+            Predicate<String> isCaughtUp,
             List<String> alive,
-            UnaryOperator<String> zones) {}
+            UnaryOperator<String> zoneOf) {}
 
     private final String self;
-    private final int size;
-    private final long patience;
-    private final Map<String, Long> awaySince = new HashMap<>();
+    private final int targetSize;
+    private final long replaceAfterNanos;
+    private final Map<String, Long> failedSinceNanos = new HashMap<>();
     private String learner = "";
 
     /** A group of so many; a holder that is gone for longer than {@code patience} is replaced. */
     public ReplicaSetChange(String self, int size, long patience) {
         this.self = self;
-        this.size = size;
-        this.patience = patience;
+        this.targetSize = size;
+        this.replaceAfterNanos = patience;
     }
 
     /** The next step for a group that has settled. */
-    public Step next(long now, ReplicaSet group, View view) {
+    public Step nextStep(long now, ReplicaSet group, View view) {
         List<String> others =
-                group.holders().stream().filter(h -> !h.equals(self)).toList();
-        awaySince.keySet().retainAll(others);
+                group.members().stream().filter(h -> !h.equals(self)).toList();
+        failedSinceNanos.keySet().retainAll(others);
         for (String holder : others) {
-            if (view.gone().test(holder)) {
-                awaySince.putIfAbsent(holder, now);
+            if (view.hasFailed().test(holder)) {
+                failedSinceNanos.putIfAbsent(holder, now);
             } else {
-                awaySince.remove(holder);
+                failedSinceNanos.remove(holder);
             }
         }
         String away = others.stream()
-                .filter(h -> awaySince.containsKey(h) && now - awaySince.get(h) > patience)
+                .filter(h -> failedSinceNanos.containsKey(h) && now - failedSinceNanos.get(h) > replaceAfterNanos)
                 .findFirst()
                 .orElse("");
-        String fresh = others.stream().filter(view.fresh()).findFirst().orElse("");
+        String fresh = others.stream().filter(view.hasLostState()).findFirst().orElse("");
         if (!fresh.isEmpty() && others.size() > 1) {
-            return new Step(Kind.WITHOUT, fresh);
+            return new Step(Kind.REMOVE, fresh);
         }
-        if (!away.isEmpty() && group.holders().size() > size) {
-            return new Step(Kind.WITHOUT, away);
+        if (!away.isEmpty() && group.members().size() > targetSize) {
+            return new Step(Kind.REMOVE, away);
         }
-        if (!learner.isEmpty() && (view.gone().test(learner) || group.holders().contains(learner))) {
+        if (!learner.isEmpty()
+                && (view.hasFailed().test(learner) || group.members().contains(learner))) {
             learner = "";
         }
-        if (group.holders().size() > size || away.isEmpty() && group.holders().size() == size) {
+        if (group.members().size() > targetSize
+                || away.isEmpty() && group.members().size() == targetSize) {
             return Step.NONE;
         }
         if (learner.isEmpty()) {
             List<String> free = view.alive().stream()
-                    .filter(n -> !group.holders().contains(n))
+                    .filter(n -> !group.members().contains(n))
                     .toList();
-            List<String> next = ElectionSchedule.holders(self, view.zones().apply(self), 2, free, view.zones());
+            List<String> next =
+                    ElectionSchedule.chooseReplicas(self, view.zoneOf().apply(self), 2, free, view.zoneOf());
             if (next.size() < 2) {
                 return Step.NONE;
             }
             learner = next.get(1);
-            return new Step(Kind.TEACH, learner);
+            return new Step(Kind.CATCH_UP, learner);
         }
-        return view.taught().test(learner) ? new Step(Kind.WITH, learner) : Step.NONE;
+        return view.isCaughtUp().test(learner) ? new Step(Kind.ADD, learner) : Step.NONE;
     }
 }
--- a/replication/src/test/java/amberroute/replication/ElectionScheduleTest.java
+++ b/replication/src/test/java/amberroute/replication/ElectionScheduleTest.java
@@ -22,7 +22,8 @@
         }
         Map<String, Integer> holds = new HashMap<>();
         for (String name : names) {
-            List<String> group = ElectionSchedule.holders(name, zone(name), 3, names, ElectionScheduleTest::zone);
+            List<String> group =
+                    ElectionSchedule.chooseReplicas(name, zone(name), 3, names, ElectionScheduleTest::zone);
             assertEquals(name, group.get(0));
             assertEquals(
                     3, group.stream().map(ElectionScheduleTest::zone).distinct().count(), group.toString());
@@ -37,62 +38,65 @@
 
     @Test
     void withFewZonesOrFewPeersAsManyAsThereAre() {
-        assertEquals(List.of("b", "c", "a"), ElectionSchedule.holders("b", "", 3, List.of("a", "b", "c"), n -> ""));
-        assertEquals(List.of("b", "c"), ElectionSchedule.holders("b", "", 3, List.of("c"), n -> ""));
+        assertEquals(
+                List.of("b", "c", "a"), ElectionSchedule.chooseReplicas("b", "", 3, List.of("a", "b", "c"), n -> ""));
+        assertEquals(List.of("b", "c"), ElectionSchedule.chooseReplicas("b", "", 3, List.of("c"), n -> ""));
     }
 
     @Test
     void anOwnerThatIsHeardIsLeftAlone() {
-        assertFalse(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, true, 5), 6, 12));
-        assertTrue(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, true, 6), 6, 12));
-        assertFalse(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, false, 11), 6, 12));
-        assertTrue(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(false, false, 12), 6, 12));
-        assertTrue(ElectionSchedule.shouldTry(new ElectionSchedule.OwnerObservation(true, false, 0), 6, 12));
+        assertFalse(ElectionSchedule.shouldStartElection(new ElectionSchedule.OwnerObservation(false, true, 5), 6, 12));
+        assertTrue(ElectionSchedule.shouldStartElection(new ElectionSchedule.OwnerObservation(false, true, 6), 6, 12));
+        assertFalse(
+                ElectionSchedule.shouldStartElection(new ElectionSchedule.OwnerObservation(false, false, 11), 6, 12));
+        assertTrue(
+                ElectionSchedule.shouldStartElection(new ElectionSchedule.OwnerObservation(false, false, 12), 6, 12));
+        assertTrue(ElectionSchedule.shouldStartElection(new ElectionSchedule.OwnerObservation(true, false, 0), 6, 12));
     }
 
     @Test
     void whatAMajorityHasIsAgreedOnAndAChangeOfTheGroupWaitsForTheLast() {
         LeaderTerm tenure = new LeaderTerm("a", 3, 10, new ReplicaSet(0, List.of("a", "b", "c")));
-        assertEquals(-1, tenure.agreed());
-        assertEquals(11, tenure.wrote());
-        tenure.has("b", 10);
-        assertEquals(10, tenure.agreed());
-        tenure.has("c", 11);
-        assertEquals(11, tenure.agreed());
-        tenure.lacks("c");
-        assertEquals(-1, tenure.behind("c"));
-        assertEquals(1, tenure.behind("b"));
+        assertEquals(-1, tenure.commitIndex());
+        assertEquals(11, tenure.appended());
+        tenure.acknowledged("b", 10);
+        assertEquals(10, tenure.commitIndex());
+        tenure.acknowledged("c", 11);
+        assertEquals(11, tenure.commitIndex());
+        tenure.acknowledgementLost("c");
+        assertEquals(-1, tenure.replicationLag("c"));
+        assertEquals(1, tenure.replicationLag("b"));
         // A number that was never written is nobody's.
-        tenure.has("b", 99);
-        assertEquals(10, tenure.agreed());
-        tenure.has("b", 11);
-        tenure.wrote();
-        tenure.regrouped(tenure.group().with("d"));
-        assertFalse(tenure.settled());
+        tenure.acknowledged("b", 99);
+        assertEquals(10, tenure.commitIndex());
+        tenure.acknowledged("b", 11);
+        tenure.appended();
+        tenure.replicaSetChanged(tenure.replicaSet().withMember("d"));
+        assertFalse(tenure.isReplicaSetCommitted());
         assertThrows(
                 IllegalStateException.class,
-                () -> tenure.regrouped(tenure.group().without("c")));
-        tenure.has("b", 12);
-        assertFalse(tenure.settled());
-        tenure.has("d", 12);
-        assertTrue(tenure.settled());
+                () -> tenure.replicaSetChanged(tenure.replicaSet().withoutMember("c")));
+        tenure.acknowledged("b", 12);
+        assertFalse(tenure.isReplicaSetCommitted());
+        tenure.acknowledged("d", 12);
+        assertTrue(tenure.isReplicaSetCommitted());
         tenure.end();
-        assertEquals(-1, tenure.agreed());
+        assertEquals(-1, tenure.commitIndex());
     }
 
     @Test
     void aClaimIsWonByAMajorityAndLostWhereNoneIsLeft() {
-        ReplicaState own = new ReplicaState(2, "b", new LogPosition(1, 7)).asked(3, "a", new LogPosition(1, 7));
+        ReplicaState own = new ReplicaState(2, "b", new LogPosition(1, 7)).onVoteRequest(3, "a", new LogPosition(1, 7));
         Candidacy claim = new Candidacy("a", new ReplicaSet(0, List.of("a", "b", "c")), own);
-        assertEquals(Set.of("b", "c"), claim.unanswered());
-        claim.answered("x", 3, true, 3);
-        claim.answered("b", 2, true, 3);
-        assertFalse(claim.won());
-        claim.answered("b", 3, false, 8);
-        assertFalse(claim.lost());
-        claim.answered("c", 3, false, 3);
-        assertTrue(claim.lost());
-        assertEquals(9, claim.next());
-        assertThrows(IllegalArgumentException.class, () -> new Candidacy("c", claim.group(), own));
+        assertEquals(Set.of("b", "c"), claim.pendingVoters());
+        claim.onVote("x", 3, true, 3);
+        claim.onVote("b", 2, true, 3);
+        assertFalse(claim.hasWon());
+        claim.onVote("b", 3, false, 8);
+        assertFalse(claim.hasLost());
+        claim.onVote("c", 3, false, 3);
+        assertTrue(claim.hasLost());
+        assertEquals(9, claim.nextTerm());
+        assertThrows(IllegalArgumentException.class, () -> new Candidacy("c", claim.replicaSet(), own));
     }
 }
--- a/replication/src/test/java/amberroute/replication/ExplorationTest.java
+++ b/replication/src/test/java/amberroute/replication/ExplorationTest.java
@@ -170,27 +170,27 @@
 
         private void claim(List<World> out, World world, String name, Daemon d) {
             long term = d.holding().term() + 1;
-            ReplicaState own = d.holding().asked(term, name, d.holding().copy());
+            ReplicaState own = d.holding().onVoteRequest(term, name, d.holding().logPosition());
             // With changes of the group B is as C, and A would claim what it has: that keeps their walk within its
             // bound.
-            if (!own.granted(term, name)) {
+            if (!own.hasGranted(term, name)) {
                 return;
             }
             if (term > terms
                     || regroups && (name.equals("A") || name.equals("B"))
-                    || !d.group().holders().contains(name)
-                    || d.holding().copy().number() == 0) {
+                    || !d.group().members().contains(name)
+                    || d.holding().logPosition().index() == 0) {
                 return;
             }
             List<Word> asks = new ArrayList<>();
-            for (String holder : d.group().holders()) {
+            for (String holder : d.group().members()) {
                 if (!holder.equals(name)) {
                     asks.add(new Word(
                             Kind.ASK,
                             name,
                             holder,
                             new LogPosition(term, 0),
-                            List.of(d.holding().copy().toString()),
+                            List.of(d.holding().logPosition().toString()),
                             null));
                 }
             }
@@ -202,40 +202,40 @@
         /** What an owner may do: write a change, change the group. */
         private void own(List<World> out, World world, String name, Daemon d) {
             Role role = d.role();
-            if (!role.owner() || d.holding().over(role.term(), name)) {
+            if (!role.owner() || d.holding().isStale(role.term(), name)) {
                 return;
             }
             if (d.log().size() < changes) {
                 out.add(write(world, name, d, role.term() + "." + (d.log().size() + 1), d.group()));
             }
             LeaderTerm tenure = tenure(name, d);
-            if (regroups && tenure.settled()) {
+            if (regroups && tenure.isReplicaSetCommitted()) {
                 Set<String> others = new TreeSet<>(world.daemons().keySet());
-                others.removeAll(d.group().holders());
+                others.removeAll(d.group().members());
                 for (String other : others) {
-                    if (d.group().holders().size() == 3 && d.group().version() < 2) {
-                        ReplicaSet next = d.group().with(other);
+                    if (d.group().members().size() == 3 && d.group().version() < 2) {
+                        ReplicaSet next = d.group().withMember(other);
                         if (host == Host.SWAPS_HOLDERS) {
-                            String out1 = d.group().holders().stream()
+                            String out1 = d.group().members().stream()
                                     .filter(h -> !h.equals(name))
                                     .findFirst()
                                     .orElseThrow();
                             next = new ReplicaSet(
-                                    next.version(), next.without(out1).holders());
+                                    next.version(), next.withoutMember(out1).members());
                         }
                         out.add(write(
                                 world, name, d, role.term() + ".g" + (d.log().size() + 1), next));
                     }
                 }
-                if (d.group().holders().size() == 4) {
-                    for (String holder : d.group().holders()) {
+                if (d.group().members().size() == 4) {
+                    for (String holder : d.group().members()) {
                         if (!holder.equals(name)) {
                             out.add(write(
                                     world,
                                     name,
                                     d,
                                     role.term() + ".g" + (d.log().size() + 1),
-                                    d.group().without(holder)));
+                                    d.group().withoutMember(holder)));
                         }
                     }
                 }
@@ -247,11 +247,11 @@
             List<String> log = new ArrayList<>(d.log());
             log.add(change);
             long number = log.size();
-            ReplicaState next = d.holding().copied(role.term(), name, number - 1, number);
+            ReplicaState next = d.holding().onAppend(role.term(), name, number - 1, number);
             List<Word> words = new ArrayList<>();
             for (String holder : world.daemons().keySet()) {
                 if (!holder.equals(name)) {
-                    words.add(new Word(Kind.COPY, name, holder, next.copy(), List.copyOf(log), group));
+                    words.add(new Word(Kind.COPY, name, holder, next.logPosition(), List.copyOf(log), group));
                 }
             }
             return world.with(name, d.with(next, List.copyOf(log), group), words);
@@ -264,12 +264,14 @@
                     LogPosition theirs = host == Host.GRANTS_TO_SHORTER
                             ? new LogPosition(Long.MAX_VALUE, 0)
                             : position(w.log().get(0));
-                    ReplicaState next = d.holding().asked(term, w.from(), theirs);
+                    ReplicaState next = d.holding().onVoteRequest(term, w.from(), theirs);
                     if (host == Host.EMPTY_FOLDER_GRANTS && d.holding().term() == 0) {
                         next = new ReplicaState(term, w.from(), LogPosition.NONE);
                     }
-                    boolean yes = next.granted(term, w.from())
-                            || host == Host.GRANTS_TWICE && next.term() == term && theirs.compareTo(next.copy()) >= 0;
+                    boolean yes = next.hasGranted(term, w.from())
+                            || host == Host.GRANTS_TWICE
+                                    && next.term() == term
+                                    && theirs.compareTo(next.logPosition()) >= 0;
                     if (yes) {
                         Daemon written = host == Host.FORGETS_GRANTS ? d : d.with(next, d.log(), d.group());
                         out.add(world.with(
@@ -284,19 +286,19 @@
                     if (role == null
                             || role.owner()
                             || role.term() != term
-                            || d.holding().over(term, w.to())) {
+                            || d.holding().isStale(term, w.to())) {
                         return;
                     }
                     Candidacy claim = new Candidacy(w.to(), d.group(), d.holding());
-                    role.granted().forEach(from -> claim.answered(from, term, true, term));
-                    claim.answered(w.from(), term, true, term);
-                    if (claim.won()) {
+                    role.granted().forEach(from -> claim.onVote(from, term, true, term));
+                    claim.onVote(w.from(), term, true, term);
+                    if (claim.hasWon()) {
                         ReplicaState begun =
-                                d.holding().whole(term, w.to(), d.log().size(), true);
+                                d.holding().onSnapshot(term, w.to(), d.log().size(), true);
                         List<Word> words = new ArrayList<>();
                         for (String holder : world.daemons().keySet()) {
                             if (!holder.equals(w.to())) {
-                                words.add(new Word(Kind.COPY, w.to(), holder, begun.copy(), d.log(), d.group()));
+                                words.add(new Word(Kind.COPY, w.to(), holder, begun.logPosition(), d.log(), d.group()));
                             }
                         }
                         out.add(world.with(
@@ -317,24 +319,26 @@
                             ? new ReplicaState(
                                     term,
                                     w.from(),
-                                    d.holding().copy(),
-                                    d.holding().fresh())
+                                    d.holding().logPosition(),
+                                    d.holding().nonVotingStage())
                             : d.holding();
-                    long number = w.position().number();
-                    boolean in = w.group().holders().contains(w.to());
-                    ReplicaState next = at.whole(term, w.from(), number, in).named(in);
-                    ReplicaState alone = at.copied(term, w.from(), number - 1, number);
-                    assertTrue(alone == at || alone.copy().equals(next.copy()), () -> at + " takes " + w);
+                    long number = w.position().index();
+                    boolean in = w.group().members().contains(w.to());
+                    ReplicaState next =
+                            at.onSnapshot(term, w.from(), number, in).onReplicaSet(in);
+                    ReplicaState alone = at.onAppend(term, w.from(), number - 1, number);
+                    assertTrue(alone == at || alone.logPosition().equals(next.logPosition()), () -> at + " takes " + w);
                     if (next.equals(at)) {
                         return;
                     }
                     if (late) {
-                        next = new ReplicaState(d.holding().term(), d.holding().owner(), next.copy(), next.fresh());
+                        next = new ReplicaState(
+                                d.holding().term(), d.holding().owner(), next.logPosition(), next.nonVotingStage());
                     }
                     World after = world.with(w.to(), d.with(next, w.log(), w.group()), List.of());
                     out.add(after);
                     Daemon owner = after.daemons().get(w.from());
-                    if ((next.counts() || host == Host.EMPTY_FOLDER_COUNTS)
+                    if ((next.isVoter() || host == Host.EMPTY_FOLDER_COUNTS)
                             && owner.role() != null
                             && owner.role().owner()
                             && owner.role().term() == term) {
@@ -361,9 +365,9 @@
             }
             LeaderTerm tenure = new LeaderTerm(name, d.role().term(), groupAt, d.group());
             for (int i = groupAt; i < d.log().size(); i++) {
-                tenure.wrote();
+                tenure.appended();
             }
-            d.role().has().forEach(tenure::has);
+            d.role().has().forEach(tenure::acknowledged);
             return tenure;
         }
 
@@ -373,12 +377,12 @@
             world.daemons().forEach((name, d) -> {
                 if (d.role() == null
                         || !d.role().owner()
-                        || d.holding().over(d.role().term(), name)) {
+                        || d.holding().isStale(d.role().term(), name)) {
                     return;
                 }
                 long agreed = host == Host.EFFECT_BEFORE_COPY
                         ? d.log().size()
-                        : tenure(name, d).agreed();
+                        : tenure(name, d).commitIndex();
                 if (host == Host.COUNTS_EARLIER_TERMS) {
                     // Whoever holds a copy of any term that is as long counts.
                     agreed = Math.max(
@@ -425,8 +429,8 @@
             Map<String, Daemon> begin = new TreeMap<>();
             ReplicaSet group = new ReplicaSet(0, List.of("A", "B", "C"));
             List<String> base = List.of("1.1");
-            for (String name : regroups ? List.of("A", "B", "C", "D") : group.holders()) {
-                boolean holds = group.holders().contains(name);
+            for (String name : regroups ? List.of("A", "B", "C", "D") : group.members()) {
+                boolean holds = group.members().contains(name);
                 ReplicaState holding = holds ? new ReplicaState(1, "A", new LogPosition(1, 1)) : ReplicaState.NONE;
                 begin.put(
                         name,
--- a/replication/src/test/java/amberroute/replication/ReplicaSetChangeTest.java
+++ b/replication/src/test/java/amberroute/replication/ReplicaSetChangeTest.java
@@ -24,18 +24,18 @@
 
     private Step next(long now) {
         List<String> alive = all.stream().filter(n -> !gone.contains(n)).toList();
-        Step step = regrouping.next(
+        Step step = regrouping.nextStep(
                 now,
                 group,
                 new ReplicaSetChange.View(
                         gone::contains, fresh::contains, taught::contains, alive, n -> n.equals("e") ? "far" : "near"));
         switch (step.kind()) {
-            case WITHOUT -> {
-                group = group.without(step.name());
-                fresh.remove(step.name());
-                taught.remove(step.name());
+            case REMOVE -> {
+                group = group.withoutMember(step.member());
+                fresh.remove(step.member());
+                taught.remove(step.member());
             }
-            case WITH -> group = group.with(step.name());
+            case ADD -> group = group.withMember(step.member());
             default -> {}
         }
         return step;
@@ -53,12 +53,12 @@
         assertEquals(Kind.NONE, next(0).kind());
         assertEquals(Kind.NONE, next(PATIENCE).kind());
         // One in another zone where there is one.
-        assertEquals(new Step(Kind.TEACH, "e"), next(PATIENCE + 1));
+        assertEquals(new Step(Kind.CATCH_UP, "e"), next(PATIENCE + 1));
         assertEquals(Kind.NONE, next(PATIENCE + 2).kind());
         taught.add("e");
-        assertEquals(new Step(Kind.WITH, "e"), next(PATIENCE + 3));
-        assertEquals(new Step(Kind.WITHOUT, "b"), next(PATIENCE + 4));
-        assertEquals(List.of("a", "c", "e"), group.holders());
+        assertEquals(new Step(Kind.ADD, "e"), next(PATIENCE + 3));
+        assertEquals(new Step(Kind.REMOVE, "b"), next(PATIENCE + 4));
+        assertEquals(List.of("a", "c", "e"), group.members());
         assertEquals(Kind.NONE, next(PATIENCE + 5).kind());
     }
 
@@ -77,10 +77,10 @@
     void whoLostItsFolderLeavesAtOnceAndTheGroupIsFilledAgain() {
         all.removeAll(List.of("d", "e"));
         fresh.add("c");
-        assertEquals(new Step(Kind.WITHOUT, "c"), next(0));
-        assertEquals(new Step(Kind.TEACH, "c"), next(1));
+        assertEquals(new Step(Kind.REMOVE, "c"), next(0));
+        assertEquals(new Step(Kind.CATCH_UP, "c"), next(1));
         taught.add("c");
-        assertEquals(new Step(Kind.WITH, "c"), next(2));
+        assertEquals(new Step(Kind.ADD, "c"), next(2));
         assertEquals(Kind.NONE, next(3).kind());
     }
 
@@ -88,9 +88,9 @@
     void aLearnerThatIsLostGivesWayToAnother() {
         gone.add("b");
         next(0);
-        assertEquals(new Step(Kind.TEACH, "e"), next(PATIENCE + 1));
+        assertEquals(new Step(Kind.CATCH_UP, "e"), next(PATIENCE + 1));
         gone.add("e");
-        assertEquals(new Step(Kind.TEACH, "d"), next(PATIENCE + 2));
+        assertEquals(new Step(Kind.CATCH_UP, "d"), next(PATIENCE + 2));
     }
 
     /** Whatever comes and goes: one change at a time, never below two, never the owner, and whole again in the end. */
@@ -116,9 +116,9 @@
                 next(now);
                 assertTrue(
                         group.version() <= before + 1
-                                && group.holders().contains("a")
-                                && group.holders().size() >= 2
-                                && group.holders().size() <= 4,
+                                && group.members().contains("a")
+                                && group.members().size() >= 2
+                                && group.members().size() <= 4,
                         "seed " + seed + ": " + group);
             }
             gone.clear();
@@ -127,7 +127,7 @@
             for (int i = 0; i < 10; i++) {
                 next(now += PATIENCE + 1);
             }
-            assertTrue(group.holders().size() >= 3, "seed " + seed + ": " + group);
+            assertTrue(group.members().size() >= 3, "seed " + seed + ": " + group);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -343,7 +343,7 @@
             control.listen(config.standalone().control());
         }
         if (config.standalone() != null && config.standalone().survive() != null) {
-            SupersededReplicas.putAside(config.state());
+            SupersededReplicas.setAside(config.state());
         }
         clock = SteadyClock.open(config.state());
         Durability durability = config.standalone() == null
@@ -462,7 +462,7 @@
             }
             loop.submit(this::recover).sync();
             if (survival != null) {
-                handOver.estates(survival);
+                handOver.handleReplicationWith(survival);
             }
             if (handOver != null && config.standalone().handOver() != null) {
                 handOverBound = handOver.listen(config.standalone().handOver());
@@ -472,7 +472,7 @@
             }
             if (survival != null || load != null) {
                 Channel shared = beats != null
-                        ? beats.share(this::datagram)
+                        ? beats.shareSocket(this::datagram)
                         : PeerSocket.bind(loop, handOverBound, this::datagram);
                 loop.execute(() -> tellPeers(shared));
             }
@@ -697,7 +697,7 @@
         journal.classes().forEach(classes::restore);
         configure(inForce);
         journal.expireHolds(steady());
-        holdBack(journal.holds().keys());
+        holdBack(journal.holds().heldKeys());
         for (AcceptedMessage m : List.copyOf(journal.live())) {
             m.type = classes.version(m.type) == null ? classes.number(m.className) : m.type;
             if (m.notice == null && m.type < 0) {
@@ -737,7 +737,7 @@
                         || journal.holds().size() > 0)) {
             handOver = new HandoffCoordinator(
                     loop, config.name(), alone.peers(), new HandoffHost(), journal, this::steady);
-            handOver.recover();
+            handOver.recoverOffers();
             repeating.add(loop.scheduleWithFixedDelay(
                     () -> {
                         if (!transferred) {
@@ -860,13 +860,14 @@
     }
 
     private void ceiling(SlowStartLimits.RateLimit c) {
-        note(new Event.FleetRateLimitChanged(c.destination(), c.perSecond(), c.first(), c.back()));
+        note(new Event.FleetRateLimitChanged(
+                c.destination(), c.perSecond(), c.initialCredit(), c.recoveredElsewhere()));
     }
 
     private void found(int destination, DeliveryScheduler.UpstreamStatus health, long since) {
         if (limits != null) {
-            limits.found(now(), destination, heartbeatHealth(health), since);
-            beats.hurry();
+            limits.onHealthChanged(now(), destination, heartbeatHealth(health), since);
+            beats.announceSoon();
         }
     }
 
@@ -1323,7 +1324,7 @@
     /** One that is no heartbeat. */
     private void datagram(DatagramPacket packet) {
         if (probes != null) {
-            probes.heard(packet);
+            probes.onDatagram(packet);
         }
         if (load != null) {
             load.heard(packet);
@@ -1332,11 +1333,11 @@
 
     private void tellPeers(Channel shared) {
         if (survival != null) {
-            probes.begin(shared);
+            probes.start(shared);
             survival.start();
         }
         if (load != null) {
-            load.begin(shared);
+            load.start(shared);
         }
     }
 
@@ -1370,12 +1371,12 @@
         public void fenced(String why) {
             Log.warn("survival: this estate is over here: " + why
                     + "; this process ends, and the next one begins a new estate");
-            SupersededReplicas.mark(config.state());
+            SupersededReplicas.markSuperseded(config.state());
             Runtime.getRuntime().halt(OVER);
         }
 
         @Override
-        public ReplicationCoordinator.Failover takeOver(ReplicaStore.StoredReplica kept, Path folder, long term)
+        public ReplicationCoordinator.Failover startFailover(ReplicaStore.StoredReplica kept, Path folder, long term)
                 throws IOException {
             Map<String, InetSocketAddress> others =
                     new LinkedHashMap<>(config.standalone().peers());
@@ -1385,7 +1386,7 @@
             return new FailoverSender(
                     new Sender(
                             config.caretaker(
-                                    kept.estate, folder, config.standalone().caretaker(others)),
+                                    kept.journalId, folder, config.standalone().caretaker(others)),
                             null,
                             Sender.this),
                     kept,
@@ -1393,7 +1394,7 @@
         }
 
         @Override
-        public long longestLife() {
+        public long maxMessageLifeMillis() {
             return settings.classes().stream()
                             .mapToLong(DeliveryScheduler.MessageClass::deadlineMicros)
                             .max()
@@ -1410,7 +1411,7 @@
             this.sender = sender;
             try {
                 loop.submit(() -> {
-                            sender.copying = survival.carry(kept, this, term);
+                            sender.copying = survival.startReplication(kept, this, term);
                             return null;
                         })
                         .sync();
@@ -1418,7 +1419,7 @@
                 loop.execute(() -> {
                     if (sender.handOver != null && !sender.transferred) {
                         // Peers hold back what comes of its keys until that is over, and are offered what can move.
-                        sender.handOver.name(sender.keysOwed());
+                        sender.handOver.announceKeyHolds(sender.keysOwed());
                     }
                 });
             } catch (Exception e) {
@@ -1433,21 +1434,21 @@
         }
 
         @Override
-        public JournalReplicator copying() {
+        public JournalReplicator replicator() {
             return sender.copying;
         }
 
         @Override
-        public boolean idle() {
+        public boolean isIdle() {
             return sender.phase == Phase.READY
                     && sender.journal.live().isEmpty()
                     && sender.receivers.callsOut() == 0
-                    && (sender.handOver == null || sender.handOver.waiting() == 0);
+                    && (sender.handOver == null || sender.handOver.unansweredMessages() == 0);
         }
 
         @Override
-        public boolean heldBy(String daemon) {
-            return sender.handOver != null && sender.handOver.heldBy(daemon);
+        public boolean isHeldBy(String daemon) {
+            return sender.handOver != null && sender.handOver.isHeldBy(daemon);
         }
 
         @Override
@@ -1689,7 +1690,7 @@
             told(journal, reply);
             return;
         }
-        Journal elsewhere = survival == null ? null : survival.knowing(s.id());
+        Journal elsewhere = survival == null ? null : survival.failoverJournalKnowing(s.id());
         if (elsewhere != null) {
             if (elsewhere.differs(
                     s.id(),
@@ -1700,7 +1701,7 @@
             }
             return;
         }
-        if (survival != null && !survival.ready() && drain == null) {
+        if (survival != null && !survival.isReady() && drain == null) {
             // Too few copies of it could be made: nothing is taken on, so coming again harms nobody.
             busy(reply, s.className(), settings.limits().retryAdviceAllowed() ? UNCOPIED_MS : 0);
             return;
@@ -1720,7 +1721,7 @@
             return;
         }
         if (load != null) {
-            load.asked(
+            load.onDemand(
                     s.destination(), classes.type(classes.number(s.className())).priorityWeight());
         }
         if (arrivingIds.contains(s.id())) {
@@ -1742,8 +1743,8 @@
                 steady() + s.timeLeft(),
                 s.body());
         m.type = classes.number(s.className());
-        if (inOrder(m) && journal.holds().held(m.key)) {
-            handOver.turnedUp(m.key);
+        if (inOrder(m) && journal.holds().isHeld(m.key)) {
+            handOver.requestKey(m.key);
         }
         arriving.put(m.number, new PendingAcceptance(m, reply));
         arrivingIds.add(m.id);
@@ -1764,12 +1765,15 @@
                         && classes.type(classes.number(s.className())).ordered()
                 ? s.key()
                 : 0;
-        if (handOver != null && key != 0 && handOver.undecided(key) && undecided.size() < MOST_UNDECIDED) {
+        if (handOver != null && key != 0 && handOver.isHoldUndecided(key) && undecided.size() < MOST_UNDECIDED) {
             undecided.add(new DeferredSubmission(s, reply));
             return;
         }
         long advice = drain.advice(now() / 1_000, clients.connections(), random.nextDouble());
-        busy(reply, s.className(), Math.max(advice, handOver == null || key == 0 ? 0 : handOver.stayAway(key)));
+        busy(
+                reply,
+                s.className(),
+                Math.max(advice, handOver == null || key == 0 ? 0 : handOver.retryElsewhereDelayMillis(key)));
     }
 
     private boolean inOrder(AcceptedMessage m) {
@@ -1796,7 +1800,7 @@
             }
         }
         if (handOver != null) {
-            handOver.free(keys);
+            handOver.onKeysReleased(keys);
         }
     }
 
@@ -1825,7 +1829,7 @@
         receivers.closeIdle(directory::gone);
         if (limits != null) {
             for (DeliveryScheduler.EndpointEntry entry : entries) {
-                SlowStartLimits.RateLimit c = limits.known(now(), entry.destination());
+                SlowStartLimits.RateLimit c = limits.onDestinationListed(now(), entry.destination());
                 if (c != null) {
                     ceiling(c);
                 }
@@ -1837,14 +1841,14 @@
     private void onResult(UpstreamClient.Result r) {
         AcceptedMessage m = r.message();
         if (load != null) {
-            load.ended(m.destination, r.ending());
+            load.onAttemptEnded(m.destination, r.ending());
         }
         if (r.closed()) {
             journal.conclude(m);
             if (held.remove(m.number) != null && r.ending() == AttemptOutcome.OK) {
                 figures.ended(m.className, SenderMetrics.End.OK);
-                if (limits != null && limits.answered(now(), m.destination)) {
-                    beats.hurry();
+                if (limits != null && limits.onSuccess(now(), m.destination)) {
+                    beats.announceSoon();
                 }
             }
         } else if (held.containsKey(m.number)) {
@@ -2235,7 +2239,7 @@
                     if (handOver != null && request.has("absent")) {
                         Set<String> names = new HashSet<>();
                         request.getAsJsonArray("absent").forEach(name -> names.add(name.getAsString()));
-                        handOver.absent(names);
+                        handOver.excludeAbsentPeers(names);
                     }
                     beginStop(mode, Math.max(0, Math.min(within, 3_600_000)));
                     answer.accept(ControlSocket.answer(true, null));
@@ -2265,7 +2269,7 @@
                 JsonObject told = ControlSocket.answer(
                         survival != null, survival == null ? "nothing is copied: survival.on is not set" : null);
                 if (survival != null) {
-                    told.add("estates", survival.list());
+                    told.add("estates", survival.describeReplicas());
                 }
                 answer.accept(told);
             }
@@ -2273,15 +2277,17 @@
                     load == null
                             ? ControlSocket.answer(
                                     false, "daemons tell nothing of their load: fleet.overload is" + " not set")
-                            : load.show());
+                            : load.describe());
             case "take", "release" -> {
                 String no = survival == null
                         ? "nothing is copied: survival.on is not set"
                         : !request.has("estate")
                                 ? what + " needs an estate"
                                 : what.equals("take")
-                                        ? survival.take(request.get("estate").getAsString())
-                                        : survival.release(request.get("estate").getAsString());
+                                        ? survival.requestFailover(
+                                                request.get("estate").getAsString())
+                                        : survival.releaseFailover(
+                                                request.get("estate").getAsString());
                 answer.accept(ControlSocket.answer(no == null, no));
             }
             default -> answer.accept(ControlSocket.answer(false, "no such command"));
@@ -2339,7 +2345,7 @@
             clients.retireAnswered();
             clientsAStep = 1 + clients.connections() / RETIRE_STEPS;
             if (handOver != null) {
-                handOver.name(orderedKeys());
+                handOver.announceKeyHolds(orderedKeys());
             }
         }
         Log.warn("stop " + (mode == ShutdownSequence.Mode.FINAL ? "for good" : "for a restart") + " within " + within
@@ -2369,9 +2375,9 @@
     /** As {@link #orderedKeys}, with those of which others have something from here. */
     private Map<Long, Long> keysOwed() {
         Map<Long, Long> ends = orderedKeys();
-        journal.holds().all().stream()
+        journal.holds().allHolds().stream()
                 .filter(hold -> hold.origin().equals(config.name()))
-                .forEach(hold -> ends.merge(hold.key(), hold.until(), Math::max));
+                .forEach(hold -> ends.merge(hold.key(), hold.untilMillis(), Math::max));
         return ends;
     }
 
@@ -2387,7 +2393,7 @@
         } else if (drain.mode() != ShutdownSequence.Mode.RESTART) {
             clients.retireSome(clientsAStep, LEFT_IDLE_MS);
         }
-        int offered = handOver == null ? 0 : handOver.waiting();
+        int offered = handOver == null ? 0 : handOver.unansweredMessages();
         ShutdownSequence.Load load = new ShutdownSequence.Load(
                 held.size() + arriving.size() + undecided.size() + offered,
                 receivers.callsOut(),
@@ -2396,7 +2402,7 @@
         switch (drain.next(now() / 1_000, load)) {
             case DELIVER -> {
                 if (handOver != null && drain.mode() != ShutdownSequence.Mode.RESTART) {
-                    handOver.offerAll();
+                    handOver.offerMovable();
                 }
             }
             case CALL_OFF -> {
@@ -2415,7 +2421,7 @@
                 Log.warn("stopped: " + ShutdownSequence.summary(drain.mode(), held.values(), notices.pending())
                         + (handOver == null ? "" : "; " + handOver.summary()));
                 if (survival != null && drain.mode() != ShutdownSequence.Mode.FINAL) {
-                    survival.away(config.standalone().backMillis());
+                    survival.announceRestart(config.standalone().backMillis());
                 }
                 stopped.complete(left && drain.mode() == ShutdownSequence.Mode.FINAL ? LEFT_OVER : 0);
             }
@@ -2427,7 +2433,7 @@
         endingAll = true;
         List.copyOf(held.values()).forEach(this::endUndelivered);
         if (handOver != null) {
-            handOver.giveUp();
+            handOver.abandonOffers();
         }
     }
 
@@ -2449,7 +2455,7 @@
     /** What hand-over asks of this sender. */
     private final class HandoffHost implements HandoffCoordinator.Host {
         @Override
-        public List<List<AcceptedMessage>> movable() {
+        public List<List<AcceptedMessage>> movableGroups() {
             Map<Long, List<AcceptedMessage>> keyed = new LinkedHashMap<>();
             List<List<AcceptedMessage>> groups = new ArrayList<>();
             if (!arriving.isEmpty()) {
@@ -2458,7 +2464,7 @@
             Set<Long> waiting = new HashSet<>(phantoms.keySet());
             // In the order of acceptance, which is that of each key.
             for (AcceptedMessage m : journal.live()) {
-                boolean ordered = inOrder(m);
+                boolean ordered = isOrdered(m);
                 if (m.notice != null || m.frozen || m.out) {
                     // Of an ordered key nothing moves before that is over: the order passes on with it.
                     if (ordered) {
@@ -2479,7 +2485,7 @@
         }
 
         @Override
-        public boolean inOrder(AcceptedMessage m) {
+        public boolean isOrdered(AcceptedMessage m) {
             return Sender.this.inOrder(m);
         }
 
@@ -2491,7 +2497,7 @@
         }
 
         @Override
-        public boolean offer(
+        public boolean recordOffer(
                 String lot, Ownership ownership, List<AcceptedMessage> messages, List<Long> keys, long holdUntil) {
             if (!journal.offer(lot, ownership, end(messages), messages, config.name(), keys, holdUntil)) {
                 return false;
@@ -2506,8 +2512,8 @@
         }
 
         @Override
-        public boolean record(String lot, Ownership ownership, List<AcceptedMessage> messages) {
-            boolean written = ownership.mine()
+        public boolean recordOwnership(String lot, Ownership ownership, List<AcceptedMessage> messages) {
+            boolean written = ownership.isOwned()
                     ? takeBack(lot, ownership, messages)
                     : journal.lot(lot, ownership, end(messages), messages);
             if (written) {
@@ -2519,7 +2525,7 @@
         /** Nobody took them: they go on here, ahead of what has come of their keys since. */
         private boolean takeBack(String lot, Ownership ownership, List<AcceptedMessage> messages) {
             List<Long> keys = messages.stream()
-                    .filter(this::inOrder)
+                    .filter(this::isOrdered)
                     .map(m -> m.key)
                     .distinct()
                     .toList();
@@ -2543,7 +2549,7 @@
         }
 
         @Override
-        public HandoffPlacement.RejectionReason refuses(List<AcceptedMessage> messages, JsonObject theirs) {
+        public HandoffPlacement.RejectionReason rejectionReason(List<AcceptedMessage> messages, JsonObject theirs) {
             if (drain != null
                     || phase != Phase.READY
                     || held.size() + arriving.size() + messages.size()
@@ -2554,7 +2560,7 @@
                 int type = classes.number(m.className);
                 if (type < 0
                         || !directory.listed(m.destination)
-                        || m.deadline - steady() < HandoffPlacement.LEAST_LEFT
+                        || m.deadline - steady() < HandoffPlacement.MIN_TIME_LEFT_MILLIS
                         || !theirs.has(m.className)
                         || !theirs.get(m.className).getAsString().equals(meaning(type))
                         || wouldBeLost(m, classes.type(type))) {
@@ -2579,18 +2585,18 @@
         }
 
         @Override
-        public JsonObject classes(List<AcceptedMessage> messages) {
+        public JsonObject classMeanings(List<AcceptedMessage> messages) {
             JsonObject meanings = new JsonObject();
             messages.forEach(m -> meanings.addProperty(m.className, m.type < 0 ? "" : meaning(m.type)));
             return meanings;
         }
 
         @Override
-        public boolean adopt(String lot, Ownership ownership, List<AcceptedMessage> messages, String origin) {
+        public boolean adoptBatch(String lot, Ownership ownership, List<AcceptedMessage> messages, String origin) {
             long begun = now();
             messages.forEach(m -> m.type = classes.number(m.className));
             List<Long> keys = messages.stream()
-                    .filter(this::inOrder)
+                    .filter(this::isOrdered)
                     .map(m -> m.key)
                     .distinct()
                     .toList();
@@ -2601,12 +2607,12 @@
             safeOrEnd();
             goOn(messages, behind);
             longestTurn = Math.max(longestTurn, now() - begun);
-            free(keys.stream().filter(key -> !journal.holds().held(key)).toList());
+            free(keys.stream().filter(key -> !journal.holds().isHeld(key)).toList());
             return true;
         }
 
         @Override
-        public boolean hold(String origin, List<Long> keys, long until) {
+        public boolean holdKeys(String origin, List<Long> keys, long until) {
             if (transferred || !journal.hold(origin, keys, until)) {
                 return false;
             }
@@ -2616,7 +2622,7 @@
         }
 
         @Override
-        public void release(String origin, List<Long> keys) {
+        public void releaseKeys(String origin, List<Long> keys) {
             List<Long> known = keys.stream()
                     .filter(key -> journal.holds().origins(key).contains(origin))
                     .toList();
@@ -2626,7 +2632,7 @@
         }
 
         @Override
-        public void failed(List<AcceptedMessage> messages) {
+        public void failMessages(List<AcceptedMessage> messages) {
             for (AcceptedMessage m : messages) {
                 figures.ended(m.className, SenderMetrics.End.ERRORS);
                 journal.end(m, m.failed(), () -> tell(m));
@@ -2634,7 +2640,7 @@
         }
 
         @Override
-        public long nextNumber() {
+        public long nextMessageNumber() {
             return journal.nextNumber();
         }
     }
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -1108,7 +1108,7 @@
     }
 
     private boolean roomForHolds(int more) {
-        return holds.fits(more)
+        return holds.hasCapacity(more)
                 && (holds.size() + more) * (long) HOLD_BYTES <= log.limits().budget() / HOLDS_SHARE
                 && fits(more * (long) HOLD_BYTES);
     }
@@ -1138,8 +1138,9 @@
     /** Ends holds whose time is up; where that cannot be written their time stands with them. */
     public List<Long> expireHolds(long wall) {
         int before = holds.size();
-        List<KeyHolds.KeyHold> over =
-                holds.all().stream().filter(hold -> hold.until() <= wall).toList();
+        List<KeyHolds.KeyHold> over = holds.allHolds().stream()
+                .filter(hold -> hold.untilMillis() <= wall)
+                .toList();
         if (over.isEmpty()) {
             return List.of();
         }
@@ -1368,11 +1369,11 @@
                     ? new Batch().put(numberOf("place " + place), MEMORY, remembered(memories.get(place)))
                     : new Batch());
         }
-        for (KeyHolds.KeyHold hold : holds.all()) {
+        for (KeyHolds.KeyHold hold : holds.allHolds()) {
             parts.add(() -> {
                 Batch batch = new Batch();
                 if (holds.origins(hold.key()).contains(hold.origin())) {
-                    holdOn(batch, hold.origin(), hold.key(), hold.until());
+                    holdOn(batch, hold.origin(), hold.key(), hold.untilMillis());
                 }
                 return batch;
             });
@@ -1411,7 +1412,7 @@
             memories.put(memory.place(), memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         }
-        held.all().forEach(hold -> keepHolds(hold.origin(), List.of(hold.key()), hold.until()));
+        held.allHolds().forEach(hold -> keepHolds(hold.origin(), List.of(hold.key()), hold.untilMillis()));
         long rank = next;
         for (AcceptedMessage m : messages) {
             m.rank = rank++;
