--- a/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
@@ -45,10 +45,10 @@
  * by {@link Ownership}, who is offered what by {@link HandoffPlacement}, and which clients may go elsewhere by {@link KeyHoldAnnouncement}.
  * One JSON object a line ({@link PeerMessageCodec}), over TCP; answers come back on the connection of what they answer. At most
  * {@value #LEAST_PEERS} connections and {@value #EACH_PEER} for each configured peer are served, lines of at most
- * {@value #LONGEST_LINE} bytes, and {@value #MOST_OUT} lots are offered at a time. Lives on the event loop.
+ * {@value #MAX_LINE_BYTES} bytes, and {@value #MOST_OUT} lots are offered at a time. Lives on the event loop.
  */
 public final class HandoffCoordinator {
-    public static final int LONGEST_LINE = 1 << 18;
+    public static final int MAX_LINE_BYTES = 1 << 18;
     /** Peers that are served at a time, and names of which something is kept: so many, and for each configured peer some more. */
     private static final int LEAST_PEERS = 128;
 
@@ -73,49 +73,50 @@
     /** Understands further words. */
     public interface ReplicationRequests {
         /** False where the line is none of its own. */
-        boolean heard(ChannelHandlerContext context, JsonObject line, String from);
+        boolean handle(ChannelHandlerContext context, JsonObject line, String from);
 
         /** Whether this daemon's estate has begun: before, nothing was taken on that a copy could lack. */
-        boolean begun();
+        boolean hasStarted();
     }
 
     /** What the sender does for it. */
     public interface Host {
         /** Messages that may move now, by groups: those of a key together and in order; none with a call out. */
-        List<List<AcceptedMessage>> movable();
+        List<List<AcceptedMessage>> movableGroups();
 
         /**
          * Writes that a lot is offered, and that what comes of its keys after a restart has to wait until then, wherever
          * the lot is by that time; the sender drops its messages.
          */
-        boolean offer(String lot, Ownership ownership, List<AcceptedMessage> messages, List<Long> keys, long holdUntil);
+        boolean recordOffer(
+                String lot, Ownership ownership, List<AcceptedMessage> messages, List<Long> keys, long holdUntil);
 
         /** Writes what has become of a lot; the sender takes up its messages where they are its own again. */
-        boolean record(String lot, Ownership ownership, List<AcceptedMessage> messages);
+        boolean recordOwnership(String lot, Ownership ownership, List<AcceptedMessage> messages);
 
         /** Null where there is room for these messages and time to deliver them, and their classes mean the same here. */
-        HandoffPlacement.RejectionReason refuses(List<AcceptedMessage> messages, JsonObject classes);
+        HandoffPlacement.RejectionReason rejectionReason(List<AcceptedMessage> messages, JsonObject classes);
 
         /** Writes messages and ownership as one and goes on with them; false where the disk has no room. */
-        boolean adopt(String lot, Ownership ownership, List<AcceptedMessage> messages, String origin);
+        boolean adoptBatch(String lot, Ownership ownership, List<AcceptedMessage> messages, String origin);
 
         /** These may be another's now, and their time is up: all that may be said here is that they failed. */
-        void failed(List<AcceptedMessage> messages);
+        void failMessages(List<AcceptedMessage> messages);
 
         /** A number for a message that comes from elsewhere. */
-        long nextNumber();
+        long nextMessageNumber();
 
         /** What the classes of these messages mean here. */
-        JsonObject classes(List<AcceptedMessage> messages);
+        JsonObject classMeanings(List<AcceptedMessage> messages);
 
         /** Whether a message's key is one of an order. */
-        boolean inOrder(AcceptedMessage message);
+        boolean isOrdered(AcceptedMessage message);
 
         /** Holds back what comes of these keys until they are released or the time is over; false without room. */
-        boolean hold(String origin, List<Long> keys, long until);
+        boolean holdKeys(String origin, List<Long> keys, long until);
 
         /** The origin has nothing of these keys any more. */
-        void release(String origin, List<Long> keys);
+        void releaseKeys(String origin, List<Long> keys);
     }
 
     /** A lot that this daemon has offered and not heard of yet. */
@@ -213,7 +214,7 @@
                             return;
                         }
                         channel.pipeline()
-                                .addLast(new LineBasedFrameDecoder(LONGEST_LINE, true, true), new Successor());
+                                .addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), new Successor());
                     }
                 })
                 .bind(address)
@@ -226,7 +227,7 @@
      * Takes up what an earlier process had offered: only its heirs can tell whose that is. Until then, and while an heir
      * has messages of a key, later ones of the key wait.
      */
-    public void recover() {
+    public void recoverOffers() {
         journal.lots().forEach((lot, kept) -> {
             List<AcceptedMessage> messages = journal.messages(kept.numbers());
             if (kept.ownership().status() == Ownership.Status.OFFERED && !messages.isEmpty()) {
@@ -244,37 +245,37 @@
         repeating.add(loop.scheduleWithFixedDelay(this::releaseDone, DONE_MS, DONE_MS, TimeUnit.MILLISECONDS));
     }
 
-    public void estates(ReplicationRequests understands) {
+    public void handleReplicationWith(ReplicationRequests understands) {
         estates = understands;
     }
 
     /** Offers what may move; to be called again and again while this daemon leaves. */
-    public void offerAll() {
+    public void offerMovable() {
         if (peers.isEmpty() || offers.size() > MOST_OUT / 2) {
             return;
         }
         long now = clock.getAsLong();
         Map<Long, List<AcceptedMessage>> byFirst = new LinkedHashMap<>();
         List<HandoffPlacement.MessageGroup> groups = new ArrayList<>();
-        for (List<AcceptedMessage> messages : host.movable()) {
+        for (List<AcceptedMessage> messages : host.movableGroups()) {
             HandoffPlacement.MessageGroup group = group(messages, now);
             groups.add(group);
-            byFirst.put(group.first(), messages);
+            byFirst.put(group.firstNumber(), messages);
             if (groups.size() >= MOST_GROUPS) {
                 break;
             }
         }
-        for (HandoffPlacement.HandoffBatch lot : placement.place(millis(), groups, MOST_OUT - offers.size())) {
-            PeerConnection link = link(lot.heir());
+        for (HandoffPlacement.HandoffBatch lot : placement.assignBatches(millis(), groups, MOST_OUT - offers.size())) {
+            PeerConnection link = link(lot.successor());
             if (!link.ready()) {
                 continue;
             }
             List<AcceptedMessage> messages = new ArrayList<>();
-            lot.groups().forEach(g -> messages.addAll(byFirst.get(g.first())));
+            lot.groups().forEach(g -> messages.addAll(byFirst.get(g.firstNumber())));
             String id = name + "-" + Long.toString(counter++, 36);
-            Offer offer = new Offer(id, Ownership.taken(), messages, lot);
+            Offer offer = new Offer(id, Ownership.initial(), messages, lot);
             offer.until = until(messages) + counter % UNLIKE;
-            carryOut(offer, offer.ownership.offer(id, lot.heir()));
+            carryOut(offer, offer.ownership.offer(id, lot.successor()));
         }
     }
 
@@ -287,23 +288,23 @@
 
     private List<Long> orderedKeys(List<AcceptedMessage> messages) {
         return messages.stream()
-                .filter(host::inOrder)
+                .filter(host::isOrdered)
                 .map(m -> m.key)
                 .distinct()
                 .toList();
     }
 
     private static long until(List<AcceptedMessage> messages) {
-        return messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + KeyHoldAnnouncement.CLOCKS;
+        return messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS;
     }
 
     /** Messages whose heir has not answered. */
-    public int waiting() {
+    public int unansweredMessages() {
         return offers.values().stream().mapToInt(o -> o.messages.size()).sum();
     }
 
     /** Messages that are others' now. */
-    long moved() {
+    long movedMessages() {
         return moved;
     }
 
@@ -313,20 +314,20 @@
     }
 
     /** The offers that nobody has answered: all that their leaver may do any more is to say that they failed. */
-    public void giveUp() {
-        List.copyOf(offers.values()).forEach(this::giveUp);
+    public void abandonOffers() {
+        List.copyOf(offers.values()).forEach(this::abandonOffers);
     }
 
     /**
      * Each message's end is written before the lot's: a process that dies between the two finds ended messages under an
      * offer, where the other way round it would find them its own again while the heir may call.
      */
-    private void giveUp(Offer offer) {
-        host.failed(offer.messages);
+    private void abandonOffers(Offer offer) {
+        host.failMessages(offer.messages);
         offers.remove(offer.lot);
-        for (HandoffEffect effect : offer.ownership.end(offer.lot)) {
+        for (HandoffEffect effect : offer.ownership.expire(offer.lot)) {
             if (effect instanceof HandoffEffect.PersistOwnership write) {
-                host.record(offer.lot, write.ownership(), offer.messages);
+                host.recordOwnership(offer.lot, write.ownership(), offer.messages);
             }
         }
     }
@@ -346,43 +347,43 @@
     // ---- The leaver's clients. ----
 
     /** Names the ordered keys that are held to all peers; {@code ends} has when the last message of each is over. */
-    public void name(Map<Long, Long> ends) {
+    public void announceKeyHolds(Map<Long, Long> ends) {
         if (naming != null) {
             return;
         }
         naming = new KeyHoldAnnouncement(clock.getAsLong(), peers.keySet(), ends, NAMING_MS);
-        naming.absent(absent);
+        naming.excludePeers(absent);
         peers.keySet().forEach(this::nameTo);
     }
 
     /** Whether this peer holds back what comes of all keys that were named. */
-    public boolean heldBy(String peer) {
-        return naming != null && naming.unanswered(peer).isEmpty();
+    public boolean isHeldBy(String peer) {
+        return naming != null && naming.unacknowledgedBatches(peer).isEmpty();
     }
 
     /** Those of the peers that nobody runs; told with a stop by whoever would start them. */
-    public void absent(Collection<String> names) {
+    public void excludeAbsentPeers(Collection<String> names) {
         absent.clear();
         absent.addAll(names);
         if (naming != null) {
-            naming.absent(absent);
+            naming.excludePeers(absent);
         }
     }
 
     private void nameTo(String peer) {
         if (naming != null) {
-            naming.unanswered(peer).forEach(batch -> link(peer).say(PeerMessageCodec.hold(name, batch)));
+            naming.unacknowledgedBatches(peer).forEach(batch -> link(peer).say(PeerMessageCodec.hold(name, batch)));
         }
     }
 
     /** Whether a client of this key has to be left without an answer for a moment. */
-    public boolean undecided(long key) {
-        return naming != null && naming.named(key) && !naming.settled(clock.getAsLong());
+    public boolean isHoldUndecided(long key) {
+        return naming != null && naming.isAnnounced(key) && !naming.isSettled(clock.getAsLong());
     }
 
     /** How long a client of this key is to stay away from all others, in milliseconds. */
-    public long stayAway(long key) {
-        return naming == null ? 0 : naming.stayAway(clock.getAsLong(), key);
+    public long retryElsewhereDelayMillis(long key) {
+        return naming == null ? 0 : naming.retryElsewhereDelayMillis(clock.getAsLong(), key);
     }
 
     /** Keys that are over, here for the leaver that named them, or for what was adopted, are released everywhere. */
@@ -399,12 +400,12 @@
             }
         }
         if (naming != null) {
-            List<Long> done = naming.keys().stream()
+            List<Long> done = naming.openKeys().stream()
                     .filter(key -> !alive.contains(key)
                             && !journal.holds().origins(key).contains(name))
                     .toList();
             if (!done.isEmpty()) {
-                naming.done(done);
+                naming.keysDone(done);
                 tellReleased(name, done);
             }
         }
@@ -421,7 +422,7 @@
             if (over.size() < mostPeers || over.containsKey(origin)) {
                 Map<Long, Long> known = over.computeIfAbsent(origin, o -> new LinkedHashMap<>());
                 keys.forEach(key -> known.put(key, heldUntil.getOrDefault(key, 0L)));
-                while (known.size() > KeyHoldAnnouncement.BATCH) {
+                while (known.size() > KeyHoldAnnouncement.MAX_KEYS_PER_BATCH) {
                     known.remove(known.keySet().iterator().next());
                 }
             }
@@ -432,9 +433,9 @@
 
     /** A daemon that gave keys away and was restarted meanwhile has not heard of what came of them: it asks. */
     private void askWhetherOver() {
-        List<KeyHolds.KeyHold> given = journal.holds().all().stream()
+        List<KeyHolds.KeyHold> given = journal.holds().allHolds().stream()
                 .filter(hold -> hold.origin().equals(name))
-                .limit(KeyHoldAnnouncement.BATCH)
+                .limit(KeyHoldAnnouncement.MAX_KEYS_PER_BATCH)
                 .toList();
         if (!given.isEmpty()) {
             JsonObject line = PeerMessageCodec.whether(name, given);
@@ -443,9 +444,11 @@
     }
 
     private void tellReleased(String origin, List<Long> keys) {
-        for (int from = 0; from < keys.size(); from += KeyHoldAnnouncement.BATCH) {
+        for (int from = 0; from < keys.size(); from += KeyHoldAnnouncement.MAX_KEYS_PER_BATCH) {
             JsonObject line = PeerMessageCodec.release(
-                    name, origin, keys.subList(from, Math.min(keys.size(), from + KeyHoldAnnouncement.BATCH)));
+                    name,
+                    origin,
+                    keys.subList(from, Math.min(keys.size(), from + KeyHoldAnnouncement.MAX_KEYS_PER_BATCH)));
             peers.keySet().forEach(peer -> link(peer).say(line));
             spoke.forEach((peer, channel) -> {
                 if (!peers.containsKey(peer) && channel.isWritable()) {
@@ -456,8 +459,8 @@
     }
 
     /** A message of this key has come here while others have some: they had better give them to this daemon. */
-    public void turnedUp(long key) {
-        if (wanted.size() > KeyHoldAnnouncement.BATCH || !wanted.add(key)) {
+    public void requestKey(long key) {
+        if (wanted.size() > KeyHoldAnnouncement.MAX_KEYS_PER_BATCH || !wanted.add(key)) {
             return;
         }
         JsonObject line = PeerMessageCodec.want(name, key);
@@ -472,7 +475,7 @@
     }
 
     /** Nobody holds these any more. */
-    public void free(Collection<Long> keys) {
+    public void onKeysReleased(Collection<Long> keys) {
         wanted.removeAll(keys);
     }
 
@@ -482,9 +485,9 @@
         for (HandoffEffect effect : effects) {
             if (effect instanceof HandoffEffect.PersistOwnership write) {
                 boolean written = write.ownership().status() == Ownership.Status.OFFERED
-                        ? host.offer(
+                        ? host.recordOffer(
                                 offer.lot, write.ownership(), offer.messages, orderedKeys(offer.messages), offer.until)
-                        : host.record(offer.lot, write.ownership(), offer.messages);
+                        : host.recordOwnership(offer.lot, write.ownership(), offer.messages);
                 if (!written) {
                     return;
                 }
@@ -493,7 +496,7 @@
                     case OFFERED -> offers.put(offer.lot, offer);
                     case GIVEN -> {
                         offers.remove(offer.lot);
-                        placement.forget(offer.placed.groups());
+                        placement.forgetGroups(offer.placed.groups());
                         // Whoever has them now tells when they are over.
                         orderedKeys(offer.messages).forEach(adopted::remove);
                         moved += offer.messages.size();
@@ -502,7 +505,7 @@
                     default -> offers.remove(offer.lot);
                 }
             } else if (effect instanceof HandoffEffect.SendMessage send) {
-                PeerConnection link = link(send.to());
+                PeerConnection link = link(send.recipient());
                 if (link.ready()) {
                     offer.sentOn = link.channel;
                     offer.sentAt = millis();
@@ -510,7 +513,7 @@
                     journal.whenSafe(
                             () -> {
                                 if (link.ready()) {
-                                    link.send(send.word(), offer);
+                                    link.send(send.message(), offer);
                                 }
                             },
                             () -> offer.sentAt = 0);
@@ -523,12 +526,12 @@
         long now = clock.getAsLong();
         for (Offer offer : List.copyOf(offers.values())) {
             if (offer.messages.stream().anyMatch(m -> m.deadline <= now)) {
-                giveUp(offer);
+                abandonOffers(offer);
                 continue;
             }
             PeerConnection link = link(offer.ownership.peer());
             if (link.channel != offer.sentOn || millis() - offer.sentAt >= ASK_SAME_MS) {
-                carryOut(offer, offer.ownership.ask(offer.lot, offer.back));
+                carryOut(offer, offer.ownership.requestReply(offer.lot, offer.back));
             }
         }
         if (naming != null) {
@@ -539,17 +542,17 @@
     }
 
     private void answered(String from, HandoffMessage word, HandoffPlacement.RejectionReason why) {
-        Offer offer = offers.get(word.lot());
+        Offer offer = offers.get(word.batchId());
         if (offer == null) {
             return;
         }
-        List<HandoffEffect> effects = offer.ownership.answered(word.lot(), from, word);
+        List<HandoffEffect> effects = offer.ownership.onReply(word.batchId(), from, word);
         if (!effects.isEmpty() && word.kind() == HandoffMessage.Kind.NO) {
-            placement.refused(millis(), offer.placed, why);
+            placement.batchRejected(millis(), offer.placed, why);
         }
         carryOut(offer, effects);
         if (naming != null) {
-            offerAll();
+            offerMovable();
         }
     }
 
@@ -600,7 +603,7 @@
                             }
                             channel.flush();
                             if (naming != null) {
-                                offerAll();
+                                offerMovable();
                             }
                         } else {
                             failed();
@@ -609,7 +612,7 @@
         }
 
         private void failed() {
-            placement.unreachable(millis(), peer);
+            placement.peerUnreachable(millis(), peer);
             links.remove(peer, this);
         }
 
@@ -630,7 +633,7 @@
             List<AcceptedMessage> messages = offer.messages;
             JsonObject line = PeerMessageCodec.of(word, name);
             if (word.kind() == HandoffMessage.Kind.OFFER) {
-                PeerMessageCodec.add(line, messages, host.classes(messages));
+                PeerMessageCodec.add(line, messages, host.classMeanings(messages));
                 JsonObject origins = new JsonObject();
                 for (long key : orderedKeys(messages)) {
                     Set<String> of = new LinkedHashSet<>(adopted.getOrDefault(key, Set.of()));
@@ -658,15 +661,15 @@
             switch (line.get("word").getAsString()) {
                 case "HELD" -> {
                     if (naming != null) {
-                        naming.held(peer, line.get("batch").getAsInt());
+                        naming.acknowledge(peer, line.get("batch").getAsInt());
                     }
                 }
-                case "WANT" -> placement.turnedUp(
+                case "WANT" -> placement.preferPeer(
                         PeerMessageCodec.key(line.get("key").getAsString()), peer);
                 case "RELEASE" -> released(line);
                 default -> {
                     HandoffMessage word = PeerMessageCodec.word(line);
-                    if (!word.forHeir()) {
+                    if (!word.isForSuccessor()) {
                         answered(
                                 peer,
                                 word,
@@ -693,7 +696,7 @@
     }
 
     private void released(JsonObject line) {
-        host.release(
+        host.releaseKeys(
                 PeerMessageCodec.plain(line.get("origin").getAsString()),
                 PeerMessageCodec.keys(line.getAsJsonArray("keys")));
     }
@@ -714,10 +717,10 @@
                     long until = Math.min(
                             line.get("until").getAsLong(), clock.getAsLong() + AcceptedMessage.LONGEST_LIFE_MS);
                     int batch = line.get("batch").getAsInt();
-                    if (host.hold(from, PeerMessageCodec.keys(line.getAsJsonArray("keys")), until)) {
+                    if (host.holdKeys(from, PeerMessageCodec.keys(line.getAsJsonArray("keys")), until)) {
                         Runnable held =
                                 () -> context.writeAndFlush(PeerMessageCodec.bytes(PeerMessageCodec.held(batch)));
-                        if (estates != null && !estates.begun()) {
+                        if (estates != null && !estates.hasStarted()) {
                             // The whole that the holders get first has it.
                             held.run();
                         } else {
@@ -726,12 +729,12 @@
                     }
                 }
                 case "RELEASE" -> released(line);
-                case "WANT" -> placement.turnedUp(
+                case "WANT" -> placement.preferPeer(
                         PeerMessageCodec.key(line.get("key").getAsString()), from);
                 case "OVER" -> {
                     List<Long> known = PeerMessageCodec.holds(line, from).stream()
-                            .filter(hold ->
-                                    over.getOrDefault(from, Map.of()).getOrDefault(hold.key(), -1L) == hold.until())
+                            .filter(hold -> over.getOrDefault(from, Map.of()).getOrDefault(hold.key(), -1L)
+                                    == hold.untilMillis())
                             .map(KeyHolds.KeyHold::key)
                             .toList();
                     if (!known.isEmpty()) {
@@ -739,7 +742,7 @@
                     }
                 }
                 default -> {
-                    if (estates == null || !estates.heard(context, line, from)) {
+                    if (estates == null || !estates.handle(context, line, from)) {
                         word(context, line, from);
                     }
                 }
@@ -748,26 +751,32 @@
 
         private void word(ChannelHandlerContext context, JsonObject line, String from) {
             HandoffMessage word = PeerMessageCodec.word(line);
-            PeerMessageCodec.plain(word.lot());
-            if (!word.forHeir()) {
+            PeerMessageCodec.plain(word.batchId());
+            if (!word.isForSuccessor()) {
                 throw new IllegalArgumentException("no word for an heir");
             }
             List<AcceptedMessage> messages = word.kind() == HandoffMessage.Kind.OFFER
-                    ? PeerMessageCodec.messages(line, host::nextNumber)
+                    ? PeerMessageCodec.messages(line, host::nextMessageNumber)
                     : List.of();
-            Ownership known = journal.lots().containsKey(word.lot())
-                    ? journal.lots().get(word.lot()).ownership()
+            Ownership known = journal.lots().containsKey(word.batchId())
+                    ? journal.lots().get(word.batchId()).ownership()
                     : Ownership.NONE;
             HandoffPlacement.RejectionReason refusal = messages.isEmpty()
                     ? HandoffPlacement.RejectionReason.UNFIT
-                    : host.refuses(messages, line.has("classes") ? line.getAsJsonObject("classes") : new JsonObject());
+                    : host.rejectionReason(
+                            messages, line.has("classes") ? line.getAsJsonObject("classes") : new JsonObject());
             if (!decide(
-                    context, line, known.offered(word.lot(), from, word, refusal == null), messages, from, refusal)) {
+                    context,
+                    line,
+                    known.onOffer(word.batchId(), from, word, refusal == null),
+                    messages,
+                    from,
+                    refusal)) {
                 // The disk has no room for the messages; where it has some for a no, their owner hears it at once.
                 decide(
                         context,
                         line,
-                        known.offered(word.lot(), from, word, false),
+                        known.onOffer(word.batchId(), from, word, false),
                         messages,
                         from,
                         HandoffPlacement.RejectionReason.ROOM);
@@ -784,16 +793,16 @@
                 HandoffPlacement.RejectionReason refusal) {
             for (HandoffEffect effect : effects) {
                 if (effect instanceof HandoffEffect.SendMessage send) {
-                    JsonObject answer = PeerMessageCodec.of(send.word(), null);
-                    if (send.word().kind() == HandoffMessage.Kind.NO && refusal != null) {
+                    JsonObject answer = PeerMessageCodec.of(send.message(), null);
+                    if (send.message().kind() == HandoffMessage.Kind.NO && refusal != null) {
                         answer.addProperty("why", refusal.name());
                     }
                     journal.whenSafe(() -> context.writeAndFlush(PeerMessageCodec.bytes(answer)), IGNORED);
                 } else if (effect instanceof HandoffEffect.PersistOwnership write) {
-                    boolean mine = write.ownership().mine();
+                    boolean mine = write.ownership().isOwned();
                     boolean written = mine
-                            ? host.adopt(write.lot(), write.ownership(), messages, from)
-                            : host.record(write.lot(), write.ownership(), List.of());
+                            ? host.adoptBatch(write.batchId(), write.ownership(), messages, from)
+                            : host.recordOwnership(write.batchId(), write.ownership(), List.of());
                     if (!written) {
                         return false;
                     }
--- a/sender/src/main/java/amberroute/sender/peer/HeartbeatTransport.java
+++ b/sender/src/main/java/amberroute/sender/peer/HeartbeatTransport.java
@@ -68,7 +68,7 @@
     }
 
     /** Shares the socket with whoever understands other datagrams; null before it listens. */
-    public Channel share(Consumer<DatagramPacket> with) {
+    public Channel shareSocket(Consumer<DatagramPacket> with) {
         others = with;
         return channel;
     }
@@ -79,7 +79,7 @@
     }
 
     /** Others had better hear at once of what was just found. */
-    public void hurry() {
+    public void announceSoon() {
         if (!newsDue) {
             newsDue = true;
             loop.execute(this::tellAll);
@@ -88,34 +88,32 @@
 
     private void step() {
         long now = clock.getAsLong();
-        limits.tick(now, waiting).forEach(ceilings);
-        if (heartbeats.due(now)) {
+        limits.changedLimits(now, waiting).forEach(ceilings);
+        if (heartbeats.isDue(now)) {
             tellAll();
         }
-        limits.asks(now, heartbeats).forEach(this::tell);
+        limits.loanRequests(now, heartbeats).forEach(this::tell);
     }
 
     private void tellAll() {
         newsDue = false;
         long now = clock.getAsLong();
-        Heartbeat beat = heartbeats.next(now, name, phase.get(), limits.news(now));
+        Heartbeat beat = heartbeats.nextHeartbeat(now, name, phase.get(), limits.currentUpdates(now));
         peers.values().forEach(address -> send(beat, address));
     }
 
     private void tell(String peer, List<Heartbeat.QuotaLoan> loans) {
-        for (int from = 0; from < loans.size(); from += Heartbeat.MOST_LOANS) {
+        for (int from = 0; from < loans.size(); from += Heartbeat.MAX_LOANS) {
             send(
-                    heartbeats.next(
-                            name,
-                            phase.get(),
-                            loans.subList(from, Math.min(loans.size(), from + Heartbeat.MOST_LOANS))),
+                    heartbeats.nextHeartbeat(
+                            name, phase.get(), loans.subList(from, Math.min(loans.size(), from + Heartbeat.MAX_LOANS))),
                     peers.get(peer));
         }
     }
 
     private void send(Heartbeat beat, InetSocketAddress address) {
         if (channel != null && channel.isActive()) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(beat.write()), address));
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(beat.encode()), address));
         }
     }
 
@@ -126,21 +124,21 @@
     }
 
     private void heard(DatagramPacket packet) {
-        Heartbeat beat = Heartbeat.read(packet.content().nioBuffer());
+        Heartbeat beat = Heartbeat.decode(packet.content().nioBuffer());
         if (beat == null && others != null) {
             others.accept(packet);
         }
-        if (beat == null || !packet.sender().equals(peers.get(beat.from()))) {
+        if (beat == null || !packet.sender().equals(peers.get(beat.sender()))) {
             return;
         }
         long now = clock.getAsLong();
-        if (!heartbeats.heard(now, beat)) {
+        if (!heartbeats.onHeartbeat(now, beat)) {
             return;
         }
-        limits.told(now, beat.from(), beat.news()).forEach(ceilings);
-        List<Heartbeat.QuotaLoan> answers = limits.loans(now, beat.from(), beat.loans());
+        limits.onPeerUpdates(now, beat.sender(), beat.updates()).forEach(ceilings);
+        List<Heartbeat.QuotaLoan> answers = limits.onLoans(now, beat.sender(), beat.loans());
         if (!answers.isEmpty()) {
-            tell(beat.from(), answers);
+            tell(beat.sender(), answers);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -79,7 +79,7 @@
 
     /** Told when somebody else has a later term. */
     interface LeadershipLostListener {
-        void over(long term, String owner);
+        void onLeadershipLost(long term, String owner);
     }
 
     private final EventLoop loop;
@@ -125,28 +125,30 @@
     }
 
     /** The term is this daemon's; false where that cannot be written. */
-    boolean begin(long term, LogPosition at, ReplicaSet group) {
-        tenure = new LeaderTerm(self, term, at.number(), group);
+    boolean startTerm(long term, LogPosition at, ReplicaSet group) {
+        tenure = new LeaderTerm(self, term, at.index(), group);
         if (!journal.holders(ReplicationMessages.group(estate, group))) {
             tenure = null;
             return false;
         }
-        group.holders().forEach(this::link);
+        group.members().forEach(this::link);
         return true;
     }
 
     /** A change of the group, one more or one less; not before the last one is agreed on. */
-    boolean regroup(ReplicaSet next) {
-        if (tenure == null || !tenure.settled() || !journal.holders(ReplicationMessages.group(estate, next))) {
+    boolean changeReplicaSet(ReplicaSet next) {
+        if (tenure == null
+                || !tenure.isReplicaSetCommitted()
+                || !journal.holders(ReplicationMessages.group(estate, next))) {
             return false;
         }
-        List<String> before = tenure.group().holders();
-        tenure.regrouped(next);
-        next.holders().forEach(this::link);
+        List<String> before = tenure.replicaSet().members();
+        tenure.replicaSetChanged(next);
+        next.members().forEach(this::link);
         // What a new one has said so far was said by one that learns.
         links.forEach((name, link) -> link.fresh &= before.contains(name));
         List.copyOf(links.keySet()).stream()
-                .filter(name -> !next.holders().contains(name))
+                .filter(name -> !next.members().contains(name))
                 .forEach(name -> {
                     ReplicaConnection link = links.remove(name);
                     had.remove(name);
@@ -159,17 +161,17 @@
     }
 
     /** Brings somebody up to date who may then become a holder. */
-    void teach(String name) {
+    void startCatchUp(String name) {
         link(name);
     }
 
     /** Whether it has all, be it a holder or not. */
-    boolean taught(String name) {
+    boolean isCaughtUp(String name) {
         return links.containsKey(name) && links.get(name).taught;
     }
 
     /** Whether what it has does not count, as it lost what it had promised. */
-    boolean fresh(String name) {
+    boolean hasLostState(String name) {
         return links.containsKey(name) && links.get(name).fresh;
     }
 
@@ -183,44 +185,44 @@
     }
 
     /** Null before the term is won. */
-    LeaderTerm tenure() {
+    LeaderTerm leaderTerm() {
         return tenure;
     }
 
     /** How far this daemon's own record has come, null before the term is won. */
-    LogPosition at() {
-        return tenure == null ? null : new LogPosition(tenure.term(), tenure.last());
+    LogPosition logPosition() {
+        return tenure == null ? null : new LogPosition(tenure.term(), tenure.lastIndex());
     }
 
     /** Whether what is taken on now can be copied: a majority has the whole. */
-    boolean ready() {
-        if (tenure == null || tenure.over()) {
+    boolean isReady() {
+        if (tenure == null || tenure.hasEnded()) {
             return false;
         }
         long now = System.nanoTime();
-        return tenure.group()
-                .majority(tenure.group().holders().stream()
+        return tenure.replicaSet()
+                .hasQuorum(tenure.replicaSet().members().stream()
                         .filter(h -> h.equals(self)
-                                || tenure.behind(h) >= 0
+                                || tenure.replicationLag(h) >= 0
                                         && links.containsKey(h)
                                         && now - links.get(h).heardAt < DEAF_NANOS)
                         .toList());
     }
 
     /** Effects that were not allowed in time, since the start. */
-    long late() {
+    long lateEffects() {
         return late;
     }
 
     /** Tells the holders that nothing is owed any more. */
-    void done() {
+    void announceCompletion() {
         if (tenure != null) {
             links.values().forEach(link -> link.say(ReplicationMessages.of("DONE", self, estate, tenure.term())));
         }
     }
 
     /** Tells the holders that this process ends, and that the next one is back on its folder within so long. */
-    void away(long millis) {
+    void announceRestart(long millis) {
         if (tenure != null) {
             JsonObject line = ReplicationMessages.of("AWAY", self, estate, tenure.term());
             line.addProperty("back_ms", millis);
@@ -229,7 +231,7 @@
     }
 
     /** Nothing more is agreed on. */
-    void end() {
+    void endTerm() {
         if (tenure != null) {
             tenure.end();
         }
@@ -246,14 +248,14 @@
 
     @Override
     public byte[] place() {
-        return tenure == null || tenure.over()
+        return tenure == null || tenure.hasEnded()
                 ? null
-                : ReplicationMessages.place(new LogPosition(tenure.term(), tenure.last() + 1));
+                : ReplicationMessages.place(new LogPosition(tenure.term(), tenure.lastIndex() + 1));
     }
 
     @Override
     public void wrote(Batch batch) {
-        tenure.wrote();
+        tenure.appended();
         if (!links.isEmpty()) {
             String change = ReplicationMessages.encoded(batch);
             links.values().forEach(link -> link.add(change));
@@ -266,8 +268,8 @@
 
     @Override
     public void whenAgreed(Runnable effect, Runnable failed) {
-        long number = tenure == null ? 0 : tenure.last();
-        if (waiting.isEmpty() && tenure != null && !tenure.over() && reached >= number) {
+        long number = tenure == null ? 0 : tenure.lastIndex();
+        if (waiting.isEmpty() && tenure != null && !tenure.hasEnded() && reached >= number) {
             effect.run();
         } else {
             waiting.add(new DeferredEffect(number, effect, failed, System.nanoTime()));
@@ -297,7 +299,7 @@
         flushDue = false;
         long now = System.nanoTime();
         flushedAt = now;
-        int wanted = tenure == null ? 0 : tenure.group().holders().size() / 2;
+        int wanted = tenure == null ? 0 : tenure.replicaSet().members().size() / 2;
         List<ReplicaConnection> prompt = links.values().stream()
                 .filter(link -> link.prompt(now))
                 .limit(wanted)
@@ -317,10 +319,10 @@
     }
 
     private void release() {
-        if (tenure == null || tenure.over()) {
+        if (tenure == null || tenure.hasEnded()) {
             return;
         }
-        reached = Math.max(reached, tenure.agreed());
+        reached = Math.max(reached, tenure.commitIndex());
         while (!waiting.isEmpty() && reached >= 0 && waiting.peek().number() <= reached) {
             Log.guarded("an effect", waiting.poll().effect());
         }
@@ -435,7 +437,7 @@
                 return;
             }
             lacking = true;
-            tenure.lacks(holder);
+            tenure.acknowledgementLost(holder);
             taught = false;
             pending.clear();
             pendingBytes = 0;
@@ -453,7 +455,7 @@
 
         /** The holder gets the whole, from the beginning. */
         private void again() {
-            tenure.lacks(holder);
+            tenure.acknowledgementLost(holder);
             taught = false;
             pending.clear();
             pendingBytes = 0;
@@ -476,7 +478,7 @@
         }
 
         void pump() {
-            if (channel == null || !channel.isActive() || lacking || tenure.over()) {
+            if (channel == null || !channel.isActive() || lacking || tenure.hasEnded()) {
                 return;
             }
             while (channel.isWritable() && (whole != null || !pending.isEmpty())) {
@@ -511,7 +513,7 @@
                     line.addProperty("had", had.getOrDefault(holder, 0L));
                 }
                 if (last) {
-                    sent = tenure.last();
+                    sent = tenure.lastIndex();
                     line.addProperty("upto", sent);
                     some.add(ReplicationMessages.encoded(journal.placed()));
                     whole = null;
@@ -523,7 +525,7 @@
 
         /** The changes behind what was sent. Their numbers say what they are, so what another holder got serves as well. */
         private void copy(long upTo, List<String> some) {
-            long version = tenure.group().version();
+            long version = tenure.replicaSet().version();
             boolean news = told != version;
             if (encoded.behind() != sent || encoded.upTo() != upTo || encoded.version() != (news ? version : -1)) {
                 JsonObject line = ReplicationMessages.of("COPY", self, estate, tenure.term());
@@ -531,7 +533,7 @@
                 line.addProperty("upto", upTo);
                 ReplicationMessages.add(line, some);
                 if (news) {
-                    ReplicationMessages.add(line, tenure.group());
+                    ReplicationMessages.add(line, tenure.replicaSet());
                 }
                 encoded = new EncodedBatch(sent, upTo, news ? version : -1, PeerMessageCodec.utf8(line));
             }
@@ -544,8 +546,8 @@
 
         private void write(JsonObject line, List<String> some) {
             ReplicationMessages.add(line, some);
-            ReplicationMessages.add(line, tenure.group());
-            told = tenure.group().version();
+            ReplicationMessages.add(line, tenure.replicaSet());
+            told = tenure.replicaSet().version();
             spokeAt = System.nanoTime();
             channel.writeAndFlush(PeerMessageCodec.bytes(line));
         }
@@ -555,7 +557,7 @@
             return whole == null
                     && !lacking
                     && !fresh
-                    && tenure.behind(holder) >= 0
+                    && tenure.replicationLag(holder) >= 0
                     && (owedSince == 0 || now - owedSince < PROMPT_NANOS);
         }
 
@@ -587,14 +589,15 @@
                     fresh = !line.get("counts").getAsBoolean();
                     if (!fresh) {
                         had.merge(holder, line.get("number").getAsLong(), Math::max);
-                        tenure.has(holder, line.get("number").getAsLong());
+                        tenure.acknowledged(holder, line.get("number").getAsLong());
                         release();
                     }
                 }
                 case "LACKS" -> lacks();
                 case "OVER" -> {
                     tenure.end();
-                    onOver.over(line.get("term").getAsLong(), line.get("owner").getAsString());
+                    onOver.onLeadershipLost(
+                            line.get("term").getAsLong(), line.get("owner").getAsString());
                 }
                 default -> throw new IllegalArgumentException("no answer to a copy");
             }
@@ -608,7 +611,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (links.get(holder) == this) {
-                tenure.lacks(holder);
+                tenure.acknowledgementLost(holder);
                 loop.schedule(this::anew, pauses.next(), TimeUnit.MILLISECONDS);
             }
         }
--- a/sender/src/main/java/amberroute/sender/peer/LoadReportTransport.java
+++ b/sender/src/main/java/amberroute/sender/peer/LoadReportTransport.java
@@ -67,42 +67,46 @@
     }
 
     /** Begins to tell, and to compute prices. */
-    public void begin(Channel shared) {
+    public void start(Channel shared) {
         channel = shared;
         loop.scheduleWithFixedDelay(
-                () -> Log.guarded("prices", this::round), 0, FleetAdmissionControl.ROUND, TimeUnit.MICROSECONDS);
+                () -> Log.guarded("prices", this::round), 0, FleetAdmissionControl.ROUND_MICROS, TimeUnit.MICROSECONDS);
     }
 
     private void round() {
         long now = clock.getAsLong();
-        for (AdmissionPrice p : overload.round(now, waiting)) {
+        for (AdmissionPrice p : overload.runRound(now, waiting)) {
             events.accept(new DeliveryScheduler.Event.AdmissionPriceChanged(
-                    p.destination(), p.worth(), p.upTo(), p.share(), p.again()));
+                    p.destination(),
+                    p.priorityFloor(),
+                    p.priorityCeiling(),
+                    p.admittedFraction(),
+                    p.retryAfterMicros()));
         }
         if (parts) {
-            for (FleetAdmissionControl.RateLimit c : overload.ceilings(now)) {
+            for (FleetAdmissionControl.RateLimit c : overload.changedRateLimits(now)) {
                 // Daemons that are given a rate at one moment begin at different ones.
                 events.accept(new DeliveryScheduler.Event.FleetRateLimitChanged(
                         c.destination(), c.perSecond(), random.nextDouble(), false));
             }
-            overload.asks(now).forEach(this::send);
+            overload.loanRequests(now).forEach(this::send);
         }
-        overload.tell(now).forEach(this::send);
+        overload.nextReports(now).forEach(this::send);
     }
 
     private void send(FleetAdmissionControl.OutgoingReport out) {
         // A digest may ask for something before the socket is shared; it asks again.
         if (channel != null && channel.isActive()) {
             channel.writeAndFlush(
-                    new DatagramPacket(Unpooled.wrappedBuffer(out.digest().write()), peers.get(out.to())));
+                    new DatagramPacket(Unpooled.wrappedBuffer(out.report().encode()), peers.get(out.recipient())));
         }
     }
 
     /** A datagram that is no heartbeat. */
     public void heard(DatagramPacket packet) {
-        LoadReport digest = LoadReport.read(packet.content().nioBuffer());
-        if (digest != null && packet.sender().equals(peers.get(digest.from()))) {
-            FleetAdmissionControl.OutgoingReport answer = overload.heard(clock.getAsLong(), digest);
+        LoadReport digest = LoadReport.decode(packet.content().nioBuffer());
+        if (digest != null && packet.sender().equals(peers.get(digest.sender()))) {
+            FleetAdmissionControl.OutgoingReport answer = overload.onReport(clock.getAsLong(), digest);
             if (answer != null) {
                 send(answer);
             }
@@ -110,39 +114,39 @@
     }
 
     /** Somebody came with a message of this worth. */
-    public void asked(int destination, double worth) {
-        overload.asked(clock.getAsLong(), destination, worth);
+    public void onDemand(int destination, double worth) {
+        overload.onDemand(clock.getAsLong(), destination, worth);
     }
 
     /** What became of a call's message. */
-    public void ended(int destination, DeliveryScheduler.AttemptOutcome ending) {
+    public void onAttemptEnded(int destination, DeliveryScheduler.AttemptOutcome ending) {
         if (ending == DeliveryScheduler.AttemptOutcome.OK) {
-            overload.served(clock.getAsLong(), destination);
+            overload.onServed(clock.getAsLong(), destination);
         } else if (ending == DeliveryScheduler.AttemptOutcome.FULL) {
-            overload.full(clock.getAsLong(), destination);
+            overload.onRejected(clock.getAsLong(), destination);
         }
     }
 
     /** For operators, as of the last round. */
-    public JsonObject show() {
+    public JsonObject describe() {
         JsonObject answer = ControlSocket.answer(true, null);
-        answer.addProperty("heard_of", overload.heardOf(clock.getAsLong()));
+        answer.addProperty("heard_of", overload.reachablePeers(clock.getAsLong()));
         answer.addProperty("peers", peers.size());
         JsonArray rows = new JsonArray();
-        for (FleetAdmissionControl.DestinationReport row : overload.rows()) {
+        for (FleetAdmissionControl.DestinationReport row : overload.destinationReports()) {
             JsonObject one = new JsonObject();
             one.addProperty("destination", row.destination());
-            one.addProperty("asked", row.asked());
-            one.addProperty("served", row.served());
-            one.addProperty("refused", row.full());
-            one.addProperty("waiting", row.waiting());
-            if (Double.isFinite(row.capacity())) {
-                one.addProperty("capacity", row.capacity());
-                one.addProperty("part", row.part());
-                one.addProperty("price", row.price().worth());
-                one.addProperty("price_up_to", row.price().upTo());
-                one.addProperty("share", row.price().share());
-                one.addProperty("again_ms", row.price().again() / 1_000);
+            one.addProperty("asked", row.demandPerSecond());
+            one.addProperty("served", row.servedPerSecond());
+            one.addProperty("refused", row.rejectedPerSecond());
+            one.addProperty("waiting", row.pendingMessages());
+            if (Double.isFinite(row.capacityPerSecond())) {
+                one.addProperty("capacity", row.capacityPerSecond());
+                one.addProperty("part", row.fraction());
+                one.addProperty("price", row.price().priorityFloor());
+                one.addProperty("price_up_to", row.price().priorityCeiling());
+                one.addProperty("share", row.price().admittedFraction());
+                one.addProperty("again_ms", row.price().retryAfterMicros() / 1_000);
             }
             rows.add(one);
         }
--- a/sender/src/main/java/amberroute/sender/peer/PeerMessageCodec.java
+++ b/sender/src/main/java/amberroute/sender/peer/PeerMessageCodec.java
@@ -44,7 +44,7 @@
     static JsonObject of(HandoffMessage word, String from) {
         JsonObject line = new JsonObject();
         line.addProperty("word", word.kind().name());
-        line.addProperty("lot", word.lot());
+        line.addProperty("lot", word.batchId());
         line.addProperty("generation", word.generation());
         if (from != null) {
             line.addProperty("from", from);
@@ -62,7 +62,7 @@
     static JsonObject hold(String from, KeyHoldAnnouncement.KeyBatch batch) {
         JsonObject line = said("HOLD", from);
         line.addProperty("batch", batch.number());
-        line.addProperty("until", batch.until());
+        line.addProperty("until", batch.untilMillis());
         line.add("keys", keys(batch.keys()));
         return line;
     }
@@ -86,7 +86,7 @@
         JsonObject line = said("OVER", from);
         line.add("keys", keys(holds.stream().map(KeyHolds.KeyHold::key).toList()));
         JsonArray untils = new JsonArray();
-        holds.forEach(hold -> untils.add(hold.until()));
+        holds.forEach(hold -> untils.add(hold.untilMillis()));
         line.add("untils", untils);
         return line;
     }
@@ -121,7 +121,7 @@
     }
 
     static List<Long> keys(JsonArray list) {
-        if (list.size() > KeyHoldAnnouncement.BATCH) {
+        if (list.size() > KeyHoldAnnouncement.MAX_KEYS_PER_BATCH) {
             throw new IllegalArgumentException("too many keys");
         }
         List<Long> keys = new ArrayList<>(list.size());
--- a/sender/src/main/java/amberroute/sender/peer/PeerSocket.java
+++ b/sender/src/main/java/amberroute/sender/peer/PeerSocket.java
@@ -28,11 +28,11 @@
                 .channel(NioDatagramChannel.class)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(Heartbeat.MOST_BYTES + 1).maxMessagesPerRead(MOST_READ))
+                        new FixedRecvByteBufAllocator(Heartbeat.MAX_DATAGRAM_BYTES + 1).maxMessagesPerRead(MOST_READ))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                        if (packet.content().readableBytes() <= Heartbeat.MOST_BYTES) {
+                        if (packet.content().readableBytes() <= Heartbeat.MAX_DATAGRAM_BYTES) {
                             reader.accept(packet);
                         }
                     }
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -38,45 +38,45 @@
 
     /** One estate. */
     public static final class StoredReplica {
-        public final String estate;
+        public final String journalId;
         final Path folder;
-        ReplicaState holding = ReplicaState.NONE;
+        ReplicaState state = ReplicaState.NONE;
         /** As the copy names it; null where there is none. */
-        ReplicaSet group;
+        ReplicaSet replicaSet;
         /** Nothing is owed of it any more; only the term is kept, so that nobody can begin it again. */
-        boolean done;
+        boolean completed;
         /** Name of the copy's folder in this one's, empty where there is no whole copy. */
-        String copy = "";
+        String copyFolderName = "";
 
         SegmentLog log;
         /** A whole that is not all there, and by which term. */
-        Path staging;
+        Path stagingFolder;
 
         SegmentLog stagingLog;
         long stagingTerm;
         /** The connection that the copy, and the whole that is under way, came on: others' lines may be older than they. */
-        Object copyFrom;
+        Object appendSource;
 
-        Object stagingFrom;
+        Object stagingSource;
         /** Monotonic nanoseconds at which its owner last spoke of it. */
-        long heardAt = System.nanoTime();
+        long heardAtNanos = System.nanoTime();
         /** Owned by this process: the copy is a running journal. */
-        boolean open;
+        boolean runningHere;
         /** Monotonic nanoseconds before which it is not tried for again. */
-        long pausedUntil = System.nanoTime();
+        long electionPausedUntilNanos = System.nanoTime();
 
         StoredReplica(String estate, Path folder) {
-            this.estate = estate;
+            this.journalId = estate;
             this.folder = folder;
         }
 
         /** The daemon whose estate it was at first. */
-        String origin() {
-            return estate.substring(0, estate.lastIndexOf('.'));
+        String originalOwner() {
+            return journalId.substring(0, journalId.lastIndexOf('.'));
         }
 
         Path copyFolder() {
-            return folder.resolve(copy);
+            return folder.resolve(copyFolderName);
         }
     }
 
@@ -106,35 +106,35 @@
     /** A folder whose file cannot be read holds nothing: it is no holder until it has the whole again. */
     private void read(Path each) throws IOException {
         StoredReplica kept = new StoredReplica(each.getFileName().toString(), each);
-        if (!kept.estate.matches("[A-Za-z0-9._-]{1,96}") || kept.estate.lastIndexOf('.') < 1) {
+        if (!kept.journalId.matches("[A-Za-z0-9._-]{1,96}") || kept.journalId.lastIndexOf('.') < 1) {
             return;
         }
         try {
             JsonObject json =
                     JsonParser.parseString(Files.readString(each.resolve(FILE))).getAsJsonObject();
-            kept.copy = json.get("copy").getAsString();
-            kept.done = json.get("done").getAsBoolean();
-            kept.holding = new ReplicaState(
+            kept.copyFolderName = json.get("copy").getAsString();
+            kept.completed = json.get("done").getAsBoolean();
+            kept.state = new ReplicaState(
                     json.get("term").getAsLong(),
                     json.get("owner").getAsString(),
                     LogPosition.NONE,
                     json.get("fresh").getAsInt());
         } catch (IOException | RuntimeException e) {
-            Log.warn("survival: " + each.resolve(FILE) + " cannot be read, nothing is held of " + kept.estate + ": "
+            Log.warn("survival: " + each.resolve(FILE) + " cannot be read, nothing is held of " + kept.journalId + ": "
                     + e);
             return;
         }
-        if (kept.done) {
-            kept.holding = done(kept.holding);
-        } else if (!kept.copy.isEmpty()) {
+        if (kept.completed) {
+            kept.state = done(kept.state);
+        } else if (!kept.copyFolderName.isEmpty()) {
             openCopy(kept);
         }
-        sweep(kept);
-        all.put(kept.estate, kept);
+        deleteStaleFolders(kept);
+        all.put(kept.journalId, kept);
     }
 
     private static ReplicaState done(ReplicaState holding) {
-        return holding.reaching(new LogPosition(Long.MAX_VALUE, 0));
+        return holding.withLogPosition(new LogPosition(Long.MAX_VALUE, 0));
     }
 
     /** Reads how far the copy reaches; one that is damaged is none. */
@@ -150,10 +150,10 @@
             if (!kept.log.losses().isEmpty() || found[0] == null || found[1] == null) {
                 throw new IOException("it is damaged");
             }
-            kept.group = ReplicationMessages.group(found[1]);
-            kept.holding = kept.holding.reaching(ReplicationMessages.place(found[0]));
+            kept.replicaSet = ReplicationMessages.group(found[1]);
+            kept.state = kept.state.withLogPosition(ReplicationMessages.place(found[0]));
         } catch (IOException | RuntimeException e) {
-            Log.warn("survival: the copy of " + kept.estate + " counts for nothing until it is made anew: "
+            Log.warn("survival: the copy of " + kept.journalId + " counts for nothing until it is made anew: "
                     + e.getMessage());
             dropCopy(kept);
         }
@@ -176,10 +176,10 @@
     private void dropCopy(StoredReplica kept) {
         close(kept.log);
         kept.log = null;
-        kept.copy = "";
+        kept.copyFolderName = "";
         // What it had counted; without it this holder is as one that never heard of the estate.
-        kept.holding =
-                new ReplicaState(kept.holding.term(), kept.holding.owner(), LogPosition.NONE, ReplicaState.NAMED);
+        kept.state = new ReplicaState(
+                kept.state.term(), kept.state.owner(), LogPosition.NONE, ReplicaState.LISTED_WITHOUT_STATE);
     }
 
     private static void close(SegmentLog log) {
@@ -197,14 +197,14 @@
     }
 
     /** What is known of an estate; null where there is no room for one more. */
-    public StoredReplica of(String estate) {
+    public StoredReplica findOrCreate(String estate) {
         StoredReplica kept = all.get(estate);
         if (kept == null && all.size() >= most) {
             forgetOldest();
         }
         if (kept == null && all.size() < most) {
             kept = new StoredReplica(estate, folder.resolve(estate));
-            kept.heardAt -= LONG_AGO_NANOS;
+            kept.heardAtNanos -= LONG_AGO_NANOS;
             all.put(estate, kept);
         }
         return kept;
@@ -213,11 +213,11 @@
     /** Of those that are done the one known longest: what it owed is long past its time. */
     private void forgetOldest() {
         StoredReplica oldest =
-                all.values().stream().filter(k -> k.done).findFirst().orElse(null);
+                all.values().stream().filter(k -> k.completed).findFirst().orElse(null);
         if (oldest != null) {
             try {
                 delete(oldest.folder);
-                all.remove(oldest.estate);
+                all.remove(oldest.journalId);
             } catch (IOException e) {
                 Log.warn("survival: cannot remove " + oldest.folder + ": " + e.getMessage());
             }
@@ -225,12 +225,12 @@
     }
 
     /** Has the term on disk; false where it cannot be written, and nothing has changed. */
-    public boolean promise(StoredReplica kept, ReplicaState next) {
-        boolean same = next.term() == kept.holding.term()
-                && next.owner().equals(kept.holding.owner())
-                && next.fresh() == kept.holding.fresh();
-        if (same || write(kept, next, kept.copy)) {
-            kept.holding = next;
+    public boolean persistState(StoredReplica kept, ReplicaState next) {
+        boolean same = next.term() == kept.state.term()
+                && next.owner().equals(kept.state.owner())
+                && next.nonVotingStage() == kept.state.nonVotingStage();
+        if (same || write(kept, next, kept.copyFolderName)) {
+            kept.state = next;
             return true;
         }
         return false;
@@ -241,8 +241,8 @@
         json.addProperty("term", holding.term());
         json.addProperty("owner", holding.owner());
         json.addProperty("copy", copy);
-        json.addProperty("done", kept.done);
-        json.addProperty("fresh", holding.fresh());
+        json.addProperty("done", kept.completed);
+        json.addProperty("fresh", holding.nonVotingStage());
         try {
             Files.createDirectories(kept.folder);
             Path aside = kept.folder.resolve(FILE + ".new");
@@ -254,66 +254,67 @@
                     StandardCopyOption.REPLACE_EXISTING);
             return true;
         } catch (IOException e) {
-            Log.warn("survival: cannot write what is held of " + kept.estate + ": " + e);
+            Log.warn("survival: cannot write what is held of " + kept.journalId + ": " + e);
             return false;
         }
     }
 
     /** Takes part of a whole; false where it cannot be kept, and the whole has to begin anew. */
-    boolean part(StoredReplica kept, boolean first, long term, List<Batch> batches, Object from) {
+    boolean stageSnapshot(StoredReplica kept, boolean first, long term, List<Batch> batches, Object from) {
         try {
             if (first) {
                 close(kept.stagingLog);
-                kept.staging = null;
+                kept.stagingFolder = null;
                 // What an earlier try left has no more room here.
-                sweep(kept);
-                kept.staging = kept.folder.resolve("copy-" + term + "-" + System.currentTimeMillis() + "-" + ++staged);
-                Files.createDirectories(kept.staging);
-                kept.stagingLog = SegmentLog.open(new FolderDisk(kept.staging), limits(), ReplicaStore::salt);
+                deleteStaleFolders(kept);
+                kept.stagingFolder =
+                        kept.folder.resolve("copy-" + term + "-" + System.currentTimeMillis() + "-" + ++staged);
+                Files.createDirectories(kept.stagingFolder);
+                kept.stagingLog = SegmentLog.open(new FolderDisk(kept.stagingFolder), limits(), ReplicaStore::salt);
                 kept.stagingTerm = term;
-                kept.stagingFrom = from;
+                kept.stagingSource = from;
             }
-            if (kept.stagingLog == null || kept.stagingTerm != term || kept.stagingFrom != from) {
+            if (kept.stagingLog == null || kept.stagingTerm != term || kept.stagingSource != from) {
                 return false;
             }
             apply(kept.stagingLog, batches);
             return true;
         } catch (IOException e) {
-            Log.warn("survival: cannot keep the copy of " + kept.estate + ": " + e.getMessage());
+            Log.warn("survival: cannot keep the copy of " + kept.journalId + ": " + e.getMessage());
             return false;
         }
     }
 
     /** The whole is all there: it takes the place of the copy that was. */
-    boolean whole(StoredReplica kept, ReplicaState next) {
-        if (!write(kept, next, kept.staging.getFileName().toString())) {
+    boolean installSnapshot(StoredReplica kept, ReplicaState next) {
+        if (!write(kept, next, kept.stagingFolder.getFileName().toString())) {
             return false;
         }
         close(kept.log);
         kept.log = kept.stagingLog;
-        kept.copy = kept.staging.getFileName().toString();
-        kept.holding = next;
-        kept.copyFrom = kept.stagingFrom;
+        kept.copyFolderName = kept.stagingFolder.getFileName().toString();
+        kept.state = next;
+        kept.appendSource = kept.stagingSource;
         kept.stagingLog = null;
-        kept.staging = null;
-        sweep(kept);
+        kept.stagingFolder = null;
+        deleteStaleFolders(kept);
         return true;
     }
 
     /** Changes that follow what is there; false where they could not be written, and the copy counts for what it had. */
-    boolean changes(StoredReplica kept, ReplicaState next, List<Batch> batches) {
-        if (kept.log == null || !promise(kept, next.reaching(kept.holding.copy()))) {
+    boolean append(StoredReplica kept, ReplicaState next, List<Batch> batches) {
+        if (kept.log == null || !persistState(kept, next.withLogPosition(kept.state.logPosition()))) {
             return false;
         }
         try {
             apply(kept.log, batches);
-            kept.holding = next;
+            kept.state = next;
             return true;
         } catch (IOException e) {
-            Log.warn("survival: cannot keep the copy of " + kept.estate + ": " + e.getMessage());
+            Log.warn("survival: cannot keep the copy of " + kept.journalId + ": " + e.getMessage());
             // What it reaches now nobody can say without reading it.
             dropCopy(kept);
-            write(kept, kept.holding, "");
+            write(kept, kept.state, "");
             return false;
         }
     }
@@ -328,55 +329,56 @@
     }
 
     /** Hands the copy's folder to a journal; null where there is none. */
-    Path lend(StoredReplica kept) {
+    Path lendLog(StoredReplica kept) {
         close(kept.log);
         kept.log = null;
-        kept.open = true;
-        return kept.copy.isEmpty() ? null : kept.copyFolder();
+        kept.runningHere = true;
+        return kept.copyFolderName.isEmpty() ? null : kept.copyFolder();
     }
 
     /** The journal that had the folder is closed. */
-    void takeBack(StoredReplica kept) {
-        kept.open = false;
-        if (!kept.done) {
+    void reclaimLog(StoredReplica kept) {
+        kept.runningHere = false;
+        if (!kept.completed) {
             openCopy(kept);
         }
     }
 
     /** This daemon is no holder of it any more; the term that it promised stays, and counts for nothing. */
-    void drop(StoredReplica kept) {
+    void dropReplica(StoredReplica kept) {
         dropCopy(kept);
-        kept.group = null;
-        write(kept, kept.holding, "");
-        sweep(kept);
+        kept.replicaSet = null;
+        write(kept, kept.state, "");
+        deleteStaleFolders(kept);
     }
 
     /** Nothing is owed of it any more. */
-    void finish(StoredReplica kept) {
+    void markCompleted(StoredReplica kept) {
         close(kept.log);
         kept.log = null;
-        kept.done = true;
-        kept.holding = done(kept.holding);
-        write(kept, kept.holding, "");
-        kept.copy = "";
-        sweep(kept);
+        kept.completed = true;
+        kept.state = done(kept.state);
+        write(kept, kept.state, "");
+        kept.copyFolderName = "";
+        deleteStaleFolders(kept);
     }
 
     /** Removes what is no copy any more. */
-    private void sweep(StoredReplica kept) {
+    private void deleteStaleFolders(StoredReplica kept) {
         if (!Files.isDirectory(kept.folder)) {
             return;
         }
         List<Path> old = new ArrayList<>();
         try (Stream<Path> folders = Files.list(kept.folder)) {
             folders.filter(Files::isDirectory)
-                    .filter(f -> !f.getFileName().toString().equals(kept.copy) && !f.equals(kept.staging))
+                    .filter(f ->
+                            !f.getFileName().toString().equals(kept.copyFolderName) && !f.equals(kept.stagingFolder))
                     .forEach(old::add);
             for (Path each : old) {
                 delete(each);
             }
         } catch (IOException e) {
-            Log.warn("survival: cannot remove an old copy of " + kept.estate + ": " + e.getMessage());
+            Log.warn("survival: cannot remove an old copy of " + kept.journalId + ": " + e.getMessage());
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/peer/ReplicationCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationCoordinator.java
@@ -76,23 +76,23 @@
         void fenced(String why);
 
         /** Goes on with an estate, whose copy is in this folder, under a term that was won; not on the event loop. */
-        Failover takeOver(ReplicaStore.StoredReplica kept, Path folder, long term) throws IOException;
+        Failover startFailover(ReplicaStore.StoredReplica kept, Path folder, long term) throws IOException;
 
         /** How long a client may ask for a message of a class at most, in milliseconds. */
-        long longestLife();
+        long maxMessageLifeMillis();
     }
 
     /** An estate that goes on here. */
     public interface Failover {
         Journal journal();
 
-        JournalReplicator copying();
+        JournalReplicator replicator();
 
         /** Whether nothing of it is owed any more. */
-        boolean idle();
+        boolean isIdle();
 
         /** Whether a daemon holds back what comes of the keys that are owed here. */
-        boolean heldBy(String daemon);
+        boolean isHeldBy(String daemon);
 
         /** Lets go of it; nothing more has an effect when this returns. On the event loop. */
         void stop();
@@ -166,15 +166,15 @@
         String estate = journal.holders() == null
                 ? self + "." + Long.toString(System.currentTimeMillis(), 36)
                 : ReplicationMessages.estate(journal.holders());
-        own = store.of(estate);
+        own = store.findOrCreate(estate);
         if (own == null) {
             throw new IOException(
                     "copies of too many estates in " + config.state().resolve("copies"));
         }
-        own.open = true;
+        own.runningHere = true;
         newborn = journal.holders() == null;
         chosen = newborn ? null : ReplicationMessages.group(journal.holders());
-        own.holding = own.holding.reaching(ReplicationMessages.place(journal.place()));
+        own.state = own.state.withLogPosition(ReplicationMessages.place(journal.place()));
         copying = new JournalReplicator(loop, self, estate, journal, peers, (term, owner) -> lose(own, term, owner));
         journal.copyTo(copying);
     }
@@ -188,17 +188,17 @@
     }
 
     /** Whether what is taken on now is copied in time. */
-    public boolean ready() {
-        return copying.ready();
+    public boolean isReady() {
+        return copying.isReady();
     }
 
     /** This process ends for a restart, and the next one is back within so long. */
-    public void away(long millis) {
-        copying.away(millis);
+    public void announceRestart(long millis) {
+        copying.announceRestart(millis);
     }
 
     /** The journal of an estate that goes on here and knows this id; null where none does. */
-    public Journal knowing(String id) {
+    public Journal failoverJournalKnowing(String id) {
         return cares.values().stream()
                 .filter(c -> c.taker != null && c.taker.journal().knows(id))
                 .map(c -> c.taker.journal())
@@ -207,85 +207,86 @@
     }
 
     private JournalReplicator copying(ReplicaStore.StoredReplica kept) {
-        RunningFailover care = cares.get(kept.estate);
-        return kept == own ? copying : care == null || care.taker == null ? null : care.taker.copying();
+        RunningFailover care = cares.get(kept.journalId);
+        return kept == own ? copying : care == null || care.taker == null ? null : care.taker.replicator();
     }
 
     /** With how far the record has come, which a running journal knows better than its file. */
     private ReplicaState now(ReplicaStore.StoredReplica kept) {
         JournalReplicator running = copying(kept);
-        LogPosition at = running == null ? null : running.at();
-        return at == null || kept.done ? kept.holding : kept.holding.reaching(at);
+        LogPosition at = running == null ? null : running.logPosition();
+        return at == null || kept.completed ? kept.state : kept.state.withLogPosition(at);
     }
 
     private boolean hears(ReplicaStore.StoredReplica kept) {
-        RunningFailover care = cares.get(kept.estate);
+        RunningFailover care = cares.get(kept.journalId);
         if (care != null && System.nanoTime() - care.took < CLAIM_NANOS) {
             // It was won here just now, and its holders are being told.
             return true;
         }
         JournalReplicator running = copying(kept);
-        return running != null ? running.ready() : System.nanoTime() - kept.heardAt < SILENT_NANOS;
+        return running != null ? running.isReady() : System.nanoTime() - kept.heardAtNanos < SILENT_NANOS;
     }
 
     // ---- Words from others. ----
 
     @Override
-    public boolean begun() {
+    public boolean hasStarted() {
         // An earlier process may have begun it, and then it may be another's by now, with all that is said here.
-        return !newborn || copying.tenure() != null;
+        return !newborn || copying.leaderTerm() != null;
     }
 
     /** A line that came on the peers' listener; false where it is none of these. */
     @Override
-    public boolean heard(ChannelHandlerContext context, JsonObject line, String from) {
+    public boolean handle(ChannelHandlerContext context, JsonObject line, String from) {
         String word = line.get("word").getAsString();
         if (!WORDS.contains(word)) {
             return false;
         }
         String estate = PeerMessageCodec.plain(line.get("estate").getAsString());
         ReplicaStore.StoredReplica kept =
-                peers.containsKey(from) && estate.lastIndexOf('.') > 0 ? store.of(estate) : null;
+                peers.containsKey(from) && estate.lastIndexOf('.') > 0 ? store.findOrCreate(estate) : null;
         if (kept == null) {
             return true;
         }
         long term = line.get("term").getAsLong();
         if (word.equals("CLAIM")) {
             claimed(context, line, from, kept, term);
-        } else if (kept.done || now(kept).over(term, from)) {
-            JsonObject answer = ReplicationMessages.of("OVER", self, estate, Math.max(term, kept.holding.term()));
-            answer.addProperty("owner", kept.holding.owner());
+        } else if (kept.completed || now(kept).isStale(term, from)) {
+            JsonObject answer = ReplicationMessages.of("OVER", self, estate, Math.max(term, kept.state.term()));
+            answer.addProperty("owner", kept.state.owner());
             context.writeAndFlush(PeerMessageCodec.bytes(answer));
         } else {
-            kept.heardAt = System.nanoTime();
-            attempts.remove(kept.estate);
-            if (!store.promise(kept, now(kept).heard(term, from))) {
+            kept.heardAtNanos = System.nanoTime();
+            attempts.remove(kept.journalId);
+            if (!store.persistState(kept, now(kept).onLeader(term, from))) {
                 return true;
             }
-            if (kept.open) {
+            if (kept.runningHere) {
                 lose(kept, term, from);
                 return true;
             }
             switch (word) {
                 case "DONE" -> {
-                    store.finish(kept);
+                    store.markCompleted(kept);
                     return true;
                 }
                 case "LEAVE" -> {
-                    store.drop(kept);
+                    store.dropReplica(kept);
                     return true;
                 }
                 case "AWAY" -> {
                     // As though it were heard of until then; only whether to try depends on it.
-                    kept.heardAt += Math.max(0, Math.min(line.get("back_ms").getAsLong(), MOST_AWAY_MS)) * 1_000_000;
+                    kept.heardAtNanos +=
+                            Math.max(0, Math.min(line.get("back_ms").getAsLong(), MOST_AWAY_MS)) * 1_000_000;
                     return true;
                 }
                 default -> {}
             }
             JsonObject answer = ReplicationMessages.of(
                     copied(line, from, kept, term, context.channel()) ? "HAVE" : "LACKS", self, estate, term);
-            answer.addProperty("number", kept.holding.copy().number());
-            answer.addProperty("counts", kept.holding.counts());
+            answer.addProperty("number", kept.state.logPosition().index());
+            answer.addProperty("counts", kept.state.isVoter());
             if (!word.equals("WHOLE")
                     || line.get("last").getAsBoolean()
                     || answer.get("word").getAsString().equals("LACKS")) {
@@ -298,44 +299,45 @@
     private boolean copied(JsonObject line, String from, ReplicaStore.StoredReplica kept, long term, Channel on) {
         if (line.has("had")) {
             ReplicaState reminded =
-                    kept.holding.reminded(term, from, line.get("had").getAsLong());
-            if (reminded != kept.holding) {
-                Log.warn("survival: this folder is older than what it promised of " + kept.estate
+                    kept.state.withAcknowledged(term, from, line.get("had").getAsLong());
+            if (reminded != kept.state) {
+                Log.warn("survival: this folder is older than what it promised of " + kept.journalId
                         + ": no holder until it has a copy");
-                if (!store.promise(kept, reminded)) {
+                if (!store.persistState(kept, reminded)) {
                     return false;
                 }
             }
         }
         if (line.get("word").getAsString().equals("WHOLE")) {
-            if (!store.part(kept, line.get("first").getAsBoolean(), term, ReplicationMessages.batches(line), on)) {
+            if (!store.stageSnapshot(
+                    kept, line.get("first").getAsBoolean(), term, ReplicationMessages.batches(line), on)) {
                 return false;
             }
             if (line.get("last").getAsBoolean()) {
-                kept.group = ReplicationMessages.group(line);
-                boolean named = kept.group.holders().contains(self);
-                return store.whole(
+                kept.replicaSet = ReplicationMessages.group(line);
+                boolean named = kept.replicaSet.members().contains(self);
+                return store.installSnapshot(
                         kept,
-                        kept.holding
-                                .whole(term, from, line.get("upto").getAsLong(), named)
-                                .named(named));
+                        kept.state
+                                .onSnapshot(term, from, line.get("upto").getAsLong(), named)
+                                .onReplicaSet(named));
             }
             return true;
         }
         long behind = line.get("behind").getAsLong();
         long upTo = line.get("upto").getAsLong();
-        if (kept.copyFrom != on || !kept.holding.copy().equals(new LogPosition(term, behind))) {
+        if (kept.appendSource != on || !kept.state.logPosition().equals(new LogPosition(term, behind))) {
             return false;
         }
         if (line.has("holders")) {
-            kept.group = ReplicationMessages.group(line);
+            kept.replicaSet = ReplicationMessages.group(line);
         }
-        ReplicaState next = kept.holding
-                .copied(term, from, behind, upTo)
-                .named(kept.group.holders().contains(self));
+        ReplicaState next = kept.state
+                .onAppend(term, from, behind, upTo)
+                .onReplicaSet(kept.replicaSet.members().contains(self));
         return upTo == behind
-                ? store.promise(kept, next)
-                : store.changes(kept, next, ReplicationMessages.batches(line));
+                ? store.persistState(kept, next)
+                : store.append(kept, next, ReplicationMessages.batches(line));
     }
 
     private void claimed(
@@ -343,30 +345,30 @@
         LogPosition theirs = new LogPosition(
                 line.get("copy_term").getAsLong(), line.get("copy_number").getAsLong());
         ReplicaState now = now(kept);
-        ReplicaState next = now.asked(term, from, theirs);
-        boolean yes = next.granted(term, from);
+        ReplicaState next = now.onVoteRequest(term, from, theirs);
+        boolean yes = next.hasGranted(term, from);
         boolean former = false;
         if (line.get("try").getAsBoolean()) {
-            former = from.equals(kept.origin()) && theirs.equals(LogPosition.NONE) && formerOpen(kept, from);
+            former = from.equals(kept.originalOwner()) && theirs.equals(LogPosition.NONE) && formerOpen(kept, from);
             yes &= !former && (from.equals(now.owner()) || !hears(kept));
         } else if (yes) {
-            yes = store.promise(kept, next);
+            yes = store.persistState(kept, next);
             if (yes) {
-                attempts.remove(kept.estate);
+                attempts.remove(kept.journalId);
             }
             // Whoever was granted it has time to begin.
-            kept.heardAt = yes ? System.nanoTime() : kept.heardAt;
+            kept.heardAtNanos = yes ? System.nanoTime() : kept.heardAtNanos;
         }
         JsonObject answer = ReplicationMessages.of(
-                yes ? "GRANT" : "DENY", self, kept.estate, Math.max(now.term(), kept.holding.term()));
+                yes ? "GRANT" : "DENY", self, kept.journalId, Math.max(now.term(), kept.state.term()));
         answer.addProperty("asked", term);
         answer.addProperty("former", former);
-        answer.addProperty("ahead", now.counts() && now.copy().compareTo(theirs) > 0);
+        answer.addProperty("ahead", now.isVoter() && now.logPosition().compareTo(theirs) > 0);
         JournalReplicator running = copying(kept);
-        boolean lost = yes && !line.get("try").getAsBoolean() && kept.open;
+        boolean lost = yes && !line.get("try").getAsBoolean() && kept.runningHere;
         if (lost && running != null) {
             // Before it is said: from here on nothing more of it is agreed on here.
-            running.end();
+            running.endTerm();
         }
         context.writeAndFlush(PeerMessageCodec.bytes(answer)).addListener(sent -> {
             if (lost) {
@@ -385,22 +387,23 @@
         boolean open = false;
         for (ReplicaStore.StoredReplica kept : store.all().values()) {
             if (kept == fresh
-                    || kept.done
-                    || !kept.origin().equals(origin)
-                    || kept.copy.isEmpty() && !kept.open
-                    || !kept.open && now - kept.heardAt > host.longestLife() * 1_000_000 + LONG_SILENT_NANOS) {
+                    || kept.completed
+                    || !kept.originalOwner().equals(origin)
+                    || kept.copyFolderName.isEmpty() && !kept.runningHere
+                    || !kept.runningHere
+                            && now - kept.heardAtNanos > host.maxMessageLifeMillis() * 1_000_000 + LONG_SILENT_NANOS) {
                 continue;
             }
-            if (kept.open) {
-                RunningFailover care = cares.get(kept.estate);
-                open |= care == null || care.taker == null || !care.taker.heldBy(origin);
-            } else if (kept.holding.owner().equals(origin)) {
+            if (kept.runningHere) {
+                RunningFailover care = cares.get(kept.journalId);
+                open |= care == null || care.taker == null || !care.taker.isHeldBy(origin);
+            } else if (kept.state.owner().equals(origin)) {
                 // It says itself that it has it no more: nobody need wait until that is noticed.
-                kept.heardAt = Math.min(kept.heardAt, now - LONG_SILENT_NANOS);
+                kept.heardAtNanos = Math.min(kept.heardAtNanos, now - LONG_SILENT_NANOS);
                 open = true;
             } else {
                 // Its new owner tells by itself, as long as it is there.
-                open |= probes.view().gone(kept.holding.owner());
+                open |= probes.view().hasFailed(kept.state.owner());
             }
         }
         return open;
@@ -408,14 +411,14 @@
 
     /** Somebody else has a later term, which is kept: what was owned here is not begun again by itself. */
     private void lose(ReplicaStore.StoredReplica kept, long term, String owner) {
-        store.promise(kept, now(kept).heard(term, owner));
+        store.persistState(kept, now(kept).onLeader(term, owner));
         lose(kept, "owned by " + owner + " in term " + term);
     }
 
     private void lose(ReplicaStore.StoredReplica kept, String why) {
         JournalReplicator running = copying(kept);
         if (running != null) {
-            running.end();
+            running.endTerm();
         }
         if (kept == own) {
             if (!over) {
@@ -424,11 +427,11 @@
             }
             return;
         }
-        RunningFailover care = cares.remove(kept.estate);
+        RunningFailover care = cares.remove(kept.journalId);
         if (care != null && care.taker != null) {
-            Log.warn("survival: " + kept.estate + " goes on elsewhere: " + why);
+            Log.warn("survival: " + kept.journalId + " goes on elsewhere: " + why);
             care.taker.stop();
-            store.takeBack(kept);
+            store.reclaimLog(kept);
         }
     }
 
@@ -443,7 +446,7 @@
         }
         long now = System.nanoTime();
         for (ReplicaStore.StoredReplica kept : List.copyOf(store.all().values())) {
-            if (!attempts.containsKey(kept.estate) && wanted(kept, now)) {
+            if (!attempts.containsKey(kept.journalId) && wanted(kept, now)) {
                 claim(kept, true, 0);
             }
         }
@@ -452,57 +455,57 @@
     }
 
     private boolean wanted(ReplicaStore.StoredReplica kept, long now) {
-        if (kept.done || now - kept.pausedUntil < 0) {
+        if (kept.completed || now - kept.electionPausedUntilNanos < 0) {
             return false;
         }
         if (kept == own) {
-            return copying.tenure() == null && chosen != null;
+            return copying.leaderTerm() == null && chosen != null;
         }
-        if (kept.open
-                || kept.copy.isEmpty()
-                || !kept.holding.counts()
-                || kept.group == null
-                || !kept.group.holders().contains(self)) {
+        if (kept.runningHere
+                || kept.copyFolderName.isEmpty()
+                || !kept.state.isVoter()
+                || kept.replicaSet == null
+                || !kept.replicaSet.members().contains(self)) {
             return false;
         }
-        String owner = kept.holding.owner();
-        long silent = now - kept.heardAt;
+        String owner = kept.state.owner();
+        long silent = now - kept.heardAtNanos;
         ElectionSchedule.OwnerObservation seen = new ElectionSchedule.OwnerObservation(
-                owner.equals(self), probes.view().gone(owner), silent);
-        return ElectionSchedule.shouldTry(seen, SILENT_NANOS, LONG_SILENT_NANOS);
+                owner.equals(self), probes.view().hasFailed(owner), silent);
+        return ElectionSchedule.shouldStartElection(seen, SILENT_NANOS, LONG_SILENT_NANOS);
     }
 
     /** A first question to the group, or, where that was answered by a majority, the claim itself, on disk before it is said. */
     private void claim(ReplicaStore.StoredReplica kept, boolean trying, long least) {
         ReplicaState now = now(kept);
-        ReplicaState next = now.asked(Math.max(least, now.term() + 1), self, now.copy());
-        ReplicaSet group = kept == own ? chosen : kept.group;
-        if (!next.granted(next.term(), self)) {
+        ReplicaState next = now.onVoteRequest(Math.max(least, now.term() + 1), self, now.logPosition());
+        ReplicaSet group = kept == own ? chosen : kept.replicaSet;
+        if (!next.hasGranted(next.term(), self)) {
             // Its own promises are not here any more: the others have what was agreed on, and one of them goes on with
             // it.
-            kept.pausedUntil = System.nanoTime() + LONG_SILENT_NANOS;
+            kept.electionPausedUntilNanos = System.nanoTime() + LONG_SILENT_NANOS;
             if (kept == own) {
                 lose(own, "this folder has lost what it promised");
             }
             return;
         }
-        if (!trying && !store.promise(kept, next)) {
-            attempts.remove(kept.estate);
+        if (!trying && !store.persistState(kept, next)) {
+            attempts.remove(kept.journalId);
             return;
         }
         Attempt attempt = new Attempt(kept, new Candidacy(self, group, next));
         attempt.trying = trying;
-        attempts.put(kept.estate, attempt);
+        attempts.put(kept.journalId, attempt);
         ask(attempt);
     }
 
     private void attempt(Attempt a, long now) {
-        boolean birth = a.trying && a.claim.copy().equals(LogPosition.NONE);
-        String owner = a.kept.holding.owner();
+        boolean birth = a.trying && a.claim.logPosition().equals(LogPosition.NONE);
+        String owner = a.kept.state.owner();
         // An owner that is there is waited for as well: it may have more than all who have answered, should a folder be
         // an old one.
-        boolean waits = a.claim.unanswered().stream()
-                .anyMatch(h -> (birth || h.equals(owner)) && !probes.view().gone(h));
+        boolean waits = a.claim.pendingVoters().stream()
+                .anyMatch(h -> (birth || h.equals(owner)) && !probes.view().hasFailed(h));
         if (a.trying && (birth || a.kept != own) && waits && !a.former && now - a.since < WORD_NANOS) {
             if (now - a.askedAt > ASK_NANOS) {
                 ask(a);
@@ -510,10 +513,10 @@
         } else if (a.kept != own && a.trying && a.ahead) {
             // Whoever has more, and counts, is the one to go on with it: this copy is behind, or its folder an old one
             // put back.
-            attempts.remove(a.kept.estate);
-            a.kept.pausedUntil = now + (long) (ASK_NANOS * (1 + random.nextDouble()));
-        } else if (a.claim.won() && !a.former) {
-            attempts.remove(a.kept.estate);
+            attempts.remove(a.kept.journalId);
+            a.kept.electionPausedUntilNanos = now + (long) (ASK_NANOS * (1 + random.nextDouble()));
+        } else if (a.claim.hasWon() && !a.former) {
+            attempts.remove(a.kept.journalId);
             if (a.trying && !a.byHand && !wanted(a.kept, now)) {
                 // Its owner was heard of meanwhile.
                 return;
@@ -523,9 +526,9 @@
             } else {
                 won(a);
             }
-        } else if (a.former || a.claim.lost() || now - a.since > CLAIM_NANOS) {
-            attempts.remove(a.kept.estate);
-            a.kept.pausedUntil = now + random.nextInt(PAUSE_MS) * 1_000_000L;
+        } else if (a.former || a.claim.hasLost() || now - a.since > CLAIM_NANOS) {
+            attempts.remove(a.kept.journalId);
+            a.kept.electionPausedUntilNanos = now + random.nextInt(PAUSE_MS) * 1_000_000L;
             if (a.kept == own && a.ahead) {
                 // Somebody has more of it than this folder: an old folder was put back, or another owned it meanwhile.
                 lose(own, "others have more of it than this folder, which is older or was taken over");
@@ -537,11 +540,11 @@
 
     private void ask(Attempt a) {
         a.askedAt = System.nanoTime();
-        JsonObject line = ReplicationMessages.of("CLAIM", self, a.kept.estate, a.claim.term());
+        JsonObject line = ReplicationMessages.of("CLAIM", self, a.kept.journalId, a.claim.term());
         line.addProperty("try", a.trying);
-        line.addProperty("copy_term", a.claim.copy().term());
-        line.addProperty("copy_number", a.claim.copy().number());
-        for (String holder : a.claim.unanswered()) {
+        line.addProperty("copy_term", a.claim.logPosition().term());
+        line.addProperty("copy_number", a.claim.logPosition().index());
+        for (String holder : a.claim.pendingVoters()) {
             if (peers.containsKey(holder)) {
                 new Bootstrap()
                         .group(loop)
@@ -582,13 +585,13 @@
                     .getAsJsonObject();
             attempt.ahead |= line.get("ahead").getAsBoolean();
             attempt.former |= line.get("former").getAsBoolean();
-            attempt.claim.answered(
+            attempt.claim.onVote(
                     holder,
                     line.get("asked").getAsLong(),
                     line.get("word").getAsString().equals("GRANT"),
                     line.get("term").getAsLong());
             context.close();
-            if (attempts.get(attempt.kept.estate) == attempt) {
+            if (attempts.get(attempt.kept.journalId) == attempt) {
                 attempt(attempt, System.nanoTime());
             }
         }
@@ -601,37 +604,37 @@
 
     private void won(Attempt a) {
         ReplicaStore.StoredReplica kept = a.kept;
-        if (!kept.holding.granted(a.claim.term(), self)) {
+        if (!kept.state.hasGranted(a.claim.term(), self)) {
             return;
         }
         if (kept == own) {
-            if (copying.begin(a.claim.term(), a.claim.copy(), a.claim.group())) {
-                Log.warn("survival: owns " + kept.estate + " in term " + a.claim.term() + ", held by "
-                        + a.claim.group().holders());
+            if (copying.startTerm(a.claim.term(), a.claim.logPosition(), a.claim.replicaSet())) {
+                Log.warn("survival: owns " + kept.journalId + " in term " + a.claim.term() + ", held by "
+                        + a.claim.replicaSet().members());
             }
             return;
         }
         RunningFailover care = new RunningFailover(new ReplicaSetChange(self, copies, replaceNanos));
-        cares.put(kept.estate, care);
-        String before = kept.holding.owner();
-        Path folder = store.lend(kept);
-        Log.warn("survival: takes over " + kept.estate + " in term " + a.claim.term());
+        cares.put(kept.journalId, care);
+        String before = kept.state.owner();
+        Path folder = store.lendLog(kept);
+        Log.warn("survival: takes over " + kept.journalId + " in term " + a.claim.term());
         new Thread(
                         () -> {
                             Failover taker = null;
                             try {
-                                taker = host.takeOver(kept, folder, a.claim.term());
+                                taker = host.startFailover(kept, folder, a.claim.term());
                             } catch (IOException | RuntimeException e) {
-                                Log.warn("survival: cannot go on with " + kept.estate + " of " + before + ": " + e);
+                                Log.warn("survival: cannot go on with " + kept.journalId + " of " + before + ": " + e);
                             }
                             Failover there = taker;
                             loop.execute(() -> {
                                 if (there == null) {
-                                    cares.remove(kept.estate, care);
-                                    kept.pausedUntil = System.nanoTime() + LONG_SILENT_NANOS;
-                                    if (kept.open) {
+                                    cares.remove(kept.journalId, care);
+                                    kept.electionPausedUntilNanos = System.nanoTime() + LONG_SILENT_NANOS;
+                                    if (kept.runningHere) {
                                         // Unless it was lost meanwhile, which has closed its journal already.
-                                        store.takeBack(kept);
+                                        store.reclaimLog(kept);
                                     }
                                 } else {
                                     care.taken = there.journal().live().size();
@@ -643,17 +646,18 @@
     }
 
     /** To be called on the event loop as soon as the journal of an estate is open, before anything of it is resumed. */
-    public JournalReplicator carry(ReplicaStore.StoredReplica kept, Failover taker, long term) throws IOException {
-        if (!cares.containsKey(kept.estate)) {
+    public JournalReplicator startReplication(ReplicaStore.StoredReplica kept, Failover taker, long term)
+            throws IOException {
+        if (!cares.containsKey(kept.journalId)) {
             throw new IOException("the term is over");
         }
         LogPosition at = ReplicationMessages.place(taker.journal().place());
         JournalReplicator running = new JournalReplicator(
-                loop, self, kept.estate, taker.journal(), peers, (t, owner) -> lose(kept, t, owner));
+                loop, self, kept.journalId, taker.journal(), peers, (t, owner) -> lose(kept, t, owner));
         taker.journal().copyTo(running);
-        cares.get(kept.estate).taker = taker;
-        if (!kept.holding.granted(term, self)
-                || !running.begin(
+        cares.get(kept.journalId).taker = taker;
+        if (!kept.state.hasGranted(term, self)
+                || !running.startTerm(
                         term, at, ReplicationMessages.group(taker.journal().holders()))) {
             running.close();
             throw new IOException("the term is over");
@@ -662,21 +666,21 @@
     }
 
     private void look(String estate, RunningFailover care, long now) {
-        if (care.taker == null || care.taker.copying() == null) {
+        if (care.taker == null || care.taker.replicator() == null) {
             return;
         }
-        if (!care.taker.idle()) {
+        if (!care.taker.isIdle()) {
             care.idleSince = -1;
         } else if (care.idleSince < 0) {
             care.idleSince = now;
             Log.warn("survival: nothing is owed of " + estate + " any more");
-        } else if (now - care.idleSince > host.longestLife() * 1_000_000) {
+        } else if (now - care.idleSince > host.maxMessageLifeMillis() * 1_000_000) {
             // Nobody may come again with one of its ids from here on.
-            care.taker.copying().done();
+            care.taker.replicator().announceCompletion();
             cares.remove(estate);
             care.taker.stop();
-            store.finish(store.of(estate));
-            store.of(estate).open = false;
+            store.markCompleted(store.findOrCreate(estate));
+            store.findOrCreate(estate).runningHere = false;
         }
     }
 
@@ -691,12 +695,12 @@
             SwimMembership view = probes.view();
             chosen = new ReplicaSet(
                     0,
-                    ElectionSchedule.holders(
+                    ElectionSchedule.chooseReplicas(
                             self,
-                            view.zone(self),
+                            view.zoneOf(self),
                             copies,
                             alive.stream().map(MembershipView.Member::name).toList(),
-                            view::zone));
+                            view::zoneOf));
         }
     }
 
@@ -706,15 +710,15 @@
         }
         regroup(copying, regrouping);
         cares.values().forEach(care -> {
-            if (care.taker != null && care.taker.copying() != null) {
-                regroup(care.taker.copying(), care.regrouping);
+            if (care.taker != null && care.taker.replicator() != null) {
+                regroup(care.taker.replicator(), care.regrouping);
             }
         });
     }
 
     private void regroup(JournalReplicator running, ReplicaSetChange decides) {
-        LeaderTerm tenure = running.tenure();
-        if (tenure == null || !running.ready() || !tenure.settled()) {
+        LeaderTerm tenure = running.leaderTerm();
+        if (tenure == null || !running.isReady() || !tenure.isReplicaSetCommitted()) {
             return;
         }
         long now = System.nanoTime();
@@ -723,22 +727,23 @@
                 .filter(MembershipView.Member::alive)
                 .map(MembershipView.Member::name)
                 .toList();
-        ReplicaSetChange.Step step = decides.next(
+        ReplicaSetChange.Step step = decides.nextStep(
                 now,
-                tenure.group(),
-                new ReplicaSetChange.View(swim::gone, running::fresh, running::taught, alive, swim::zone));
+                tenure.replicaSet(),
+                new ReplicaSetChange.View(
+                        swim::hasFailed, running::hasLostState, running::isCaughtUp, alive, swim::zoneOf));
         switch (step.kind()) {
-            case WITHOUT -> {
-                Log.warn("survival: " + step.name()
-                        + (running.fresh(step.name())
+            case REMOVE -> {
+                Log.warn("survival: " + step.member()
+                        + (running.hasLostState(step.member())
                                 ? " has lost its folder and is no holder until it" + " has a copy again"
                                 : " is away and holds no copy any more"));
-                running.regroup(tenure.group().without(step.name()));
+                running.changeReplicaSet(tenure.replicaSet().withoutMember(step.member()));
             }
-            case TEACH -> running.teach(step.name());
-            case WITH -> {
-                if (running.regroup(tenure.group().with(step.name()))) {
-                    Log.warn("survival: " + step.name() + " holds copies from now on");
+            case CATCH_UP -> running.startCatchUp(step.member());
+            case ADD -> {
+                if (running.changeReplicaSet(tenure.replicaSet().withMember(step.member()))) {
+                    Log.warn("survival: " + step.member() + " holds copies from now on");
                 }
             }
             default -> {}
@@ -748,38 +753,40 @@
     // ---- For operators. ----
 
     /** All estates that are known here, as the control socket tells them. */
-    public JsonArray list() {
+    public JsonArray describeReplicas() {
         JsonArray out = new JsonArray();
         for (ReplicaStore.StoredReplica kept : store.all().values()) {
             JsonObject one = new JsonObject();
             ReplicaState now = now(kept);
-            one.addProperty("estate", kept.estate);
+            one.addProperty("estate", kept.journalId);
             one.addProperty("owner", now.owner());
             one.addProperty("term", now.term());
             one.addProperty(
                     "here",
-                    kept.done
+                    kept.completed
                             ? "done"
                             : kept == own
                                     ? "own"
-                                    : kept.open ? "taken over" : kept.copy.isEmpty() ? "promised" : "copy");
-            one.addProperty("number", kept.done ? 0 : now.copy().number());
+                                    : kept.runningHere
+                                            ? "taken over"
+                                            : kept.copyFolderName.isEmpty() ? "promised" : "copy");
+            one.addProperty("number", kept.completed ? 0 : now.logPosition().index());
             JournalReplicator running = copying(kept);
-            ReplicaSet group = running != null && running.tenure() != null
-                    ? running.tenure().group()
-                    : kept.group;
-            one.add("holders", PeerMessageCodec.names(group == null ? List.of() : group.holders()));
-            if (running != null && running.tenure() != null) {
+            ReplicaSet group = running != null && running.leaderTerm() != null
+                    ? running.leaderTerm().replicaSet()
+                    : kept.replicaSet;
+            one.add("holders", PeerMessageCodec.names(group == null ? List.of() : group.members()));
+            if (running != null && running.leaderTerm() != null) {
                 JsonObject behind = new JsonObject();
-                running.tenure()
-                        .group()
-                        .holders()
-                        .forEach(h -> behind.addProperty(h, running.tenure().behind(h)));
+                running.leaderTerm()
+                        .replicaSet()
+                        .members()
+                        .forEach(h -> behind.addProperty(h, running.leaderTerm().replicationLag(h)));
                 one.add("behind", behind);
-                one.addProperty("ready", running.ready());
-                one.addProperty("not_in_time", running.late());
+                one.addProperty("ready", running.isReady());
+                one.addProperty("not_in_time", running.lateEffects());
             }
-            RunningFailover care = cares.get(kept.estate);
+            RunningFailover care = cares.get(kept.journalId);
             if (care != null) {
                 one.addProperty("taken", care.taken);
                 one.addProperty("for_ms", (System.nanoTime() - care.took) / 1_000_000);
@@ -793,38 +800,45 @@
      * An operator wants this daemon to let go of an estate that it has taken over: another holder tries for it, and this one only
      * where nobody has after a while. Null, or why it cannot.
      */
-    public String release(String estate) {
+    public String releaseFailover(String estate) {
         RunningFailover care = cares.get(estate);
-        if (care == null || care.taker == null || care.taker.copying() == null) {
-            return estate.equals(own.estate)
+        if (care == null || care.taker == null || care.taker.replicator() == null) {
+            return estate.equals(own.journalId)
                     ? "it is this daemon's own: stop it for good instead"
                     : "it does not go on here";
         }
-        ReplicaStore.StoredReplica kept = store.of(estate);
-        List<String> others = care.taker.copying().tenure().group().holders().stream()
-                .filter(h -> !h.equals(self) && care.taker.copying().tenure().behind(h) == 0)
+        ReplicaStore.StoredReplica kept = store.findOrCreate(estate);
+        List<String> others = care.taker.replicator().leaderTerm().replicaSet().members().stream()
+                .filter(h ->
+                        !h.equals(self) && care.taker.replicator().leaderTerm().replicationLag(h) == 0)
                 .toList();
         if (others.isEmpty()) {
             return "no other holder has all of it just now";
         }
         Log.warn("survival: lets go of " + estate + " as asked; " + others + " have all of it");
         // What is not agreed on has no effect from here on, and its holders hear of it no more.
-        care.taker.copying().end();
+        care.taker.replicator().endTerm();
         cares.remove(estate);
         care.taker.stop();
-        store.takeBack(kept);
-        kept.pausedUntil = System.nanoTime() + RELEASED_NANOS;
+        store.reclaimLog(kept);
+        kept.electionPausedUntilNanos = System.nanoTime() + RELEASED_NANOS;
         return null;
     }
 
     /** An operator wants this daemon to try for an estate now; null, or why it cannot. */
-    public String take(String estate) {
+    public String requestFailover(String estate) {
         ReplicaStore.StoredReplica kept = store.all().get(estate);
-        if (kept == null || kept.done || kept.copy.isEmpty() || kept.open || !kept.holding.counts()) {
-            return kept == null ? "no such estate here" : kept.open ? "it goes on here" : "there is no copy of it here";
+        if (kept == null
+                || kept.completed
+                || kept.copyFolderName.isEmpty()
+                || kept.runningHere
+                || !kept.state.isVoter()) {
+            return kept == null
+                    ? "no such estate here"
+                    : kept.runningHere ? "it goes on here" : "there is no copy of it here";
         }
         if (hears(kept)) {
-            return "its owner " + kept.holding.owner() + " was heard of just now";
+            return "its owner " + kept.state.owner() + " was heard of just now";
         }
         if (!attempts.containsKey(estate)) {
             claim(kept, true, 0);
--- a/sender/src/main/java/amberroute/sender/peer/ReplicationMessages.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationMessages.java
@@ -42,7 +42,7 @@
     }
 
     public static void add(JsonObject line, ReplicaSet group) {
-        line.add("holders", PeerMessageCodec.names(group.holders()));
+        line.add("holders", PeerMessageCodec.names(group.members()));
         line.addProperty("version", group.version());
     }
 
@@ -63,7 +63,7 @@
     public static byte[] place(LogPosition at) {
         return Journal.bytes(out -> {
             out.writeLong(at.term());
-            out.writeLong(at.number());
+            out.writeLong(at.index());
         });
     }
 
@@ -80,8 +80,8 @@
         return Journal.bytes(out -> {
             out.writeUTF(estate);
             out.writeLong(group.version());
-            out.writeByte(group.holders().size());
-            for (String holder : group.holders()) {
+            out.writeByte(group.members().size());
+            for (String holder : group.members()) {
                 out.writeUTF(holder);
             }
         });
--- a/sender/src/main/java/amberroute/sender/peer/SupersededReplicas.java
+++ b/sender/src/main/java/amberroute/sender/peer/SupersededReplicas.java
@@ -21,7 +21,7 @@
     private SupersededReplicas() {}
 
     /** The journal in this folder is not to be opened again. */
-    public static void mark(Path folder) {
+    public static void markSuperseded(Path folder) {
         try {
             Files.writeString(folder.resolve(MARK), "taken over\n");
         } catch (IOException e) {
@@ -31,7 +31,7 @@
     }
 
     /** Moves a marked journal aside, so that the folder begins anew. */
-    public static void putAside(Path folder) throws IOException {
+    public static void setAside(Path folder) throws IOException {
         if (!Files.exists(folder.resolve(MARK))) {
             return;
         }
--- a/sender/src/main/java/amberroute/sender/peer/SwimTransport.java
+++ b/sender/src/main/java/amberroute/sender/peer/SwimTransport.java
@@ -51,11 +51,11 @@
     }
 
     /** Begins, on a socket that passes on what it hears; on the event loop. */
-    public void begin(Channel shared) {
+    public void start(Channel shared) {
         channel = shared;
         loop.scheduleWithFixedDelay(
                 () -> {
-                    swim.phase(phase.get());
+                    swim.setPhase(phase.get());
                     send(swim.tick(clock.getAsLong()));
                 },
                 0,
@@ -64,10 +64,10 @@
     }
 
     /** A datagram that is no heartbeat. */
-    public void heard(DatagramPacket packet) {
-        SwimMessage probe = SwimMessage.read(packet.content().nioBuffer());
-        if (probe != null && packet.sender().equals(peers.get(probe.from()))) {
-            send(swim.heard(clock.getAsLong(), probe));
+    public void onDatagram(DatagramPacket packet) {
+        SwimMessage probe = SwimMessage.decode(packet.content().nioBuffer());
+        if (probe != null && packet.sender().equals(peers.get(probe.sender()))) {
+            send(swim.onMessage(clock.getAsLong(), probe));
         }
     }
 
@@ -75,7 +75,7 @@
         for (SwimMembership.OutgoingMessage o : out) {
             if (channel != null && channel.isActive()) {
                 channel.writeAndFlush(
-                        new DatagramPacket(Unpooled.wrappedBuffer(o.probe().write()), peers.get(o.to())));
+                        new DatagramPacket(Unpooled.wrappedBuffer(o.message().encode()), peers.get(o.recipient())));
             }
         }
     }
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -113,13 +113,13 @@
                             }
 
                             @Override
-                            public ReplicationCoordinator.Failover takeOver(
+                            public ReplicationCoordinator.Failover startFailover(
                                     ReplicaStore.StoredReplica kept, Path copy, long term) throws IOException {
                                 throw new IOException("not in this test");
                             }
 
                             @Override
-                            public long longestLife() {
+                            public long maxMessageLifeMillis() {
                                 return 1_000;
                             }
                         }))
@@ -143,7 +143,7 @@
 
     /** The answer to a word, null for none. */
     private JsonObject say(EmbeddedChannel on, String from, JsonObject line) throws Exception {
-        assertTrue(loop.submit(() -> survival.heard(on.pipeline().firstContext(), line, from))
+        assertTrue(loop.submit(() -> survival.handle(on.pipeline().firstContext(), line, from))
                 .sync()
                 .getNow());
         on.runPendingTasks();
@@ -162,7 +162,7 @@
         JsonObject line = ReplicationMessages.of("CLAIM", from, ESTATE, term);
         line.addProperty("try", trying);
         line.addProperty("copy_term", copy.term());
-        line.addProperty("copy_number", copy.number());
+        line.addProperty("copy_number", copy.index());
         return line;
     }
 
@@ -266,9 +266,9 @@
         line.addProperty("had", 8);
         assertFalse(say(connection, "two", line).get("counts").getAsBoolean());
         assertEquals("DENY", word("three", claim("three", 2, false, new LogPosition(1, 9))));
-        ReplicaSet without = THREE.without("one");
+        ReplicaSet without = THREE.withoutMember("one");
         assertFalse(say(connection, "two", whole(1, 10, without)).get("counts").getAsBoolean());
-        assertTrue(say(connection, "two", copy(1, 10, without.with("one")))
+        assertTrue(say(connection, "two", copy(1, 10, without.withMember("one")))
                 .get("counts")
                 .getAsBoolean());
         assertEquals("GRANT", word("three", claim("three", 2, false, new LogPosition(1, 11))));
@@ -299,7 +299,7 @@
         assertEquals("DENY", word("three", claim("three", 2, false, new LogPosition(1, 5))));
         assertEquals(
                 "there is no copy of it here",
-                loop.submit(() -> survival.take(ESTATE)).sync().getNow());
+                loop.submit(() -> survival.requestFailover(ESTATE)).sync().getNow());
         assertFalse(Files.list(config.state().resolve("copies").resolve(ESTATE)).anyMatch(Files::isDirectory));
     }
 
@@ -341,7 +341,7 @@
         listening.start();
         // Its own estate is known, so that its claims tell that it goes on trying.
         ReplicaStore store = new ReplicaStore(config.state().resolve("copies"), 1 << 20);
-        assertTrue(store.promise(store.of("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
+        assertTrue(store.persistState(store.findOrCreate("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
         journal.holders(ReplicationMessages.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
--- a/sender/src/test/java/amberroute/sender/GracefulShutdownTest.java
+++ b/sender/src/test/java/amberroute/sender/GracefulShutdownTest.java
@@ -81,11 +81,11 @@
     }
 
     private Heartbeat read(Predicate<Heartbeat> wanted) throws IOException {
-        byte[] bytes = new byte[Heartbeat.MOST_BYTES];
+        byte[] bytes = new byte[Heartbeat.MAX_DATAGRAM_BYTES];
         for (int i = 0; i < 200; i++) {
             DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
             peer.receive(packet);
-            Heartbeat beat = Heartbeat.read(ByteBuffer.wrap(bytes, 0, packet.getLength()));
+            Heartbeat beat = Heartbeat.decode(ByteBuffer.wrap(bytes, 0, packet.getLength()));
             if (beat != null && wanted.test(beat)) {
                 return beat;
             }
@@ -95,8 +95,8 @@
 
     private void tell(List<Heartbeat.SlowStartUpdate> news, List<Heartbeat.QuotaLoan> loans) throws IOException {
         Heartbeat beat = new Heartbeat("two", 1, ++number, MembershipView.Phase.READY, news, loans);
-        byte[] bytes = new byte[beat.write().remaining()];
-        beat.write().get(bytes);
+        byte[] bytes = new byte[beat.encode().remaining()];
+        beat.encode().get(bytes);
         InetSocketAddress to = sender.handOverAddress();
         peer.send(new DatagramPacket(bytes, bytes.length, to));
     }
@@ -139,30 +139,33 @@
     /** What it has no use for itself is lent to a peer that asks; a number that comes again gets nothing. */
     @Test
     void anIdleDaemonLendsItsPart() throws Exception {
-        read(beat -> beat.from().equals("one"));
+        read(beat -> beat.sender().equals("one"));
         Heartbeat.QuotaLoan ask = new Heartbeat.QuotaLoan(false, 7, 1_000, 0.5f);
         List<Heartbeat.QuotaLoan> answers = new ArrayList<>();
         // For a while after its start it may have lent all in an earlier life.
         await(() -> {
-            if (!answers.isEmpty() && answers.get(answers.size() - 1).part() > 0) {
+            if (!answers.isEmpty() && answers.get(answers.size() - 1).fraction() > 0) {
                 return true;
             }
             try {
-                tell(List.of(), List.of(new Heartbeat.QuotaLoan(false, 7, ask.number() + answers.size(), ask.part())));
+                tell(
+                        List.of(),
+                        List.of(new Heartbeat.QuotaLoan(
+                                false, 7, ask.requestNumber() + answers.size(), ask.fraction())));
                 answers.add(read(beat ->
-                                !beat.loans().isEmpty() && beat.loans().get(0).grant())
+                                !beat.loans().isEmpty() && beat.loans().get(0).granted())
                         .loans()
                         .get(0));
-                return answers.get(answers.size() - 1).part() > 0;
+                return answers.get(answers.size() - 1).fraction() > 0;
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        assertEquals(0.5f, answers.get(answers.size() - 1).part());
+        assertEquals(0.5f, answers.get(answers.size() - 1).fraction());
         assertTrue(answers.size() > 1, "it lent at once, though it may have lent all before its start");
-        long lent = answers.get(answers.size() - 1).number();
+        long lent = answers.get(answers.size() - 1).requestNumber();
         tell(List.of(), List.of(new Heartbeat.QuotaLoan(false, 7, lent, 0.5f)));
-        assertEquals(0, read(beat -> !beat.loans().isEmpty()).loans().get(0).part());
+        assertEquals(0, read(beat -> !beat.loans().isEmpty()).loans().get(0).fraction());
     }
 
     /** Its news tell what it saw; with more waiting than its part allows it asks its peer. */
@@ -170,17 +173,20 @@
     void itTellsWhatItSeesAndAsksForMore() throws Exception {
         tell(List.of(), List.of());
         hand(0, 16);
-        Heartbeat.QuotaLoan ask = read(beat -> beat.loans().stream().anyMatch(l -> !l.grant() && l.destination() == 7))
+        Heartbeat.QuotaLoan ask = read(beat ->
+                        beat.loans().stream().anyMatch(l -> !l.granted() && l.destination() == 7))
                 .loans()
                 .get(0);
-        assertTrue(ask.part() > 0);
-        Heartbeat.SlowStartUpdate news =
-                read(beat -> beat.news().stream().anyMatch(n -> n.destination() == 7 && n.okAgo() >= 0)).news().stream()
-                        .filter(n -> n.destination() == 7)
-                        .findFirst()
-                        .orElseThrow();
+        assertTrue(ask.fraction() > 0);
+        Heartbeat.SlowStartUpdate news = read(beat ->
+                        beat.updates().stream().anyMatch(n -> n.destination() == 7 && n.successAgoMillis() >= 0))
+                .updates()
+                .stream()
+                .filter(n -> n.destination() == 7)
+                .findFirst()
+                .orElseThrow();
         assertEquals(Health.SLOW_START, news.health());
-        assertTrue(news.waiting() > 0);
+        assertTrue(news.pendingMessages() > 0);
     }
 
     /** Datagrams that are no beats, from strangers, or a flood of them: the daemon goes on, and owes them nothing. */
@@ -198,8 +204,8 @@
                     MembershipView.Phase.READY,
                     List.of(new Heartbeat.SlowStartUpdate(7, Health.HEALTHY, -1, -1, 10, 50, 50, 0)),
                     List.of(new Heartbeat.QuotaLoan(false, 7, 5, 0.5f)));
-            byte[] bytes = new byte[forged.write().remaining()];
-            forged.write().get(bytes);
+            byte[] bytes = new byte[forged.encode().remaining()];
+            forged.encode().get(bytes);
             stranger.send(new DatagramPacket(bytes, bytes.length, to));
             for (int i = 0; i < 2_000; i++) {
                 byte[] noise = new byte[random.nextInt(2_000)];
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -388,7 +388,7 @@
                 "{}\n",
                 "{\"word\":\"YES\",\"lot\":\"a\",\"generation\":1,\"from\":\"b\"}\n",
                 "{\"word\":\"OFFER\",\"lot\":\"a\",\"generation\":2,\"from\":\"b\",\"messages\":[{}]}\n",
-                "x".repeat(HandoffCoordinator.LONGEST_LINE + 10))) {
+                "x".repeat(HandoffCoordinator.MAX_LINE_BYTES + 10))) {
             try (Socket socket = new Socket(
                     InetAddress.getLoopbackAddress(), heir.handOverAddress().getPort())) {
                 socket.setSoTimeout(10_000);
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -142,7 +142,7 @@
             AcceptedMessage ended = message(journal, "ended", "safe", 0, 7);
             journal.end(ended, ended.returned(0));
             AcceptedMessage offered = message(journal, "offered", "unsafe", 0, 7);
-            assertTrue(journal.lot("lot", Ownership.taken(), ended.deadline, List.of(offered)));
+            assertTrue(journal.lot("lot", Ownership.initial(), ended.deadline, List.of(offered)));
             assertTrue(journal.lot(
                     "lot", new Ownership(2, Ownership.Status.OFFERED, "elsewhere"), ended.deadline, List.of(offered)));
         }
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -154,7 +154,7 @@
             assertEquals(12_345, doubt.doubtSince);
             assertEquals("s-1", doubt.doubtAt);
             assertEquals("idem-doubt", doubt.idempotencyKey);
-            assertTrue(journal.lots().get("lot").ownership().mine());
+            assertTrue(journal.lots().get("lot").ownership().isOwned());
         }
     }
 
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -72,7 +72,7 @@
                 DeliveryScheduler.UpstreamStatus.UNAVAILABLE,
                 journal.memories().iterator().next().health());
         assertEquals("policy-order", journal.classes().get(1).name());
-        assertTrue(journal.holds().held(31) && !journal.holds().held(32));
+        assertTrue(journal.holds().isHeld(31) && !journal.holds().isHeld(32));
         assertTrue(journal.nextNumber()
                 > live.stream().mapToLong(m -> m.number).max().orElse(0));
     }
--- a/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
+++ b/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
@@ -390,7 +390,7 @@
     }
 
     private boolean roomForHolds(int more) {
-        return holds.fits(more)
+        return holds.hasCapacity(more)
                 && (holds.size() + more) * (long) HOLD_BYTES <= budget / HOLDS_SHARE
                 && 2 * (reserved + more * (long) HOLD_BYTES) + REWRITE_LEAST / 4 <= budget;
     }
@@ -887,8 +887,8 @@
                 out.write(defined(version.getKey(), version.getValue()));
             }
             Map<String, Map<Long, List<Long>>> kept = new LinkedHashMap<>();
-            holds.all().forEach(h -> kept.computeIfAbsent(h.origin(), o -> new LinkedHashMap<>())
-                    .computeIfAbsent(h.until(), u -> new ArrayList<>())
+            holds.allHolds().forEach(h -> kept.computeIfAbsent(h.origin(), o -> new LinkedHashMap<>())
+                    .computeIfAbsent(h.untilMillis(), u -> new ArrayList<>())
                     .add(h.key()));
             for (Map.Entry<String, Map<Long, List<Long>>> origin : kept.entrySet()) {
                 for (Map.Entry<Long, List<Long>> until : origin.getValue().entrySet()) {
--- a/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
@@ -110,10 +110,11 @@
                             Map.of("two", two.address(), "three", three.address()),
                             (term, owner) -> {});
                     journal.copyTo(copying);
-                    assertTrue(copying.begin(1, LogPosition.NONE, new ReplicaSet(0, List.of("one", "two", "three"))));
+                    assertTrue(
+                            copying.startTerm(1, LogPosition.NONE, new ReplicaSet(0, List.of("one", "two", "three"))));
                 })
                 .sync();
-        await(() -> two.whole && three.whole && call(copying::ready));
+        await(() -> two.whole && three.whole && call(copying::isReady));
     }
 
     @AfterEach
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -80,14 +80,14 @@
     }
 
     private static ReplicaStore.StoredReplica whole(ReplicaStore store, Owner owner, Object on) {
-        ReplicaStore.StoredReplica kept = store.of(ESTATE);
+        ReplicaStore.StoredReplica kept = store.findOrCreate(ESTATE);
         List<Batch> all = owner.journal.contents().stream()
                 .map(part -> part.get())
                 .filter(b -> !b.isEmpty())
                 .toList();
-        assertTrue(store.part(kept, true, 1, all, on));
-        assertTrue(store.part(kept, false, 1, List.of(owner.journal.placed()), on));
-        assertTrue(store.whole(kept, kept.holding.whole(1, "s1", owner.number, true)));
+        assertTrue(store.stageSnapshot(kept, true, 1, all, on));
+        assertTrue(store.stageSnapshot(kept, false, 1, List.of(owner.journal.placed()), on));
+        assertTrue(store.installSnapshot(kept, kept.state.onSnapshot(1, "s1", owner.number, true)));
         return kept;
     }
 
@@ -103,14 +103,14 @@
             owner.changes.clear();
             assertTrue(owner.journal.attempt(first, "p1", 5));
             owner.accept("second");
-            assertTrue(store.changes(kept, kept.holding.copied(1, "s1", had, owner.number), owner.changes));
+            assertTrue(store.append(kept, kept.state.onAppend(1, "s1", had, owner.number), owner.changes));
             store.close();
 
             ReplicaStore again = store();
             ReplicaStore.StoredReplica read = again.all().get(ESTATE);
-            assertEquals(new LogPosition(1, owner.number), read.holding.copy());
-            assertEquals(List.of("s1", "s2", "s3"), read.group.holders());
-            try (Journal copy = Journal.open(again.lend(read), BUDGET)) {
+            assertEquals(new LogPosition(1, owner.number), read.state.logPosition());
+            assertEquals(List.of("s1", "s2", "s3"), read.replicaSet.members());
+            try (Journal copy = Journal.open(again.lendLog(read), BUDGET)) {
                 assertEquals(
                         List.of("first", "second"),
                         copy.live().stream().map(m -> m.id).toList());
@@ -126,14 +126,14 @@
         try (Owner owner = new Owner()) {
             owner.accept("first");
             ReplicaStore store = store();
-            ReplicaStore.StoredReplica kept = store.of(ESTATE);
+            ReplicaStore.StoredReplica kept = store.findOrCreate(ESTATE);
             List<Batch> all = owner.journal.contents().stream()
                     .map(part -> part.get())
                     .filter(b -> !b.isEmpty())
                     .toList();
-            assertTrue(store.part(kept, true, 1, all, "new"));
-            assertFalse(store.part(kept, false, 1, all, "old"));
-            assertTrue(store.part(kept, false, 1, List.of(owner.journal.placed()), "new"));
+            assertTrue(store.stageSnapshot(kept, true, 1, all, "new"));
+            assertFalse(store.stageSnapshot(kept, false, 1, all, "old"));
+            assertTrue(store.stageSnapshot(kept, false, 1, List.of(owner.journal.placed()), "new"));
             store.close();
         }
     }
@@ -145,12 +145,12 @@
             ReplicaStore store = store();
             ReplicaStore.StoredReplica kept = whole(store, owner, this);
             // It came to a group that named it already: out and in again before it counts.
-            assertEquals(ReplicaState.NAMED, kept.holding.fresh());
-            assertTrue(store.promise(kept, kept.holding.named(false).named(true)));
-            assertTrue(store.promise(kept, kept.holding.asked(4, "s3", new LogPosition(2, 1))));
+            assertEquals(ReplicaState.LISTED_WITHOUT_STATE, kept.state.nonVotingStage());
+            assertTrue(store.persistState(kept, kept.state.onReplicaSet(false).onReplicaSet(true)));
+            assertTrue(store.persistState(kept, kept.state.onVoteRequest(4, "s3", new LogPosition(2, 1))));
             store.close();
             ReplicaStore again = store();
-            assertTrue(again.all().get(ESTATE).holding.granted(4, "s3"));
+            assertTrue(again.all().get(ESTATE).state.hasGranted(4, "s3"));
             Path copy = again.all().get(ESTATE).copyFolder();
             again.close();
             try (Stream<Path> files = Files.list(copy)) {
@@ -165,9 +165,9 @@
             }
             ReplicaStore damaged = store();
             ReplicaStore.StoredReplica read = damaged.all().get(ESTATE);
-            assertEquals(LogPosition.NONE, read.holding.copy());
-            assertFalse(read.holding.counts());
-            assertEquals(4, read.holding.term());
+            assertEquals(LogPosition.NONE, read.state.logPosition());
+            assertFalse(read.state.isVoter());
+            assertEquals(4, read.state.term());
             damaged.close();
         }
     }
@@ -177,14 +177,16 @@
         try (Owner owner = new Owner()) {
             ReplicaStore store = store();
             ReplicaStore.StoredReplica kept = whole(store, owner, this);
-            assertTrue(store.promise(kept, kept.holding.named(false).named(true)));
-            assertTrue(kept.holding.asked(9, "s1", new LogPosition(8, 1_000)).granted(9, "s1"));
-            store.finish(kept);
+            assertTrue(store.persistState(kept, kept.state.onReplicaSet(false).onReplicaSet(true)));
+            assertTrue(
+                    kept.state.onVoteRequest(9, "s1", new LogPosition(8, 1_000)).hasGranted(9, "s1"));
+            store.markCompleted(kept);
             store.close();
             ReplicaStore again = store();
-            ReplicaState holding = again.all().get(ESTATE).holding;
-            assertTrue(holding.counts());
-            assertFalse(holding.asked(9, "s1", new LogPosition(8, 1_000)).granted(9, "s1"));
+            ReplicaState holding = again.all().get(ESTATE).state;
+            assertTrue(holding.isVoter());
+            assertFalse(
+                    holding.onVoteRequest(9, "s1", new LogPosition(8, 1_000)).hasGranted(9, "s1"));
             again.close();
         }
     }
@@ -196,7 +198,7 @@
             owner.accept("first");
             ReplicaStore store = new ReplicaStore(folder.resolve("copies"), 96 << 10);
             ReplicaStore.StoredReplica kept = whole(store, owner, this);
-            LogPosition had = kept.holding.copy();
+            LogPosition had = kept.state.logPosition();
             AcceptedMessage large = new AcceptedMessage(
                     owner.journal.nextNumber(),
                     "large",
@@ -211,8 +213,9 @@
                     .map(part -> part.get())
                     .filter(b -> !b.isEmpty())
                     .toList();
-            assertFalse(store.part(kept, true, 1, all, this) && store.part(kept, false, 1, all, this));
-            assertEquals(had, kept.holding.copy());
+            assertFalse(
+                    store.stageSnapshot(kept, true, 1, all, this) && store.stageSnapshot(kept, false, 1, all, this));
+            assertEquals(had, kept.state.logPosition());
             store.close();
         }
     }
@@ -221,9 +224,9 @@
     void whatIsDoneLongestGivesWayToWhatIsNew() throws IOException {
         ReplicaStore store = new ReplicaStore(folder.resolve("copies"), BUDGET, 256);
         for (int i = 0; i < 300; i++) {
-            ReplicaStore.StoredReplica kept = store.of("s1.e" + i);
-            assertTrue(store.promise(kept, new ReplicaState(1, "s1", LogPosition.NONE)));
-            store.finish(kept);
+            ReplicaStore.StoredReplica kept = store.findOrCreate("s1.e" + i);
+            assertTrue(store.persistState(kept, new ReplicaState(1, "s1", LogPosition.NONE)));
+            store.markCompleted(kept);
         }
         assertTrue(store.all().size() <= 256
                 && store.all().containsKey("s1.e299")
