--- a/sender/src/main/java/amberroute/sender/peer/HeartbeatTransport.java
+++ b/sender/src/main/java/amberroute/sender/peer/HeartbeatTransport.java
@@ -18,91 +18,91 @@
 import java.util.function.Supplier;
 
 /**
- * Carries beats between daemons over UDP: who is there, what each sees of partners, and the lending of shares, and passes
- * the ceilings that follow on. What they mean is decided in {@code membership} and {@code shares}. A beat is taken from a
- * configured peer's address only; one that cannot be read is dropped without a word. Lives on the event loop.
+ * Carries heartbeats between daemons over UDP: who is alive, how each sees destinations, and quota loans, and passes on the rate limits that
+ * follow. What they mean is decided in {@code membership} and {@code quota}. A heartbeat is taken from a configured peer's address only;
+ * what cannot be read is dropped. Lives on the event loop.
  */
 public final class HeartbeatTransport {
-    private static final long STEP_MS = 50;
+    private static final long TICK_MILLIS = 50;
 
     private final EventLoop loop;
     private final String name;
     private final Map<String, InetSocketAddress> peers;
-    private final LongSupplier clock;
+    private final LongSupplier clockMicros;
     private final HeartbeatMonitor heartbeats;
     private final SlowStartLimits limits;
     private final Supplier<MembershipView.Phase> phase;
-    private final IntToDoubleFunction waiting;
-    private final Consumer<SlowStartLimits.RateLimit> ceilings;
+    private final IntToDoubleFunction pendingMessages;
+    private final Consumer<SlowStartLimits.RateLimit> rateLimits;
     private Channel channel;
-    private boolean newsDue;
-    /** Takes what is no beat; null where nobody wants it. */
-    private Consumer<DatagramPacket> others;
+    private boolean announcementDue;
+    /** Takes what is no heartbeat; null where nobody wants it. */
+    private Consumer<DatagramPacket> otherDatagrams;
 
-    /** {@code clock} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one. */
+    /** {@code clockMicros} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one. */
     public HeartbeatTransport(
             EventLoop loop,
             String name,
             Map<String, InetSocketAddress> peers,
-            LongSupplier clock,
+            LongSupplier clockMicros,
             long incarnation,
             SlowStartLimits limits,
             Supplier<MembershipView.Phase> phase,
-            IntToDoubleFunction waiting,
-            Consumer<SlowStartLimits.RateLimit> ceilings) {
+            IntToDoubleFunction pendingMessages,
+            Consumer<SlowStartLimits.RateLimit> rateLimits) {
         this.loop = loop;
         this.name = name;
         this.peers = Map.copyOf(peers);
-        this.clock = clock;
+        this.clockMicros = clockMicros;
         this.limits = limits;
         this.phase = phase;
-        this.waiting = waiting;
-        this.ceilings = ceilings;
+        this.pendingMessages = pendingMessages;
+        this.rateLimits = rateLimits;
         heartbeats = new HeartbeatMonitor(peers.keySet(), incarnation);
     }
 
-    /** Listens and begins to tell of this daemon. */
+    /** Listens and begins to announce this daemon; binds the socket, which stays its own. */
     public void listen(InetSocketAddress address) throws InterruptedException {
-        channel = PeerSocket.bind(loop, address, this::heard);
-        loop.scheduleWithFixedDelay(this::step, 0, STEP_MS, TimeUnit.MILLISECONDS);
+        channel = PeerSocket.bind(loop, address, this::onDatagram);
+        loop.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Shares the socket with whoever understands other datagrams; null before it listens. */
-    public Channel shareSocket(Consumer<DatagramPacket> with) {
-        others = with;
+    /** The socket, whose other datagrams {@code reader} gets from now on; null before it listens. */
+    public Channel shareSocket(Consumer<DatagramPacket> reader) {
+        otherDatagrams = reader;
         return channel;
     }
 
-    /** Who is there, as far as this daemon can tell. */
+    /** Who is alive, as far as this daemon can tell. */
     MembershipView view() {
         return heartbeats;
     }
 
-    /** Others had better hear at once of what was just found. */
+    /** Sends a heartbeat in this event loop iteration: peers need what was just found at once. */
     public void announceSoon() {
-        if (!newsDue) {
-            newsDue = true;
-            loop.execute(this::tellAll);
+        if (!announcementDue) {
+            announcementDue = true;
+            loop.execute(this::sendToAll);
         }
     }
 
-    private void step() {
-        long now = clock.getAsLong();
-        limits.changedLimits(now, waiting).forEach(ceilings);
+    private void tick() {
+        long now = clockMicros.getAsLong();
+        limits.changedLimits(now, pendingMessages).forEach(rateLimits);
         if (heartbeats.isDue(now)) {
-            tellAll();
+            sendToAll();
         }
-        limits.loanRequests(now, heartbeats).forEach(this::tell);
+        limits.loanRequests(now, heartbeats).forEach(this::sendLoans);
     }
 
-    private void tellAll() {
-        newsDue = false;
-        long now = clock.getAsLong();
-        Heartbeat beat = heartbeats.nextHeartbeat(now, name, phase.get(), limits.currentUpdates(now));
-        peers.values().forEach(address -> send(beat, address));
+    private void sendToAll() {
+        announcementDue = false;
+        long now = clockMicros.getAsLong();
+        Heartbeat heartbeat = heartbeats.nextHeartbeat(now, name, phase.get(), limits.currentUpdates(now));
+        peers.values().forEach(address -> send(heartbeat, address));
     }
 
-    private void tell(String peer, List<Heartbeat.QuotaLoan> loans) {
+    private void sendLoans(String peer, List<Heartbeat.QuotaLoan> loans) {
         for (int from = 0; from < loans.size(); from += Heartbeat.MAX_LOANS) {
             send(
                     heartbeats.nextHeartbeat(
@@ -111,34 +111,35 @@
         }
     }
 
-    private void send(Heartbeat beat, InetSocketAddress address) {
+    private void send(Heartbeat heartbeat, InetSocketAddress address) {
         if (channel != null && channel.isActive()) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(beat.encode()), address));
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(heartbeat.encode()), address));
         }
     }
 
+    /** Closes the socket. */
     public void close() {
         if (channel != null) {
             channel.close();
         }
     }
 
-    private void heard(DatagramPacket packet) {
-        Heartbeat beat = Heartbeat.decode(packet.content().nioBuffer());
-        if (beat == null && others != null) {
-            others.accept(packet);
+    private void onDatagram(DatagramPacket packet) {
+        Heartbeat heartbeat = Heartbeat.decode(packet.content().nioBuffer());
+        if (heartbeat == null && otherDatagrams != null) {
+            otherDatagrams.accept(packet);
         }
-        if (beat == null || !packet.sender().equals(peers.get(beat.sender()))) {
+        if (heartbeat == null || !packet.sender().equals(peers.get(heartbeat.sender()))) {
             return;
         }
-        long now = clock.getAsLong();
-        if (!heartbeats.onHeartbeat(now, beat)) {
+        long now = clockMicros.getAsLong();
+        if (!heartbeats.onHeartbeat(now, heartbeat)) {
             return;
         }
-        limits.onPeerUpdates(now, beat.sender(), beat.updates()).forEach(ceilings);
-        List<Heartbeat.QuotaLoan> answers = limits.onLoans(now, beat.sender(), beat.loans());
+        limits.onPeerUpdates(now, heartbeat.sender(), heartbeat.updates()).forEach(rateLimits);
+        List<Heartbeat.QuotaLoan> answers = limits.onLoans(now, heartbeat.sender(), heartbeat.loans());
         if (!answers.isEmpty()) {
-            tell(beat.sender(), answers);
+            sendLoans(heartbeat.sender(), answers);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/peer/LoadReportTransport.java
+++ b/sender/src/main/java/amberroute/sender/peer/LoadReportTransport.java
@@ -22,138 +22,145 @@
 import java.util.function.LongSupplier;
 
 /**
- * Carries what daemons tell one another of their load over UDP, on the socket that heartbeats and probes use, and passes on the
- * prices that follow. What they mean is decided in {@code overload}. A digest is taken from a configured peer's address only;
- * what cannot be read is dropped without a word. Lives on the event loop.
+ * Carries load reports between daemons over UDP, on the socket of the heartbeats, and passes on the admission prices and rate limits that
+ * follow. What they mean is decided in {@code overload}. A report is taken from a configured peer's address only; what cannot be
+ * read is dropped. Lives on the event loop.
  */
 public final class LoadReportTransport {
     private final EventLoop loop;
     private final Map<String, InetSocketAddress> peers;
-    private final LongSupplier clock;
-    private final IntToDoubleFunction waiting;
+    private final LongSupplier clockMicros;
+    private final IntToDoubleFunction pendingMessages;
     private final Consumer<DeliveryScheduler.Event> events;
     private final SplittableRandom random = new SplittableRandom();
     private final FleetAdmissionControl overload;
-    /** Whether calls are held to this daemon's part. */
-    private final boolean parts;
+    /** Whether calls are limited to this daemon's share. */
+    private final boolean enforceShares;
 
     private Channel channel;
 
-    /** {@code clock} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one; {@code waiting} tells what is held for a destination. */
+    /**
+     * {@code clockMicros} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one;
+     * {@code pendingMessages} gives the number of messages that are pending for a destination.
+     */
     public LoadReportTransport(
             EventLoop loop,
             String name,
             Map<String, InetSocketAddress> peers,
             int daemons,
-            boolean parts,
-            LongSupplier clock,
+            boolean enforceShares,
+            LongSupplier clockMicros,
             long incarnation,
-            IntToDoubleFunction waiting,
+            IntToDoubleFunction pendingMessages,
             Consumer<DeliveryScheduler.Event> events) {
-        this.parts = parts;
+        this.enforceShares = enforceShares;
         this.loop = loop;
         this.peers = Map.copyOf(peers);
-        this.clock = clock;
-        this.waiting = waiting;
+        this.clockMicros = clockMicros;
+        this.pendingMessages = pendingMessages;
         this.events = events;
         overload = new FleetAdmissionControl(
-                clock.getAsLong(),
+                clockMicros.getAsLong(),
                 name,
                 List.copyOf(peers.keySet()),
                 Math.max(daemons, peers.size() + 1),
-                parts,
+                enforceShares,
                 incarnation * 1_000,
                 random);
     }
 
-    /** Begins to tell, and to compute prices. */
+    /** Begins to send reports and to compute prices, on a socket that passes on what it receives. */
     public void start(Channel shared) {
         channel = shared;
         loop.scheduleWithFixedDelay(
-                () -> Log.guarded("prices", this::round), 0, FleetAdmissionControl.ROUND_MICROS, TimeUnit.MICROSECONDS);
+                () -> Log.guarded("prices", this::runRound),
+                0,
+                FleetAdmissionControl.ROUND_MICROS,
+                TimeUnit.MICROSECONDS);
     }
 
-    private void round() {
-        long now = clock.getAsLong();
-        for (AdmissionPrice p : overload.runRound(now, waiting)) {
+    private void runRound() {
+        long now = clockMicros.getAsLong();
+        for (AdmissionPrice price : overload.runRound(now, pendingMessages)) {
             events.accept(new DeliveryScheduler.Event.AdmissionPriceChanged(
-                    p.destination(),
-                    p.priorityFloor(),
-                    p.priorityCeiling(),
-                    p.admittedFraction(),
-                    p.retryAfterMicros()));
+                    price.destination(),
+                    price.priorityFloor(),
+                    price.priorityCeiling(),
+                    price.admittedFraction(),
+                    price.retryAfterMicros()));
         }
-        if (parts) {
-            for (FleetAdmissionControl.RateLimit c : overload.changedRateLimits(now)) {
+        if (enforceShares) {
+            for (FleetAdmissionControl.RateLimit limit : overload.changedRateLimits(now)) {
                 // Daemons that are given a rate at one moment begin at different ones.
                 events.accept(new DeliveryScheduler.Event.FleetRateLimitChanged(
-                        c.destination(), c.perSecond(), random.nextDouble(), false));
+                        limit.destination(), limit.perSecond(), random.nextDouble(), false));
             }
             overload.loanRequests(now).forEach(this::send);
         }
         overload.nextReports(now).forEach(this::send);
     }
 
-    private void send(FleetAdmissionControl.OutgoingReport out) {
-        // A digest may ask for something before the socket is shared; it asks again.
+    private void send(FleetAdmissionControl.OutgoingReport outgoing) {
+        // A request before the socket is shared is lost, and repeated.
         if (channel != null && channel.isActive()) {
-            channel.writeAndFlush(
-                    new DatagramPacket(Unpooled.wrappedBuffer(out.report().encode()), peers.get(out.recipient())));
+            channel.writeAndFlush(new DatagramPacket(
+                    Unpooled.wrappedBuffer(outgoing.report().encode()), peers.get(outgoing.recipient())));
         }
     }
 
-    /** A datagram that is no heartbeat. */
+    /** A datagram that is no heartbeat; the packet stays the caller's. */
     public void heard(DatagramPacket packet) {
-        LoadReport digest = LoadReport.decode(packet.content().nioBuffer());
-        if (digest != null && packet.sender().equals(peers.get(digest.sender()))) {
-            FleetAdmissionControl.OutgoingReport answer = overload.onReport(clock.getAsLong(), digest);
-            if (answer != null) {
-                send(answer);
+        LoadReport report = LoadReport.decode(packet.content().nioBuffer());
+        if (report != null && packet.sender().equals(peers.get(report.sender()))) {
+            FleetAdmissionControl.OutgoingReport reply = overload.onReport(clockMicros.getAsLong(), report);
+            if (reply != null) {
+                send(reply);
             }
         }
     }
 
-    /** Somebody came with a message of this worth. */
-    public void onDemand(int destination, double worth) {
-        overload.onDemand(clock.getAsLong(), destination, worth);
+    /** A client submitted a message of this priority weight, whether or not it is admitted. */
+    public void onDemand(int destination, double priorityWeight) {
+        overload.onDemand(clockMicros.getAsLong(), destination, priorityWeight);
     }
 
-    /** What became of a call's message. */
-    public void onAttemptEnded(int destination, DeliveryScheduler.AttemptOutcome ending) {
-        if (ending == DeliveryScheduler.AttemptOutcome.OK) {
-            overload.onServed(clock.getAsLong(), destination);
-        } else if (ending == DeliveryScheduler.AttemptOutcome.FULL) {
-            overload.onRejected(clock.getAsLong(), destination);
+    /** An attempt has ended. */
+    public void onAttemptEnded(int destination, DeliveryScheduler.AttemptOutcome outcome) {
+        if (outcome == DeliveryScheduler.AttemptOutcome.OK) {
+            overload.onServed(clockMicros.getAsLong(), destination);
+        } else if (outcome == DeliveryScheduler.AttemptOutcome.FULL) {
+            overload.onRejected(clockMicros.getAsLong(), destination);
         }
     }
 
-    /** For operators, as of the last round. */
+    /** Load and prices by destination as of the last round, as the control socket shows them. */
     public JsonObject describe() {
-        JsonObject answer = ControlSocket.answer(true, null);
-        answer.addProperty("heard_of", overload.reachablePeers(clock.getAsLong()));
-        answer.addProperty("peers", peers.size());
+        JsonObject json = ControlSocket.answer(true, null);
+        json.addProperty("heard_of", overload.reachablePeers(clockMicros.getAsLong()));
+        json.addProperty("peers", peers.size());
         JsonArray rows = new JsonArray();
         for (FleetAdmissionControl.DestinationReport row : overload.destinationReports()) {
-            JsonObject one = new JsonObject();
-            one.addProperty("destination", row.destination());
-            one.addProperty("asked", row.demandPerSecond());
-            one.addProperty("served", row.servedPerSecond());
-            one.addProperty("refused", row.rejectedPerSecond());
-            one.addProperty("waiting", row.pendingMessages());
+            JsonObject destination = new JsonObject();
+            destination.addProperty("destination", row.destination());
+            destination.addProperty("asked", row.demandPerSecond());
+            destination.addProperty("served", row.servedPerSecond());
+            destination.addProperty("refused", row.rejectedPerSecond());
+            destination.addProperty("waiting", row.pendingMessages());
             if (Double.isFinite(row.capacityPerSecond())) {
-                one.addProperty("capacity", row.capacityPerSecond());
-                one.addProperty("part", row.fraction());
-                one.addProperty("price", row.price().priorityFloor());
-                one.addProperty("price_up_to", row.price().priorityCeiling());
-                one.addProperty("share", row.price().admittedFraction());
-                one.addProperty("again_ms", row.price().retryAfterMicros() / 1_000);
+                destination.addProperty("capacity", row.capacityPerSecond());
+                destination.addProperty("part", row.fraction());
+                destination.addProperty("price", row.price().priorityFloor());
+                destination.addProperty("price_up_to", row.price().priorityCeiling());
+                destination.addProperty("share", row.price().admittedFraction());
+                destination.addProperty("again_ms", row.price().retryAfterMicros() / 1_000);
             }
-            rows.add(one);
+            rows.add(destination);
         }
-        answer.add("destinations", rows);
-        return answer;
+        json.add("destinations", rows);
+        return json;
     }
 
+    /** Closes the shared socket, if it has one. */
     public void close() {
         if (channel != null) {
             channel.close();
--- a/sender/src/main/java/amberroute/sender/peer/PeerSocket.java
+++ b/sender/src/main/java/amberroute/sender/peer/PeerSocket.java
@@ -13,14 +13,14 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Binds the UDP socket on which daemons hear their peers; what is longer than any of theirs is passed over. */
+/** Binds the UDP socket on which a daemon hears its peers; a datagram that is longer than any of theirs is dropped. */
 public final class PeerSocket {
-    /** Datagrams that are read in one pass of the loop at most, so that a flood does not hold it up. */
-    private static final int MOST_READ = 64;
+    /** A flood must not hold up the event loop. */
+    private static final int MAX_READS_PER_ITERATION = 64;
 
     private PeerSocket() {}
 
-    /** {@code reader} gets each datagram on the event loop, for the time of the call. */
+    /** Binds the socket, which the caller closes; {@code reader} gets each datagram on the event loop, for the time of the call. */
     public static Channel bind(EventLoop loop, InetSocketAddress address, Consumer<DatagramPacket> reader)
             throws InterruptedException {
         return new Bootstrap()
@@ -28,7 +28,8 @@
                 .channel(NioDatagramChannel.class)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(Heartbeat.MAX_DATAGRAM_BYTES + 1).maxMessagesPerRead(MOST_READ))
+                        new FixedRecvByteBufAllocator(Heartbeat.MAX_DATAGRAM_BYTES + 1)
+                                .maxMessagesPerRead(MAX_READS_PER_ITERATION))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
@@ -37,7 +38,7 @@
                         }
                     }
 
-                    /** A peer that is away answers by an error of the network; the next datagram may be heard. */
+                    /** A peer whose process is gone is an ICMP error on the socket; the next datagram may be readable. */
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
                 })
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -4,73 +4,77 @@
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
 import amberroute.sender.journal.Journal;
-import amberroute.sender.util.Log;
+import amberroute.sender.util.LogEvent;
 import amberroute.storage.Batch;
 import amberroute.storage.FolderDisk;
 import amberroute.storage.SegmentLog;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
 /**
- * What this daemon holds of estates, its own and others': for each a file with the term that it has granted, and, for
- * others, the copy, which is a journal's folder like any. A new whole is built beside the copy and takes its place once it is all there.
- * What was promised is in the file before it is answered; the kernel has it, as with the journal.
+ * The replicas on this daemon's disk, of its own journal and of others': for each a file with the term that it has granted, and, for
+ * others, the copy, which is a folder like any journal's. A snapshot is built beside the copy and takes its place once it is complete.
+ * Invariant: what was promised is in the file before it is answered; the kernel has it, as with the journal.
  *
- * <p>At most {@value #MOST} estates, each copy within the budget of a journal. Not thread-safe: lives on the event loop.
+ * <p>At most {@value #MAX_REPLICAS} journals, each copy within the budget of a journal. Not thread-safe: lives on the event loop.
  */
 public final class ReplicaStore {
-    private static final int MOST = 1_024;
-    private static final String FILE = "holding";
-    private static final long SLICE = 64 << 10;
-    /** Of what was never heard of. */
-    private static final long LONG_AGO_NANOS = 60_000_000_000L;
+    private static final int MAX_REPLICAS = 1_024;
+    private static final Pattern JOURNAL_ID = Pattern.compile("[A-Za-z0-9._-]{1,96}");
+    private static final long COMPACTION_SLICE_BYTES = 64 << 10;
+    /** Bytes of a journal's budget for the state file and folders. */
+    private static final int RESERVED_BYTES = 4_096;
+    /** A journal that was never heard of counts as silent for so long. */
+    private static final long NEVER_HEARD_NANOS = 60_000_000_000L;
 
-    /** One estate. */
+    private static final long SALT_MULTIPLIER = 0x9e3779b97f4a7c15L;
+
+    /** The replica of one journal. Its fields are changed by the store and by the parts of replication, on the event loop. */
     public static final class StoredReplica {
+        /** Name of the journal. */
         public final String journalId;
+
         final Path folder;
         ReplicaState state = ReplicaState.NONE;
         /** As the copy names it; null where there is none. */
         ReplicaSet replicaSet;
-        /** Nothing is owed of it any more; only the term is kept, so that nobody can begin it again. */
+        /** Nothing of it is pending any more; only the term is kept, so that nobody can begin it again. */
         boolean completed;
-        /** Name of the copy's folder in this one's, empty where there is no whole copy. */
+        /** Name of the copy's folder in this one's, empty where there is no complete copy. */
         String copyFolderName = "";
 
         SegmentLog log;
-        /** A whole that is not all there, and by which term. */
+        /** A snapshot that is not complete, its log and its term; null where none is under way. */
         Path stagingFolder;
 
         SegmentLog stagingLog;
         long stagingTerm;
-        /** The connection that the copy, and the whole that is under way, came on: others' lines may be older than they. */
+        /** The connection that the copy came on: lines of another one may be older than it. */
         Object appendSource;
-
+        /** The same of the snapshot that is under way. */
         Object stagingSource;
-        /** Monotonic nanoseconds at which its owner last spoke of it. */
+        /** Monotonic nanoseconds at which its owner was last heard of it. */
         long heardAtNanos = System.nanoTime();
         /** Owned by this process: the copy is a running journal. */
         boolean runningHere;
-        /** Monotonic nanoseconds before which it is not tried for again. */
+        /** Monotonic nanoseconds before which this daemon does not stand for it. */
         long electionPausedUntilNanos = System.nanoTime();
 
-        StoredReplica(String estate, Path folder) {
-            this.journalId = estate;
+        StoredReplica(String journalId, Path folder) {
+            this.journalId = journalId;
             this.folder = folder;
         }
 
-        /** The daemon whose estate it was at first. */
+        /** The daemon that began the journal. */
         String originalOwner() {
             return journalId.substring(0, journalId.lastIndexOf('.'));
         }
@@ -78,23 +82,34 @@
         Path copyFolder() {
             return folder.resolve(copyFolderName);
         }
+
+        private void complete() {
+            completed = true;
+            state = completedState(state);
+        }
+
+        /** Nobody's copy can be ahead of a completed journal. */
+        private static ReplicaState completedState(ReplicaState state) {
+            return state.withLogPosition(new LogPosition(Long.MAX_VALUE, 0));
+        }
     }
 
     private final Path folder;
-    private final long budget;
-    private final int most;
-    private final Map<String, StoredReplica> all = new LinkedHashMap<>();
-    private long staged;
-
-    public ReplicaStore(Path folder, long budget) throws IOException {
-        this(folder, budget, MOST);
+    private final long budgetBytes;
+    private final int maxReplicas;
+    private final Map<String, StoredReplica> replicas = new LinkedHashMap<>();
+    private long snapshotCounter;
+
+    /** Reads the replicas in a folder, which is created where it is missing; {@code budgetBytes} bounds each copy. */
+    public ReplicaStore(Path folder, long budgetBytes) throws IOException {
+        this(folder, budgetBytes, MAX_REPLICAS);
     }
 
-    /** For so many estates at most. */
-    ReplicaStore(Path folder, long budget, int most) throws IOException {
-        this.most = most;
+    /** For so many journals at most. */
+    ReplicaStore(Path folder, long budgetBytes, int maxReplicas) throws IOException {
+        this.maxReplicas = maxReplicas;
         this.folder = folder;
-        this.budget = budget;
+        this.budgetBytes = budgetBytes;
         Files.createDirectories(folder);
         try (Stream<Path> folders = Files.list(folder)) {
             for (Path each : folders.sorted().toList()) {
@@ -103,59 +118,54 @@
         }
     }
 
-    /** A folder whose file cannot be read holds nothing: it is no holder until it has the whole again. */
-    private void read(Path each) throws IOException {
-        StoredReplica kept = new StoredReplica(each.getFileName().toString(), each);
-        if (!kept.journalId.matches("[A-Za-z0-9._-]{1,96}") || kept.journalId.lastIndexOf('.') < 1) {
+    /** A folder whose file cannot be read holds nothing: it is no replica until it has a snapshot again. */
+    private void read(Path replicaFolder) {
+        StoredReplica replica = new StoredReplica(replicaFolder.getFileName().toString(), replicaFolder);
+        if (!JOURNAL_ID.matcher(replica.journalId).matches() || replica.journalId.lastIndexOf('.') < 1) {
             return;
         }
         try {
-            JsonObject json =
-                    JsonParser.parseString(Files.readString(each.resolve(FILE))).getAsJsonObject();
-            kept.copyFolderName = json.get("copy").getAsString();
-            kept.completed = json.get("done").getAsBoolean();
-            kept.state = new ReplicaState(
-                    json.get("term").getAsLong(),
-                    json.get("owner").getAsString(),
-                    LogPosition.NONE,
-                    json.get("fresh").getAsInt());
+            ReplicaStateFile.Content content = ReplicaStateFile.read(replicaFolder);
+            replica.copyFolderName = content.copyFolderName();
+            replica.completed = content.completed();
+            replica.state = content.state();
         } catch (IOException | RuntimeException e) {
-            Log.warn("survival: " + each.resolve(FILE) + " cannot be read, nothing is held of " + kept.journalId + ": "
-                    + e);
+            warn("replica_state_unreadable", replica, e);
             return;
         }
-        if (kept.completed) {
-            kept.state = done(kept.state);
-        } else if (!kept.copyFolderName.isEmpty()) {
-            openCopy(kept);
+        if (replica.completed) {
+            replica.complete();
+        } else if (!replica.copyFolderName.isEmpty()) {
+            openCopy(replica);
         }
-        deleteStaleFolders(kept);
-        all.put(kept.journalId, kept);
+        deleteStaleFolders(replica);
+        replicas.put(replica.journalId, replica);
     }
 
-    private static ReplicaState done(ReplicaState holding) {
-        return holding.withLogPosition(new LogPosition(Long.MAX_VALUE, 0));
+    private static void warn(String event, StoredReplica replica, Exception cause) {
+        LogEvent.of(event).with("journal", replica.journalId).cause(cause).warn();
     }
 
     /** Reads how far the copy reaches; one that is damaged is none. */
-    private void openCopy(StoredReplica kept) {
+    private void openCopy(StoredReplica replica) {
         try {
-            kept.log = SegmentLog.open(new FolderDisk(kept.copyFolder()), limits(), ReplicaStore::salt);
-            byte[][] found = new byte[2][];
-            kept.log.read((owner, kind, version, content) -> {
-                if (kind == Journal.PLACE || kind == Journal.GROUP) {
-                    found[kind == Journal.PLACE ? 0 : 1] = bytes(content);
+            replica.log = SegmentLog.open(new FolderDisk(replica.copyFolder()), limits(), ReplicaStore::salt);
+            byte[][] positionAndSet = new byte[2][];
+            replica.log.read((owner, kind, version, content) -> {
+                if (kind == Journal.PLACE) {
+                    positionAndSet[0] = bytes(content);
+                } else if (kind == Journal.GROUP) {
+                    positionAndSet[1] = bytes(content);
                 }
             });
-            if (!kept.log.losses().isEmpty() || found[0] == null || found[1] == null) {
+            if (!replica.log.losses().isEmpty() || positionAndSet[0] == null || positionAndSet[1] == null) {
                 throw new IOException("it is damaged");
             }
-            kept.replicaSet = ReplicationMessages.group(found[1]);
-            kept.state = kept.state.withLogPosition(ReplicationMessages.place(found[0]));
+            replica.replicaSet = ReplicaRecords.decodeReplicaSet(positionAndSet[1]);
+            replica.state = replica.state.withLogPosition(ReplicaRecords.decodePosition(positionAndSet[0]));
         } catch (IOException | RuntimeException e) {
-            Log.warn("survival: the copy of " + kept.journalId + " counts for nothing until it is made anew: "
-                    + e.getMessage());
-            dropCopy(kept);
+            warn("replica_discarded", replica, e);
+            discardCopy(replica);
         }
     }
 
@@ -166,20 +176,20 @@
     }
 
     private SegmentLog.Limits limits() {
-        return SegmentLog.Limits.of(budget - 4_096, false);
+        return SegmentLog.Limits.of(budgetBytes - RESERVED_BYTES, false);
     }
 
     private static long salt() {
-        return System.nanoTime() * 0x9e3779b97f4a7c15L;
+        return System.nanoTime() * SALT_MULTIPLIER;
     }
 
-    private void dropCopy(StoredReplica kept) {
-        close(kept.log);
-        kept.log = null;
-        kept.copyFolderName = "";
-        // What it had counted; without it this holder is as one that never heard of the estate.
-        kept.state = new ReplicaState(
-                kept.state.term(), kept.state.owner(), LogPosition.NONE, ReplicaState.LISTED_WITHOUT_STATE);
+    /** Without its copy the replica is as one that never heard of the journal, but for the term. */
+    private void discardCopy(StoredReplica replica) {
+        close(replica.log);
+        replica.log = null;
+        replica.copyFolderName = "";
+        replica.state = new ReplicaState(
+                replica.state.term(), replica.state.owner(), LogPosition.NONE, ReplicaState.LISTED_WITHOUT_STATE);
     }
 
     private static void close(SegmentLog log) {
@@ -192,129 +202,126 @@
         }
     }
 
+    /** All replicas by journal. */
     Map<String, StoredReplica> all() {
-        return all;
+        return replicas;
     }
 
-    /** What is known of an estate; null where there is no room for one more. */
-    public StoredReplica findOrCreate(String estate) {
-        StoredReplica kept = all.get(estate);
-        if (kept == null && all.size() >= most) {
-            forgetOldest();
+    /** The replica of a journal, which is begun where it is unknown; null where there is no room for one more. */
+    public StoredReplica findOrCreate(String journalId) {
+        StoredReplica replica = replicas.get(journalId);
+        if (replica == null && replicas.size() >= maxReplicas) {
+            forgetOldestCompleted();
         }
-        if (kept == null && all.size() < most) {
-            kept = new StoredReplica(estate, folder.resolve(estate));
-            kept.heardAtNanos -= LONG_AGO_NANOS;
-            all.put(estate, kept);
+        if (replica == null && replicas.size() < maxReplicas) {
+            replica = new StoredReplica(journalId, folder.resolve(journalId));
+            replica.heardAtNanos -= NEVER_HEARD_NANOS;
+            replicas.put(journalId, replica);
         }
-        return kept;
+        return replica;
     }
 
-    /** Of those that are done the one known longest: what it owed is long past its time. */
-    private void forgetOldest() {
-        StoredReplica oldest =
-                all.values().stream().filter(k -> k.completed).findFirst().orElse(null);
+    /** Its messages are long past their time. */
+    private void forgetOldestCompleted() {
+        StoredReplica oldest = replicas.values().stream()
+                .filter(replica -> replica.completed)
+                .findFirst()
+                .orElse(null);
         if (oldest != null) {
             try {
                 delete(oldest.folder);
-                all.remove(oldest.journalId);
+                replicas.remove(oldest.journalId);
             } catch (IOException e) {
-                Log.warn("survival: cannot remove " + oldest.folder + ": " + e.getMessage());
+                warn("replica_folder_delete_failed", oldest, e);
             }
         }
     }
 
-    /** Has the term on disk; false where it cannot be written, and nothing has changed. */
-    public boolean persistState(StoredReplica kept, ReplicaState next) {
-        boolean same = next.term() == kept.state.term()
-                && next.owner().equals(kept.state.owner())
-                && next.nonVotingStage() == kept.state.nonVotingStage();
-        if (same || write(kept, next, kept.copyFolderName)) {
-            kept.state = next;
+    /** Has the state on disk; false where it cannot be written, and nothing has changed. */
+    public boolean persistState(StoredReplica replica, ReplicaState next) {
+        ReplicaState current = replica.state;
+        boolean unchangedOnDisk = next.term() == current.term()
+                && next.owner().equals(current.owner())
+                && next.nonVotingStage() == current.nonVotingStage();
+        if (unchangedOnDisk || write(replica, next, replica.copyFolderName)) {
+            replica.state = next;
             return true;
         }
         return false;
     }
 
-    private boolean write(StoredReplica kept, ReplicaState holding, String copy) {
-        JsonObject json = new JsonObject();
-        json.addProperty("term", holding.term());
-        json.addProperty("owner", holding.owner());
-        json.addProperty("copy", copy);
-        json.addProperty("done", kept.completed);
-        json.addProperty("fresh", holding.nonVotingStage());
+    private boolean write(StoredReplica replica, ReplicaState state, String copyFolderName) {
         try {
-            Files.createDirectories(kept.folder);
-            Path aside = kept.folder.resolve(FILE + ".new");
-            Files.writeString(aside, json.toString());
-            Files.move(
-                    aside,
-                    kept.folder.resolve(FILE),
-                    StandardCopyOption.ATOMIC_MOVE,
-                    StandardCopyOption.REPLACE_EXISTING);
+            ReplicaStateFile.write(
+                    replica.folder, new ReplicaStateFile.Content(state, copyFolderName, replica.completed));
             return true;
         } catch (IOException e) {
-            Log.warn("survival: cannot write what is held of " + kept.journalId + ": " + e);
+            warn("replica_state_write_failed", replica, e);
             return false;
         }
     }
 
-    /** Takes part of a whole; false where it cannot be kept, and the whole has to begin anew. */
-    boolean stageSnapshot(StoredReplica kept, boolean first, long term, List<Batch> batches, Object from) {
+    /** Takes a slice of a snapshot; false where it cannot be kept, and the snapshot has to begin anew. */
+    boolean stageSnapshot(StoredReplica replica, boolean first, long term, List<Batch> batches, Object source) {
         try {
             if (first) {
-                close(kept.stagingLog);
-                kept.stagingFolder = null;
-                // What an earlier try left has no more room here.
-                deleteStaleFolders(kept);
-                kept.stagingFolder =
-                        kept.folder.resolve("copy-" + term + "-" + System.currentTimeMillis() + "-" + ++staged);
-                Files.createDirectories(kept.stagingFolder);
-                kept.stagingLog = SegmentLog.open(new FolderDisk(kept.stagingFolder), limits(), ReplicaStore::salt);
-                kept.stagingTerm = term;
-                kept.stagingSource = from;
+                beginSnapshot(replica, term, source);
             }
-            if (kept.stagingLog == null || kept.stagingTerm != term || kept.stagingSource != from) {
+            if (replica.stagingLog == null || replica.stagingTerm != term || replica.stagingSource != source) {
                 return false;
             }
-            apply(kept.stagingLog, batches);
+            apply(replica.stagingLog, batches);
             return true;
         } catch (IOException e) {
-            Log.warn("survival: cannot keep the copy of " + kept.journalId + ": " + e.getMessage());
+            warn("replica_write_failed", replica, e);
             return false;
         }
     }
 
-    /** The whole is all there: it takes the place of the copy that was. */
-    boolean installSnapshot(StoredReplica kept, ReplicaState next) {
-        if (!write(kept, next, kept.stagingFolder.getFileName().toString())) {
+    private void beginSnapshot(StoredReplica replica, long term, Object source) throws IOException {
+        close(replica.stagingLog);
+        replica.stagingFolder = null;
+        // What an earlier snapshot left has no more room here.
+        deleteStaleFolders(replica);
+        replica.stagingFolder =
+                replica.folder.resolve("copy-" + term + "-" + System.currentTimeMillis() + "-" + ++snapshotCounter);
+        Files.createDirectories(replica.stagingFolder);
+        replica.stagingLog = SegmentLog.open(new FolderDisk(replica.stagingFolder), limits(), ReplicaStore::salt);
+        replica.stagingTerm = term;
+        replica.stagingSource = source;
+    }
+
+    /** The snapshot is complete: it takes the place of the copy. False where that cannot be written. */
+    boolean installSnapshot(StoredReplica replica, ReplicaState next) {
+        String copyFolderName = replica.stagingFolder.getFileName().toString();
+        if (!write(replica, next, copyFolderName)) {
             return false;
         }
-        close(kept.log);
-        kept.log = kept.stagingLog;
-        kept.copyFolderName = kept.stagingFolder.getFileName().toString();
-        kept.state = next;
-        kept.appendSource = kept.stagingSource;
-        kept.stagingLog = null;
-        kept.stagingFolder = null;
-        deleteStaleFolders(kept);
+        close(replica.log);
+        replica.log = replica.stagingLog;
+        replica.copyFolderName = copyFolderName;
+        replica.state = next;
+        replica.appendSource = replica.stagingSource;
+        replica.stagingLog = null;
+        replica.stagingFolder = null;
+        deleteStaleFolders(replica);
         return true;
     }
 
-    /** Changes that follow what is there; false where they could not be written, and the copy counts for what it had. */
-    boolean append(StoredReplica kept, ReplicaState next, List<Batch> batches) {
-        if (kept.log == null || !persistState(kept, next.withLogPosition(kept.state.logPosition()))) {
+    /** Records that follow the copy; false where they could not be written, and the copy counts for what it had. */
+    boolean append(StoredReplica replica, ReplicaState next, List<Batch> batches) {
+        if (replica.log == null || !persistState(replica, next.withLogPosition(replica.state.logPosition()))) {
             return false;
         }
         try {
-            apply(kept.log, batches);
-            kept.state = next;
+            apply(replica.log, batches);
+            replica.state = next;
             return true;
         } catch (IOException e) {
-            Log.warn("survival: cannot keep the copy of " + kept.journalId + ": " + e.getMessage());
+            warn("replica_write_failed", replica, e);
             // What it reaches now nobody can say without reading it.
-            dropCopy(kept);
-            write(kept, kept.state, "");
+            discardCopy(replica);
+            write(replica, replica.state, "");
             return false;
         }
     }
@@ -324,61 +331,60 @@
             log.write(batch);
         }
         if (log.worthCompacting()) {
-            log.compact(SLICE);
+            log.compact(COMPACTION_SLICE_BYTES);
         }
     }
 
-    /** Hands the copy's folder to a journal; null where there is none. */
-    Path lendLog(StoredReplica kept) {
-        close(kept.log);
-        kept.log = null;
-        kept.runningHere = true;
-        return kept.copyFolderName.isEmpty() ? null : kept.copyFolder();
+    /** Hands the copy's folder to a journal, which owns it until {@link #reclaimLog}; null where there is none. */
+    Path lendLog(StoredReplica replica) {
+        close(replica.log);
+        replica.log = null;
+        replica.runningHere = true;
+        return replica.copyFolderName.isEmpty() ? null : replica.copyFolder();
     }
 
     /** The journal that had the folder is closed. */
-    void reclaimLog(StoredReplica kept) {
-        kept.runningHere = false;
-        if (!kept.completed) {
-            openCopy(kept);
+    void reclaimLog(StoredReplica replica) {
+        replica.runningHere = false;
+        if (!replica.completed) {
+            openCopy(replica);
         }
     }
 
-    /** This daemon is no holder of it any more; the term that it promised stays, and counts for nothing. */
-    void dropReplica(StoredReplica kept) {
-        dropCopy(kept);
-        kept.replicaSet = null;
-        write(kept, kept.state, "");
-        deleteStaleFolders(kept);
+    /** This daemon is no replica of it any more; the term that it granted stays, and counts for nothing. */
+    void dropReplica(StoredReplica replica) {
+        discardCopy(replica);
+        replica.replicaSet = null;
+        write(replica, replica.state, "");
+        deleteStaleFolders(replica);
     }
 
-    /** Nothing is owed of it any more. */
-    void markCompleted(StoredReplica kept) {
-        close(kept.log);
-        kept.log = null;
-        kept.completed = true;
-        kept.state = done(kept.state);
-        write(kept, kept.state, "");
-        kept.copyFolderName = "";
-        deleteStaleFolders(kept);
+    /** Nothing of the journal is pending any more. */
+    void markCompleted(StoredReplica replica) {
+        close(replica.log);
+        replica.log = null;
+        replica.complete();
+        write(replica, replica.state, "");
+        replica.copyFolderName = "";
+        deleteStaleFolders(replica);
     }
 
-    /** Removes what is no copy any more. */
-    private void deleteStaleFolders(StoredReplica kept) {
-        if (!Files.isDirectory(kept.folder)) {
+    /** Removes what is neither the copy nor the snapshot that is under way. */
+    private void deleteStaleFolders(StoredReplica replica) {
+        if (!Files.isDirectory(replica.folder)) {
             return;
         }
-        List<Path> old = new ArrayList<>();
-        try (Stream<Path> folders = Files.list(kept.folder)) {
+        List<Path> stale = new ArrayList<>();
+        try (Stream<Path> folders = Files.list(replica.folder)) {
             folders.filter(Files::isDirectory)
-                    .filter(f ->
-                            !f.getFileName().toString().equals(kept.copyFolderName) && !f.equals(kept.stagingFolder))
-                    .forEach(old::add);
-            for (Path each : old) {
+                    .filter(each -> !each.getFileName().toString().equals(replica.copyFolderName)
+                            && !each.equals(replica.stagingFolder))
+                    .forEach(stale::add);
+            for (Path each : stale) {
                 delete(each);
             }
         } catch (IOException e) {
-            Log.warn("survival: cannot remove an old copy of " + kept.journalId + ": " + e.getMessage());
+            warn("replica_folder_delete_failed", replica, e);
         }
     }
 
@@ -390,10 +396,11 @@
         }
     }
 
+    /** Closes the logs of all copies. */
     public void close() {
-        all.values().forEach(kept -> {
-            close(kept.log);
-            close(kept.stagingLog);
+        replicas.values().forEach(replica -> {
+            close(replica.log);
+            close(replica.stagingLog);
         });
     }
 }
--- a/sender/src/main/java/amberroute/sender/peer/SupersededReplicas.java
+++ b/sender/src/main/java/amberroute/sender/peer/SupersededReplicas.java
@@ -1,6 +1,6 @@
 package amberroute.sender.peer;
 
-import amberroute.sender.util.Log;
+import amberroute.sender.util.LogEvent;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,32 +10,35 @@
 import java.util.stream.Stream;
 
 /**
- * What is left of an estate that goes on elsewhere, in the folder of its former owner: nothing of it may be resumed here.
- * The last such journal is kept aside for whoever wants to look at it.
+ * Marks the folder of a journal that another daemon has taken over, and sets its files aside at the next start. Invariant: nothing of a marked
+ * journal is resumed. The last such journal is kept for engineers to look at. Stateless; used before the event loop runs, or by a
+ * process that ends.
  */
 public final class SupersededReplicas {
-    private static final String MARK = "estate-over";
-    private static final String ASIDE = "over";
-    private static final Set<String> STAY = Set.of("lock", "control", MARK);
+    private static final String MARK_FILE = "estate-over";
+    private static final String ASIDE_FOLDER = "over";
+    private static final Set<String> KEPT_IN_PLACE = Set.of("lock", "control", MARK_FILE);
 
     private SupersededReplicas() {}
 
-    /** The journal in this folder is not to be opened again. */
+    /** Marks the journal in this folder as not to be opened again; a failure is logged, as the next process finds out by itself. */
     public static void markSuperseded(Path folder) {
         try {
-            Files.writeString(folder.resolve(MARK), "taken over\n");
+            Files.writeString(folder.resolve(MARK_FILE), "taken over\n");
         } catch (IOException e) {
-            // The next process finds out as this one did.
-            Log.warn("survival: cannot mark " + folder + ": " + e.getMessage());
+            LogEvent.of("superseded_journal_mark_failed")
+                    .with("folder", folder)
+                    .cause(e)
+                    .warn();
         }
     }
 
-    /** Moves a marked journal aside, so that the folder begins anew. */
+    /** Moves a marked journal aside, so that the folder begins anew; an {@link IOException} where the files cannot be moved. */
     public static void setAside(Path folder) throws IOException {
-        if (!Files.exists(folder.resolve(MARK))) {
+        if (!Files.exists(folder.resolve(MARK_FILE))) {
             return;
         }
-        Path aside = folder.resolve(ASIDE);
+        Path aside = folder.resolve(ASIDE_FOLDER);
         if (Files.exists(aside)) {
             try (Stream<Path> files = Files.walk(aside)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -47,13 +50,13 @@
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
             files = all.filter(Files::isRegularFile)
-                    .filter(f -> !STAY.contains(f.getFileName().toString()))
+                    .filter(f -> !KEPT_IN_PLACE.contains(f.getFileName().toString()))
                     .toList();
         }
         for (Path file : files) {
             Files.move(file, aside.resolve(file.getFileName()));
         }
-        Files.delete(folder.resolve(MARK));
-        Log.warn("survival: the journal that was taken over is kept in " + aside + "; this folder begins anew");
+        Files.delete(folder.resolve(MARK_FILE));
+        LogEvent.of("superseded_journal_set_aside").with("folder", aside).warn();
     }
 }
--- a/sender/src/main/java/amberroute/sender/peer/SwimTransport.java
+++ b/sender/src/main/java/amberroute/sender/peer/SwimTransport.java
@@ -16,66 +16,68 @@
 import java.util.function.Supplier;
 
 /**
- * Carries the membership protocol's datagrams over UDP, on the heartbeats' socket where there is one. What they mean is
- * decided by {@link SwimMembership}. One is taken from a configured peer's address only; what cannot be read is dropped without a
- * word. Lives on the event loop.
+ * Carries the datagrams of SWIM membership over UDP, on the socket of the heartbeats. What they mean is decided by {@link SwimMembership}. One is
+ * taken from a configured peer's address only; what cannot be read is dropped. Lives on the event loop.
  */
 public final class SwimTransport {
-    private static final long STEP_MS = 20;
+    private static final long TICK_MILLIS = 20;
 
     private final EventLoop loop;
     private final Map<String, InetSocketAddress> peers;
-    private final LongSupplier clock;
+    private final LongSupplier clockMicros;
     private final Supplier<MembershipView.Phase> phase;
-    private final SwimMembership swim;
+    private final SwimMembership membership;
+    /** The shared socket, null until {@link #start}. */
     private Channel channel;
 
-    /** {@code clock} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this one. */
+    /**
+     * {@code clockMicros} is monotonic, in microseconds; {@code incarnation} is larger than that of each process before this
+     * one.
+     */
     public SwimTransport(
             EventLoop loop,
             String name,
             String zone,
             Map<String, InetSocketAddress> peers,
-            LongSupplier clock,
+            LongSupplier clockMicros,
             long incarnation,
             Supplier<MembershipView.Phase> phase) {
         this.loop = loop;
         this.peers = Map.copyOf(peers);
-        this.clock = clock;
+        this.clockMicros = clockMicros;
         this.phase = phase;
-        swim = new SwimMembership(name, zone, peers.keySet(), incarnation, new SplittableRandom());
+        membership = new SwimMembership(name, zone, peers.keySet(), incarnation, new SplittableRandom());
     }
 
+    /** Who is alive, as far as this daemon can tell. */
     SwimMembership view() {
-        return swim;
+        return membership;
     }
 
-    /** Begins, on a socket that passes on what it hears; on the event loop. */
+    /** Begins, on a socket that passes on what it receives; on the event loop. */
     public void start(Channel shared) {
         channel = shared;
-        loop.scheduleWithFixedDelay(
-                () -> {
-                    swim.setPhase(phase.get());
-                    send(swim.tick(clock.getAsLong()));
-                },
-                0,
-                STEP_MS,
-                TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A datagram that is no heartbeat. */
+    private void tick() {
+        membership.setPhase(phase.get());
+        send(membership.tick(clockMicros.getAsLong()));
+    }
+
+    /** A datagram that is no heartbeat; the packet stays the caller's. */
     public void onDatagram(DatagramPacket packet) {
-        SwimMessage probe = SwimMessage.decode(packet.content().nioBuffer());
-        if (probe != null && packet.sender().equals(peers.get(probe.sender()))) {
-            send(swim.onMessage(clock.getAsLong(), probe));
+        SwimMessage message = SwimMessage.decode(packet.content().nioBuffer());
+        if (message != null && packet.sender().equals(peers.get(message.sender()))) {
+            send(membership.onMessage(clockMicros.getAsLong(), message));
         }
     }
 
-    private void send(List<SwimMembership.OutgoingMessage> out) {
-        for (SwimMembership.OutgoingMessage o : out) {
+    private void send(List<SwimMembership.OutgoingMessage> messages) {
+        for (SwimMembership.OutgoingMessage each : messages) {
             if (channel != null && channel.isActive()) {
-                channel.writeAndFlush(
-                        new DatagramPacket(Unpooled.wrappedBuffer(o.message().encode()), peers.get(o.recipient())));
+                channel.writeAndFlush(new DatagramPacket(
+                        Unpooled.wrappedBuffer(each.message().encode()), peers.get(each.recipient())));
             }
         }
     }
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -13,13 +13,16 @@
 import amberroute.replication.ReplicaState;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.journal.Journal;
-import amberroute.sender.peer.PeerMessageCodec;
+import amberroute.sender.peer.JsonLine;
+import amberroute.sender.peer.MalformedPeerMessageException;
 import amberroute.sender.peer.PeerSocket;
+import amberroute.sender.peer.ReplicaRecords;
 import amberroute.sender.peer.ReplicaStore;
+import amberroute.sender.peer.ReplicationCodec;
 import amberroute.sender.peer.ReplicationCoordinator;
-import amberroute.sender.peer.ReplicationMessages;
 import amberroute.sender.peer.SwimTransport;
 import amberroute.storage.Batch;
+import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.buffer.ByteBuf;
@@ -40,6 +43,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Base64;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -143,9 +147,10 @@
 
     /** The answer to a word, null for none. */
     private JsonObject say(EmbeddedChannel on, String from, JsonObject line) throws Exception {
-        assertTrue(loop.submit(() -> survival.handle(on.pipeline().firstContext(), line, from))
-                .sync()
-                .getNow());
+        assertEquals(from, line.get("from").getAsString());
+        loop.submit(() -> survival.handle(
+                        on.pipeline().firstContext(), ReplicationCodec.decodeRequest(JsonLine.parse(line.toString()))))
+                .sync();
         on.runPendingTasks();
         ByteBuf bytes = on.readOutbound();
         return bytes == null
@@ -158,8 +163,28 @@
         return answer == null ? "" : answer.get("word").getAsString();
     }
 
+    /** What each line begins with, as it is on the wire. */
+    private static JsonObject line(String word, String from, String estate, long term) {
+        JsonObject line = new JsonObject();
+        line.addProperty("word", word);
+        line.addProperty("from", from);
+        line.addProperty("estate", estate);
+        line.addProperty("term", term);
+        return line;
+    }
+
+    private static void addBatchAndHolders(JsonObject line, Batch batch, ReplicaSet holders) {
+        JsonArray batches = new JsonArray();
+        batches.add(Base64.getEncoder().encodeToString(batch.bytes()));
+        line.add("batches", batches);
+        JsonArray names = new JsonArray();
+        holders.members().forEach(names::add);
+        line.add("holders", names);
+        line.addProperty("version", holders.version());
+    }
+
     private static JsonObject claim(String from, long term, boolean trying, LogPosition copy) {
-        JsonObject line = ReplicationMessages.of("CLAIM", from, ESTATE, term);
+        JsonObject line = line("CLAIM", from, ESTATE, term);
         line.addProperty("try", trying);
         line.addProperty("copy_term", copy.term());
         line.addProperty("copy_number", copy.index());
@@ -167,28 +192,26 @@
     }
 
     private static JsonObject whole(long term, long upTo, ReplicaSet holders) {
-        JsonObject line = ReplicationMessages.of("WHOLE", "two", ESTATE, term);
+        JsonObject line = line("WHOLE", "two", ESTATE, term);
         line.addProperty("first", true);
         line.addProperty("last", true);
         line.addProperty("upto", upTo);
-        ReplicationMessages.add(line, List.of(ReplicationMessages.encoded(change(term, upTo, holders))));
-        ReplicationMessages.add(line, holders);
+        addBatchAndHolders(line, change(term, upTo, holders), holders);
         return line;
     }
 
     private static JsonObject copy(long term, long behind, ReplicaSet holders) {
-        JsonObject line = ReplicationMessages.of("COPY", "two", ESTATE, term);
+        JsonObject line = line("COPY", "two", ESTATE, term);
         line.addProperty("behind", behind);
         line.addProperty("upto", behind + 1);
-        ReplicationMessages.add(line, List.of(ReplicationMessages.encoded(change(term, behind + 1, holders))));
-        ReplicationMessages.add(line, holders);
+        addBatchAndHolders(line, change(term, behind + 1, holders), holders);
         return line;
     }
 
     private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.PLACE, ReplicationMessages.place(new LogPosition(term, number)))
-                .put(1, Journal.GROUP, ReplicationMessages.group(ESTATE, holders));
+                .put(1, Journal.PLACE, ReplicaRecords.encodePosition(new LogPosition(term, number)))
+                .put(1, Journal.GROUP, ReplicaRecords.encodeReplicaSet(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
@@ -236,7 +259,7 @@
     @Test
     void aPlannedRestartIsWaitedFor() throws Exception {
         hold(5);
-        JsonObject away = ReplicationMessages.of("AWAY", "two", ESTATE, 1);
+        JsonObject away = line("AWAY", "two", ESTATE, 1);
         away.addProperty("back_ms", 2_000);
         assertEquals("", word("two", away));
         long from = System.nanoTime();
@@ -250,12 +273,11 @@
     void whatIsDoneIsOverForGoodAndAStrangerIsNotAnswered() throws Exception {
         hold(5);
         assertEquals("", word("nobody", claim("nobody", 9, false, new LogPosition(8, 9))));
-        assertEquals("", word("two", ReplicationMessages.of("DONE", "two", ESTATE, 1)));
+        assertEquals("", word("two", line("DONE", "two", ESTATE, 1)));
         assertEquals("OVER", word("two", copy(1, 5, THREE)));
         assertEquals("DENY", word("three", claim("three", 7, false, new LogPosition(6, 100))));
         assertThrows(
-                RuntimeException.class,
-                () -> say(connection, "two", ReplicationMessages.of("COPY", "two", "two.other", 1)));
+                MalformedPeerMessageException.class, () -> say(connection, "two", line("COPY", "two", "two.other", 1)));
     }
 
     /** It is told what it had: whoever put an older folder back has forgotten promises, and grants nothing. */
@@ -295,7 +317,7 @@
     @Test
     void whoLeavesTheGroupNeitherGrantsNorTries() throws Exception {
         hold(5);
-        assertEquals("", word("two", ReplicationMessages.of("LEAVE", "two", ESTATE, 1)));
+        assertEquals("", word("two", line("LEAVE", "two", ESTATE, 1)));
         assertEquals("DENY", word("three", claim("three", 2, false, new LogPosition(1, 5))));
         assertEquals(
                 "there is no copy of it here",
@@ -310,7 +332,7 @@
         journal.copyTo(new Journal.ChangeListener() {
             @Override
             public byte[] place() {
-                return ReplicationMessages.place(new LogPosition(3, 8));
+                return ReplicaRecords.encodePosition(new LogPosition(3, 8));
             }
 
             @Override
@@ -320,7 +342,7 @@
             public void whenAgreed(Runnable effect, Runnable failed) {}
         });
         assertTrue(journal.holders(
-                ReplicationMessages.group("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
+                ReplicaRecords.encodeReplicaSet("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
@@ -344,7 +366,7 @@
         assertTrue(store.persistState(store.findOrCreate("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
-        journal.holders(ReplicationMessages.group("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
+        journal.holders(ReplicaRecords.encodeReplicaSet("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
@@ -408,7 +430,7 @@
                         if (line.get("word").getAsString().equals("CLAIM")) {
                             line.addProperty("by", name);
                             claims.add(line);
-                            JsonObject answer = ReplicationMessages.of(
+                            JsonObject answer = line(
                                     yes ? "GRANT" : "DENY",
                                     name,
                                     line.get("estate").getAsString(),
@@ -416,7 +438,7 @@
                             answer.addProperty("asked", line.get("term").getAsLong());
                             answer.addProperty("former", false);
                             answer.addProperty("ahead", ahead);
-                            socket.getOutputStream().write(PeerMessageCodec.utf8(answer));
+                            socket.getOutputStream().write((answer + "\n").getBytes(StandardCharsets.UTF_8));
                         }
                     } catch (RuntimeException e) {
                         // A connection that ended without a word.
--- a/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
@@ -65,11 +65,14 @@
                         copies.add(line);
                     }
                     if (!silent && (copy || line.get("last").getAsBoolean())) {
-                        JsonObject answer = ReplicationMessages.of(
-                                "HAVE", "x", "one.a", line.get("term").getAsLong());
+                        JsonObject answer = new JsonObject();
+                        answer.addProperty("word", "HAVE");
+                        answer.addProperty("from", "x");
+                        answer.addProperty("estate", "one.a");
+                        answer.addProperty("term", line.get("term").getAsLong());
                         answer.addProperty("number", line.get("upto").getAsLong());
                         answer.addProperty("counts", true);
-                        peer.getOutputStream().write(PeerMessageCodec.utf8(answer));
+                        peer.getOutputStream().write((answer + "\n").getBytes(StandardCharsets.UTF_8));
                         whole |= !copy;
                     }
                 }
@@ -93,7 +96,7 @@
     private Holder two;
     private Holder three;
     private Journal journal;
-    private JournalReplicator copying;
+    private JournalReplicator replicator;
 
     @BeforeEach
     void begin() throws Exception {
@@ -102,24 +105,24 @@
         Files.createDirectories(folder.resolve("s"));
         journal = Journal.open(folder.resolve("s"), 1 << 20);
         loop.submit(() -> {
-                    copying = new JournalReplicator(
+                    replicator = new JournalReplicator(
                             loop,
                             "one",
                             "one.a",
                             journal,
                             Map.of("two", two.address(), "three", three.address()),
                             (term, owner) -> {});
-                    journal.copyTo(copying);
-                    assertTrue(
-                            copying.startTerm(1, LogPosition.NONE, new ReplicaSet(0, List.of("one", "two", "three"))));
+                    journal.copyTo(replicator);
+                    assertTrue(replicator.startTerm(
+                            1, LogPosition.NONE, new ReplicaSet(0, List.of("one", "two", "three"))));
                 })
                 .sync();
-        await(() -> two.whole && three.whole && call(copying::isReady));
+        await(() -> two.whole && three.whole && call(replicator::isReady));
     }
 
     @AfterEach
     void end() throws Exception {
-        loop.submit(copying::close).sync();
+        loop.submit(replicator::close).sync();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         journal.close();
         two.close();
@@ -135,9 +138,9 @@
         loop.submit(() -> {
                     int before = had.get();
                     for (int i = 0; i < idle + 1; i++) {
-                        copying.wrote(new Batch().put(1_000 + i, 1, new byte[10]));
+                        replicator.wrote(new Batch().put(1_000 + i, 1, new byte[10]));
                     }
-                    copying.whenAgreed(had::incrementAndGet, null);
+                    replicator.whenAgreed(had::incrementAndGet, null);
                     assertEquals(before, had.get(), "nothing was agreed on yet");
                 })
                 .sync();
@@ -153,7 +156,7 @@
         assertEquals(5, three.copies.get(0).getAsJsonArray("batches").size());
         // The group is told with the whole and not again.
         assertFalse(two.copies.get(0).has("holders"));
-        loop.submit(() -> copying.wrote(new Batch().put(2_000, 1, new byte[10])))
+        loop.submit(() -> replicator.wrote(new Batch().put(2_000, 1, new byte[10])))
                 .sync();
         // It goes by itself as well, to both.
         await(() -> two.copies.size() == 2 && three.copies.size() == 2);
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -36,12 +36,12 @@
         Owner() throws IOException {
             journal = Journal.open(folder.resolve("owner"), BUDGET);
             journal.copyTo(this);
-            journal.holders(ReplicationMessages.group(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
+            journal.holders(ReplicaRecords.encodeReplicaSet(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
         }
 
         @Override
         public byte[] place() {
-            return ReplicationMessages.place(new LogPosition(1, number + 1));
+            return ReplicaRecords.encodePosition(new LogPosition(1, number + 1));
         }
 
         @Override
@@ -116,7 +116,7 @@
                         copy.live().stream().map(m -> m.id).toList());
                 assertTrue(copy.live().iterator().next().out);
                 assertTrue(copy.knows("over"));
-                assertEquals(new LogPosition(1, owner.number), ReplicationMessages.place(copy.place()));
+                assertEquals(new LogPosition(1, owner.number), ReplicaRecords.decodePosition(copy.place()));
             }
         }
     }
