--- a/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
@@ -1,8 +1,12 @@
 package amberroute.handoff;
 
-/** One word between two daemons about one lot; an offer's messages travel with it. */
+/**
+ * A message between two daemons about one batch; an offer's messages travel with it.
+ *
+ * @param generation counts the offers of the batch, whoever made them
+ */
 public record HandoffMessage(Kind kind, String batchId, long generation) {
-    /** OFFER and CANCEL go to the heir, YES and NO come back. */
+    /** OFFER and CANCEL go to the successor, YES and NO come back. */
     public enum Kind {
         OFFER,
         CANCEL,
@@ -10,7 +14,7 @@
         NO
     }
 
-    /** Whether it is for an heir. */
+    /** Whether it goes to a successor. */
     public boolean isForSuccessor() {
         return kind == Kind.OFFER || kind == Kind.CANCEL;
     }
--- a/handoff/src/main/java/amberroute/handoff/HandoffPlacement.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffPlacement.java
@@ -11,52 +11,59 @@
 
 /**
  * Which peer is offered what, when a daemon leaves. A group is what must move together: all messages of an ordered key,
- * or one message without a key. Groups for one peer are packed into lots, so that thousands move with few records.
+ * or one message without a key. Groups for one peer are packed into batches, so that thousands move with few records.
  *
  * <ul>
- * <li>A key goes where its clients have turned up; before any has, to the peer with its number among all peers, which is
- * what clients do that choose by the key; others by turns.
- * <li>What is too short of time to be told twice is not moved: it ends here.
- * <li>A peer that has no room is left alone for {@link #NO_CAPACITY_PAUSE_MILLIS} and each of its groups is offered elsewhere; one that
- * cannot use something in a lot is offered that lot's groups one by one, and each that it refuses alone goes elsewhere.
+ * <li>A key goes where its clients have come; before any has, to the peer with its number among all peers, which is what clients do that
+ * choose by the key; messages without a key are spread by their number.
+ * <li>A group with too little time left is not moved: it is completed here.
+ * <li>A peer without capacity is left alone for {@link #NO_CAPACITY_PAUSE_MILLIS} and each of its groups is offered elsewhere; one that
+ * cannot use something in a batch is offered that batch's groups one by one, and each that it rejects alone goes elsewhere.
  * <li>A peer that cannot be reached is left alone for {@link #UNREACHABLE_PAUSE_MILLIS}.
- * <li>A group that every peer has refused stays. So does the one that was offered {@link #MAX_OFFERS_PER_GROUP} times.
+ * <li>A group that every peer has rejected stays. So does one that was offered {@link #MAX_OFFERS_PER_GROUP} times.
  * </ul>
  *
- * <p>Decides only; times are milliseconds on the caller's clock. It remembers what it has met for one stop, at most one
- * entry a group.
+ * <p>Decides only; times are milliseconds on the caller's clock. It remembers what it has met for one shutdown, at most one
+ * entry for each group. Not thread-safe.
  */
 public final class HandoffPlacement {
-    /** Messages in a lot. */
+    /** Messages in a batch. */
     public static final int MAX_BATCH_MESSAGES = 64;
-    /** Bytes of a lot's messages with what is told of each, so that its record stays within the journal's bound. */
+    /** Bytes of a batch's messages with what is recorded of each, so that its record stays within the journal's bound. */
     public static final long MAX_BATCH_BYTES = 96 << 10;
-    /** A group may have more than a lot, but not more than a record holds. */
+    /** A group may have more than a batch, but not more than a record holds. */
     public static final long MAX_GROUP_BYTES = 128 << 10;
-    /** What has less time left is not moved: an offer, its answer and a call take a while. */
+    /** An offer, its reply and a call take a while: what has less time left is not moved. */
     public static final long MIN_TIME_LEFT_MILLIS = 300;
-    /** A peer that said it has no room is asked again after so long. */
+    /** Pause before a peer that had no capacity is offered anything again. */
     public static final long NO_CAPACITY_PAUSE_MILLIS = 500;
-    /** A peer that could not be reached is tried again after so long. */
+    /** Pause before a peer that could not be reached is offered anything again. */
     public static final long UNREACHABLE_PAUSE_MILLIS = 1_000;
-    /** So often is one group offered at most. */
+    /** Offers of one group. */
     public static final int MAX_OFFERS_PER_GROUP = 32;
 
-    /** What moves together; {@code first} names it, {@code key} is 0 for none, {@code left} is its least time left. */
+    /**
+     * What moves together.
+     *
+     * @param firstNumber number of the first message, which identifies the group
+     * @param key the ordered key, 0 for none
+     * @param timeLeftMillis least time left of its messages
+     */
     public record MessageGroup(long firstNumber, long key, int messageCount, long sizeBytes, long timeLeftMillis) {}
 
     /** Groups for one peer. */
     public record HandoffBatch(String successor, List<MessageGroup> groups) {}
 
-    /** Why a peer refuses. */
+    /** Why a peer rejects an offer: no capacity, or a message that it cannot take. Names are on the wire. */
     public enum RejectionReason {
         ROOM,
         UNFIT
     }
 
+    /** What was met with one group. */
     private static final class OfferHistory {
         final Set<String> rejectedBy = new HashSet<>();
-        /** To be offered alone, as a peer could not use something in a lot with it. */
+        /** A peer could not use something in a batch with it. */
         boolean offerAlone;
 
         int offerCount;
@@ -67,6 +74,7 @@
     private final Map<Long, String> preferredPeerByKey = new HashMap<>();
     private final Map<String, Long> peerPausedUntilMillis = new HashMap<>();
 
+    /** For these peers, in the order that clients number them. */
     public HandoffPlacement(Collection<String> peers) {
         this.peers = List.copyOf(peers);
     }
@@ -78,105 +86,120 @@
         }
     }
 
-    /** Lots to be offered now, at most so many; the rest of the groups have to wait or stay. */
-    public List<HandoffBatch> assignBatches(long now, List<MessageGroup> groups, int mostLots) {
-        List<HandoffBatch> out = new ArrayList<>();
-        Map<String, List<MessageGroup>> filling = new LinkedHashMap<>();
+    /** Batches to be offered now, at most so many; the rest of the groups have to wait or stay. */
+    public List<HandoffBatch> assignBatches(long nowMillis, List<MessageGroup> groups, int maxBatches) {
+        List<HandoffBatch> batches = new ArrayList<>();
+        Map<String, List<MessageGroup>> openBySuccessor = new LinkedHashMap<>();
         for (MessageGroup group : groups) {
-            if (out.size() >= mostLots) {
+            if (batches.size() >= maxBatches) {
                 break;
             }
-            String heir = chooseSuccessor(now, group);
-            if (heir == null) {
-                continue;
+            String successor = chooseSuccessor(nowMillis, group);
+            if (successor != null) {
+                assign(group, successor, maxBatches, batches, openBySuccessor);
             }
-            boolean room = out.size() + filling.size() < mostLots;
-            if (historyByGroup.containsKey(group.firstNumber()) && historyByGroup.get(group.firstNumber()).offerAlone) {
-                if (room) {
-                    out.add(new HandoffBatch(heir, List.of(group)));
-                }
-                continue;
-            }
-            List<MessageGroup> lot = filling.get(heir);
-            if (lot != null && !fitsInBatch(lot, group)) {
-                out.add(new HandoffBatch(heir, filling.remove(heir)));
-                lot = null;
+        }
+        openBySuccessor.forEach((successor, open) -> batches.add(new HandoffBatch(successor, open)));
+        for (HandoffBatch batch : batches) {
+            batch.groups().forEach(group -> historyOf(group).offerCount++);
+        }
+        return batches;
+    }
+
+    /** Adds a group to its successor's open batch, or to one of its own; it waits where that would be one too many. */
+    private void assign(
+            MessageGroup group,
+            String successor,
+            int maxBatches,
+            List<HandoffBatch> batches,
+            Map<String, List<MessageGroup>> openBySuccessor) {
+        boolean hasPlace = batches.size() + openBySuccessor.size() < maxBatches;
+        OfferHistory history = historyByGroup.get(group.firstNumber());
+        if (history != null && history.offerAlone) {
+            if (hasPlace) {
+                batches.add(new HandoffBatch(successor, List.of(group)));
             }
-            if (lot == null) {
-                if (!room) {
-                    continue;
-                }
-                lot = new ArrayList<>();
-                filling.put(heir, lot);
+            return;
+        }
+        List<MessageGroup> open = openBySuccessor.get(successor);
+        if (open != null && !fitsInBatch(open, group)) {
+            batches.add(new HandoffBatch(successor, openBySuccessor.remove(successor)));
+            open = null;
+        }
+        if (open == null) {
+            if (!hasPlace) {
+                return;
             }
-            lot.add(group);
+            open = new ArrayList<>();
+            openBySuccessor.put(successor, open);
         }
-        filling.forEach((heir, lot) -> out.add(new HandoffBatch(heir, lot)));
-        out.forEach(lot -> lot.groups()
-                .forEach(g -> historyByGroup.computeIfAbsent(g.firstNumber(), f -> new OfferHistory()).offerCount++));
-        return out;
+        open.add(group);
+    }
+
+    private OfferHistory historyOf(MessageGroup group) {
+        return historyByGroup.computeIfAbsent(group.firstNumber(), number -> new OfferHistory());
     }
 
-    private static boolean fitsInBatch(List<MessageGroup> lot, MessageGroup group) {
+    private static boolean fitsInBatch(List<MessageGroup> batch, MessageGroup group) {
         int messages = group.messageCount();
         long bytes = group.sizeBytes();
-        for (MessageGroup g : lot) {
-            messages += g.messageCount();
-            bytes += g.sizeBytes();
+        for (MessageGroup each : batch) {
+            messages += each.messageCount();
+            bytes += each.sizeBytes();
         }
         return messages <= MAX_BATCH_MESSAGES && bytes <= MAX_BATCH_BYTES;
     }
 
     /** Null where it stays, for now or for good. */
-    private String chooseSuccessor(long now, MessageGroup group) {
-        OfferHistory known = historyByGroup.get(group.firstNumber());
+    private String chooseSuccessor(long nowMillis, MessageGroup group) {
+        OfferHistory history = historyByGroup.get(group.firstNumber());
         if (peers.isEmpty()
                 || group.timeLeftMillis() < MIN_TIME_LEFT_MILLIS
                 || group.sizeBytes() > MAX_GROUP_BYTES
-                || known != null && known.offerCount >= MAX_OFFERS_PER_GROUP) {
+                || history != null && history.offerCount >= MAX_OFFERS_PER_GROUP) {
             return null;
         }
-        String wanted = preferredPeerByKey.get(group.key());
-        if (group.key() != 0 && wanted != null && isAvailable(now, wanted, known)) {
-            return wanted;
+        String preferred = preferredPeerByKey.get(group.key());
+        if (group.key() != 0 && preferred != null && isAvailable(nowMillis, preferred, history)) {
+            return preferred;
         }
-        int from = Math.floorMod(group.key() != 0 ? group.key() : group.firstNumber(), peers.size());
-        for (int i = 0; i < peers.size(); i++) {
-            String peer = peers.get((from + i) % peers.size());
-            if (isAvailable(now, peer, known)) {
+        int start = Math.floorMod(group.key() != 0 ? group.key() : group.firstNumber(), peers.size());
+        for (int offset = 0; offset < peers.size(); offset++) {
+            String peer = peers.get((start + offset) % peers.size());
+            if (isAvailable(nowMillis, peer, history)) {
                 return peer;
             }
         }
         return null;
     }
 
-    private boolean isAvailable(long now, String peer, OfferHistory known) {
-        return now >= peerPausedUntilMillis.getOrDefault(peer, Long.MIN_VALUE)
-                && (known == null || !known.rejectedBy.contains(peer));
+    private boolean isAvailable(long nowMillis, String peer, OfferHistory history) {
+        return nowMillis >= peerPausedUntilMillis.getOrDefault(peer, Long.MIN_VALUE)
+                && (history == null || !history.rejectedBy.contains(peer));
     }
 
-    /** The peer refused a lot. */
-    public void batchRejected(long now, HandoffBatch lot, RejectionReason why) {
-        if (why == RejectionReason.ROOM) {
-            peerPausedUntilMillis.put(lot.successor(), now + NO_CAPACITY_PAUSE_MILLIS);
+    /** The peer rejected a batch. */
+    public void batchRejected(long nowMillis, HandoffBatch batch, RejectionReason reason) {
+        if (reason == RejectionReason.ROOM) {
+            peerPausedUntilMillis.put(batch.successor(), nowMillis + NO_CAPACITY_PAUSE_MILLIS);
         }
-        for (MessageGroup group : lot.groups()) {
-            OfferHistory known = historyByGroup.computeIfAbsent(group.firstNumber(), f -> new OfferHistory());
-            if (why == RejectionReason.UNFIT && lot.groups().size() > 1) {
-                known.offerAlone = true;
-            } else if (why == RejectionReason.UNFIT) {
-                known.rejectedBy.add(lot.successor());
+        for (MessageGroup group : batch.groups()) {
+            OfferHistory history = historyOf(group);
+            if (reason == RejectionReason.UNFIT && batch.groups().size() > 1) {
+                history.offerAlone = true;
+            } else if (reason == RejectionReason.UNFIT) {
+                history.rejectedBy.add(batch.successor());
             }
         }
     }
 
     /** The peer could not be reached; nothing was offered to it. */
-    public void peerUnreachable(long now, String peer) {
-        peerPausedUntilMillis.put(peer, now + UNREACHABLE_PAUSE_MILLIS);
+    public void peerUnreachable(long nowMillis, String peer) {
+        peerPausedUntilMillis.put(peer, nowMillis + UNREACHABLE_PAUSE_MILLIS);
     }
 
     /** Nothing more need be remembered of these. */
     public void forgetGroups(Collection<MessageGroup> groups) {
-        groups.forEach(g -> historyByGroup.remove(g.firstNumber()));
+        groups.forEach(group -> historyByGroup.remove(group.firstNumber()));
     }
 }
--- a/handoff/src/main/java/amberroute/handoff/KeyHolds.java
+++ b/handoff/src/main/java/amberroute/handoff/KeyHolds.java
@@ -9,80 +9,83 @@
 import java.util.Set;
 
 /**
- * The ordered keys of which another daemon still has messages: a message of such a key that comes here waits until the
- * hold is released or over, so that it cannot overtake what came before it. A hold has the name of the daemon that asked
- * for it (its origin) and ends by itself at a wall time, when none of the messages it stands for can be carried out any
+ * The ordered keys of which another daemon still has messages. Invariant: a message of such a key that comes here waits until the
+ * hold is released or expires, so that it cannot overtake what came before it. A hold has the name of the daemon that asked
+ * for it (its origin) and expires at a wall time, when none of the messages it stands for can be delivered any
  * more. Several origins may hold one key; it is free when none does.
  *
- * <p>At most {@value #MAX_HOLDS} holds are kept; an origin that asks for more is told no and keeps its clients away by itself.
+ * <p>At most {@value #MAX_HOLDS} holds are kept; an origin that asks for more is not acknowledged and keeps its clients away by itself.
+ * Times are milliseconds of wall time. Not thread-safe.
  */
 public final class KeyHolds {
     /** Of all keys and origins together. */
     public static final int MAX_HOLDS = 65_536;
 
-    /** One origin's hold on one key, until a wall time in milliseconds. */
+    /** One origin's hold on one key. */
     public record KeyHold(String origin, long key, long untilMillis) {}
 
     private final Map<Long, Map<String, Long>> untilByOriginByKey = new HashMap<>();
     private int holdCount;
 
-    /** Whether there is room for so many more. */
+    /** Whether there is capacity for so many more. */
     public boolean hasCapacity(int more) {
         return holdCount + more <= MAX_HOLDS;
     }
 
     /** Returns the keys that nobody held before. A hold that is asked for again lasts until the later of both times. */
-    public List<Long> hold(String origin, Collection<Long> keys, long until) {
-        List<Long> fresh = new ArrayList<>();
+    public List<Long> hold(String origin, Collection<Long> keys, long untilMillis) {
+        List<Long> newlyHeld = new ArrayList<>();
         for (long key : keys) {
-            Map<String, Long> of = untilByOriginByKey.computeIfAbsent(key, k -> new HashMap<>(2));
-            if (of.isEmpty()) {
-                fresh.add(key);
+            Map<String, Long> untilByOrigin = untilByOriginByKey.computeIfAbsent(key, k -> new HashMap<>(2));
+            if (untilByOrigin.isEmpty()) {
+                newlyHeld.add(key);
             }
-            Long before = of.put(origin, until);
+            Long before = untilByOrigin.put(origin, untilMillis);
             holdCount += before == null ? 1 : 0;
-            if (before != null && before > until) {
-                of.put(origin, before);
+            if (before != null && before > untilMillis) {
+                untilByOrigin.put(origin, before);
             }
         }
-        return fresh;
+        return newlyHeld;
     }
 
     /** Returns the keys that nobody holds any more. */
     public List<Long> release(String origin, Collection<Long> keys) {
-        List<Long> free = new ArrayList<>();
+        List<Long> released = new ArrayList<>();
         for (long key : keys) {
-            Map<String, Long> of = untilByOriginByKey.get(key);
-            if (of == null || of.remove(origin) == null) {
+            Map<String, Long> untilByOrigin = untilByOriginByKey.get(key);
+            if (untilByOrigin == null || untilByOrigin.remove(origin) == null) {
                 continue;
             }
             holdCount--;
-            if (of.isEmpty()) {
+            if (untilByOrigin.isEmpty()) {
                 untilByOriginByKey.remove(key);
-                free.add(key);
+                released.add(key);
             }
         }
-        return free;
+        return released;
     }
 
     /** Ends the holds whose time is up and returns the keys that nobody holds any more. */
-    public List<Long> expire(long wall) {
-        List<Long> free = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, Map<String, Long>>> it =
-                        untilByOriginByKey.entrySet().iterator();
-                it.hasNext(); ) {
-            Map.Entry<Long, Map<String, Long>> entry = it.next();
-            int before = entry.getValue().size();
-            entry.getValue().values().removeIf(until -> until <= wall);
-            holdCount -= before - entry.getValue().size();
-            if (entry.getValue().isEmpty()) {
-                free.add(entry.getKey());
-                it.remove();
+    public List<Long> expire(long wallMillis) {
+        List<Long> released = new ArrayList<>();
+        Iterator<Map.Entry<Long, Map<String, Long>>> entries =
+                untilByOriginByKey.entrySet().iterator();
+        while (entries.hasNext()) {
+            Map.Entry<Long, Map<String, Long>> entry = entries.next();
+            Map<String, Long> untilByOrigin = entry.getValue();
+            int before = untilByOrigin.size();
+            untilByOrigin.values().removeIf(untilMillis -> untilMillis <= wallMillis);
+            holdCount -= before - untilByOrigin.size();
+            if (untilByOrigin.isEmpty()) {
+                released.add(entry.getKey());
+                entries.remove();
             }
         }
-        return free;
+        return released;
     }
 
+    /** Whether anybody holds this key. */
     public boolean isHeld(long key) {
         return untilByOriginByKey.containsKey(key);
     }
@@ -100,11 +103,12 @@
     /** All holds, for a journal that is written anew. */
     public List<KeyHold> allHolds() {
         List<KeyHold> all = new ArrayList<>(holdCount);
-        untilByOriginByKey.forEach(
-                (key, of) -> of.forEach((origin, until) -> all.add(new KeyHold(origin, key, until))));
+        untilByOriginByKey.forEach((key, untilByOrigin) ->
+                untilByOrigin.forEach((origin, untilMillis) -> all.add(new KeyHold(origin, key, untilMillis))));
         return all;
     }
 
+    /** Number of holds. */
     public int size() {
         return holdCount;
     }
--- a/handoff/src/main/java/amberroute/handoff/Ownership.java
+++ b/handoff/src/main/java/amberroute/handoff/Ownership.java
@@ -3,105 +3,112 @@
 import java.util.List;
 
 /**
- * What one daemon's journal says of one lot: the generation that it last had a part in, and which. The generation grows
- * by one with each offer, whoever makes it, so it fences: a word of an older generation changes nothing any more.
+ * What one daemon's journal says of one batch, and the transitions of the handoff. Invariant: at any time at most one daemon owns a batch. The
+ * generation grows by one with each offer, whoever makes it, so it fences: a message of an older generation changes nothing.
+ * Immutable.
  *
- * <p>{@code peer} is whom a lot was offered or given to, empty otherwise.
+ * @param generation the last generation that this daemon took part in
+ * @param peer to whom the batch was offered or given, empty otherwise
  */
 public record Ownership(long generation, Status status, String peer) {
-    /** Only an {@link #OWNED} lot may be worked on: calls, ends and further offers. */
+    /** Only an {@link #OWNED} batch may be worked on: calls, completions and further offers. Names are on disk. */
     public enum Status {
         /** This daemon owns it. */
         OWNED,
-        /** Offered to a peer whose answer is not known: frozen, as the peer may own it already. */
+        /** Offered to a peer whose reply is not known: frozen, as the peer may own it already. */
         OFFERED,
-        /** A peer has said yes: it is the peer's. */
+        /** The peer has accepted and owns it. */
         GIVEN,
-        /** This daemon has said no to an offer of this generation, and never says yes to it. */
+        /** This daemon has rejected the offer of this generation, and never accepts it. */
         REFUSED,
-        /** Its end was told here. */
+        /** This daemon has reported its messages as ended. */
         ENDED
     }
 
-    /** Before anything is known of a lot. */
+    /** Of a batch that nothing is known of. */
     public static final Ownership NONE = new Ownership(0, Status.REFUSED, "");
 
-    /** A lot that was taken on from clients. */
+    /** Of a batch of messages that were accepted from clients. */
     public static Ownership initial() {
         return new Ownership(1, Status.OWNED, "");
     }
 
-    /** Whether this daemon may work on the lot. */
+    /** Whether this daemon may work on the batch. */
     public boolean isOwned() {
         return status == Status.OWNED;
     }
 
-    // ---- The leaver. ----
+    // ---- The owner. ----
 
-    /** Offers an owned lot: the record first, then the word. Nothing where it is not owned. */
-    public List<HandoffEffect> offer(String lot, String heir) {
+    /** Offers an owned batch: the record first, then the message. Nothing where it is not owned. */
+    public List<HandoffEffect> offer(String batchId, String successor) {
         if (!isOwned()) {
             return List.of();
         }
-        Ownership next = new Ownership(generation + 1, Status.OFFERED, heir);
+        Ownership next = new Ownership(generation + 1, Status.OFFERED, successor);
         return List.of(
-                new HandoffEffect.PersistOwnership(lot, next),
+                new HandoffEffect.PersistOwnership(batchId, next),
                 new HandoffEffect.SendMessage(
-                        heir, new HandoffMessage(HandoffMessage.Kind.OFFER, lot, next.generation)));
+                        successor, new HandoffMessage(HandoffMessage.Kind.OFFER, batchId, next.generation)));
     }
 
-    /** Asks again for an answer that has not come, or asks to have the lot back; only the heir can tell whose it is. */
-    public List<HandoffEffect> requestReply(String lot, boolean back) {
+    /** Repeats an offer that was not answered, or withdraws it; only the successor knows whose the batch is. */
+    public List<HandoffEffect> requestReply(String batchId, boolean withdraw) {
         return status != Status.OFFERED
                 ? List.of()
                 : List.of(new HandoffEffect.SendMessage(
                         peer,
                         new HandoffMessage(
-                                back ? HandoffMessage.Kind.CANCEL : HandoffMessage.Kind.OFFER, lot, generation)));
+                                withdraw ? HandoffMessage.Kind.CANCEL : HandoffMessage.Kind.OFFER,
+                                batchId,
+                                generation)));
     }
 
-    /** The heir's answer; one that belongs to another offer or comes again changes nothing. */
-    public List<HandoffEffect> onReply(String lot, String from, HandoffMessage word) {
-        if (status != Status.OFFERED || word.generation() != generation || !from.equals(peer)) {
+    /** The successor's reply; one that belongs to another offer or comes again changes nothing. */
+    public List<HandoffEffect> onReply(String batchId, String sender, HandoffMessage message) {
+        if (status != Status.OFFERED || message.generation() != generation || !sender.equals(peer)) {
             return List.of();
         }
-        return switch (word.kind()) {
-            case YES -> List.of(new HandoffEffect.PersistOwnership(lot, new Ownership(generation, Status.GIVEN, peer)));
-            case NO -> List.of(new HandoffEffect.PersistOwnership(lot, new Ownership(generation, Status.OWNED, "")));
+        return switch (message.kind()) {
+            case YES -> List.of(
+                    new HandoffEffect.PersistOwnership(batchId, new Ownership(generation, Status.GIVEN, peer)));
+            case NO -> List.of(
+                    new HandoffEffect.PersistOwnership(batchId, new Ownership(generation, Status.OWNED, "")));
             default -> List.of();
         };
     }
 
     /**
-     * The lot's time is up. Whoever owns it ends it as it likes; whoever waits for an answer may only say that it
-     * failed, which promises nothing, as the heir may have carried it out.
+     * The deadline of the batch has passed. An owner ends it as it likes; whoever waits for a reply may only report it as
+     * failed, which promises nothing, as the successor may have delivered it.
      */
-    public List<HandoffEffect> expire(String lot) {
+    public List<HandoffEffect> expire(String batchId) {
         return status == Status.OWNED || status == Status.OFFERED
-                ? List.of(new HandoffEffect.PersistOwnership(lot, new Ownership(generation, Status.ENDED, "")))
+                ? List.of(new HandoffEffect.PersistOwnership(batchId, new Ownership(generation, Status.ENDED, "")))
                 : List.of();
     }
 
-    // ---- The heir. ----
+    // ---- The successor. ----
 
-    /** An offer or its withdrawal; {@code room} is whether this daemon would take it. Decided once, and kept. */
-    public List<HandoffEffect> onOffer(String lot, String from, HandoffMessage word, boolean room) {
-        HandoffEffect yes = new HandoffEffect.SendMessage(
-                from, new HandoffMessage(HandoffMessage.Kind.YES, lot, word.generation()));
-        HandoffEffect no =
-                new HandoffEffect.SendMessage(from, new HandoffMessage(HandoffMessage.Kind.NO, lot, word.generation()));
-        if (word.generation() < generation) {
-            // Whoever still waits for this offer waits because it was adopted and has moved on since: had it been
-            // refused, the lot would not have come to a later generation without its owner hearing so.
-            return List.of(yes);
+    /** An offer or its withdrawal; {@code willing} is whether this daemon would accept it. Decided once, and kept. */
+    public List<HandoffEffect> onOffer(String batchId, String sender, HandoffMessage message, boolean willing) {
+        HandoffEffect accept = new HandoffEffect.SendMessage(
+                sender, new HandoffMessage(HandoffMessage.Kind.YES, batchId, message.generation()));
+        HandoffEffect reject = new HandoffEffect.SendMessage(
+                sender, new HandoffMessage(HandoffMessage.Kind.NO, batchId, message.generation()));
+        if (message.generation() < generation) {
+            // A sender that still waits for this offer waits because it was accepted and the batch has moved on since:
+            // had it
+            // been rejected, the batch would not have come to a later generation without its owner hearing so.
+            return List.of(accept);
         }
-        if (word.generation() == generation) {
-            return List.of(status == Status.REFUSED ? no : yes);
+        if (message.generation() == generation) {
+            return List.of(status == Status.REFUSED ? reject : accept);
         }
-        boolean take = word.kind() == HandoffMessage.Kind.OFFER && room;
+        boolean accepts = message.kind() == HandoffMessage.Kind.OFFER && willing;
         return List.of(
                 new HandoffEffect.PersistOwnership(
-                        lot, new Ownership(word.generation(), take ? Status.OWNED : Status.REFUSED, "")),
-                take ? yes : no);
+                        batchId, new Ownership(message.generation(), accepts ? Status.OWNED : Status.REFUSED, "")),
+                accepts ? accept : reject);
     }
 }
--- a/handoff/src/main/java/amberroute/handoff/package-info.java
+++ b/handoff/src/main/java/amberroute/handoff/package-info.java
@@ -1,8 +1,17 @@
 /**
- * Who owns a lot of messages while it moves from one daemon to another: the hand-over protocol as a state machine, with
- * its records and its words on the wire as data. {@code docs/hand-over.md} has the invariant, its proof and its cost.
+ * Who owns a batch of messages while it moves from one daemon to another, who is offered what, and how the order of keys is kept meanwhile: the
+ * handoff protocol as state machines, with its records and its messages as data.
  *
- * <p>It does no I/O and has no clock: whoever hosts it carries out the {@link amberroute.handover.Effect}s in their
- * order, each record on disk before the next word leaves. It knows neither journal nor sockets nor the sender.
+ * <p>Assumes that messages between daemons may be lost, delayed and repeated, and that a record which the host reports as written outlasts a
+ * restart. The host carries out each {@link amberroute.handoff.HandoffEffect} in order, each record on disk before the next message
+ * leaves. Invariants:
+ *
+ * <ul>
+ * <li>At most one daemon owns a batch ({@link amberroute.handoff.Ownership}).
+ * <li>A client goes to another daemon with an ordered key only when all peers hold the key, or nothing of it can be delivered any more ({@link
+ * amberroute.handoff.KeyHoldAnnouncement}).
+ * </ul>
+ *
+ * <p>No I/O and no clock; times are milliseconds that the caller passes in. It knows neither the journal nor sockets nor the sender.
  */
 package amberroute.handoff;
--- a/replication/src/main/java/amberroute/replication/Candidacy.java
+++ b/replication/src/main/java/amberroute/replication/Candidacy.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * One attempt to become the owner of an estate for a term. Whoever claims has granted the term to itself, on disk, before
- * it asks others. It wins with a majority of the group that its own copy names.
+ * One attempt to become the owner of a journal for a term. Invariant: the candidate has granted the term to itself, on disk, before
+ * it asks others. It wins with a quorum of the replica set that its own copy names. Not thread-safe.
  */
 public final class Candidacy {
     private final String self;
@@ -15,62 +15,64 @@
     private final Set<String> deniedBy = new HashSet<>();
     private long highestTermSeen;
 
-    /** {@code holding} is the claimant's own, with the term that it claims granted to itself. */
-    public Candidacy(String self, ReplicaSet group, ReplicaState holding) {
-        if (!holding.hasGranted(holding.term(), self)) {
+    /** {@code ownState} is the candidate's own, with the term granted to itself; an {@link IllegalArgumentException} otherwise. */
+    public Candidacy(String self, ReplicaSet replicaSet, ReplicaState ownState) {
+        if (!ownState.hasGranted(ownState.term(), self)) {
             throw new IllegalArgumentException("a term that was not granted by its claimant");
         }
         this.self = self;
-        this.replicaSet = group;
-        this.ownState = holding;
-        highestTermSeen = holding.term();
+        this.replicaSet = replicaSet;
+        this.ownState = ownState;
+        highestTermSeen = ownState.term();
         grantedBy.add(self);
     }
 
+    /** The term that is stood for. */
     public long term() {
         return ownState.term();
     }
 
-    /** How far the claimant's own copy reaches. */
+    /** How far the candidate's own copy reaches. */
     public LogPosition logPosition() {
         return ownState.logPosition();
     }
 
+    /** The voters. */
     public ReplicaSet replicaSet() {
         return replicaSet;
     }
 
-    /** A holder's answer; {@code term} is the highest that it knows of. One for another claim changes nothing. */
-    public void onVote(String from, long asked, boolean yes, long term) {
+    /** A voter's answer; {@code term} is the highest that it knows of. One to another candidacy changes nothing. */
+    public void onVote(String voter, long requestedTerm, boolean granted, long term) {
         highestTermSeen = Math.max(highestTermSeen, term);
-        if (asked == ownState.term() && replicaSet.members().contains(from)) {
-            (yes ? grantedBy : deniedBy).add(from);
+        if (requestedTerm == ownState.term() && replicaSet.members().contains(voter)) {
+            (granted ? grantedBy : deniedBy).add(voter);
         }
     }
 
-    /** Whether the term is this claimant's. */
+    /** Whether the term is this candidate's. */
     public boolean hasWon() {
         return replicaSet.hasQuorum(grantedBy);
     }
 
-    /** Whether so many have said no that it cannot be won any more. */
+    /** Whether so many have denied it that it cannot be won any more. */
     public boolean hasLost() {
-        Set<String> left = new HashSet<>(replicaSet.members());
-        left.removeAll(deniedBy);
-        return !replicaSet.hasQuorum(left);
+        Set<String> possible = new HashSet<>(replicaSet.members());
+        possible.removeAll(deniedBy);
+        return !replicaSet.hasQuorum(possible);
     }
 
-    /** The least term that could be claimed next. */
+    /** The least term that could be stood for next. */
     public long nextTerm() {
         return highestTermSeen + 1;
     }
 
     /** Who has not answered yet, and is to be asked again. */
     public Set<String> pendingVoters() {
-        Set<String> left = new HashSet<>(replicaSet.members());
-        left.remove(self);
-        left.removeAll(grantedBy);
-        left.removeAll(deniedBy);
-        return left;
+        Set<String> pending = new HashSet<>(replicaSet.members());
+        pending.remove(self);
+        pending.removeAll(grantedBy);
+        pending.removeAll(deniedBy);
+        return pending;
     }
 }
--- a/replication/src/main/java/amberroute/replication/ElectionSchedule.java
+++ b/replication/src/main/java/amberroute/replication/ElectionSchedule.java
@@ -6,49 +6,66 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** When to try for an estate, and who is to hold one. None of it matters for safety: a wrong answer costs time or work. */
+/** When to stand for election, and who is to have replicas. Neither matters for safety: a wrong answer costs time or work. Stateless. */
 public final class ElectionSchedule {
     /**
-     * What a holder sees of an estate's owner: whether that is itself (its process was restarted), whether membership takes
-     * it for gone, and how long nothing was heard of the estate.
+     * What a replica sees of a journal's owner.
+     *
+     * @param isSelf it is this daemon, whose process was restarted
+     * @param hasFailed membership takes it for failed
+     * @param silentNanos how long nothing was heard of the journal
      */
     public record OwnerObservation(boolean isSelf, boolean hasFailed, long silentNanos) {}
 
     private ElectionSchedule() {}
 
     /**
-     * Whether to ask the group for the next term. {@code quiet} is how long nothing has to be heard of the estate from an owner that
-     * is taken for gone, {@code longer} from one that is not: a process that lost its folder is there and owns nothing.
+     * Whether to ask the replica set for the next term.
+     *
+     * @param failedSilenceNanos how long nothing has to be heard of the journal from an owner that is taken for failed
+     * @param aliveSilenceNanos the same of one that is not: a process that lost its folder is alive and owns nothing
      */
-    public static boolean shouldStartElection(OwnerObservation seen, long quiet, long longer) {
-        return seen.isSelf() || seen.hasFailed() && seen.silentNanos() >= quiet || seen.silentNanos() >= longer;
+    public static boolean shouldStartElection(
+            OwnerObservation observation, long failedSilenceNanos, long aliveSilenceNanos) {
+        return observation.isSelf()
+                || observation.hasFailed() && observation.silentNanos() >= failedSilenceNanos
+                || observation.silentNanos() >= aliveSilenceNanos;
     }
 
     /**
-     * The owner and so many less one others: those behind it in the order of names, so that each holds for about as many,
+     * The owner and so many less one others: those behind it in the order of names, so that each has about as many replicas,
      * and as far as there are any each in a zone that has none yet. Fewer where there are no more.
      */
     public static List<String> chooseReplicas(
-            String self, String zone, int size, List<String> others, UnaryOperator<String> zones) {
-        List<String> ring = new ArrayList<>(others);
-        ring.remove(self);
-        ring.sort((a, b) -> {
-            boolean behindA = a.compareTo(self) > 0;
-            boolean behindB = b.compareTo(self) > 0;
-            return behindA == behindB ? a.compareTo(b) : behindA ? -1 : 1;
-        });
-        List<String> out = new ArrayList<>(List.of(self));
-        Set<String> taken = new HashSet<>(Set.of(zone));
+            String self, String zone, int size, List<String> others, UnaryOperator<String> zoneOf) {
+        List<String> ring = ringBehind(self, others);
+        List<String> chosen = new ArrayList<>(List.of(self));
+        Set<String> zones = new HashSet<>(Set.of(zone));
         for (String name : ring) {
-            if (out.size() < size && taken.add(zones.apply(name))) {
-                out.add(name);
+            if (chosen.size() < size && zones.add(zoneOf.apply(name))) {
+                chosen.add(name);
             }
         }
         for (String name : ring) {
-            if (out.size() < size && !out.contains(name)) {
-                out.add(name);
+            if (chosen.size() < size && !chosen.contains(name)) {
+                chosen.add(name);
             }
         }
-        return out;
+        return chosen;
+    }
+
+    /** The others in the order of names, beginning behind this one. */
+    private static List<String> ringBehind(String self, List<String> others) {
+        List<String> ring = new ArrayList<>(others);
+        ring.remove(self);
+        ring.sort((left, right) -> {
+            boolean leftIsBehind = left.compareTo(self) > 0;
+            boolean rightIsBehind = right.compareTo(self) > 0;
+            if (leftIsBehind == rightIsBehind) {
+                return left.compareTo(right);
+            }
+            return leftIsBehind ? -1 : 1;
+        });
+        return ring;
     }
 }
--- a/replication/src/main/java/amberroute/replication/LeaderTerm.java
+++ b/replication/src/main/java/amberroute/replication/LeaderTerm.java
@@ -5,16 +5,18 @@
 import java.util.Map;
 
 /**
- * An owner's term: which changes it has written itself, which of them each holder has, and so which are agreed on. An
- * effect that a change allows may be had once the change is agreed on and not before.
+ * An owner's term: which records it has written itself, which of them each member has acknowledged, and so which are committed. Invariant: an
+ * effect that a record allows may happen once the record is committed and not before.
  *
- * <p>Of earlier terms nothing counts by itself: a holder is counted for what it has of this one, which begins with the
- * whole. Changes of the group are changes like others; the next one waits until the last is agreed on.
+ * <p>Of earlier terms nothing counts by itself: a member is counted for what it has of this one, which begins with a
+ * snapshot. Changes of the replica set are records like others; the next one waits until the last is committed. Not thread-safe.
  */
 public final class LeaderTerm {
+    private static final long NOTHING = -1;
+
     private final String self;
     private final long term;
-    /** Up to where each holder has it in this term; those without the whole are not there. */
+    /** Up to where each member has it in this term; those without the snapshot are not there. */
     private final Map<String, Long> acknowledgedIndexByMember = new HashMap<>();
 
     private ReplicaSet replicaSet;
@@ -22,34 +24,36 @@
     private long lastIndex;
     private boolean ended;
 
-    /** {@code last} is the number of the owner's last change so far; the group is the one that its copy names. */
-    public LeaderTerm(String self, long term, long last, ReplicaSet group) {
+    /** {@code lastIndex} is the index of the owner's last record so far; the replica set is the one that its copy names. */
+    public LeaderTerm(String self, long term, long lastIndex, ReplicaSet replicaSet) {
         this.self = self;
         this.term = term;
-        this.lastIndex = last;
-        this.replicaSet = group;
-        replicaSetIndex = last;
+        this.lastIndex = lastIndex;
+        this.replicaSet = replicaSet;
+        replicaSetIndex = lastIndex;
     }
 
+    /** Number of the term. */
     public long term() {
         return term;
     }
 
+    /** The replica set as it counts now. */
     public ReplicaSet replicaSet() {
         return replicaSet;
     }
 
-    /** Number of the last change that the owner has written. */
+    /** Index of the last record that the owner has written. */
     public long lastIndex() {
         return lastIndex;
     }
 
-    /** A change was written by the owner; returns its number. */
+    /** A record was written by the owner; returns its index. */
     public long appended() {
         return ++lastIndex;
     }
 
-    /** The change that was written last is one of the group, which counts from then on. */
+    /** The last record changes the replica set, which counts from then on; only after the last change is committed. */
     public void replicaSetChanged(ReplicaSet next) {
         if (!isReplicaSetCommitted()) {
             throw new IllegalStateException("the last change of the group is not agreed on");
@@ -59,47 +63,49 @@
         acknowledgedIndexByMember.keySet().retainAll(next.members());
     }
 
-    /** Whether the next change of the group may be made. */
+    /** Whether the next change of the replica set may be made. */
     public boolean isReplicaSetCommitted() {
         return commitIndex() >= replicaSetIndex;
     }
 
-    /** A holder has all up to a number on its disk, in this term. */
-    public void acknowledged(String holder, long number) {
-        if (!holder.equals(self) && number <= lastIndex) {
-            acknowledgedIndexByMember.merge(holder, number, Math::max);
+    /** A member has all up to an index on its disk, in this term. */
+    public void acknowledged(String member, long index) {
+        if (!member.equals(self) && index <= lastIndex) {
+            acknowledgedIndexByMember.merge(member, index, Math::max);
         }
     }
 
-    /** A holder's copy is not known to be whole any more: its connection was lost, or it asks for the whole. */
-    public void acknowledgementLost(String holder) {
-        acknowledgedIndexByMember.remove(holder);
+    /** A member's copy is not known to be complete any more: its connection was lost, or it asks for a snapshot. */
+    public void acknowledgementLost(String member) {
+        acknowledgedIndexByMember.remove(member);
     }
 
-    /** How many changes a holder is behind, -1 where it has not the whole. */
-    public long replicationLag(String holder) {
-        return holder.equals(self)
-                ? 0
-                : acknowledgedIndexByMember.containsKey(holder)
-                        ? lastIndex - acknowledgedIndexByMember.get(holder)
-                        : -1;
+    /** How many records a member is behind, -1 where it has no snapshot of this term. */
+    public long replicationLag(String member) {
+        if (member.equals(self)) {
+            return 0;
+        }
+        Long acknowledged = acknowledgedIndexByMember.get(member);
+        return acknowledged == null ? NOTHING : lastIndex - acknowledged;
     }
 
-    /** The highest number up to which a majority of the group has all; -1 where none has anything of this term. */
+    /** The highest index up to which a quorum has all; -1 where none has anything of this term, and after its end. */
     public long commitIndex() {
-        List<Long> numbers = replicaSet.members().stream()
-                .map(h -> h.equals(self) ? lastIndex : acknowledgedIndexByMember.getOrDefault(h, -1L))
+        List<Long> indexes = replicaSet.members().stream()
+                .map(member ->
+                        member.equals(self) ? lastIndex : acknowledgedIndexByMember.getOrDefault(member, NOTHING))
                 .sorted()
                 .toList();
-        // Of n holders sorted upwards, more than half stand at or above this one.
-        return numbers.isEmpty() || ended ? -1 : numbers.get((numbers.size() - 1) / 2);
+        // Of n members sorted upwards, more than half are at or above this one.
+        return indexes.isEmpty() || ended ? NOTHING : indexes.get((indexes.size() - 1) / 2);
     }
 
-    /** Somebody has a later term: nothing more is agreed on. */
+    /** Somebody has a later term: nothing more is committed. */
     public void end() {
         ended = true;
     }
 
+    /** Whether nothing more is committed. */
     public boolean hasEnded() {
         return ended;
     }
--- a/replication/src/main/java/amberroute/replication/LogPosition.java
+++ b/replication/src/main/java/amberroute/replication/LogPosition.java
@@ -1,11 +1,11 @@
 package amberroute.replication;
 
 /**
- * A place in an estate's record: the term in which it was written, and the number of the change within the estate. Of two
- * copies the one with the higher position has all that was ever agreed on in the other.
+ * A position in a journal's records: the term in which the record was written, and its index within the journal. Of two
+ * copies the one with the higher position has all that was ever committed in the other. Immutable.
  */
 public record LogPosition(long term, long index) implements Comparable<LogPosition> {
-    /** Of a holder that has nothing. */
+    /** Of a replica that has nothing. */
     public static final LogPosition NONE = new LogPosition(0, 0);
 
     @Override
--- a/replication/src/main/java/amberroute/replication/ReplicaSet.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSet.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Who holds copies of an estate, its owner among them; {@code version} grows by one with each change. A change adds one
- * or takes one away, never both: then any majority of before and any of after have somebody in common, so two groups can
- * never decide apart.
+ * Who has replicas of a journal, its owner among them; {@code version} grows by one with each change. Invariant: a change adds one member
+ * or removes one, never both: then any quorum of before and any of after have a member in common, so two versions can
+ * never decide apart. Immutable. An {@link IllegalArgumentException} for a member twice, or more than {@link #MAX_MEMBERS}.
  */
 public record ReplicaSet(long version, List<String> members) {
     /** More would make each message slower and the fleet no safer against what happens to it. */
@@ -21,8 +21,8 @@
     }
 
     /** Whether these are more than half of it; others do not count. */
-    public boolean hasQuorum(Collection<String> some) {
-        return 2 * members.stream().filter(some::contains).count() > members.size();
+    public boolean hasQuorum(Collection<String> names) {
+        return 2 * members.stream().filter(names::contains).count() > members.size();
     }
 
     /** The next version with one more. */
@@ -34,7 +34,8 @@
 
     /** The next version without one. */
     public ReplicaSet withoutMember(String name) {
-        return new ReplicaSet(
-                version + 1, members.stream().filter(h -> !h.equals(name)).toList());
+        List<String> fewer =
+                members.stream().filter(member -> !member.equals(name)).toList();
+        return new ReplicaSet(version + 1, fewer);
     }
 }
--- a/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
@@ -7,12 +7,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Which change of an estate's group comes next. A holder that came back with nothing leaves at once, one that is away leaves
- * once another has taken its place, and whoever is to join is brought up to date first. One step at a time; whoever carries
- * it out asks again when it is agreed on. Times are nanoseconds on the caller's clock.
+ * Which change of a journal's replica set comes next. A member that lost its state is removed at once, one that has failed is removed
+ * once another has taken its place, and whoever is to join is caught up first. One step at a time; whoever carries
+ * it out asks again when it is committed. Times are nanoseconds on the caller's clock. Not thread-safe.
  */
 public final class ReplicaSetChange {
-    /** What to do with somebody; NONE names nobody. */
+    /** What to do with a daemon; NONE names nobody. */
     public enum Kind {
         NONE,
         REMOVE,
@@ -26,7 +26,13 @@
     }
 
     /**
-     * How others stand: taken for gone by membership, came back with nothing, has all that there is; who is there, and where.
+     * How the other daemons are.
+     *
+     * @param hasFailed membership takes it for failed
+     * @param hasLostState it came back without what it had promised
+     * @param isCaughtUp it has all records
+     * @param alive who could join
+     * @param zoneOf where each is
      */
     public record View(
             Predicate<String> hasFailed,
@@ -35,62 +41,79 @@
             List<String> alive,
             UnaryOperator<String> zoneOf) {}
 
+    private static final String NOBODY = "";
+
     private final String self;
     private final int targetSize;
     private final long replaceAfterNanos;
     private final Map<String, Long> failedSinceNanos = new HashMap<>();
-    private String learner = "";
+    private String learner = NOBODY;
 
-    /** A group of so many; a holder that is gone for longer than {@code patience} is replaced. */
-    public ReplicaSetChange(String self, int size, long patience) {
+    /** A replica set of so many; a member that has failed for longer than {@code replaceAfterNanos} is replaced. */
+    public ReplicaSetChange(String self, int targetSize, long replaceAfterNanos) {
         this.self = self;
-        this.targetSize = size;
-        this.replaceAfterNanos = patience;
+        this.targetSize = targetSize;
+        this.replaceAfterNanos = replaceAfterNanos;
     }
 
-    /** The next step for a group that has settled. */
-    public Step nextStep(long now, ReplicaSet group, View view) {
-        List<String> others =
-                group.members().stream().filter(h -> !h.equals(self)).toList();
-        failedSinceNanos.keySet().retainAll(others);
-        for (String holder : others) {
-            if (view.hasFailed().test(holder)) {
-                failedSinceNanos.putIfAbsent(holder, now);
-            } else {
-                failedSinceNanos.remove(holder);
-            }
-        }
-        String away = others.stream()
-                .filter(h -> failedSinceNanos.containsKey(h) && now - failedSinceNanos.get(h) > replaceAfterNanos)
+    /** The next step for a replica set whose last change is committed. */
+    public Step nextStep(long now, ReplicaSet replicaSet, View view) {
+        List<String> others = replicaSet.members().stream()
+                .filter(member -> !member.equals(self))
+                .toList();
+        trackFailures(now, others, view);
+        String failed = others.stream()
+                .filter(member -> hasFailedForLong(now, member))
                 .findFirst()
-                .orElse("");
-        String fresh = others.stream().filter(view.hasLostState()).findFirst().orElse("");
-        if (!fresh.isEmpty() && others.size() > 1) {
-            return new Step(Kind.REMOVE, fresh);
+                .orElse(NOBODY);
+        String withoutState =
+                others.stream().filter(view.hasLostState()).findFirst().orElse(NOBODY);
+        int size = replicaSet.members().size();
+        if (!withoutState.isEmpty() && others.size() > 1) {
+            return new Step(Kind.REMOVE, withoutState);
         }
-        if (!away.isEmpty() && group.members().size() > targetSize) {
-            return new Step(Kind.REMOVE, away);
+        if (!failed.isEmpty() && size > targetSize) {
+            return new Step(Kind.REMOVE, failed);
         }
         if (!learner.isEmpty()
-                && (view.hasFailed().test(learner) || group.members().contains(learner))) {
-            learner = "";
+                && (view.hasFailed().test(learner) || replicaSet.members().contains(learner))) {
+            learner = NOBODY;
         }
-        if (group.members().size() > targetSize
-                || away.isEmpty() && group.members().size() == targetSize) {
+        if (size > targetSize || failed.isEmpty() && size == targetSize) {
             return Step.NONE;
         }
-        if (learner.isEmpty()) {
-            List<String> free = view.alive().stream()
-                    .filter(n -> !group.members().contains(n))
-                    .toList();
-            List<String> next =
-                    ElectionSchedule.chooseReplicas(self, view.zoneOf().apply(self), 2, free, view.zoneOf());
-            if (next.size() < 2) {
-                return Step.NONE;
+        return stepOfLearner(replicaSet, view);
+    }
+
+    private void trackFailures(long now, List<String> others, View view) {
+        failedSinceNanos.keySet().retainAll(others);
+        for (String member : others) {
+            if (view.hasFailed().test(member)) {
+                failedSinceNanos.putIfAbsent(member, now);
+            } else {
+                failedSinceNanos.remove(member);
             }
-            learner = next.get(1);
-            return new Step(Kind.CATCH_UP, learner);
         }
-        return view.isCaughtUp().test(learner) ? new Step(Kind.ADD, learner) : Step.NONE;
+    }
+
+    private boolean hasFailedForLong(long now, String member) {
+        return failedSinceNanos.containsKey(member) && now - failedSinceNanos.get(member) > replaceAfterNanos;
+    }
+
+    /** Chooses a learner where there is none, and adds it once it has caught up. */
+    private Step stepOfLearner(ReplicaSet replicaSet, View view) {
+        if (!learner.isEmpty()) {
+            return view.isCaughtUp().test(learner) ? new Step(Kind.ADD, learner) : Step.NONE;
+        }
+        List<String> candidates = view.alive().stream()
+                .filter(name -> !replicaSet.members().contains(name))
+                .toList();
+        List<String> chosen =
+                ElectionSchedule.chooseReplicas(self, view.zoneOf().apply(self), 2, candidates, view.zoneOf());
+        if (chosen.size() < 2) {
+            return Step.NONE;
+        }
+        learner = chosen.get(1);
+        return new Step(Kind.CATCH_UP, learner);
     }
 }
--- a/replication/src/main/java/amberroute/replication/ReplicaState.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaState.java
@@ -1,103 +1,122 @@
 package amberroute.replication;
 
 /**
- * What one holder has of one estate: the highest term that it has granted or taken copies of, to whom that belongs, and how
- * far its copy reaches. The one thing that must outlast the holder's process: on disk before any answer that follows.
+ * What one replica has promised and has of one journal. The one thing that must outlast the replica's process: on disk before any
+ * answer that follows. Immutable; each transition gives the next state, or this very instance where nothing changes.
  *
- * <p>A term has one owner: it is granted once, and a holder that has granted a term takes no copy of an older one.
+ * <p>Invariant: a term has one owner. It is granted once, and a replica that has granted a term takes nothing of an older one.
  *
- * <p>One that never heard of the estate may have lost its folder, and with it what it promised: it takes copies, but neither
- * grants nor counts until a group names it that was agreed on without it. {@code fresh} is 0 for one that has kept all its
- * promises, {@link #LISTED_WITHOUT_STATE} for one that came when the group named it already, so that it has to be taken out first, and
- * {@link #LEARNER} for one that has met a group without it: the next one with it makes it count. An owner whose term is over cannot
- * bring that about, as each change of the group takes a majority that does not count this one.
+ * <p>A replica that never heard of the journal may have lost its folder, and with it what it promised: it takes copies, but neither
+ * grants nor counts until a replica set names it that was committed without it. An owner whose term is over cannot
+ * bring that about, as each change of the replica set takes a quorum that does not count this one.
+ *
+ * @param term the highest term that was granted, or of which records were taken
+ * @param owner to whom that term belongs, empty for none
+ * @param logPosition how far the copy reaches
+ * @param nonVotingStage 0 for a replica that has kept all its promises and votes, {@link #LISTED_WITHOUT_STATE} for one that came when the
+ *     replica set named it already, so that it has to be taken out first, and {@link #LEARNER} for one that has met a replica set
+ *     without it: the next one with it makes it a voter. The number is on disk.
  */
 public record ReplicaState(long term, String owner, LogPosition logPosition, int nonVotingStage) {
+    /** Votes again once a replica set names it. */
     public static final int LEARNER = 1;
+    /** Has to be taken out of the replica set before it may learn. */
     public static final int LISTED_WITHOUT_STATE = 2;
-    /** Of one that never heard of the estate. */
-    public static final ReplicaState NONE = new ReplicaState(0, "", LogPosition.NONE, 0);
 
-    /** Of one that has kept its promises. */
-    public ReplicaState(long term, String owner, LogPosition copy) {
-        this(term, owner, copy, 0);
+    private static final int VOTER = 0;
+
+    /** Of a replica that never heard of the journal. */
+    public static final ReplicaState NONE = new ReplicaState(0, "", LogPosition.NONE, VOTER);
+
+    /** Of a replica that has kept its promises. */
+    public ReplicaState(long term, String owner, LogPosition logPosition) {
+        this(term, owner, logPosition, VOTER);
     }
 
-    /** The same with a copy that reaches as far as this one's file says. */
-    public ReplicaState withLogPosition(LogPosition at) {
-        return new ReplicaState(term, owner, at, nonVotingStage);
+    /** The same with a copy that reaches as far as its own records say. */
+    public ReplicaState withLogPosition(LogPosition position) {
+        return new ReplicaState(term, owner, position, nonVotingStage);
     }
 
     /** Whether what it has and grants counts. */
     public boolean isVoter() {
-        return nonVotingStage == 0;
+        return nonVotingStage == VOTER;
     }
 
     /**
-     * Told by its owner that it had all up to a number in this term. Where it has not, its folder is an old one that was put
+     * The owner says what this replica has acknowledged in a term. Where it has less, its folder is an old one that was put
      * back: what it promised since is gone, as with one that comes without any.
      */
-    public ReplicaState withAcknowledged(long said, String by, long had) {
-        return isStale(said, by) || logPosition.compareTo(new LogPosition(said, had)) >= 0 || had <= 0
+    public ReplicaState withAcknowledged(long leaderTerm, String leader, long acknowledgedIndex) {
+        boolean kept = logPosition.compareTo(new LogPosition(leaderTerm, acknowledgedIndex)) >= 0;
+        return isStale(leaderTerm, leader) || kept || acknowledgedIndex <= 0
                 ? this
-                : new ReplicaState(said, by, LogPosition.NONE, LISTED_WITHOUT_STATE);
+                : new ReplicaState(leaderTerm, leader, LogPosition.NONE, LISTED_WITHOUT_STATE);
     }
 
     /**
-     * Asked for a term by somebody whose copy reaches so far. The result is this very holding where the answer is no, else
-     * what has to be on disk before the yes. The same asker may ask again. Whoever never heard of the estate grants only its
-     * very beginning, when there is nothing to know.
+     * A candidate whose copy reaches so far asks for a term. The result is this very state where the vote is denied, else
+     * what has to be on disk before it is granted. The same candidate may ask again. A replica that never heard of the journal grants
+     * only its very beginning, when there is nothing to know.
      */
-    public ReplicaState onVoteRequest(long asked, String candidate, LogPosition theirs) {
-        if (!isVoter() || term == 0 && !theirs.equals(LogPosition.NONE)) {
+    public ReplicaState onVoteRequest(long requestedTerm, String candidate, LogPosition candidatePosition) {
+        if (!isVoter() || term == 0 && !candidatePosition.equals(LogPosition.NONE)) {
             return this;
         }
-        return asked > term && theirs.compareTo(logPosition) >= 0
-                ? new ReplicaState(asked, candidate, logPosition)
+        return requestedTerm > term && candidatePosition.compareTo(logPosition) >= 0
+                ? new ReplicaState(requestedTerm, candidate, logPosition)
                 : this;
     }
 
-    /** Whether it has granted this term to this one. */
-    public boolean hasGranted(long asked, String candidate) {
-        return isVoter() && term == asked && owner.equals(candidate);
+    /** Whether it has granted this term to this candidate. */
+    public boolean hasGranted(long requestedTerm, String candidate) {
+        return isVoter() && term == requestedTerm && owner.equals(candidate);
     }
 
-    /** Whether a word of this term and owner is over here: somebody else has the same or a later one. */
-    public boolean isStale(long said, String by) {
-        return said < term || said == term && !owner.equals(by);
+    /** Whether a message of this term and leader is over here: somebody else has the same or a later term. */
+    public boolean isStale(long leaderTerm, String leader) {
+        return leaderTerm < term || leaderTerm == term && !owner.equals(leader);
     }
 
-    /** Another owns a term that is not over here: from now on nothing of an older one is taken. */
-    public ReplicaState onLeader(long said, String by) {
-        return isStale(said, by) || term == 0 ? this : new ReplicaState(said, by, logPosition, nonVotingStage);
+    /** A leader has a term that is not stale: from now on nothing of an older one is taken. */
+    public ReplicaState onLeader(long leaderTerm, String leader) {
+        return isStale(leaderTerm, leader) || term == 0
+                ? this
+                : new ReplicaState(leaderTerm, leader, logPosition, nonVotingStage);
     }
 
     /**
-     * Changes that follow one another from {@code behind} on, in a term that is not over here. Where its copy does not end
-     * right there the result is this very holding: it needs the whole.
+     * Records that follow one another from {@code previousIndex} on, in a term that is not stale. Where the copy does not end
+     * right there the result is this very state: it needs a snapshot.
      */
-    public ReplicaState onAppend(long said, String by, long behind, long upTo) {
-        return isStale(said, by) || !logPosition.equals(new LogPosition(said, behind)) || upTo < behind
+    public ReplicaState onAppend(long leaderTerm, String leader, long previousIndex, long lastIndex) {
+        boolean follows = logPosition.equals(new LogPosition(leaderTerm, previousIndex)) && lastIndex >= previousIndex;
+        return isStale(leaderTerm, leader) || !follows
                 ? this
-                : new ReplicaState(said, by, new LogPosition(said, upTo), nonVotingStage);
+                : new ReplicaState(leaderTerm, leader, new LogPosition(leaderTerm, lastIndex), nonVotingStage);
     }
 
     /**
-     * All of the estate as it stands at a number: takes the place of any copy of an earlier term, or a shorter one.
-     * {@code named} is whether the group names this holder.
+     * All of the journal as it stands at an index: takes the place of any copy of an earlier term, or a shorter one.
+     * {@code isMember} is whether the replica set names this replica.
      */
-    public ReplicaState onSnapshot(long said, String by, long at, boolean named) {
-        LogPosition next = new LogPosition(said, at);
-        return isStale(said, by) || next.compareTo(logPosition) < 0
-                ? this
-                : new ReplicaState(said, by, next, term > 0 ? nonVotingStage : named ? LISTED_WITHOUT_STATE : LEARNER);
+    public ReplicaState onSnapshot(long leaderTerm, String leader, long index, boolean isMember) {
+        LogPosition position = new LogPosition(leaderTerm, index);
+        if (isStale(leaderTerm, leader) || position.compareTo(logPosition) < 0) {
+            return this;
+        }
+        int stageOfUnknown = isMember ? LISTED_WITHOUT_STATE : LEARNER;
+        return new ReplicaState(leaderTerm, leader, position, term > 0 ? nonVotingStage : stageOfUnknown);
     }
 
-    /** The group of the copy that it has now names this holder, or does not. */
-    public ReplicaState onReplicaSet(boolean named) {
-        int next = named
-                ? (nonVotingStage == LEARNER ? 0 : nonVotingStage)
-                : nonVotingStage == LISTED_WITHOUT_STATE ? LEARNER : nonVotingStage;
+    /** The replica set of the copy that it has now names this replica, or does not. */
+    public ReplicaState onReplicaSet(boolean isMember) {
+        int next = nonVotingStage;
+        if (isMember && nonVotingStage == LEARNER) {
+            next = VOTER;
+        } else if (!isMember && nonVotingStage == LISTED_WITHOUT_STATE) {
+            next = LEARNER;
+        }
         return next == nonVotingStage ? this : new ReplicaState(term, owner, logPosition, next);
     }
 }
