--- a/cli/src/main/java/amberroute/cli/JournalCommand.java
+++ b/cli/src/main/java/amberroute/cli/JournalCommand.java
@@ -44,7 +44,7 @@
         @Override
         public Integer call() throws IOException {
             JournalView view = JournalView.read(folder);
-            view.unread().forEach(what -> System.out.println("could not be read: " + what));
+            view.unreadable().forEach(what -> System.out.println("could not be read: " + what));
             System.out.println(view.summary());
             return view.damaged() ? Main.BAD : 0;
         }
@@ -68,7 +68,7 @@
         public Integer call() throws IOException {
             JournalView view = JournalView.read(folder);
             JournalView written = JournalView.repair(folder, into);
-            view.unread().forEach(what -> System.out.println("could not be read, and is not in the copy: " + what));
+            view.unreadable().forEach(what -> System.out.println("could not be read, and is not in the copy: " + what));
             System.out.println(written.summary());
             return 0;
         }
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -297,8 +297,8 @@
         module = DecisionTrace.around(checked(settings), settings);
         boolean succeeds = inherited != null && TransferChannel.possible(config.state());
         lock = succeeds
-                ? StateLock.tryOwn(config.state(), config.standalone() != null)
-                : StateLock.take(config.state(), config.standalone() != null);
+                ? StateLock.tryAcquireOwn(config.state(), config.standalone() != null)
+                : StateLock.acquire(config.state(), config.standalone() != null);
         group = around != null
                 ? around.group
                 : new MultiThreadIoEventLoopGroup(
@@ -336,8 +336,8 @@
     private void open() throws IOException {
         FencingToken fence = FencingToken.read(config.state());
         if (fence != null) {
-            throw new InvalidSettingsException("state folder " + config.state() + " was taken over by " + fence.by()
-                    + "; this instance needs another one");
+            throw new InvalidSettingsException("state folder " + config.state() + " was taken over by "
+                    + fence.successor() + "; this instance needs another one");
         }
         if (config.standalone() != null && around == null) {
             control.listen(config.standalone().control());
@@ -356,7 +356,7 @@
                 durability,
                 durability == Durability.NONE ? null : new Forcer());
         if (config.standalone() != null && config.standalone().adoption()) {
-            lock.tellGuarded();
+            lock.recordFenceWatched();
             if (reclaim == null) {
                 loop.scheduleWithFixedDelay(
                         () -> {
@@ -368,7 +368,7 @@
                         FENCE_MS,
                         TimeUnit.MILLISECONDS);
             }
-            journal.guard(() -> {
+            journal.watchFence(() -> {
                 // At once: whatever this process still has in hand is another's now.
                 Log.warn("the state folder was taken over; this process ends");
                 Runtime.getRuntime().halt(FENCED);
@@ -559,7 +559,9 @@
 
     /** How many messages this sender owes an end, pending notices included. */
     int owed() {
-        return loop.submit(() -> journal.live().size()).syncUninterruptibly().getNow();
+        return loop.submit(() -> journal.pendingMessages().size())
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Where peers hand over to this sender, null where they may not. */
@@ -682,23 +684,24 @@
 
     /** Brings what the journal has to the module, and what another process passed on; {@code leaving} as the directory gave it. */
     private void restore(JsonArray leaving) {
-        journal.memories()
-                .forEach(m -> found(m.destination(), m.health(), Math.max(0, now() - (steady() - m.since()) * 1_000)));
-        journal.memories()
+        journal.healthRecords()
+                .forEach(m ->
+                        found(m.destination(), m.health(), Math.max(0, now() - (steady() - m.sinceMillis()) * 1_000)));
+        journal.healthRecords()
                 .forEach(m -> note(new Event.HealthRestored(
                         new DeliveryScheduler.HealthCheckpoint(
                                 m.destination(),
                                 m.uid().isEmpty() ? 0 : directory.number(m.uid()),
                                 m.health(),
                                 0,
-                                m.pace(),
-                                m.usual()),
-                        Math.max(0, steady() - m.since()) * 1_000)));
+                                m.callsPerSecond(),
+                                m.usualLatencyMicros()),
+                        Math.max(0, steady() - m.sinceMillis()) * 1_000)));
         journal.classes().forEach(classes::restore);
         configure(inForce);
-        journal.expireHolds(steady());
-        holdBack(journal.holds().heldKeys());
-        for (AcceptedMessage m : List.copyOf(journal.live())) {
+        journal.expireKeyHolds(steady());
+        holdBack(journal.keyHolds().heldKeys());
+        for (AcceptedMessage m : List.copyOf(journal.pendingMessages())) {
             m.type = classes.version(m.type) == null ? classes.number(m.className) : m.type;
             if (m.notice == null && m.type < 0) {
                 journal.end(m, m.failed());
@@ -733,16 +736,16 @@
         if (alone != null
                 && (alone.handOver() != null
                         || !alone.peers().isEmpty()
-                        || !journal.lots().isEmpty()
-                        || journal.holds().size() > 0)) {
+                        || !journal.handoffBatches().isEmpty()
+                        || journal.keyHolds().size() > 0)) {
             handOver = new HandoffCoordinator(
                     loop, config.name(), alone.peers(), new HandoffHost(), journal, this::steady);
             handOver.recoverOffers();
             repeating.add(loop.scheduleWithFixedDelay(
                     () -> {
                         if (!transferred) {
-                            journal.dropOldLots(steady());
-                            free(journal.expireHolds(steady()));
+                            journal.expireHandoffBatches(steady());
+                            free(journal.expireKeyHolds(steady()));
                         }
                     },
                     HOLDS_MS,
@@ -756,7 +759,7 @@
                 () -> {
                     if (!transferred) {
                         journal.retry();
-                        journal.tidy();
+                        journal.compactSlice();
                         clock.record();
                     }
                 },
@@ -772,13 +775,13 @@
     private String configure(SenderConfig read) {
         DeliveryScheduler.Settings fresh = read.settings();
         Set<Integer> needed = new HashSet<>();
-        journal.live().forEach(m -> needed.add(m.type));
+        journal.pendingMessages().forEach(m -> needed.add(m.type));
         arriving.values().forEach(a -> needed.add(a.message().type));
         if (!classes.take(read.classes(), fresh.classes(), needed::contains)) {
             return "held messages still need too many other classes";
         }
         for (int i = 0; i < classes.size(); i++) {
-            if (classes.version(i) != null && !journal.define(i, classes.version(i))) {
+            if (classes.version(i) != null && !journal.defineClass(i, classes.version(i))) {
                 // Held messages of it would be known by name only after a restart; nothing else depends on it.
                 Log.warn("class " + classes.version(i).name() + " could not be recorded");
             }
@@ -938,7 +941,7 @@
         while (lock == null) {
             incomingTransfer = new IncomingTransfer(loop, new IncomingHost());
             passed = incomingTransfer.take(config.state());
-            lock = StateLock.tryOwn(config.state(), config.standalone() != null);
+            lock = StateLock.tryAcquireOwn(config.state(), config.standalone() != null);
             if (lock == null) {
                 if (System.nanoTime() - start > TAKE_OVER_MS * 1_000_000) {
                     throw new InvalidSettingsException(
@@ -972,10 +975,10 @@
 
     /** Runs once, for nothing, through what has to be quick when the folder is this process's: its code is loaded then. */
     private void rehearse() {
-        try (Journal now = Journal.peek(config.state())) {
+        try (Journal now = Journal.openReadOnly(config.state())) {
             DeliveryScheduler trial = checked(config.settings());
             long at = now();
-            for (AcceptedMessage m : now.live()) {
+            for (AcceptedMessage m : now.pendingMessages()) {
                 trial.step(
                         at,
                         new Event.MessageRecovered(
@@ -1144,7 +1147,7 @@
     private final class ReclaimHost implements FolderReclaim.Host {
         @Override
         public boolean own() throws IOException {
-            lock = StateLock.tryOwn(config.state(), config.standalone() != null);
+            lock = StateLock.tryAcquireOwn(config.state(), config.standalone() != null);
             if (lock == null) {
                 return false;
             }
@@ -1167,7 +1170,7 @@
             OutgoingTransfer.UnacknowledgedWork unsettled = outgoingTransfer.takeBack();
             JsonArray leaving = directory.resume(calledNow()::contains);
             Map<Long, AcceptedMessage> live = new HashMap<>();
-            journal.live().forEach(m -> live.put(m.number, m));
+            journal.pendingMessages().forEach(m -> live.put(m.number, m));
             receivers.rebind(item -> presentAttempt(live, item.message()));
             List<UpstreamClient.Result> outcomes = unsettled.outcomes().stream()
                     .map(r -> presentOutcome(live, r))
@@ -1441,7 +1444,7 @@
         @Override
         public boolean isIdle() {
             return sender.phase == Phase.READY
-                    && sender.journal.live().isEmpty()
+                    && sender.journal.pendingMessages().isEmpty()
                     && sender.receivers.callsOut() == 0
                     && (sender.handOver == null || sender.handOver.unansweredMessages() == 0);
         }
@@ -1523,15 +1526,15 @@
         if (Files.isSameFile(folder, config.state())) {
             throw new InvalidSettingsException(folder + " is this process's own");
         }
-        StateLock theirs = StateLock.tryTake(folder, false);
+        StateLock theirs = StateLock.tryAcquire(folder, false);
         try {
-            if (theirs == null && !(fenced && StateLock.guarded(folder))) {
+            if (theirs == null && !(fenced && StateLock.fenceWatched(folder))) {
                 throw new InvalidSettingsException(
                         !fenced
                                 ? "a process holds " + folder + "; only a fence could stop it"
                                 : "the process that holds " + folder + " does not look for a fence");
             }
-            int expected = JournalView.read(folder).owed();
+            int expected = JournalView.read(folder).pendingCount();
             int room = loop.submit(() -> settings.limits().maxPendingMessages() - held.size() - arriving.size())
                     .syncUninterruptibly()
                     .getNow();
@@ -1555,7 +1558,7 @@
             return;
         }
         FencingToken fence = FencingToken.read(folder);
-        if (fence != null && fence.done()) {
+        if (fence != null && fence.completed()) {
             return;
         }
         adopt(folder, true);
@@ -1565,9 +1568,9 @@
     private JsonObject adoptBehind(FencingToken fence, Path folder) throws IOException {
         int messages = 0;
         int again = 0;
-        try (Journal journalThere = Journal.peek(folder)) {
+        try (Journal journalThere = Journal.openReadOnly(folder)) {
             for (Map.Entry<String, List<AcceptedMessage>> lot : OrphanedJournalRecovery.lots(
-                            fence.lots(), journalThere.live(), steady())
+                            fence.handoffId(), journalThere.pendingMessages(), steady())
                     .entrySet()) {
                 Integer taken = loop.submit(() -> takeIn(lot.getKey(), lot.getValue()))
                         .syncUninterruptibly()
@@ -1581,13 +1584,13 @@
             }
             // What that process had taken over itself and not finished goes on here.
             for (Map.Entry<String, Journal.HandoffBatchRecord> lot :
-                    journalThere.lots().entrySet()) {
+                    journalThere.handoffBatches().entrySet()) {
                 if (lot.getKey().startsWith(OrphanedJournalRecovery.PREFIX)) {
-                    loop.submit(() -> journal.lots().containsKey(lot.getKey())
-                                    || journal.lot(
+                    loop.submit(() -> journal.handoffBatches().containsKey(lot.getKey())
+                                    || journal.writeHandoffBatch(
                                             lot.getKey(),
                                             lot.getValue().ownership(),
-                                            lot.getValue().until(),
+                                            lot.getValue().untilMillis(),
                                             List.of()))
                             .syncUninterruptibly();
                 }
@@ -1603,7 +1606,7 @@
 
     /** How many messages are this process's now, 0 where the lot had been taken before, -1 where there is no room. */
     private int takeIn(String lot, List<AcceptedMessage> theirs) {
-        if (journal.lots().containsKey(lot)) {
+        if (journal.handoffBatches().containsKey(lot)) {
             return 0;
         }
         List<AcceptedMessage> messages = theirs.stream()
@@ -1614,7 +1617,8 @@
         messages.stream().filter(m -> m.type < 0 && m.notice == null).forEach(m -> m.end(m.failed()));
         long until =
                 messages.stream().mapToLong(m -> m.deadline).max().orElse(0) + OrphanedJournalRecovery.FORGOTTEN_MS;
-        if (transferred || !journal.adopt(lot, new Ownership(1, Ownership.Status.OWNED, ""), until, messages)) {
+        if (transferred
+                || !journal.acceptHandoffBatch(lot, new Ownership(1, Ownership.Status.OWNED, ""), until, messages)) {
             return -1;
         }
         safeOrEnd();
@@ -1743,7 +1747,7 @@
                 steady() + s.timeLeft(),
                 s.body());
         m.type = classes.number(s.className());
-        if (inOrder(m) && journal.holds().isHeld(m.key)) {
+        if (inOrder(m) && journal.keyHolds().isHeld(m.key)) {
             handOver.requestKey(m.key);
         }
         arriving.put(m.number, new PendingAcceptance(m, reply));
@@ -1753,7 +1757,7 @@
 
     /** It was taken on before; that is said once it outlasts what it has to. */
     private static void told(Journal by, ClientServer.Answer reply) {
-        by.whenSafe(reply::ok, null);
+        by.whenDurable(reply::ok, null);
     }
 
     /**
@@ -1814,7 +1818,7 @@
         wanted.retainAll(phantoms.keySet());
         return wanted.isEmpty()
                 ? List.of()
-                : journal.live().stream()
+                : journal.pendingMessages().stream()
                         .filter(m -> wanted.contains(m.key)
                                 && inOrder(m)
                                 && held.containsKey(m.number)
@@ -1944,8 +1948,8 @@
             Log.guarded("calls", () -> startCalls(now, actions));
         }
         actions.forEach(action -> Log.guarded("action", () -> other(action)));
-        journal.tidy();
-        if (journal.waiting() == 0) {
+        journal.compactSlice();
+        if (journal.deferredEffects() == 0) {
             calledOff.clear();
         }
         turnEnded = now();
@@ -1983,7 +1987,7 @@
                 // It goes on, but nobody can say what a loss of power leaves of it: a failure promises nothing. While
                 // it is not
                 // copied nothing is said: it may be another's soon, who carries it out, or nobody's.
-                journal.whenSafe(
+                journal.whenDurable(
                         () -> taken.reply().ok(),
                         survival != null
                                 ? null
@@ -1995,7 +1999,7 @@
                 taken.reply().error("the message could not be recorded, or may have been");
                 note(new Event.MessageCancelled(m.number));
             } else {
-                busy(taken.reply(), m.className, journal.again());
+                busy(taken.reply(), m.className, journal.retryAfterMillis());
                 note(new Event.MessageCancelled(m.number));
             }
         }
@@ -2023,7 +2027,7 @@
         tellLate(endedLate, m);
         figures.ended(m.className, as);
         journal.end(m, notice, () -> tell(m));
-        if (journal.owes(m)) {
+        if (journal.hasPendingWrite(m)) {
             loop.schedule(() -> tellUnrecorded(m), m.deadline - steady(), TimeUnit.MILLISECONDS);
         }
     }
@@ -2033,14 +2037,14 @@
      * go first.
      */
     private void tellUnrecorded(AcceptedMessage m) {
-        if (!transferred && journal.owes(m)) {
+        if (!transferred && journal.hasPendingWrite(m)) {
             notices.send(m);
         }
     }
 
     /** Its end is written; it is told once that outlasts what it has to. */
     private void tell(AcceptedMessage m) {
-        journal.whenSafe(() -> notices.send(m), survival == null && copying == null ? null : () -> untold(m));
+        journal.whenDurable(() -> notices.send(m), survival == null && copying == null ? null : () -> untold(m));
     }
 
     /**
@@ -2087,7 +2091,7 @@
         if (!items.isEmpty()) {
             boolean repeatable = items.stream().allMatch(item -> repeatable(item.message()));
             long longestIdle = repeatable ? NO_LIMIT : recorder.longestTrustedIdle();
-            journal.whenSafe(() -> start(route, items, giveUpAt, longestIdle), () -> callOff(route, items));
+            journal.whenDurable(() -> start(route, items, giveUpAt, longestIdle), () -> callOff(route, items));
         }
     }
 
@@ -2155,7 +2159,7 @@
         });
 
         @Override
-        public void beside(Runnable work, Runnable then) {
+        public void runInBackground(Runnable work, Runnable then) {
             thread.execute(() -> {
                 work.run();
                 loop.execute(then);
@@ -2163,7 +2167,7 @@
         }
 
         @Override
-        public void soon(Runnable work) {
+        public void runOnLoop(Runnable work) {
             loop.execute(work);
         }
     }
@@ -2173,7 +2177,7 @@
      * memory is ahead of its folder, and the next one goes on from what is there.
      */
     private void safeOrEnd() {
-        if (!journal.makeSafe()) {
+        if (!journal.forceAll()) {
             Log.warn("journal: cannot be forced, and another daemon depends on it; this process ends");
             Runtime.getRuntime().halt(UNSAFE);
         }
@@ -2189,7 +2193,7 @@
                 incomingTransfer.cancel(c.id());
             } else {
                 AcceptedMessage m = held.get(c.id());
-                if (!receivers.cancel(m, c.attempt()) && journal.waiting() > 0) {
+                if (!receivers.cancel(m, c.attempt()) && journal.deferredEffects() > 0) {
                     calledOff.add(new UpstreamClient.CallMessage(m, c.attempt()));
                 }
             }
@@ -2204,7 +2208,7 @@
         } else if (action instanceof SaveCheckpoint r) {
             DeliveryScheduler.HealthCheckpoint m = r.memory();
             found(m.destination(), m.status(), m.sinceMicros());
-            journal.remember(new Journal.HealthRecord(
+            journal.recordHealth(new Journal.HealthRecord(
                     m.destination(),
                     directory.uid(m.endpoint()),
                     m.status(),
@@ -2306,9 +2310,9 @@
             status.addProperty("calls", receivers.callsOut());
             status.addProperty("notices", notices.pending());
             status.addProperty("clients", clients.connections());
-            status.addProperty("disk_used", journal.used());
+            status.addProperty("disk_used", journal.usedBytes());
             status.addProperty("disk_live", journal.liveBytes());
-            status.addProperty("disk_trouble", journal.trouble());
+            status.addProperty("disk_trouble", journal.writeFailure());
             status.addProperty("longest_turn_us", longestTurn);
             longestTurn = 0;
         }
@@ -2359,7 +2363,7 @@
     /** Of each ordered key of which something is here: when the last of it is surely over, in wall time. */
     private Map<Long, Long> orderedKeys() {
         Map<Long, Long> ends = new HashMap<>();
-        for (AcceptedMessage m : journal.live()) {
+        for (AcceptedMessage m : journal.pendingMessages()) {
             if (inOrder(m)) {
                 ends.merge(
                         m.key, m.notice == null ? m.deadline : Math.max(m.deadline, steady() + NOTICE_MS), Math::max);
@@ -2375,7 +2379,7 @@
     /** As {@link #orderedKeys}, with those of which others have something from here. */
     private Map<Long, Long> keysOwed() {
         Map<Long, Long> ends = orderedKeys();
-        journal.holds().allHolds().stream()
+        journal.keyHolds().allHolds().stream()
                 .filter(hold -> hold.origin().equals(config.name()))
                 .forEach(hold -> ends.merge(hold.key(), hold.untilMillis(), Math::max));
         return ends;
@@ -2463,7 +2467,7 @@
             }
             Set<Long> waiting = new HashSet<>(phantoms.keySet());
             // In the order of acceptance, which is that of each key.
-            for (AcceptedMessage m : journal.live()) {
+            for (AcceptedMessage m : journal.pendingMessages()) {
                 boolean ordered = isOrdered(m);
                 if (m.notice != null || m.frozen || m.out) {
                     // Of an ordered key nothing moves before that is over: the order passes on with it.
@@ -2499,7 +2503,7 @@
         @Override
         public boolean recordOffer(
                 String lot, Ownership ownership, List<AcceptedMessage> messages, List<Long> keys, long holdUntil) {
-            if (!journal.offer(lot, ownership, end(messages), messages, config.name(), keys, holdUntil)) {
+            if (!journal.offerHandoffBatch(lot, ownership, end(messages), messages, config.name(), keys, holdUntil)) {
                 return false;
             }
             safeOrEnd();
@@ -2515,7 +2519,7 @@
         public boolean recordOwnership(String lot, Ownership ownership, List<AcceptedMessage> messages) {
             boolean written = ownership.isOwned()
                     ? takeBack(lot, ownership, messages)
-                    : journal.lot(lot, ownership, end(messages), messages);
+                    : journal.writeHandoffBatch(lot, ownership, end(messages), messages);
             if (written) {
                 safeOrEnd();
             }
@@ -2530,7 +2534,7 @@
                     .distinct()
                     .toList();
             List<AcceptedMessage> behind = heldBack(keys);
-            List<Long> free = journal.takeBack(lot, ownership, end(messages), messages, config.name(), keys);
+            List<Long> free = journal.reclaimHandoffBatch(lot, ownership, end(messages), messages, config.name(), keys);
             if (free == null) {
                 return false;
             }
@@ -2601,19 +2605,19 @@
                     .distinct()
                     .toList();
             List<AcceptedMessage> behind = heldBack(keys);
-            if (!journal.adopt(lot, ownership, end(messages), messages, origin, behind)) {
+            if (!journal.acceptHandoffBatch(lot, ownership, end(messages), messages, origin, behind)) {
                 return false;
             }
             safeOrEnd();
             goOn(messages, behind);
             longestTurn = Math.max(longestTurn, now() - begun);
-            free(keys.stream().filter(key -> !journal.holds().isHeld(key)).toList());
+            free(keys.stream().filter(key -> !journal.keyHolds().isHeld(key)).toList());
             return true;
         }
 
         @Override
         public boolean holdKeys(String origin, List<Long> keys, long until) {
-            if (transferred || !journal.hold(origin, keys, until)) {
+            if (transferred || !journal.holdKeys(origin, keys, until)) {
                 return false;
             }
             safeOrEnd();
@@ -2624,10 +2628,10 @@
         @Override
         public void releaseKeys(String origin, List<Long> keys) {
             List<Long> known = keys.stream()
-                    .filter(key -> journal.holds().origins(key).contains(origin))
+                    .filter(key -> journal.keyHolds().origins(key).contains(origin))
                     .toList();
             if (!transferred && !known.isEmpty()) {
-                free(journal.release(origin, known));
+                free(journal.releaseKeys(origin, known));
             }
         }
 
--- a/sender/src/main/java/amberroute/sender/journal/FencingToken.java
+++ b/sender/src/main/java/amberroute/sender/journal/FencingToken.java
@@ -16,7 +16,7 @@
  * never lowered: from then on no process may have an effect out of this folder. Raising goes by a hard link, which the
  * file system makes for one of several takers only.
  */
-public record FencingToken(String by, Path into, String lots, boolean done) {
+public record FencingToken(String successor, Path successorFolder, String handoffId, boolean completed) {
     private static final String NAME = "fence";
     private static final int MOST_TAKERS = 10_000;
 
@@ -50,7 +50,7 @@
     public static FencingToken raise(Path folder, String by, Path into) throws IOException {
         Path own = into.toAbsolutePath().normalize();
         FencingToken fence = new FencingToken(by, own, UUID.randomUUID().toString(), false);
-        Path aside = folder.resolve(NAME + "." + fence.lots());
+        Path aside = folder.resolve(NAME + "." + fence.handoffId());
         Files.writeString(aside, fence.text());
         try {
             Files.createLink(folder.resolve(NAME), aside);
@@ -58,12 +58,12 @@
         } catch (FileAlreadyExistsException e) {
             FencingToken first = read(folder);
             int steps = 0;
-            for (FencingToken at = first; at != null && !at.into().equals(own); ) {
-                at = read(at.into());
+            for (FencingToken at = first; at != null && !at.successorFolder().equals(own); ) {
+                at = read(at.successorFolder());
                 // Two that took each other over lead in a circle.
-                if (at == null || !at.done() || ++steps > MOST_TAKERS) {
-                    throw new IOException(
-                            "folder " + folder + " was taken over by " + first.by() + " into " + first.into());
+                if (at == null || !at.completed() || ++steps > MOST_TAKERS) {
+                    throw new IOException("folder " + folder + " was taken over by " + first.successor() + " into "
+                            + first.successorFolder());
                 }
             }
             return first;
@@ -75,16 +75,20 @@
     /** Notes that nothing is left in the folder to take. */
     public void finish(Path folder) throws IOException {
         Path aside = folder.resolve(NAME + ".done");
-        Files.write(aside, new FencingToken(by, into, lots, true).text().getBytes(StandardCharsets.UTF_8));
+        Files.write(
+                aside,
+                new FencingToken(successor, successorFolder, handoffId, true)
+                        .text()
+                        .getBytes(StandardCharsets.UTF_8));
         Files.move(aside, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
     }
 
     private String text() {
         JsonObject json = new JsonObject();
-        json.addProperty("by", by);
-        json.addProperty("into", into.toString());
-        json.addProperty("lots", lots);
-        json.addProperty("done", done);
+        json.addProperty("by", successor);
+        json.addProperty("into", successorFolder.toString());
+        json.addProperty("lots", handoffId);
+        json.addProperty("done", completed);
         return json.toString();
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -62,9 +62,9 @@
     private static final int CLASS = 6;
     private static final int RANK = 7;
     /** How far the estate's record has come, and who holds copies of it; for whoever keeps copies. */
-    public static final int PLACE = 8;
+    public static final int REPLICATION_POSITION = 8;
 
-    public static final int GROUP = 9;
+    public static final int REPLICA_SET = 9;
     // Forms of a message.
     private static final int WHOLE = 0;
     private static final int ENDED = 1;
@@ -114,10 +114,10 @@
             int destination,
             String uid,
             DeliveryScheduler.UpstreamStatus health,
-            long since,
-            double pace,
-            double usual) {
-        String place() {
+            long sinceMillis,
+            double callsPerSecond,
+            double usualLatencyMicros) {
+        String upstreamKey() {
             return destination + " " + uid;
         }
     }
@@ -126,7 +126,7 @@
      * What is known of a lot that moved or was to move: whose it is, until when that has to be kept (wall time), and the
      * numbers of its messages here.
      */
-    public record HandoffBatchRecord(Ownership ownership, long until, List<Long> numbers) {}
+    public record HandoffBatchRecord(Ownership ownership, long untilMillis, List<Long> messageNumbers) {}
 
     /** What an owner has to have on the disk and has not yet; what then may follow. */
     private record PendingWrite(Batch batch, Runnable then) {}
@@ -134,22 +134,22 @@
     /** Lets slow work run beside the event loop. */
     public interface BackgroundExecutor {
         /** {@code work} on another thread, then {@code then} on the loop. */
-        void beside(Runnable work, Runnable then);
+        void runInBackground(Runnable work, Runnable then);
 
         /** On the loop, behind what is due there now: what comes together is forced together. */
-        void soon(Runnable work);
+        void runOnLoop(Runnable work);
     }
 
     /** Takes each change on to where copies of this journal are kept. */
     public interface ChangeListener {
         /** What stands with the next change of its place in the estate's record; null where that is not counted now. */
-        byte[] place();
+        byte[] replicationPosition();
 
         /** The change is on the disk. */
-        void wrote(Batch batch);
+        void batchWritten(Batch batch);
 
         /** Runs an effect when all that was written so far is copied; {@code failed}, if there is one, when it is not in time. */
-        void whenAgreed(Runnable effect, Runnable failed);
+        void whenReplicated(Runnable effect, Runnable failed);
     }
 
     /** What may happen once all up to a record is on the disk for good; {@code failed} is null where it just waits on. */
@@ -160,7 +160,7 @@
     private final Durability durability;
     private final BackgroundExecutor helper;
     private final Deque<DeferredEffect> waiting = new ArrayDeque<>();
-    private SegmentLog.Force forcing;
+    private SegmentLog.PendingForce forcing;
     private boolean forceDue;
     /** Of the force that is under way: that it has run, and what has to follow on the loop. */
     private CountDownLatch ended;
@@ -208,8 +208,8 @@
         this.log = log;
         this.durability = durability;
         this.helper = helper;
-        long budget = log.limits().budget();
-        room = budget - log.overhead();
+        long budget = log.limits().budgetBytes();
+        room = budget - log.reservedBytes();
         long most = Math.min(MOST_REMEMBERED, budget / REMEMBERED_SHARE);
         remembered = new DeduplicationCache(most);
         mostMemories = (int) Math.min(1 << 16, Math.max(LEAST_MEMORIES, budget / MEMORIES_SHARE / MEMORY_BYTES));
@@ -229,9 +229,9 @@
     /** {@code helper} forces off the event loop, for {@link Durability#BATCH}. */
     public static Journal open(Path folder, Disk disk, long budget, Durability durability, BackgroundExecutor helper)
             throws IOException {
-        if (budget - 4_096 < SegmentLog.Limits.LEAST) {
-            throw new IOException(
-                    "the journal needs " + (SegmentLog.Limits.LEAST + 4_096) + " bytes of disk, and has " + budget);
+        if (budget - 4_096 < SegmentLog.Limits.MIN_BUDGET_BYTES) {
+            throw new IOException("the journal needs " + (SegmentLog.Limits.MIN_BUDGET_BYTES + 4_096)
+                    + " bytes of disk, and has " + budget);
         }
         SegmentLog.Limits limits = SegmentLog.Limits.of(budget - 4_096, durability != Durability.NONE);
         LegacyJournalReader old = folder == null ? null : LegacyJournalReader.read(folder);
@@ -267,7 +267,7 @@
     }
 
     /** Reads a folder's journal and leaves it as it is, also while its process writes; for looking only. */
-    public static Journal peek(Path folder) throws IOException {
+    public static Journal openReadOnly(Path folder) throws IOException {
         LegacyJournalReader old = LegacyJournalReader.read(folder);
         if (old == null) {
             throw new NoSuchFileException(
@@ -275,7 +275,8 @@
         }
         for (int attempt = 1; ; attempt++) {
             try {
-                Journal journal = new Journal(folder, SegmentLog.peek(new FolderDisk(folder)), Durability.NONE, null);
+                Journal journal =
+                        new Journal(folder, SegmentLog.openReadOnly(new FolderDisk(folder)), Durability.NONE, null);
                 if (old.moved) {
                     journal.read(false);
                 } else {
@@ -305,7 +306,7 @@
         if (log.tornBytes() > 0) {
             Log.warn("journal: passed over " + log.tornBytes() + " bytes of torn ends");
         }
-        for (SegmentLog.Loss loss : log.losses()) {
+        for (SegmentLog.DataLoss loss : log.losses()) {
             Log.warn("journal: DAMAGED: "
                     + (loss.damage().to() == 0
                             ? "segment " + loss.segment() + " is missing"
@@ -341,8 +342,8 @@
     }
 
     /** Bytes on the disk, and of them those that are wanted. */
-    public long used() {
-        return log.used();
+    public long usedBytes() {
+        return log.usedBytes();
     }
 
     public long liveBytes() {
@@ -353,7 +354,7 @@
      * From now on a raised {@link FencingToken} is noticed behind each record and before any effect that it allows; then this is
      * run, which has to end the process.
      */
-    public void guard(Runnable fenced) {
+    public void watchFence(Runnable fenced) {
         fence = FencingToken.file(folder);
         onFenced = fenced;
     }
@@ -369,8 +370,8 @@
     // ---- Writing. ----
 
     private boolean write(Batch batch) {
-        byte[] at = copies == null || batch.isEmpty() ? null : copies.place();
-        Batch whole = at == null ? batch : new Batch().and(batch).put(numberOf("estate"), PLACE, at);
+        byte[] at = copies == null || batch.isEmpty() ? null : copies.replicationPosition();
+        Batch whole = at == null ? batch : new Batch().addAll(batch).put(numberOf("estate"), REPLICATION_POSITION, at);
         try {
             log.write(whole);
         } catch (IOException e) {
@@ -379,12 +380,12 @@
         }
         if (at != null) {
             place = at;
-            copies.wrote(whole);
+            copies.batchWritten(whole);
         }
         if (durability == Durability.EACH) {
             forceNow();
         }
-        if (!trouble.isEmpty() && owed.isEmpty() && !log.uncertain() && !log.unsafe()) {
+        if (!trouble.isEmpty() && owed.isEmpty() && !log.uncertain() && !log.needsRewrite()) {
             Log.warn("journal: can be written again");
             trouble = "";
         }
@@ -399,23 +400,24 @@
      * loss of the machine where copies are kept; at once where neither is. Where that fails, or takes too long, {@code failed}
      * runs in its place; with null it waits until what was written is safe by other ways.
      */
-    public void whenSafe(Runnable effect, Runnable failed) {
+    public void whenDurable(Runnable effect, Runnable failed) {
         if (copies == null) {
             whenForced(effect, failed);
         } else {
-            copies.whenAgreed(() -> whenForced(effect, failed), failed);
+            copies.whenReplicated(() -> whenForced(effect, failed), failed);
         }
     }
 
     private void whenForced(Runnable effect, Runnable failed) {
-        if (durability == Durability.NONE || waiting.isEmpty() && !log.unsafe() && log.forced() >= log.sequence()) {
+        if (durability == Durability.NONE
+                || waiting.isEmpty() && !log.needsRewrite() && log.forcedSequence() >= log.sequence()) {
             effect.run();
             return;
         }
         waiting.add(new DeferredEffect(log.sequence(), effect, failed));
         if (!forceDue && helper != null) {
             forceDue = true;
-            helper.soon(this::force);
+            helper.runOnLoop(this::force);
         }
     }
 
@@ -425,12 +427,12 @@
         if (forcing != null || durability == Durability.NONE) {
             return;
         }
-        forcing = log.prepare();
+        forcing = log.prepareForce();
         if (forcing == null) {
             runSafe();
             return;
         }
-        SegmentLog.Force mine = forcing;
+        SegmentLog.PendingForce mine = forcing;
         IOException[] error = new IOException[1];
         CountDownLatch ran = new CountDownLatch(1);
         ended = ran;
@@ -442,7 +444,7 @@
             }
         };
         Runnable complete = completion;
-        helper.beside(
+        helper.runInBackground(
                 () -> {
                     try {
                         mine.run();
@@ -454,14 +456,14 @@
                 },
                 () -> {
                     complete.run();
-                    if (!waiting.isEmpty() && !log.unsafe()) {
+                    if (!waiting.isEmpty() && !log.needsRewrite()) {
                         force();
                     }
                 });
     }
 
-    private void forced(SegmentLog.Force force, IOException error) {
-        log.done(force, error == null);
+    private void forced(SegmentLog.PendingForce force, IOException error) {
+        log.forceCompleted(force, error == null);
         if (error == null) {
             runSafe();
             return;
@@ -480,14 +482,14 @@
     }
 
     private void runSafe() {
-        while (!log.unsafe() && !waiting.isEmpty() && waiting.peek().sequence() <= log.forced()) {
+        while (!log.needsRewrite() && !waiting.isEmpty() && waiting.peek().sequence() <= log.forcedSequence()) {
             waiting.poll().effect().run();
         }
     }
 
     /** Forces on this thread; slow. False where what was written is not safe. */
     private boolean forceNow() {
-        SegmentLog.Force force = forcing == null ? log.prepare() : null;
+        SegmentLog.PendingForce force = forcing == null ? log.prepareForce() : null;
         if (force != null) {
             IOException error = null;
             try {
@@ -497,14 +499,14 @@
             }
             forced(force, error);
         }
-        return !log.unsafe() && log.forced() >= log.sequence();
+        return !log.needsRewrite() && log.forcedSequence() >= log.sequence();
     }
 
     /**
      * For what others are told at once, as between daemons: all that was written is on the disk for good when this returns
      * true, which takes a force, or several where one fails. Slow.
      */
-    public boolean makeSafe() {
+    public boolean forceAll() {
         if (durability == Durability.NONE) {
             return true;
         }
@@ -530,7 +532,7 @@
     /** What a failed force has left in doubt is copied on, so that the next one covers it. */
     private void copyOn() {
         try {
-            while (log.unsafe() && log.compact(SLICE)) {
+            while (log.needsRewrite() && log.compact(SLICE)) {
                 // A slice after another.
             }
         } catch (IOException e) {
@@ -539,7 +541,7 @@
     }
 
     /** Effects that wait for a force. */
-    public int waiting() {
+    public int deferredEffects() {
         return waiting.size();
     }
 
@@ -553,12 +555,12 @@
     }
 
     /** Why nothing is taken on just now; empty while all is well. */
-    public String trouble() {
+    public String writeFailure() {
         return trouble;
     }
 
     /** When a client that is turned away for it should come again, in milliseconds; 0 where nothing is in the way. */
-    public long again() {
+    public long retryAfterMillis() {
         return trouble.isEmpty() ? 0 : AGAIN_MS;
     }
 
@@ -571,7 +573,7 @@
     }
 
     /** Changes that are not on the disk yet. */
-    int owed() {
+    int pendingWriteCount() {
         return owed.size();
     }
 
@@ -587,7 +589,7 @@
 
     /** Tries again what could not be written; to be called from time to time. */
     public void retry() {
-        if (log.unsafe() && forcing == null) {
+        if (log.needsRewrite() && forcing == null) {
             copyOn();
             force();
         }
@@ -595,7 +597,7 @@
             return;
         }
         try {
-            log.settle();
+            log.resolveUncertainWrite();
         } catch (IOException e) {
             failed(e);
             return;
@@ -609,23 +611,23 @@
             first.remove();
             next.getValue().then().run();
         }
-        log.refill();
-        if (owed.isEmpty() && !log.uncertain() && !log.unsafe() && log.hasReserve() && !trouble.isEmpty()) {
+        log.refillReserve();
+        if (owed.isEmpty() && !log.uncertain() && !log.needsRewrite() && log.hasReserve() && !trouble.isEmpty()) {
             Log.warn("journal: can be written again");
             trouble = "";
         }
     }
 
     /** Copies a slice on, where room should be won back; to be called between turns. Returns whether there is more to do. */
-    public boolean tidy() {
-        if (!log.worthCompacting()) {
+    public boolean compactSlice() {
+        if (!log.shouldCompact()) {
             return false;
         }
-        if (log.wantsForce() && helper != null && forcing == null) {
+        if (log.awaitsForce() && helper != null && forcing == null) {
             force();
         }
         try {
-            return log.compact(SLICE) && log.worthCompacting();
+            return log.compact(SLICE) && log.shouldCompact();
         } catch (IOException e) {
             failed(e);
             return false;
@@ -639,28 +641,28 @@
     // ---- Copies of it elsewhere. ----
 
     /** From now on each change goes on to copies, and effects wait for them. */
-    public void copyTo(ChangeListener to) {
+    public void replicateTo(ChangeListener to) {
         copies = to;
     }
 
     /** Where the estate's record had come to when this journal was last written, null where it never was copied. */
-    public byte[] place() {
+    public byte[] replicationPosition() {
         return place;
     }
 
     /** Who holds copies, as last written; null where nobody ever did. */
-    public byte[] holders() {
+    public byte[] replicaSet() {
         return holders;
     }
 
     /** The place as a change of its own, for the end of a whole copy. */
-    public Batch placed() {
-        return new Batch().put(numberOf("estate"), PLACE, place);
+    public Batch replicationPositionBatch() {
+        return new Batch().put(numberOf("estate"), REPLICATION_POSITION, place);
     }
 
     /** Writes who holds copies: a change like others. */
-    public boolean holders(byte[] group) {
-        if (!write(new Batch().put(numberOf("estate"), GROUP, group))) {
+    public boolean replicaSet(byte[] group) {
+        if (!write(new Batch().put(numberOf("estate"), REPLICA_SET, group))) {
             return false;
         }
         holders = group;
@@ -670,7 +672,7 @@
     // ---- Messages. ----
 
     /** Messages that have not been concluded, in the order of acceptance. */
-    public Collection<AcceptedMessage> live() {
+    public Collection<AcceptedMessage> pendingMessages() {
         return live.values();
     }
 
@@ -692,7 +694,7 @@
     /** Takes a message on; false where the budget or the disk has no room for it, or trouble is not over. */
     public boolean accept(AcceptedMessage m) {
         doubtful = false;
-        if (!fits(reserve(m)) || !owed.isEmpty() || log.uncertain() || log.unsafe()) {
+        if (!fits(reserve(m)) || !owed.isEmpty() || log.uncertain() || log.needsRewrite()) {
             return false;
         }
         if (!write(new Batch().put(m.number, MESSAGE, whole(m)))) {
@@ -728,7 +730,7 @@
     }
 
     /** Whether a change of this message is not on the disk yet. */
-    public boolean owes(AcceptedMessage m) {
+    public boolean hasPendingWrite(AcceptedMessage m) {
         return live.containsKey(m.number) && owed.containsKey(m.number);
     }
 
@@ -746,7 +748,7 @@
         reserved -= reserve(m);
         m.end(notice);
         reserved += reserve(m);
-        mustWrite(m.number, new Batch().putSole(m.number, MESSAGE, ended(m)), written);
+        mustWrite(m.number, new Batch().putExclusive(m.number, MESSAGE, ended(m)), written);
     }
 
     public void end(AcceptedMessage m, String notice) {
@@ -756,8 +758,8 @@
     /** Nothing more is owed: it was delivered, or its notice has been answered. */
     public void conclude(AcceptedMessage m) {
         if (live.containsKey(m.number)) {
-            Batch batch = new Batch().putSole(m.number, MESSAGE, gone(m));
-            drop(m).forEach(batch::end);
+            Batch batch = new Batch().putExclusive(m.number, MESSAGE, gone(m));
+            drop(m).forEach(batch::delete);
             mustWrite(m.number, batch, NOTHING);
         }
     }
@@ -812,7 +814,7 @@
     }
 
     /** To be called before a message of this version is taken on; false where it could not be written. */
-    public boolean define(int number, MessageClassRegistry.Version version) {
+    public boolean defineClass(int number, MessageClassRegistry.Version version) {
         if (version.equals(classes.get(number))) {
             return true;
         }
@@ -837,12 +839,12 @@
     }
 
     /** What was remembered of places, one for each. */
-    public Collection<HealthRecord> memories() {
+    public Collection<HealthRecord> healthRecords() {
         return memories.values();
     }
 
     /** That a place is well need not be kept. */
-    public void remember(HealthRecord memory) {
+    public void recordHealth(HealthRecord memory) {
         Batch batch = new Batch();
         long number = keep(memory, batch);
         if (!batch.isEmpty()) {
@@ -851,12 +853,12 @@
     }
 
     private long keep(HealthRecord memory, Batch batch) {
-        forget(memory.place(), batch);
+        forget(memory.upstreamKey(), batch);
         if (memory.health() == DeliveryScheduler.UpstreamStatus.HEALTHY) {
             return 0;
         }
-        long number = numberOf("place " + memory.place());
-        memories.put(memory.place(), memory);
+        long number = numberOf("place " + memory.upstreamKey());
+        memories.put(memory.upstreamKey(), memory);
         reserved += MEMORY_BYTES + memory.uid().length();
         batch.put(number, MEMORY, remembered(memory));
         if (memories.size() > mostMemories) {
@@ -871,19 +873,19 @@
             reserved -= MEMORY_BYTES + old.uid().length();
             long number = numbers.remove("place " + place);
             owed.remove(number);
-            batch.end(number);
+            batch.delete(number);
         }
     }
 
     // ---- Lots. ----
 
     /** All lots of which something is known. */
-    public Map<String, HandoffBatchRecord> lots() {
+    public Map<String, HandoffBatchRecord> handoffBatches() {
         return lots;
     }
 
     /** Those of these messages that are still owed here, in the order given. */
-    public List<AcceptedMessage> messages(List<Long> numbers) {
+    public List<AcceptedMessage> pendingMessages(List<Long> numbers) {
         return numbers.stream()
                 .map(live::get)
                 .filter(m -> m != null && m.notice == null)
@@ -891,29 +893,30 @@
     }
 
     /** Writes whose a lot is. One that is given drops its messages, as they are another's now. */
-    public boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return lot(name, ownership, until, messages, new Batch());
+    public boolean writeHandoffBatch(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
+        return writeHandoffBatch(name, ownership, until, messages, new Batch());
     }
 
-    private boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages, Batch more) {
+    private boolean writeHandoffBatch(
+            String name, Ownership ownership, long until, List<AcceptedMessage> messages, Batch more) {
         HandoffBatchRecord lot = new HandoffBatchRecord(
                 ownership, until, messages.stream().map(m -> m.number).toList());
         if (!roomForLot(name) || !mayChange(lot)) {
             return false;
         }
-        Batch batch = new Batch().and(more).put(numberOf("lot " + name), LOT, lotContent(name, lot));
+        Batch batch = new Batch().addAll(more).put(numberOf("lot " + name), LOT, lotContent(name, lot));
         List<AcceptedMessage> given = ownership.status() != Ownership.Status.GIVEN
                 ? List.of()
-                : lot.numbers().stream()
+                : lot.messageNumbers().stream()
                         .filter(live::containsKey)
                         .map(live::get)
                         .toList();
-        given.forEach(m -> batch.putSole(m.number, MESSAGE, gone(m)));
+        given.forEach(m -> batch.putExclusive(m.number, MESSAGE, gone(m)));
         if (!write(batch)) {
             return false;
         }
         Batch forgotten = new Batch();
-        given.forEach(m -> drop(m).forEach(forgotten::end));
+        given.forEach(m -> drop(m).forEach(forgotten::delete));
         // Where this cannot be written they are remembered for longer.
         write(forgotten);
         apply(name, lot);
@@ -925,14 +928,14 @@
         if (!owed.isEmpty()) {
             retry();
         }
-        return lot.numbers().stream().noneMatch(owed::containsKey);
+        return lot.messageNumbers().stream().noneMatch(owed::containsKey);
     }
 
     /**
      * Writes that a lot is offered, and in the same batch that what comes of its keys after a restart has to wait; false
      * without room for either.
      */
-    public boolean offer(
+    public boolean offerHandoffBatch(
             String name,
             Ownership ownership,
             long until,
@@ -945,7 +948,7 @@
         }
         Batch batch = new Batch();
         keys.forEach(key -> holdOn(batch, origin, key, holdUntil));
-        if (!lot(name, ownership, until, messages, batch)) {
+        if (!writeHandoffBatch(name, ownership, until, messages, batch)) {
             return false;
         }
         keepHolds(origin, keys, holdUntil);
@@ -953,7 +956,7 @@
     }
 
     /** Writes that a lot is this daemon's own again, and its keys with it; null where that could not be written. */
-    public List<Long> takeBack(
+    public List<Long> reclaimHandoffBatch(
             String name,
             Ownership ownership,
             long until,
@@ -962,14 +965,14 @@
             List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> letGo(batch, origin, key));
-        return lot(name, ownership, until, messages, batch) ? dropHolds(origin, keys) : null;
+        return writeHandoffBatch(name, ownership, until, messages, batch) ? dropHolds(origin, keys) : null;
     }
 
     /**
      * Takes messages over from another daemon: they and whose they are stand in one batch, so never one alone. In the
      * same batch the origin's holds on the messages' keys end, and those that came here while they were held go behind.
      */
-    public boolean adopt(
+    public boolean acceptHandoffBatch(
             String name,
             Ownership ownership,
             long until,
@@ -993,7 +996,7 @@
                 batch.put(m.number, MESSAGE, whole(m));
                 batch.put(m.number, STANDING, standing(m));
             } else {
-                batch.putSole(m.number, MESSAGE, ended(m));
+                batch.putExclusive(m.number, MESSAGE, ended(m));
             }
         }
         keys.forEach(key -> letGo(batch, origin, key));
@@ -1019,28 +1022,28 @@
     }
 
     /** Without any key that another daemon may have. */
-    public boolean adopt(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return adopt(name, ownership, until, messages, "", List.of());
+    public boolean acceptHandoffBatch(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
+        return acceptHandoffBatch(name, ownership, until, messages, "", List.of());
     }
 
     private boolean roomForLot(String name) {
-        long most = Math.min(MOST_LOTS, log.limits().budget() / LOTS_SHARE / LOT_BYTES);
+        long most = Math.min(MOST_LOTS, log.limits().budgetBytes() / LOTS_SHARE / LOT_BYTES);
         if (lots.size() >= most) {
-            dropOldLots(told);
+            expireHandoffBatches(told);
         }
         return lots.size() < most || lots.containsKey(name);
     }
 
     /** What nobody can ask for any more: a late offer of messages whose time is up is refused for that. */
-    public void dropOldLots(long now) {
+    public void expireHandoffBatches(long now) {
         told = now;
         List<String> old = lots.entrySet().stream()
-                .filter(lot -> lot.getValue().until() < now
+                .filter(lot -> lot.getValue().untilMillis() < now
                         && lot.getValue().ownership().status() != Ownership.Status.OFFERED)
                 .map(Map.Entry::getKey)
                 .toList();
         Batch batch = new Batch();
-        old.forEach(name -> batch.end(numberOf("lot " + name)));
+        old.forEach(name -> batch.delete(numberOf("lot " + name)));
         if (write(batch)) {
             for (String name : old) {
                 numbers.remove("lot " + name);
@@ -1050,13 +1053,13 @@
     }
 
     private static long reserve(HandoffBatchRecord lot) {
-        return LOT_BYTES + 8L * lot.numbers().size();
+        return LOT_BYTES + 8L * lot.messageNumbers().size();
     }
 
     private void apply(String name, HandoffBatchRecord lot) {
         HandoffBatchRecord before = lots.put(name, lot);
         reserved += reserve(lot) - (before == null ? 0 : reserve(before));
-        for (long number : lot.numbers()) {
+        for (long number : lot.messageNumbers()) {
             AcceptedMessage m = live.get(number);
             if (m != null && lot.ownership().status() != Ownership.Status.ENDED) {
                 m.frozen = lot.ownership().status() == Ownership.Status.OFFERED;
@@ -1066,16 +1069,16 @@
 
     // ---- Keys of which another daemon still has messages. ----
 
-    public KeyHolds holds() {
+    public KeyHolds keyHolds() {
         return holds;
     }
 
     /** Writes that these keys are held for the origin; false where there is no room for it, or for some of them. */
-    public boolean hold(String origin, List<Long> keys, long until) {
+    public boolean holdKeys(String origin, List<Long> keys, long until) {
         if (!roomForHolds(keys.size())) {
             return false;
         }
-        int most = (int) Math.max(1, (log.limits().segment() - 1_024) / HOLD_BYTES);
+        int most = (int) Math.max(1, (log.limits().segmentBytes() - 1_024) / HOLD_BYTES);
         for (int from = 0; from < keys.size(); from += most) {
             List<Long> some = keys.subList(from, Math.min(keys.size(), from + most));
             Batch batch = new Batch();
@@ -1088,12 +1091,12 @@
         return true;
     }
 
-    private static String hold(String origin, long key) {
+    private static String holdKeys(String origin, long key) {
         return "hold " + key + " " + origin;
     }
 
     private void holdOn(Batch batch, String origin, long key, long until) {
-        batch.put(numberOf(hold(origin, key)), HOLD, bytes(out -> {
+        batch.put(numberOf(holdKeys(origin, key)), HOLD, bytes(out -> {
             out.writeUTF(origin);
             out.writeLong(key);
             out.writeLong(until);
@@ -1101,20 +1104,20 @@
     }
 
     private void letGo(Batch batch, String origin, long key) {
-        Long number = numbers.get(hold(origin, key));
+        Long number = numbers.get(holdKeys(origin, key));
         if (number != null) {
-            batch.end(number);
+            batch.delete(number);
         }
     }
 
     private boolean roomForHolds(int more) {
         return holds.hasCapacity(more)
-                && (holds.size() + more) * (long) HOLD_BYTES <= log.limits().budget() / HOLDS_SHARE
+                && (holds.size() + more) * (long) HOLD_BYTES <= log.limits().budgetBytes() / HOLDS_SHARE
                 && fits(more * (long) HOLD_BYTES);
     }
 
     /** The origin has nothing of these keys any more. If that cannot be written the hold only lasts longer. */
-    public List<Long> release(String origin, List<Long> keys) {
+    public List<Long> releaseKeys(String origin, List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> letGo(batch, origin, key));
         write(batch);
@@ -1130,13 +1133,13 @@
     private List<Long> dropHolds(String origin, List<Long> keys) {
         int before = holds.size();
         List<Long> free = holds.release(origin, keys);
-        keys.forEach(key -> numbers.remove(hold(origin, key)));
+        keys.forEach(key -> numbers.remove(holdKeys(origin, key)));
         reserved += (holds.size() - before) * (long) HOLD_BYTES;
         return free;
     }
 
     /** Ends holds whose time is up; where that cannot be written their time stands with them. */
-    public List<Long> expireHolds(long wall) {
+    public List<Long> expireKeyHolds(long wall) {
         int before = holds.size();
         List<KeyHolds.KeyHold> over = holds.allHolds().stream()
                 .filter(hold -> hold.untilMillis() <= wall)
@@ -1147,7 +1150,7 @@
         Batch batch = new Batch();
         for (KeyHolds.KeyHold hold : over) {
             letGo(batch, hold.origin(), hold.key());
-            numbers.remove(hold(hold.origin(), hold.key()));
+            numbers.remove(holdKeys(hold.origin(), hold.key()));
         }
         write(batch);
         List<Long> free = holds.expire(wall);
@@ -1175,7 +1178,7 @@
     }
 
     /** A content that is whole and still ends early, as of a version that this one does not know, is an error like others. */
-    private void readAll(SegmentLog.Reader reader) throws IOException {
+    private void readAll(SegmentLog.ContentReader reader) throws IOException {
         try {
             log.read(reader);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
@@ -1219,7 +1222,7 @@
                 case HOLD -> {
                     String origin = in.readUTF();
                     long key = in.readLong();
-                    numbers.put(hold(origin, key), owner);
+                    numbers.put(holdKeys(origin, key), owner);
                     keepHolds(origin, List.of(key), in.readLong());
                 }
                 case MEMORY -> {
@@ -1230,7 +1233,7 @@
                             in.readLong(),
                             in.readDouble(),
                             in.readDouble());
-                    numbers.put("place " + memory.place(), owner);
+                    numbers.put("place " + memory.upstreamKey(), owner);
                     memoriesByVersion.put(owner, memory);
                 }
                 case CLASS -> {
@@ -1238,17 +1241,17 @@
                     numbers.put("class " + number, owner);
                     keep(number, readVersion(in));
                 }
-                case PLACE, GROUP -> {
+                case REPLICATION_POSITION, REPLICA_SET -> {
                     numbers.put("estate", owner);
                     byte[] bytes = in.readAllBytes();
-                    place = kind == PLACE ? bytes : place;
-                    holders = kind == GROUP ? bytes : holders;
+                    place = kind == REPLICATION_POSITION ? bytes : place;
+                    holders = kind == REPLICA_SET ? bytes : holders;
                 }
                 default -> throw new IOException("content of kind " + kind + ", which this version does not know");
             }
         });
         memoriesByVersion.values().forEach(memory -> {
-            memories.put(memory.place(), memory);
+            memories.put(memory.upstreamKey(), memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         });
         Batch orphans = new Batch();
@@ -1256,7 +1259,7 @@
         for (RecoveredOwner f : found.values()) {
             if (f.message == null) {
                 // Its acceptance was in a part that could not be read.
-                orphans.end(f.number);
+                orphans.delete(f.number);
                 continue;
             }
             if (f.standing != null) {
@@ -1274,7 +1277,7 @@
             CompletedRecord g = entry.getValue();
             remembered
                     .add(g.id(), g.content(), g.effect(), entry.getKey(), clock.getAsLong())
-                    .forEach(orphans::end);
+                    .forEach(orphans::delete);
         }
         if (mend && !orphans.isEmpty()) {
             // On a disk that cannot be written they are met again at the next start.
@@ -1295,7 +1298,7 @@
         for (Map.Entry<String, Integer> id : old.ended.entrySet()) {
             long number = log.nextOwner();
             Batch batch = new Batch()
-                    .putSole(
+                    .putExclusive(
                             number,
                             MESSAGE,
                             gone(id.getKey(), id.getValue(), DeliveryScheduler.Idempotency.NON_IDEMPOTENT));
@@ -1306,7 +1309,7 @@
                             DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
                             number,
                             clock.getAsLong())
-                    .forEach(batch::end);
+                    .forEach(batch::delete);
             log.write(batch);
         }
     }
@@ -1317,10 +1320,11 @@
      */
     static void repair(Path from, Path into) throws IOException {
         Files.createDirectories(into);
-        if (Files.exists(into.resolve(LegacyJournalReader.NAME)) || SegmentLog.isThere(new FolderDisk(into).list())) {
+        if (Files.exists(into.resolve(LegacyJournalReader.NAME))
+                || SegmentLog.containsLog(new FolderDisk(into).list())) {
             throw new IOException("there is a journal in " + into + " already");
         }
-        try (Journal source = peek(from);
+        try (Journal source = openReadOnly(from);
                 Journal copy = open(into, Math.max(3L << 20, 4 * source.liveBytes() + (1L << 20)))) {
             copy.take(
                     source.live.values(),
@@ -1332,7 +1336,8 @@
             copy.writeAll();
             for (DeduplicationCache.CompletedMessage known : source.remembered.all()) {
                 copy.log.write(new Batch()
-                        .putSole(copy.log.nextOwner(), MESSAGE, gone(known.id(), known.content(), known.effect())));
+                        .putExclusive(
+                                copy.log.nextOwner(), MESSAGE, gone(known.id(), known.content(), known.effect())));
             }
         }
     }
@@ -1348,14 +1353,15 @@
      * All that is wanted, an owner after another and each as it is when it is asked for, empty where it is gone by then:
      * whoever takes this and each change from now on in their order has all.
      */
-    public List<Supplier<Batch>> contents() {
+    public List<Supplier<Batch>> snapshotBatches() {
         List<Supplier<Batch>> parts = parts();
         for (DeduplicationCache.CompletedMessage known : remembered.all()) {
             parts.add(() -> !remembered.knows(known.id())
                     ? new Batch()
-                    : new Batch().putSole(known.number(), MESSAGE, gone(known.id(), known.content(), known.effect())));
+                    : new Batch()
+                            .putExclusive(known.number(), MESSAGE, gone(known.id(), known.content(), known.effect())));
         }
-        parts.add(() -> holders == null ? new Batch() : new Batch().put(numberOf("estate"), GROUP, holders));
+        parts.add(() -> holders == null ? new Batch() : new Batch().put(numberOf("estate"), REPLICA_SET, holders));
         return parts;
     }
 
@@ -1382,7 +1388,7 @@
             parts.add(() -> !live.containsKey(m.number)
                     ? new Batch()
                     : m.notice != null
-                            ? new Batch().putSole(m.number, MESSAGE, ended(m))
+                            ? new Batch().putExclusive(m.number, MESSAGE, ended(m))
                             : new Batch()
                                     .put(m.number, MESSAGE, whole(m))
                                     .put(m.number, STANDING, standing(m))
@@ -1409,7 +1415,7 @@
             long next) {
         versions.forEach(this::keep);
         for (HealthRecord memory : places) {
-            memories.put(memory.place(), memory);
+            memories.put(memory.upstreamKey(), memory);
             reserved += MEMORY_BYTES + memory.uid().length();
         }
         held.allHolds().forEach(hold -> keepHolds(hold.origin(), List.of(hold.key()), hold.untilMillis()));
@@ -1419,7 +1425,7 @@
             add(m);
         }
         // Numbers of these messages stay theirs, and those that come later have later ranks.
-        log.skipOwners(rank);
+        log.reserveOwnersBelow(rank);
         known.forEach(this::apply);
     }
 
@@ -1575,9 +1581,9 @@
             out.writeInt(memory.destination());
             out.writeUTF(memory.uid());
             out.writeUTF(memory.health().storedName());
-            out.writeLong(memory.since());
-            out.writeDouble(memory.pace());
-            out.writeDouble(memory.usual());
+            out.writeLong(memory.sinceMillis());
+            out.writeDouble(memory.callsPerSecond());
+            out.writeDouble(memory.usualLatencyMicros());
         });
     }
 
@@ -1587,9 +1593,9 @@
             out.writeLong(lot.ownership().generation());
             out.writeUTF(lot.ownership().status().name());
             out.writeUTF(lot.ownership().peer());
-            out.writeLong(lot.until());
-            out.writeInt(lot.numbers().size());
-            for (long number : lot.numbers()) {
+            out.writeLong(lot.untilMillis());
+            out.writeInt(lot.messageNumbers().size());
+            for (long number : lot.messageNumbers()) {
                 out.writeLong(number);
             }
         });
--- a/sender/src/main/java/amberroute/sender/journal/JournalView.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalView.java
@@ -28,13 +28,13 @@
         if (!Files.isRegularFile(folder.resolve("journal"))) {
             throw new IOException("no journal in " + folder);
         }
-        Journal journal = Journal.peek(folder);
+        Journal journal = Journal.openReadOnly(folder);
         try (journal) {
             return new JournalView(
-                    List.copyOf(journal.live()),
+                    List.copyOf(journal.pendingMessages()),
                     journal.unread(),
                     journal.damaged(),
-                    journal.used(),
+                    journal.usedBytes(),
                     journal.liveBytes());
         }
     }
@@ -70,7 +70,7 @@
     }
 
     /** What could not be read, a part each; empty for a sound journal. */
-    public List<String> unread() {
+    public List<String> unreadable() {
         return unread;
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Messages owed, notices included. */
-    public int owed() {
+    public int pendingCount() {
         return owed.size();
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -151,9 +151,9 @@
                         in.readLong(),
                         in.readDouble(),
                         in.readDouble());
-                memories.remove(memory.place());
+                memories.remove(memory.upstreamKey());
                 if (memory.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
-                    memories.put(memory.place(), memory);
+                    memories.put(memory.upstreamKey(), memory);
                 }
             }
             default -> replayMessage(type, in);
--- a/sender/src/main/java/amberroute/sender/journal/StateLock.java
+++ b/sender/src/main/java/amberroute/sender/journal/StateLock.java
@@ -25,8 +25,8 @@
     }
 
     /** Takes the lock or says who has it. */
-    public static StateLock take(Path folder, boolean tellPid) throws IOException {
-        StateLock lock = tryOwn(folder, tellPid);
+    public static StateLock acquire(Path folder, boolean tellPid) throws IOException {
+        StateLock lock = tryAcquireOwn(folder, tellPid);
         if (lock != null) {
             return lock;
         }
@@ -34,8 +34,8 @@
     }
 
     /** As {@link #tryTake}, and the log says so: the folder is this sender's own from then on. */
-    public static StateLock tryOwn(Path folder, boolean tellPid) throws IOException {
-        StateLock lock = tryTake(folder, tellPid);
+    public static StateLock tryAcquireOwn(Path folder, boolean tellPid) throws IOException {
+        StateLock lock = tryAcquire(folder, tellPid);
         if (lock != null) {
             Log.warn("lock: taken on " + folder);
         }
@@ -43,7 +43,7 @@
     }
 
     /** Takes the lock; null where another process, or another sender of this one, has it. */
-    public static StateLock tryTake(Path folder, boolean tellPid) throws IOException {
+    public static StateLock tryAcquire(Path folder, boolean tellPid) throws IOException {
         Files.createDirectories(folder);
         FileChannel file = FileChannel.open(
                 folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
@@ -71,12 +71,12 @@
      * Notes that the holder looks for a {@link FencingToken} behind each of its records, so that its folder may be taken over
      * while it cannot be asked.
      */
-    public void tellGuarded() throws IOException {
+    public void recordFenceWatched() throws IOException {
         file.write(ByteBuffer.wrap("guarded\n".getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Whether the last holder noted that. */
-    public static boolean guarded(Path folder) throws IOException {
+    public static boolean fenceWatched(Path folder) throws IOException {
         return Files.readString(folder.resolve("lock")).contains("guarded");
     }
 
--- a/sender/src/main/java/amberroute/sender/peer/EncodedBatch.java
+++ b/sender/src/main/java/amberroute/sender/peer/EncodedBatch.java
@@ -10,7 +10,7 @@
 public record EncodedBatch(String base64) {
     /** Encodes a batch. */
     public static EncodedBatch of(Batch batch) {
-        return new EncodedBatch(Base64.getEncoder().encodeToString(batch.bytes()));
+        return new EncodedBatch(Base64.getEncoder().encodeToString(batch.encode()));
     }
 
     /** Characters that it takes of a line. */
@@ -21,7 +21,7 @@
     /** The batch; a {@link MalformedPeerMessageException} where the text is none. */
     Batch decode() {
         try {
-            return Batch.read(Base64.getDecoder().decode(base64));
+            return Batch.decode(Base64.getDecoder().decode(base64));
         } catch (IllegalArgumentException e) {
             throw new MalformedPeerMessageException(ReplicationCodec.BATCHES, "batches of records", e);
         }
--- a/sender/src/main/java/amberroute/sender/peer/FailoverManager.java
+++ b/sender/src/main/java/amberroute/sender/peer/FailoverManager.java
@@ -144,7 +144,7 @@
     private void opened(
             ReplicaStore.StoredReplica replica, RunningFailover started, ReplicationCoordinator.Failover failover) {
         if (failover != null) {
-            started.resumedMessages = failover.journal().live().size();
+            started.resumedMessages = failover.journal().pendingMessages().size();
             return;
         }
         running.remove(replica.journalId, started);
@@ -163,7 +163,7 @@
         if (started == null) {
             throw new IOException("the term is over");
         }
-        LogPosition position = ReplicaRecords.decodePosition(failover.journal().place());
+        LogPosition position = ReplicaRecords.decodePosition(failover.journal().replicationPosition());
         JournalReplicator replicator = new JournalReplicator(
                 context.loop(),
                 context.self(),
@@ -171,13 +171,13 @@
                 failover.journal(),
                 context.peers(),
                 (laterTerm, owner) -> superseded.onSuperseded(replica, laterTerm, owner));
-        failover.journal().copyTo(replicator);
+        failover.journal().replicateTo(replicator);
         started.failover = failover;
         if (!replica.state.hasGranted(term, context.self())
                 || !replicator.startTerm(
                         term,
                         position,
-                        ReplicaRecords.decodeReplicaSet(failover.journal().holders()))) {
+                        ReplicaRecords.decodeReplicaSet(failover.journal().replicaSet()))) {
             replicator.close();
             throw new IOException("the term is over");
         }
--- a/sender/src/main/java/amberroute/sender/peer/IncomingOffers.java
+++ b/sender/src/main/java/amberroute/sender/peer/IncomingOffers.java
@@ -76,8 +76,8 @@
     }
 
     private Ownership ownershipOf(String batchId) {
-        return context.journal().lots().containsKey(batchId)
-                ? context.journal().lots().get(batchId).ownership()
+        return context.journal().handoffBatches().containsKey(batchId)
+                ? context.journal().handoffBatches().get(batchId).ownership()
                 : Ownership.NONE;
     }
 
@@ -88,7 +88,7 @@
                 answer.generation(),
                 accepted,
                 accepted ? Optional.empty() : Optional.ofNullable(reason));
-        context.journal().whenSafe(() -> channel.writeAndFlush(codec.encode(reply)), ANSWER_LOST);
+        context.journal().whenDurable(() -> channel.writeAndFlush(codec.encode(reply)), ANSWER_LOST);
     }
 
     private boolean persist(OfferMessage offer, HandoffEffect.PersistOwnership write) {
--- a/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -97,7 +97,7 @@
     /** The term is this daemon's; false where that cannot be written. */
     boolean startTerm(long term, LogPosition position, ReplicaSet replicaSet) {
         leaderTerm = new LeaderTerm(self, term, position.index(), replicaSet);
-        if (!journal.holders(ReplicaRecords.encodeReplicaSet(journalId, replicaSet))) {
+        if (!journal.replicaSet(ReplicaRecords.encodeReplicaSet(journalId, replicaSet))) {
             leaderTerm = null;
             return false;
         }
@@ -109,7 +109,7 @@
     boolean changeReplicaSet(ReplicaSet next) {
         if (leaderTerm == null
                 || !leaderTerm.isReplicaSetCommitted()
-                || !journal.holders(ReplicaRecords.encodeReplicaSet(journalId, next))) {
+                || !journal.replicaSet(ReplicaRecords.encodeReplicaSet(journalId, next))) {
             return false;
         }
         List<String> before = leaderTerm.replicaSet().members();
@@ -229,14 +229,14 @@
     // ---- The journal's side. ----
 
     @Override
-    public byte[] place() {
+    public byte[] replicationPosition() {
         return leaderTerm == null || leaderTerm.hasEnded()
                 ? null
                 : ReplicaRecords.encodePosition(new LogPosition(leaderTerm.term(), leaderTerm.lastIndex() + 1));
     }
 
     @Override
-    public void wrote(Batch batch) {
+    public void batchWritten(Batch batch) {
         leaderTerm.appended();
         if (!connections.isEmpty()) {
             EncodedBatch encoded = EncodedBatch.of(batch);
@@ -249,7 +249,7 @@
     }
 
     @Override
-    public void whenAgreed(Runnable effect, Runnable failed) {
+    public void whenReplicated(Runnable effect, Runnable failed) {
         long index = leaderTerm == null ? 0 : leaderTerm.lastIndex();
         boolean committed = leaderTerm != null && !leaderTerm.hasEnded() && committedIndex >= index;
         if (effects.isEmpty() && committed) {
--- a/sender/src/main/java/amberroute/sender/peer/KeyHoldCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/KeyHoldCoordinator.java
@@ -87,14 +87,14 @@
     void repeat() {
         if (announcement != null) {
             context.peers().keySet().forEach(this::announceTo);
-        } else if (context.journal().holds().size() > 0) {
+        } else if (context.journal().keyHolds().size() > 0) {
             requestStatus();
         }
     }
 
     /** A daemon that handed keys off and was restarted has not heard of what became of them. */
     private void requestStatus() {
-        List<KeyHolds.KeyHold> ownHolds = context.journal().holds().allHolds().stream()
+        List<KeyHolds.KeyHold> ownHolds = context.journal().keyHolds().allHolds().stream()
                 .filter(hold -> hold.origin().equals(context.self()))
                 .limit(KeyHoldAnnouncement.MAX_KEYS_PER_BATCH)
                 .toList();
@@ -134,7 +134,7 @@
         }
         Set<Long> pendingKeys = new HashSet<>();
         Set<Long> pendingAdoptedKeys = new HashSet<>();
-        for (AcceptedMessage message : context.journal().live()) {
+        for (AcceptedMessage message : context.journal().pendingMessages()) {
             pendingKeys.add(message.key);
             if (message.adopted) {
                 pendingAdoptedKeys.add(message.key);
@@ -150,7 +150,7 @@
     private void releaseAnnounced(Set<Long> pendingKeys) {
         List<Long> finished = announcement.openKeys().stream()
                 .filter(key -> !pendingKeys.contains(key)
-                        && !context.journal().holds().origins(key).contains(context.self()))
+                        && !context.journal().keyHolds().origins(key).contains(context.self()))
                 .toList();
         if (!finished.isEmpty()) {
             announcement.keysDone(finished);
@@ -174,7 +174,7 @@
             return;
         }
         KeyRequest request = new KeyRequest(context.self(), key);
-        for (String origin : context.journal().holds().origins(key)) {
+        for (String origin : context.journal().keyHolds().origins(key)) {
             if (!channels.sendTo(origin, request) && context.peers().containsKey(origin)) {
                 connections.to(origin).send(request);
             }
@@ -204,7 +204,7 @@
             // The snapshot that replicas get first has it.
             acknowledge.run();
         } else {
-            context.journal().whenSafe(acknowledge, REPLY_LOST);
+            context.journal().whenDurable(acknowledge, REPLY_LOST);
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/peer/OutgoingOffers.java
+++ b/sender/src/main/java/amberroute/sender/peer/OutgoingOffers.java
@@ -82,8 +82,8 @@
 
     /** Takes up what an earlier process had offered: only the successor can tell whose it is. */
     void recover() {
-        context.journal().lots().forEach((batchId, recorded) -> {
-            List<AcceptedMessage> messages = context.journal().messages(recorded.numbers());
+        context.journal().handoffBatches().forEach((batchId, recorded) -> {
+            List<AcceptedMessage> messages = context.journal().pendingMessages(recorded.messageNumbers());
             if (recorded.ownership().status() == Ownership.Status.OFFERED && !messages.isEmpty()) {
                 HandoffPlacement.HandoffBatch batch = new HandoffPlacement.HandoffBatch(
                         recorded.ownership().peer(),
@@ -269,7 +269,7 @@
         offer.sentAtMillis = HandoffContext.monotonicMillis();
         // What cannot leave yet, or any more, is said again.
         context.journal()
-                .whenSafe(
+                .whenDurable(
                         () -> {
                             if (connection.isReady()) {
                                 sentBytes += connection.sendNow(messageOf(offer, send.message()));
--- a/sender/src/main/java/amberroute/sender/peer/OwnedJournals.java
+++ b/sender/src/main/java/amberroute/sender/peer/OwnedJournals.java
@@ -28,7 +28,7 @@
                 journal,
                 context.peers(),
                 (term, owner) -> superseded(own, term, owner));
-        journal.copyTo(ownReplicator);
+        journal.replicateTo(ownReplicator);
     }
 
     ReplicaStore.StoredReplica own() {
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaConnection.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaConnection.java
@@ -154,7 +154,7 @@
 
     private void startSnapshot() {
         reset();
-        snapshot = replicator.journal().contents().iterator();
+        snapshot = replicator.journal().snapshotBatches().iterator();
         firstSlice = true;
         sendPending();
     }
@@ -242,7 +242,7 @@
         boolean last = pending.isEmpty() && !snapshot.hasNext();
         if (last) {
             sentIndex = leaderTerm().lastIndex();
-            batches.add(EncodedBatch.of(replicator.journal().placed()));
+            batches.add(EncodedBatch.of(replicator.journal().replicationPositionBatch()));
             snapshot = null;
         }
         ReplicaSet replicaSet = leaderTerm().replicaSet();
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -152,9 +152,9 @@
             replica.log = SegmentLog.open(new FolderDisk(replica.copyFolder()), limits(), ReplicaStore::salt);
             byte[][] positionAndSet = new byte[2][];
             replica.log.read((owner, kind, version, content) -> {
-                if (kind == Journal.PLACE) {
+                if (kind == Journal.REPLICATION_POSITION) {
                     positionAndSet[0] = bytes(content);
-                } else if (kind == Journal.GROUP) {
+                } else if (kind == Journal.REPLICA_SET) {
                     positionAndSet[1] = bytes(content);
                 }
             });
@@ -330,7 +330,7 @@
         for (Batch batch : batches) {
             log.write(batch);
         }
-        if (log.worthCompacting()) {
+        if (log.shouldCompact()) {
             log.compact(COMPACTION_SLICE_BYTES);
         }
     }
--- a/sender/src/main/java/amberroute/sender/peer/ReplicationCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicationCoordinator.java
@@ -85,14 +85,14 @@
                 host,
                 settings.survive().copies(),
                 settings.survive().replaceMillis() * NANOS_PER_MILLISECOND);
-        newJournal = journal.holders() == null;
+        newJournal = journal.replicaSet() == null;
         ReplicaStore.StoredReplica own = store.findOrCreate(journalId(config.name(), journal));
         if (own == null) {
             throw new IOException("copies of too many estates in " + folder);
         }
         own.runningHere = true;
-        own.state = own.state.withLogPosition(ReplicaRecords.decodePosition(journal.place()));
-        ReplicaSet recorded = newJournal ? null : ReplicaRecords.decodeReplicaSet(journal.holders());
+        own.state = own.state.withLogPosition(ReplicaRecords.decodePosition(journal.replicationPosition()));
+        ReplicaSet recorded = newJournal ? null : ReplicaRecords.decodeReplicaSet(journal.replicaSet());
         owned = new OwnedJournals(context, own, journal);
         replicaSets = new ReplicaSetMaintainer(context, owned, recorded);
         elections = new ElectionCoordinator(context, owned, replicaSets::initialReplicaSet);
@@ -101,9 +101,9 @@
     }
 
     private static String journalId(String name, Journal journal) throws IOException {
-        return journal.holders() == null
+        return journal.replicaSet() == null
                 ? name + "." + Long.toString(System.currentTimeMillis(), JOURNAL_ID_RADIX)
-                : ReplicaRecords.decodeJournalId(journal.holders());
+                : ReplicaRecords.decodeJournalId(journal.replicaSet());
     }
 
     /** Begins to stand for what is this daemon's, and to watch others'. */
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -175,7 +175,7 @@
 
     private static void addBatchAndHolders(JsonObject line, Batch batch, ReplicaSet holders) {
         JsonArray batches = new JsonArray();
-        batches.add(Base64.getEncoder().encodeToString(batch.bytes()));
+        batches.add(Base64.getEncoder().encodeToString(batch.encode()));
         line.add("batches", batches);
         JsonArray names = new JsonArray();
         holders.members().forEach(names::add);
@@ -210,8 +210,8 @@
 
     private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.PLACE, ReplicaRecords.encodePosition(new LogPosition(term, number)))
-                .put(1, Journal.GROUP, ReplicaRecords.encodeReplicaSet(ESTATE, holders));
+                .put(1, Journal.REPLICATION_POSITION, ReplicaRecords.encodePosition(new LogPosition(term, number)))
+                .put(1, Journal.REPLICA_SET, ReplicaRecords.encodeReplicaSet(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
@@ -329,19 +329,19 @@
     @Test
     void anOwnEstateWithoutItsPromisesIsGivenUp() throws Exception {
         survival();
-        journal.copyTo(new Journal.ChangeListener() {
+        journal.replicateTo(new Journal.ChangeListener() {
             @Override
-            public byte[] place() {
+            public byte[] replicationPosition() {
                 return ReplicaRecords.encodePosition(new LogPosition(3, 8));
             }
 
             @Override
-            public void wrote(Batch batch) {}
+            public void batchWritten(Batch batch) {}
 
             @Override
-            public void whenAgreed(Runnable effect, Runnable failed) {}
+            public void whenReplicated(Runnable effect, Runnable failed) {}
         });
-        assertTrue(journal.holders(
+        assertTrue(journal.replicaSet(
                 ReplicaRecords.encodeReplicaSet("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
         loop.submit(survival::close).sync();
         journal.close();
@@ -366,7 +366,8 @@
         assertTrue(store.persistState(store.findOrCreate("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
-        journal.holders(ReplicaRecords.encodeReplicaSet("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
+        journal.replicaSet(
+                ReplicaRecords.encodeReplicaSet("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
         loop.submit(survival::close).sync();
         journal.close();
         survival().start();
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -252,11 +252,15 @@
         boolean gaveUp = false;
         for (int end : SegmentFiles.ends(whole)) {
             SegmentFiles.cut(state, whole, end);
-            try (Journal journal = Journal.peek(state)) {
-                for (Journal.HandoffBatchRecord lot : journal.lots().values()) {
+            try (Journal journal = Journal.openReadOnly(state)) {
+                for (Journal.HandoffBatchRecord lot : journal.handoffBatches().values()) {
                     boolean ended = lot.ownership().status() == Ownership.Status.ENDED;
                     gaveUp |= ended;
-                    assertTrue(!ended || journal.messages(lot.numbers()).isEmpty(), "a lot ended before its message");
+                    assertTrue(
+                            !ended
+                                    || journal.pendingMessages(lot.messageNumbers())
+                                            .isEmpty(),
+                            "a lot ended before its message");
                 }
             }
         }
@@ -275,7 +279,7 @@
             AcceptedMessage owned = new AcceptedMessage(
                     journal.nextNumber(), id, "", "safe", 0, 7, System.currentTimeMillis() + 15_000, new byte[3]);
             journal.accept(owned);
-            journal.lot(
+            journal.writeHandoffBatch(
                     "lot-" + id, new Ownership(2, Ownership.Status.OFFERED, "heir"), owned.deadline, List.of(owned));
             journal.close();
             world.receiver.requests.clear();
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -142,8 +142,8 @@
             AcceptedMessage ended = message(journal, "ended", "safe", 0, 7);
             journal.end(ended, ended.returned(0));
             AcceptedMessage offered = message(journal, "offered", "unsafe", 0, 7);
-            assertTrue(journal.lot("lot", Ownership.initial(), ended.deadline, List.of(offered)));
-            assertTrue(journal.lot(
+            assertTrue(journal.writeHandoffBatch("lot", Ownership.initial(), ended.deadline, List.of(offered)));
+            assertTrue(journal.writeHandoffBatch(
                     "lot", new Ownership(2, Ownership.Status.OFFERED, "elsewhere"), ended.deadline, List.of(offered)));
         }
         Sender heir = start("heir", 50);
@@ -212,9 +212,13 @@
             assertEquals(count, again.owed());
             again.stop();
             senders.clear();
-            try (Journal journal = Journal.peek(folder.resolve("heir"))) {
+            try (Journal journal = Journal.openReadOnly(folder.resolve("heir"))) {
                 assertEquals(
-                        count, journal.live().stream().map(m -> m.id).distinct().count());
+                        count,
+                        journal.pendingMessages().stream()
+                                .map(m -> m.id)
+                                .distinct()
+                                .count());
             }
         }
     }
@@ -231,7 +235,7 @@
                 new FencingToken(
                         "heir",
                         folder.resolve("heir"),
-                        FencingToken.read(orphan).lots(),
+                        FencingToken.read(orphan).handoffId(),
                         true),
                 FencingToken.read(orphan));
         assertTrue(adopt("other", orphan, false).get("error").getAsString().contains("taken over by heir"));
@@ -265,9 +269,9 @@
         Sender third = Sender.start(config);
         senders.add(third);
         assertEquals(count, third.owed());
-        assertTrue(FencingToken.read(orphan).done()
-                && FencingToken.read(folder.resolve("second")).done());
-        assertEquals(whole.lots(), FencingToken.read(orphan).lots());
+        assertTrue(FencingToken.read(orphan).completed()
+                && FencingToken.read(folder.resolve("second")).completed());
+        assertEquals(whole.handoffId(), FencingToken.read(orphan).handoffId());
         third.stop();
         senders.remove(third);
         third = Sender.start(config);
@@ -366,7 +370,7 @@
     void theFenceIsSeenBehindTheRecord() throws IOException {
         try (Journal journal = Journal.open(orphan, 3_000_000)) {
             int[] seen = new int[1];
-            journal.guard(() -> seen[0]++);
+            journal.watchFence(() -> seen[0]++);
             AcceptedMessage m = message(journal, "a", "unsafe", 0, 7);
             journal.checkFence();
             FencingToken.raise(orphan, "heir", folder.resolve("heir"));
@@ -374,8 +378,10 @@
             assertThrows(IllegalStateException.class, journal::checkFence);
             assertEquals(2, seen[0]);
         }
-        try (Journal journal = Journal.peek(orphan)) {
-            assertTrue(journal.live().iterator().next().out, "whoever reads behind the fence has to see the attempt");
+        try (Journal journal = Journal.openReadOnly(orphan)) {
+            assertTrue(
+                    journal.pendingMessages().iterator().next().out,
+                    "whoever reads behind the fence has to see the attempt");
         }
         try (FileChannel file = FileChannel.open(orphan.resolve("fence"), StandardOpenOption.WRITE)) {
             file.truncate(5);
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -73,18 +73,18 @@
     void aLeaverThatDiesAnywhereKnowsWhatItOffered() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = two(journal);
-            assertTrue(journal.lot("lot", OFFERED, SOON, messages));
-            assertTrue(journal.lot("lot", new Ownership(2, Status.GIVEN, "heir"), SOON, messages));
+            assertTrue(journal.writeHandoffBatch("lot", OFFERED, SOON, messages));
+            assertTrue(journal.writeHandoffBatch("lot", new Ownership(2, Status.GIVEN, "heir"), SOON, messages));
         }
         byte[] whole = file();
         List<Integer> ends = boundaries(whole);
         int[][] liveAndFrozen = {{0, 0}, {1, 0}, {2, 0}, {2, 2}, {0, 0}};
         for (int i = 0; i < ends.size(); i++) {
             try (Journal journal = cut(whole, ends.get(i))) {
-                assertEquals(liveAndFrozen[i][0], journal.live().size(), "after record " + i);
+                assertEquals(liveAndFrozen[i][0], journal.pendingMessages().size(), "after record " + i);
                 assertEquals(
                         liveAndFrozen[i][1],
-                        journal.live().stream().filter(m -> m.frozen).count(),
+                        journal.pendingMessages().stream().filter(m -> m.frozen).count(),
                         "after record " + i);
             }
         }
@@ -95,17 +95,19 @@
     void aRefusalGivesThemBack() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = two(journal);
-            journal.lot("lot", OFFERED, SOON, messages);
-            journal.lot("lot", new Ownership(2, Status.OWNED, ""), SOON, messages);
+            journal.writeHandoffBatch("lot", OFFERED, SOON, messages);
+            journal.writeHandoffBatch("lot", new Ownership(2, Status.OWNED, ""), SOON, messages);
         }
         try (Journal journal = open()) {
-            assertEquals(2, journal.live().size());
-            assertTrue(journal.live().stream().noneMatch(m -> m.frozen));
-            journal.lot("lot", new Ownership(3, Status.OFFERED, "other"), SOON, List.copyOf(journal.live()));
+            assertEquals(2, journal.pendingMessages().size());
+            assertTrue(journal.pendingMessages().stream().noneMatch(m -> m.frozen));
+            journal.writeHandoffBatch(
+                    "lot", new Ownership(3, Status.OFFERED, "other"), SOON, List.copyOf(journal.pendingMessages()));
         }
         try (Journal journal = open()) {
-            assertTrue(journal.live().stream().allMatch(m -> m.frozen));
-            assertEquals("other", journal.lots().get("lot").ownership().peer());
+            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.frozen));
+            assertEquals(
+                    "other", journal.handoffBatches().get("lot").ownership().peer());
         }
     }
 
@@ -114,16 +116,16 @@
     void whatWasGivenUpIsNeverItsOwnAgain() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = two(journal);
-            journal.lot("lot", OFFERED, SOON, messages);
+            journal.writeHandoffBatch("lot", OFFERED, SOON, messages);
             messages.forEach(m -> journal.end(m, m.failed()));
-            journal.lot("lot", new Ownership(2, Status.ENDED, ""), SOON, messages);
+            journal.writeHandoffBatch("lot", new Ownership(2, Status.ENDED, ""), SOON, messages);
         }
         byte[] whole = file();
         List<Integer> ends = boundaries(whole);
         for (int i = 3; i < ends.size(); i++) {
             try (Journal journal = cut(whole, ends.get(i))) {
-                assertEquals(2, journal.live().size());
-                for (AcceptedMessage m : journal.live()) {
+                assertEquals(2, journal.pendingMessages().size());
+                for (AcceptedMessage m : journal.pendingMessages()) {
                     assertTrue(m.frozen || m.notice != null, "after record " + i + " it owns " + m.id);
                 }
             }
@@ -138,23 +140,26 @@
             doubt.attempts = 3;
             doubt.doubtSince = 12_345;
             doubt.doubtAt = "s-1";
-            assertTrue(journal.adopt(
+            assertTrue(journal.acceptHandoffBatch(
                     "lot", new Ownership(2, Status.OWNED, ""), SOON, List.of(doubt, message(journal, "other", 70))));
         }
         byte[] whole = file();
         for (int length = 0; length < whole.length; length++) {
             try (Journal journal = cut(whole, length)) {
-                assertTrue(journal.live().isEmpty() && journal.lots().isEmpty(), "at byte " + length);
+                assertTrue(
+                        journal.pendingMessages().isEmpty()
+                                && journal.handoffBatches().isEmpty(),
+                        "at byte " + length);
             }
         }
         try (Journal journal = cut(whole, whole.length)) {
-            assertEquals(2, journal.live().size());
-            AcceptedMessage doubt = journal.live().iterator().next();
+            assertEquals(2, journal.pendingMessages().size());
+            AcceptedMessage doubt = journal.pendingMessages().iterator().next();
             assertEquals(3, doubt.attempts);
             assertEquals(12_345, doubt.doubtSince);
             assertEquals("s-1", doubt.doubtAt);
             assertEquals("idem-doubt", doubt.idempotencyKey);
-            assertTrue(journal.lots().get("lot").ownership().isOwned());
+            assertTrue(journal.handoffBatches().get("lot").ownership().isOwned());
         }
     }
 
@@ -163,26 +168,28 @@
     void survivesARewrite() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = two(journal);
-            journal.lot("kept", OFFERED, SOON, messages);
-            journal.lot("refused", new Ownership(2, Status.REFUSED, ""), SOON, List.of());
-            journal.lot("old", new Ownership(2, Status.REFUSED, ""), 1, List.of());
+            journal.writeHandoffBatch("kept", OFFERED, SOON, messages);
+            journal.writeHandoffBatch("refused", new Ownership(2, Status.REFUSED, ""), SOON, List.of());
+            journal.writeHandoffBatch("old", new Ownership(2, Status.REFUSED, ""), 1, List.of());
             long most = 0;
             for (int i = 0; i < 20_000; i++) {
                 AcceptedMessage m = message(journal, "x" + i, 100);
                 assertTrue(journal.accept(m));
                 journal.conclude(m);
-                journal.tidy();
-                most = Math.max(most, journal.used());
+                journal.compactSlice();
+                most = Math.max(most, journal.usedBytes());
             }
             assertTrue(most < 1_600_000, "nothing was retired: " + most);
-            journal.dropOldLots(System.currentTimeMillis());
+            journal.expireHandoffBatches(System.currentTimeMillis());
         }
         try (Journal journal = open()) {
-            assertEquals(2, journal.live().stream().filter(m -> m.frozen).count());
-            assertEquals(OFFERED, journal.lots().get("kept").ownership());
             assertEquals(
-                    Status.REFUSED, journal.lots().get("refused").ownership().status());
-            assertFalse(journal.lots().containsKey("old"));
+                    2, journal.pendingMessages().stream().filter(m -> m.frozen).count());
+            assertEquals(OFFERED, journal.handoffBatches().get("kept").ownership());
+            assertEquals(
+                    Status.REFUSED,
+                    journal.handoffBatches().get("refused").ownership().status());
+            assertFalse(journal.handoffBatches().containsKey("old"));
         }
     }
 
@@ -191,12 +198,12 @@
     void lotsTakeOnlyTheirShare() throws IOException {
         try (Journal journal = open()) {
             int lots = 0;
-            while (journal.lot("lot" + lots, new Ownership(2, Status.REFUSED, ""), SOON, List.of())) {
+            while (journal.writeHandoffBatch("lot" + lots, new Ownership(2, Status.REFUSED, ""), SOON, List.of())) {
                 lots++;
             }
             assertTrue(lots > 1_000 && lots < 2_000, lots + " lots");
             assertTrue(
-                    journal.lot("lot0", new Ownership(3, Status.REFUSED, ""), SOON, List.of()),
+                    journal.writeHandoffBatch("lot0", new Ownership(3, Status.REFUSED, ""), SOON, List.of()),
                     "a known one has its place");
             for (int i = 0; i < 400; i++) {
                 assertTrue(journal.accept(message(journal, "m" + i, 500)), "message " + i);
@@ -208,7 +215,7 @@
     void aFullDiskRefusesLotsAndKeepsWhatIsOwed() throws IOException {
         try (Journal journal = Journal.open(folder, 400_000)) {
             int taken = 0;
-            while (journal.adopt(
+            while (journal.acceptHandoffBatch(
                     "lot" + taken,
                     new Ownership(2, Status.OWNED, ""),
                     SOON,
@@ -217,13 +224,13 @@
             }
             assertTrue(taken > 2 && taken < 20, "took " + taken);
             assertFalse(journal.knows("m" + taken));
-            for (AcceptedMessage m : List.copyOf(journal.live())) {
+            for (AcceptedMessage m : List.copyOf(journal.pendingMessages())) {
                 journal.end(m, m.failed());
             }
-            assertTrue(journal.used() <= 400_000);
+            assertTrue(journal.usedBytes() <= 400_000);
         }
         try (Journal journal = Journal.open(folder, 400_000)) {
-            assertTrue(journal.live().stream().allMatch(m -> m.notice != null));
+            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.notice != null));
         }
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -66,12 +66,12 @@
 
         @Override
         public void between(Object journal) {
-            ((Journal) journal).tidy();
+            ((Journal) journal).compactSlice();
         }
 
         @Override
         public int live(Object journal) {
-            return ((Journal) journal).live().size();
+            return ((Journal) journal).pendingMessages().size();
         }
 
         @Override
@@ -207,13 +207,13 @@
                 durability,
                 new Journal.BackgroundExecutor() {
                     @Override
-                    public void beside(Runnable work, Runnable then) {
+                    public void runInBackground(Runnable work, Runnable then) {
                         work.run();
                         then.run();
                     }
 
                     @Override
-                    public void soon(Runnable work) {
+                    public void runOnLoop(Runnable work) {
                         due.add(work);
                     }
                 });
@@ -225,14 +225,14 @@
                 AcceptedMessage m =
                         new AcceptedMessage(number, "id" + number, "", "quote-status", 0, 7, SOON, new byte[200]);
                 journal.accept(m);
-                journal.whenSafe(() -> told[0]++, null);
+                journal.whenDurable(() -> told[0]++, null);
                 journal.attempt(m, "uid", 5);
-                journal.whenSafe(() -> journal.conclude(m), null);
+                journal.whenDurable(() -> journal.conclude(m), null);
             }
             while (!due.isEmpty()) {
                 due.poll().run();
             }
-            journal.tidy();
+            journal.compactSlice();
         }
         double took = (System.nanoTime() - from) / 1e9;
         System.out.printf(
--- a/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -29,7 +29,7 @@
         int forces;
 
         @Override
-        public void beside(Runnable work, Runnable then) {
+        public void runInBackground(Runnable work, Runnable then) {
             forces++;
             due.add(() -> {
                 work.run();
@@ -38,7 +38,7 @@
         }
 
         @Override
-        public void soon(Runnable work) {
+        public void runOnLoop(Runnable work) {
             due.add(work);
         }
 
@@ -62,15 +62,15 @@
         for (int i = 0; i < 20; i++) {
             String id = "m" + i;
             assertTrue(journal.accept(held(journal, id)));
-            journal.whenSafe(() -> told.add(id), null);
+            journal.whenDurable(() -> told.add(id), null);
         }
         assertEquals(List.of(), told);
-        assertEquals(20, journal.waiting());
+        assertEquals(20, journal.deferredEffects());
         steps.all();
         assertEquals(20, told.size());
         assertEquals(1, steps.forces);
         // Nothing new was written: no force is needed.
-        journal.whenSafe(() -> told.add("at once"), null);
+        journal.whenDurable(() -> told.add("at once"), null);
         assertEquals(21, told.size());
         assertEquals(1, steps.forces);
     }
@@ -92,18 +92,18 @@
                 try {
                     Journal journal = Journal.open(null, disk, BUDGET, durability, steps);
                     for (int i = 0; i < 400; i++) {
-                        List<AcceptedMessage> all = List.copyOf(journal.live());
+                        List<AcceptedMessage> all = List.copyOf(journal.pendingMessages());
                         AcceptedMessage any = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
                         switch (any == null ? 0 : random.nextInt(5)) {
                             case 0, 1 -> {
                                 AcceptedMessage m = held(journal, "m" + i);
                                 assertTrue(journal.accept(m));
-                                journal.whenSafe(() -> taken.add(m.id), null);
+                                journal.whenDurable(() -> taken.add(m.id), null);
                             }
                             case 2 -> {
                                 if (any.notice == null && !any.out && journal.attempt(any, "uid", 5)) {
                                     int n = any.attempts;
-                                    journal.whenSafe(() -> attempts.put(any.id, n), null);
+                                    journal.whenDurable(() -> attempts.put(any.id, n), null);
                                 }
                             }
                             case 3 -> {
@@ -111,7 +111,7 @@
                                     journal.end(
                                             any,
                                             any.failed(),
-                                            () -> journal.whenSafe(() -> ended.put(any.id, any.notice), null));
+                                            () -> journal.whenDurable(() -> ended.put(any.id, any.notice), null));
                                 }
                             }
                             default -> {
@@ -122,7 +122,7 @@
                         if (random.nextInt(3) == 0 && !steps.due.isEmpty()) {
                             steps.due.poll().run();
                         }
-                        journal.tidy();
+                        journal.compactSlice();
                     }
                 } catch (SimulatedDisk.Killed e) {
                     // The power is gone.
@@ -130,7 +130,7 @@
                 disk.powerFails(seed);
                 disk.restart(1, SimulatedDisk.Fault.NONE, 0);
                 Map<String, AcceptedMessage> found = new HashMap<>();
-                Journal.open(null, disk, BUDGET).live().forEach(m -> found.put(m.id, m));
+                Journal.open(null, disk, BUDGET).pendingMessages().forEach(m -> found.put(m.id, m));
                 String at = durability + ", seed " + seed;
                 for (String id : taken) {
                     assertTrue(found.containsKey(id) || concluded.contains(id), at + ": " + id + " is lost");
@@ -156,16 +156,16 @@
             List<String> told = new ArrayList<>();
             for (String id : List.of("a", "b")) {
                 assertTrue(journal.accept(held(journal, id)));
-                journal.whenSafe(() -> told.add(id), () -> told.add("not " + id));
+                journal.whenDurable(() -> told.add(id), () -> told.add("not " + id));
             }
-            AcceptedMessage b = List.copyOf(journal.live()).get(1);
-            journal.end(b, b.failed(), () -> journal.whenSafe(() -> told.add("end of b"), null));
+            AcceptedMessage b = List.copyOf(journal.pendingMessages()).get(1);
+            journal.end(b, b.failed(), () -> journal.whenDurable(() -> told.add("end of b"), null));
             disk.restart(seed, SimulatedDisk.Fault.FAIL_FORCES, 1);
             steps.all();
             assertEquals(List.of("not a", "not b"), told);
             assertFalse(journal.accept(held(journal, "c")));
             assertFalse(journal.uncertain(), "c was never written");
-            assertTrue(journal.again() > 0);
+            assertTrue(journal.retryAfterMillis() > 0);
             for (int i = 0; i < 3; i++) {
                 journal.retry();
                 steps.all();
@@ -177,16 +177,16 @@
                 steps.all();
             }
             assertEquals("end of b", told.get(2));
-            assertEquals("", journal.trouble());
+            assertEquals("", journal.writeFailure());
             assertTrue(journal.accept(held(journal, "d")));
-            journal.whenSafe(() -> told.add("d"), null);
+            journal.whenDurable(() -> told.add("d"), null);
             steps.all();
             assertEquals("d", told.get(3));
             disk.powerFails(seed);
             disk.restart(1, SimulatedDisk.Fault.NONE, 0);
             assertEquals(
                     List.of("a", "b", "d"),
-                    Journal.open(null, disk, BUDGET).live().stream()
+                    Journal.open(null, disk, BUDGET).pendingMessages().stream()
                             .map(m -> m.id)
                             .toList());
         }
@@ -200,7 +200,7 @@
         List<Runnable> then = new ArrayList<>();
         Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, new Journal.BackgroundExecutor() {
             @Override
-            public void beside(Runnable work, Runnable after) {
+            public void runInBackground(Runnable work, Runnable after) {
                 Thread thread = new Thread(work);
                 threads.add(thread);
                 then.add(after);
@@ -208,21 +208,21 @@
             }
 
             @Override
-            public void soon(Runnable work) {
+            public void runOnLoop(Runnable work) {
                 work.run();
             }
         });
         List<String> told = new ArrayList<>();
         assertTrue(journal.accept(held(journal, "a")));
-        journal.whenSafe(() -> told.add("a"), null);
+        journal.whenDurable(() -> told.add("a"), null);
         assertEquals(1, threads.size());
         assertTrue(journal.accept(held(journal, "b")));
-        assertTrue(journal.makeSafe());
+        assertTrue(journal.forceAll());
         assertEquals(List.of("a"), told);
         then.forEach(Runnable::run);
         assertEquals(List.of("a"), told);
         disk.powerFails(3);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-        assertEquals(2, Journal.open(null, disk, BUDGET).live().size());
+        assertEquals(2, Journal.open(null, disk, BUDGET).pendingMessages().size());
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -53,14 +53,14 @@
             int first = fill(journal);
             assertTrue(first > 200, "took " + first);
             for (int round = 0; round < 3; round++) {
-                for (AcceptedMessage m : List.copyOf(journal.live())) {
+                for (AcceptedMessage m : List.copyOf(journal.pendingMessages())) {
                     for (int i = 0; i < 12; i++) {
                         assertTrue(journal.attempt(m, UID, 5), "no room for an attempt");
                         journal.outcome(m, true);
                     }
                     checkSize();
                 }
-                for (AcceptedMessage m : List.copyOf(journal.live())) {
+                for (AcceptedMessage m : List.copyOf(journal.pendingMessages())) {
                     journal.end(m, m.returned(1_000));
                     journal.conclude(m);
                     checkSize();
@@ -76,12 +76,12 @@
         String notice;
         try (Journal journal = Journal.open(folder, BUDGET)) {
             fill(journal);
-            AcceptedMessage ended = journal.live().iterator().next();
+            AcceptedMessage ended = journal.pendingMessages().iterator().next();
             notice = ended.failed();
             journal.end(ended, notice);
-            AcceptedMessage last =
-                    List.copyOf(journal.live()).get(journal.live().size() - 1);
-            journal.conclude(List.copyOf(journal.live()).get(1));
+            AcceptedMessage last = List.copyOf(journal.pendingMessages())
+                    .get(journal.pendingMessages().size() - 1);
+            journal.conclude(List.copyOf(journal.pendingMessages()).get(1));
             for (int i = 0; i < 3_000; i++) {
                 journal.attempt(last, UID, 5 + i);
                 journal.outcome(last, i > 0);
@@ -90,7 +90,7 @@
             checkSize();
         }
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            List<AcceptedMessage> live = List.copyOf(journal.live());
+            List<AcceptedMessage> live = List.copyOf(journal.pendingMessages());
             assertEquals(notice, live.get(0).notice);
             assertTrue(journal.knows("id000002"), "the id of an ended message was forgotten");
             AcceptedMessage last = live.get(live.size() - 1);
@@ -122,12 +122,12 @@
             AcceptedMessage over = held(journal, "over");
             List.of(tried, ends, over).forEach(m -> assertTrue(journal.accept(m)));
             assertTrue(journal.attempt(tried, "uid", 5) && journal.attempt(over, "uid", 5));
-            assertEquals(0, journal.again());
+            assertEquals(0, journal.retryAfterMillis());
             // The reserve's room is no help on a disk that takes nothing at all.
             disk.restart(4, fault, 1);
             List<String> told = new ArrayList<>();
             assertFalse(journal.accept(held(journal, "new")));
-            assertTrue(journal.again() > 0 && !journal.trouble().isEmpty());
+            assertTrue(journal.retryAfterMillis() > 0 && !journal.writeFailure().isEmpty());
             assertFalse(journal.attempt(ends, "uid", 6));
             assertEquals(0, ends.attempts, "an attempt that was not recorded was not made");
             journal.outcome(tried, true);
@@ -135,22 +135,22 @@
             journal.conclude(over);
             for (int i = 0; i < 5; i++) {
                 journal.retry();
-                journal.tidy();
+                journal.compactSlice();
             }
             assertEquals(List.of(), told);
-            assertEquals(3, journal.owed());
+            assertEquals(3, journal.pendingWriteCount());
             assertTrue(disk.names().size() < 6, disk.names().toString());
             disk.restart(4, SimulatedDisk.Fault.NONE, 0);
             journal.retry();
             assertEquals(List.of("ends"), told);
-            assertEquals(0, journal.owed());
-            assertEquals(0, journal.again());
+            assertEquals(0, journal.pendingWriteCount());
+            assertEquals(0, journal.retryAfterMillis());
             assertTrue(journal.accept(held(journal, "later")));
             Journal again = on(disk);
             assertEquals(
                     List.of("tried", "ends", "later"),
-                    again.live().stream().map(m -> m.id).toList());
-            assertEquals(5, again.live().iterator().next().doubtSince);
+                    again.pendingMessages().stream().map(m -> m.id).toList());
+            assertEquals(5, again.pendingMessages().iterator().next().doubtSince);
             assertTrue(again.knows("over") && !again.knows("new"));
         }
     }
@@ -176,9 +176,9 @@
             journal.conclude(m);
         }
         assertEquals(20, told);
-        assertEquals(0, journal.owed());
+        assertEquals(0, journal.pendingWriteCount());
         Journal again = on(disk);
-        assertEquals(20, again.live().size());
+        assertEquals(20, again.pendingMessages().size());
         disk.capacity(Long.MAX_VALUE);
         again.retry();
         assertTrue(again.accept(held(again, "new")));
@@ -189,18 +189,20 @@
     void remembersAThousandOutages() throws IOException {
         try (Journal journal = Journal.open(folder, 3_000_000)) {
             for (int i = 0; i < 1_500; i++) {
-                journal.remember(new Journal.HealthRecord(
+                journal.recordHealth(new Journal.HealthRecord(
                         i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.UNAVAILABLE, i, 1, 2));
             }
         }
         try (Journal journal = Journal.open(folder, 3_000_000)) {
-            assertEquals(1_500, journal.memories().size());
+            assertEquals(1_500, journal.healthRecords().size());
             for (int i = 0; i < 1_500; i++) {
-                journal.remember(new Journal.HealthRecord(
+                journal.recordHealth(new Journal.HealthRecord(
                         5_000 + i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.UNAVAILABLE, i, 1, 2));
             }
-            assertEquals(1_950, journal.memories().size(), "they take their share of the disk, and no more");
-            assertTrue(journal.memories().stream().anyMatch(m -> m.destination() == 6_499), "the newest is forgotten");
+            assertEquals(1_950, journal.healthRecords().size(), "they take their share of the disk, and no more");
+            assertTrue(
+                    journal.healthRecords().stream().anyMatch(m -> m.destination() == 6_499),
+                    "the newest is forgotten");
         }
     }
 
@@ -208,7 +210,7 @@
     @Test
     void aBurstOfSafeMessagesForgetsNoUnsafeId() throws IOException {
         try (Journal journal = Journal.open(folder, 3 << 20)) {
-            journal.define(
+            journal.defineClass(
                     0,
                     new MessageClassRegistry.Version(
                             "safe",
@@ -232,8 +234,8 @@
                 safe.type = 0;
                 assertTrue(journal.accept(safe));
                 journal.conclude(safe);
-                journal.tidy();
-                assertTrue(journal.used() <= 3 << 20);
+                journal.compactSlice();
+                assertTrue(journal.usedBytes() <= 3 << 20);
             }
         }
         try (Journal journal = Journal.open(folder, 3 << 20)) {
@@ -252,7 +254,7 @@
             for (int i = 0; i < 100; i++) {
                 assertTrue(journal.accept(held(journal, "m" + i)));
             }
-            AcceptedMessage over = journal.live().iterator().next();
+            AcceptedMessage over = journal.pendingMessages().iterator().next();
             journal.attempt(over, "uid", 5);
             journal.conclude(over);
         }
@@ -268,11 +270,11 @@
         assertTrue(damaged.damaged() && damaged.summary().contains("COULD NOT BE READ"), damaged.summary());
         JournalView copy = JournalView.repair(state, folder.resolve("copy"));
         assertFalse(copy.damaged());
-        assertEquals(98, copy.owed());
+        assertEquals(98, copy.pendingCount());
         assertArrayEquals(bytes, Files.readAllBytes(segment));
         try (Journal journal = Journal.open(folder.resolve("copy"), BUDGET)) {
             assertTrue(journal.knows("m0"));
-            assertEquals(98, journal.live().size());
+            assertEquals(98, journal.pendingMessages().size());
         }
         assertThrows(IOException.class, () -> JournalView.repair(state, folder.resolve("copy")));
     }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
@@ -162,7 +162,7 @@
         Map<String, Known> next = new LinkedHashMap<>();
         Set<String> live = new HashSet<>();
         List<String> order = new ArrayList<>();
-        for (AcceptedMessage m : journal.live()) {
+        for (AcceptedMessage m : journal.pendingMessages()) {
             live.add(m.id);
             order.add(m.id);
             Known known = model.get(m.id);
@@ -230,7 +230,7 @@
         for (int i = 0; i < STEPS; i++) {
             step();
             if (random.nextInt(4) == 0) {
-                journal.tidy();
+                journal.compactSlice();
             }
             if (random.nextInt(6) == 0) {
                 journal.retry();
@@ -241,7 +241,7 @@
 
     /** With nothing owed, all that was asked for is on the disk. */
     private void settled() {
-        if (journal.owed() == 0) {
+        if (journal.pendingWriteCount() == 0) {
             model.values().forEach(k -> k.concludedForSure |= k.concluded);
         }
     }
@@ -262,7 +262,7 @@
                 conclude(known);
             } else if (known.held.notice != null && random.nextBoolean()) {
                 // A process that found it ended sends its notice again.
-                known.noticeSent |= journal.owed() == 0;
+                known.noticeSent |= journal.pendingWriteCount() == 0;
             }
         } else if (known.out) {
             known.open = true;
@@ -326,7 +326,7 @@
         PrintStream out = new PrintStream(new FileOutputStream(FileDescriptor.out), true, StandardCharsets.US_ASCII);
         out.println("R");
         for (int i = 0; ; i++) {
-            List<AcceptedMessage> all = List.copyOf(own.live());
+            List<AcceptedMessage> all = List.copyOf(own.pendingMessages());
             AcceptedMessage m = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
             if (m == null || all.size() < 200 && random.nextInt(3) > 0) {
                 String id = "m" + args[1] + "-" + i;
@@ -353,7 +353,7 @@
                 own.end(m, m.failed());
                 out.println("E " + m.id);
             }
-            own.tidy();
+            own.compactSlice();
         }
     }
 
@@ -423,8 +423,8 @@
 
     private static void compare(Map<String, Told> told, Path folder, Counts counts, String when) throws IOException {
         Map<String, AcceptedMessage> live = new LinkedHashMap<>();
-        try (Journal journal = Journal.peek(folder)) {
-            journal.live().forEach(m -> live.put(m.id, m));
+        try (Journal journal = Journal.openReadOnly(folder)) {
+            journal.pendingMessages().forEach(m -> live.put(m.id, m));
             counts.wrong += journal.unread().stream()
                     .filter(what -> what.contains("segment"))
                     .count();
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -45,7 +45,7 @@
 
     /** What {@link #write} wrote. */
     private static void check(Journal journal) {
-        List<AcceptedMessage> live = List.copyOf(journal.live());
+        List<AcceptedMessage> live = List.copyOf(journal.pendingMessages());
         assertEquals(
                 List.of("first", "doubt", "ended", "offered", "behind"),
                 live.stream().map(m -> m.id).toList());
@@ -65,14 +65,14 @@
                 List.of(doubt.attempts, doubt.doubtSince, doubt.doubtAt, doubt.out, doubt.sentAt, doubt.sentTo));
         assertEquals(live.get(2).failed(), live.get(2).notice);
         assertTrue(live.get(3).frozen);
-        assertEquals("heir", journal.lots().get("lot").ownership().peer());
+        assertEquals("heir", journal.handoffBatches().get("lot").ownership().peer());
         assertTrue(journal.knows("over") && journal.differs("over", 5));
-        assertEquals(1, journal.memories().size());
+        assertEquals(1, journal.healthRecords().size());
         assertEquals(
                 DeliveryScheduler.UpstreamStatus.UNAVAILABLE,
-                journal.memories().iterator().next().health());
+                journal.healthRecords().iterator().next().health());
         assertEquals("policy-order", journal.classes().get(1).name());
-        assertTrue(journal.holds().isHeld(31) && !journal.holds().isHeld(32));
+        assertTrue(journal.keyHolds().isHeld(31) && !journal.keyHolds().isHeld(32));
         assertTrue(journal.nextNumber()
                 > live.stream().mapToLong(m -> m.number).max().orElse(0));
     }
@@ -80,13 +80,13 @@
     @Test
     void anEarlierVersionsFileIsMovedWhole() throws IOException {
         Files.write(folder.resolve("journal"), old());
-        assertEquals(5, JournalView.read(folder).owed(), "looking does not move it");
+        assertEquals(5, JournalView.read(folder).pendingCount(), "looking does not move it");
         assertArrayEquals(old(), Files.readAllBytes(folder.resolve("journal")));
         try (Journal journal = Journal.open(folder, BUDGET)) {
             check(journal);
         }
         for (int i = 0; i < 2; i++) {
-            assertEquals(5, JournalView.read(folder).owed());
+            assertEquals(5, JournalView.read(folder).pendingCount());
             try (Journal journal = Journal.open(folder, BUDGET)) {
                 check(journal);
             }
@@ -125,7 +125,7 @@
                 .getMessage()
                 .contains("unknown record"));
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            assertEquals("a", journal.live().iterator().next().id);
+            assertEquals("a", journal.pendingMessages().iterator().next().id);
         }
     }
 
@@ -135,7 +135,7 @@
         bad[bad.length - 3] ^= 1;
         Files.write(folder.resolve("journal"), bad);
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            assertFalse(journal.live().isEmpty());
+            assertFalse(journal.pendingMessages().isEmpty());
         }
         assertArrayEquals(bad, Files.readAllBytes(folder.resolve("journal.damaged")));
     }
--- a/sender/src/test/java/amberroute/sender/peer/HandoffCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/HandoffCompatibilityTest.java
@@ -188,9 +188,11 @@
         byte[] setContent = ReplicaRecords.encodeReplicaSet(JOURNAL, replicaSet);
         byte[] positionContent = ReplicaRecords.encodePosition(new LogPosition(1, 3));
         EncodedBatch recordedBatch = batches("to_copy_holders_batches").get(0);
-        Batch expected = new Batch().put(3, Journal.GROUP, setContent).put(3, Journal.PLACE, positionContent);
+        Batch expected = new Batch()
+                .put(3, Journal.REPLICA_SET, setContent)
+                .put(3, Journal.REPLICATION_POSITION, positionContent);
         assertEquals(EncodedBatch.of(expected), recordedBatch);
-        assertArrayEquals(expected.bytes(), recordedBatch.decode().bytes());
+        assertArrayEquals(expected.encode(), recordedBatch.decode().encode());
         assertEquals(new LogPosition(1, 3), ReplicaRecords.decodePosition(positionContent));
         assertEquals(JOURNAL, ReplicaRecords.decodeJournalId(setContent));
         assertEquals(replicaSet, ReplicaRecords.decodeReplicaSet(setContent));
--- a/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/JournalReplicatorTest.java
@@ -112,7 +112,7 @@
                             journal,
                             Map.of("two", two.address(), "three", three.address()),
                             (term, owner) -> {});
-                    journal.copyTo(replicator);
+                    journal.replicateTo(replicator);
                     assertTrue(replicator.startTerm(
                             1, LogPosition.NONE, new ReplicaSet(0, List.of("one", "two", "three"))));
                 })
@@ -138,9 +138,9 @@
         loop.submit(() -> {
                     int before = had.get();
                     for (int i = 0; i < idle + 1; i++) {
-                        replicator.wrote(new Batch().put(1_000 + i, 1, new byte[10]));
+                        replicator.batchWritten(new Batch().put(1_000 + i, 1, new byte[10]));
                     }
-                    replicator.whenAgreed(had::incrementAndGet, null);
+                    replicator.whenReplicated(had::incrementAndGet, null);
                     assertEquals(before, had.get(), "nothing was agreed on yet");
                 })
                 .sync();
@@ -156,7 +156,7 @@
         assertEquals(5, three.copies.get(0).getAsJsonArray("batches").size());
         // The group is told with the whole and not again.
         assertFalse(two.copies.get(0).has("holders"));
-        loop.submit(() -> replicator.wrote(new Batch().put(2_000, 1, new byte[10])))
+        loop.submit(() -> replicator.batchWritten(new Batch().put(2_000, 1, new byte[10])))
                 .sync();
         // It goes by itself as well, to both.
         await(() -> two.copies.size() == 2 && three.copies.size() == 2);
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -35,23 +35,23 @@
 
         Owner() throws IOException {
             journal = Journal.open(folder.resolve("owner"), BUDGET);
-            journal.copyTo(this);
-            journal.holders(ReplicaRecords.encodeReplicaSet(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
+            journal.replicateTo(this);
+            journal.replicaSet(ReplicaRecords.encodeReplicaSet(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
         }
 
         @Override
-        public byte[] place() {
+        public byte[] replicationPosition() {
             return ReplicaRecords.encodePosition(new LogPosition(1, number + 1));
         }
 
         @Override
-        public void wrote(Batch batch) {
+        public void batchWritten(Batch batch) {
             number++;
-            changes.add(Batch.read(batch.bytes()));
+            changes.add(Batch.decode(batch.encode()));
         }
 
         @Override
-        public void whenAgreed(Runnable effect, Runnable failed) {
+        public void whenReplicated(Runnable effect, Runnable failed) {
             effect.run();
         }
 
@@ -81,12 +81,12 @@
 
     private static ReplicaStore.StoredReplica whole(ReplicaStore store, Owner owner, Object on) {
         ReplicaStore.StoredReplica kept = store.findOrCreate(ESTATE);
-        List<Batch> all = owner.journal.contents().stream()
+        List<Batch> all = owner.journal.snapshotBatches().stream()
                 .map(part -> part.get())
                 .filter(b -> !b.isEmpty())
                 .toList();
         assertTrue(store.stageSnapshot(kept, true, 1, all, on));
-        assertTrue(store.stageSnapshot(kept, false, 1, List.of(owner.journal.placed()), on));
+        assertTrue(store.stageSnapshot(kept, false, 1, List.of(owner.journal.replicationPositionBatch()), on));
         assertTrue(store.installSnapshot(kept, kept.state.onSnapshot(1, "s1", owner.number, true)));
         return kept;
     }
@@ -113,10 +113,11 @@
             try (Journal copy = Journal.open(again.lendLog(read), BUDGET)) {
                 assertEquals(
                         List.of("first", "second"),
-                        copy.live().stream().map(m -> m.id).toList());
-                assertTrue(copy.live().iterator().next().out);
+                        copy.pendingMessages().stream().map(m -> m.id).toList());
+                assertTrue(copy.pendingMessages().iterator().next().out);
                 assertTrue(copy.knows("over"));
-                assertEquals(new LogPosition(1, owner.number), ReplicaRecords.decodePosition(copy.place()));
+                assertEquals(
+                        new LogPosition(1, owner.number), ReplicaRecords.decodePosition(copy.replicationPosition()));
             }
         }
     }
@@ -127,13 +128,13 @@
             owner.accept("first");
             ReplicaStore store = store();
             ReplicaStore.StoredReplica kept = store.findOrCreate(ESTATE);
-            List<Batch> all = owner.journal.contents().stream()
+            List<Batch> all = owner.journal.snapshotBatches().stream()
                     .map(part -> part.get())
                     .filter(b -> !b.isEmpty())
                     .toList();
             assertTrue(store.stageSnapshot(kept, true, 1, all, "new"));
             assertFalse(store.stageSnapshot(kept, false, 1, all, "old"));
-            assertTrue(store.stageSnapshot(kept, false, 1, List.of(owner.journal.placed()), "new"));
+            assertTrue(store.stageSnapshot(kept, false, 1, List.of(owner.journal.replicationPositionBatch()), "new"));
             store.close();
         }
     }
@@ -209,7 +210,7 @@
                     System.currentTimeMillis() + 60_000,
                     new byte[60 << 10]);
             assertTrue(owner.journal.accept(large));
-            List<Batch> all = owner.journal.contents().stream()
+            List<Batch> all = owner.journal.snapshotBatches().stream()
                     .map(part -> part.get())
                     .filter(b -> !b.isEmpty())
                     .toList();
--- a/storage/src/main/java/amberroute/storage/Batch.java
+++ b/storage/src/main/java/amberroute/storage/Batch.java
@@ -10,10 +10,10 @@
  * takes the place of the one that the owner had under that kind.
  */
 public final class Batch {
-    record Put(long owner, int kind, byte[] content, boolean sole) {}
+    record Put(long owner, int kind, byte[] content, boolean exclusive) {}
 
     final List<Put> puts = new ArrayList<>();
-    final List<Long> ends = new ArrayList<>();
+    final List<Long> deletedOwners = new ArrayList<>();
 
     /** {@code kind} is 1 to {@value Segment#KINDS}; an owner may have each kind once in a batch. */
     public Batch put(long owner, int kind, byte[] content) {
@@ -21,7 +21,7 @@
     }
 
     /** From now on this is all that the owner has; whatever is put for it later has to be such a content too. */
-    public Batch putSole(long owner, int kind, byte[] content) {
+    public Batch putExclusive(long owner, int kind, byte[] content) {
         return put(owner, kind, content, true);
     }
 
@@ -34,26 +34,26 @@
     }
 
     /** Another batch's changes are made with this one's. */
-    public Batch and(Batch other) {
+    public Batch addAll(Batch other) {
         puts.addAll(other.puts);
-        ends.addAll(other.ends);
+        deletedOwners.addAll(other.deletedOwners);
         return this;
     }
 
     /** Nothing of this owner is wanted any more, also of what this batch puts. */
-    public Batch end(long owner) {
-        ends.add(owner);
+    public Batch delete(long owner) {
+        deletedOwners.add(owner);
         return this;
     }
 
     /** Whether it changes nothing. */
     public boolean isEmpty() {
-        return puts.isEmpty() && ends.isEmpty();
+        return puts.isEmpty() && deletedOwners.isEmpty();
     }
 
     /** The changes as bytes, for a copy of the log elsewhere; {@link #read} takes them. */
-    public byte[] bytes() {
-        int size = 8 + 8 * ends.size();
+    public byte[] encode() {
+        int size = 8 + 8 * deletedOwners.size();
         for (Put put : puts) {
             size += PUT_BYTES + put.content().length;
         }
@@ -61,17 +61,17 @@
         for (Put put : puts) {
             out.putLong(put.owner())
                     .put((byte) put.kind())
-                    .put((byte) (put.sole() ? 1 : 0))
+                    .put((byte) (put.exclusive() ? 1 : 0))
                     .putInt(put.content().length)
                     .put(put.content());
         }
-        out.putInt(ends.size());
-        ends.forEach(out::putLong);
+        out.putInt(deletedOwners.size());
+        deletedOwners.forEach(out::putLong);
         return out.array();
     }
 
     /** Reads what {@link #bytes} wrote; IllegalArgumentException where it is anything else. */
-    public static Batch read(byte[] bytes) {
+    public static Batch decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             Batch batch = new Batch();
@@ -88,7 +88,7 @@
                 batch.put(owner, kind, content, sole);
             }
             for (int i = in.getInt(); i > 0; i--) {
-                batch.end(in.getLong());
+                batch.delete(in.getLong());
             }
             if (in.hasRemaining()) {
                 throw new IllegalArgumentException("more than a batch");
--- a/storage/src/main/java/amberroute/storage/Segment.java
+++ b/storage/src/main/java/amberroute/storage/Segment.java
@@ -75,10 +75,10 @@
     }
 
     /** A segment of a format that this program does not know. */
-    public static final class NewerFormat extends IOException {
+    public static final class UnsupportedFormatException extends IOException {
         private static final long serialVersionUID = 1;
 
-        NewerFormat(int version) {
+        UnsupportedFormatException(int version) {
             super("format " + version + " is newer than this program's " + VERSION);
         }
     }
@@ -229,7 +229,7 @@
             crc.update(bytes, 0, HEAD - Integer.BYTES);
             if (in.getLong(0) == MAGIC && in.getInt(HEAD - Integer.BYTES) == (int) crc.getValue()) {
                 if (in.getShort(8) > VERSION) {
-                    throw new NewerFormat(in.getShort(8));
+                    throw new UnsupportedFormatException(in.getShort(8));
                 }
                 return new Head(true, in.getLong(12), in.getLong(20), in.getLong(28), in.getLong(36));
             }
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -28,7 +28,7 @@
  * <p>Room comes back when a segment is retired: what is live in it is copied on, a slice at a time ({@link #compact}), each
  * under the version under which it was first written, then the file is deleted. What is met twice counts once, so a crash
  * anywhere in between changes nothing. That an owner is over stays written until no copy of anything of it is left on the
- * disk, or it would come back. The proof is in {@code docs/journal.md}. Not thread-safe, but for {@link Force#run}.
+ * disk, or it would come back. The proof is in {@code docs/journal.md}. Not thread-safe, but for {@link PendingForce#run}.
  */
 public class SegmentLog implements Closeable {
     private static final String SUFFIX = ".seg";
@@ -51,15 +51,15 @@
      * of it and is kept as a file that is given up when the disk has no room left; {@code synced}: power may fail, so that
      * a segment goes only when what was copied from it has been forced.
      */
-    public record Limits(long budget, long segment, long reserve, boolean synced) {
+    public record Limits(long budgetBytes, long segmentBytes, long reserveBytes, boolean forceRequired) {
         public Limits {
-            if (segment < 4_096 || budget < 4 * segment + reserve || reserve < 0) {
-                throw new IllegalArgumentException("segments of " + segment + " bytes in " + budget);
+            if (segmentBytes < 4_096 || budgetBytes < 4 * segmentBytes + reserveBytes || reserveBytes < 0) {
+                throw new IllegalArgumentException("segments of " + segmentBytes + " bytes in " + budgetBytes);
             }
         }
 
         /** The least that {@link #of} takes. */
-        public static final long LEAST = 64 << 10;
+        public static final long MIN_BUDGET_BYTES = 64 << 10;
 
         /**
          * What suits a budget: some thirty segments, each with room for the largest message; below some 400 KB six, which
@@ -81,10 +81,10 @@
     }
 
     /** Where a segment has bytes that could not be read, with whole records behind them; {@code to} 0 for a missing file. */
-    public record Loss(String segment, Segment.Damage damage) {}
+    public record DataLoss(String segment, Segment.Damage damage) {}
 
     /** Takes what the log has, in no order; the buffer is a view of the log's own bytes, for the time of the call. */
-    public interface Reader {
+    public interface ContentReader {
         void content(long owner, int kind, long version, ByteBuffer content) throws IOException;
     }
 
@@ -230,14 +230,14 @@
     }
 
     /** What has to be forced, as of one moment. */
-    public static final class Force {
+    public static final class PendingForce {
         private final List<Disk.Handle> files;
         private final List<Part> parts;
         private final Disk disk;
         private final long sequence;
         private final boolean names;
 
-        private Force(Disk disk, List<Disk.Handle> files, List<Part> parts, long sequence, boolean names) {
+        private PendingForce(Disk disk, List<Disk.Handle> files, List<Part> parts, long sequence, boolean names) {
             this.disk = disk;
             this.files = files;
             this.parts = parts;
@@ -271,7 +271,7 @@
     private final Map<Part, byte[]> retained = new HashMap<>();
 
     private long retainedBytes;
-    private final List<Loss> losses = new ArrayList<>();
+    private final List<DataLoss> losses = new ArrayList<>();
     private final TreeSet<String> aside = new TreeSet<>();
     private long asideBytes;
     /** Sealed segments that are not forced yet, with their parts. */
@@ -311,12 +311,12 @@
     public static SegmentLog open(Disk disk, Limits limits, LongSupplier salts) throws IOException {
         SegmentLog log = new SegmentLog(disk, limits, salts);
         log.recover();
-        log.refill();
+        log.refillReserve();
         return log;
     }
 
     /** For looking only: nothing can be written. */
-    public static SegmentLog peek(Disk disk) throws IOException {
+    public static SegmentLog openReadOnly(Disk disk) throws IOException {
         SegmentLog log = new SegmentLog(disk, new Limits(NEVER, 1 << 20, 0, false), () -> 0);
         log.writable = false;
         log.recover();
@@ -324,7 +324,7 @@
     }
 
     /** Whether a folder has a log, as far as names tell. */
-    public static boolean isThere(Collection<String> names) {
+    public static boolean containsLog(Collection<String> names) {
         return names.stream().anyMatch(SegmentLog::isSegment);
     }
 
@@ -370,10 +370,10 @@
             }
             byte[] all = load(part, end);
             Segment.Summary read = Segment.read(all, part.salt, new Loading(part, listed));
-            read.damages().forEach(damage -> losses.add(new Loss(part.name, damage)));
+            read.damages().forEach(damage -> losses.add(new DataLoss(part.name, damage)));
             part.damaged = !read.damages().isEmpty() || !read.head().whole() && read.records() > 0;
             if (!read.head().whole() && read.records() > 0) {
-                losses.add(new Loss(part.name, new Segment.Damage(0, Segment.HEAD)));
+                losses.add(new DataLoss(part.name, new Segment.Damage(0, Segment.HEAD)));
             }
             tornBytes += read.nothing() ? part.bytes : read.tail();
             if (retainedBytes + all.length <= Runtime.getRuntime().maxMemory() / RETAINED_SHARE) {
@@ -382,7 +382,7 @@
             }
         }
         listed.removeAll(parts.keySet());
-        listed.forEach(missing -> losses.add(new Loss(String.format("%016x", missing), new Segment.Damage(0, 0))));
+        listed.forEach(missing -> losses.add(new DataLoss(String.format("%016x", missing), new Segment.Damage(0, 0))));
         lastNumber = parts.isEmpty() ? 0 : parts.lastKey();
         forced = sequence;
         List.copyOf(owners.values()).forEach(this::settleEnds);
@@ -449,7 +449,7 @@
      * Gives the last content of each kind of each owner that is not over. Segments that were kept in memory since the opening
      * are not read and checked a second time; they are let go here.
      */
-    public void read(Reader reader) throws IOException {
+    public void read(ContentReader reader) throws IOException {
         Map<Part, List<Owned>> kept = new HashMap<>();
         for (Part part : parts.values()) {
             if (retained.containsKey(part)) {
@@ -490,7 +490,7 @@
         retainedBytes = 0;
     }
 
-    private void readAgain(Part part, Reader reader) throws IOException {
+    private void readAgain(Part part, ContentReader reader) throws IOException {
         byte[] all = load(part, NEVER);
         long[] record = {0};
         Segment.read(all, part.salt, new Segment.Visitor() {
@@ -619,7 +619,7 @@
     // ---- What is told. ----
 
     /** Bytes of all files, each in whole {@value #BLOCK}s. */
-    public long used() {
+    public long usedBytes() {
         return rounded(reserve) + rounded(asideBytes) + aside.size() * (long) BLOCK + sums.rounded;
     }
 
@@ -633,12 +633,12 @@
     }
 
     /** What is kept free for copying, for heads and for rounding: live contents may have the budget without this. */
-    public long overhead() {
-        return 2 * limits.segment
-                + limits.reserve
-                + (limits.budget / limits.segment + 2) * (BLOCK + 2 * Segment.HEAD)
+    public long reservedBytes() {
+        return 2 * limits.segmentBytes
+                + limits.reserveBytes
+                + (limits.budgetBytes / limits.segmentBytes + 2) * (BLOCK + 2 * Segment.HEAD)
                 + MOST_ASIDE * (long) BLOCK
-                + (long) (limits.budget * (1 - DENSE));
+                + (long) (limits.budgetBytes * (1 - DENSE));
     }
 
     public Limits limits() {
@@ -646,7 +646,7 @@
     }
 
     /** What could not be read though records behind it could, and segments that are not there. */
-    public List<Loss> losses() {
+    public List<DataLoss> losses() {
         return List.copyOf(losses);
     }
 
@@ -666,7 +666,7 @@
     }
 
     /** Numbers below this are not given any more. */
-    public void skipOwners(long next) {
+    public void reserveOwnersBelow(long next) {
         nextOwner = Math.max(nextOwner, next);
     }
 
@@ -676,13 +676,13 @@
     }
 
     /** Whether what was written before a force failed is not on the disk again yet. */
-    public boolean unsafe() {
+    public boolean needsRewrite() {
         return sums.suspects > 0;
     }
 
     /** Whether the file that is given up when the disk is full is there. */
     public boolean hasReserve() {
-        return reserve >= limits.reserve;
+        return reserve >= limits.reserveBytes;
     }
 
     public int segments() {
@@ -710,13 +710,13 @@
         // A segment that is begun for it takes a number too: what is in the record keeps this one.
         long version = sequence + 1;
         for (Batch.Put put : batch.puts) {
-            if (!put.sole() && owners.containsKey(put.owner()) && owners.get(put.owner()).sole > 0) {
+            if (!put.exclusive() && owners.containsKey(put.owner()) && owners.get(put.owner()).sole > 0) {
                 throw new IllegalArgumentException("owner " + put.owner() + " has a last content");
             }
-            int size = items.put(put.owner(), put.kind(), put.sole(), version, put.content());
+            int size = items.put(put.owner(), put.kind(), put.exclusive(), version, put.content());
             places.add(new int[] {items.size() - put.content().length, size});
         }
-        List<Long> ended = batch.ends.stream()
+        List<Long> ended = batch.deletedOwners.stream()
                 .filter(n -> owners.containsKey(n) && !owners.get(n).over
                         || batch.puts.stream().anyMatch(put -> put.owner() == n))
                 .toList();
@@ -732,7 +732,7 @@
                     active,
                     put.owner(),
                     put.kind(),
-                    put.sole(),
+                    put.exclusive(),
                     version,
                     at,
                     at + Segment.FRAME + places.get(i)[0],
@@ -747,13 +747,13 @@
 
     /** Retires until so many bytes fit beside what copying needs. */
     private void room(long bytes) throws IOException {
-        if (bytes + 2 * Segment.HEAD > limits.segment) {
-            throw new LogFullException("a batch of " + bytes + " bytes; segments have " + limits.segment);
+        if (bytes + 2 * Segment.HEAD > limits.segmentBytes) {
+            throw new LogFullException("a batch of " + bytes + " bytes; segments have " + limits.segmentBytes);
         }
-        while (used() + rounded(bytes) + 2 * BLOCK + limits.segment > limits.budget) {
-            if (!compact(limits.segment)) {
-                throw new LogFullException(
-                        used() + " of " + limits.budget + " bytes are used, " + liveBytes() + " of them live");
+        while (usedBytes() + rounded(bytes) + 2 * BLOCK + limits.segmentBytes > limits.budgetBytes) {
+            if (!compact(limits.segmentBytes)) {
+                throw new LogFullException(usedBytes() + " of " + limits.budgetBytes + " bytes are used, " + liveBytes()
+                        + " of them live");
             }
         }
     }
@@ -775,7 +775,9 @@
 
     private long place(Segment.Items items) throws IOException {
         int bytes = Segment.FRAME + items.size();
-        if (file == null || uncertain || active.bytes + bytes > limits.segment && active.bytes > 2 * Segment.HEAD) {
+        if (file == null
+                || uncertain
+                || active.bytes + bytes > limits.segmentBytes && active.bytes > 2 * Segment.HEAD) {
             begin();
         }
         long at = active.bytes;
@@ -812,7 +814,7 @@
     }
 
     /** Tries again to make sure that what has failed cannot be found. */
-    public void settle() throws IOException {
+    public void resolveUncertainWrite() throws IOException {
         if (uncertain) {
             try {
                 begin();
@@ -878,7 +880,7 @@
     private void seal() {
         Disk.Handle sealed = file;
         file = null;
-        if (limits.synced) {
+        if (limits.forceRequired) {
             unforced.put(active, sealed);
         } else {
             close(sealed);
@@ -910,19 +912,19 @@
     }
 
     /** Lays the reserve in again where it was given up and there is room; to be called from time to time. */
-    public boolean refill() {
-        if (hasReserve() || used() + rounded(limits.reserve) + limits.segment > limits.budget) {
+    public boolean refillReserve() {
+        if (hasReserve() || usedBytes() + rounded(limits.reserveBytes) + limits.segmentBytes > limits.budgetBytes) {
             return hasReserve();
         }
         try (Disk.Handle handle = disk.open(RESERVE)) {
             try {
                 handle.truncate(0);
                 ByteBuffer zeros = ByteBuffer.allocate(8_192);
-                while (handle.size() < limits.reserve) {
-                    zeros.clear().limit((int) Math.min(zeros.capacity(), limits.reserve - handle.size()));
+                while (handle.size() < limits.reserveBytes) {
+                    zeros.clear().limit((int) Math.min(zeros.capacity(), limits.reserveBytes - handle.size()));
                     writeAll(handle, zeros);
                 }
-                reserve = limits.reserve;
+                reserve = limits.reserveBytes;
             } catch (IOException e) {
                 handle.truncate(0);
                 reserve = 0;
@@ -936,12 +938,14 @@
     // ---- Retiring. ----
 
     /** Whether there is more dead room than is worth keeping: to be asked between turns. */
-    public boolean worthCompacting() {
-        if (victim != null || unsafe()) {
+    public boolean shouldCompact() {
+        if (victim != null || needsRewrite()) {
             return true;
         }
-        long most = Math.min(limits.budget - limits.reserve - 6 * limits.segment, 3 * liveBytes() + 8 * limits.segment);
-        return used() - rounded(reserve) > most || parts.size() > 16 + limits.budget / limits.segment;
+        long most = Math.min(
+                limits.budgetBytes - limits.reserveBytes - 6 * limits.segmentBytes,
+                3 * liveBytes() + 8 * limits.segmentBytes);
+        return usedBytes() - rounded(reserve) > most || parts.size() > 16 + limits.budgetBytes / limits.segmentBytes;
     }
 
     /**
@@ -964,13 +968,13 @@
             }
         }
         if (!victim.ready) {
-            moveOn(victim, most);
+            copyLiveContents(victim, most);
             return true;
         }
-        if (limits.synced && victim.moved > forced) {
+        if (limits.forceRequired && victim.moved > forced) {
             return false;
         }
-        retire(victim);
+        retireSegment(victim);
         return true;
     }
 
@@ -1013,13 +1017,13 @@
     }
 
     /** Copies a slice of what is live in a segment; where nothing is left to copy it is ready to go. */
-    protected void moveOn(Part part, long most) throws IOException {
+    protected void copyLiveContents(Part part, long most) throws IOException {
         Segment.Items items = new Segment.Items();
         List<Item> moved = new ArrayList<>();
         List<Owned> of = new ArrayList<>();
         Set<Owned> taken = new HashSet<>();
         List<int[]> places = new ArrayList<>();
-        long limit = Math.min(most, limits.segment - 4 * Segment.HEAD - Segment.FRAME);
+        long limit = Math.min(most, limits.segmentBytes - 4 * Segment.HEAD - Segment.FRAME);
         int next = part.cursor;
         byte[] bytes = victimBytes;
         for (boolean full = false; next < part.copies && !full; next += full ? 0 : 1) {
@@ -1103,7 +1107,7 @@
     }
 
     /** The one step after which nothing of a segment counts any more. */
-    protected void retire(Part part) throws IOException {
+    protected void retireSegment(Part part) throws IOException {
         tellRetired(part);
         remove(part);
         parts.remove(part.number);
@@ -1129,7 +1133,7 @@
     }
 
     private void remove(Part part) throws IOException {
-        if (part.damaged && asideBytes + part.bytes <= limits.segment) {
+        if (part.damaged && asideBytes + part.bytes <= limits.segmentBytes) {
             while (aside.size() >= MOST_ASIDE) {
                 String oldest = aside.first();
                 asideBytes -= sizeOf(oldest);
@@ -1147,7 +1151,7 @@
     // ---- Forcing. ----
 
     /** What has to be forced for all that was written so far; null where that has been. */
-    public Force prepare() {
+    public PendingForce prepareForce() {
         if (forced >= sequence && unforced.isEmpty() && !namesUnforced) {
             return null;
         }
@@ -1159,14 +1163,14 @@
         }
         boolean names = namesUnforced;
         namesUnforced = false;
-        return new Force(disk, files, forcing, sequence, names);
+        return new PendingForce(disk, files, forcing, sequence, names);
     }
 
     /**
      * To be told how a force ended, before the next is prepared. Where it failed nobody knows what of its segments is on the
      * disk: nothing more is written to them, and what they have is copied on and forced anew ({@link #unsafe}).
      */
-    public void done(Force force, boolean succeeded) {
+    public void forceCompleted(PendingForce force, boolean succeeded) {
         for (Part part : force.parts) {
             Disk.Handle sealed = unforced.remove(part);
             if (sealed != null) {
@@ -1190,13 +1194,13 @@
     }
 
     /** Sequence number up to which all is on the disk for good, where nothing is {@link #unsafe}. */
-    public long forced() {
+    public long forcedSequence() {
         return forced;
     }
 
     /** Whether a segment waits to be retired until what was copied from it has been forced. */
-    public boolean wantsForce() {
-        return limits.synced && victim != null && victim.ready && victim.moved > forced;
+    public boolean awaitsForce() {
+        return limits.forceRequired && victim != null && victim.ready && victim.moved > forced;
     }
 
     /** Closes all files; nothing is forced. */
--- a/storage/src/test/java/amberroute/storage/SegmentLogTest.java
+++ b/storage/src/test/java/amberroute/storage/SegmentLogTest.java
@@ -26,7 +26,8 @@
 
     private static TreeMap<Long, byte[]> read(Disk disk) throws IOException {
         TreeMap<Long, byte[]> all = new TreeMap<>();
-        SegmentLog.peek(disk).read((owner, kind, version, content) -> all.put(owner, StorageScenario.bytes(content)));
+        SegmentLog.openReadOnly(disk)
+                .read((owner, kind, version, content) -> all.put(owner, StorageScenario.bytes(content)));
         return all;
     }
 
@@ -139,13 +140,13 @@
             play.disk.until(100 + run % 60);
             play.live(40, 12, "run " + run);
             boolean unsafe = false;
-            for (int i = 0; i < 400 && (play.log.unsafe() || !play.force()); i++) {
-                unsafe |= play.log.unsafe();
+            for (int i = 0; i < 400 && (play.log.needsRewrite() || !play.force()); i++) {
+                unsafe |= play.log.needsRewrite();
                 if (!play.compact(500)) {
                     play.force();
                 }
             }
-            assertFalse(play.log.unsafe(), "run " + run);
+            assertFalse(play.log.needsRewrite(), "run " + run);
             assertTrue(play.force(), "run " + run);
             play.powerFails(run, "run " + run);
         }
@@ -166,18 +167,20 @@
                         [run % 3 == 0
                                 ? 300
                                 : run % 3 == 1 ? random.nextInt(2_000) : random.nextInt(100) == 0 ? 65_536 : 200];
-                if (log.liveBytes() + body.length + 60 + 40L * live.size() <= limits.budget() - log.overhead()) {
+                if (log.liveBytes() + body.length + 60 + 40L * live.size()
+                        <= limits.budgetBytes() - log.reservedBytes()) {
                     long owner = log.nextOwner();
                     log.write(new Batch().put(owner, 1, body));
                     live.add(owner);
                 } else {
                     for (int n = 0; n < 3 && !live.isEmpty(); n++) {
-                        log.write(new Batch().end(live.remove(random.nextInt(live.size()))));
+                        log.write(new Batch().delete(live.remove(random.nextInt(live.size()))));
                     }
                 }
             }
-            assertTrue(disk.most() <= limits.budget(), "used " + disk.most() + " of " + limits.budget());
-            assertTrue(log.liveBytes() > 0.8 * limits.budget(), log.liveBytes() + " live of " + limits.budget());
+            assertTrue(disk.most() <= limits.budgetBytes(), "used " + disk.most() + " of " + limits.budgetBytes());
+            assertTrue(
+                    log.liveBytes() > 0.8 * limits.budgetBytes(), log.liveBytes() + " live of " + limits.budgetBytes());
             assertEquals(live.size(), read(disk).size());
         }
     }
@@ -192,8 +195,8 @@
         for (int i = 0; i < 100_000; i++) {
             long owner = log.nextOwner();
             log.write(new Batch().put(owner, 1, new byte[100]));
-            log.write(new Batch().end(owner));
-            while (log.worthCompacting() && log.compact(1_000)) {
+            log.write(new Batch().delete(owner));
+            while (log.shouldCompact() && log.compact(1_000)) {
                 // A slice between turns.
             }
         }
@@ -209,7 +212,7 @@
             log.write(new Batch().put(log.nextOwner(), 1, new byte[200]));
         }
         for (long owner = 1; owner < 4_000; owner += 2) {
-            log.write(new Batch().end(owner));
+            log.write(new Batch().delete(owner));
         }
         while (log.retired() < 3) {
             long before = log.copiedBytes();
@@ -239,7 +242,7 @@
             int place = random.nextInt(bad.length);
             bad[place] ^= (byte) (1 << random.nextInt(8));
             disk.put(name, bad);
-            SegmentLog after = SegmentLog.peek(disk);
+            SegmentLog after = SegmentLog.openReadOnly(disk);
             TreeMap<Long, byte[]> found = read(disk);
             assertTrue(found.size() >= 199, "byte " + place + ": only " + found.size());
             boolean atTheEnd = found.size() == 199 && !found.containsKey(200L);
@@ -252,7 +255,7 @@
         bad[good.length / 2] ^= 1;
         disk.put(name, bad);
         SegmentLog again = StorageScenario.normal(disk, one, 2);
-        again.write(new Batch().end(1));
+        again.write(new Batch().delete(1));
         while (again.segments() > 1 && again.compact(1 << 20)) {
             // Until the damaged one has been retired.
         }
@@ -278,7 +281,7 @@
         bad[first + 5] ^= 1;
         disk.put(name, bad);
         assertEquals(List.of(2L), List.copyOf(read(disk).keySet()));
-        assertEquals(1, SegmentLog.peek(disk).losses().size());
+        assertEquals(1, SegmentLog.openReadOnly(disk).losses().size());
     }
 
     @Test
@@ -294,7 +297,7 @@
         crc.update(bytes, 0, Segment.HEAD - 4);
         newer.putInt(Segment.HEAD - 4, (int) crc.getValue());
         disk.put(name, bytes);
-        assertThrows(Segment.NewerFormat.class, () -> open(disk, 2));
+        assertThrows(Segment.UnsupportedFormatException.class, () -> open(disk, 2));
         assertArrayEquals(bytes, disk.bytes(name));
         assertEquals(List.of(name), disk.names());
     }
@@ -307,10 +310,10 @@
             for (int i = 0; i < 400; i++) {
                 log.write(new Batch().put(log.nextOwner(), 1, new byte[50]));
             }
-            SegmentLog.Force force = log.prepare();
+            SegmentLog.PendingForce force = log.prepareForce();
             force.run();
-            log.done(force, true);
-            assertEquals(null, log.prepare());
+            log.forceCompleted(force, true);
+            assertEquals(null, log.prepareForce());
         }
         Files.writeString(folder.resolve("stray.seg"), "nothing");
         Files.writeString(folder.resolve("README"), "nothing");
@@ -341,13 +344,13 @@
         for (int i = 0; i < 500; i++) {
             last = log.nextOwner();
             log.write(new Batch().put(last, 1, new byte[100]));
-            log.write(new Batch().end(last));
+            log.write(new Batch().delete(last));
         }
         for (int i = 0; i < 1_000 && log.compact(1_000); i++) {
             // All that can go.
         }
         assertTrue(log.retired() > 5);
-        assertEquals(List.of(), SegmentLog.peek(disk).losses());
+        assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses());
         SegmentLog next = open(disk, 2);
         assertTrue(next.nextOwner() > last);
     }
@@ -381,7 +384,7 @@
         try (SegmentLog log = open(disk, 1)) {
             for (int i = 1; i <= 200; i++) {
                 log.write(new Batch().put(i, 1, new byte[] {1, (byte) i}).put(i, 2, new byte[] {2, (byte) i}));
-                log.write(i % 3 == 0 ? new Batch().end(i) : new Batch().put(i, 1, new byte[] {3, (byte) i}));
+                log.write(i % 3 == 0 ? new Batch().delete(i) : new Batch().put(i, 1, new byte[] {3, (byte) i}));
             }
         }
         try (SegmentLog log = open(disk, 2)) {
--- a/storage/src/test/java/amberroute/storage/StorageScenario.java
+++ b/storage/src/test/java/amberroute/storage/StorageScenario.java
@@ -89,7 +89,7 @@
     /** From here on the owner has this alone; now and then that is said anew. */
     private void putSole(Batch batch, long owner) {
         byte[] content = content();
-        batch.putSole(owner, 1, content);
+        batch.putExclusive(owner, 1, content);
         TreeMap<Integer, String> alone = new TreeMap<>();
         alone.put(1, HexFormat.of().formatHex(content));
         pending.put(owner, alone);
@@ -104,7 +104,7 @@
         if (model.size() >= most || what < 3 && !model.isEmpty()) {
             for (int i = random.nextInt(3); i >= 0; i--) {
                 long owner = any();
-                batch.end(owner);
+                batch.delete(owner);
                 pending.remove(owner);
             }
         } else if (what < 6 && !model.isEmpty()) {
@@ -126,7 +126,7 @@
         if (what == 0 && !model.isEmpty()) {
             // One comes as another goes: never one alone.
             long owner = any();
-            batch.end(owner);
+            batch.delete(owner);
             put(batch, log.nextOwner(), 1);
             pending.remove(owner);
         }
@@ -160,7 +160,7 @@
 
     /** Returns whether all that was written is on the disk for good. */
     boolean force() {
-        SegmentLog.Force force = log.prepare();
+        SegmentLog.PendingForce force = log.prepareForce();
         if (force == null) {
             return true;
         }
@@ -171,8 +171,8 @@
             succeeded = false;
             failed++;
         }
-        log.done(force, succeeded);
-        if (succeeded && !log.unsafe()) {
+        log.forceCompleted(force, succeeded);
+        if (succeeded && !log.needsRewrite()) {
             sinceForced.clear();
             sinceForced.add(model);
         }
@@ -188,7 +188,7 @@
                 if (random.nextInt(3) == 0) {
                     compact(100 + random.nextInt(300));
                 }
-                if (limits.synced() && random.nextInt(3) == 0) {
+                if (limits.forceRequired() && random.nextInt(3) == 0) {
                     force();
                 }
             }
@@ -202,21 +202,21 @@
     /** Reads the disk as the next process will find it, without changing it; the batch that was cut short is settled. */
     void settle(String at) throws IOException {
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-        TreeMap<Long, TreeMap<Integer, String>> found = found(SegmentLog.peek(disk));
+        TreeMap<Long, TreeMap<Integer, String>> found = found(SegmentLog.openReadOnly(disk));
         if (pending != null && found.equals(pending)) {
             model = pending;
             sinceForced.add(model);
         }
         pending = null;
         assertEquals(model, found, at);
-        assertEquals(List.of(), SegmentLog.peek(disk).losses(), at);
+        assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses(), at);
     }
 
     /** The power fails: what was forced is there, and what was written since is a batch at a time or not at all. */
     void powerFails(long seed, String at) throws IOException {
         disk.powerFails(seed);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-        TreeMap<Long, TreeMap<Integer, String>> found = found(SegmentLog.peek(disk));
+        TreeMap<Long, TreeMap<Integer, String>> found = found(SegmentLog.openReadOnly(disk));
         TreeMap<Long, TreeMap<Integer, String>> forced = sinceForced.get(0);
         // Batches since then may be there or not, in any selection; what nobody touched since has to be as it was.
         for (long owner : forced.keySet()) {
@@ -255,7 +255,7 @@
 
     /** What the model has now against what a fresh reading of the disk finds. */
     void check(String at) throws IOException {
-        assertEquals(model, found(SegmentLog.peek(disk)), at);
+        assertEquals(model, found(SegmentLog.openReadOnly(disk)), at);
     }
 
     int owners() {
