--- a/membership/src/main/java/amberroute/membership/Heartbeat.java
+++ b/membership/src/main/java/amberroute/membership/Heartbeat.java
@@ -8,7 +8,7 @@
 
 /**
  * One datagram between daemons: who says it, in which of its lives, what it has to tell of partners, and requests for and
- * grants of shares. At most {@value #MOST_BYTES} bytes, so that it is never cut up on the way. The form is ours:
+ * grants of shares. At most {@value #MAX_DATAGRAM_BYTES} bytes, so that it is never cut up on the way. The form is ours:
  *
  * <pre>
  * "AR", version 1, phase, length and bytes of the name, incarnation (8), number (8),
--- a/membership/src/main/java/amberroute/membership/HeartbeatMonitor.java
+++ b/membership/src/main/java/amberroute/membership/HeartbeatMonitor.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * A view of the fleet from direct heartbeats: a peer is there as long as it was heard of within {@link #SILENCE}. Only
+ * A view of the fleet from direct heartbeats: a peer is there as long as it was heard of within {@link #FAILURE_TIMEOUT_MICROS}. Only
  * those that the settings name count. A datagram that is older than one already heard, of an earlier life of its sender, or
  * that claims to be from this daemon itself changes nothing. Times are microseconds on the caller's clock.
  */
--- a/membership/src/main/java/amberroute/membership/SwimMembership.java
+++ b/membership/src/main/java/amberroute/membership/SwimMembership.java
@@ -16,7 +16,7 @@
 /**
  * Membership whose load for each member does not grow with the fleet, after SWIM (Das, Gupta, Motivala 2002) with Lifeguard's
  * local health (Dadgar, Phillips, Currey 2017). In each period one member is asked, all in turn in an order of chance; one that does not
- * answer is asked by {@link #HELPERS} others, then suspected, and taken for gone when it has not refuted that in time. News
+ * answer is asked by {@link #INDIRECT_PROBES} others, then suspected, and taken for gone when it has not refuted that in time. News
  * travels with these datagrams, each item so many times as the fleet's size makes it reach all.
  *
  * <p>A member that is slow itself notices by its own unanswered questions and by refuting suspicions; it then asks more
--- a/membership/src/main/java/amberroute/membership/SwimMessage.java
+++ b/membership/src/main/java/amberroute/membership/SwimMessage.java
@@ -9,7 +9,7 @@
 
 /**
  * One datagram of the membership protocol: a question, its answer or a request to ask somebody else, with news of members. At
- * most {@value Heartbeat#MOST_BYTES} bytes. The form is ours, the version tells it from a {@link Heartbeat}:
+ * most {@value Heartbeat#MAX_DATAGRAM_BYTES} bytes. The form is ours, the version tells it from a {@link Heartbeat}:
  *
  * <pre>
  * "AR", version 2, kind, number (8), the sender's incarnation (8), phase,
--- a/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
+++ b/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
@@ -16,8 +16,8 @@
  * prices; nobody's safety rests on that. Demand is counted at the door, before anything is turned away, so what is told does not
  * depend on the price, which is why news that are old do not make it swing.
  *
- * <p>What one sender tells a second does not grow with the fleet: {@value #FAN} datagrams in each round. Times are microseconds on
- * the caller's clock; at most {@value #MOST} destinations.
+ * <p>What one sender tells a second does not grow with the fleet: {@value #REPORT_FAN_OUT} datagrams in each round. Times are microseconds on
+ * the caller's clock; at most {@value #MAX_DESTINATIONS} destinations.
  */
 public final class FleetAdmissionControl {
     static final int MAX_DESTINATIONS = 1_024;
@@ -145,7 +145,7 @@
                         digest.sender(), new LoadReport(self, incarnation, ++lastSequence, Map.of(), answers));
     }
 
-    /** To be called behind {@link #round}: the ceilings that have changed. */
+    /** To be called behind {@link #runRound}: the ceilings that have changed. */
     public List<RateLimit> changedRateLimits(long now) {
         List<RateLimit> out = new ArrayList<>();
         capacities.forEach((destination, capacity) -> {
--- a/overload/src/main/java/amberroute/overload/LoadReport.java
+++ b/overload/src/main/java/amberroute/overload/LoadReport.java
@@ -12,7 +12,7 @@
 
 /**
  * One datagram in which a sender tells what it has to do with some destinations, beside the beats and probes on the same socket.
- * At most {@value #MOST_BYTES} bytes. The form is ours, all numbers big-endian:
+ * At most {@value #MAX_DATAGRAM_BYTES} bytes. The form is ours, all numbers big-endian:
  *
  * <pre>
  * "AL", version 1, length and bytes of the name, incarnation (8), number (8),
--- a/quota/src/main/java/amberroute/quota/QuotaShare.java
+++ b/quota/src/main/java/amberroute/quota/QuotaShare.java
@@ -10,10 +10,10 @@
  *
  * <p>Safety: over all daemons the parts that may be used never add up to more than 1. A lender counts a loan as gone
  * for the whole lease, from its grant, by its own clock; a borrower uses it for less than that, from before it asked, by
- * its own: {@link #usable}. Clocks may differ in rate by {@link #DRIFT}, messages may be lost, late or doubled, and
+ * its own: {@link #usableLeaseMicros}. Clocks may differ in rate by {@link #MAX_CLOCK_DRIFT_RATIO}, messages may be lost, late or doubled, and
  * either side may die: each only leaves a part unused until its lease is over. A daemon that restarts knows of no loans
- * of its own, so it uses nothing before {@link #quiet} is over. Times are microseconds on the daemon's own monotonic
- * clock; parts are shares of the whole, 0 to 1. At most {@value #MOST_PEERS} peers are dealt with.
+ * of its own, so it uses nothing before {@link #quietPeriodMicros} is over. Times are microseconds on the daemon's own monotonic
+ * clock; parts are shares of the whole, 0 to 1. At most {@value #MAX_PEERS} peers are dealt with.
  */
 public final class QuotaShare {
     /** A clock may be so much fast or slow. */
--- a/quota/src/main/java/amberroute/quota/SlowStartLimit.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimit.java
@@ -22,7 +22,7 @@
  * taken from the most that all daemons were answered at one time; what it can do now is at least what it answers now. With
  * neither, all daemons together begin with {@code first} messages a second.
  *
- * <p>Times are microseconds on the daemon's monotonic clock. At most {@value #MOST_PEERS} peers count.
+ * <p>Times are microseconds on the daemon's monotonic clock. At most {@value #MAX_PEERS} peers count.
  */
 public final class SlowStartLimit {
     /** Share of the permitted push that is used by what it did when warm: endpoints do not get even parts. */
--- a/quota/src/main/java/amberroute/quota/SlowStartLimits.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimits.java
@@ -13,7 +13,7 @@
 
 /**
  * The limits of all partners of one daemon: takes what is seen and told, and says what has changed. At most
- * {@value #MOST} partners are kept; further ones have no limit, as without this package.
+ * {@value #MAX_DESTINATIONS} partners are kept; further ones have no limit, as without this package.
  */
 public final class SlowStartLimits {
     static final int MAX_DESTINATIONS = 1_024;
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -8,7 +8,6 @@
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
 import amberroute.sender.journal.Journal;
-import amberroute.sender.journal.JournalChangeListener;
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.Batch;
 import java.io.IOException;
@@ -29,7 +28,7 @@
     Path folder;
 
     /** An owner's journal, whose changes are caught as a copy gets them. */
-    private final class Owner implements JournalChangeListener, AutoCloseable {
+    private final class Owner implements Journal.ChangeListener, AutoCloseable {
         final Journal journal;
         final java.util.ArrayList<Batch> changes = new java.util.ArrayList<>();
         long number;
@@ -37,12 +36,12 @@
         Owner() throws IOException {
             journal = Journal.open(folder.resolve("owner"), BUDGET);
             journal.replicateTo(this);
-            journal.replicaSet(ReplicationMessages.group(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
+            journal.replicaSet(ReplicaRecords.encodeReplicaSet(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
         }
 
         @Override
         public byte[] replicationPosition() {
-            return ReplicationMessages.place(new LogPosition(1, number + 1));
+            return ReplicaRecords.encodePosition(new LogPosition(1, number + 1));
         }
 
         @Override
@@ -117,7 +116,8 @@
                         copy.pendingMessages().stream().map(m -> m.id).toList());
                 assertTrue(copy.pendingMessages().iterator().next().out);
                 assertTrue(copy.knows("over"));
-                assertEquals(new LogPosition(1, owner.number), ReplicationMessages.place(copy.replicationPosition()));
+                assertEquals(
+                        new LogPosition(1, owner.number), ReplicaRecords.decodePosition(copy.replicationPosition()));
             }
         }
     }
