--- a/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -4,6 +4,7 @@
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
 import amberroute.sender.peer.ReplicationProtocolMessage.AppendEntries;
 import amberroute.sender.peer.ReplicationProtocolMessage.JournalCompleted;
 import amberroute.sender.peer.ReplicationProtocolMessage.OwnerRestarting;
@@ -24,7 +25,7 @@
  * quorum has the record that allows it, as {@link LeaderTerm} counts. The records of one event loop iteration travel together. A replica
  * whose connection is new gets a snapshot first ({@link ReplicaConnection}). Lives on the event loop.
  */
-public final class JournalReplicator implements Journal.ChangeListener {
+public final class JournalReplicator implements JournalChangeListener {
     /** Each wake-up costs an idle daemon more than what it does then; a heartbeat may be late by so much. */
     private static final long TICK_MILLIS = 50;
     /** A record that allows no effect yet travels with the next one that does, or after so long. */
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaRecords.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaRecords.java
@@ -2,7 +2,7 @@
 
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.RecordBytes;
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -18,7 +18,7 @@
 
     /** The content of a log position: term and index, 8 bytes each. */
     public static byte[] encodePosition(LogPosition position) {
-        return Journal.bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeLong(position.term());
             out.writeLong(position.index());
         });
@@ -35,7 +35,7 @@
 
     /** The content of a replica set: the journal's name, version (8 bytes), count (1 byte) and names of the members. */
     public static byte[] encodeReplicaSet(String journalId, ReplicaSet replicaSet) {
-        return Journal.bytes(out -> {
+        return RecordBytes.encode(out -> {
             out.writeUTF(journalId);
             out.writeLong(replicaSet.version());
             out.writeByte(replicaSet.members().size());
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -3,10 +3,11 @@
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.RecordKind;
 import amberroute.sender.util.LogEvent;
 import amberroute.storage.Batch;
 import amberroute.storage.FolderDisk;
+import amberroute.storage.LogLimits;
 import amberroute.storage.SegmentLog;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -152,9 +153,9 @@
             replica.log = SegmentLog.open(new FolderDisk(replica.copyFolder()), limits(), ReplicaStore::salt);
             byte[][] positionAndSet = new byte[2][];
             replica.log.read((owner, kind, version, content) -> {
-                if (kind == Journal.REPLICATION_POSITION) {
+                if (kind == RecordKind.REPLICATION_POSITION) {
                     positionAndSet[0] = bytes(content);
-                } else if (kind == Journal.REPLICA_SET) {
+                } else if (kind == RecordKind.REPLICA_SET) {
                     positionAndSet[1] = bytes(content);
                 }
             });
@@ -175,8 +176,8 @@
         return bytes;
     }
 
-    private SegmentLog.Limits limits() {
-        return SegmentLog.Limits.of(budgetBytes - RESERVED_BYTES, false);
+    private LogLimits limits() {
+        return LogLimits.of(budgetBytes - RESERVED_BYTES, false);
     }
 
     private static long salt() {
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -13,6 +13,8 @@
 import amberroute.replication.ReplicaState;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
+import amberroute.sender.journal.RecordKind;
 import amberroute.sender.peer.JsonLine;
 import amberroute.sender.peer.MalformedPeerMessageException;
 import amberroute.sender.peer.PeerSocket;
@@ -210,8 +212,8 @@
 
     private static Batch change(long term, long number, ReplicaSet holders) {
         return new Batch()
-                .put(1, Journal.REPLICATION_POSITION, ReplicaRecords.encodePosition(new LogPosition(term, number)))
-                .put(1, Journal.REPLICA_SET, ReplicaRecords.encodeReplicaSet(ESTATE, holders));
+                .put(1, RecordKind.REPLICATION_POSITION, ReplicaRecords.encodePosition(new LogPosition(term, number)))
+                .put(1, RecordKind.REPLICA_SET, ReplicaRecords.encodeReplicaSet(ESTATE, holders));
     }
 
     /** A holder that counts: it granted the beginning before it got the whole. */
@@ -329,7 +331,7 @@
     @Test
     void anOwnEstateWithoutItsPromisesIsGivenUp() throws Exception {
         survival();
-        journal.replicateTo(new Journal.ChangeListener() {
+        journal.replicateTo(new JournalChangeListener() {
             @Override
             public byte[] replicationPosition() {
                 return ReplicaRecords.encodePosition(new LogPosition(3, 8));
@@ -490,7 +492,7 @@
             SenderFixture.Client client = world.client(sender);
             answers.add(client.submit("safe", "m1", "0000000000000000"));
             answers.add(client.submit("safe", "m1", "0000000000000000"));
-            assertEquals(0, sender.owed());
+            assertEquals(0, sender.pendingMessages());
         } finally {
             sender.stop();
         }
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -8,8 +8,10 @@
 
 import amberroute.handoff.Ownership;
 import amberroute.sender.config.SenderConfig;
+import amberroute.sender.journal.HandoffBatchRecord;
 import amberroute.sender.journal.Journal;
 import amberroute.sender.journal.SegmentFiles;
+import amberroute.sender.lifecycle.ShutdownCoordinator;
 import amberroute.sender.lifecycle.ShutdownSequence;
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.sender.peer.HandoffCoordinator;
@@ -86,11 +88,11 @@
     }
 
     private static String peer(String name, Sender sender) {
-        return "\"" + name + "=127.0.0.1:" + sender.handOverAddress().getPort() + "\"";
+        return "\"" + name + "=127.0.0.1:" + sender.handoffAddress().getPort() + "\"";
     }
 
     private static int stop(Sender sender, long within) throws Exception {
-        sender.pauseFor(() -> sender.beginStop(ShutdownSequence.Mode.FINAL, within));
+        sender.blockEventLoop(() -> sender.beginStop(ShutdownSequence.Mode.FINAL, within));
         return sender.stopped().get(20, TimeUnit.SECONDS);
     }
 
@@ -135,8 +137,8 @@
         // Calls that hang go on hanging; what is tried again must not, or the heir tries nothing else for seconds.
         world.receiver.answers = r -> ok(200, "");
         assertEquals(0, stop(leaver, 2_000));
-        assertEquals(0, leaver.owed());
-        await(() -> heir.owed() == 0);
+        assertEquals(0, leaver.pendingMessages());
+        await(() -> heir.pendingMessages() == 0);
         List<String> bodies = world.receiver.requests.stream()
                 .map(SenderFixture.Request::body)
                 .toList();
@@ -150,7 +152,7 @@
 
     private void offer(Sender heir, String lot, String id, String className, long doubtSince) throws IOException {
         try (Socket socket = new Socket(
-                InetAddress.getLoopbackAddress(), heir.handOverAddress().getPort())) {
+                InetAddress.getLoopbackAddress(), heir.handoffAddress().getPort())) {
             socket.setSoTimeout(10_000);
             SenderFixture.write(
                     socket,
@@ -181,13 +183,13 @@
     void anOfferThatComesAgainIsAnsweredTheSameAndCarriedOutOnce() throws Exception {
         Sender heir = start("heir", "");
         offer(heir, "lot", "m", "safe", 0);
-        await(() -> heir.owed() == 0);
+        await(() -> heir.pendingMessages() == 0);
         offer(heir, "lot", "m", "safe", 0);
         heir.stop();
         senders.remove(heir);
         Sender again = start("heir", "");
         offer(again, "lot", "m", "safe", 0);
-        assertEquals(0, again.owed());
+        assertEquals(0, again.pendingMessages());
         assertEquals(1, world.receiver.requests.size());
     }
 
@@ -202,7 +204,7 @@
         assertEquals("+OK", client.submit("keyed", "k0", KEY));
         assertEquals("+OK", client.submit("keyed", "k1", KEY));
         assertEquals(0, stop(leaver, 1_500));
-        assertEquals(0, heir.owed());
+        assertEquals(0, heir.pendingMessages());
         assertTrue(noticed("k0", "returned") && noticed("k1", "returned"), world.notices.toString());
     }
 
@@ -227,7 +229,7 @@
         world.prove(again, client);
         hang(client);
         assertEquals("+OK", client.submit("safe", "m", NO_KEY));
-        two.pauseFor(() -> two.beginStop(ShutdownSequence.Mode.FINAL, 1_500));
+        two.blockEventLoop(() -> two.beginStop(ShutdownSequence.Mode.FINAL, 1_500));
         assertEquals(0, stop(again, 1_500));
         assertEquals(0, two.stopped().get(20, TimeUnit.SECONDS));
         assertTrue(noticed("m", "returned"), world.notices.toString());
@@ -244,7 +246,7 @@
             assertEquals("+OK", client.submit("safe", "m", NO_KEY));
             assertEquals(0, stop(leaver, 1_500));
             assertTrue(noticed("m", "failed"), world.notices.toString());
-            assertEquals(0, leaver.owed());
+            assertEquals(0, leaver.pendingMessages());
         }
         // A process that dies between the two records must find the message ended, not its own again.
         Path state = folder.resolve("leaver");
@@ -253,7 +255,7 @@
         for (int end : SegmentFiles.ends(whole)) {
             SegmentFiles.cut(state, whole, end);
             try (Journal journal = Journal.openReadOnly(state)) {
-                for (Journal.HandoffBatchRecord lot : journal.handoffBatches().values()) {
+                for (HandoffBatchRecord lot : journal.handoffBatches().values()) {
                     boolean ended = lot.ownership().status() == Ownership.Status.ENDED;
                     gaveUp |= ended;
                     assertTrue(
@@ -288,7 +290,7 @@
                 await(() -> world.receiver.requests.size() == 1);
             }
             Sender leaver = start("leaver", peer("heir", heir));
-            await(() -> leaver.owed() == 0 && heir.owed() == 0);
+            await(() -> leaver.pendingMessages() == 0 && heir.pendingMessages() == 0);
             assertEquals(
                     1,
                     world.receiver.requests.stream()
@@ -332,15 +334,15 @@
             line = refused[0].contains("lot") ? line.replaceAll("\\[\\{.*\\}\\]", "[]") : line;
             assertTrue(exchange(heir, line).contains("\"NO\""), line);
         }
-        assertEquals(0, heir.owed());
+        assertEquals(0, heir.pendingMessages());
         assertTrue(exchange(heir, good).contains("\"YES\""));
-        await(() -> heir.owed() == 0);
+        await(() -> heir.pendingMessages() == 0);
         assertEquals(1, world.receiver.requests.size());
     }
 
     private static String exchange(Sender heir, String line) throws IOException {
         try (Socket socket = new Socket(
-                InetAddress.getLoopbackAddress(), heir.handOverAddress().getPort())) {
+                InetAddress.getLoopbackAddress(), heir.handoffAddress().getPort())) {
             socket.setSoTimeout(10_000);
             SenderFixture.write(socket, line);
             byte[] answer = new byte[300];
@@ -359,7 +361,7 @@
         senders.remove(heir);
         world.receiver.answers = r -> ok(200, "");
         Sender again = start("heir", "");
-        await(() -> again.owed() == 0);
+        await(() -> again.pendingMessages() == 0);
         assertTrue(world.receiver.requests.stream()
                 .anyMatch(r -> r.header("X-Request-ID").equals("m")));
         assertEquals(List.of(), world.notices);
@@ -380,7 +382,7 @@
                 + (System.currentTimeMillis() + 15_000)
                 + ",\"attempts\":0,\"doubt_since\":0,\"doubt_at\":\"\",\"body\":\"\"}]}\n";
         assertTrue(exchange(again, late).contains("\"NO\""));
-        assertEquals(0, again.owed());
+        assertEquals(0, again.pendingMessages());
         assertEquals(0, world.receiver.requests.size());
     }
 
@@ -394,7 +396,7 @@
                 "{\"word\":\"OFFER\",\"lot\":\"a\",\"generation\":2,\"from\":\"b\",\"messages\":[{}]}\n",
                 "x".repeat(HandoffCoordinator.MAX_LINE_BYTES + 10))) {
             try (Socket socket = new Socket(
-                    InetAddress.getLoopbackAddress(), heir.handOverAddress().getPort())) {
+                    InetAddress.getLoopbackAddress(), heir.handoffAddress().getPort())) {
                 socket.setSoTimeout(10_000);
                 try {
                     SenderFixture.write(socket, bad);
@@ -432,7 +434,7 @@
     }
 
     private static void leave(Sender sender, ShutdownSequence.Mode mode, long within) {
-        sender.pauseFor(() -> sender.beginStop(mode, within));
+        sender.blockEventLoop(() -> sender.beginStop(mode, within));
     }
 
     /** One message of a key is out at the leaver and three wait there; its client comes to the heir with two more. */
@@ -466,7 +468,7 @@
         for (java.net.Socket socket : world.receiver.sockets) {
             socket.close();
         }
-        await(() -> heir.owed() == 0 && leaver.owed() == 0);
+        await(() -> heir.pendingMessages() == 0 && leaver.pendingMessages() == 0);
         List<String> run = new ArrayList<>(delivered("k"));
         run.remove("k0");
         assertEquals(
@@ -529,13 +531,13 @@
         Sender first = start("first", peer("second", second));
         await(() -> noticed("lost", "failed"));
         stop(first, 3_000);
-        assertEquals(0, first.owed());
-        assertEquals(3, second.owed());
+        assertEquals(0, first.pendingMessages());
+        assertEquals(3, second.pendingMessages());
         stop(second, 3_000);
-        assertEquals(3, third.owed());
+        assertEquals(3, third.pendingMessages());
         world.receiver.requests.clear();
         world.receiver.answers = r -> ok(200, "");
-        await(() -> third.owed() == 0 && second.owed() == 0);
+        await(() -> third.pendingMessages() == 0 && second.pendingMessages() == 0);
         assertEquals(List.of("k0", "k1"), delivered("k"));
         assertEquals(List.of("u"), delivered("u"));
         assertEquals(List.of("{\"id\":\"lost\",\"state\":\"failed\"}"), world.notices);
@@ -557,14 +559,14 @@
         // returned.
         int code = stop(leaver, 6_000);
         assertEquals(0, code);
-        assertEquals(0, leaver.owed());
+        assertEquals(0, leaver.pendingMessages());
         long returned = world.notices.stream()
                 .filter(n -> n.contains("big") && n.contains("returned"))
                 .count();
         assertTrue(returned > 0, world.notices.toString());
         assertFalse(world.notices.stream().anyMatch(n -> n.contains("failed")), world.notices.toString());
         world.receiver.answers = r -> ok(200, "");
-        await(() -> heir.owed() == 0);
+        await(() -> heir.pendingMessages() == 0);
     }
 
     /** A key's life counts from the first try at the first owner: behind it nothing is tried at the heir. */
@@ -573,7 +575,7 @@
         Sender heir = start("heir", "");
         offer(heir, "old", "old", "keyed", System.currentTimeMillis() - 4_900);
         offer(heir, "young", "young", "keyed", System.currentTimeMillis() - 500);
-        await(() -> heir.owed() == 0);
+        await(() -> heir.pendingMessages() == 0);
         assertTrue(noticed("old", "returned"), world.notices.toString());
         assertEquals(
                 List.of("young"),
@@ -623,15 +625,15 @@
         journal.close();
         world.noticeAnswers = r -> null;
         Sender leaver = start("leaver", peer("heir", heir));
-        assertEquals(Sender.LEFT_OVER, stop(leaver, 1_000));
-        assertEquals(0, heir.owed());
+        assertEquals(ShutdownCoordinator.EXIT_LEFT_OVER, stop(leaver, 1_000));
+        assertEquals(0, heir.pendingMessages());
         assertEquals(0, world.receiver.requests.size());
         leaver.stop();
         senders.remove(leaver);
         world.notices.clear();
         world.noticeAnswers = r -> ok(204, "");
         Sender again = start("leaver", peer("heir", heir));
-        await(() -> again.owed() == 0);
+        await(() -> again.pendingMessages() == 0);
         assertTrue(noticed("k0", "failed"), world.notices.toString());
     }
 
@@ -650,8 +652,8 @@
         String answer = client.submit("keyed", "k3", KEY);
         assertTrue(answer.startsWith("-BUSY ") && Long.parseLong(answer.substring(6)) >= 3_000, answer);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
-        assertEquals(0, leaver.owed());
-        assertEquals(3, heir.owed());
+        assertEquals(0, leaver.pendingMessages());
+        assertEquals(3, heir.pendingMessages());
         leaver.stop();
         senders.remove(leaver);
         world.receiver.requests.clear();
@@ -659,7 +661,7 @@
         SenderFixture.Client back = world.client(again);
         assertEquals("+OK", back.submit("keyed", "k3", KEY));
         world.receiver.answers = r -> ok(200, "");
-        await(() -> again.owed() == 0 && heir.owed() == 0);
+        await(() -> again.pendingMessages() == 0 && heir.pendingMessages() == 0);
         List<String> run = new ArrayList<>();
         // Refused ones are tried again: the last time of each is when it ran.
         delivered("k").forEach(k -> {
@@ -696,7 +698,7 @@
                     client.submit(id.equals("u") ? "unsafe" : "keyed", id, id.equals("u") ? NO_KEY : KEY, 30_000, 7));
         }
         stop(leaver, 5_000);
-        assertEquals(3, heir.owed());
+        assertEquals(3, heir.pendingMessages());
         leaver.stop();
         heir.stop();
         senders.clear();
@@ -728,7 +730,7 @@
                 world.receiver.answers = r -> ok(200, "");
                 Sender heirAgain = start("heir", "");
                 Sender leaverAgain = start("leaver", peer("heir", heirAgain));
-                await(() -> heirAgain.owed() == 0 && leaverAgain.owed() == 0);
+                await(() -> heirAgain.pendingMessages() == 0 && leaverAgain.pendingMessages() == 0);
                 String at = "leaver " + l + ", heir " + h + ": " + delivered("") + world.notices;
                 if (h <= adopted + 1) {
                     assertEquals(List.of("k0", "k1"), delivered("k"), at);
@@ -769,7 +771,7 @@
                 try (Socket from = between.accept();
                         Socket to = new Socket(
                                 InetAddress.getLoopbackAddress(),
-                                heir.handOverAddress().getPort())) {
+                                heir.handoffAddress().getPort())) {
                     Thread back = new Thread(() -> {
                         try {
                             heal.await();
@@ -801,18 +803,18 @@
             await(() -> delivered("u").size() == 1);
             world.receiver.requests.clear();
             leave(leaver, ShutdownSequence.Mode.FINAL, 2_500);
-            await(() -> heir.owed() == 1);
+            await(() -> heir.pendingMessages() == 1);
             List<String> run = new java.util.concurrent.CopyOnWriteArrayList<>();
             world.receiver.answers = r -> {
                 run.add(bodyOf(r));
                 return ok(200, "");
             };
             await(() -> noticed("u", "failed"));
-            await(() -> heir.owed() == 0);
+            await(() -> heir.pendingMessages() == 0);
             heal.countDown();
             await(() -> late.get() > 0);
             assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
-            assertEquals(0, leaver.owed());
+            assertEquals(0, leaver.pendingMessages());
             assertEquals(List.of("u"), run);
             assertEquals(1, world.notices.size(), world.notices.toString());
         }
@@ -840,14 +842,14 @@
         Sender leaver = start("leaver", peer("heir", heir));
         await(() -> delivered("k").size() == 1);
         assertEquals(0, stop(leaver, 3_000));
-        assertEquals(1, heir.owed());
+        assertEquals(1, heir.pendingMessages());
         List<String> run = new java.util.concurrent.CopyOnWriteArrayList<>();
         await(() -> delivered("k").size() == 2);
         world.receiver.answers = r -> {
             run.add(bodyOf(r));
             return ok(200, "");
         };
-        await(() -> heir.owed() == 0);
+        await(() -> heir.pendingMessages() == 0);
         assertEquals(List.of(), run);
         assertTrue(
                 world.notices.stream().anyMatch(n -> n.contains("\"k\"") && n.contains("returned")),
@@ -870,10 +872,10 @@
         leave(leaver, ShutdownSequence.Mode.FINAL, 4_000);
         Files.move(aside, folder.resolve("endpoints.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
-        await(() -> heir.ready("s-2") && !heir.ready("s-1"));
+        await(() -> heir.endpointReady("s-2") && !heir.endpointReady("s-1"));
         world.receiver.requests.clear();
         world.receiver.answers = r -> ok(200, "");
-        await(() -> heir.owed() == 0);
+        await(() -> heir.pendingMessages() == 0);
         List<String> run = delivered("k").stream().distinct().toList();
         assertEquals(List.of("k0", "k1", "k2"), run);
         assertEquals(List.of(), world.notices);
--- a/sender/src/test/java/amberroute/sender/peer/HandoffCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/HandoffCompatibilityTest.java
@@ -9,7 +9,7 @@
 import amberroute.handoff.KeyHolds.KeyHold;
 import amberroute.replication.LogPosition;
 import amberroute.replication.ReplicaSet;
-import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.RecordKind;
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.sender.peer.HandoffProtocolMessage.CancelMessage;
 import amberroute.sender.peer.HandoffProtocolMessage.KeyHoldReply;
@@ -189,8 +189,8 @@
         byte[] positionContent = ReplicaRecords.encodePosition(new LogPosition(1, 3));
         EncodedBatch recordedBatch = batches("to_copy_holders_batches").get(0);
         Batch expected = new Batch()
-                .put(3, Journal.REPLICA_SET, setContent)
-                .put(3, Journal.REPLICATION_POSITION, positionContent);
+                .put(3, RecordKind.REPLICA_SET, setContent)
+                .put(3, RecordKind.REPLICATION_POSITION, positionContent);
         assertEquals(EncodedBatch.of(expected), recordedBatch);
         assertArrayEquals(expected.encode(), recordedBatch.decode().encode());
         assertEquals(new LogPosition(1, 3), ReplicaRecords.decodePosition(positionContent));
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -8,6 +8,7 @@
 import amberroute.replication.ReplicaSet;
 import amberroute.replication.ReplicaState;
 import amberroute.sender.journal.Journal;
+import amberroute.sender.journal.JournalChangeListener;
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.Batch;
 import java.io.IOException;
@@ -28,7 +29,7 @@
     Path folder;
 
     /** An owner's journal, whose changes are caught as a copy gets them. */
-    private final class Owner implements Journal.ChangeListener, AutoCloseable {
+    private final class Owner implements JournalChangeListener, AutoCloseable {
         final Journal journal;
         final java.util.ArrayList<Batch> changes = new java.util.ArrayList<>();
         long number;
