--- a/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
@@ -106,7 +106,7 @@
         scenario.apply(actions.recorder);
     }
 
-    /** Settings of the scenario; for some seeds with listed weights and zone tolls. */
+    /** Settings of the scenario; for some seeds with listed weights, zone tolls and extreme classes. */
     private DeliveryScheduler.Settings settings(long seed) {
         DeliveryScheduler.Settings plain = RandomScenario.settings(seed, size);
         return new DeliveryScheduler.Settings(
@@ -118,7 +118,7 @@
                 plain.overQuotaWeightFactor(),
                 plain.lateValueDecay(),
                 seed % 5 == 0 ? DeliveryScheduler.WeightKind.NOMINAL : plain.weightKind(),
-                plain.classes(),
+                seed % 4 == 3 ? extremeClasses(plain.classes()) : plain.classes(),
                 plain.tenants(),
                 plain.kinds(),
                 plain.limits(),
@@ -127,6 +127,27 @@
                 plain.reportFields());
     }
 
+    /** Classes without weight, with an objective of a microsecond or equal to the deadline, and with all value left when late. */
+    private static List<DeliveryScheduler.MessageClass> extremeClasses(List<DeliveryScheduler.MessageClass> plain) {
+        return List.of(
+                withValue(plain.get(0), 0, 0, 1),
+                withValue(plain.get(1), 1e-9, 1, plain.get(1).deadlineMicros()),
+                withValue(plain.get(2), 1e9, 0, plain.get(2).deadlineMicros()));
+    }
+
+    private static DeliveryScheduler.MessageClass withValue(
+            DeliveryScheduler.MessageClass plain, double weight, double lateShare, long objectiveMicros) {
+        return new DeliveryScheduler.MessageClass(
+                weight,
+                lateShare,
+                objectiveMicros,
+                plain.deadlineMicros(),
+                plain.idempotency(),
+                plain.keyScope(),
+                plain.keyLifeMicros(),
+                plain.ordered());
+    }
+
     private List<Event> addedEvents(DeliveryScheduler scheduler, long now) {
         List<Event> events = new ArrayList<>(scheduled);
         scheduled.clear();
--- a/decisions/src/test/java/amberroute/decisions/reference/DecisionTraceDigestTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTraceDigestTest.java
@@ -12,14 +12,14 @@
  */
 class DecisionTraceDigestTest {
     private static final List<String> RECORDED = List.of(
-            "0605bb21791d2f9d7fb2f21fa18b403265aaa444d2040297ec3db4fad1bbcf8d",
-            "f6e748d344e22992f777354684b8eebecb8c7589b87334e49722dd9a75d93ad8",
-            "eb5131a55c6991f17cc9f627fbe15f609588b63615b16641d1482fafe8f47c2f",
-            "bfb6a1c3648772c39b563c363091f1eb062a3451257f0bce96d623254e00f54c",
-            "83a1c28a40881632dfe23deb3dc1ea5b9cf805c0dd2296a537598b62fba0c23f",
-            "76da8e229af21bc71878b8ce4dfcf4c33bce9b85d6a07b20c20e753ec19efff2",
-            "9cd5aa604688b52d0f4519233191ceb9fdf61fe5fc70bae5d808354803fae54d",
-            "ff567f1bffc5d14f26d11b78823139d6c1c6e27a9ebb3e2e1f3f52cb7f865847");
+            "6ccc86a6615c6a39082b318300db983c0bf70896a83d9d6c9454f6700d3a0017",
+            "ee4e9d3be856699fc1f444d921feac7fac0c7a6d83a3b5548cd255122f4c8674",
+            "feecfa2b82d7f6081e55cfe9c3c0edc11679aa0a522a7b4749723edfbdcb0907",
+            "8a5f8d2fdc56f6be7bc07779e1162799aac656e0259eeabfb034991bd7995e37",
+            "aa2cd2aa633092cad748e3e55c3648d623f793fa55339c041d2fb420f7b53dbb",
+            "b1d0a828f1873417f06d1db80aa73c9fde92e97cd9b5944078f14d2f35cebdae",
+            "1cd24cace69c38cff0249106d2f2216d5dc8b67f3ac41c1ce2033c6c2e27ca6a",
+            "5322df779053d73bc669194b5294bd712bdcb7a4206c48da48750d8a43ac4604");
 
     @Test
     void actionsAreThoseOfTheRecordedVersion() {
