--- a/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
@@ -11,44 +11,44 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What each sender does alone, seen from a destination that many of them share. */
+/** What each sender does by itself, seen from a destination that many of them share. */
 class FleetBehaviorTest {
     private static final long SEED = 20_261;
 
     private static FleetSimulation outage(int senders, double limit) {
         FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limit = limit;
-        play.outFrom = 6_000_000;
-        play.outUntil = 11_000_000;
+        play.limitPerSecond = limit;
+        play.outageFrom = 6_000_000;
+        play.outageUntil = 11_000_000;
         return play;
     }
 
-    /** Half of the limit is asked for, which what is cold can do within 5 s of its return. */
+    /** Half of the limit is offered, which a destination in slow start can take within 5 s of its return. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void aFleetIsBackSoonAfterAnOutageWithoutPushingOver(int senders) {
         FleetSimulation play = outage(senders, 200);
         play.run(26_000_000);
-        String seen = senders + " senders: push " + play.push + ", rates after the return";
+        String seen = senders + " senders: push " + play.peakOverload + ", rates after the return";
         for (int s = 0; s < 12; s++) {
-            seen += " " + (int) play.rate((11 + s) * 1_000_000L, (12 + s) * 1_000_000L);
+            seen += " " + (int) play.answersPerSecond((11 + s) * 1_000_000L, (12 + s) * 1_000_000L);
         }
-        System.out.println(seen + "; refused " + play.refused + " of " + play.calls + ", turned away " + play.turnedAway
-                + " of " + play.offered + ", seed " + SEED);
-        assertTrue(play.push < 1, seen);
-        assertTrue(play.rate(11_000_000, 13_000_000) > 0.1 * play.limit, seen);
-        assertTrue(play.rate(14_000_000, 17_000_000) > 0.4 * play.limit, seen);
+        System.out.println(seen + "; refused " + play.rejectedCalls + " of " + play.calls + ", turned away "
+                + play.rejectedMessages + " of " + play.offered + ", seed " + SEED);
+        assertTrue(play.peakOverload < 1, seen);
+        assertTrue(play.answersPerSecond(11_000_000, 13_000_000) > 0.1 * play.limitPerSecond, seen);
+        assertTrue(play.answersPerSecond(14_000_000, 17_000_000) > 0.4 * play.limitPerSecond, seen);
     }
 
-    /** Where the limit is small, trials and slow starts of many senders must stay under the rule all the same. */
+    /** Trials and slow starts of many senders stay within the rule where the limit is small, too. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void aSmallDestinationIsNotPushedOver(int senders) {
         FleetSimulation play = outage(senders, 15);
         play.run(30_000_000);
-        System.out.println(senders + " senders, small: push " + play.push + ", refused " + play.refused + " of "
-                + play.calls + ", seed " + SEED);
-        assertTrue(play.push < 1, "push " + play.push);
+        System.out.println(senders + " senders, small: push " + play.peakOverload + ", refused " + play.rejectedCalls
+                + " of " + play.calls + ", seed " + SEED);
+        assertTrue(play.peakOverload < 1, "push " + play.peakOverload);
     }
 
     /**
@@ -78,20 +78,21 @@
         double worst = Double.NEGATIVE_INFINITY;
         for (int seed = 0; seed < 8; seed++) {
             FleetSimulation play = new FleetSimulation(senders, SEED + seed);
-            play.limit = limit;
-            play.load = 0.8;
-            play.lie = told ? null : List::of;
-            play.outFrom = 6_000_000;
-            play.outUntil = 11_000_000;
-            play.uneven = uneven;
-            play.learnsWithin = learnsWithin;
-            play.restarting = restarting;
+            play.limitPerSecond = limit;
+            play.offeredRatio = 0.8;
+            play.reportOverride = told ? null : List::of;
+            play.outageFrom = 6_000_000;
+            play.outageUntil = 11_000_000;
+            play.trafficSkew = uneven;
+            play.firstMessagesWithinMicros = learnsWithin;
+            play.restartingSenders = restarting;
             play.restartFrom = 9_000_000;
             play.restartUntil = 20_000_000;
             play.run(27_000_000);
             worst = Math.max(worst, play.excess);
             seen.append(String.format(
-                    " %.2f (push %.2f, answered %.2f)", play.excess, play.push, (double) play.answered / play.offered));
+                    " %.2f (push %.2f, answered %.2f)",
+                    play.excess, play.peakOverload, (double) play.answered / play.offered));
         }
         System.out.println(seen + ", seeds from " + SEED);
         assertTrue(worst < 1, seen.toString());
@@ -99,13 +100,13 @@
 
     private static FleetSimulation overloaded(int senders, boolean windows) {
         FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limit = 40;
-        play.load = 1.3;
-        play.windows = windows;
+        play.limitPerSecond = 40;
+        play.offeredRatio = 1.3;
+        play.fixedWindows = windows;
         return play;
     }
 
-    /** Each call that is refused uses the limit up: all that is sent has to stay near the limit, evenly shared. */
+    /** Rejected calls use up the limit: all that is sent has to stay near the limit, evenly shared. */
     @ParameterizedTest
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
     void allTogetherStayNearATellingLimit(int senders, boolean windows) {
@@ -113,12 +114,15 @@
         play.run(30_000_000);
         int least = Arrays.stream(play.answeredBy).min().orElse(0);
         int most = Arrays.stream(play.answeredBy).max().orElse(0);
-        String seen = senders + " senders, windows " + windows + ": answered " + play.rate(10_000_000, 30_000_000)
-                + " a second, sent " + play.calls + ", refused " + play.refused + ", answered by one " + least + " to "
-                + most + ", seed " + SEED;
+        String seen =
+                senders + " senders, windows " + windows + ": answered " + play.answersPerSecond(10_000_000, 30_000_000)
+                        + " a second, sent " + play.calls + ", refused " + play.rejectedCalls + ", answered by one "
+                        + least + " to "
+                        + most + ", seed " + SEED;
         System.out.println(seen);
-        assertTrue(play.rate(10_000_000, 30_000_000) > (senders > 14 ? 0.6 : 0.8) * play.limit, seen);
-        assertTrue(play.refused < 0.25 * play.calls, seen);
+        assertTrue(
+                play.answersPerSecond(10_000_000, 30_000_000) > (senders > 14 ? 0.6 : 0.8) * play.limitPerSecond, seen);
+        assertTrue(play.rejectedCalls < 0.25 * play.calls, seen);
         assertTrue(most <= 4 * Math.max(least, 10), seen);
     }
 
@@ -130,13 +134,13 @@
     @ValueSource(booleans = {false, true})
     void whoIsRefusedAtALargeLimitIsSoonBack(boolean windows) {
         FleetSimulation play = overloaded(100, windows);
-        play.limit = 280;
+        play.limitPerSecond = 280;
         play.run(30_000_000);
-        String seen = "large limit, windows " + windows + ": answered " + play.rate(10_000_000, 30_000_000)
-                + " a second of 280, refused " + play.refused + " of " + play.calls + ", seed " + SEED;
+        String seen = "large limit, windows " + windows + ": answered " + play.answersPerSecond(10_000_000, 30_000_000)
+                + " a second of 280, refused " + play.rejectedCalls + " of " + play.calls + ", seed " + SEED;
         System.out.println(seen);
-        assertTrue(play.rate(10_000_000, 30_000_000) > 0.8 * play.limit, seen);
-        assertTrue(play.refused < 0.25 * play.calls, seen);
+        assertTrue(play.answersPerSecond(10_000_000, 30_000_000) > 0.8 * play.limitPerSecond, seen);
+        assertTrue(play.rejectedCalls < 0.25 * play.calls, seen);
     }
 
     /** The limit falls to half for 9 s and comes back. */
@@ -144,46 +148,49 @@
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
     void aLimitThatFallsIsBelievedAndLeftWhenItIsBack(int senders, boolean windows) {
         FleetSimulation play = overloaded(senders, windows);
-        play.when(8_000_000, () -> play.limit = 20);
-        play.when(17_000_000, () -> play.limit = 40);
+        play.when(8_000_000, () -> play.limitPerSecond = 20);
+        play.when(17_000_000, () -> play.limitPerSecond = 40);
         play.run(30_000_000);
         String seen =
-                senders + " senders, windows " + windows + ": lowered " + play.rate(10_000_000, 17_000_000) + ", back "
-                        + play.rate(20_000_000, 30_000_000) + " a second, refused " + play.refused + " of " + play.calls
+                senders + " senders, windows " + windows + ": lowered " + play.answersPerSecond(10_000_000, 17_000_000)
+                        + ", back "
+                        + play.answersPerSecond(20_000_000, 30_000_000) + " a second, refused " + play.rejectedCalls
+                        + " of " + play.calls
                         + ", seed " + SEED;
         System.out.println(seen);
-        assertTrue(play.rate(10_000_000, 17_000_000) > (senders > 14 ? 0.4 : 0.5) * 20, seen);
-        assertTrue(play.rate(20_000_000, 30_000_000) > (senders > 14 ? 0.55 : 0.75) * 40, seen);
-        assertTrue(play.refused < 0.3 * play.calls, seen);
+        assertTrue(play.answersPerSecond(10_000_000, 17_000_000) > (senders > 14 ? 0.4 : 0.5) * 20, seen);
+        assertTrue(play.answersPerSecond(20_000_000, 30_000_000) > (senders > 14 ? 0.55 : 0.75) * 40, seen);
+        assertTrue(play.rejectedCalls < 0.3 * play.calls, seen);
     }
 
-    /** Where half of the senders are gone the others take up what they leave of the limit. */
+    /** Where half of the senders are gone the others use their share of the limit. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void whatTheDeadLeaveOfALimitIsUsed(int senders) {
         FleetSimulation play = overloaded(senders, false);
-        play.load = 2;
-        play.dying = senders / 2;
-        play.diesAt = 8_000_000;
+        play.offeredRatio = 2;
+        play.stoppingSenders = senders / 2;
+        play.stopAt = 8_000_000;
         play.run(30_000_000);
-        System.out.println(senders + " senders, half of them dead: " + play.rate(16_000_000, 30_000_000) + " a second");
+        System.out.println(senders + " senders, half of them dead: " + play.answersPerSecond(16_000_000, 30_000_000)
+                + " a second");
         assertTrue(
-                play.rate(16_000_000, 30_000_000) > (senders > 14 ? 0.55 : 0.75) * play.limit,
-                "" + play.rate(16_000_000, 30_000_000));
+                play.answersPerSecond(16_000_000, 30_000_000) > (senders > 14 ? 0.55 : 0.75) * play.limitPerSecond,
+                "" + play.answersPerSecond(16_000_000, 30_000_000));
     }
 
-    /** Absurd reports neither starve a destination nor let it be flooded when it is back from an outage. */
+    /** Absurd reports neither starve a destination nor overload it behind an outage. */
     @ParameterizedTest
     @CsvSource({"0,0", "-1,-5", "NaN,NaN", "7,1e300", "0,1e-9", "Infinity,Infinity", "0,1e300", "1,1e-300"})
     void absurdReportsAreBounded(double left, double limit) {
         FleetSimulation play = outage(14, 60);
-        play.lie = () -> List.of(left, limit);
+        play.reportOverride = () -> List.of(left, limit);
         play.run(34_000_000);
-        String seen = left + " " + limit + ": push " + play.push + ", answered " + play.answered + " of " + play.offered
-                + ", at the end " + play.rate(26_000_000, 34_000_000) + ", seed " + SEED;
+        String seen = left + " " + limit + ": push " + play.peakOverload + ", answered " + play.answered + " of "
+                + play.offered + ", at the end " + play.answersPerSecond(26_000_000, 34_000_000) + ", seed " + SEED;
         System.out.println(seen);
-        assertTrue(play.push < 1, seen);
-        assertTrue(play.rate(26_000_000, 34_000_000) > 0.25 * play.limit, seen);
+        assertTrue(play.peakOverload < 1, seen);
+        assertTrue(play.answersPerSecond(26_000_000, 34_000_000) > 0.25 * play.limitPerSecond, seen);
     }
 
     /** A limit that jumps tenfold between two answers. */
@@ -191,30 +198,31 @@
     void aLimitThatJumpsIsSurvived() {
         FleetSimulation play = outage(14, 60);
         int[] count = new int[1];
-        play.lie = () -> List.of(0.5, count[0]++ % 2 == 0 ? 6.0 : 600.0);
+        play.reportOverride = () -> List.of(0.5, count[0]++ % 2 == 0 ? 6.0 : 600.0);
         play.run(34_000_000);
-        String seen = "jumping: push " + play.push + ", at the end " + play.rate(26_000_000, 34_000_000);
+        String seen =
+                "jumping: push " + play.peakOverload + ", at the end " + play.answersPerSecond(26_000_000, 34_000_000);
         System.out.println(seen);
-        assertTrue(play.push < 1, seen);
-        assertTrue(play.rate(26_000_000, 34_000_000) > 0.25 * play.limit, seen);
+        assertTrue(play.peakOverload < 1, seen);
+        assertTrue(play.answersPerSecond(26_000_000, 34_000_000) > 0.25 * play.limitPerSecond, seen);
     }
 
-    /** Reports that are 8 s old are read as though they were of now: the limit has halved and come back since. */
+    /** Reports that are 8 s old are read as current ones: the limit has halved and risen again since. */
     @Test
     void oldReportsDoNotStarveADestination() {
         FleetSimulation play = overloaded(14, false);
         Deque<List<Double>> old = new ArrayDeque<>();
-        play.lie = () -> {
-            old.addLast(List.of(play.told0(), play.told1()));
+        play.reportOverride = () -> {
+            old.addLast(List.of(play.reportedAllowanceLeft(), play.reportedLimit()));
             return old.size() > 280 ? old.removeFirst() : old.peekFirst();
         };
-        play.when(8_000_000, () -> play.limit = 20);
-        play.when(17_000_000, () -> play.limit = 40);
+        play.when(8_000_000, () -> play.limitPerSecond = 20);
+        play.when(17_000_000, () -> play.limitPerSecond = 40);
         play.run(34_000_000);
-        String seen = "old reports: at the end " + play.rate(26_000_000, 34_000_000) + " a second, refused "
-                + play.refused + " of " + play.calls + ", seed " + SEED;
+        String seen = "old reports: at the end " + play.answersPerSecond(26_000_000, 34_000_000) + " a second, refused "
+                + play.rejectedCalls + " of " + play.calls + ", seed " + SEED;
         System.out.println(seen);
-        assertTrue(play.rate(26_000_000, 34_000_000) > 0.4 * 40, seen);
+        assertTrue(play.answersPerSecond(26_000_000, 34_000_000) > 0.4 * 40, seen);
     }
 
     /**
@@ -225,11 +233,12 @@
     @ValueSource(ints = {2, 14, 50})
     void aFullHouseIsNotLeftAlone(int senders) {
         FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limit = 100;
-        play.places = 5;
+        play.limitPerSecond = 100;
+        play.maxConnectionsInUse = 5;
         play.run(30_000_000);
         String seen = senders + " senders, five places: answered " + play.answered + " of " + play.offered + ", "
-                + play.crowdedOut + " found no place, in the last ten seconds " + play.rate(20_000_000, 30_000_000)
+                + play.unconnectedCalls + " found no place, in the last ten seconds "
+                + play.answersPerSecond(20_000_000, 30_000_000)
                 + " a second, seed " + SEED;
         System.out.println(seen);
         assertTrue(play.answered > (senders > 14 ? 0.75 : 0.9) * play.offered, seen);
@@ -243,13 +252,13 @@
     @CsvSource({"14,6", "50,10", "100,10"})
     void aTableFullOfIdleConnectionsIsNoLimit(int senders, int table) {
         FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limit = 40;
-        play.table = table;
-        play.idleLife = 4_000_000;
+        play.limitPerSecond = 40;
+        play.maxConnections = table;
+        play.idleLifeMicros = 4_000_000;
         play.run(40_000_000);
         String seen = senders + " senders, a table of " + table + ": answered " + play.answered + " of " + play.offered
-                + ", turned away at the" + " door " + play.crowdedOut + ", in the last twenty seconds "
-                + play.rate(20_000_000, 40_000_000) + " a second, seed " + SEED;
+                + ", turned away at the" + " door " + play.unconnectedCalls + ", in the last twenty seconds "
+                + play.answersPerSecond(20_000_000, 40_000_000) + " a second, seed " + SEED;
         System.out.println(seen);
         assertTrue(play.answered > 0.85 * play.offered, seen);
     }
@@ -273,8 +282,8 @@
         for (int seed = 0; seed < 5; seed++) {
             FleetSimulation play = new FleetSimulation(senders, SEED + seed, mostHeld);
             restartAll(play, senders, load, outage);
-            untried += play.untried;
-            givenUp += play.givenUpUntried;
+            untried += play.recoveredUntried;
+            givenUp += play.abandonedUntried;
         }
         String seen = senders + " senders, load " + load + ", outage " + outage + ", room for " + mostHeld + ": of "
                 + untried + " found untried " + givenUp + " were given up with no call, seeds from " + SEED;
@@ -313,11 +322,11 @@
         int givenUp = 0;
         for (int seed = 0; seed < 5; seed++) {
             FleetSimulation play =
-                    new FleetSimulation(senders, SEED + seed, mostHeld, FleetSimulation.type(worth, effect));
-            play.otherEach = 3;
+                    new FleetSimulation(senders, SEED + seed, mostHeld, FleetSimulation.messageClass(worth, effect));
+            play.otherClassPeriod = 3;
             restartAll(play, senders, load, outage);
-            untried += play.untriedOther;
-            givenUp += play.givenUpOther;
+            untried += play.recoveredUntriedOther;
+            givenUp += play.abandonedUntriedOther;
         }
         String seen = senders + " senders, load " + load + ", outage " + outage + ", " + effect + " worth " + worth
                 + ": of " + untried + " found untried that may not be repeated " + givenUp
@@ -329,32 +338,33 @@
 
     /** A limit of 40 a second, all senders restarted between 9 and 13 s, an outage up to its middle. */
     private static void restartAll(FleetSimulation play, int senders, double load, boolean outage) {
-        play.limit = 40;
-        play.load = load;
-        play.outFrom = outage ? 6_000_000 : Long.MAX_VALUE;
-        play.outUntil = outage ? 11_000_000 : Long.MAX_VALUE;
-        play.restarting = senders;
+        play.limitPerSecond = 40;
+        play.offeredRatio = load;
+        play.outageFrom = outage ? 6_000_000 : Long.MAX_VALUE;
+        play.outageUntil = outage ? 11_000_000 : Long.MAX_VALUE;
+        play.restartingSenders = senders;
         play.restartFrom = 9_000_000;
         play.restartUntil = 13_000_000;
         play.run(30_000_000);
     }
 
-    /** All start in the same millisecond with 300 messages held in all, 7 s of the limit; nobody knows anything yet. */
+    /** All start in the same millisecond with 300 messages pending in all, 7 s of the limit, and without checkpoints. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void aFleetThatStartsTogetherSpreadsWhatItHolds(int senders) {
         FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limit = 40;
-        play.load = 0.3;
-        play.heldAtStart = 300 / senders;
+        play.limitPerSecond = 40;
+        play.offeredRatio = 0.3;
+        play.pendingAtStart = 300 / senders;
         play.run(20_000_000);
         String seen = senders + " senders that start together: refused in the first second "
-                + play.refused(0, 1_000_000)
-                + ", then " + play.refused(1_000_000, 20_000_000) + ", answered a second up to 8 s "
-                + play.rate(0, 8_000_000) + ", of all " + play.answered + " of " + play.offered + ", seed " + SEED;
+                + play.rejectedCalls(0, 1_000_000)
+                + ", then " + play.rejectedCalls(1_000_000, 20_000_000) + ", answered a second up to 8 s "
+                + play.answersPerSecond(0, 8_000_000) + ", of all " + play.answered + " of " + play.offered + ", seed "
+                + SEED;
         System.out.println(seen);
-        assertTrue(play.refused(0, 1_000_000) <= 2 * senders + 20, seen);
-        assertTrue(play.refused(1_000_000, 20_000_000) < 0.3 * play.calls, seen);
-        assertTrue(play.rate(0, 8_000_000) > (senders > 14 ? 0.4 : 0.75) * play.limit, seen);
+        assertTrue(play.rejectedCalls(0, 1_000_000) <= 2 * senders + 20, seen);
+        assertTrue(play.rejectedCalls(1_000_000, 20_000_000) < 0.3 * play.calls, seen);
+        assertTrue(play.answersPerSecond(0, 8_000_000) > (senders > 14 ? 0.4 : 0.75) * play.limitPerSecond, seen);
     }
 }
