--- a/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -12,7 +12,7 @@
  */
 public interface DeliveryScheduler {
 
-    /** Takes note of one event; {@link Event.Decide} makes the decisions. Events that name unknown ids are ignored. */
+    /** Takes note of one event; {@link Event.Decide} makes the decisions. Events that name unknown messages are ignored. */
     void step(long now, Event event, Actions actions);
 
     /** How many of the endpoints that are listed as ready get no ordinary messages now, because of what was seen of them. */
--- a/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
@@ -12,6 +12,8 @@
  * The messages of a key go one at a time in the order of acceptance. Behind an attempt whose outcome is unknown the key is paused
  * for the settle period, as the attempt may still run; only the message itself may be repeated meanwhile. Times are microseconds
  * on the caller's clock.
+ *
+ * <p>Cost of a pause that was not needed: the messages of one key wait for the settle period.
  */
 final class KeyOrdering {
     private final CurrentSettings settings;
--- a/decisions/src/main/java/amberroute/decisions/RateLimiter.java
+++ b/decisions/src/main/java/amberroute/decisions/RateLimiter.java
@@ -7,6 +7,9 @@
  * Client-side rate limit of an upstream: additive increase and multiplicative decrease behind rejections (AIMD), or around a
  * fair share of the limit that load reports name. Senders share nothing, so each keeps below its share by itself. Times are
  * microseconds on the caller's clock.
+ *
+ * <p>Cost of a pace that is too low: messages wait although their destination would take them, until the pace has grown again or its
+ * life is over. Cost of one that is too high: rejected calls, which use up the limit as well.
  */
 final class RateLimiter {
     /** Least pace of all senders together, so that it is noticed when a limit is lifted. */
--- a/decisions/src/main/java/amberroute/decisions/RecoveryRamp.java
+++ b/decisions/src/main/java/amberroute/decisions/RecoveryRamp.java
@@ -6,6 +6,9 @@
  * Slow start of an upstream that has recovered from an outage: its capacity grows evenly from a share to all of it within the
  * span that the rules name, and calls go out no faster than the rules permit for that capacity. Times are microseconds on the
  * caller's clock.
+ *
+ * <p>Cost of a former pace that is too high: the destination breaks down again. Cost of one that is too low: messages wait for up to
+ * the span of the slow start.
  */
 final class RecoveryRamp {
     /** Share of the permitted overload that is used: other senders may send more than their fair share. */
--- a/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
@@ -8,6 +8,8 @@
  * Whether, where and when a message may be sent again, and whether it may be rejected. An attempt whose outcome is unknown may
  * have run: a non-idempotent message is not repeated then, one with an idempotency key only where and while the key is known.
  * Times are microseconds on the caller's clock.
+ *
+ * <p>Cost of an outcome that is unknown although the attempt did not run: a non-idempotent message fails undelivered.
  */
 final class RetryPolicy {
     /** Allowance for the transit of a call: a key counts as forgotten so much before its life ends. */
@@ -50,7 +52,7 @@
         return message.messageClass.keyScope() == KeyScope.ZONE ? earlier.zone == endpoint.zone : earlier == endpoint;
     }
 
-    /** Whether the client may be told to submit the message again: an attempt may be in flight or have run otherwise. */
+    /** Whether a rejection is harmless: no attempt is in flight, and none may have run unless a repetition does no harm. */
     static boolean mayReject(PendingMessage message) {
         if (message.call != null) {
             return false;
