--- a/cli/src/test/java/amberroute/cli/ArchitectureTest.java
+++ b/cli/src/test/java/amberroute/cli/ArchitectureTest.java
@@ -38,7 +38,7 @@
     }
 
     @ArchTest
-    static final ArchRule modulesDependAlongTheArrows = layeredArchitecture()
+    static final ArchRule MODULES_DEPEND_ALONG_THE_ARROWS = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("cli")
             .definedBy("amberroute.cli..")
@@ -91,7 +91,7 @@
             .mayNotAccessAnyLayer();
 
     @ArchTest
-    static final ArchRule decidingModulesDoNoInputOrOutput = noClasses()
+    static final ArchRule DECIDING_MODULES_DO_NO_INPUT_OR_OUTPUT = noClasses()
             .that()
             .resideInAnyPackage(PURE_MODULES)
             .should()
@@ -106,7 +106,7 @@
             .because("what they decide is a function of their inputs");
 
     @ArchTest
-    static final ArchRule decidingModulesHaveNoThreads = noClasses()
+    static final ArchRule DECIDING_MODULES_HAVE_NO_THREADS = noClasses()
             .that()
             .resideInAnyPackage(PURE_MODULES)
             .should()
@@ -115,7 +115,7 @@
             .because("their caller owns the thread");
 
     @ArchTest
-    static final ArchRule decidingModulesReadNoClock = noClasses()
+    static final ArchRule DECIDING_MODULES_READ_NO_CLOCK = noClasses()
             .that()
             .resideInAnyPackage(PURE_MODULES)
             .should()
--- a/sender/src/test/java/amberroute/sender/ArchitectureTest.java
+++ b/sender/src/test/java/amberroute/sender/ArchitectureTest.java
@@ -12,7 +12,7 @@
 @AnalyzeClasses(packages = "amberroute.sender", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     @ArchTest
-    static final ArchRule packagesDependAlongTheArrows = layeredArchitecture()
+    static final ArchRule PACKAGES_DEPEND_ALONG_THE_ARROWS = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("sender")
             .definedBy("amberroute.sender")
@@ -84,6 +84,6 @@
             .because("each package can then be read and tested with those below it");
 
     @ArchTest
-    static final ArchRule packagesHaveNoCycles =
+    static final ArchRule PACKAGES_HAVE_NO_CYCLES =
             slices().matching("amberroute.sender.(*)..").should().beFreeOfCycles();
 }
