--- a/sender/src/test/java/amberroute/sender/QueueingDelayTest.java
+++ b/sender/src/test/java/amberroute/sender/QueueingDelayTest.java
@@ -35,7 +35,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             boolean stops = seed % 3 != 0;
             long now = 5_000 * MS;
-            QueueingDelay lag = new QueueingDelay(now);
+            QueueingDelay queueingDelay = new QueueingDelay(now);
             long nextTick = now + QueueingDelay.TICK_MS * MS;
             ArrayDeque<Long> arrived = new ArrayDeque<>();
             long nextArrival = now;
@@ -54,14 +54,14 @@
                 // Between looking and reading, while reading, and before its tasks it may be stopped.
                 for (long at : read) {
                     now += 10_000 + (stops && random.nextInt(20) == 0 ? random.nextLong(300 * MS) : 0);
-                    long said = lag.millis(0, now);
+                    long said = queueingDelay.millis(0, now);
                     long waited = Math.min(QueueingDelay.CLIENT_TIMEOUT_MS, (now - at) / MS);
                     assertTrue(said >= waited, "seed " + seed + ": waited " + waited + ", said " + said);
                     most = Math.max(most, said);
                 }
                 now += stops && random.nextInt(50) == 0 ? random.nextLong(300 * MS) : 0;
                 if (now >= nextTick) {
-                    lag.tick(now);
+                    queueingDelay.tick(now);
                     nextTick = now + QueueingDelay.TICK_MS * MS;
                 }
             }
@@ -72,22 +72,22 @@
     /** Batches that are full may leave others in the queue: those have waited as long as the first. */
     @Test
     void whoWaitsBehindAFullBatchHasWaitedAsLong() {
-        QueueingDelay lag = new QueueingDelay(0);
-        lag.tick(100 * MS);
-        lag.tick(120 * MS);
+        QueueingDelay queueingDelay = new QueueingDelay(0);
+        queueingDelay.tick(100 * MS);
+        queueingDelay.tick(120 * MS);
         for (int i = 0; i < 16; i++) {
-            assertEquals(100 * MS, lag.accepted());
+            assertEquals(100 * MS, queueingDelay.accepted());
         }
-        lag.batchDone(16);
-        lag.tick(140 * MS);
-        lag.tick(160 * MS);
-        lag.tick(180 * MS);
-        assertEquals(100 * MS, lag.accepted());
-        assertEquals(95, lag.millis(100 * MS, 195 * MS));
-        lag.batchDone(16);
-        assertEquals(160 * MS, lag.accepted());
-        assertEquals(35, lag.millis(0, 195 * MS));
-        assertEquals(QueueingDelay.CLIENT_TIMEOUT_MS, lag.millis(0, 9_000 * MS));
+        queueingDelay.batchDone(16);
+        queueingDelay.tick(140 * MS);
+        queueingDelay.tick(160 * MS);
+        queueingDelay.tick(180 * MS);
+        assertEquals(100 * MS, queueingDelay.accepted());
+        assertEquals(95, queueingDelay.millis(100 * MS, 195 * MS));
+        queueingDelay.batchDone(16);
+        assertEquals(160 * MS, queueingDelay.accepted());
+        assertEquals(35, queueingDelay.millis(0, 195 * MS));
+        assertEquals(QueueingDelay.CLIENT_TIMEOUT_MS, queueingDelay.millis(0, 9_000 * MS));
     }
 
     /** On sockets: what lay unread while the loop stood still is off the message's time, on old and new connections. */
--- a/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
+++ b/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
@@ -36,14 +36,14 @@
 
 /** Calls on an event loop of the test's own, which can be made to stand still. */
 class UpstreamClientTest {
-    private final EventLoopStallDetector looks = new EventLoopStallDetector();
+    private final EventLoopStallDetector stallDetector = new EventLoopStallDetector();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), looks));
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), stallDetector));
     private final EventLoop loop = group.next();
     private final LinkedBlockingQueue<UpstreamClient.Result> results = new LinkedBlockingQueue<>();
-    private final UpstreamClient receivers = new UpstreamClient(
+    private final UpstreamClient upstreamClient = new UpstreamClient(
             loop,
-            looks,
+            stallDetector,
             new UpstreamClient.Listener() {
                 @Override
                 public void ended(UpstreamClient.Result result) {
@@ -90,7 +90,7 @@
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object news) {
-                        receivers.bar(route -> true);
+                        upstreamClient.bar(route -> true);
                     }
                 })
                 .connect(address(discovery))
@@ -109,7 +109,7 @@
     }
 
     private void repeat(AcceptedMessage m, long writeWithin) {
-        receivers.start(
+        upstreamClient.start(
                 new UpstreamClient.Route(1, address(receiver), 7),
                 List.of(new UpstreamClient.CallMessage(m, 0)),
                 10_000_000,
