--- a/cli/src/main/java/amberroute/cli/FleetCommand.java
+++ b/cli/src/main/java/amberroute/cli/FleetCommand.java
@@ -78,7 +78,7 @@
                 SignalHandlers.install("INT").then(stop);
                 SignalHandlers.install("HUP").then(supervisor::reload);
                 ServiceManagerNotifier notify = new ServiceManagerNotifier(System.getenv());
-                supervisor.whenReady(() -> notify.tell("READY=1"));
+                supervisor.whenReady(() -> notify.report("READY=1"));
                 return supervisor.run();
             }
         }
--- a/sender/src/main/java/amberroute/sender/FolderAdoption.java
+++ b/sender/src/main/java/amberroute/sender/FolderAdoption.java
@@ -118,7 +118,7 @@
         int adoptedBefore = 0;
         try (Journal journal = Journal.peek(orphaned)) {
             Map<String, List<AcceptedMessage>> batches =
-                    OrphanedJournalRecovery.lots(token.lots(), journal.live(), folder.steadyMillis());
+                    OrphanedJournalRecovery.batches(token.lots(), journal.live(), folder.steadyMillis());
             for (Map.Entry<String, List<AcceptedMessage>> batch : batches.entrySet()) {
                 int taken = adoptOnLoop(batch.getKey(), batch.getValue(), orphaned);
                 adopted += taken;
@@ -168,8 +168,8 @@
         copies.forEach(copy -> copy.type = messages.classes().number(copy.className));
         // Whether a message of an unknown class may be repeated is unknown as well.
         copies.stream().filter(copy -> copy.type < 0 && copy.notice == null).forEach(copy -> copy.end(copy.failed()));
-        long until =
-                copies.stream().mapToLong(copy -> copy.deadline).max().orElse(0) + OrphanedJournalRecovery.FORGOTTEN_MS;
+        long until = copies.stream().mapToLong(copy -> copy.deadline).max().orElse(0)
+                + OrphanedJournalRecovery.EXPIRED_RETENTION_MS;
         Ownership owned = new Ownership(1, Ownership.Status.OWNED, "");
         if (lifecycle.ownershipReleased() || !folder.journal().adopt(batch, owned, until, copies)) {
             return -1;
--- a/sender/src/main/java/amberroute/sender/MessageAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/MessageAcceptance.java
@@ -74,7 +74,7 @@
                                     : () -> arrival.reply().error("the message could not be forced to the disk"));
         } else if (folder.journal().uncertain()) {
             // The next process may find the record: a rejection would promise that nobody delivers the message.
-            metrics.ended(message.className, SenderMetrics.End.ERRORS);
+            metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
             arrival.reply().error("the message could not be recorded, or may have been");
             scheduler.submit(new Event.MessageCancelled(message.number));
         } else {
--- a/sender/src/main/java/amberroute/sender/MessageCompletion.java
+++ b/sender/src/main/java/amberroute/sender/MessageCompletion.java
@@ -43,18 +43,18 @@
 
     /** Completes an accepted message as rejected; {@code retryAfterMillis} is the advice to its client, 0 for none. */
     void reject(long number, long retryAfterMillis) {
-        complete(number, messages.accepted().get(number).returned(retryAfterMillis), SenderMetrics.End.SHED);
+        complete(number, messages.accepted().get(number).returned(retryAfterMillis), SenderMetrics.MessageResult.SHED);
     }
 
     /** Completes an accepted message as failed. */
     void fail(long number) {
-        complete(number, messages.accepted().get(number).failed(), SenderMetrics.End.ERRORS);
+        complete(number, messages.accepted().get(number).failed(), SenderMetrics.MessageResult.ERRORS);
     }
 
-    private void complete(long number, String notification, SenderMetrics.End result) {
+    private void complete(long number, String notification, SenderMetrics.MessageResult result) {
         AcceptedMessage message = messages.accepted().remove(number);
         report(lateCompletions, message);
-        metrics.ended(message.className, result);
+        metrics.completed(message.className, result);
         folder.journal().end(message, notification, () -> notifyWhenDurable(message));
         if (folder.journal().owes(message)) {
             loop.schedule(
@@ -67,7 +67,7 @@
     /** Fails messages that were offered to another daemon, which may have them: they are no longer accepted here. */
     void failOffered(List<AcceptedMessage> offered) {
         for (AcceptedMessage message : offered) {
-            metrics.ended(message.className, SenderMetrics.End.ERRORS);
+            metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
             folder.journal().end(message, message.failed(), () -> notifyWhenDurable(message));
         }
     }
@@ -96,7 +96,7 @@
      */
     void completeUndelivered(AcceptedMessage message) {
         DeliveryScheduler.MessageClass type = messages.classes().type(message.type);
-        boolean returned = ShutdownSequence.mayReturn(
+        boolean returned = ShutdownSequence.mayReject(
                 message.doubtSince != 0 || message.out,
                 type.idempotency() == DeliveryScheduler.Idempotency.IDEMPOTENT,
                 type.idempotency() == DeliveryScheduler.Idempotency.KEYED
--- a/sender/src/main/java/amberroute/sender/MessageRecovery.java
+++ b/sender/src/main/java/amberroute/sender/MessageRecovery.java
@@ -58,9 +58,9 @@
             return new JsonArray();
         }
         Set<String> called = new HashSet<>();
-        transfers.state().out().forEach(call -> called.add(call.uid()));
-        JsonArray leaving = endpoints.takeOver(transfers.state().list(), called);
-        for (TransferredState.CallInFlight call : transfers.state().out()) {
+        transfers.state().callsInFlight().forEach(call -> called.add(call.uid()));
+        JsonArray leaving = endpoints.takeOver(transfers.state().endpointList(), called);
+        for (TransferredState.CallInFlight call : transfers.state().callsInFlight()) {
             if (endpoints.listed(call.uid())) {
                 transfers.callsInFlight().addAll(call.numbers());
             } else {
@@ -117,7 +117,7 @@
         }
         if (message.notice == null && message.type < 0) {
             folder.journal().end(message, message.failed());
-            metrics.ended(message.className, SenderMetrics.End.ERRORS);
+            metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
         }
         if (message.notice != null) {
             resumeNotification(message);
@@ -169,12 +169,12 @@
 
     private void resumeCalls() {
         TransferredState state = transfers.state();
-        long passedMicros = TimeUnit.NANOSECONDS.toMicros(Math.max(0, System.nanoTime() - state.at()));
-        state.learned().forEach(snapshot -> scheduler.submit(new Event.UpstreamStateTransferred(snapshot)));
-        for (TransferredState.CallInFlight call : state.out()) {
+        long passedMicros = TimeUnit.NANOSECONDS.toMicros(Math.max(0, System.nanoTime() - state.atNanos()));
+        state.snapshots().forEach(snapshot -> scheduler.submit(new Event.UpstreamStateTransferred(snapshot)));
+        for (TransferredState.CallInFlight call : state.callsInFlight()) {
             scheduler.submit(new Event.CallInFlight(
-                    call.numbers(), endpoints.number(call.uid()), call.sentAgo() + passedMicros));
+                    call.numbers(), endpoints.number(call.uid()), call.sentAgoMicros() + passedMicros));
         }
-        state.rests().forEach(pause -> scheduler.submit(new Event.KeyPaused(pause)));
+        state.pausedKeys().forEach(pause -> scheduler.submit(new Event.KeyPaused(pause)));
     }
 }
--- a/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
+++ b/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
@@ -41,7 +41,7 @@
         } else if (transfers.outgoing() != null) {
             // The endpoint's state, Retry-After above all, counts again if this process reclaims the ownership.
             scheduler.learn(completed(result));
-            transfers.outgoing().outcome(result, endpoints.uid(result.endpoint()));
+            transfers.outgoing().forwardOutcome(result, endpoints.uid(result.endpoint()));
         }
         // Else another daemon owns the replicated journal, and takes the attempt for one that may have run.
     }
@@ -55,7 +55,7 @@
 
     @Override
     public void written(int messageCount) {
-        metrics.tried(messageCount);
+        metrics.callWritten(messageCount);
     }
 
     /** Journals the outcome of an attempt and reports it to the scheduler. */
@@ -73,7 +73,7 @@
     private void conclude(AcceptedMessage message, AttemptOutcome outcome) {
         folder.journal().conclude(message);
         if (messages.accepted().remove(message.number) != null && outcome == AttemptOutcome.OK) {
-            metrics.ended(message.className, SenderMetrics.End.OK);
+            metrics.completed(message.className, SenderMetrics.MessageResult.OK);
             fleet.delivered(message.destination);
         }
     }
--- a/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
@@ -86,7 +86,7 @@
                     .warn();
         } else {
             LogEvent.of("ownership_acquired")
-                    .with("calls_in_flight", state.out().size())
+                    .with("calls_in_flight", state.callsInFlight().size())
                     .warn();
         }
     }
@@ -95,7 +95,7 @@
         while (true) {
             IncomingTransfer incoming = new IncomingTransfer(loop, host);
             transfers.setIncoming(incoming);
-            JsonObject transferred = incoming.take(config.state());
+            JsonObject transferred = incoming.request(config.state());
             if (folder.tryLock()) {
                 return transferred;
             }
@@ -115,7 +115,7 @@
     private void readState(JsonObject transferred) {
         try {
             transfers.setState(TransferredState.read(transferred, endpoints::number));
-            clientServer.servedUntil(transfers.state().at());
+            clientServer.servedUntil(transfers.state().atNanos());
         } catch (RuntimeException e) {
             LogEvent.of("transferred_state_unreadable").cause(e).warn();
             transfers.incoming().close();
--- a/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
@@ -22,7 +22,7 @@
 
 /**
  * Resumes the ownership after the successor process has gone: the journal is read again, and the calls and clients that this process
- * still has are matched with it. Event loop only, but for {@link #own}.
+ * still has are matched with it. Event loop only, but for {@link #tryAcquire}.
  */
 final class OwnershipReclaim implements FolderReclaim.Host {
     /** Exit code of a process that cannot go on. */
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public boolean own() throws IOException {
+    public boolean tryAcquire() throws IOException {
         if (!folder.tryLock()) {
             return false;
         }
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void hopeless() {
+    public void failed() {
         connections.finish(EXIT_FAILED);
     }
 }
--- a/sender/src/main/java/amberroute/sender/OwnershipRelease.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipRelease.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public String refusal() {
+    public String rejectionReason() {
         if (!lifecycle.ready()) {
             return "not serving";
         }
@@ -69,13 +69,13 @@
             return "hands over to peers, which excludes this";
         }
         // The successor could not know of these calls, and would make them a second time.
-        return transfers.incoming() != null && transfers.incoming().busy()
+        return transfers.incoming() != null && transfers.incoming().hasCallsInFlight()
                 ? "calls of the process before this one are still out"
                 : null;
     }
 
     @Override
-    public JsonObject give() {
+    public JsonObject releaseOwnership() {
         // Submissions that wait for the iteration are answered first, as neither process would own them.
         scheduler.runIteration();
         completeDueSoon();
@@ -95,7 +95,7 @@
                 .with("calls_in_flight", upstream.callsOut())
                 .warn();
         int connectionsPerStep = 1 + clientServer.connections() / RETIREMENT_STEPS;
-        connections.startRetiring(connectionsPerStep, transfers.outgoing()::waiting);
+        connections.startRetiring(connectionsPerStep, transfers.outgoing()::unansweredSubmissions);
         return state;
     }
 
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void orphaned() {
+    public void successorGone() {
         reclaimer.run();
     }
 }
--- a/sender/src/main/java/amberroute/sender/OwnershipTransfers.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipTransfers.java
@@ -68,11 +68,11 @@
 
     /** Whether a reclaim may make this process the owner again within a moment. */
     boolean reclaimPossible() {
-        return reclaim != null && reclaim.promising();
+        return reclaim != null && reclaim.possible();
     }
 
     /** Whether a call with this message is in flight from the predecessor process. */
     boolean calledByPredecessor(long number) {
-        return incoming != null && incoming.has(number);
+        return incoming != null && incoming.callInFlight(number);
     }
 }
--- a/sender/src/main/java/amberroute/sender/PredecessorEvents.java
+++ b/sender/src/main/java/amberroute/sender/PredecessorEvents.java
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void gone() {
+    public void predecessorGone() {
         // The memory limit holds for both processes together: only now there is room for the whole heap.
         new Thread(HeapReserve::commit, "heap").start();
     }
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -143,7 +143,7 @@
     }
 
     private boolean transferable() {
-        return inherited != null && TransferChannel.possible(config.state());
+        return inherited != null && TransferChannel.supported(config.state());
     }
 
     private void lockFolder() throws IOException {
@@ -370,7 +370,7 @@
             state.transfers().clearState();
         }
         lifecycle.enter(LifecyclePhase.READY);
-        serviceManager.tell("READY=1");
+        serviceManager.report("READY=1");
         lifecycleParts.shutdown.ready();
         lifecycleParts.endpointFile.start();
     }
--- a/sender/src/main/java/amberroute/sender/SettingsActivation.java
+++ b/sender/src/main/java/amberroute/sender/SettingsActivation.java
@@ -58,7 +58,7 @@
                 settings.limits().idleConnectionLifeMicros(),
                 config.reportNames());
         clientServer.classes(messages.classes().names());
-        messages.classes().names().forEach(metrics::name);
+        messages.classes().names().forEach(metrics::declareClass);
         scheduler.submit(new Event.SettingsChanged(activeSettings.settings()));
         return null;
     }
--- a/sender/src/main/java/amberroute/sender/SubmissionHandler.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionHandler.java
@@ -114,7 +114,7 @@
     }
 
     private void forward(ClientServer.Submission submission, ClientServer.Answer reply) {
-        if (!transfers.outgoing().submit(submission, reply)) {
+        if (!transfers.outgoing().forwardSubmission(submission, reply)) {
             shed(submission.className(), reply, 0);
         }
     }
@@ -130,14 +130,14 @@
 
     /** Rejects a message of this class; {@code retryAfterMillis} is the advice when to come again, 0 for none. */
     void shed(String className, ClientServer.Answer reply, long retryAfterMillis) {
-        metrics.ended(className, SenderMetrics.End.SHED);
+        metrics.completed(className, SenderMetrics.MessageResult.SHED);
         reply.busy(retryAfterMillis);
     }
 
     private void invalid(
             SubmissionVerdict.InvalidReason reason, ClientServer.Submission submission, ClientServer.Answer reply) {
         if (reason == SubmissionVerdict.InvalidReason.UNKNOWN_DESTINATION) {
-            metrics.ended(submission.className(), SenderMetrics.End.ERRORS);
+            metrics.completed(submission.className(), SenderMetrics.MessageResult.ERRORS);
         }
         reply.error(reason.wireText());
     }
--- a/sender/src/main/java/amberroute/sender/admin/AdminServer.java
+++ b/sender/src/main/java/amberroute/sender/admin/AdminServer.java
@@ -32,7 +32,7 @@
 import java.util.function.Supplier;
 
 /**
- * The door for operators: HTTP/1.1, one call a connection. It has a thread of its own and reads what the sender has
+ * The HTTP/1.1 server for operators, with one request a connection. It has a thread of its own and reads what the sender has
  * published, so that it answers however busy the sender is, and nothing that comes in here takes the sender's time.
  * At most {@value #MOST_CONNECTIONS} connections: a further one takes the place of the oldest, so that callers who never
  * finish a call keep nobody out. A call has {@value #CALL_MS} ms and a head of 4 KiB; none has a body.
--- a/sender/src/main/java/amberroute/sender/admin/SenderMetrics.java
+++ b/sender/src/main/java/amberroute/sender/admin/SenderMetrics.java
@@ -12,13 +12,13 @@
  */
 public final class SenderMetrics {
     public static final long EVERY_MS = 100;
-    /** Names of classes that are told apart; what comes under more is counted as {@value #OTHER}. */
+    /** The number of class names with counts of their own; further ones count as {@value #OTHER}. */
     static final int MOST_NAMES = 1_024;
 
     static final String OTHER = "other";
 
     /** How a message ended. */
-    public enum End {
+    public enum MessageResult {
         OK,
         SHED,
         ERRORS
@@ -34,7 +34,7 @@
         public String text() {
             StringBuilder out = new StringBuilder("# TYPE svc_responses_total counter\n");
             ends.forEach((name, counts) -> {
-                for (End end : End.values()) {
+                for (MessageResult end : MessageResult.values()) {
                     out.append("svc_responses_total{kind=\"")
                             .append(escaped(name))
                             .append("\",result=\"")
@@ -77,21 +77,21 @@
     private long rejected;
 
     /** Shows a class from now on, with zeros until something of it ends. */
-    public void name(String className) {
+    public void declareClass(String className) {
         counts(className);
     }
 
     private long[] counts(String className) {
         String name = ends.containsKey(className) || ends.size() < MOST_NAMES ? className : OTHER;
-        return ends.computeIfAbsent(name, n -> new long[End.values().length]);
+        return ends.computeIfAbsent(name, n -> new long[MessageResult.values().length]);
     }
 
-    public void ended(String className, End end) {
+    public void completed(String className, MessageResult end) {
         counts(className)[end.ordinal()]++;
     }
 
     /** A call with so many messages was written whole. */
-    public void tried(int messages) {
+    public void callWritten(int messages) {
         tries += messages;
     }
 
--- a/sender/src/main/java/amberroute/sender/lifecycle/FolderReclaim.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/FolderReclaim.java
@@ -6,30 +6,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Gets the state folder back after the process that it was given to has gone: whoever gave it away still has the clients and
- * the calls. The kernel frees a dying process's file locks before its connections, so the lock is free as soon as the line's end
- * is seen. Where it is not, another process owns the folder and may make the calls that are out here a second time: they are given
- * up at once. The lock is tried on, as that process may die too. Runs on a thread of its own, since opening a journal takes a
- * while; at most one runs for a sender.
+ * Reclaims the state folder after the successor process has gone: this process still has the clients and the calls in flight. The
+ * kernel frees the file locks of a dying process before its connections, so the lock is free as soon as the end of the transfer
+ * channel is seen. Where it is not, another process owns the folder and may repeat the calls in flight here: they are cancelled at
+ * once. The lock is tried again and again, as that process may die too. Runs on a thread of its own, as opening a journal takes a
+ * while; a sender runs at most one.
  */
 public final class FolderReclaim {
     private static final long RETRY_MS = 100;
-    /** A folder that nobody has and that cannot be opened for so long: the next process would not be able to either. */
-    private static final long GIVE_UP_MS = 20_000;
+    /** After so long with a free lock and a folder that cannot be opened, the next process could not open it either. */
+    private static final long TIMEOUT_MS = 20_000;
 
-    /** What has to be done; all but {@link #own} is called on the event loop. */
+    /** What has to be done; all but {@link #tryAcquire} is called on the event loop. */
     public interface Host {
         /** Takes the lock and opens the journal; false where another process has the lock. Not on the event loop. */
-        boolean own() throws IOException;
+        boolean tryAcquire() throws IOException;
 
-        /** The folder is this process's again: it goes on as after a start, with the calls and clients that it has. */
+        /** This process owns the folder again: it goes on as after a start, with its calls in flight and its clients. */
         void resume();
 
-        /** Another process may work on the same messages: nothing of them may go on here. */
+        /** Another process may deliver the same messages: all calls here end. */
         void abandon();
 
-        /** Nobody else has the folder, and it cannot be opened, or not be gone on with. */
-        void hopeless();
+        /** The folder cannot be opened, or its messages cannot be resumed; the process has to end. */
+        void failed();
     }
 
     private final EventLoop loop;
@@ -48,16 +48,16 @@
         thread.start();
     }
 
-    /** Whether the folder may be this process's within a moment, so that it must not end yet. */
-    public boolean promising() {
+    /** Whether this process may own the folder again within a moment, and must not end yet. */
+    public boolean possible() {
         return !abandoned && thread.isAlive();
     }
 
-    /** Ends it and waits until it has ended. Not on the event loop. */
+    /** Ends the reclaim and waits until it has ended. Not on the event loop. */
     public void cancel() {
         cancelled = true;
         try {
-            thread.join(GIVE_UP_MS);
+            thread.join(TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -68,7 +68,7 @@
         String lastFailure = "";
         while (!cancelled) {
             try {
-                if (host.own()) {
+                if (host.tryAcquire()) {
                     resume();
                     return;
                 }
@@ -80,8 +80,8 @@
                     LogEvent.of("reclaim_open_failed").cause(e).warn();
                 }
             }
-            if (failingSince != 0 && millisSince(failingSince) > GIVE_UP_MS) {
-                loop.execute(host::hopeless);
+            if (failingSince != 0 && millisSince(failingSince) > TIMEOUT_MS) {
+                loop.execute(host::failed);
                 return;
             }
             abandon();
@@ -89,12 +89,12 @@
         }
     }
 
-    /** One that owns the folder and does not serve would keep it from all others: it ends, and the next start goes on. */
+    /** A process that owns the folder without serving would block all others: on a failure it ends, and the next start goes on. */
     private void resume() {
         Throwable failure = loop.submit(host::resume).awaitUninterruptibly().cause();
         if (failure != null) {
             LogEvent.of("reclaim_resume_failed").cause(failure).warn();
-            loop.execute(host::hopeless);
+            loop.execute(host::failed);
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/lifecycle/HeapReserve.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/HeapReserve.java
@@ -13,7 +13,7 @@
     /** The heap of a configuration that says so is small: more than this is taken for a mistake. */
     private static final long MOST_BYTES = 1L << 28;
 
-    /** Left out, so that the block surely fits: a JVM may be told to exit where one does not. */
+    /** Not allocated, so that the block surely fits: a JVM may be set to exit when an allocation fails. */
     private static final long MARGIN_BYTES = 1L << 16;
 
     private HeapReserve() {}
--- a/sender/src/main/java/amberroute/sender/lifecycle/IncomingTransfer.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/IncomingTransfer.java
@@ -20,53 +20,63 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The side of a process that takes another's place while that one still runs. First it asks for the estate; from then on
- * it owns everything, and the other tells what its calls come to and what its clients still hand in. What is told before
- * {@link #open} waits until then. When the line ends, whatever was still out may have run, and nobody will tell.
+ * The successor's side of a transfer of ownership from a process that still runs. The predecessor first transfers its state; from
+ * then on this process owns all messages, and the predecessor forwards the outcomes of its calls and the submissions of its clients.
+ * Lines that come before {@link #open} wait until then. When the channel ends, the outcomes of calls in flight stay unknown. Event
+ * loop only, but for {@link #request}.
  */
 public final class IncomingTransfer {
     static final int VERSION = 1;
-    private static final long ANSWER_MS = 3_000;
+    private static final long ANSWER_TIMEOUT_MS = 3_000;
 
-    /** Where news go, on the event loop. */
+    /** Receives what the predecessor reports, on the event loop. */
     public interface Host {
-        /** What became of a message's attempt that was out; {@code uid} is empty where nobody can tell. */
-        void outcome(long number, String uid, AttemptOutcome ending, JsonObject told);
+        /**
+         * The outcome of a call in flight; {@code report} is the line, null and {@code uid} empty where the channel has ended and the
+         * outcome is unknown.
+         */
+        void outcome(long number, String uid, AttemptOutcome ending, JsonObject report);
 
-        /** A client of the other process handed this in. */
+        /** A client of the predecessor submitted this. */
         void submitted(ClientServer.Submission submission, ClientServer.Answer answer);
 
-        /** The other process is gone, or says nothing any more. */
-        void gone();
+        /** The channel has ended. */
+        void predecessorGone();
     }
 
     private final EventLoop loop;
     private final Host host;
-    private final CompletableFuture<JsonObject> estate = new CompletableFuture<>();
-    private final Deque<JsonObject> early = new ArrayDeque<>();
-    private final Set<Long> underway = new HashSet<>();
-    private final TransferChannel.Endpoint line = new TransferChannel.Endpoint(this::onWord, this::onEnd);
+    private final CompletableFuture<JsonObject> transferredState = new CompletableFuture<>();
+    private final Deque<JsonObject> deferredLines = new ArrayDeque<>();
+    private final Set<Long> callsInFlight = new HashSet<>();
+    private final TransferChannel.Endpoint channel = new TransferChannel.Endpoint(this::onLine, this::onDisconnected);
     private boolean opened;
-    private boolean ended;
+    private boolean disconnected;
 
+    /** Connects to no predecessor before {@link #request}. */
     public IncomingTransfer(EventLoop loop, Host host) {
         this.loop = loop;
         this.host = host;
     }
 
-    /** Asks for the estate. Null where nobody gives it: then the folder's lock tells what to do. Not on the loop. */
-    public JsonObject take(Path state) throws IOException {
-        if (!TransferChannel.connect(loop, state, line)) {
+    /**
+     * Requests the transfer and waits for the state. Not on the event loop.
+     *
+     * @return the state, null where no process transfers it: then the lock of the folder says whether one owns it
+     * @throws IOException if the thread is interrupted
+     */
+    public JsonObject request(Path state) throws IOException {
+        if (!TransferChannel.connect(loop, state, channel)) {
             return null;
         }
-        JsonObject word = word("take");
-        word.addProperty("v", VERSION);
-        word.addProperty("pid", ProcessHandle.current().pid());
-        loop.execute(() -> line.say(word));
+        JsonObject command = command("take");
+        command.addProperty("v", VERSION);
+        command.addProperty("pid", ProcessHandle.current().pid());
+        loop.execute(() -> channel.send(command));
         try {
-            return estate.get(ANSWER_MS, TimeUnit.MILLISECONDS);
+            return transferredState.get(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException | ExecutionException e) {
-            loop.execute(line::close);
+            loop.execute(channel::close);
             return null;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -74,80 +84,82 @@
         }
     }
 
-    /** All that was taken over is in place: news count from now on, and these messages are out over there. */
-    public void open(Set<Long> out) {
-        underway.addAll(out);
+    /** The state is in place: lines count from now on, and the predecessor has calls with these messages in flight. */
+    public void open(Set<Long> numbers) {
+        callsInFlight.addAll(numbers);
         opened = true;
-        while (!early.isEmpty()) {
-            act(early.poll());
+        while (!deferredLines.isEmpty()) {
+            carryOut(deferredLines.poll());
         }
-        if (ended) {
-            loseAll();
+        if (disconnected) {
+            abandonCalls();
         }
     }
 
-    /** Whether any call is out from the other process. */
-    public boolean busy() {
-        return !underway.isEmpty();
+    /** Whether the predecessor has any call in flight. */
+    public boolean hasCallsInFlight() {
+        return !callsInFlight.isEmpty();
     }
 
-    /** Whether a message's call is out from the other process. */
-    public boolean has(long number) {
-        return underway.contains(number);
+    /** Whether the predecessor has a call with this message in flight. */
+    public boolean callInFlight(long number) {
+        return callsInFlight.contains(number);
     }
 
+    /** Closes the channel. */
     public void close() {
-        line.close();
+        channel.close();
     }
 
+    /** Asks the predecessor to cancel the call with this message. */
     public void cancel(long number) {
-        JsonObject word = word("cancel");
-        word.addProperty("number", number);
-        line.say(word);
+        JsonObject command = command("cancel");
+        command.addProperty("number", number);
+        channel.send(command);
     }
 
-    private void onWord(JsonObject word) {
-        String what = word.get("do").getAsString();
-        if (what.equals("yours")) {
-            estate.complete(word.getAsJsonObject("estate"));
-        } else if (what.equals("no")) {
+    private void onLine(JsonObject command) {
+        String name = command.get("do").getAsString();
+        if (name.equals("yours")) {
+            transferredState.complete(command.getAsJsonObject("estate"));
+        } else if (name.equals("no")) {
             LogEvent.of("ownership_transfer_refused")
                     .with("side", "successor")
-                    .with("reason", word.get("why").getAsString())
+                    .with("reason", command.get("why").getAsString())
                     .warn();
-            estate.complete(null);
+            transferredState.complete(null);
         } else if (opened) {
-            act(word);
+            carryOut(command);
         } else {
-            early.add(word);
+            deferredLines.add(command);
         }
     }
 
-    private void act(JsonObject word) {
-        switch (word.get("do").getAsString()) {
+    private void carryOut(JsonObject command) {
+        switch (command.get("do").getAsString()) {
             case "outcome" -> {
-                long number = word.get("number").getAsLong();
-                if (underway.remove(number)) {
+                long number = command.get("number").getAsLong();
+                if (callsInFlight.remove(number)) {
                     host.outcome(
                             number,
-                            word.get("uid").getAsString(),
-                            AttemptOutcome.valueOf(word.get("ending").getAsString()),
-                            word);
+                            command.get("uid").getAsString(),
+                            AttemptOutcome.valueOf(command.get("ending").getAsString()),
+                            command);
                 }
             }
             case "submit" -> {
-                // The time that the message has left went on counting on its way here.
-                long passed = (System.nanoTime() - word.get("at").getAsLong()) / 1_000_000;
+                // The deadline came closer while the submission was on its way.
+                long passedMillis = (System.nanoTime() - command.get("at").getAsLong()) / 1_000_000;
                 host.submitted(
                         new ClientServer.Submission(
-                                Long.parseUnsignedLong(word.get("key").getAsString(), 16),
-                                word.get("id").getAsString(),
-                                word.get("class").getAsString(),
-                                Math.max(0, word.get("time_left").getAsLong() - passed),
-                                word.get("destination").getAsInt(),
-                                word.get("idempotency_key").getAsString(),
-                                Base64.getDecoder().decode(word.get("body").getAsString())),
-                        new ForwardedAnswer(word.get("asked").getAsLong()));
+                                Long.parseUnsignedLong(command.get("key").getAsString(), 16),
+                                command.get("id").getAsString(),
+                                command.get("class").getAsString(),
+                                Math.max(0, command.get("time_left").getAsLong() - passedMillis),
+                                command.get("destination").getAsInt(),
+                                command.get("idempotency_key").getAsString(),
+                                Base64.getDecoder().decode(command.get("body").getAsString())),
+                        new ForwardedAnswer(command.get("asked").getAsLong()));
             }
             default -> LogEvent.of("transfer_command_unknown")
                     .with("side", "successor")
@@ -155,49 +167,49 @@
         }
     }
 
-    private void onEnd() {
-        ended = true;
-        estate.complete(null);
+    private void onDisconnected() {
+        disconnected = true;
+        transferredState.complete(null);
         LogEvent.of("predecessor_disconnected")
-                .with("calls_in_flight", underway.size())
+                .with("calls_in_flight", callsInFlight.size())
                 .warn();
         if (opened) {
-            loseAll();
+            abandonCalls();
         }
-        host.gone();
+        host.predecessorGone();
     }
 
-    private void loseAll() {
-        List<Long> lost = new ArrayList<>(underway);
-        underway.clear();
+    private void abandonCalls() {
+        List<Long> lost = new ArrayList<>(callsInFlight);
+        callsInFlight.clear();
         lost.forEach(number -> host.outcome(number, "", AttemptOutcome.RESET, null));
     }
 
-    private static JsonObject word(String what) {
-        JsonObject word = new JsonObject();
-        word.addProperty("do", what);
-        return word;
+    private static JsonObject command(String name) {
+        JsonObject command = new JsonObject();
+        command.addProperty("do", name);
+        return command;
     }
 
-    /** An answer that goes back over the line. */
+    /** An answer to a client of the predecessor. */
     private final class ForwardedAnswer extends ClientServer.Answer {
-        private final long asked;
+        private final long submission;
 
-        ForwardedAnswer(long asked) {
-            this.asked = asked;
+        ForwardedAnswer(long submission) {
+            this.submission = submission;
         }
 
         @Override
         public boolean wanted() {
-            return !ended;
+            return !disconnected;
         }
 
         @Override
         public void line(String text) {
-            JsonObject word = word("answer");
-            word.addProperty("asked", asked);
-            word.addProperty("line", text);
-            line.say(word);
+            JsonObject command = command("answer");
+            command.addProperty("asked", submission);
+            command.addProperty("line", text);
+            channel.send(command);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/lifecycle/OrphanedJournalRecovery.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/OrphanedJournalRecovery.java
@@ -9,67 +9,74 @@
 import java.util.function.LongSupplier;
 
 /**
- * How the messages of an orphaned folder are cut into lots, and what each of them is for its new owner. Decides only:
- * whoever carries it out has raised the fence and read the journal behind it.
+ * Divides the messages of an orphaned state folder into batches and copies each message for its new owner. Decides only: the caller
+ * has raised the fencing token and read the journal after it. Times are wall time in milliseconds.
  *
- * <p>The names of the lots depend on nothing but the fence and the journal, so that an adoption that was cut off goes on
- * where it stood: a lot whose name the adopter's journal knows has been taken.
+ * <p>The names of the batches depend on the fencing token and the journal only, so that an interrupted adoption is continued: a batch
+ * whose name the adopter's journal has was adopted before.
  */
 public final class OrphanedJournalRecovery {
-    /** Of the names of lots that were adopted. */
+    /** Prefix of the names of adopted batches. */
     public static final String PREFIX = "adopted-";
-    /** Of one lot, so that its record stays within the journal's bound. */
-    public static final int MOST_MESSAGES = 64;
+    /** Bounds a batch so that its record stays within the bound of the journal. */
+    public static final int MAX_BATCH_MESSAGES = 64;
 
-    static final long MOST_BYTES = 96 << 10;
-    /** What no client waits for any more, and no notice can help, is left where it is. */
-    public static final long FORGOTTEN_MS = 3_600_000;
+    static final long MAX_BATCH_BYTES = 96 << 10;
+    /** A message that expired longer ago is not adopted, as no client waits for its outcome. */
+    public static final long EXPIRED_RETENTION_MS = 3_600_000;
 
     private OrphanedJournalRecovery() {}
 
-    /** Lots in the order of acceptance; a key's messages may be in several, which come one behind the other. */
-    public static Map<String, List<AcceptedMessage>> lots(String fence, Collection<AcceptedMessage> live, long wall) {
-        Map<String, List<AcceptedMessage>> lots = new LinkedHashMap<>();
-        List<AcceptedMessage> lot = new ArrayList<>();
+    /** Batches in the order of acceptance by name; messages of one key may be in several successive batches. */
+    public static Map<String, List<AcceptedMessage>> batches(
+            String token, Collection<AcceptedMessage> live, long nowMillis) {
+        Map<String, List<AcceptedMessage>> batches = new LinkedHashMap<>();
+        List<AcceptedMessage> batch = new ArrayList<>();
         long bytes = 0;
-        for (AcceptedMessage m : live) {
-            if (m.deadline + FORGOTTEN_MS < wall) {
+        for (AcceptedMessage message : live) {
+            if (message.deadline + EXPIRED_RETENTION_MS < nowMillis) {
                 continue;
             }
-            long size = m.body.length + 1_024L;
-            if (!lot.isEmpty() && (lot.size() == MOST_MESSAGES || bytes + size > MOST_BYTES)) {
-                lots.put(PREFIX + fence + "-" + lot.get(0).number, lot);
-                lot = new ArrayList<>();
+            long size = message.body.length + 1_024L;
+            if (!batch.isEmpty() && (batch.size() == MAX_BATCH_MESSAGES || bytes + size > MAX_BATCH_BYTES)) {
+                batches.put(PREFIX + token + "-" + batch.get(0).number, batch);
+                batch = new ArrayList<>();
                 bytes = 0;
             }
-            lot.add(m);
+            batch.add(message);
             bytes += size;
         }
-        if (!lot.isEmpty()) {
-            lots.put(PREFIX + fence + "-" + lot.get(0).number, lot);
+        if (!batch.isEmpty()) {
+            batches.put(PREFIX + token + "-" + batch.get(0).number, batch);
         }
-        return lots;
+        return batches;
     }
 
     /**
-     * The message as its new owner has it: what was out may have run, and a notice that is owed stays owed. One that had
-     * been offered to a peer may be that peer's by now, and only its old owner could ask: it has failed, which promises
-     * nothing.
+     * The message as its new owner has it: a call in flight may have run, and a notification that is not acknowledged is sent again. A
+     * message that was offered to a peer may be that peer's, and only its old owner could ask: it has failed, which promises nothing.
      */
-    public static AcceptedMessage copy(AcceptedMessage m, LongSupplier numbers) {
-        AcceptedMessage own = new AcceptedMessage(
-                numbers.getAsLong(), m.id, m.idempotencyKey, m.className, m.key, m.destination, m.deadline, m.body);
-        own.attempts = m.attempts;
-        own.doubtSince = m.doubtSince;
-        own.doubtAt = m.doubtAt;
-        own.sentAt = m.sentAt;
-        own.sentTo = m.sentTo;
-        if (m.out) {
-            own.outcome(true);
+    public static AcceptedMessage copy(AcceptedMessage message, LongSupplier numbers) {
+        AcceptedMessage copy = new AcceptedMessage(
+                numbers.getAsLong(),
+                message.id,
+                message.idempotencyKey,
+                message.className,
+                message.key,
+                message.destination,
+                message.deadline,
+                message.body);
+        copy.attempts = message.attempts;
+        copy.doubtSince = message.doubtSince;
+        copy.doubtAt = message.doubtAt;
+        copy.sentAt = message.sentAt;
+        copy.sentTo = message.sentTo;
+        if (message.out) {
+            copy.outcome(true);
         }
-        if (m.notice != null || m.frozen) {
-            own.end(m.notice != null ? m.notice : m.failed());
+        if (message.notice != null || message.frozen) {
+            copy.end(message.notice != null ? message.notice : message.failed());
         }
-        return own;
+        return copy;
     }
 }
--- a/sender/src/main/java/amberroute/sender/lifecycle/OutgoingTransfer.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/OutgoingTransfer.java
@@ -16,97 +16,101 @@
 import java.util.Map;
 
 /**
- * The side of a process that lets another take its place: it gives everything away in one step and then only carries out what
- * the successor asks. What its calls come to, and what its clients still hand in, goes over the line; the answers come back. At
- * most {@value #MOST_ASKED} submissions wait there; a further one is refused at once. When the successor dies, what was told to
- * it and what was asked of it is still here, for whoever owns the folder next in this process ({@link #takeBack}).
+ * The predecessor's side of a transfer of ownership. It transfers its state in one step; from then on it only ends its calls and
+ * forwards their outcomes and the submissions of its clients, whose answers come back. At most {@value #MAX_UNANSWERED} submissions
+ * wait for an answer; a further one is rejected at once. When the successor is gone, what it was sent and has perhaps not processed is
+ * available from {@link #takeBack}. Event loop only, but for {@link #listen}.
  */
 public final class OutgoingTransfer {
-    static final int MOST_ASKED = 2_048;
+    static final int MAX_UNANSWERED = 2_048;
 
-    /** What giving away means to the sender; called on the event loop. */
+    /** What a transfer means to the sender; called on the event loop. */
     public interface Host {
-        /** Null if the sender may give itself away now, or why not. */
-        String refusal();
+        /** Why the ownership cannot be transferred now, null where it can. */
+        String rejectionReason();
 
-        /** Gives all away: from its return on this process owns nothing, and another may take the folder. */
-        JsonObject give();
+        /** Releases the ownership and returns the state: when this returns, the successor may lock the state folder. */
+        JsonObject releaseOwnership();
 
-        /** The one that took over wants the call stopped that carries this message. */
+        /** The successor cancels the call with this message. */
         void cancel(long number);
 
-        /** The one that took over is gone, and with it whoever owned the messages. */
-        void orphaned();
+        /** The successor, and with it the owner of the messages, is gone. */
+        void successorGone();
     }
 
-    /** A submission whose answer is still to come, and when it was passed on, in nanoseconds of the monotonic clock. */
-    private record ForwardedSubmission(ClientServer.Submission submission, ClientServer.Answer answer, long at) {}
+    /** A submission without an answer, and when it was forwarded, in nanoseconds of the monotonic clock. */
+    private record ForwardedSubmission(
+            ClientServer.Submission submission, ClientServer.Answer answer, long forwardedAtNanos) {}
 
-    /** What the successor was told and asked; it may have acted on any part of it, which only the journal tells. */
+    /** What the successor was sent; the journal says which part of it the successor has processed. */
     public record UnacknowledgedWork(List<UpstreamClient.Result> outcomes, List<Resubmission> submissions) {}
 
-    /** A submission with the time that it has left now. */
+    /** A submission with the time left now. */
     public record Resubmission(ClientServer.Submission submission, ClientServer.Answer answer) {}
 
     private final EventLoop loop;
     private final Host host;
     private Channel server;
-    private final Map<Long, ForwardedSubmission> asked = new LinkedHashMap<>();
-    /** Outcomes that the successor was told; at most one for each call that was out when it took over. */
-    private final List<UpstreamClient.Result> told = new ArrayList<>();
+    private final Map<Long, ForwardedSubmission> unanswered = new LinkedHashMap<>();
+    /** Outcomes that the successor was sent; at most one for each call in flight at the transfer. */
+    private final List<UpstreamClient.Result> forwardedOutcomes = new ArrayList<>();
 
-    private long nextAsked = 1;
+    private long nextSubmission = 1;
     private TransferChannel.Endpoint successor;
-    /** Its process id, 0 where it did not tell. */
+    /** The process id of the successor, 0 where it is unknown. */
     private long successorProcess;
 
-    private boolean gone;
-    /** Nobody will answer what is asked here. */
+    private boolean successorGone;
+    /** Whether no process will answer submissions. */
     private boolean abandoned;
 
+    /** Listens to no successor before {@link #listen}. */
     public OutgoingTransfer(EventLoop loop, Host host) {
         this.loop = loop;
         this.host = host;
     }
 
-    /** Listens, also where another process did meanwhile; the folder's lock has to be held. Not on the event loop. */
+    /** Listens for a successor, also anew; the lock of the folder has to be held. Not on the event loop. */
     public void listen(Path state) throws IOException {
         if (server != null) {
             server.close().awaitUninterruptibly();
         }
         server = TransferChannel.listen(loop, state, () -> {
-            TransferChannel.Endpoint[] line = new TransferChannel.Endpoint[1];
-            line[0] = new TransferChannel.Endpoint(word -> onWord(line[0], word), () -> onEnd(line[0]));
-            return line[0];
+            TransferChannel.Endpoint[] channel = new TransferChannel.Endpoint[1];
+            channel[0] = new TransferChannel.Endpoint(
+                    command -> onLine(channel[0], command), () -> onDisconnected(channel[0]));
+            return channel[0];
         });
     }
 
-    /** This process ends: that its line to the successor ends with it says nothing of the successor. */
+    /** Closes the listener because this process ends; the end of the channel does not count as the end of the successor. */
     public void close() {
-        gone = true;
+        successorGone = true;
         if (server != null) {
             server.close();
         }
     }
 
-    /** Submissions whose answer is still to come. */
-    public int waiting() {
-        return asked.size();
+    /** The number of submissions without an answer. */
+    public int unansweredSubmissions() {
+        return unanswered.size();
     }
 
-    private void onWord(TransferChannel.Endpoint line, JsonObject word) {
-        switch (word.get("do").getAsString()) {
-            case "take" -> take(line, word);
+    private void onLine(TransferChannel.Endpoint channel, JsonObject command) {
+        switch (command.get("do").getAsString()) {
+            case "take" -> transfer(channel, command);
             case "cancel" -> {
-                if (line == successor) {
-                    host.cancel(word.get("number").getAsLong());
+                if (channel == successor) {
+                    host.cancel(command.get("number").getAsLong());
                 }
             }
             case "answer" -> {
-                ForwardedSubmission answered =
-                        line == successor ? asked.remove(word.get("asked").getAsLong()) : null;
+                ForwardedSubmission answered = channel == successor
+                        ? unanswered.remove(command.get("asked").getAsLong())
+                        : null;
                 if (answered != null) {
-                    answered.answer().line(word.get("line").getAsString());
+                    answered.answer().line(command.get("line").getAsString());
                 }
             }
             default -> LogEvent.of("transfer_command_unknown")
@@ -115,106 +119,109 @@
         }
     }
 
-    private void take(TransferChannel.Endpoint line, JsonObject word) {
+    private void transfer(TransferChannel.Endpoint channel, JsonObject command) {
         String refusal = successor != null
                 ? "given away already"
-                : word.get("v").getAsInt() != IncomingTransfer.VERSION ? "another version of the line" : host.refusal();
+                : command.get("v").getAsInt() != IncomingTransfer.VERSION
+                        ? "another version of the line"
+                        : host.rejectionReason();
         if (refusal != null) {
-            JsonObject no = word("no");
-            no.addProperty("why", refusal);
-            line.say(no);
+            JsonObject answer = command("no");
+            answer.addProperty("why", refusal);
+            channel.send(answer);
             LogEvent.of("ownership_transfer_refused")
                     .with("side", "predecessor")
                     .with("reason", refusal)
                     .warn();
             return;
         }
-        successor = line;
-        successorProcess = word.has("pid") ? word.get("pid").getAsLong() : 0;
-        JsonObject yours = word("yours");
-        yours.add("estate", host.give());
-        line.say(yours);
+        successor = channel;
+        successorProcess = command.has("pid") ? command.get("pid").getAsLong() : 0;
+        JsonObject answer = command("yours");
+        answer.add("estate", host.releaseOwnership());
+        channel.send(answer);
     }
 
-    private void onEnd(TransferChannel.Endpoint line) {
-        if (line != successor || gone) {
+    private void onDisconnected(TransferChannel.Endpoint channel) {
+        if (channel != successor || successorGone) {
             return;
         }
-        gone = true;
+        successorGone = true;
         LogEvent.of("successor_disconnected")
                 .with("process", successorProcess)
-                .with("unanswered_submissions", asked.size())
+                .with("unanswered_submissions", unanswered.size())
                 .warn();
-        host.orphaned();
+        host.successorGone();
     }
 
-    /** Another process owns the folder and does not know this one: whether it took them on nobody can tell here. */
+    /** Another process owns the folder and has no channel to this one: whether it accepted the submissions is unknown. */
     public void abandon() {
         abandoned = true;
-        List<ForwardedSubmission> left = List.copyOf(asked.values());
-        asked.clear();
-        left.forEach(one -> one.answer().error("the process that took over is gone"));
+        List<ForwardedSubmission> remaining = List.copyOf(unanswered.values());
+        unanswered.clear();
+        remaining.forEach(forwarded -> forwarded.answer().error("the process that took over is gone"));
     }
 
-    /** This process owns the folder again, and another may ask for it. */
+    /** This process owns the folder again, and the next successor may request it. Returns what the last one was sent. */
     public UnacknowledgedWork takeBack() {
-        UnacknowledgedWork unsettled = new UnacknowledgedWork(
-                List.copyOf(told),
-                asked.values().stream().map(OutgoingTransfer::again).toList());
-        told.clear();
-        asked.clear();
+        UnacknowledgedWork unacknowledged = new UnacknowledgedWork(
+                List.copyOf(forwardedOutcomes),
+                unanswered.values().stream().map(OutgoingTransfer::resubmission).toList());
+        forwardedOutcomes.clear();
+        unanswered.clear();
         successor = null;
-        gone = false;
+        successorGone = false;
         abandoned = false;
-        return unsettled;
+        return unacknowledged;
     }
 
-    private static Resubmission again(ForwardedSubmission one) {
-        long passed = (System.nanoTime() - one.at()) / 1_000_000;
-        return new Resubmission(one.submission().after(passed), one.answer());
+    private static Resubmission resubmission(ForwardedSubmission forwarded) {
+        long passedMillis = (System.nanoTime() - forwarded.forwardedAtNanos()) / 1_000_000;
+        return new Resubmission(forwarded.submission().after(passedMillis), forwarded.answer());
     }
 
-    /** Passes a submission on, whose answer follows; false where there is no room or nobody to ask. */
-    public boolean submit(ClientServer.Submission s, ClientServer.Answer answer) {
-        if (abandoned || asked.size() >= MOST_ASKED || !gone && successor.crowded()) {
+    /** Forwards a submission, whose answer follows; false where too many are unanswered or the successor is gone. */
+    public boolean forwardSubmission(ClientServer.Submission submission, ClientServer.Answer answer) {
+        if (abandoned || unanswered.size() >= MAX_UNANSWERED || !successorGone && successor.congested()) {
             return false;
         }
-        long number = nextAsked++;
-        long now = System.nanoTime();
-        asked.put(number, new ForwardedSubmission(s, answer, now));
-        JsonObject word = word("submit");
-        word.addProperty("asked", number);
-        word.addProperty("at", now);
-        word.addProperty("key", Long.toHexString(s.key()));
-        word.addProperty("id", s.id());
-        word.addProperty("class", s.className());
-        word.addProperty("time_left", s.timeLeft());
-        word.addProperty("destination", s.destination());
-        word.addProperty("idempotency_key", s.idempotencyKey());
-        word.addProperty("body", Base64.getEncoder().encodeToString(s.body()));
-        successor.say(word);
+        long number = nextSubmission++;
+        long nowNanos = System.nanoTime();
+        unanswered.put(number, new ForwardedSubmission(submission, answer, nowNanos));
+        JsonObject command = command("submit");
+        command.addProperty("asked", number);
+        command.addProperty("at", nowNanos);
+        command.addProperty("key", Long.toHexString(submission.key()));
+        command.addProperty("id", submission.id());
+        command.addProperty("class", submission.className());
+        command.addProperty("time_left", submission.timeLeft());
+        command.addProperty("destination", submission.destination());
+        command.addProperty("idempotency_key", submission.idempotencyKey());
+        command.addProperty("body", Base64.getEncoder().encodeToString(submission.body()));
+        successor.send(command);
         return true;
     }
 
-    public void outcome(UpstreamClient.Result r, String uid) {
-        told.add(r);
-        JsonObject word = word("outcome");
-        word.addProperty("number", r.message().number);
-        word.addProperty("uid", uid);
-        word.addProperty("ending", r.ending().name());
-        word.addProperty("took", r.took());
-        word.addProperty("closed", r.closed());
-        word.addProperty("wait", r.toldWait());
-        word.addProperty("idle", r.idle());
+    /** Sends the outcome of a call to the successor; {@code uid} is the one of its endpoint. */
+    public void forwardOutcome(UpstreamClient.Result result, String uid) {
+        forwardedOutcomes.add(result);
+        JsonObject command = command("outcome");
+        command.addProperty("number", result.message().number);
+        command.addProperty("uid", uid);
+        command.addProperty("ending", result.ending().name());
+        command.addProperty("took", result.took());
+        command.addProperty("closed", result.closed());
+        command.addProperty("wait", result.toldWait());
+        command.addProperty("idle", result.idle());
         JsonArray report = new JsonArray();
-        r.report().forEach(report::add);
-        word.add("report", report);
-        successor.say(word);
+        result.report().forEach(report::add);
+        command.add("report", report);
+        successor.send(command);
     }
 
-    private static JsonObject word(String what) {
-        JsonObject word = new JsonObject();
-        word.addProperty("do", what);
-        return word;
+    private static JsonObject command(String name) {
+        JsonObject command = new JsonObject();
+        command.addProperty("do", name);
+        return command;
     }
 }
--- a/sender/src/main/java/amberroute/sender/lifecycle/ServiceManagerNotifier.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ServiceManagerNotifier.java
@@ -33,7 +33,7 @@
     }
 
     /** Sends in the background; does nothing where nobody asked for it. */
-    public void tell(String state) {
+    public void report(String state) {
         if (socket != null && !socket.isEmpty()) {
             Thread thread = new Thread(() -> send(state), "notify");
             thread.setDaemon(true);
--- a/sender/src/main/java/amberroute/sender/lifecycle/ShutdownCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ShutdownCoordinator.java
@@ -115,7 +115,7 @@
      * the time.
      */
     public long retryAdviceMillis(double place) {
-        return sequence.advice(nowMillis(), clientServer.connections(), place);
+        return sequence.retryAdviceMillis(nowMillis(), clientServer.connections(), place);
     }
 
     /** The sender serves: a stop that was requested early begins. */
@@ -140,7 +140,7 @@
         }
         sequence = new ShutdownSequence(mode, nowMillis(), withinMillis, restartMillis);
         lifecycle.enter(LifecyclePhase.DRAINING);
-        serviceManager.tell("STOPPING=1");
+        serviceManager.report("STOPPING=1");
         if (mode != ShutdownSequence.Mode.RESTART) {
             clientServer.retireAnswered();
             connectionsPerStep = 1 + clientServer.connections() / RETIREMENT_STEPS;
@@ -151,7 +151,7 @@
                 .with("within_ms", withinMillis)
                 .with("messages", host.accepted().size())
                 .warn();
-        host.announceStop(TimeUnit.MILLISECONDS.toMicros(sequence.deliverLeft(nowMillis())));
+        host.announceStop(TimeUnit.MILLISECONDS.toMicros(sequence.deliveryMillisLeft(nowMillis())));
         if (steps == null) {
             steps = loop.scheduleWithFixedDelay(this::step, 0, STEP_MS, TimeUnit.MILLISECONDS);
         }
@@ -176,15 +176,15 @@
                     host.offerMessages();
                 }
             }
-            case CALL_OFF -> {
+            case CANCEL_CALLS -> {
                 callsStopped = true;
                 upstream.callOff();
             }
-            case END_ALL -> {
+            case COMPLETE_ALL -> {
                 callsStopped = true;
                 host.completeAll();
             }
-            case AWAIT_NOTICES -> {}
+            case AWAIT_NOTIFICATIONS -> {}
             case CLOSE -> {
                 clientServer.closeDoor();
                 clientServer.closeIdle();
@@ -201,7 +201,7 @@
         if (!isFinal) {
             host.announceReturn();
         }
-        boolean leftOver = load.held() > 0 || load.noticesOut() > 0;
+        boolean leftOver = load.pendingMessages() > 0 || load.pendingNotifications() > 0;
         exitCode.complete(leftOver && isFinal ? EXIT_LEFT_OVER : 0);
     }
 
--- a/sender/src/main/java/amberroute/sender/lifecycle/ShutdownSequence.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ShutdownSequence.java
@@ -3,16 +3,15 @@
 import amberroute.sender.client.OrderlyClose;
 
 /**
- * What a stop does with what is held, step by step: who is told what, when calls are called off, and when the process
- * may end. Decides only; times are milliseconds on the caller's clock, and whoever carries it out asks
- * {@link #next} again and again.
+ * The steps of a stop: when calls are cancelled, when messages are completed, and when the process may end. Decides only; times are
+ * milliseconds on the caller's clock, and the caller asks {@link #next} again and again.
  *
- * <p>A restart goes on delivering until nothing is held or its deadline comes; the rest stays in the journal, which the
- * next process owes. A stop for good gives every message its final answer: it delivers until {@link #CUT_SHARE} of its
- * time is gone, then calls off what is out, ends all that is left, and waits for the notices to be answered.
+ * <p>A stop for a restart delivers until no message is pending or its deadline comes; the journal has the rest for the next process. A
+ * stop for good gives each message its final outcome: it delivers for {@link #DELIVERY_SHARE} of its time, then cancels calls in
+ * flight, completes the messages that are left, and waits until the notifications are acknowledged.
  */
 public final class ShutdownSequence {
-    /** What the next process may count on: all that is left, what no peer takes, or nothing, as there is none. */
+    /** Who continues: the next process, peers and then the next process, or nobody. */
     public enum Mode {
         RESTART,
         MOVE,
@@ -21,96 +20,100 @@
 
     /** What to do now. */
     public enum Step {
-        /** Goes on as before, but takes nothing new. */
+        /** Delivers, but accepts nothing new. */
         DELIVER,
-        /** Calls off all calls that are out, and starts none. */
-        CALL_OFF,
-        /** Ends all that is held by notices. */
-        END_ALL,
-        /** Waits for notices to be answered. */
-        AWAIT_NOTICES,
-        /** Takes no connection any more and closes those on which nobody waits: what was just answered still leaves. */
+        /** Cancels all calls in flight, and starts none. */
+        CANCEL_CALLS,
+        /** Completes all pending messages as undelivered. */
+        COMPLETE_ALL,
+        /** Waits until notifications are acknowledged. */
+        AWAIT_NOTIFICATIONS,
+        /** Accepts no connection and closes idle ones, so that the last answers still leave. */
         CLOSE,
         /** The process may end. */
         DONE
     }
 
-    /** What there is to do, as counted by the caller; {@code clients} are their connections, with those that still close. */
-    public record Load(int held, int callsOut, int noticesOut, int clients) {}
+    /** The remaining work; {@code clientConnections} includes those that are closing. */
+    public record Load(int pendingMessages, int callsInFlight, int pendingNotifications, int clientConnections) {}
 
-    /** Of a final stop's time, what delivering may take; the rest is for calls to end and for notices. */
-    static final double CUT_SHARE = 0.7;
-    /** However long the time, so much is enough for calls to be closed and notices to be answered. */
-    static final long CUT_MOST = 3_000;
-    /** Clients of one that leaves for good come to others so many milliseconds apart, and within this time. */
-    static final long SPREAD = 5;
+    /** The share of a final stop's time for deliveries; the rest is for cancelled calls and for notifications. */
+    static final double DELIVERY_SHARE = 0.7;
+    /** The longest time for cancelled calls and for notifications. */
+    static final long MAX_COMPLETION_MS = 3_000;
+    /** After a final stop rejected clients return so far apart, within {@link #MAX_RETRY_SPREAD_MS}. */
+    static final long RETRY_SPREAD_MS = 5;
 
-    public static final long SPREAD_LONGEST = 1_000;
-    /** The last answers and closes pass on the sockets before the process ends; those who are slow to read them have longer. */
-    static final long LINGER = 60;
+    public static final long MAX_RETRY_SPREAD_MS = 1_000;
+    /** How long the last answers may take to leave; slow readers have {@link #MAX_LINGER_MS}. */
+    static final long LINGER_MS = 60;
 
-    static final long LINGER_LONGEST = OrderlyClose.LINGER_MS;
+    static final long MAX_LINGER_MS = OrderlyClose.LINGER_MS;
 
     private final Mode mode;
     private final long deadline;
-    private final long cutAt;
-    private final long backAfter;
-    private long quietSince = -1;
+    private final long deliveryEndsAt;
+    private final long restartMillis;
+    private long idleSince = -1;
 
-    /** {@code backAfter} is how long after its end a restarted sender serves again. */
-    public ShutdownSequence(Mode mode, long now, long span, long backAfter) {
+    /** {@code restartMillis} is how long after its end a restarted sender serves again. */
+    public ShutdownSequence(Mode mode, long nowMillis, long withinMillis, long restartMillis) {
         this.mode = mode;
-        this.backAfter = backAfter;
-        deadline = now + span;
-        cutAt = deadline - Math.min(CUT_MOST, (long) (span * (1 - CUT_SHARE)));
+        this.restartMillis = restartMillis;
+        deadline = nowMillis + withinMillis;
+        deliveryEndsAt = deadline - Math.min(MAX_COMPLETION_MS, (long) (withinMillis * (1 - DELIVERY_SHARE)));
     }
 
+    /** Who continues after this stop. */
     public Mode mode() {
         return mode;
     }
 
-    long left(long now) {
-        return Math.max(0, deadline - now);
+    long left(long nowMillis) {
+        return Math.max(0, deadline - nowMillis);
     }
 
-    /** How long calls may still take, for the decisions that look ahead. */
-    public long deliverLeft(long now) {
-        return Math.max(0, (mode == Mode.FINAL ? cutAt : deadline) - now);
+    /** How long calls may still take, for decisions that look ahead. */
+    public long deliveryMillisLeft(long nowMillis) {
+        return Math.max(0, (mode == Mode.FINAL ? deliveryEndsAt : deadline) - nowMillis);
     }
 
     /**
-     * When whoever is turned away may come again: to this sender after a restart; after a last stop to others, spread over
-     * {@link #SPREAD} for each of so many connections so that they are not rushed, by a random {@code place} from 0 to 1.
+     * When a rejected client may come again: to this sender after a restart; after a final stop to others, {@link #RETRY_SPREAD_MS}
+     * apart for each connection so that they are not overloaded. {@code place}, from 0 to 1, is the client's random place in that.
      */
-    public long advice(long now, int connections, double place) {
+    public long retryAdviceMillis(long nowMillis, int connections, double place) {
         return mode != Mode.FINAL
-                ? left(now) + backAfter
-                : (long) (place * Math.min(SPREAD_LONGEST, SPREAD * connections));
+                ? left(nowMillis) + restartMillis
+                : (long) (place * Math.min(MAX_RETRY_SPREAD_MS, RETRY_SPREAD_MS * connections));
     }
 
-    public Step next(long now, Load load) {
-        boolean over = now >= deadline;
-        if (load.held() > 0 && !over) {
-            if (mode != Mode.FINAL || now < cutAt) {
-                quietSince = -1;
+    /** The step to carry out now. */
+    public Step next(long nowMillis, Load load) {
+        boolean over = nowMillis >= deadline;
+        if (load.pendingMessages() > 0 && !over) {
+            if (mode != Mode.FINAL || nowMillis < deliveryEndsAt) {
+                idleSince = -1;
                 return Step.DELIVER;
             }
-            return load.callsOut() > 0 ? Step.CALL_OFF : Step.END_ALL;
+            return load.callsInFlight() > 0 ? Step.CANCEL_CALLS : Step.COMPLETE_ALL;
         }
-        if (load.noticesOut() > 0 && !over) {
-            return Step.AWAIT_NOTICES;
+        if (load.pendingNotifications() > 0 && !over) {
+            return Step.AWAIT_NOTIFICATIONS;
         }
-        if (quietSince < 0) {
-            quietSince = now;
+        if (idleSince < 0) {
+            idleSince = nowMillis;
         }
-        return now - quietSince >= (load.clients() > 0 && !over ? LINGER_LONGEST : LINGER) ? Step.DONE : Step.CLOSE;
+        return nowMillis - idleSince >= (load.clientConnections() > 0 && !over ? MAX_LINGER_MS : LINGER_MS)
+                ? Step.DONE
+                : Step.CLOSE;
     }
 
     /**
-     * How a message ends that no call may be made for any more. A refusal promises that handing it in again does no
-     * harm: so only where it surely has not run, or where running twice does none.
+     * Whether a message without a further call is completed as rejected, and not as failed. A rejection promises that submitting it
+     * again does no harm: so only where it surely has not run, or where running twice does none.
      */
-    public static boolean mayReturn(boolean mayHaveRun, boolean safe, boolean keyedEverywhere) {
-        return !mayHaveRun || safe || keyedEverywhere;
+    public static boolean mayReject(boolean mayHaveRun, boolean idempotent, boolean idempotentWithKey) {
+        return !mayHaveRun || idempotent || idempotentWithKey;
     }
 }
--- a/sender/src/main/java/amberroute/sender/lifecycle/TransferChannel.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/TransferChannel.java
@@ -24,17 +24,16 @@
 import java.util.function.Consumer;
 
 /**
- * The line between a process and the one that takes its place while it still runs: a Unix socket in the state folder,
- * which only its owner may open, one JSON object a line. What is said on it, and what it means, is in
- * {@code docs/replacing.md}; this class only carries lines.
+ * The channel between a process and its successor: a Unix socket in the state folder, which only its owner may open, with one JSON
+ * object a line. Carries lines only; {@code docs/replacing.md} says what they mean.
  */
 public final class TransferChannel {
-    /** Of the words between the two; the one that passes the estate on is the longest. */
-    static final int LONGEST_LINE = 8 << 20;
-    /** From whoever connects, before it has taken over: its words are short but for answers to clients. */
-    private static final int LONGEST_ASKED = 64 << 10;
-    /** A Unix socket's path may be so long on Linux. */
-    private static final int LONGEST_PATH = 107;
+    /** Bound of a line from the predecessor; the transferred state is the longest. */
+    static final int MAX_LINE_BYTES = 8 << 20;
+    /** Bound of a line from a process that connects: its lines are short, apart from answers to clients. */
+    private static final int MAX_REQUEST_BYTES = 64 << 10;
+    /** The longest path of a Unix socket on Linux. */
+    private static final int MAX_SOCKET_PATH_BYTES = 107;
 
     private TransferChannel() {}
 
@@ -42,24 +41,26 @@
         return state.resolve("successor");
     }
 
-    public static boolean possible(Path state) {
-        return socket(state).toAbsolutePath().toString().getBytes(StandardCharsets.UTF_8).length <= LONGEST_PATH;
+    /** Whether a socket in this folder has a path that is short enough. */
+    public static boolean supported(Path state) {
+        return socket(state).toAbsolutePath().toString().getBytes(StandardCharsets.UTF_8).length
+                <= MAX_SOCKET_PATH_BYTES;
     }
 
-    /** One end of the line; used on the event loop only. */
+    /** One end of the channel. Event loop only. */
     static final class Endpoint extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Consumer<JsonObject> words;
-        private final Runnable ended;
+        private final Consumer<JsonObject> lines;
+        private final Runnable disconnected;
         private Channel channel;
 
         Endpoint(Consumer<JsonObject> words, Runnable ended) {
-            this.words = words;
-            this.ended = ended;
+            this.lines = words;
+            this.disconnected = ended;
         }
 
-        void say(JsonObject word) {
+        void send(JsonObject command) {
             if (channel != null && channel.isActive()) {
-                channel.writeAndFlush(Unpooled.copiedBuffer(word + "\n", StandardCharsets.UTF_8));
+                channel.writeAndFlush(Unpooled.copiedBuffer(command + "\n", StandardCharsets.UTF_8));
             }
         }
 
@@ -69,8 +70,8 @@
             }
         }
 
-        /** Whether so much waits to be read that nothing more should be said but what must. */
-        boolean crowded() {
+        /** Whether so much is buffered that nothing more may be sent but what cannot be dropped. */
+        boolean congested() {
             return channel == null || !channel.isWritable();
         }
 
@@ -81,9 +82,9 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            JsonObject word;
+            JsonObject command;
             try {
-                word = JsonParser.parseString(line.toString(StandardCharsets.UTF_8))
+                command = JsonParser.parseString(line.toString(StandardCharsets.UTF_8))
                         .getAsJsonObject();
             } catch (RuntimeException e) {
                 LogEvent.of("transfer_line_unreadable").cause(e).warn();
@@ -91,7 +92,7 @@
                 return;
             }
             try {
-                words.accept(word);
+                lines.accept(command);
             } catch (RuntimeException e) {
                 LogEvent.of("transfer_command_failed").cause(e).warn();
                 context.close();
@@ -100,7 +101,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended.run();
+            disconnected.run();
         }
 
         @Override
@@ -109,11 +110,11 @@
         }
     }
 
-    /** Whoever comes gets a line of its own; {@code welcome} makes it. The state folder's lock has to be held. */
-    static Channel listen(EventLoop loop, Path state, java.util.function.Supplier<Endpoint> welcome)
+    /** Listens; {@code endpoints} makes the end of each accepted channel. The lock of the state folder has to be held. */
+    static Channel listen(EventLoop loop, Path state, java.util.function.Supplier<Endpoint> endpoints)
             throws IOException {
-        Path at = socket(state);
-        Files.deleteIfExists(at);
+        Path address = socket(state);
+        Files.deleteIfExists(address);
         try {
             Channel server = new ServerBootstrap()
                     .group(loop, loop)
@@ -122,23 +123,23 @@
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline()
-                                    .addLast(new LineBasedFrameDecoder(LONGEST_ASKED, true, true), welcome.get());
+                                    .addLast(new LineBasedFrameDecoder(MAX_REQUEST_BYTES, true, true), endpoints.get());
                         }
                     })
-                    .bind(UnixDomainSocketAddress.of(at))
+                    .bind(UnixDomainSocketAddress.of(address))
                     .sync()
                     .channel();
-            Files.setPosixFilePermissions(at, PosixFilePermissions.fromString("rw-------"));
+            Files.setPosixFilePermissions(address, PosixFilePermissions.fromString("rw-------"));
             return server;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting", e);
         } catch (Exception e) {
-            throw new IOException("socket " + at + ": " + e.getMessage(), e);
+            throw new IOException("socket " + address + ": " + e.getMessage(), e);
         }
     }
 
-    /** Connects to the process that holds the folder; false where nobody listens. Not on the event loop. */
+    /** Connects to the process that owns the folder; false where none listens. Not on the event loop. */
     static boolean connect(EventLoop loop, Path state, Endpoint line) throws IOException {
         try {
             return new Bootstrap()
@@ -147,7 +148,7 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE, true, true), line);
+                            channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), line);
                         }
                     })
                     .connect(UnixDomainSocketAddress.of(socket(state)))
--- a/sender/src/main/java/amberroute/sender/message/DeduplicationCache.java
+++ b/sender/src/main/java/amberroute/sender/message/DeduplicationCache.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 
 /**
- * Ids of messages that are over, as a client may hand one in twice: for {@link #REACH_NANOS} each, as long as they
- * all fit the bound. Beyond it those go first whose repeating does least harm: safe ones, then keyed, then unsafe, the
- * oldest of a kind first; so a burst of what may be repeated pushes out nothing that may not. Times are of one monotonic
- * clock in nanoseconds and are not kept over a restart: what is found then has its whole reach again. Reads no clock.
+ * The ids of completed messages, as a client may submit a message twice: for {@link #RETENTION_NANOS} each, as long as they fit the
+ * bound. Beyond it those are evicted first whose repetition does least harm: idempotent ones, then those with an idempotency key, then
+ * non-idempotent ones, the oldest of a kind first. Times are of one monotonic clock; after a restart the retention starts anew. Reads
+ * no clock. Event loop only.
  */
 public final class DeduplicationCache {
-    static final long REACH_NANOS = 600_000_000_000L;
+    static final long RETENTION_NANOS = 600_000_000_000L;
     /** What one counts for beside its id, which is in ASCII. */
-    private static final long BYTES = 48;
+    private static final long ENTRY_BYTES = 48;
 
     /** One of them, as it is kept, with its number in the journal. */
     public record CompletedMessage(String id, int content, DeliveryScheduler.Idempotency effect, long number) {}
@@ -24,72 +24,73 @@
     /** What the id's message was, 0 where that is not known, and its number in the journal. */
     private record Entry(String id, int content, long number, long at) {
         long bytes() {
-            return BYTES + id.length();
+            return ENTRY_BYTES + id.length();
         }
     }
 
-    private final long most;
+    private final long maxBytes;
     private long bytes;
     private final Map<String, Entry> all = new HashMap<>();
     /** By kind of effect and id, the oldest first; one that comes again takes no walk to find. */
-    private final List<Map<String, Entry>> kinds = new ArrayList<>();
+    private final List<Map<String, Entry>> byIdempotency = new ArrayList<>();
 
     /** All together count for so many bytes at most, which is what they may have on the disk. */
-    public DeduplicationCache(long most) {
-        this.most = most;
+    public DeduplicationCache(long maxBytes) {
+        this.maxBytes = maxBytes;
         for (int i = 0; i < DeliveryScheduler.Idempotency.values().length; i++) {
-            kinds.add(new LinkedHashMap<>());
+            byIdempotency.add(new LinkedHashMap<>());
         }
     }
 
     /** Returns the numbers of those that are forgotten for it, and of an earlier one under the same id. */
-    public List<Long> add(String id, int content, DeliveryScheduler.Idempotency effect, long number, long now) {
-        List<Long> forgotten = expire(now);
-        Entry entry = new Entry(id, content, number, now);
-        Entry before = all.put(id, entry);
-        if (before != null) {
-            kinds.forEach(kind -> kind.remove(id));
-            bytes -= before.bytes();
-            forgotten.add(before.number());
+    public List<Long> add(
+            String id, int content, DeliveryScheduler.Idempotency idempotency, long number, long nowNanos) {
+        List<Long> forgotten = expire(nowNanos);
+        Entry entry = new Entry(id, content, number, nowNanos);
+        Entry previous = all.put(id, entry);
+        if (previous != null) {
+            byIdempotency.forEach(entries -> entries.remove(id));
+            bytes -= previous.bytes();
+            forgotten.add(previous.number());
         }
-        kinds.get(effect.ordinal()).put(id, entry);
+        byIdempotency.get(idempotency.ordinal()).put(id, entry);
         bytes += entry.bytes();
-        while (bytes > most) {
+        while (bytes > maxBytes) {
             forgotten.add(forget(leastNeeded()).number());
         }
         return forgotten;
     }
 
     private Map<String, Entry> leastNeeded() {
-        for (DeliveryScheduler.Idempotency effect : List.of(
+        for (DeliveryScheduler.Idempotency idempotency : List.of(
                 DeliveryScheduler.Idempotency.IDEMPOTENT,
                 DeliveryScheduler.Idempotency.KEYED,
                 DeliveryScheduler.Idempotency.NON_IDEMPOTENT)) {
-            if (!kinds.get(effect.ordinal()).isEmpty()) {
-                return kinds.get(effect.ordinal());
+            if (!byIdempotency.get(idempotency.ordinal()).isEmpty()) {
+                return byIdempotency.get(idempotency.ordinal());
             }
         }
         throw new IllegalStateException("nothing to forget");
     }
 
-    private Entry forget(Map<String, Entry> kind) {
-        Entry oldest = oldest(kind);
-        kind.remove(oldest.id());
+    private Entry forget(Map<String, Entry> entries) {
+        Entry oldest = oldest(entries);
+        entries.remove(oldest.id());
         all.remove(oldest.id());
         bytes -= oldest.bytes();
         return oldest;
     }
 
-    private static Entry oldest(Map<String, Entry> kind) {
-        return kind.values().iterator().next();
+    private static Entry oldest(Map<String, Entry> entries) {
+        return entries.values().iterator().next();
     }
 
     /** Forgets what is past its reach; returns the numbers. */
-    List<Long> expire(long now) {
+    List<Long> expire(long nowNanos) {
         List<Long> forgotten = new ArrayList<>();
-        for (Map<String, Entry> kind : kinds) {
-            while (!kind.isEmpty() && now - oldest(kind).at() > REACH_NANOS) {
-                forgotten.add(forget(kind).number());
+        for (Map<String, Entry> entries : byIdempotency) {
+            while (!entries.isEmpty() && nowNanos - oldest(entries).at() > RETENTION_NANOS) {
+                forgotten.add(forget(entries).number());
             }
         }
         return forgotten;
@@ -108,11 +109,12 @@
     /** All of them, the oldest of each kind first. */
     public List<CompletedMessage> all() {
         List<CompletedMessage> out = new ArrayList<>();
-        for (DeliveryScheduler.Idempotency effect : DeliveryScheduler.Idempotency.values()) {
-            kinds.get(effect.ordinal())
+        for (DeliveryScheduler.Idempotency idempotency : DeliveryScheduler.Idempotency.values()) {
+            byIdempotency
+                    .get(idempotency.ordinal())
                     .values()
                     .forEach(entry ->
-                            out.add(new CompletedMessage(entry.id(), entry.content(), effect, entry.number())));
+                            out.add(new CompletedMessage(entry.id(), entry.content(), idempotency, entry.number())));
         }
         return out;
     }
--- a/sender/src/main/java/amberroute/sender/message/MessageClassRegistry.java
+++ b/sender/src/main/java/amberroute/sender/message/MessageClassRegistry.java
@@ -8,13 +8,12 @@
 import java.util.function.IntPredicate;
 
 /**
- * The classes of messages that count now, and those that messages under way were taken on in. Each version of a class,
- * a name with its figures, has a number that stays its own for as long as a message of it is held; the numbers are the
- * module's indexes, so they are small, and one that nobody needs any more is given away again. Decides nothing.
+ * The classes of messages in force, and earlier versions of them that accepted messages still have. Each version, a class name with
+ * its settings, has a small number, which is the scheduler's index, for as long as it is in force or a message has it. Event loop only.
  */
 public final class MessageClassRegistry {
-    /** Versions at once, current ones and such as held messages still need. */
-    static final int MOST = 64;
+    /** Bound of the number of versions in force or in use. */
+    static final int MAX_VERSIONS = 64;
 
     /** One version of a class. */
     public record Version(String name, MessageClass type) {}
@@ -22,7 +21,7 @@
     private final List<Version> versions = new ArrayList<>();
     private Map<String, Integer> current = Map.of();
 
-    /** Puts back a version that held messages of an earlier process need, under its number of then. */
+    /** Restores a version that messages of an earlier process have, under its number. */
     public void restore(int number, Version version) {
         while (versions.size() <= number) {
             versions.add(null);
@@ -31,16 +30,16 @@
     }
 
     /**
-     * These classes count from now on. Returns false, and changes nothing, where there would be more versions than
-     * {@link #MOST}; {@code held} tells whether a held message needs a number.
+     * Puts classes in force. Returns false, and changes nothing, where there would be more than {@link #MAX_VERSIONS}; {@code inUse}
+     * says whether a message has the version with a number.
      */
-    public boolean take(List<String> names, List<MessageClass> types, IntPredicate held) {
-        List<Version> now = new ArrayList<>(versions);
+    public boolean take(List<String> names, List<MessageClass> types, IntPredicate inUse) {
+        List<Version> updated = new ArrayList<>(versions);
         Map<String, Integer> next = new HashMap<>();
         List<Version> missing = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             Version version = new Version(names.get(i), types.get(i));
-            int number = now.indexOf(version);
+            int number = updated.indexOf(version);
             if (number >= 0) {
                 next.put(version.name(), number);
             } else {
@@ -49,31 +48,31 @@
         }
         for (Version version : missing) {
             int number = 0;
-            while (number < now.size()
-                    && (now.get(number) != null && held.test(number) || next.containsValue(number))) {
+            while (number < updated.size()
+                    && (updated.get(number) != null && inUse.test(number) || next.containsValue(number))) {
                 number++;
             }
-            if (number == MOST) {
+            if (number == MAX_VERSIONS) {
                 return false;
             }
-            if (number == now.size()) {
-                now.add(version);
+            if (number == updated.size()) {
+                updated.add(version);
             }
-            now.set(number, version);
+            updated.set(number, version);
             next.put(version.name(), number);
         }
-        for (int i = 0; i < now.size(); i++) {
-            if (!next.containsValue(i) && !held.test(i)) {
-                now.set(i, null);
+        for (int i = 0; i < updated.size(); i++) {
+            if (!next.containsValue(i) && !inUse.test(i)) {
+                updated.set(i, null);
             }
         }
         versions.clear();
-        versions.addAll(now);
+        versions.addAll(updated);
         current = Map.copyOf(next);
         return true;
     }
 
-    /** Number of the version that counts under this name, -1 if there is none. */
+    /** The number of the version in force with this name, -1 if there is none. */
     public int number(String name) {
         return current.getOrDefault(name, -1);
     }
@@ -83,21 +82,25 @@
         return current.keySet();
     }
 
-    /** Null for a number that nobody has. */
+    /** The version with this number, null if there is none. */
     public Version version(int number) {
         return number >= 0 && number < versions.size() ? versions.get(number) : null;
     }
 
+    /** The class with this number, which must exist. */
     public MessageClass type(int number) {
         return versions.get(number).type();
     }
 
-    /** By number, for the module: a number that nobody has stands for a class that counts, as its times then add nothing. */
+    /** The classes by number; an unused number has a class in force, whose times add nothing. */
     public List<MessageClass> types() {
         MessageClass any = type(current.values().iterator().next());
-        return versions.stream().map(v -> v == null ? any : v.type()).toList();
+        return versions.stream()
+                .map(version -> version == null ? any : version.type())
+                .toList();
     }
 
+    /** One more than the highest number. */
     public int size() {
         return versions.size();
     }
--- a/sender/src/main/java/amberroute/sender/notification/FailureNotifier.java
+++ b/sender/src/main/java/amberroute/sender/notification/FailureNotifier.java
@@ -33,26 +33,25 @@
 import java.util.function.Consumer;
 
 /**
- * Tells the platform of messages that end without delivery, and repeats what is not answered. What is out
- * belongs to its connection: whatever ends that connection, at any moment, leads to the next post.
+ * Notifies the platform of messages that end undelivered, and repeats what is not acknowledged. One request is in flight at most; when
+ * its connection ends, for whatever reason, the next request has its notifications again. Event loop only.
  */
 public final class FailureNotifier {
-    private static final int MOST_LINES = 256;
-    /** The longest wait for a connection and for an answer, and the longest pause. */
-    private static final long ANSWER_MS = 1_000;
+    private static final int MAX_LINES = 256;
+    /** The longest wait for a connection and for an answer, and the longest backoff. */
+    private static final long ANSWER_TIMEOUT_MS = 1_000;
     /**
-     * They are answered at once. A connection that has fallen silent says nothing, and a notice that waits for it would be
-     * overdue: so what is not answered within this span, or three times what the last answer took, is repeated on
-     * another connection, which does no harm. Silent twice in a row, each one after has twice as long.
+     * A connection without an answer for so long, or for {@link #SILENCE_MULTIPLE} times the last answer's time, counts as lost, and
+     * its notifications are repeated on another, which does no harm. The time doubles with each further silent connection.
      */
     private static final long SILENCE_MS = 120;
 
-    private static final int ANSWERS = 3;
-    /** The span is waited out in so many parts, each begun by the loop: a process that stood still has heard nothing meanwhile. */
-    private static final int LOOKS = 4;
+    private static final int SILENCE_MULTIPLE = 3;
+    /** The silence is checked in so many steps of the event loop: a process that was stopped has read nothing meanwhile. */
+    private static final int SILENCE_CHECKS = 4;
 
-    private static final int MOST_DOUBLINGS = 4;
-    /** So long behind its message's time a notice may be answered at the latest. */
+    private static final int MAX_DOUBLINGS = 4;
+    /** The longest time from the deadline of a message to the acknowledgement of its notification. */
     private static final long OVERDUE_MS = 300;
 
     static {
@@ -66,122 +65,123 @@
     private final Map<Long, AcceptedMessage> pending = new LinkedHashMap<>();
     private InetSocketAddress address;
     /** The connection in use or being opened, null where there is none. */
-    private NotificationConnection line;
+    private NotificationConnection connection;
 
-    private Future<?> pause;
-    private boolean due;
+    private Future<?> retry;
+    private boolean postRequested;
     private boolean single;
-    private final Backoff pauses;
-    /** Connections in a row that said nothing, and milliseconds that the last answer took. */
-    private int silences;
+    private final Backoff backoff;
+    /** Successive connections without an answer, and the milliseconds that the last answer took. */
+    private int silentConnections;
 
-    private long lastTook;
+    private long lastAnswerMillis;
 
+    /** {@code answered} is called with each message whose notification is acknowledged; {@code seed} spreads the backoff. */
     public FailureNotifier(EventLoop loop, InetSocketAddress address, long seed, Consumer<AcceptedMessage> answered) {
         this.loop = loop;
         this.address = address;
         this.answered = answered;
-        pauses = new Backoff(25, 50, ANSWER_MS, seed);
+        backoff = new Backoff(25, 50, ANSWER_TIMEOUT_MS, seed);
     }
 
-    /** How many notices are not answered yet. */
+    /** The number of notifications that are not acknowledged. */
     public int pending() {
         return pending.size();
     }
 
-    /** Sends the notice of an ended message until it is answered. */
-    public void send(AcceptedMessage m) {
-        pending.put(m.number, m);
-        postSoon();
+    /** Sends the notification of a completed message until it is acknowledged. */
+    public void send(AcceptedMessage message) {
+        pending.put(message.number, message);
+        requestPost();
     }
 
-    /** From now on notices go to this address; what the old one has not answered is repeated there. */
-    public void move(InetSocketAddress to) {
-        address = to;
-        pauses.good();
-        if (pause != null) {
-            pause.cancel(false);
-            pause = null;
+    /** Sends to this address from now on, also what the old one has not acknowledged. */
+    public void move(InetSocketAddress newAddress) {
+        address = newAddress;
+        backoff.good();
+        if (retry != null) {
+            retry.cancel(false);
+            retry = null;
         }
-        NotificationConnection old = line;
-        line = null;
+        NotificationConnection old = connection;
+        connection = null;
         if (old != null) {
             old.close();
         }
-        postSoon();
+        requestPost();
     }
 
-    /** Sends nothing any more: what is pending is another's now. */
+    /** Stops sending: another process owns what is pending. */
     public void stop() {
         pending.clear();
-        NotificationConnection old = line;
-        line = null;
+        NotificationConnection old = connection;
+        connection = null;
         if (old != null) {
             old.close();
         }
     }
 
-    private void postSoon() {
-        if (!due && pause == null) {
-            due = true;
+    private void requestPost() {
+        if (!postRequested && retry == null) {
+            postRequested = true;
             loop.execute(this::post);
         }
     }
 
     private void post() {
-        due = false;
-        if (pending.isEmpty() || pause != null) {
+        postRequested = false;
+        if (pending.isEmpty() || retry != null) {
             return;
         }
-        if (line == null) {
-            line = new NotificationConnection();
-            line.open();
-        } else if (line.ready && line.out.isEmpty()) {
-            line.write();
+        if (connection == null) {
+            connection = new NotificationConnection();
+            connection.open();
+        } else if (connection.ready && connection.out.isEmpty()) {
+            connection.write();
         }
     }
 
-    /** How long a connection may say nothing before another is tried. */
-    private long patience() {
-        long usual = Math.max(SILENCE_MS, ANSWERS * lastTook);
-        return Math.min(ANSWER_MS, usual << Math.min(MOST_DOUBLINGS, Math.max(0, silences - 1)));
+    /** How long a connection may be silent before another is tried. */
+    private long silenceTimeoutMillis() {
+        long usual = Math.max(SILENCE_MS, SILENCE_MULTIPLE * lastAnswerMillis);
+        return Math.min(ANSWER_TIMEOUT_MS, usual << Math.min(MAX_DOUBLINGS, Math.max(0, silentConnections - 1)));
     }
 
-    private void again() {
-        if (pause == null) {
-            pause = loop.schedule(
+    private void retryLater() {
+        if (retry == null) {
+            retry = loop.schedule(
                     () -> {
-                        pause = null;
-                        postSoon();
+                        retry = null;
+                        requestPost();
                     },
-                    pauses.next(),
+                    backoff.next(),
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void take(List<AcceptedMessage> told, int status) {
-        if (status == 204 || status == 200 || status == 400 && told.size() == 1) {
+    private void acknowledge(List<AcceptedMessage> sent, int status) {
+        if (status == 204 || status == 200 || status == 400 && sent.size() == 1) {
             if (status == 400) {
                 LogEvent.of("notification_rejected")
-                        .with("notification", told.get(0).notice)
+                        .with("notification", sent.get(0).notice)
                         .warn();
             }
-            single = single && pending.size() > told.size();
-            pauses.good();
-            for (AcceptedMessage m : told) {
-                pending.remove(m.number);
-                answered.accept(m);
+            single = single && pending.size() > sent.size();
+            backoff.good();
+            for (AcceptedMessage message : sent) {
+                pending.remove(message.number);
+                answered.accept(message);
             }
-            postSoon();
+            requestPost();
         } else {
             single |= status == 400;
-            again();
+            retryLater();
         }
     }
 
-    /** One connection with at most one request out; it counts only while it is the current one. */
+    /** A connection with at most one request in flight; it counts only while it is the current one. */
     private final class NotificationConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final InetSocketAddress to = address;
+        private final InetSocketAddress target = address;
         private Channel channel;
         private boolean ready;
         private boolean silent;
@@ -190,11 +190,11 @@
         private Future<?> timer;
 
         void open() {
-            listen(LOOKS);
+            listen(SILENCE_CHECKS);
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_TIMEOUT_MS)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
@@ -207,11 +207,11 @@
                                             NotificationConnection.this);
                         }
                     })
-                    .connect(to)
+                    .connect(target)
                     .addListener(done -> {
                         if (!done.isSuccess()) {
                             ended();
-                        } else if (line != this) {
+                        } else if (connection != this) {
                             close();
                         } else {
                             ready = true;
@@ -224,43 +224,43 @@
         void write() {
             out = new ArrayList<>();
             StringBuilder lines = new StringBuilder();
-            for (AcceptedMessage m : pending.values()) {
-                if (out.size() == (single ? 1 : MOST_LINES)) {
+            for (AcceptedMessage message : pending.values()) {
+                if (out.size() == (single ? 1 : MAX_LINES)) {
                     break;
                 }
-                out.add(m);
-                lines.append(m.notice).append('\n');
+                out.add(message);
+                lines.append(message.notice).append('\n');
             }
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     HttpMethod.POST,
                     "/status",
                     Unpooled.copiedBuffer(lines, StandardCharsets.UTF_8));
-            request.headers().set(HttpHeaderNames.HOST, to.getAddress().getHostAddress());
+            request.headers().set(HttpHeaderNames.HOST, target.getAddress().getHostAddress());
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             request.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             writtenAt = System.nanoTime();
-            listen(LOOKS);
+            listen(SILENCE_CHECKS);
             channel.writeAndFlush(request).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
             if (!channel.isActive()) {
-                // It ended between its opening and this write, perhaps with its last event behind it.
+                // The connection ended before this write, perhaps after its last event.
                 ended();
             }
         }
 
-        /** Gives the other side its time to say something, if only that the connection is up. */
-        private void listen(int looks) {
+        /** Closes the connection unless something is read from it in time. */
+        private void listen(int checksLeft) {
             timer = loop.schedule(
                     () -> {
-                        if (looks > 1) {
-                            listen(looks - 1);
+                        if (checksLeft > 1) {
+                            listen(checksLeft - 1);
                         } else {
                             silent = true;
                             close();
                         }
                     },
-                    patience() / LOOKS,
+                    silenceTimeoutMillis() / SILENCE_CHECKS,
                     TimeUnit.MILLISECONDS);
         }
 
@@ -270,26 +270,26 @@
             }
         }
 
-        /** The connection is of no further use; what it had out is repeated on another. */
+        /** The connection has ended; what was in flight is repeated on another. */
         private void ended() {
             ready = false;
             if (timer != null) {
                 timer.cancel(false);
             }
-            if (line == this) {
-                line = null;
+            if (connection == this) {
+                connection = null;
                 if (silent) {
-                    silences++;
-                    postSoon();
+                    silentConnections++;
+                    requestPost();
                 } else if (!pending.isEmpty()) {
-                    again();
+                    retryLater();
                 }
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (line != this || out.isEmpty() || !response.decoderResult().isSuccess()) {
+            if (connection != this || out.isEmpty() || !response.decoderResult().isSuccess()) {
                 context.close();
                 return;
             }
@@ -298,15 +298,15 @@
                 return;
             }
             timer.cancel(false);
-            silences = 0;
-            lastTook = (System.nanoTime() - writtenAt) / 1_000_000;
-            List<AcceptedMessage> told = out;
+            silentConnections = 0;
+            lastAnswerMillis = (System.nanoTime() - writtenAt) / 1_000_000;
+            List<AcceptedMessage> sent = out;
             out = List.of();
             if (!HttpUtil.isKeepAlive(response)) {
-                line = null;
+                connection = null;
                 context.close();
             }
-            take(told, status);
+            acknowledge(sent, status);
         }
 
         @Override
--- a/sender/src/test/java/amberroute/sender/FolderReclaimTest.java
+++ b/sender/src/test/java/amberroute/sender/FolderReclaimTest.java
@@ -54,7 +54,7 @@
         assertEquals("resume", told.poll(WAIT_S, TimeUnit.SECONDS));
         assertEquals("hopeless", told.poll(WAIT_S, TimeUnit.SECONDS));
         reclaim.cancel();
-        assertFalse(reclaim.promising());
+        assertFalse(reclaim.possible());
         assertNull(told.poll());
     }
 
@@ -80,7 +80,7 @@
         AtomicInteger made = new AtomicInteger();
         FolderReclaim reclaim = new FolderReclaim(loop, new FolderReclaim.Host() {
             @Override
-            public boolean own() throws IOException {
+            public boolean tryAcquire() throws IOException {
                 Try now = tries.get(made.getAndIncrement());
                 if (now == Try.FAILS) {
                     throw new IOException("no space");
@@ -102,7 +102,7 @@
             }
 
             @Override
-            public void hopeless() {
+            public void failed() {
                 told.add("hopeless");
             }
         });
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -450,7 +450,7 @@
         assertTrue(answer.startsWith("-BUSY"), answer);
         // All peers hold the key: its client may go at once, and does.
         assertTrue(
-                answer.equals("-BUSY") || Long.parseLong(answer.substring(6)) <= ShutdownSequence.SPREAD_LONGEST,
+                answer.equals("-BUSY") || Long.parseLong(answer.substring(6)) <= ShutdownSequence.MAX_RETRY_SPREAD_MS,
                 answer);
         SenderFixture.Client there = world.client(heir);
         assertEquals("+OK", there.submit("keyed", "k4", KEY));
@@ -492,7 +492,8 @@
             assertTrue(told + waited > 4_000, "told " + told);
             answer = world.client(leaver).submit("keyed", "x", "1111111111111111");
             assertTrue(
-                    answer.equals("-BUSY") || Long.parseLong(answer.substring(6)) <= ShutdownSequence.SPREAD_LONGEST,
+                    answer.equals("-BUSY")
+                            || Long.parseLong(answer.substring(6)) <= ShutdownSequence.MAX_RETRY_SPREAD_MS,
                     answer);
             leaver.stopped().get(20, TimeUnit.SECONDS);
         }
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -180,7 +180,7 @@
     /** The heir dies at any moment of it, as far as its journal can show, and is asked again. */
     @Test
     void goesOnWhereItWasCutOff() throws Exception {
-        int count = 3 * OrphanedJournalRecovery.MOST_MESSAGES + 5;
+        int count = 3 * OrphanedJournalRecovery.MAX_BATCH_MESSAGES + 5;
         try (Journal journal = Journal.open(orphan, 16_000_000)) {
             for (int i = 0; i < count; i++) {
                 // Nobody is listed as ready for destination 8, so they stay.
@@ -242,7 +242,7 @@
     /** The second of three dies in the middle of taking the first's: the third finishes that, and nothing comes twice. */
     @Test
     void aChainOfTakersTakesEachMessageOnce() throws Exception {
-        int count = 3 * OrphanedJournalRecovery.MOST_MESSAGES;
+        int count = 3 * OrphanedJournalRecovery.MAX_BATCH_MESSAGES;
         try (Journal journal = Journal.open(orphan, 16_000_000)) {
             for (int i = 0; i < count; i++) {
                 message(journal, "m" + i, "unsafe", 0, 8);
--- a/sender/src/test/java/amberroute/sender/lifecycle/OwnershipTransferCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/lifecycle/OwnershipTransferCompatibilityTest.java
@@ -134,22 +134,26 @@
                 json(recordedLine(OUTCOMES, "predecessor", "yours")).getAsJsonObject("estate"), this::endpointNumber);
         assertEquals(
                 List.of(List.of(5L), List.of(6L), List.of(7L), List.of(8L), List.of(11L)),
-                read.out().stream().map(TransferredState.CallInFlight::numbers).toList());
+                read.callsInFlight().stream()
+                        .map(TransferredState.CallInFlight::numbers)
+                        .toList());
         assertEquals(
                 List.of(221_643L, 211_454L, 202_517L, 192_784L, 18_554L),
-                read.out().stream().map(TransferredState.CallInFlight::sentAgo).toList());
-        assertTrue(read.out().stream().allMatch(call -> call.uid().equals("s-1")));
+                read.callsInFlight().stream()
+                        .map(TransferredState.CallInFlight::sentAgoMicros)
+                        .toList());
+        assertTrue(read.callsInFlight().stream().allMatch(call -> call.uid().equals("s-1")));
         assertEquals(
                 List.of(7, 8),
-                read.learned().stream()
+                read.snapshots().stream()
                         .map(snapshot -> snapshot.checkpoint().destination())
                         .toList());
-        assertEquals(67_938.0, read.learned().get(0).checkpoint().usualLatencyMicros());
-        assertEquals(0.15, read.learned().get(0).failureRatio());
-        assertEquals(1, read.rests().size());
-        assertEquals(0xa5, read.rests().get(0).key());
-        assertEquals(62_431, read.rests().get(0).remainingMicros());
-        assertEquals(11, read.rests().get(0).exemptMessage());
+        assertEquals(67_938.0, read.snapshots().get(0).checkpoint().usualLatencyMicros());
+        assertEquals(0.15, read.snapshots().get(0).failureRatio());
+        assertEquals(1, read.pausedKeys().size());
+        assertEquals(0xa5, read.pausedKeys().get(0).key());
+        assertEquals(62_431, read.pausedKeys().get(0).remainingMicros());
+        assertEquals(11, read.pausedKeys().get(0).exemptMessage());
     }
 
     @Test
@@ -176,7 +180,7 @@
 
     private JsonObject take(IncomingTransfer transfer) {
         try {
-            return transfer.take(state);
+            return transfer.request(state);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -229,11 +233,11 @@
         for (String line : lines.subList(1, lines.size() - 1)) {
             JsonObject expected = json(line);
             if (expected.get("do").getAsString().equals("outcome")) {
-                onLoop(() ->
-                        transfer.outcome(result(expected), expected.get("uid").getAsString()));
+                onLoop(() -> transfer.forwardOutcome(
+                        result(expected), expected.get("uid").getAsString()));
                 assertEquals(line, old.receive());
             } else {
-                onLoop(() -> assertTrue(transfer.submit(submission(expected), new RecordedAnswer(answers))));
+                onLoop(() -> assertTrue(transfer.forwardSubmission(submission(expected), new RecordedAnswer(answers))));
                 // The time of sending differs, and nothing else.
                 assertEquals(withoutKeys(line, "at"), withoutKeys(old.receive(), "at"));
             }
@@ -241,7 +245,7 @@
         String answer = recordedLine(OUTCOMES, "successor", "answer");
         old.send(answer);
         assertEquals(json(answer).get("line").getAsString(), answers.poll(10, TimeUnit.SECONDS));
-        onLoop(() -> assertEquals(0, transfer.waiting()));
+        onLoop(() -> assertEquals(0, transfer.unansweredSubmissions()));
     }
 
     @Test
@@ -266,8 +270,8 @@
         assertEquals(recordedLine(CANCEL, "predecessor", "yours"), old.receive());
         assertEquals(5L, listener.cancelled.poll(10, TimeUnit.SECONDS));
         String outcome = recordedLine(CANCEL, "predecessor", "outcome");
-        onLoop(() ->
-                transfer.outcome(result(json(outcome)), json(outcome).get("uid").getAsString()));
+        onLoop(() -> transfer.forwardOutcome(
+                result(json(outcome)), json(outcome).get("uid").getAsString()));
         assertEquals(outcome, old.receive());
     }
 
@@ -338,7 +342,7 @@
         }
 
         @Override
-        public void gone() {}
+        public void predecessorGone() {}
 
         void expect(JsonObject line) throws InterruptedException {
             if (line.get("do").getAsString().equals("outcome")) {
@@ -368,12 +372,12 @@
         }
 
         @Override
-        public String refusal() {
+        public String rejectionReason() {
             return null;
         }
 
         @Override
-        public JsonObject give() {
+        public JsonObject releaseOwnership() {
             return given;
         }
 
@@ -383,7 +387,7 @@
         }
 
         @Override
-        public void orphaned() {}
+        public void successorGone() {}
     }
 
     /** An answer to a client. */
--- a/sender/src/test/java/amberroute/sender/lifecycle/ServiceManagerNotifierTest.java
+++ b/sender/src/test/java/amberroute/sender/lifecycle/ServiceManagerNotifierTest.java
@@ -47,9 +47,9 @@
                     .bind(new DomainSocketAddress(socket.toString()))
                     .sync();
             ServiceManagerNotifier notify = new ServiceManagerNotifier(Map.of("NOTIFY_SOCKET", socket.toString()));
-            notify.tell("READY=1");
+            notify.report("READY=1");
             await(() -> heard.size() == 1);
-            notify.tell("STOPPING=1\nSTATUS=holding 3 messages");
+            notify.report("STOPPING=1\nSTATUS=holding 3 messages");
             await(() -> heard.size() == 2);
             assertEquals(List.of("READY=1", "STOPPING=1\nSTATUS=holding 3 messages"), heard);
         } finally {
@@ -60,10 +60,10 @@
     /** Nobody listens, or nobody asked: neither is anybody's failure. */
     @Test
     void failsNobody() {
-        new ServiceManagerNotifier(Map.of()).tell("READY=1");
+        new ServiceManagerNotifier(Map.of()).report("READY=1");
         new ServiceManagerNotifier(
                         Map.of("NOTIFY_SOCKET", folder.resolve("nobody").toString()))
-                .tell("READY=1");
+                .report("READY=1");
         assertTrue(Thread.currentThread().isAlive());
     }
 }
--- a/sender/src/test/java/amberroute/sender/lifecycle/ShutdownSequenceTest.java
+++ b/sender/src/test/java/amberroute/sender/lifecycle/ShutdownSequenceTest.java
@@ -18,26 +18,26 @@
         ShutdownSequence plan = new ShutdownSequence(Mode.RESTART, 0, 8_000, 3_000);
         assertEquals(Step.DELIVER, plan.next(0, new Load(5, 2, 0, 0)));
         assertEquals(Step.DELIVER, plan.next(7_999, new Load(5, 2, 0, 0)));
-        assertEquals(Step.AWAIT_NOTICES, plan.next(2_000, new Load(0, 0, 3, 0)));
+        assertEquals(Step.AWAIT_NOTIFICATIONS, plan.next(2_000, new Load(0, 0, 3, 0)));
         assertEquals(Step.CLOSE, plan.next(2_100, EMPTY));
-        assertEquals(Step.DONE, plan.next(2_100 + ShutdownSequence.LINGER, EMPTY));
+        assertEquals(Step.DONE, plan.next(2_100 + ShutdownSequence.LINGER_MS, EMPTY));
     }
 
     @Test
     void aRestartLeavesTheRestWhenItsTimeIsUp() {
         ShutdownSequence plan = new ShutdownSequence(Mode.RESTART, 100, 8_000, 3_000);
         assertEquals(Step.CLOSE, plan.next(8_100, new Load(5, 2, 1, 0)));
-        assertEquals(Step.DONE, plan.next(8_100 + ShutdownSequence.LINGER, new Load(5, 2, 1, 0)));
+        assertEquals(Step.DONE, plan.next(8_100 + ShutdownSequence.LINGER_MS, new Load(5, 2, 1, 0)));
     }
 
     @Test
     void aStopForGoodCallsOffAndEndsAllWithTimeLeftForNotices() {
         ShutdownSequence plan = new ShutdownSequence(Mode.FINAL, 0, 8_000, 3_000);
         assertEquals(Step.DELIVER, plan.next(5_599, new Load(5, 2, 0, 0)));
-        assertEquals(Step.CALL_OFF, plan.next(5_601, new Load(5, 2, 0, 0)));
-        assertEquals(Step.END_ALL, plan.next(5_650, new Load(5, 0, 0, 0)));
-        assertEquals(Step.AWAIT_NOTICES, plan.next(5_660, new Load(0, 0, 5, 0)));
-        assertEquals(Step.AWAIT_NOTICES, plan.next(7_999, new Load(0, 0, 5, 0)));
+        assertEquals(Step.CANCEL_CALLS, plan.next(5_601, new Load(5, 2, 0, 0)));
+        assertEquals(Step.COMPLETE_ALL, plan.next(5_650, new Load(5, 0, 0, 0)));
+        assertEquals(Step.AWAIT_NOTIFICATIONS, plan.next(5_660, new Load(0, 0, 5, 0)));
+        assertEquals(Step.AWAIT_NOTIFICATIONS, plan.next(7_999, new Load(0, 0, 5, 0)));
         assertEquals(Step.CLOSE, plan.next(8_000, new Load(0, 0, 5, 0)));
         assertEquals(Step.DONE, plan.next(8_060, new Load(0, 0, 5, 0)));
     }
@@ -46,27 +46,27 @@
     void aLongStopForGoodKeepsOnlySoMuchForItsEnd() {
         ShutdownSequence plan = new ShutdownSequence(Mode.FINAL, 0, 600_000, 0);
         assertEquals(Step.DELIVER, plan.next(596_999, new Load(1, 0, 0, 0)));
-        assertEquals(Step.END_ALL, plan.next(597_000, new Load(1, 0, 0, 0)));
+        assertEquals(Step.COMPLETE_ALL, plan.next(597_000, new Load(1, 0, 0, 0)));
     }
 
     @Test
     void tellsWhenToComeAgain() {
         ShutdownSequence restart = new ShutdownSequence(Mode.RESTART, 0, 8_000, 3_000);
-        assertEquals(11_000, restart.advice(0, 100, 0.9));
-        assertEquals(5_000, restart.advice(6_000, 100, 0.9));
-        assertEquals(3_000, restart.advice(9_000, 100, 0.9));
+        assertEquals(11_000, restart.retryAdviceMillis(0, 100, 0.9));
+        assertEquals(5_000, restart.retryAdviceMillis(6_000, 100, 0.9));
+        assertEquals(3_000, restart.retryAdviceMillis(9_000, 100, 0.9));
         ShutdownSequence last = new ShutdownSequence(Mode.FINAL, 0, 8_000, 3_000);
-        assertEquals(0, last.advice(0, 0, 0.9));
-        assertEquals(50, last.advice(0, 20, 0.5));
-        assertEquals(ShutdownSequence.SPREAD_LONGEST / 2, last.advice(0, 100_000, 0.5));
+        assertEquals(0, last.retryAdviceMillis(0, 0, 0.9));
+        assertEquals(50, last.retryAdviceMillis(0, 20, 0.5));
+        assertEquals(ShutdownSequence.MAX_RETRY_SPREAD_MS / 2, last.retryAdviceMillis(0, 100_000, 0.5));
     }
 
     @Test
     void promisesARetryOnlyWhereItDoesNoHarm() {
-        assertTrue(ShutdownSequence.mayReturn(false, false, false));
-        assertFalse(ShutdownSequence.mayReturn(true, false, false));
-        assertTrue(ShutdownSequence.mayReturn(true, true, false));
-        assertTrue(ShutdownSequence.mayReturn(true, false, true));
+        assertTrue(ShutdownSequence.mayReject(false, false, false));
+        assertFalse(ShutdownSequence.mayReject(true, false, false));
+        assertTrue(ShutdownSequence.mayReject(true, true, false));
+        assertTrue(ShutdownSequence.mayReject(true, false, true));
     }
 
     /** Whatever the loads, a stop is over soon after its deadline, and nothing is delivered after a call-off. */
@@ -86,9 +86,9 @@
                         : new Load(random.nextInt(3), random.nextInt(3), random.nextInt(3), random.nextInt(3));
                 step = plan.next(now, load);
                 assertFalse(cut && step == Step.DELIVER, "seed " + seed + ": delivers after a call-off");
-                cut |= step == Step.CALL_OFF || step == Step.END_ALL;
+                cut |= step == Step.CANCEL_CALLS || step == Step.COMPLETE_ALL;
                 assertTrue(
-                        now <= span + ShutdownSequence.LINGER + 20,
+                        now <= span + ShutdownSequence.LINGER_MS + 20,
                         "seed " + seed + ": not over at " + now + " of " + span);
                 now += 10;
             }
@@ -100,12 +100,12 @@
     void whoIsSlowToReadTheLastAnswersHasAWhile() {
         ShutdownSequence plan = new ShutdownSequence(Mode.FINAL, 0, 8_000, 0);
         assertEquals(Step.CLOSE, plan.next(1_000, new Load(0, 0, 0, 2)));
-        assertEquals(Step.CLOSE, plan.next(1_000 + ShutdownSequence.LINGER, new Load(0, 0, 0, 1)));
-        assertEquals(Step.DONE, plan.next(1_001 + ShutdownSequence.LINGER, EMPTY));
-        assertEquals(Step.CLOSE, plan.next(999 + ShutdownSequence.LINGER_LONGEST, new Load(0, 0, 0, 1)));
-        assertEquals(Step.DONE, plan.next(1_000 + ShutdownSequence.LINGER_LONGEST, new Load(0, 0, 0, 1)));
+        assertEquals(Step.CLOSE, plan.next(1_000 + ShutdownSequence.LINGER_MS, new Load(0, 0, 0, 1)));
+        assertEquals(Step.DONE, plan.next(1_001 + ShutdownSequence.LINGER_MS, EMPTY));
+        assertEquals(Step.CLOSE, plan.next(999 + ShutdownSequence.MAX_LINGER_MS, new Load(0, 0, 0, 1)));
+        assertEquals(Step.DONE, plan.next(1_000 + ShutdownSequence.MAX_LINGER_MS, new Load(0, 0, 0, 1)));
         ShutdownSequence late = new ShutdownSequence(Mode.FINAL, 0, 500, 0);
         assertEquals(Step.CLOSE, late.next(500, new Load(0, 0, 0, 1)));
-        assertEquals(Step.DONE, late.next(500 + ShutdownSequence.LINGER, new Load(0, 0, 0, 1)));
+        assertEquals(Step.DONE, late.next(500 + ShutdownSequence.LINGER_MS, new Load(0, 0, 0, 1)));
     }
 }
--- a/sender/src/test/java/amberroute/sender/message/DeduplicationCacheTest.java
+++ b/sender/src/test/java/amberroute/sender/message/DeduplicationCacheTest.java
@@ -48,8 +48,8 @@
     void whatIsPastItsReachIsForgotten() {
         ids.add("a", 1, Idempotency.NON_IDEMPOTENT, 1, 0);
         ids.add("b", 2, Idempotency.KEYED, 2, 5);
-        assertEquals(List.of(), ids.expire(DeduplicationCache.REACH_NANOS));
-        assertEquals(List.of(1L), ids.expire(DeduplicationCache.REACH_NANOS + 1));
+        assertEquals(List.of(), ids.expire(DeduplicationCache.RETENTION_NANOS));
+        assertEquals(List.of(1L), ids.expire(DeduplicationCache.RETENTION_NANOS + 1));
         assertFalse(ids.knows("a"));
         assertTrue(ids.knows("b"));
         assertEquals(0, ids.content("a"));
@@ -68,7 +68,7 @@
                     (int) n,
                     Idempotency.values()[random.nextInt(Idempotency.values().length)],
                     n,
-                    n * DeduplicationCache.REACH_NANOS / 100));
+                    n * DeduplicationCache.RETENTION_NANOS / 100));
             assertTrue(many.size() <= 50, "seed " + seed);
         }
         Stream<Long> left = many.all().stream().map(known -> (long) known.content());
--- a/sender/src/test/java/amberroute/sender/message/MessageClassRegistryTest.java
+++ b/sender/src/test/java/amberroute/sender/message/MessageClassRegistryTest.java
@@ -33,11 +33,11 @@
     @Test
     void changesNothingWhereTooManyVersionsAreHeld() {
         MessageClassRegistry book = new MessageClassRegistry();
-        for (int i = 1; i <= MessageClassRegistry.MOST; i++) {
+        for (int i = 1; i <= MessageClassRegistry.MAX_VERSIONS; i++) {
             assertTrue(book.take(List.of("a"), List.of(type(i)), n -> true));
         }
         assertFalse(book.take(List.of("a", "b"), List.of(type(0), type(99)), n -> true));
-        assertEquals(type(MessageClassRegistry.MOST), book.type(book.number("a")));
+        assertEquals(type(MessageClassRegistry.MAX_VERSIONS), book.type(book.number("a")));
         assertEquals(-1, book.number("b"));
         assertTrue(book.take(List.of("a"), List.of(type(0)), n -> n != 5));
         assertEquals(5, book.number("a"));
