--- a/cli/src/main/java/amberroute/cli/JournalCrashExperiment.java
+++ b/cli/src/main/java/amberroute/cli/JournalCrashExperiment.java
@@ -30,11 +30,11 @@
 
     @Override
     public Integer call() throws Exception {
-        JournalTrial.Counts simulated = JournalTrial.play(seed, 0, rounds, UnaryOperator.identity());
+        JournalTrial.Counts simulated = JournalTrial.run(seed, 0, rounds, UnaryOperator.identity());
         Path folder = Files.createTempDirectory("amberroute-journal-");
         JournalTrial.Counts killed = processes == 0
                 ? new JournalTrial.Counts()
-                : JournalTrial.kill(
+                : JournalTrial.runProcesses(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java")
                                         .toString(),
@@ -46,8 +46,8 @@
                         seed,
                         processes);
         for (JournalTrial.Counts counts : List.of(simulated, killed)) {
-            if (!counts.first.isEmpty()) {
-                System.out.println("first harm: " + counts.first);
+            if (!counts.firstViolation.isEmpty()) {
+                System.out.println("first harm: " + counts.firstViolation);
             }
         }
         JsonObject result = new JsonObject();
@@ -55,11 +55,11 @@
         result.addProperty("kills", simulated.kills);
         result.addProperty("processes", killed.rounds);
         result.addProperty("accepted", simulated.accepted + killed.accepted);
-        result.addProperty("refused", simulated.refused);
-        result.addProperty("writes_failed", simulated.writesFailed);
+        result.addProperty("refused", simulated.rejected);
+        result.addProperty("writes_failed", simulated.failedWrites);
         result.addProperty("lost", simulated.lost + killed.lost);
-        result.addProperty("second", simulated.second + killed.second);
-        result.addProperty("wrong", simulated.wrong + killed.wrong);
+        result.addProperty("second", simulated.duplicated + killed.duplicated);
+        result.addProperty("wrong", simulated.wrongState + killed.wrongState);
         result.addProperty("seed", seed);
         boolean ok = simulated.ok() && killed.ok();
         result.addProperty("ok", ok);
--- a/sender/src/main/java/amberroute/sender/journal/package-info.java
+++ b/sender/src/main/java/amberroute/sender/journal/package-info.java
@@ -1,2 +1,5 @@
-/** The write-ahead journal of accepted messages, the lock and fencing token of its directory, and the clock that survives restarts. */
+/**
+ * The write-ahead journal of a sender and the other files of its state folder: the lock, the fence and the clock. {@link
+ * amberroute.sender.journal.Journal} is its entry, on top of {@link amberroute.storage.SegmentLog}.
+ */
 package amberroute.sender.journal;
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -251,8 +251,8 @@
         Path state = folder.resolve("leaver");
         byte[] whole = SegmentFiles.first(state);
         boolean gaveUp = false;
-        for (int end : SegmentFiles.ends(whole)) {
-            SegmentFiles.cut(state, whole, end);
+        for (int end : SegmentFiles.recordEnds(whole)) {
+            SegmentFiles.truncate(state, whole, end);
             try (Journal journal = Journal.openReadOnly(state)) {
                 for (HandoffBatchRecord lot : journal.handoffBatches().values()) {
                     boolean ended = lot.ownership().status() == Ownership.Status.ENDED;
@@ -718,12 +718,14 @@
                     continue;
                 }
                 pairs++;
-                SegmentFiles.cut(
+                SegmentFiles.truncate(
                         folder.resolve("leaver"),
                         theirs,
-                        SegmentFiles.ends(theirs).get(l - 1));
-                SegmentFiles.cut(
-                        folder.resolve("heir"), own, SegmentFiles.ends(own).get(h - 1));
+                        SegmentFiles.recordEnds(theirs).get(l - 1));
+                SegmentFiles.truncate(
+                        folder.resolve("heir"),
+                        own,
+                        SegmentFiles.recordEnds(own).get(h - 1));
                 world.receiver.requests.clear();
                 world.notices.clear();
                 world.receiver.answers = r -> ok(200, "");
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lots in the journal: whatever a process had written when it died, no message is lost by it or has two owners. */
+/** Handoff batches in the journal: wherever a process is killed, no message is lost or has two owners. */
 class JournalHandoffTest {
     private static final long SOON = System.currentTimeMillis() + 60_000;
     private static final Ownership OFFERED = new Ownership(2, Status.OFFERED, "heir");
@@ -34,13 +34,13 @@
         return new AcceptedMessage(journal.nextNumber(), id, "idem-" + id, "unsafe", 7, 3, SOON, new byte[size]);
     }
 
-    private static List<AcceptedMessage> two(Journal journal) {
+    private static List<AcceptedMessage> acceptTwo(Journal journal) {
         List<AcceptedMessage> messages = List.of(message(journal, "a", 10), message(journal, "b", 2_000));
         messages.forEach(m -> assertTrue(journal.accept(m)));
         return messages;
     }
 
-    private byte[] file() throws IOException {
+    private byte[] segmentBytes() throws IOException {
         return Files.readAllBytes(segment());
     }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Lengths of the segment at which a whole record ends, the one that begins it first. */
+    /** Lengths of the segment at which a whole record ends; the first record is the segment list. */
     private static List<Integer> boundaries(byte[] file) {
         List<Integer> out = new ArrayList<>();
         for (int at = 48; at < file.length; ) {
@@ -63,24 +63,24 @@
         return out;
     }
 
-    private Journal cut(byte[] whole, int length) throws IOException {
+    private Journal openCutAt(byte[] whole, int length) throws IOException {
         Files.write(segment(), java.util.Arrays.copyOf(whole, length));
         return open();
     }
 
-    /** The leaver's side up to a yes: at each moment a message is its own, frozen, or another's; never gone before. */
+    /** The sender of a batch, up to its acceptance: at each record a message is its own, frozen, or the peer's. */
     @Test
     void aLeaverThatDiesAnywhereKnowsWhatItOffered() throws IOException {
         try (Journal journal = open()) {
-            List<AcceptedMessage> messages = two(journal);
+            List<AcceptedMessage> messages = acceptTwo(journal);
             assertTrue(journal.writeHandoffBatch("lot", OFFERED, SOON, messages));
             assertTrue(journal.writeHandoffBatch("lot", new Ownership(2, Status.GIVEN, "heir"), SOON, messages));
         }
-        byte[] whole = file();
+        byte[] whole = segmentBytes();
         List<Integer> ends = boundaries(whole);
         int[][] liveAndFrozen = {{0, 0}, {1, 0}, {2, 0}, {2, 2}, {0, 0}};
         for (int i = 0; i < ends.size(); i++) {
-            try (Journal journal = cut(whole, ends.get(i))) {
+            try (Journal journal = openCutAt(whole, ends.get(i))) {
                 assertEquals(liveAndFrozen[i][0], journal.pendingMessages().size(), "after record " + i);
                 assertEquals(
                         liveAndFrozen[i][1],
@@ -90,11 +90,11 @@
         }
     }
 
-    /** A refusal thaws them, with all that was known; a second offer freezes them again. */
+    /** A rejection unfreezes the messages, with all their attempts; a second offer freezes them again. */
     @Test
     void aRefusalGivesThemBack() throws IOException {
         try (Journal journal = open()) {
-            List<AcceptedMessage> messages = two(journal);
+            List<AcceptedMessage> messages = acceptTwo(journal);
             journal.writeHandoffBatch("lot", OFFERED, SOON, messages);
             journal.writeHandoffBatch("lot", new Ownership(2, Status.OWNED, ""), SOON, messages);
         }
@@ -111,19 +111,19 @@
         }
     }
 
-    /** Given up: at no moment is a message the leaver's own again, as the heir may carry it out. */
+    /** Ended while offered: at no record is a message the sender's own again, as the peer may deliver it. */
     @Test
     void whatWasGivenUpIsNeverItsOwnAgain() throws IOException {
         try (Journal journal = open()) {
-            List<AcceptedMessage> messages = two(journal);
+            List<AcceptedMessage> messages = acceptTwo(journal);
             journal.writeHandoffBatch("lot", OFFERED, SOON, messages);
             messages.forEach(m -> journal.end(m, m.failed()));
             journal.writeHandoffBatch("lot", new Ownership(2, Status.ENDED, ""), SOON, messages);
         }
-        byte[] whole = file();
+        byte[] whole = segmentBytes();
         List<Integer> ends = boundaries(whole);
         for (int i = 3; i < ends.size(); i++) {
-            try (Journal journal = cut(whole, ends.get(i))) {
+            try (Journal journal = openCutAt(whole, ends.get(i))) {
                 assertEquals(2, journal.pendingMessages().size());
                 for (AcceptedMessage m : journal.pendingMessages()) {
                     assertTrue(m.frozen || m.notice != null, "after record " + i + " it owns " + m.id);
@@ -132,7 +132,7 @@
         }
     }
 
-    /** The heir's side: messages and ownership stand in one record, so a torn one leaves neither, at whatever byte. */
+    /** The receiver of a batch: messages and ownership are in one record, so a torn one leaves neither, at whatever byte. */
     @Test
     void aTornAdoptionLeavesNothing() throws IOException {
         try (Journal journal = open()) {
@@ -143,16 +143,16 @@
             assertTrue(journal.acceptHandoffBatch(
                     "lot", new Ownership(2, Status.OWNED, ""), SOON, List.of(doubt, message(journal, "other", 70))));
         }
-        byte[] whole = file();
+        byte[] whole = segmentBytes();
         for (int length = 0; length < whole.length; length++) {
-            try (Journal journal = cut(whole, length)) {
+            try (Journal journal = openCutAt(whole, length)) {
                 assertTrue(
                         journal.pendingMessages().isEmpty()
                                 && journal.handoffBatches().isEmpty(),
                         "at byte " + length);
             }
         }
-        try (Journal journal = cut(whole, whole.length)) {
+        try (Journal journal = openCutAt(whole, whole.length)) {
             assertEquals(2, journal.pendingMessages().size());
             AcceptedMessage doubt = journal.pendingMessages().iterator().next();
             assertEquals(3, doubt.attempts);
@@ -163,11 +163,11 @@
         }
     }
 
-    /** A rewrite keeps what lots say, and forgets those whose time is up. */
+    /** Compaction retains handoff batches, and expired ones are deleted. */
     @Test
     void survivesARewrite() throws IOException {
         try (Journal journal = open()) {
-            List<AcceptedMessage> messages = two(journal);
+            List<AcceptedMessage> messages = acceptTwo(journal);
             journal.writeHandoffBatch("kept", OFFERED, SOON, messages);
             journal.writeHandoffBatch("refused", new Ownership(2, Status.REFUSED, ""), SOON, List.of());
             journal.writeHandoffBatch("old", new Ownership(2, Status.REFUSED, ""), 1, List.of());
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Peers that ask for ever new lots leave the room for messages alone. */
+    /** Peers that offer ever new batches leave the room for messages. */
     @Test
     void lotsTakeOnlyTheirShare() throws IOException {
         try (Journal journal = open()) {
--- a/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -14,8 +14,8 @@
 import java.util.stream.Stream;
 
 /**
- * The journal beside the single file that it took the place of, one after the other in one process; run by hand
- * ({@code docs/figures/journal.md}). Not a test: it asserts nothing.
+ * Measures the journal beside the single file of 0.2, one after the other in one process; run by hand ({@code
+ * docs/figures/journal.md}). Not a test: it asserts nothing.
  */
 final class JournalMeasurement {
     private static final long SOON = 4_000_000_000_000L;
@@ -145,7 +145,7 @@
         }
     }
 
-    /** So many live messages, and others that come, are tried and go. */
+    /** So many live messages, and others that are accepted, attempted and completed. */
     private static void load(String name, Kind kind, int live, int body, int messages) throws IOException {
         Path folder = folder();
         Object journal = kind.open(folder, Math.max(3L << 20, 4L * live * (body + 700)));
@@ -167,7 +167,7 @@
             kind.attempt(journal, fresh);
             long c = System.nanoTime();
             held.add(fresh);
-            // One in ten stays behind those that go at once.
+            // One in ten outlives those that are completed at once.
             AcceptedMessage done = i % 10 == 0 ? held.poll() : held.pollLast();
             long d = System.nanoTime();
             kind.conclude(journal, done);
@@ -196,7 +196,7 @@
         delete(folder);
     }
 
-    /** Turns of so many messages, each taken on, tried and concluded, with what waits for a force run behind it. */
+    /** Iterations of so many messages, each accepted, attempted and completed, with the effects that wait for a force. */
     private static void forced(Durability durability, int turn, int turns) throws IOException {
         Path folder = folder();
         Deque<Runnable> due = new ArrayDeque<>();
--- a/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -19,12 +19,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a client was told, a call that went out and an end that was told outlast a loss of power, where that was asked for. */
+/** Acceptances, attempts and notices that were reported survive a loss of power, where that is configured. */
 class JournalPowerLossTest {
     private static final long BUDGET = 600_000;
 
-    /** Runs what is due when a test says so: forces take their time. */
-    private static final class Steps implements BackgroundExecutor {
+    /** Runs what is due when a test says so, as a force takes its time. */
+    private static final class ManualExecutor implements BackgroundExecutor {
         final Deque<Runnable> due = new ArrayDeque<>();
         int forces;
 
@@ -42,31 +42,31 @@
             due.add(work);
         }
 
-        void all() {
+        void runAll() {
             while (!due.isEmpty()) {
                 due.poll().run();
             }
         }
     }
 
-    private static AcceptedMessage held(Journal journal, String id) {
+    private static AcceptedMessage newMessage(Journal journal, String id) {
         return new AcceptedMessage(journal.nextNumber(), id, "", "unsafe", 7, 3, 1_000, new byte[100]);
     }
 
     @Test
     void oneForceServesAllThatComesTogetherAndEffectsWaitForIt() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
-        Steps steps = new Steps();
+        ManualExecutor steps = new ManualExecutor();
         Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, steps);
         List<String> told = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             String id = "m" + i;
-            assertTrue(journal.accept(held(journal, id)));
+            assertTrue(journal.accept(newMessage(journal, id)));
             journal.whenDurable(() -> told.add(id), null);
         }
         assertEquals(List.of(), told);
         assertEquals(20, journal.deferredEffects());
-        steps.all();
+        steps.runAll();
         assertEquals(20, told.size());
         assertEquals(1, steps.forces);
         // Nothing new was written: no force is needed.
@@ -75,7 +75,7 @@
         assertEquals(1, steps.forces);
     }
 
-    /** Random work, forces that take their time, and power that fails at any operation: all that was told holds. */
+    /** Random operations, slow forces, and power that fails at any operation: all that was reported is found. */
     @Test
     void whatWasToldOutlastsALossOfPower() throws IOException {
         int checked = 0;
@@ -83,7 +83,7 @@
             for (Durability durability : List.of(Durability.BATCH, Durability.EACH)) {
                 SimulatedDisk disk = new SimulatedDisk();
                 SplittableRandom random = new SplittableRandom(seed);
-                Steps steps = new Steps();
+                ManualExecutor steps = new ManualExecutor();
                 Set<String> taken = new HashSet<>();
                 Map<String, Integer> attempts = new HashMap<>();
                 Map<String, String> ended = new HashMap<>();
@@ -96,7 +96,7 @@
                         AcceptedMessage any = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
                         switch (any == null ? 0 : random.nextInt(5)) {
                             case 0, 1 -> {
-                                AcceptedMessage m = held(journal, "m" + i);
+                                AcceptedMessage m = newMessage(journal, "m" + i);
                                 assertTrue(journal.accept(m));
                                 journal.whenDurable(() -> taken.add(m.id), null);
                             }
@@ -124,10 +124,10 @@
                         }
                         journal.compactSlice();
                     }
-                } catch (SimulatedDisk.Killed e) {
-                    // The power is gone.
+                } catch (SimulatedDisk.ProcessKilledError e) {
+                    // Power has failed.
                 }
-                disk.powerFails(seed);
+                disk.failPower(seed);
                 disk.restart(1, SimulatedDisk.Fault.NONE, 0);
                 Map<String, AcceptedMessage> found = new HashMap<>();
                 Journal.open(null, disk, BUDGET).pendingMessages().forEach(m -> found.put(m.id, m));
@@ -146,43 +146,43 @@
         assertTrue(checked > 5_000, "only " + checked);
     }
 
-    /** Nobody knows what a failed force has left: nothing is taken on until all of it is on the disk by other ways. */
+    /** After a failed force nothing is accepted until all of what it covered is on the disk in another way. */
     @Test
     void afterAFailedForceNothingIsTakenOnUntilAllIsSafeAgain() throws IOException {
         for (long seed = 0; seed < 100; seed++) {
             SimulatedDisk disk = new SimulatedDisk();
-            Steps steps = new Steps();
+            ManualExecutor steps = new ManualExecutor();
             Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, steps);
             List<String> told = new ArrayList<>();
             for (String id : List.of("a", "b")) {
-                assertTrue(journal.accept(held(journal, id)));
+                assertTrue(journal.accept(newMessage(journal, id)));
                 journal.whenDurable(() -> told.add(id), () -> told.add("not " + id));
             }
             AcceptedMessage b = List.copyOf(journal.pendingMessages()).get(1);
             journal.end(b, b.failed(), () -> journal.whenDurable(() -> told.add("end of b"), null));
             disk.restart(seed, SimulatedDisk.Fault.FAIL_FORCES, 1);
-            steps.all();
+            steps.runAll();
             assertEquals(List.of("not a", "not b"), told);
-            assertFalse(journal.accept(held(journal, "c")));
+            assertFalse(journal.accept(newMessage(journal, "c")));
             assertFalse(journal.uncertain(), "c was never written");
             assertTrue(journal.retryAfterMillis() > 0);
             for (int i = 0; i < 3; i++) {
                 journal.retry();
-                steps.all();
+                steps.runAll();
             }
             assertEquals(2, told.size());
             disk.restart(seed, SimulatedDisk.Fault.NONE, 0);
             for (int i = 0; i < 4; i++) {
                 journal.retry();
-                steps.all();
+                steps.runAll();
             }
             assertEquals("end of b", told.get(2));
             assertEquals("", journal.writeFailure());
-            assertTrue(journal.accept(held(journal, "d")));
+            assertTrue(journal.accept(newMessage(journal, "d")));
             journal.whenDurable(() -> told.add("d"), null);
-            steps.all();
+            steps.runAll();
             assertEquals("d", told.get(3));
-            disk.powerFails(seed);
+            disk.failPower(seed);
             disk.restart(1, SimulatedDisk.Fault.NONE, 0);
             assertEquals(
                     List.of("a", "b", "d"),
@@ -192,7 +192,7 @@
         }
     }
 
-    /** What another daemon is told at once, while the helper's own force is under way: both are on the disk when it returns. */
+    /** A force on the event loop, while one runs in the background: both are done when it returns. */
     @Test
     void makingSafeWaitsForTheForceThatIsUnderWay() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
@@ -213,15 +213,15 @@
             }
         });
         List<String> told = new ArrayList<>();
-        assertTrue(journal.accept(held(journal, "a")));
+        assertTrue(journal.accept(newMessage(journal, "a")));
         journal.whenDurable(() -> told.add("a"), null);
         assertEquals(1, threads.size());
-        assertTrue(journal.accept(held(journal, "b")));
+        assertTrue(journal.accept(newMessage(journal, "b")));
         assertTrue(journal.forceAll());
         assertEquals(List.of("a"), told);
         then.forEach(Runnable::run);
         assertEquals(List.of("a"), told);
-        disk.powerFails(3);
+        disk.failPower(3);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
         assertEquals(2, Journal.open(null, disk, BUDGET).pendingMessages().size());
     }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Room in the journal: given back in full, never exceeded, and enough for every message that was taken on. */
+/** Room in the journal: given back in full, never exceeded, and enough for every accepted message. */
 class JournalTest {
     private static final long BUDGET = 600_000;
     private static final String UID = "u".repeat(128);
@@ -26,31 +26,31 @@
     @TempDir
     Path folder;
 
-    private AcceptedMessage message(Journal journal) {
+    private AcceptedMessage numberedMessage(Journal journal) {
         long number = journal.nextNumber();
         String padded = String.format("%06d", number);
         return new AcceptedMessage(number, "id" + padded, "key" + padded, "unsafe", 7, 3, 1_000, new byte[200]);
     }
 
-    private int fill(Journal journal) {
+    private int acceptUntilFull(Journal journal) {
         int taken = 0;
-        while (journal.accept(message(journal))) {
+        while (journal.accept(numberedMessage(journal))) {
             taken++;
         }
         return taken;
     }
 
-    private void checkSize() throws IOException {
+    private void assertWithinBudget() throws IOException {
         try (var files = Files.list(folder)) {
             assertTrue(files.mapToLong(f -> f.toFile().length()).sum() <= BUDGET);
         }
     }
 
-    /** Twelve attempts each and a notice, over and over: what is written stays within the budget all the time. */
+    /** Twelve attempts each and a notice, repeatedly: the files stay within the budget all the time. */
     @Test
     void givesBackTheRoomOfWhatHasEnded() throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            int first = fill(journal);
+            int first = acceptUntilFull(journal);
             assertTrue(first > 200, "took " + first);
             for (int round = 0; round < 3; round++) {
                 for (AcceptedMessage m : List.copyOf(journal.pendingMessages())) {
@@ -58,24 +58,24 @@
                         assertTrue(journal.attempt(m, UID, 5), "no room for an attempt");
                         journal.outcome(m, true);
                     }
-                    checkSize();
+                    assertWithinBudget();
                 }
                 for (AcceptedMessage m : List.copyOf(journal.pendingMessages())) {
                     journal.end(m, m.returned(1_000));
                     journal.conclude(m);
-                    checkSize();
+                    assertWithinBudget();
                 }
-                assertEquals(first, fill(journal));
+                assertEquals(first, acceptUntilFull(journal));
             }
         }
     }
 
-    /** What a rewrite keeps says the same as all records before it, notices and ids of ended messages included. */
+    /** Compaction and a restart change nothing, notices and ids of completed messages included. */
     @Test
     void standsTheSameAfterARewriteAndARestart() throws IOException {
         String notice;
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            fill(journal);
+            acceptUntilFull(journal);
             AcceptedMessage ended = journal.pendingMessages().iterator().next();
             notice = ended.failed();
             journal.end(ended, notice);
@@ -87,7 +87,7 @@
                 journal.outcome(last, i > 0);
             }
             journal.attempt(last, UID, 77);
-            checkSize();
+            assertWithinBudget();
         }
         try (Journal journal = Journal.open(folder, BUDGET)) {
             List<AcceptedMessage> live = List.copyOf(journal.pendingMessages());
@@ -99,34 +99,34 @@
                     List.of(last.attempts, last.doubtSince, last.doubtAt, last.out, last.sentAt));
             int taken = live.size();
             live.forEach(journal::conclude);
-            assertTrue(fill(journal) >= taken, "room was lost over the restart");
+            assertTrue(acceptUntilFull(journal) >= taken, "room was lost over the restart");
         }
     }
 
-    private static Journal on(SimulatedDisk disk) throws IOException {
+    private static Journal openOn(SimulatedDisk disk) throws IOException {
         return Journal.open(null, disk, BUDGET);
     }
 
-    private static AcceptedMessage held(Journal journal, String id) {
+    private static AcceptedMessage newMessage(Journal journal, String id) {
         return new AcceptedMessage(journal.nextNumber(), id, "", "unsafe", 7, 3, 1_000, new byte[100]);
     }
 
-    /** While nothing can be written: no new message, no attempt, no end is told; then all of it, in its turn, by itself. */
+    /** While nothing can be written no message is accepted, no attempt made and no notice sent; then all of it in order. */
     @Test
     void aDiskThatTakesNothingHoldsBackWhatDependsOnItAndNothingElse() throws IOException {
         for (SimulatedDisk.Fault fault : List.of(SimulatedDisk.Fault.FULL, SimulatedDisk.Fault.READ_ONLY)) {
             SimulatedDisk disk = new SimulatedDisk();
-            Journal journal = on(disk);
-            AcceptedMessage tried = held(journal, "tried");
-            AcceptedMessage ends = held(journal, "ends");
-            AcceptedMessage over = held(journal, "over");
+            Journal journal = openOn(disk);
+            AcceptedMessage tried = newMessage(journal, "tried");
+            AcceptedMessage ends = newMessage(journal, "ends");
+            AcceptedMessage over = newMessage(journal, "over");
             List.of(tried, ends, over).forEach(m -> assertTrue(journal.accept(m)));
             assertTrue(journal.attempt(tried, "uid", 5) && journal.attempt(over, "uid", 5));
             assertEquals(0, journal.retryAfterMillis());
-            // The reserve's room is no help on a disk that takes nothing at all.
+            // The reserve is no help on a disk that takes nothing at all.
             disk.restart(4, fault, 1);
             List<String> told = new ArrayList<>();
-            assertFalse(journal.accept(held(journal, "new")));
+            assertFalse(journal.accept(newMessage(journal, "new")));
             assertTrue(journal.retryAfterMillis() > 0 && !journal.writeFailure().isEmpty());
             assertFalse(journal.attempt(ends, "uid", 6));
             assertEquals(0, ends.attempts, "an attempt that was not recorded was not made");
@@ -145,8 +145,8 @@
             assertEquals(List.of("ends"), told);
             assertEquals(0, journal.pendingWriteCount());
             assertEquals(0, journal.retryAfterMillis());
-            assertTrue(journal.accept(held(journal, "later")));
-            Journal again = on(disk);
+            assertTrue(journal.accept(newMessage(journal, "later")));
+            Journal again = openOn(disk);
             assertEquals(
                     List.of("tried", "ends", "later"),
                     again.pendingMessages().stream().map(m -> m.id).toList());
@@ -155,14 +155,14 @@
         }
     }
 
-    /** A full disk takes no new message, but what is held is ended out of the reserve, over a restart as well. */
+    /** A full disk accepts no message, but accepted ones are ended out of the reserve, over a restart as well. */
     @Test
     void theReserveEndsWhatIsHeldOnAFullDisk() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
-        Journal journal = on(disk);
+        Journal journal = openOn(disk);
         List<AcceptedMessage> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            all.add(held(journal, "m" + i));
+            all.add(newMessage(journal, "m" + i));
             assertTrue(journal.accept(all.get(i)));
         }
         disk.capacity(disk.names().stream()
@@ -177,14 +177,14 @@
         }
         assertEquals(20, told);
         assertEquals(0, journal.pendingWriteCount());
-        Journal again = on(disk);
+        Journal again = openOn(disk);
         assertEquals(20, again.pendingMessages().size());
         disk.capacity(Long.MAX_VALUE);
         again.retry();
-        assertTrue(again.accept(held(again, "new")));
+        assertTrue(again.accept(newMessage(again, "new")));
     }
 
-    /** With 3 MB of disk the outages of more than a thousand places are known to the next process. */
+    /** With 3 MB of disk the next process knows the outages of more than a thousand upstreams. */
     @Test
     void remembersAThousandOutages() throws IOException {
         try (Journal journal = Journal.open(folder, 3_000_000)) {
@@ -206,7 +206,7 @@
         }
     }
 
-    /** A burst of what may be repeated pushes out nothing that may not, and memory and disk stay bounded. */
+    /** A burst of idempotent messages forgets no non-idempotent id, and memory and disk stay bounded. */
     @Test
     void aBurstOfSafeMessagesForgetsNoUnsafeId() throws IOException {
         try (Journal journal = Journal.open(folder, 3 << 20)) {
@@ -224,7 +224,7 @@
                                     0,
                                     false)));
             for (int i = 0; i < 500; i++) {
-                AcceptedMessage unsafe = held(journal, "unsafe" + i);
+                AcceptedMessage unsafe = newMessage(journal, "unsafe" + i);
                 assertTrue(journal.accept(unsafe));
                 journal.conclude(unsafe);
             }
@@ -252,7 +252,7 @@
         Path state = folder.resolve("state");
         try (Journal journal = Journal.open(state, BUDGET)) {
             for (int i = 0; i < 100; i++) {
-                assertTrue(journal.accept(held(journal, "m" + i)));
+                assertTrue(journal.accept(newMessage(journal, "m" + i)));
             }
             AcceptedMessage over = journal.pendingMessages().iterator().next();
             journal.attempt(over, "uid", 5);
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
@@ -20,10 +20,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * For tests and rigs: plays a journal at full load on a simulated disk that kills the process, fails or fills up at an
- * operation chosen in turn, recovers it, and compares each message with a model that never saw the disk. Counts three kinds
- * of harm: a message that is lost, one that would get a second answer or a second effect, one whose state is wrong. What was
- * under way when the process died may stand either way, as nobody was told. The same seed plays the same.
+ * For tests and experiments: runs a journal at full load on a simulated disk that kills the process, fails or fills up at an
+ * operation chosen in turn, recovers it, and compares each message with a model that never saw the disk. Counts messages that are
+ * lost, that would be answered or delivered twice, and whose state is wrong. A change that was interrupted may be found or not, as
+ * nobody was answered. The same seed repeats the same run.
  */
 public final class JournalTrial {
     private static final long BUDGET = 420_000;
@@ -31,46 +31,54 @@
     private static final int STEPS = 260;
     private static final long WALL = 1_700_000_000_000L;
 
-    /** What came of some rounds. */
+    /** The results of some rounds. */
     public static final class Counts {
         public long rounds;
         public long kills;
         public long accepted;
-        public long refused;
-        public long writesFailed;
+        public long rejected;
+        public long failedWrites;
         public long lost;
-        public long second;
-        public long wrong;
-        /** What was wrong first, for whoever looks into it; empty where nothing was. */
-        public String first = "";
+        public long duplicated;
+        public long wrongState;
+        /** The first violation, empty for none. */
+        public String firstViolation = "";
 
         public boolean ok() {
-            return lost == 0 && second == 0 && wrong == 0;
+            return lost == 0 && duplicated == 0 && wrongState == 0;
         }
     }
 
+    private enum Violation {
+        /** An accepted message is not found. */
+        LOST,
+        /** A message would be answered or delivered a second time. */
+        DUPLICATED,
+        WRONG_STATE
+    }
+
     /** What the model knows of one message. */
-    private static final class Known {
+    private static final class ModelMessage {
         final String id;
-        AcceptedMessage held;
-        /** Whether its client was told that it is taken on. */
-        boolean told;
-        /** Refused while the disk was uncertain: it may be there. */
+        AcceptedMessage message;
+        /** Whether its client was answered that it is accepted. */
+        boolean accepted;
+        /** Rejected while the journal was uncertain: it may be found. */
         boolean uncertain;
 
         int attempts;
-        boolean out;
+        boolean inFlight;
         boolean mayHaveRun;
-        /** Ends asked for and told. */
+        /** The notice that was asked for. */
         String notice;
 
         boolean noticeSent;
-        boolean concluded;
-        boolean concludedForSure;
-        /** What the last call that did not return may have changed. */
-        boolean open;
+        boolean completed;
+        boolean completedDurably;
+        /** Whether the last call on it did not return, so that its change may be found or not. */
+        boolean callInterrupted;
 
-        Known(String id) {
+        ModelMessage(String id) {
             this.id = id;
         }
     }
@@ -80,7 +88,7 @@
     private final SplittableRandom random;
     private final Counts counts;
     private final String name;
-    private Map<String, Known> model = new LinkedHashMap<>();
+    private Map<String, ModelMessage> model = new LinkedHashMap<>();
     private Journal journal;
     private int ids;
 
@@ -91,8 +99,8 @@
         seen = broken.apply(disk);
     }
 
-    /** Plays rounds {@code from} to {@code to}; {@code broken} puts a defect between the engine and the disk, for tests of this. */
-    public static Counts play(long seed, int from, int to, UnaryOperator<Disk> broken) {
+    /** Runs rounds {@code from} to {@code to}; {@code broken} puts a defect between journal and disk, to test the trial itself. */
+    public static Counts run(long seed, int from, int to, UnaryOperator<Disk> broken) {
         Counts counts = new Counts();
         for (int round = from; round < to; round++) {
             SimulatedDisk.Fault[] faults = {
@@ -108,33 +116,33 @@
                             "seed " + seed + ", round " + round + ", " + fault,
                             counts,
                             broken)
-                    .round(fault, 2 + round / faults.length % 400);
+                    .runRound(fault, 2 + round / faults.length % 400);
             counts.rounds++;
         }
         return counts;
     }
 
-    private void round(SimulatedDisk.Fault fault, int at) {
+    private void runRound(SimulatedDisk.Fault fault, int at) {
         for (int life = 0; life < LIVES; life++) {
             disk.restart(random.nextLong(), fault, at + random.nextInt(3));
             if (fault == SimulatedDisk.Fault.FULL && life < LIVES - 1) {
-                disk.until(at + 40 + random.nextInt(200));
+                disk.endFaultBefore(at + 40 + random.nextInt(200));
             }
             try {
                 open(", life " + life);
-                live();
-            } catch (SimulatedDisk.Killed e) {
+                runOperations();
+            } catch (SimulatedDisk.ProcessKilledError e) {
                 counts.kills++;
             } catch (IOException e) {
-                // A journal that cannot be opened serves nobody; the next life finds what it left.
-                counts.writesFailed++;
+                // The next process finds what this one left.
+                counts.failedWrites++;
             }
-            // The recovery may be cut short too.
+            // The recovery may be interrupted too.
             if (fault == SimulatedDisk.Fault.KILL && random.nextBoolean()) {
                 disk.restart(random.nextLong(), SimulatedDisk.Fault.KILL, 1 + random.nextInt(30));
                 try {
                     Journal.open(null, seen, BUDGET).retry();
-                } catch (SimulatedDisk.Killed | IOException e) {
+                } catch (SimulatedDisk.ProcessKilledError | IOException e) {
                     counts.kills++;
                 }
             }
@@ -143,182 +151,187 @@
         try {
             open(", at the end");
         } catch (IOException e) {
-            harm(2, "cannot be opened: " + e);
+            recordViolation(Violation.WRONG_STATE, "cannot be opened: " + e);
         }
     }
 
-    private void harm(int kind, String what) {
-        counts.lost += kind == 0 ? 1 : 0;
-        counts.second += kind == 1 ? 1 : 0;
-        counts.wrong += kind == 2 ? 1 : 0;
-        if (counts.first.isEmpty()) {
-            counts.first = name + ": " + what;
+    private void recordViolation(Violation kind, String what) {
+        switch (kind) {
+            case LOST -> counts.lost++;
+            case DUPLICATED -> counts.duplicated++;
+            case WRONG_STATE -> counts.wrongState++;
+            default -> throw new IllegalArgumentException(kind.name());
+        }
+        if (counts.firstViolation.isEmpty()) {
+            counts.firstViolation = name + ": " + what;
         }
     }
 
-    /** Opens it and compares; from then on the model is what was found, as the sender's own is. */
+    /** Opens the journal and compares; from then on the model is what was found, as in the sender. */
     private void open(String when) throws IOException {
         journal = Journal.open(null, seen, BUDGET);
-        Map<String, Known> next = new LinkedHashMap<>();
+        Map<String, ModelMessage> next = new LinkedHashMap<>();
         Set<String> live = new HashSet<>();
         List<String> order = new ArrayList<>();
         for (AcceptedMessage m : journal.pendingMessages()) {
             live.add(m.id);
             order.add(m.id);
-            Known known = model.get(m.id);
+            ModelMessage known = model.get(m.id);
             if (known == null) {
-                harm(1, m.id + " came from nowhere" + when);
+                recordViolation(Violation.DUPLICATED, m.id + " came from nowhere" + when);
             } else {
                 compare(known, m, when);
-                next.put(m.id, found(m));
+                next.put(m.id, modelOf(m));
             }
         }
-        for (Known known : model.values()) {
-            if (!live.contains(known.id) && known.told && !known.concluded) {
-                harm(0, known.id + " is lost" + when);
+        for (ModelMessage known : model.values()) {
+            if (!live.contains(known.id) && known.accepted && !known.completed) {
+                recordViolation(Violation.LOST, known.id + " is lost" + when);
             }
         }
         if (!order.equals(model.keySet().stream().filter(live::contains).toList())) {
-            harm(2, "the order changed" + when);
+            recordViolation(Violation.WRONG_STATE, "the order changed" + when);
         }
         model = next;
     }
 
-    private void compare(Known known, AcceptedMessage m, String when) {
-        if (!known.told && !known.uncertain && !known.open) {
-            harm(1, m.id + " was refused and is there" + when);
+    private void compare(ModelMessage known, AcceptedMessage m, String when) {
+        if (!known.accepted && !known.uncertain && !known.callInterrupted) {
+            recordViolation(Violation.DUPLICATED, m.id + " was refused and is there" + when);
         }
-        if (known.concludedForSure) {
-            harm(1, m.id + " was over and is back" + when);
+        if (known.completedDurably) {
+            recordViolation(Violation.DUPLICATED, m.id + " was over and is back" + when);
         }
         if (known.noticeSent && !known.notice.equals(m.notice)) {
-            harm(1, m.id + " was told as ended and has " + m.notice + when);
+            recordViolation(Violation.DUPLICATED, m.id + " was told as ended and has " + m.notice + when);
         }
         if (m.notice != null && !m.notice.equals(known.notice)) {
-            harm(2, m.id + " ended as nobody asked: " + m.notice + when);
+            recordViolation(Violation.WRONG_STATE, m.id + " ended as nobody asked: " + m.notice + when);
         }
         if (m.notice == null) {
-            boolean counted = m.attempts == known.attempts || known.open && m.attempts == known.attempts + 1;
+            boolean counted = m.attempts == known.attempts || known.callInterrupted && m.attempts == known.attempts + 1;
             if (!counted) {
-                harm(1, m.id + " had " + known.attempts + " attempts and has " + m.attempts + when);
+                recordViolation(
+                        Violation.DUPLICATED,
+                        m.id + " had " + known.attempts + " attempts and has " + m.attempts + when);
             }
-            if (known.out && !m.out && m.doubtSince == 0) {
-                harm(1, m.id + " was out and is not" + when);
+            if (known.inFlight && !m.out && m.doubtSince == 0) {
+                recordViolation(Violation.DUPLICATED, m.id + " was out and is not" + when);
             }
             if (known.mayHaveRun && m.doubtSince == 0 && !m.out) {
-                harm(1, m.id + " may have run and is in no doubt" + when);
+                recordViolation(Violation.DUPLICATED, m.id + " may have run and is in no doubt" + when);
             }
             if (m.body.length != 40 + m.id.hashCode() % 40 + 40 || m.key != 7) {
-                harm(2, m.id + " is not what it was" + when);
+                recordViolation(Violation.WRONG_STATE, m.id + " is not what it was" + when);
             }
         }
     }
 
-    /** What the journal found is what this process goes on from. */
-    private Known found(AcceptedMessage m) {
-        Known known = new Known(m.id);
-        known.held = m;
-        known.told = true;
+    /** The model of a message that the journal has found. */
+    private ModelMessage modelOf(AcceptedMessage m) {
+        ModelMessage known = new ModelMessage(m.id);
+        known.message = m;
+        known.accepted = true;
         known.attempts = m.attempts;
-        known.out = m.out;
+        known.inFlight = m.out;
         known.mayHaveRun = m.doubtSince != 0;
         known.notice = m.notice;
         return known;
     }
 
-    private void live() {
+    private void runOperations() {
         for (int i = 0; i < STEPS; i++) {
-            step();
+            runOperation();
             if (random.nextInt(4) == 0) {
                 journal.compactSlice();
             }
             if (random.nextInt(6) == 0) {
                 journal.retry();
-                settled();
+                markDurableCompletions();
             }
         }
     }
 
-    /** With nothing owed, all that was asked for is on the disk. */
-    private void settled() {
+    /** Without pending writes, all completions are on the disk. */
+    private void markDurableCompletions() {
         if (journal.pendingWriteCount() == 0) {
-            model.values().forEach(k -> k.concludedForSure |= k.concluded);
+            model.values().forEach(k -> k.completedDurably |= k.completed);
         }
     }
 
-    private Known any() {
-        List<Known> all =
-                model.values().stream().filter(k -> k.told && !k.concluded).toList();
+    private ModelMessage randomMessage() {
+        List<ModelMessage> all =
+                model.values().stream().filter(k -> k.accepted && !k.completed).toList();
         return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
     }
 
-    private void step() {
-        Known known = any();
+    private void runOperation() {
+        ModelMessage known = randomMessage();
         int what = random.nextInt(10);
         if (known == null || what < 4) {
             accept();
         } else if (known.notice != null) {
             if (known.noticeSent) {
                 conclude(known);
-            } else if (known.held.notice != null && random.nextBoolean()) {
+            } else if (known.message.notice != null && random.nextBoolean()) {
                 // A process that found it ended sends its notice again.
                 known.noticeSent |= journal.pendingWriteCount() == 0;
             }
-        } else if (known.out) {
-            known.open = true;
+        } else if (known.inFlight) {
+            known.callInterrupted = true;
             boolean mayHaveRun = random.nextBoolean();
             if (what < 6) {
-                known.out = false;
+                known.inFlight = false;
                 conclude(known);
             } else {
-                known.out = false;
+                known.inFlight = false;
                 known.mayHaveRun |= mayHaveRun;
-                journal.outcome(known.held, mayHaveRun);
+                journal.outcome(known.message, mayHaveRun);
             }
-            known.open = false;
+            known.callInterrupted = false;
         } else if (what < 8) {
-            known.open = true;
-            boolean may = journal.attempt(known.held, "uid-" + what, WALL);
-            known.open = false;
-            counts.writesFailed += may ? 0 : 1;
-            // Not made, but perhaps recorded all the same: it may be found as though it had been.
-            known.open |= !may && journal.uncertain();
+            known.callInterrupted = true;
+            boolean may = journal.attempt(known.message, "uid-" + what, WALL);
+            known.callInterrupted = false;
+            counts.failedWrites += may ? 0 : 1;
+            // Not made, but perhaps recorded all the same.
+            known.callInterrupted |= !may && journal.uncertain();
             if (may) {
                 known.attempts++;
-                known.out = true;
+                known.inFlight = true;
             }
         } else {
-            String notice = known.held.failed();
+            String notice = known.message.failed();
             known.notice = notice;
-            journal.end(known.held, notice, () -> known.noticeSent = true);
+            journal.end(known.message, notice, () -> known.noticeSent = true);
         }
-        settled();
+        markDurableCompletions();
     }
 
-    private void conclude(Known known) {
-        known.concluded = true;
-        journal.conclude(known.held);
+    private void conclude(ModelMessage known) {
+        known.completed = true;
+        journal.conclude(known.message);
     }
 
     private void accept() {
-        Known known = new Known("m" + ids++);
+        ModelMessage known = new ModelMessage("m" + ids++);
         byte[] body = new byte[40 + known.id.hashCode() % 40 + 40];
-        known.held = new AcceptedMessage(journal.nextNumber(), known.id, "", "unsafe", 7, 3, WALL, body);
-        known.open = true;
+        known.message = new AcceptedMessage(journal.nextNumber(), known.id, "", "unsafe", 7, 3, WALL, body);
+        known.callInterrupted = true;
         model.put(known.id, known);
-        known.told = journal.accept(known.held);
-        known.open = false;
-        known.uncertain = !known.told && journal.uncertain();
-        counts.accepted += known.told ? 1 : 0;
-        counts.refused += known.told ? 0 : 1;
+        known.accepted = journal.accept(known.message);
+        known.callInterrupted = false;
+        known.uncertain = !known.accepted && journal.uncertain();
+        counts.accepted += known.accepted ? 1 : 0;
+        counts.rejected += known.accepted ? 0 : 1;
     }
 
     // ---- The same with real processes. ----
 
     /**
-     * Fills the folder's journal until it is killed, and tells on standard output what it has told others: {@code A} taken
-     * on, {@code T} an attempt that may go out, {@code E} an end that was told, {@code C} over; before a change that may stand
-     * either way, {@code ?}.
+     * Fills the folder's journal until it is killed, and reports on standard output: {@code A} a message accepted, {@code T} an
+     * attempt recorded, {@code E} an end recorded, {@code C} a message completed; before each of them {@code ?}, as the change may
+     * be found or not if the process is killed during it.
      */
     public static void main(String[] args) throws IOException {
         SplittableRandom random = new SplittableRandom(Long.parseLong(args[1]));
@@ -358,13 +371,14 @@
     }
 
     /**
-     * Starts processes that run {@link #main}, kills each behind some of its words, at whatever it does by then, and compares
-     * what its folder has with what it told; {@code command} gets the folder and a seed appended.
+     * Starts processes that run {@link #main}, kills each after some of its reports, and compares its folder with them.
+     *
+     * @param command gets the folder and a seed appended
      */
-    public static Counts kill(List<String> command, Path folder, long seed, int rounds) throws IOException {
+    public static Counts runProcesses(List<String> command, Path folder, long seed, int rounds) throws IOException {
         Counts counts = new Counts();
         SplittableRandom random = new SplittableRandom(seed);
-        Map<String, Told> told = new LinkedHashMap<>();
+        Map<String, ReportedMessage> told = new LinkedHashMap<>();
         for (int round = 0; round < rounds; round++) {
             List<String> line = new ArrayList<>(command);
             line.add(folder.toString());
@@ -377,12 +391,13 @@
                 if (in.readLine() == null) {
                     throw new IOException("the process of round " + round + " did not start");
                 }
-                // All that it wrote is in the pipe, also behind its end; a line cut off by that was not told.
+                // The pipe has all that the process wrote, also behind its end; a line that is cut off was not
+                // reported.
                 int lines = 0;
                 for (String said = in.readLine(); said != null; said = in.readLine()) {
-                    take(told, said);
+                    recordLine(told, said);
                     if (++lines == after) {
-                        // Not the process's own method: it closes the pipe with what is still in it.
+                        // Not Process.destroyForcibly(): it closes the pipe with what is still in it.
                         process.toHandle().destroyForcibly();
                     }
                 }
@@ -394,61 +409,62 @@
         return counts;
     }
 
-    private static final class Told {
+    private static final class ReportedMessage {
         int attempts;
-        boolean taken;
+        boolean accepted;
         boolean ended;
-        boolean over;
-        boolean open;
+        boolean completed;
+        boolean callInterrupted;
     }
 
-    private static void take(Map<String, Told> told, String line) {
+    private static void recordLine(Map<String, ReportedMessage> told, String line) {
         String[] words = line.split(" ");
         if (words.length < 2) {
             return;
         }
-        Told of = told.computeIfAbsent(words[1], id -> new Told());
+        ReportedMessage of = told.computeIfAbsent(words[1], id -> new ReportedMessage());
         switch (words[0]) {
             case "?" -> {
-                told.values().forEach(t -> t.open = false);
-                of.open = true;
+                told.values().forEach(t -> t.callInterrupted = false);
+                of.callInterrupted = true;
             }
-            case "A" -> of.taken = true;
+            case "A" -> of.accepted = true;
             case "T" -> of.attempts = words.length > 2 ? Integer.parseInt(words[2]) : of.attempts;
             case "E" -> of.ended = true;
-            case "C" -> of.over = true;
+            case "C" -> of.completed = true;
             default -> throw new IllegalArgumentException(line);
         }
     }
 
-    private static void compare(Map<String, Told> told, Path folder, Counts counts, String when) throws IOException {
+    private static void compare(Map<String, ReportedMessage> told, Path folder, Counts counts, String when)
+            throws IOException {
         Map<String, AcceptedMessage> live = new LinkedHashMap<>();
         try (Journal journal = Journal.openReadOnly(folder)) {
             journal.pendingMessages().forEach(m -> live.put(m.id, m));
-            counts.wrong += journal.dataLoss().lines().stream()
+            counts.wrongState += journal.dataLoss().lines().stream()
                     .filter(what -> what.contains("segment"))
                     .count();
         }
         told.forEach((id, of) -> {
             AcceptedMessage m = live.get(id);
-            counts.lost += m == null && of.taken && !of.over && !of.open ? 1 : 0;
-            counts.second += m != null && of.over ? 1 : 0;
-            counts.wrong += m != null && of.ended && m.notice == null ? 1 : 0;
-            counts.wrong += m != null && m.notice == null && m.attempts < of.attempts ? 1 : 0;
-            counts.accepted += of.taken ? 1 : 0;
-            if (!counts.ok() && counts.first.isEmpty()) {
-                counts.first = when + ": " + id;
+            counts.lost += m == null && of.accepted && !of.completed && !of.callInterrupted ? 1 : 0;
+            counts.duplicated += m != null && of.completed ? 1 : 0;
+            counts.wrongState += m != null && of.ended && m.notice == null ? 1 : 0;
+            counts.wrongState += m != null && m.notice == null && m.attempts < of.attempts ? 1 : 0;
+            counts.accepted += of.accepted ? 1 : 0;
+            if (!counts.ok() && counts.firstViolation.isEmpty()) {
+                counts.firstViolation = when + ": " + id;
             }
         });
-        // What stood either way stands now as it was found.
-        told.values().removeIf(of -> of.over);
+        // From now on each message is as it was found.
+        told.values().removeIf(of -> of.completed);
         told.entrySet().removeIf(entry -> !live.containsKey(entry.getKey()));
         live.forEach((id, m) -> {
-            Told of = told.computeIfAbsent(id, i -> new Told());
-            of.taken = true;
+            ReportedMessage of = told.computeIfAbsent(id, i -> new ReportedMessage());
+            of.accepted = true;
             of.attempts = m.attempts;
             of.ended = m.notice != null;
-            of.open = false;
+            of.callInterrupted = false;
         });
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
@@ -14,22 +14,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The rig journal-crash in its short form, and that it would find a broken engine. */
+/** The experiment journal-crash in its short form, and that it would find a broken journal. */
 class JournalTrialTest {
     @Test
     void nothingIsLostDoubledOrWrongWhereverItIsKilledFailsOrFillsUp() {
-        JournalTrial.Counts counts = JournalTrial.play(11, 0, 500, UnaryOperator.identity());
-        assertTrue(counts.ok(), counts.first);
+        JournalTrial.Counts counts = JournalTrial.run(11, 0, 500, UnaryOperator.identity());
+        assertTrue(counts.ok(), counts.firstViolation);
         assertTrue(
-                counts.kills > 300 && counts.accepted > 20_000 && counts.writesFailed > 100 && counts.refused > 100,
-                counts.kills + " kills, " + counts.accepted + " accepted, " + counts.writesFailed + " writes failed, "
-                        + counts.refused + " refused");
+                counts.kills > 300 && counts.accepted > 20_000 && counts.failedWrites > 100 && counts.rejected > 100,
+                counts.kills + " kills, " + counts.accepted + " accepted, " + counts.failedWrites + " writes failed, "
+                        + counts.rejected + " refused");
     }
 
-    /** Says that it wrote and did not, once in a while. */
+    /** Skips a write once in a while, and reports it as done. */
     @Test
     void aSkippedWriteIsFound() {
-        found(disk -> new Wrapped(disk) {
+        assertDefectFound(disk -> new DefectiveDisk(disk) {
             private int writes;
 
             @Override
@@ -44,10 +44,10 @@
         });
     }
 
-    /** Takes a failed write for a good one. */
+    /** Reports a failed write as done. */
     @Test
     void anIgnoredErrorIsFound() {
-        found(disk -> new Wrapped(disk) {
+        assertDefectFound(disk -> new DefectiveDisk(disk) {
             @Override
             int append(Disk.Handle to, ByteBuffer bytes) {
                 int said = bytes.remaining();
@@ -61,10 +61,10 @@
         });
     }
 
-    /** Deletes a segment before the last of what was copied from it, and of what tells so, is written. */
+    /** Deletes a segment before the last copies from it, and the record of its retirement, are written. */
     @Test
     void aSwappedRetiringIsFound() {
-        found(disk -> new Wrapped(disk) {
+        assertDefectFound(disk -> new DefectiveDisk(disk) {
             private final List<Runnable> late = new ArrayList<>();
 
             @Override
@@ -81,7 +81,7 @@
                             to.append(left);
                         }
                     } catch (IOException e) {
-                        // As though nobody had looked.
+                        // Ignored, as is part of the defect.
                     }
                 });
                 return copy.length;
@@ -101,15 +101,15 @@
         });
     }
 
-    private static void found(UnaryOperator<Disk> broken) {
-        JournalTrial.Counts counts = JournalTrial.play(11, 0, 500, broken);
+    private static void assertDefectFound(UnaryOperator<Disk> broken) {
+        JournalTrial.Counts counts = JournalTrial.run(11, 0, 500, broken);
         assertFalse(counts.ok(), "the broken engine was not found");
     }
 
-    /** Real processes on a real folder, killed at any moment; the rig does more of it. */
+    /** Real processes on a real folder, killed at any moment; the experiment does more of it. */
     @Test
     void realProcessesThatAreKilledLoseNothing(@TempDir Path folder) throws Exception {
-        JournalTrial.Counts counts = JournalTrial.kill(
+        JournalTrial.Counts counts = JournalTrial.runProcesses(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xshare:auto",
@@ -120,16 +120,16 @@
                 folder,
                 5,
                 6);
-        assertTrue(counts.ok(), counts.first);
+        assertTrue(counts.ok(), counts.firstViolation);
         assertEquals(6, counts.kills);
         assertTrue(counts.accepted > 100, counts.accepted + " accepted");
     }
 
-    /** A disk with a defect between it and the engine. */
-    private static class Wrapped implements Disk {
+    /** A disk with a defect between it and the journal. */
+    private static class DefectiveDisk implements Disk {
         private final Disk inner;
 
-        Wrapped(Disk inner) {
+        DefectiveDisk(Disk inner) {
             this.inner = inner;
         }
 
@@ -137,7 +137,7 @@
             return to.append(bytes);
         }
 
-        /** To be done ahead of whatever reads. */
+        /** Runs ahead of whatever reads. */
         void flush() {}
 
         @Override
@@ -190,7 +190,7 @@
 
             @Override
             public int append(ByteBuffer from) throws IOException {
-                return Wrapped.this.append(file, from);
+                return DefectiveDisk.this.append(file, from);
             }
 
             @Override
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -29,7 +29,7 @@
     @TempDir
     Path folder;
 
-    private byte[] old() throws IOException {
+    private byte[] recordedFile() throws IOException {
         try (InputStream in = LegacyJournalReaderTest.class.getResourceAsStream("/journal-0.2.bin")) {
             return in.readAllBytes();
         }
@@ -43,8 +43,8 @@
         }
     }
 
-    /** What {@link #write} wrote. */
-    private static void check(Journal journal) {
+    /** Compares with what {@link #write} wrote. */
+    private static void assertRecordedContents(Journal journal) {
         List<AcceptedMessage> live = List.copyOf(journal.pendingMessages());
         assertEquals(
                 List.of("first", "doubt", "ended", "offered", "behind"),
@@ -79,42 +79,42 @@
 
     @Test
     void anEarlierVersionsFileIsMovedWhole() throws IOException {
-        Files.write(folder.resolve("journal"), old());
+        Files.write(folder.resolve("journal"), recordedFile());
         assertEquals(5, JournalView.read(folder).pendingCount(), "looking does not move it");
-        assertArrayEquals(old(), Files.readAllBytes(folder.resolve("journal")));
+        assertArrayEquals(recordedFile(), Files.readAllBytes(folder.resolve("journal")));
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            check(journal);
+            assertRecordedContents(journal);
         }
         for (int i = 0; i < 2; i++) {
             assertEquals(5, JournalView.read(folder).pendingCount());
             try (Journal journal = Journal.open(folder, BUDGET)) {
-                check(journal);
+                assertRecordedContents(journal);
             }
         }
         assertArrayEquals(LegacyJournalReader.mark(), Files.readAllBytes(folder.resolve("journal")));
     }
 
-    /** What a move that was cut short left is of no account: the old file is whole until one step replaces it. */
+    /** An interrupted migration is repeated: the old file is whole until one step replaces it. */
     @Test
     void aMoveThatWasCutShortIsDoneAnew() throws IOException {
-        Files.write(folder.resolve("journal"), old());
+        Files.write(folder.resolve("journal"), recordedFile());
         try (Journal journal = Journal.open(folder, BUDGET)) {
-            check(journal);
+            assertRecordedContents(journal);
         }
         byte[] segment = Files.readAllBytes(segments().get(0));
         for (int cut = 0; cut < segment.length; cut += 37) {
-            Files.write(folder.resolve("journal"), old());
+            Files.write(folder.resolve("journal"), recordedFile());
             for (Path file : segments()) {
                 Files.delete(file);
             }
             Files.write(folder.resolve("0000000000000001-0000000000000002.seg"), java.util.Arrays.copyOf(segment, cut));
             try (Journal journal = Journal.open(folder, BUDGET)) {
-                check(journal);
+                assertRecordedContents(journal);
             }
         }
     }
 
-    /** The earlier version ends with an error, and leaves everything alone, instead of beginning an empty journal. */
+    /** The earlier version ends with an error, and changes nothing, instead of beginning an empty journal. */
     @Test
     void theEarlierVersionRefusesWhatIsInSegments() throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET)) {
@@ -131,7 +131,7 @@
 
     @Test
     void aDamagedOldFileIsKeptAside() throws IOException {
-        byte[] bad = old();
+        byte[] bad = recordedFile();
         bad[bad.length - 3] ^= 1;
         Files.write(folder.resolve("journal"), bad);
         try (Journal journal = Journal.open(folder, BUDGET)) {
--- a/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
+++ b/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Segments of a state folder as bytes, for tests that cut them. */
+/** Segments of a state folder as bytes, for tests that truncate them. */
 public final class SegmentFiles {
     private static final int HEAD = 48;
     private static final int FRAME = 20;
@@ -31,7 +31,7 @@
     }
 
     /** Lengths of a segment at which a whole record ends; the first record is the one that begins it. */
-    public static List<Integer> ends(byte[] segment) {
+    public static List<Integer> recordEnds(byte[] segment) {
         List<Integer> out = new ArrayList<>();
         for (int at = HEAD; at < segment.length; ) {
             at += FRAME + ByteBuffer.wrap(segment).getInt(at + 4);
@@ -44,15 +44,15 @@
     public static List<String> records(byte[] segment) {
         List<String> out = new ArrayList<>();
         int at = HEAD;
-        for (int end : ends(segment)) {
+        for (int end : recordEnds(segment)) {
             out.add(new String(segment, at + FRAME, end - at - FRAME, StandardCharsets.ISO_8859_1));
             at = end;
         }
         return out;
     }
 
-    /** Leaves so many bytes of that segment alone in the folder. */
-    public static void cut(Path state, byte[] segment, int length) throws IOException {
+    /** Replaces all segments of the folder by the first bytes of one. */
+    public static void truncate(Path state, byte[] segment, int length) throws IOException {
         List<Path> there = of(state);
         Path first = there.isEmpty() ? state.resolve("0000000000000001-0000000000000001.seg") : there.get(0);
         for (Path file : there) {
--- a/storage/src/main/java/amberroute/storage/SimulatedDisk.java
+++ b/storage/src/main/java/amberroute/storage/SimulatedDisk.java
@@ -17,7 +17,7 @@
  */
 public final class SimulatedDisk implements Disk {
     /** The simulated process was killed: it must not do anything more. */
-    public static final class Killed extends Error {
+    public static final class ProcessKilledError extends Error {
         private static final long serialVersionUID = 1;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Ends a fault that lasts before the operation with this number. */
-    public void until(long operation) {
+    public void endFaultBefore(long operation) {
         until = operation;
     }
 
@@ -79,7 +79,7 @@
     }
 
     /** Returns the largest sum of all files so far, in bytes of whole blocks. */
-    public long most() {
+    public long maxUsedBytes() {
         return maxUsedBytes;
     }
 
@@ -112,7 +112,7 @@
      * Loses some of what was not forced, drawn from the seed: a name that was created may be missing, one that was deleted may be
      * there again, and a file has at least what was forced of it.
      */
-    public void powerFails(long seed) {
+    public void failPower(long seed) {
         SplittableRandom draw = new SplittableRandom(seed);
         TreeMap<String, Content> after = new TreeMap<>();
         for (Map.Entry<String, Content> file : files.entrySet()) {
@@ -148,7 +148,7 @@
     /** Whether the fault strikes now. */
     private boolean strikes() {
         if (killed) {
-            throw new Killed();
+            throw new ProcessKilledError();
         }
         operations++;
         return fault != Fault.NONE
@@ -166,7 +166,7 @@
     private void killIfAsked() {
         if (fault == Fault.KILL) {
             killed = true;
-            throw new Killed();
+            throw new ProcessKilledError();
         }
     }
 
--- a/storage/src/test/java/amberroute/storage/SegmentLogTest.java
+++ b/storage/src/test/java/amberroute/storage/SegmentLogTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The log on disks that kill the process, fail, fill up or lose power at any operation, and on damaged segments. */
 class SegmentLogTest {
     private static final LogLimits SMALL = new LogLimits(80 * 4_096, 4_096, 0, false);
     private static final LogLimits SYNCED = new LogLimits(80 * 4_096, 4_096, 0, true);
@@ -32,127 +33,127 @@
     }
 
     private static SegmentLog open(Disk disk, long seed) throws IOException {
-        return StorageScenario.normal(disk, SMALL, seed);
+        return StorageScenario.openLog(disk, SMALL, seed);
     }
 
-    /** Lives on one disk, each killed at another operation, with contents that come, change, end and are moved on. */
+    /** Processes on one disk, each killed at another operation, while contents are put, replaced, deleted and compacted. */
     @Test
     void nothingIsLostOrComesBackWhereverTheProcessIsKilled() throws Exception {
         long retired = 0;
         long written = 0;
         for (long run = 1; run <= 1_500; run++) {
-            StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
+            StorageScenario scenario = new StorageScenario(SMALL, run, StorageScenario::openLog);
             for (int life = 0; life < 4; life++) {
                 String at = "run " + run + ", life " + life;
-                play.disk.restart(run * 7 + life, SimulatedDisk.Fault.KILL, 4 + run % 300);
-                play.live(120, 8, at);
-                play.settle(at + ", behind it");
+                scenario.disk.restart(run * 7 + life, SimulatedDisk.Fault.KILL, 4 + run % 300);
+                scenario.runProcess(120, 8, at);
+                scenario.resolvePending(at + ", behind it");
             }
-            retired += play.retired;
-            written += play.written;
+            retired += scenario.retiredSegments;
+            written += scenario.writtenBatches;
         }
         assertTrue(retired > 1_000 && written > 50_000, retired + " retired, " + written + " written");
     }
 
-    /** A write that fails leaves the log as it was; also where its torn part cannot be cut off. */
+    /** A failed write leaves the log as it was, also where its torn part cannot be truncated. */
     @Test
     void afterAFailedWriteTheLogGoesOn() throws Exception {
         for (SimulatedDisk.Fault fault :
                 List.of(SimulatedDisk.Fault.FAIL, SimulatedDisk.Fault.FAIL_AND_TRUNCATE_FAILS)) {
             for (long run = 0; run < 2_500; run++) {
-                StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
-                play.disk.restart(run, fault, 3 + run % 160);
+                StorageScenario scenario = new StorageScenario(SMALL, run, StorageScenario::openLog);
+                scenario.disk.restart(run, fault, 3 + run % 160);
                 String at = fault + ", run " + run;
-                play.live(100, 6, at);
-                if (play.log == null) {
+                scenario.runProcess(100, 6, at);
+                if (scenario.log == null) {
                     continue;
                 }
-                assertTrue(play.failed <= 2, at + " failed " + play.failed + " times");
-                assertFalse(play.log.uncertain(), at);
-                play.settle(at);
-                play.live(30, 6, at + ", next life");
-                play.settle(at + ", next life");
+                assertTrue(scenario.failedOperations <= 2, at + " failed " + scenario.failedOperations + " times");
+                assertFalse(scenario.log.uncertain(), at);
+                scenario.resolvePending(at);
+                scenario.runProcess(30, 6, at + ", next life");
+                scenario.resolvePending(at + ", next life");
             }
         }
     }
 
-    /** A disk that fills up and stays so over a restart, then has room again. */
+    /** A disk fills up and stays full over a restart, then has room again. */
     @Test
     void aFullOrReadOnlyDiskRefusesLosesNothingAndGoesOnWhenItHasRoom() throws Exception {
         for (SimulatedDisk.Fault fault : List.of(SimulatedDisk.Fault.FULL, SimulatedDisk.Fault.READ_ONLY)) {
             for (long run = 0; run < 500; run++) {
-                StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
+                StorageScenario scenario = new StorageScenario(SMALL, run, StorageScenario::openLog);
                 String at = fault + ", run " + run;
-                play.disk.restart(run, fault, 3 + run % 120);
-                play.live(90, 10, at);
-                assertTrue(play.failed > 0, "never refused, " + at);
-                play.settle(at);
-                play.disk.restart(run, fault, 1);
-                play.live(5, 10, at + ", still");
-                long before = play.written;
-                play.settle(at + ", still");
-                play.live(40, 10, at + ", room again");
-                assertTrue(play.written > before + 30, at);
-                play.settle(at + ", at the end");
+                scenario.disk.restart(run, fault, 3 + run % 120);
+                scenario.runProcess(90, 10, at);
+                assertTrue(scenario.failedOperations > 0, "never refused, " + at);
+                scenario.resolvePending(at);
+                scenario.disk.restart(run, fault, 1);
+                scenario.runProcess(5, 10, at + ", still");
+                long before = scenario.writtenBatches;
+                scenario.resolvePending(at + ", still");
+                scenario.runProcess(40, 10, at + ", room again");
+                assertTrue(scenario.writtenBatches > before + 30, at);
+                scenario.resolvePending(at + ", at the end");
             }
         }
     }
 
-    /** The fault ends while the process lives: writes work again without anybody's help, and nothing was lost. */
+    /** The fault ends while the process runs: writes succeed again without a restart, and nothing was lost. */
     @Test
     void roomThatReturnsIsUsedByTheSameProcess() throws Exception {
         for (long run = 0; run < 500; run++) {
-            StorageScenario play = new StorageScenario(SMALL, run, StorageScenario::normal);
-            play.disk.restart(
+            StorageScenario scenario = new StorageScenario(SMALL, run, StorageScenario::openLog);
+            scenario.disk.restart(
                     run, run % 2 == 0 ? SimulatedDisk.Fault.FULL : SimulatedDisk.Fault.READ_ONLY, 10 + run % 100);
-            play.disk.until(60 + run % 100);
-            play.live(200, 10, "run " + run);
-            assertTrue(play.step(10), "run " + run);
-            assertFalse(play.log.uncertain(), "run " + run);
-            assertTrue(play.disk.names().size() < 80, play.disk.names().size() + " files, run " + run);
-            play.settle("run " + run);
+            scenario.disk.endFaultBefore(60 + run % 100);
+            scenario.runProcess(200, 10, "run " + run);
+            assertTrue(scenario.writeRandomBatch(10), "run " + run);
+            assertFalse(scenario.log.uncertain(), "run " + run);
+            assertTrue(scenario.disk.names().size() < 80, scenario.disk.names().size() + " files, run " + run);
+            scenario.resolvePending("run " + run);
         }
     }
 
-    /** Power fails at any operation: what was forced is there, a batch is there whole or not, nothing that ended is back. */
+    /** Power fails at any operation: forced contents are there, a batch is whole or absent, no deleted owner is back. */
     @Test
     void whatWasForcedOutlastsALossOfPower() throws Exception {
         long retired = 0;
         for (long run = 1; run <= 2_000; run++) {
-            StorageScenario play = new StorageScenario(SYNCED, run, StorageScenario::normal);
+            StorageScenario scenario = new StorageScenario(SYNCED, run, StorageScenario::openLog);
             for (int life = 0; life < 3; life++) {
                 String at = "run " + run + ", life " + life;
-                play.disk.restart(run * 3 + life, SimulatedDisk.Fault.KILL, 10 + run % 400);
-                play.live(150, 8, at);
-                play.powerFails(run * 5 + life, at);
+                scenario.disk.restart(run * 3 + life, SimulatedDisk.Fault.KILL, 10 + run % 400);
+                scenario.runProcess(150, 8, at);
+                scenario.failPower(run * 5 + life, at);
             }
-            retired += play.retired;
+            retired += scenario.retiredSegments;
         }
         assertTrue(retired > 500, retired + " retired");
     }
 
-    /** After a failed force nothing more is written to those segments, and what they have is copied and forced anew. */
+    /** After a failed force nothing more is appended to those segments, and their live contents are copied and forced anew. */
     @Test
     void aFailedForceIsMadeGoodFromCopies() throws Exception {
         for (long run = 0; run < 600; run++) {
-            StorageScenario play = new StorageScenario(SYNCED, run, StorageScenario::normal);
-            play.disk.restart(run, SimulatedDisk.Fault.FAIL_FORCES, 20 + run % 60);
-            play.disk.until(100 + run % 60);
-            play.live(40, 12, "run " + run);
+            StorageScenario scenario = new StorageScenario(SYNCED, run, StorageScenario::openLog);
+            scenario.disk.restart(run, SimulatedDisk.Fault.FAIL_FORCES, 20 + run % 60);
+            scenario.disk.endFaultBefore(100 + run % 60);
+            scenario.runProcess(40, 12, "run " + run);
             boolean unsafe = false;
-            for (int i = 0; i < 400 && (play.log.needsRewrite() || !play.force()); i++) {
-                unsafe |= play.log.needsRewrite();
-                if (!play.compact(500)) {
-                    play.force();
+            for (int i = 0; i < 400 && (scenario.log.needsRewrite() || !scenario.force()); i++) {
+                unsafe |= scenario.log.needsRewrite();
+                if (!scenario.compact(500)) {
+                    scenario.force();
                 }
             }
-            assertFalse(play.log.needsRewrite(), "run " + run);
-            assertTrue(play.force(), "run " + run);
-            play.powerFails(run, "run " + run);
+            assertFalse(scenario.log.needsRewrite(), "run " + run);
+            assertTrue(scenario.force(), "run " + run);
+            scenario.failPower(run, "run " + run);
         }
     }
 
-    /** Batches at the last free bytes: room() retires what it has to, the budget holds at every operation. */
+    /** Batches at the last free bytes: the log compacts what it has to, and the budget holds at every operation. */
     @Test
     void theBudgetHoldsWithFourFifthsOfItLive() throws Exception {
         for (long run = 0; run < 12; run++) {
@@ -161,7 +162,7 @@
             SplittableRandom random = new SplittableRandom(run);
             SegmentLog log = SegmentLog.open(disk, limits, random::nextLong);
             List<Long> live = new ArrayList<>();
-            // As the journal does: contents are taken on as long as they leave what copying needs.
+            // As the journal does: contents are accepted as long as they leave what compaction needs.
             for (int i = 0; i < 12_000; i++) {
                 byte[] body = new byte
                         [run % 3 == 0
@@ -178,14 +179,16 @@
                     }
                 }
             }
-            assertTrue(disk.most() <= limits.budgetBytes(), "used " + disk.most() + " of " + limits.budgetBytes());
+            assertTrue(
+                    disk.maxUsedBytes() <= limits.budgetBytes(),
+                    "used " + disk.maxUsedBytes() + " of " + limits.budgetBytes());
             assertTrue(
                     log.liveBytes() > 0.8 * limits.budgetBytes(), log.liveBytes() + " live of " + limits.budgetBytes());
             assertEquals(live.size(), read(disk).size());
         }
     }
 
-    /** One that lives for very long among many that end at once is carried along, and the folder stays small. */
+    /** A long-lived owner among many short-lived ones is copied again and again, and the folder stays small. */
     @Test
     void roomComesBack() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
@@ -197,17 +200,17 @@
             log.write(new Batch().put(owner, 1, new byte[100]));
             log.write(new Batch().delete(owner));
             while (log.shouldCompact() && log.compact(1_000)) {
-                // A slice between turns.
+                // A slice between writes.
             }
         }
-        assertTrue(disk.most() < 16 * 4_096, "it grew to " + disk.most());
+        assertTrue(disk.maxUsedBytes() < 16 * 4_096, "it grew to " + disk.maxUsedBytes());
         assertEquals(List.of(old), List.copyOf(read(disk).keySet()));
     }
 
     @Test
     void slicesAreSmall() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
-        SegmentLog log = StorageScenario.normal(disk, new LogLimits(64 << 20, 128 << 10, 0, false), 1);
+        SegmentLog log = StorageScenario.openLog(disk, new LogLimits(64 << 20, 128 << 10, 0, false), 1);
         for (int i = 0; i < 4_000; i++) {
             log.write(new Batch().put(log.nextOwner(), 1, new byte[200]));
         }
@@ -222,13 +225,13 @@
         assertTrue(log.copiedBytes() > 3 * 40_000, "nothing was live in what was retired");
     }
 
-    /** One spoilt byte costs the record that it stands in and no other, and is told; the file is kept as it was. */
+    /** One damaged byte costs the record that it is in and no other, and is reported; the file is retained as it was. */
     @Test
     void aSpoiltByteCostsOneRecordOnly() throws Exception {
         SplittableRandom random = new SplittableRandom(3);
         SimulatedDisk disk = new SimulatedDisk();
         LogLimits one = new LogLimits(4 << 20, 1 << 20, 0, false);
-        SegmentLog log = StorageScenario.normal(disk, one, 1);
+        SegmentLog log = StorageScenario.openLog(disk, one, 1);
         for (int i = 0; i < 200; i++) {
             byte[] content = new byte[random.nextInt(60)];
             random.nextBytes(content);
@@ -254,16 +257,16 @@
         byte[] bad = good.clone();
         bad[good.length / 2] ^= 1;
         disk.put(name, bad);
-        SegmentLog again = StorageScenario.normal(disk, one, 2);
+        SegmentLog again = StorageScenario.openLog(disk, one, 2);
         again.write(new Batch().delete(1));
         while (again.segments() > 1 && again.compact(1 << 20)) {
-            // Until the damaged one has been retired.
+            // Until the damaged segment has been retired.
         }
         assertArrayEquals(bad, disk.bytes(name + ".damaged"));
         assertEquals(198, read(disk).size());
     }
 
-    /** Content that is itself a whole record, of another segment's salt, is not taken for one behind damage. */
+    /** Content that is itself a whole record, of another salt, is not taken for a record behind damage. */
     @Test
     void contentThatLooksLikeARecordIsNone() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
@@ -302,7 +305,7 @@
         assertEquals(List.of(name), disk.names());
     }
 
-    /** Stray files are left alone; a segment that is missing in the middle is told, and costs only what it had. */
+    /** Other files are left alone; a segment missing in the middle is reported, and costs only its own contents. */
     @Test
     void aRealFolderIsReadPastStraysAndGaps(@TempDir Path folder) throws Exception {
         SplittableRandom random = new SplittableRandom(1);
@@ -335,7 +338,7 @@
         assertEquals(left + 1, read(new FolderDisk(folder)).size());
     }
 
-    /** A segment that was retired is not missed; numbers of owners that are long over are not given again. */
+    /** A retired segment is not reported as missing; numbers of owners that were deleted are not given again. */
     @Test
     void whatWasRetiredIsNotMissedAndNumbersGrowOverRestarts() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
@@ -347,7 +350,7 @@
             log.write(new Batch().delete(last));
         }
         for (int i = 0; i < 1_000 && log.compact(1_000); i++) {
-            // All that can go.
+            // Until nothing is left to compact.
         }
         assertTrue(log.retired() > 5);
         assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses());
@@ -355,7 +358,7 @@
         assertTrue(next.nextOwner() > last);
     }
 
-    /** A folder that vanishes under a running process: writes fail, the process does not. */
+    /** The folder is deleted while the process runs: writes fail, the process does not. */
     @Test
     void aFolderThatVanishesOnlyFailsWrites(@TempDir Path parent) throws Exception {
         Path folder = parent.resolve("state");
@@ -377,7 +380,7 @@
         log.close();
     }
 
-    /** What was kept in memory at the opening is let go with the first write: from then on segments are read and checked again. */
+    /** Bytes retained by recovery are freed with the first write: from then on segments are read and checked again. */
     @Test
     void readsTheSameFromMemoryAndFromTheDisk() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
--- a/storage/src/test/java/amberroute/storage/StorageScenario.java
+++ b/storage/src/test/java/amberroute/storage/StorageScenario.java
@@ -14,10 +14,11 @@
 import java.util.TreeMap;
 
 /**
- * Random batches on a log on a disk that fails, beside a model that never saw the disk. What a batch that was cut short may
- * have done is all of it or nothing.
+ * Random batches on a log on a disk that fails, compared with a model that never saw the disk. An interrupted batch is found whole
+ * or not at all.
  */
 final class StorageScenario {
+    /** Opens the log of each process. */
     interface Opener {
         SegmentLog open(Disk disk, LogLimits limits, long seed) throws IOException;
     }
@@ -26,34 +27,34 @@
     final LogLimits limits;
     private final SplittableRandom random;
     private final Opener opener;
-    /** What each owner has, by kind, as text; an owner that is over has no entry. */
+    /** What each owner has, by kind, as text; a deleted owner has no entry. */
     private TreeMap<Long, TreeMap<Integer, String>> model = new TreeMap<>();
-    /** The same as of the last force that succeeded, and all that may count behind a loss of power. */
-    private final List<TreeMap<Long, TreeMap<Integer, String>>> sinceForced = new ArrayList<>();
+    /** The model as of the last force that succeeded, and each one since, which may count after a loss of power. */
+    private final List<TreeMap<Long, TreeMap<Integer, String>>> modelsSinceForce = new ArrayList<>();
 
     private TreeMap<Long, TreeMap<Integer, String>> pending;
-    /** Owners that were given a last content, perhaps by a batch that failed. */
+    /** Owners that were given an exclusive content, perhaps by a batch that failed. */
     private final Set<Long> sole = new HashSet<>();
 
     SegmentLog log;
-    long failed;
-    long written;
-    long retired;
+    long failedOperations;
+    long writtenBatches;
+    long retiredSegments;
 
     StorageScenario(LogLimits limits, long seed, Opener opener) {
         this.limits = limits;
         this.opener = opener;
         random = new SplittableRandom(seed);
-        sinceForced.add(model);
+        modelsSinceForce.add(model);
     }
 
-    static SegmentLog normal(Disk disk, LogLimits limits, long seed) throws IOException {
+    static SegmentLog openLog(Disk disk, LogLimits limits, long seed) throws IOException {
         return SegmentLog.open(disk, limits, new SplittableRandom(seed)::nextLong);
     }
 
     void open(String at) throws IOException {
         log = opener.open(disk, limits, random.nextLong());
-        same(model, at);
+        assertContents(model, at);
     }
 
     private static TreeMap<Long, TreeMap<Integer, String>> copy(TreeMap<Long, TreeMap<Integer, String>> of) {
@@ -68,27 +69,27 @@
         return bytes;
     }
 
-    private byte[] content() {
+    private byte[] randomContent() {
         byte[] content = new byte[random.nextInt(60)];
         random.nextBytes(content);
         return content;
     }
 
     private void put(Batch batch, long owner, int kind) {
-        byte[] content = content();
+        byte[] content = randomContent();
         batch.put(owner, kind, content);
         pending.computeIfAbsent(owner, o -> new TreeMap<>())
                 .put(kind, HexFormat.of().formatHex(content));
     }
 
-    private long any() {
+    private long randomOwner() {
         List<Long> all = List.copyOf(model.keySet());
         return all.get(random.nextInt(all.size()));
     }
 
-    /** From here on the owner has this alone; now and then that is said anew. */
+    /** Puts an exclusive content, over an earlier exclusive one at times. */
     private void putSole(Batch batch, long owner) {
-        byte[] content = content();
+        byte[] content = randomContent();
         batch.putExclusive(owner, 1, content);
         TreeMap<Integer, String> alone = new TreeMap<>();
         alone.put(1, HexFormat.of().formatHex(content));
@@ -96,19 +97,19 @@
         sole.add(owner);
     }
 
-    /** One batch; returns whether it was written. */
-    boolean step(int most) {
+    /** Writes one batch; returns whether it was written. */
+    boolean writeRandomBatch(int most) {
         pending = copy(model);
         Batch batch = new Batch();
         int what = random.nextInt(10);
         if (model.size() >= most || what < 3 && !model.isEmpty()) {
             for (int i = random.nextInt(3); i >= 0; i--) {
-                long owner = any();
+                long owner = randomOwner();
                 batch.delete(owner);
                 pending.remove(owner);
             }
         } else if (what < 6 && !model.isEmpty()) {
-            long owner = any();
+            long owner = randomOwner();
             if (what == 5 || sole.contains(owner)) {
                 putSole(batch, owner);
             } else {
@@ -124,8 +125,8 @@
             }
         }
         if (what == 0 && !model.isEmpty()) {
-            // One comes as another goes: never one alone.
-            long owner = any();
+            // A batch that deletes one owner and puts another: never one alone.
+            long owner = randomOwner();
             batch.delete(owner);
             put(batch, log.nextOwner(), 1);
             pending.remove(owner);
@@ -133,16 +134,16 @@
         try {
             log.write(batch);
         } catch (IOException e) {
-            failed++;
+            failedOperations++;
             if (!log.uncertain()) {
                 pending = null;
             }
             return false;
         }
-        written++;
+        writtenBatches++;
         model = pending;
         pending = null;
-        sinceForced.add(model);
+        modelsSinceForce.add(model);
         return true;
     }
 
@@ -150,15 +151,15 @@
         long before = log.retired();
         try {
             boolean did = log.compact(most);
-            retired += log.retired() - before;
+            retiredSegments += log.retired() - before;
             return did;
         } catch (IOException e) {
-            failed++;
+            failedOperations++;
             return false;
         }
     }
 
-    /** Returns whether all that was written is on the disk for good. */
+    /** Returns whether the force succeeded. */
     boolean force() {
         PendingForce force = log.prepareForce();
         if (force == null) {
@@ -169,22 +170,22 @@
             force.run();
         } catch (IOException e) {
             succeeded = false;
-            failed++;
+            failedOperations++;
         }
         log.forceCompleted(force, succeeded);
         if (succeeded && !log.needsRewrite()) {
-            sinceForced.clear();
-            sinceForced.add(model);
+            modelsSinceForce.clear();
+            modelsSinceForce.add(model);
         }
         return succeeded;
     }
 
-    /** A whole life, until something kills it. */
-    void live(int steps, int most, String at) {
+    /** Runs a process until it is killed or its steps are done. */
+    void runProcess(int steps, int most, String at) {
         try {
             open(at);
             for (int i = 0; i < steps; i++) {
-                step(most);
+                writeRandomBatch(most);
                 if (random.nextInt(3) == 0) {
                     compact(100 + random.nextInt(300));
                 }
@@ -192,36 +193,37 @@
                     force();
                 }
             }
-        } catch (SimulatedDisk.Killed e) {
-            // As it was to be.
+        } catch (SimulatedDisk.ProcessKilledError e) {
+            // Expected: the next process recovers.
         } catch (IOException e) {
-            failed++;
+            failedOperations++;
         }
     }
 
-    /** Reads the disk as the next process will find it, without changing it; the batch that was cut short is settled. */
-    void settle(String at) throws IOException {
+    /** Reads the disk as the next process will find it, without changing it, and resolves a batch that was interrupted. */
+    void resolvePending(String at) throws IOException {
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-        TreeMap<Long, TreeMap<Integer, String>> found = found(SegmentLog.openReadOnly(disk));
+        TreeMap<Long, TreeMap<Integer, String>> found = readContents(SegmentLog.openReadOnly(disk));
         if (pending != null && found.equals(pending)) {
             model = pending;
-            sinceForced.add(model);
+            modelsSinceForce.add(model);
         }
         pending = null;
         assertEquals(model, found, at);
         assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses(), at);
     }
 
-    /** The power fails: what was forced is there, and what was written since is a batch at a time or not at all. */
-    void powerFails(long seed, String at) throws IOException {
-        disk.powerFails(seed);
+    /** Power fails: forced contents are there, and each batch since is whole or absent. */
+    void failPower(long seed, String at) throws IOException {
+        disk.failPower(seed);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-        TreeMap<Long, TreeMap<Integer, String>> found = found(SegmentLog.openReadOnly(disk));
-        TreeMap<Long, TreeMap<Integer, String>> forced = sinceForced.get(0);
-        // Batches since then may be there or not, in any selection; what nobody touched since has to be as it was.
+        TreeMap<Long, TreeMap<Integer, String>> found = readContents(SegmentLog.openReadOnly(disk));
+        TreeMap<Long, TreeMap<Integer, String>> forced = modelsSinceForce.get(0);
+        // Batches since then may be there or not, in any selection; an owner that none of them changed has to be as it
+        // was.
         for (long owner : forced.keySet()) {
             boolean touched =
-                    sinceForced.stream().anyMatch(m -> !forced.get(owner).equals(m.get(owner)))
+                    modelsSinceForce.stream().anyMatch(m -> !forced.get(owner).equals(m.get(owner)))
                             || pending != null && !forced.get(owner).equals(pending.get(owner));
             assertTrue(
                     touched || forced.get(owner).equals(found.get(owner)),
@@ -229,17 +231,17 @@
         }
         for (long owner : found.keySet()) {
             assertTrue(
-                    sinceForced.stream().anyMatch(m -> m.containsKey(owner))
+                    modelsSinceForce.stream().anyMatch(m -> m.containsKey(owner))
                             || pending != null && pending.containsKey(owner),
                     at + ": owner " + owner + " is back");
         }
         model = found;
         pending = null;
-        sinceForced.clear();
-        sinceForced.add(model);
+        modelsSinceForce.clear();
+        modelsSinceForce.add(model);
     }
 
-    private static TreeMap<Long, TreeMap<Integer, String>> found(SegmentLog log) throws IOException {
+    private static TreeMap<Long, TreeMap<Integer, String>> readContents(SegmentLog log) throws IOException {
         TreeMap<Long, TreeMap<Integer, String>> found = new TreeMap<>();
         log.read((owner, kind, version, content) -> {
             String before = found.computeIfAbsent(owner, o -> new TreeMap<>())
@@ -249,13 +251,13 @@
         return found;
     }
 
-    void same(TreeMap<Long, TreeMap<Integer, String>> expected, String at) throws IOException {
-        assertEquals(expected, found(log), at);
+    void assertContents(TreeMap<Long, TreeMap<Integer, String>> expected, String at) throws IOException {
+        assertEquals(expected, readContents(log), at);
     }
 
-    /** What the model has now against what a fresh reading of the disk finds. */
-    void check(String at) throws IOException {
-        assertEquals(model, found(SegmentLog.openReadOnly(disk)), at);
+    /** Compares the model with what a new reading of the disk finds. */
+    void assertStoredContents(String at) throws IOException {
+        assertEquals(model, readContents(SegmentLog.openReadOnly(disk)), at);
     }
 
     int owners() {
