--- a/membership/src/main/java/amberroute/membership/DatagramChecks.java
+++ b/membership/src/main/java/amberroute/membership/DatagramChecks.java
@@ -1,11 +1,12 @@
 package amberroute.membership;
 
-/** Checks of what a datagram says; whatever is out of range is an IllegalArgumentException, for which the datagram is passed over. */
+/** Checks of the values in a datagram: one that is out of range is an {@link IllegalArgumentException}, for which the datagram is dropped. */
 public final class DatagramChecks {
     private static final float MAX_PER_SECOND = 1e9f;
 
     private DatagramChecks() {}
 
+    /** The value, where it is from {@code least} to {@code most}. */
     public static int intInRange(int value, int least, int most) {
         if (value < least || value > most) {
             throw new IllegalArgumentException("out of range");
@@ -13,7 +14,7 @@
         return value;
     }
 
-    /** A share of a whole, 0 to 1. */
+    /** A fraction of a whole, 0 to 1. */
     public static float fraction(float value) {
         if (!(value >= 0) || value > 1) {
             throw new IllegalArgumentException("no part");
@@ -21,7 +22,7 @@
         return value;
     }
 
-    /** So much a second. */
+    /** An amount a second, 0 to 1e9. */
     public static float perSecond(float value) {
         if (!(value >= 0) || value > MAX_PER_SECOND) {
             throw new IllegalArgumentException("no rate");
--- a/membership/src/main/java/amberroute/membership/Heartbeat.java
+++ b/membership/src/main/java/amberroute/membership/Heartbeat.java
@@ -7,16 +7,19 @@
 import java.util.List;
 
 /**
- * One datagram between daemons: who says it, in which of its lives, what it has to tell of partners, and requests for and
- * grants of shares. At most {@value #MAX_DATAGRAM_BYTES} bytes, so that it is never cut up on the way. The form is ours:
+ * One datagram between daemons: who sends it, in which incarnation, how it sees destinations, and requests for and
+ * grants of quota. At most {@value #MAX_DATAGRAM_BYTES} bytes, so that it is never fragmented. The form:
  *
  * <pre>
- * "AR", version 1, phase, length and bytes of the name, incarnation (8), number (8),
- * count and news: destination (4), health (1), three ages in ms (4 each), three floats (4 each),
- * count and loans: kind (1), destination (4), number (8), part (4)
+ * "AR", version 1, phase, length and bytes of the sender, incarnation (8), sequence (8),
+ * count and updates: destination (4), health (1), three ages in ms (4 each), three floats (4 each),
+ * count and loans: kind (1), destination (4), request number (8), fraction (4)
  * </pre>
  *
- * All numbers are big-endian. What is not so, or has values out of range, is no beat.
+ * All numbers are big-endian. A datagram of another form, or with values out of range, is no heartbeat. Immutable.
+ *
+ * @param incarnation tells the processes of the sender apart and grows
+ * @param sequence counts the sender's heartbeats
  */
 public record Heartbeat(
         String sender,
@@ -28,15 +31,17 @@
     /** Below what any link carries whole. */
     public static final int MAX_DATAGRAM_BYTES = 1_400;
 
+    /** Updates in one datagram. */
     public static final int MAX_UPDATES = 24;
+    /** Loans in one datagram. */
     public static final int MAX_LOANS = 32;
-    /** The largest age that can be told, in milliseconds: some twelve days. */
+    /** The largest age that can be said, in milliseconds: some twelve days. */
     public static final int MAX_AGE_MILLIS = 1 << 30;
 
     private static final byte VERSION = 1;
     private static final int MAX_NAME_BYTES = 64;
 
-    /** How a partner fares as one daemon sees it; NEW is one that has not answered it yet. */
+    /** How one daemon sees a destination; NEW is one that has not answered it yet. Ordinals are on the wire. */
     public enum Health {
         NEW,
         HEALTHY,
@@ -45,9 +50,14 @@
     }
 
     /**
-     * Of one partner: ages in milliseconds since its outage began, since it came back, and since it last answered (-1 where
-     * there is none), messages a second that it answers this daemon now, what all together were answered at their best, and
-     * how many messages wait for it here.
+     * How one daemon sees a destination. Ages are milliseconds, -1 where there is none.
+     *
+     * @param outageAgoMillis since its outage began
+     * @param recoveryAgoMillis since it recovered
+     * @param successAgoMillis since it last answered
+     * @param servedPerSecond messages that it answers this daemon now
+     * @param peakPerSecond the most that all daemons together were answered
+     * @param pendingMessages messages that wait for it here
      */
     public record SlowStartUpdate(
             int destination,
@@ -59,10 +69,10 @@
             float peakPerSecond,
             float pendingMessages) {}
 
-    /** A request for a part of a partner's limit, or its answer under the same number. */
+    /** A request for a fraction of a destination's quota, or its answer under the same request number. */
     public record QuotaLoan(boolean granted, int destination, long requestNumber, float fraction) {}
 
-    /** The bytes to send, from 0 to the limit. */
+    /** The bytes to send, from 0 to the limit; an {@link IllegalArgumentException} where a bound is exceeded. */
     public ByteBuffer encode() {
         byte[] name = sender.getBytes(StandardCharsets.US_ASCII);
         if (name.length == 0
@@ -79,27 +89,31 @@
                 .put((byte) name.length)
                 .put(name);
         out.putLong(incarnation).putLong(sequence).put((byte) updates.size());
-        for (SlowStartUpdate n : updates) {
-            out.putInt(n.destination)
-                    .put((byte) n.health.ordinal())
-                    .putInt(n.outageAgoMillis)
-                    .putInt(n.recoveryAgoMillis)
-                    .putInt(n.successAgoMillis)
-                    .putFloat(n.servedPerSecond)
-                    .putFloat(n.peakPerSecond)
-                    .putFloat(n.pendingMessages);
-        }
+        updates.forEach(update -> encodeUpdate(out, update));
         out.put((byte) loans.size());
-        for (QuotaLoan l : loans) {
-            out.put((byte) (l.granted ? 1 : 0))
-                    .putInt(l.destination)
-                    .putLong(l.requestNumber)
-                    .putFloat(l.fraction);
-        }
+        loans.forEach(loan -> encodeLoan(out, loan));
         return out.flip();
     }
 
-    /** Reads a datagram; null where it is none of ours. */
+    private static void encodeUpdate(ByteBuffer out, SlowStartUpdate update) {
+        out.putInt(update.destination)
+                .put((byte) update.health.ordinal())
+                .putInt(update.outageAgoMillis)
+                .putInt(update.recoveryAgoMillis)
+                .putInt(update.successAgoMillis)
+                .putFloat(update.servedPerSecond)
+                .putFloat(update.peakPerSecond)
+                .putFloat(update.pendingMessages);
+    }
+
+    private static void encodeLoan(ByteBuffer out, QuotaLoan loan) {
+        out.put((byte) (loan.granted ? 1 : 0))
+                .putInt(loan.destination)
+                .putLong(loan.requestNumber)
+                .putFloat(loan.fraction);
+    }
+
+    /** Reads a datagram; null where it is no heartbeat. */
     public static Heartbeat decode(ByteBuffer in) {
         try {
             if (in.get() != 'A' || in.get() != 'R' || in.get() != VERSION) {
@@ -108,45 +122,53 @@
             int phase = in.get();
             byte[] name = new byte[DatagramChecks.intInRange(in.get(), 1, MAX_NAME_BYTES)];
             in.get(name);
-            String from = new String(name, StandardCharsets.US_ASCII);
+            String sender = new String(name, StandardCharsets.US_ASCII);
             long incarnation = in.getLong();
-            long number = in.getLong();
-            List<SlowStartUpdate> news = new ArrayList<>();
-            for (int i = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); i > 0; i--) {
-                news.add(new SlowStartUpdate(
-                        in.getInt(),
-                        Health.values()[DatagramChecks.intInRange(in.get(), 0, 3)],
-                        checkedAgeMillis(in.getInt()),
-                        checkedAgeMillis(in.getInt()),
-                        checkedAgeMillis(in.getInt()),
-                        DatagramChecks.perSecond(in.getFloat()),
-                        DatagramChecks.perSecond(in.getFloat()),
-                        DatagramChecks.perSecond(in.getFloat())));
+            long sequence = in.getLong();
+            List<SlowStartUpdate> updates = new ArrayList<>();
+            for (int left = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); left > 0; left--) {
+                updates.add(decodeUpdate(in));
             }
             List<QuotaLoan> loans = new ArrayList<>();
-            for (int i = DatagramChecks.intInRange(in.get(), 0, MAX_LOANS); i > 0; i--) {
-                loans.add(new QuotaLoan(
-                        DatagramChecks.intInRange(in.get(), 0, 1) == 1,
-                        in.getInt(),
-                        in.getLong(),
-                        DatagramChecks.fraction(in.getFloat())));
+            for (int left = DatagramChecks.intInRange(in.get(), 0, MAX_LOANS); left > 0; left--) {
+                loans.add(decodeLoan(in));
             }
-            if (in.hasRemaining() || !from.matches("[A-Za-z0-9._-]+") || number < 0 || incarnation < 0) {
+            if (in.hasRemaining() || !sender.matches("[A-Za-z0-9._-]+") || sequence < 0 || incarnation < 0) {
                 return null;
             }
             return new Heartbeat(
-                    from,
+                    sender,
                     incarnation,
-                    number,
+                    sequence,
                     MembershipView.Phase.values()[DatagramChecks.intInRange(phase, 0, 2)],
-                    List.copyOf(news),
+                    List.copyOf(updates),
                     List.copyOf(loans));
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
     }
 
-    private static int checkedAgeMillis(int value) {
-        return DatagramChecks.intInRange(value, -1, MAX_AGE_MILLIS);
+    private static SlowStartUpdate decodeUpdate(ByteBuffer in) {
+        return new SlowStartUpdate(
+                in.getInt(),
+                Health.values()[DatagramChecks.intInRange(in.get(), 0, 3)],
+                ageMillis(in),
+                ageMillis(in),
+                ageMillis(in),
+                DatagramChecks.perSecond(in.getFloat()),
+                DatagramChecks.perSecond(in.getFloat()),
+                DatagramChecks.perSecond(in.getFloat()));
+    }
+
+    private static QuotaLoan decodeLoan(ByteBuffer in) {
+        return new QuotaLoan(
+                DatagramChecks.intInRange(in.get(), 0, 1) == 1,
+                in.getInt(),
+                in.getLong(),
+                DatagramChecks.fraction(in.getFloat()));
+    }
+
+    private static int ageMillis(ByteBuffer in) {
+        return DatagramChecks.intInRange(in.getInt(), -1, MAX_AGE_MILLIS);
     }
 }
--- a/membership/src/main/java/amberroute/membership/HeartbeatMonitor.java
+++ b/membership/src/main/java/amberroute/membership/HeartbeatMonitor.java
@@ -7,18 +7,20 @@
 import java.util.Map;
 
 /**
- * A view of the fleet from direct heartbeats: a peer is there as long as it was heard of within {@link #FAILURE_TIMEOUT_MICROS}. Only
- * those that the settings name count. A datagram that is older than one already heard, of an earlier life of its sender, or
- * that claims to be from this daemon itself changes nothing. Times are microseconds on the caller's clock.
+ * A view of the fleet from direct heartbeats: a peer is alive as long as it was heard of within {@link #FAILURE_TIMEOUT_MICROS}. Only
+ * those that the settings name count. A datagram that is older than one already heard, of an earlier incarnation of its sender, or
+ * that claims to be from this daemon itself changes nothing. Times are microseconds on the caller's clock. Not thread-safe.
  */
 public final class HeartbeatMonitor implements MembershipView {
-    /** How often a daemon tells of itself when it has no news. */
+    /** How often a daemon sends a heartbeat when it has no updates. */
     public static final long INTERVAL_MICROS = 200_000;
-    /** Who was not heard of for so long is taken to be away: four beats lost in a row, and some delay. */
+    /** A peer that was not heard of for so long is taken for failed: four heartbeats lost in a row, and some delay. */
     public static final long FAILURE_TIMEOUT_MICROS = 1_000_000;
 
+    private static final long NEVER = Long.MIN_VALUE;
+
     private static final class Peer {
-        long heardAtMicros = Long.MIN_VALUE;
+        long heardAtMicros = NEVER;
         long incarnation = -1;
         long sequence = -1;
         Phase phase = Phase.STARTING;
@@ -27,52 +29,53 @@
     private final Map<String, Peer> peers = new LinkedHashMap<>();
     private final long incarnation;
     private long lastSequence;
-    private long lastSentAtMicros = Long.MIN_VALUE;
+    private long lastSentAtMicros = NEVER;
 
-    /** {@code incarnation} is higher than that of any earlier process of this daemon; wall time will do. */
+    /** {@code incarnation} is higher than that of any earlier process of this daemon, such as wall time. */
     public HeartbeatMonitor(Collection<String> names, long incarnation) {
         this.incarnation = incarnation;
         names.forEach(name -> peers.put(name, new Peer()));
     }
 
-    /** Whether a beat is new and its sender known: then it counts, and so does what else it tells. */
-    public boolean onHeartbeat(long now, Heartbeat beat) {
-        Peer peer = peers.get(beat.sender());
+    /** Whether a heartbeat is new and its sender known: then it counts, and so does what else it carries. */
+    public boolean onHeartbeat(long now, Heartbeat heartbeat) {
+        Peer peer = peers.get(heartbeat.sender());
         if (peer == null
-                || beat.incarnation() < peer.incarnation
-                || beat.incarnation() == peer.incarnation && beat.sequence() <= peer.sequence) {
+                || heartbeat.incarnation() < peer.incarnation
+                || heartbeat.incarnation() == peer.incarnation && heartbeat.sequence() <= peer.sequence) {
             return false;
         }
-        peer.incarnation = beat.incarnation();
-        peer.sequence = beat.sequence();
-        peer.phase = beat.phase();
+        peer.incarnation = heartbeat.incarnation();
+        peer.sequence = heartbeat.sequence();
+        peer.phase = heartbeat.phase();
         peer.heardAtMicros = now;
         return true;
     }
 
-    /** Whether it is time to tell of oneself again. */
+    /** Whether it is time for a heartbeat. */
     public boolean isDue(long now) {
-        return lastSentAtMicros == Long.MIN_VALUE || now - lastSentAtMicros >= INTERVAL_MICROS;
+        return lastSentAtMicros == NEVER || now - lastSentAtMicros >= INTERVAL_MICROS;
     }
 
-    /** The next beat for all peers. */
-    public Heartbeat nextHeartbeat(long now, String self, Phase phase, List<Heartbeat.SlowStartUpdate> news) {
+    /** The next heartbeat for all peers. */
+    public Heartbeat nextHeartbeat(long now, String self, Phase phase, List<Heartbeat.SlowStartUpdate> updates) {
         lastSentAtMicros = now;
-        return new Heartbeat(self, incarnation, ++lastSequence, phase, news, List.of());
+        return new Heartbeat(self, incarnation, ++lastSequence, phase, updates, List.of());
     }
 
-    /** A beat for one peer, beside those for all. */
+    /** A heartbeat with loans for one peer, beside those for all. */
     public Heartbeat nextHeartbeat(String self, Phase phase, List<Heartbeat.QuotaLoan> loans) {
         return new Heartbeat(self, incarnation, ++lastSequence, phase, List.of(), loans);
     }
 
     @Override
     public List<Member> members(long now) {
-        List<Member> out = new ArrayList<>();
+        List<Member> members = new ArrayList<>();
         peers.forEach((name, peer) -> {
-            long ago = peer.heardAtMicros == Long.MIN_VALUE ? -1 : now - peer.heardAtMicros;
-            out.add(new Member(name, ago >= 0 && ago < FAILURE_TIMEOUT_MICROS, peer.phase, ago, peer.incarnation));
+            long heardAgoMicros = peer.heardAtMicros == NEVER ? -1 : now - peer.heardAtMicros;
+            boolean alive = heardAgoMicros >= 0 && heardAgoMicros < FAILURE_TIMEOUT_MICROS;
+            members.add(new Member(name, alive, peer.phase, heardAgoMicros, peer.incarnation));
         });
-        return out;
+        return members;
     }
 }
--- a/membership/src/main/java/amberroute/membership/MembershipView.java
+++ b/membership/src/main/java/amberroute/membership/MembershipView.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Who is there of those that the settings name. What it says may be old or wrong: see the package's note. */
+/** Which of the daemons that the settings name are alive. What it says may be old or wrong: see the package. */
 public interface MembershipView {
-    /** What a daemon last said of itself. */
+    /** What a daemon last said of itself. Ordinals are on the wire. */
     enum Phase {
         STARTING,
         READY,
@@ -12,11 +12,14 @@
     }
 
     /**
-     * One peer. {@code alive} is whether it was heard of lately, {@code heardAgo} how long ago in microseconds (-1 for
-     * never), {@code incarnation} tells its processes apart and grows.
+     * One peer.
+     *
+     * @param alive whether it was heard of lately
+     * @param heardAgoMicros how long ago it was heard of, -1 for never
+     * @param incarnation tells its processes apart and grows
      */
     record Member(String name, boolean alive, Phase phase, long heardAgoMicros, long incarnation) {
-        /** Whether it takes messages on. */
+        /** Whether it accepts messages. */
         public boolean acceptsMessages() {
             return alive && phase == Phase.READY;
         }
