--- a/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
@@ -58,7 +58,7 @@
         UpstreamCall call = message.call;
         message.call = null;
         message.cancelling = false;
-        message.completed |= event.connectionClosed();
+        message.completed |= event.messageCompleted();
         calls.recordOutcome(now, call, actions);
         updateMessage(now, message, call, event);
         UpstreamHealth health = call.endpoint.health;
--- a/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -400,7 +400,7 @@
                 long endpoint,
                 AttemptOutcome outcome,
                 long durationMicros,
-                boolean connectionClosed,
+                boolean messageCompleted,
                 long retryAfterMicros,
                 List<Double> loadReport,
                 long connectionIdleMicros)
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
@@ -502,7 +502,7 @@
         Call call = m.out;
         m.out = null;
         m.calledOff = false;
-        m.ended |= e.connectionClosed();
+        m.ended |= e.messageCompleted();
         if (--call.waiting == 0) {
             slotsUsed--;
             call.endpoint.inFlight--;
--- a/sender/src/main/java/amberroute/sender/CallsInFlight.java
+++ b/sender/src/main/java/amberroute/sender/CallsInFlight.java
@@ -19,18 +19,18 @@
 
     /** All calls with the numbers of their messages. */
     List<TransferredState.CallInFlight> list() {
-        return upstream.out().stream()
+        return upstream.callsInFlight().stream()
                 .map(call -> new TransferredState.CallInFlight(
                         call.items.stream().map(item -> item.message().number).toList(),
                         endpoints.uid(call.route.endpoint()),
-                        UpstreamClient.took(call)))
+                        UpstreamClient.elapsedMicros(call)))
                 .toList();
     }
 
     /** The numbers of the endpoints that are called. */
     Set<Long> endpointNumbers() {
         Set<Long> called = new HashSet<>();
-        upstream.out().forEach(call -> called.add(call.route.endpoint()));
+        upstream.callsInFlight().forEach(call -> called.add(call.route.endpoint()));
         return called;
     }
 }
--- a/sender/src/main/java/amberroute/sender/EndpointListUpdates.java
+++ b/sender/src/main/java/amberroute/sender/EndpointListUpdates.java
@@ -23,9 +23,9 @@
 
     @Override
     public void listed(DeliveryScheduler.EndpointListKind kind, List<DeliveryScheduler.EndpointEntry> entries) {
-        upstream.bar(route -> !endpoints.ready(route.endpoint()));
+        upstream.preventWrites(route -> !endpoints.isReady(route.endpoint()));
         // A new endpoint at the address of a removed one must not inherit its connections.
-        upstream.closeIdle(endpoints::gone);
+        upstream.closeIdle(endpoints::hasLeft);
         fleet.applyKnownRateLimits(entries);
         scheduler.submit(new Event.EndpointListUpdated(kind, entries));
     }
--- a/sender/src/main/java/amberroute/sender/FailoverSender.java
+++ b/sender/src/main/java/amberroute/sender/FailoverSender.java
@@ -70,7 +70,7 @@
     public boolean isIdle() {
         return state.lifecycle().ready()
                 && journal().pendingMessages().isEmpty()
-                && delivery.upstream.callsOut() == 0
+                && delivery.upstream.callCount() == 0
                 && peers.offeredCount() == 0;
     }
 
@@ -90,7 +90,7 @@
         }
         lifecycleParts.maintenance.stop();
         delivery.scheduler.halt();
-        delivery.upstream.callOff();
+        delivery.upstream.cancelAll();
         delivery.upstream.closeIdle(endpoint -> true);
         delivery.endpoints.stop();
         delivery.notifier.stop();
--- a/sender/src/main/java/amberroute/sender/MessageAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/MessageAcceptance.java
@@ -61,7 +61,7 @@
 
     private void accept(PendingAcceptance arrival) {
         AcceptedMessage message = arrival.message();
-        if (arrival.reply().wanted() && folder.journal().accept(message)) {
+        if (arrival.reply().isClientConnected() && folder.journal().accept(message)) {
             messages.accepted().put(message.number, message);
             // Without replication the message is delivered even if the force fails, but may be lost with the power.
             // With
--- a/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
+++ b/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void ended(UpstreamClient.Result result) {
+    public void attemptCompleted(UpstreamClient.Result result) {
         if (!lifecycle.ownershipReleased()) {
             process(result);
         } else if (transfers.outgoing() != null) {
@@ -47,25 +47,25 @@
     }
 
     @Override
-    public void writing() {
+    public void beforeWrite() {
         if (!lifecycle.ownershipReleased()) {
             folder.journal().checkFence();
         }
     }
 
     @Override
-    public void written(int messageCount) {
+    public void callWritten(int messageCount) {
         metrics.callWritten(messageCount);
     }
 
     /** Journals the outcome of an attempt and reports it to the scheduler. */
     void process(UpstreamClient.Result result) {
         AcceptedMessage message = result.message();
-        fleet.attemptCompleted(message.destination, result.ending());
-        if (result.closed()) {
-            conclude(message, result.ending());
+        fleet.attemptCompleted(message.destination, result.outcome());
+        if (result.messageCompleted()) {
+            conclude(message, result.outcome());
         } else if (messages.accepted().containsKey(message.number)) {
-            folder.journal().outcome(message, mayHaveRun(result.ending()));
+            folder.journal().outcome(message, mayHaveRun(result.outcome()));
         }
         scheduler.submit(completed(result));
     }
@@ -89,11 +89,11 @@
                 result.message().number,
                 result.attempt(),
                 result.endpoint(),
-                result.ending(),
-                result.took(),
-                result.closed(),
-                result.toldWait(),
-                result.report(),
-                result.idle());
+                result.outcome(),
+                result.durationMicros(),
+                result.messageCompleted(),
+                result.retryAfterMicros(),
+                result.loadReport(),
+                result.connectionIdleMicros());
     }
 }
--- a/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
@@ -66,7 +66,7 @@
         loop.submit(endpoints::start).sync();
         long startNanos = System.nanoTime();
         while (millisSince(startNanos) < ENDPOINT_LIST_TIMEOUT_MS
-                && !loop.submit(endpoints::current).sync().getNow()) {
+                && !loop.submit(endpoints::isCurrent).sync().getNow()) {
             Thread.sleep(RETRY_MS);
         }
         rehearse();
--- a/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
@@ -111,7 +111,7 @@
         unsettled.submissions().forEach(again -> submissions.submitted(again.submission(), again.answer()));
         LogEvent.of("ownership_reclaimed")
                 .with("messages", messages.accepted().size())
-                .with("calls_in_flight", upstream.callsOut())
+                .with("calls_in_flight", upstream.callCount())
                 .with("settled_outcomes", unsettledOutcomes.size())
                 .with("settled_submissions", unsettled.submissions().size())
                 .warn();
@@ -150,26 +150,26 @@
                         attempt.message(),
                         attempt.attempt(),
                         result.endpoint(),
-                        result.ending(),
-                        result.took(),
-                        result.closed(),
-                        result.toldWait(),
-                        result.report(),
-                        result.idle());
+                        result.outcome(),
+                        result.durationMicros(),
+                        result.messageCompleted(),
+                        result.retryAfterMicros(),
+                        result.loadReport(),
+                        result.connectionIdleMicros());
     }
 
     private List<TransferredState.CallInFlight> callsWith(List<UpstreamClient.Result> unsettledOutcomes) {
         List<TransferredState.CallInFlight> calls = new ArrayList<>(callsInFlight.list());
         unsettledOutcomes.forEach(result -> calls.add(new TransferredState.CallInFlight(
-                List.of(result.message().number), endpoints.uid(result.endpoint()), result.took())));
+                List.of(result.message().number), endpoints.uid(result.endpoint()), result.durationMicros())));
         return calls;
     }
 
     @Override
     public void abandon() {
         transfers.outgoing().abandon();
-        upstream.callOff();
-        clientServer.retireSome(Integer.MAX_VALUE);
+        upstream.cancelAll();
+        clientServer.closeResting(Integer.MAX_VALUE);
     }
 
     @Override
--- a/sender/src/main/java/amberroute/sender/OwnershipRelease.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipRelease.java
@@ -92,7 +92,7 @@
         folder.close();
         LogEvent.of("ownership_transferred")
                 .with("messages", messages.accepted().size())
-                .with("calls_in_flight", upstream.callsOut())
+                .with("calls_in_flight", upstream.callCount())
                 .warn();
         int connectionsPerStep = 1 + clientServer.connections() / RETIREMENT_STEPS;
         connections.startRetiring(connectionsPerStep, transfers.outgoing()::unansweredSubmissions);
@@ -111,7 +111,7 @@
     private JsonObject stateToTransfer() {
         return new TransferredState(
                         System.nanoTime(),
-                        endpoints.write(callsInFlight.endpointNumbers()::contains),
+                        endpoints.toJson(callsInFlight.endpointNumbers()::contains),
                         callsInFlight.list(),
                         scheduler.snapshots(),
                         scheduler.pausedKeys())
--- a/sender/src/main/java/amberroute/sender/PredecessorEvents.java
+++ b/sender/src/main/java/amberroute/sender/PredecessorEvents.java
@@ -61,7 +61,7 @@
         long retryAfter = report.get("wait").getAsLong();
         UpstreamClient.Route route = endpoints.route(endpoint);
         if (retryAfter > 0 && route != null) {
-            upstream.bar(other -> other.waitGroup().equals(route.waitGroup()));
+            upstream.preventWrites(other -> other.waitGroup().equals(route.waitGroup()));
         }
         List<Double> load = new ArrayList<>();
         report.getAsJsonArray("report").forEach(value -> load.add(value.getAsDouble()));
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -468,7 +468,9 @@
 
     /** The number of idle connections to upstreams. */
     int idleUpstreamConnections() {
-        return loop.submit(delivery.upstream::kept).syncUninterruptibly().getNow();
+        return loop.submit(delivery.upstream::idleConnections)
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** The number of open client connections. */
@@ -480,7 +482,7 @@
 
     /** Whether an endpoint is listed as ready. */
     boolean endpointReady(String uid) {
-        return loop.submit(() -> delivery.endpoints.ready(delivery.endpoints.number(uid)))
+        return loop.submit(() -> delivery.endpoints.isReady(delivery.endpoints.number(uid)))
                 .syncUninterruptibly()
                 .getNow();
     }
--- a/sender/src/main/java/amberroute/sender/SettingsActivation.java
+++ b/sender/src/main/java/amberroute/sender/SettingsActivation.java
@@ -57,7 +57,7 @@
                 settings.limits().connectTimeoutMicros(),
                 settings.limits().idleConnectionLifeMicros(),
                 config.reportNames());
-        clientServer.classes(messages.classes().names());
+        clientServer.setClassNames(messages.classes().names());
         messages.classes().names().forEach(metrics::declareClass);
         scheduler.submit(new Event.SettingsChanged(activeSettings.settings()));
         return null;
--- a/sender/src/main/java/amberroute/sender/StatusReport.java
+++ b/sender/src/main/java/amberroute/sender/StatusReport.java
@@ -54,7 +54,7 @@
             InetSocketAddress listen = listenAddress.get();
             status.addProperty("listen", listen.getAddress().getHostAddress() + ":" + listen.getPort());
             status.addProperty("held", messages.accepted().size());
-            status.addProperty("calls", upstream.callsOut());
+            status.addProperty("calls", upstream.callCount());
             status.addProperty("notices", notifier.pending());
             status.addProperty("clients", clientServer.connections());
             status.addProperty("disk_used", folder.journal().usedBytes());
--- a/sender/src/main/java/amberroute/sender/SubmissionHandler.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionHandler.java
@@ -96,7 +96,7 @@
                 submission.className(),
                 submission.key(),
                 submission.destination(),
-                folder.steadyMillis() + submission.timeLeft(),
+                folder.steadyMillis() + submission.timeLeftMillis(),
                 submission.body());
         message.type = messages.classes().number(submission.className());
         if (messages.ordered(message) && folder.journal().keyHolds().isHeld(message.key)) {
@@ -109,7 +109,7 @@
                 message.type,
                 0,
                 submission.key(),
-                submission.timeLeft() * MICROS_PER_MILLI,
+                submission.timeLeftMillis() * MICROS_PER_MILLI,
                 submission.destination()));
     }
 
--- a/sender/src/main/java/amberroute/sender/client/ClientServer.java
+++ b/sender/src/main/java/amberroute/sender/client/ClientServer.java
@@ -28,11 +28,17 @@
      * @param timeLeft milliseconds until the deadline as of now; the time that the request may have waited unread is subtracted
      */
     public record Submission(
-            long key, String id, String className, long timeLeft, int destination, String idempotencyKey, byte[] body) {
+            long key,
+            String id,
+            String className,
+            long timeLeftMillis,
+            int destination,
+            String idempotencyKey,
+            byte[] body) {
         /** The same submission {@code passed} milliseconds later. */
         public Submission after(long passed) {
             return new Submission(
-                    key, id, className, Math.max(0, timeLeft - passed), destination, idempotencyKey, body);
+                    key, id, className, Math.max(0, timeLeftMillis - passed), destination, idempotencyKey, body);
         }
     }
 
@@ -45,24 +51,24 @@
     /** Takes the one reply to a request. */
     public abstract static class Answer {
         /** Whether the client is still connected; nothing is owed to one that has left. */
-        public abstract boolean wanted();
+        public abstract boolean isClientConnected();
 
         /** Gives the reply: a complete line of the protocol with its line end. */
-        public abstract void line(String text);
+        public abstract void send(String text);
 
         /** The message is accepted. */
         public void ok() {
-            line("+OK\r\n");
+            send("+OK\r\n");
         }
 
         /** The message is rejected for now; {@code after} is the advised wait in milliseconds, 0 for none. */
         public void busy(long after) {
-            line(after > 0 ? "-BUSY " + after + "\r\n" : "-BUSY\r\n");
+            send(after > 0 ? "-BUSY " + after + "\r\n" : "-BUSY\r\n");
         }
 
         /** The request cannot be used. */
         public void error(String reason) {
-            line("-ERR " + reason + "\r\n");
+            send("-ERR " + reason + "\r\n");
         }
     }
 
@@ -99,7 +105,7 @@
     }
 
     /** Accepts messages of these classes from now on. */
-    public void classes(Set<String> names) {
+    public void setClassNames(Set<String> names) {
         classNames = names;
     }
 
@@ -167,17 +173,17 @@
     }
 
     /** Closes connections after their next reply, while new ones are still accepted. */
-    public void retireAnswered() {
+    public void closeAfterReplies() {
         retiring = true;
     }
 
     /** Closes up to {@code most} connections that owe no reply, the longest idle first. */
-    public void retireSome(int most) {
-        retireSome(most, 0);
+    public void closeResting(int most) {
+        closeResting(most, 0);
     }
 
     /** Closes up to {@code most} connections that owe no reply and were last used at least {@code idle} milliseconds ago. */
-    public void retireSome(int most, long idle) {
+    public void closeResting(int most, long idle) {
         connections.closeResting(most, System.nanoTime() - idle * NANOS_PER_MILLI);
     }
 
@@ -194,10 +200,10 @@
             // New connections wait in the queue for the process that takes this one's place.
             listener.accept(false);
         } else {
-            closeDoor();
+            closeListener();
         }
         retiring = true;
-        if (draining.over(now)) {
+        if (draining.isReadingOver(now)) {
             // The rest of an incomplete request can no longer be answered in time; its client sends it again.
             connections.closeUnanswered();
             drained = connections.size() == 0;
@@ -205,24 +211,24 @@
                 LogEvent.of("client_connections_drained").warn();
             }
         } else {
-            retireSome(draining.surplus(now, connections.size()), DRAINING_IDLE_MILLIS);
+            closeResting(draining.surplus(now, connections.size()), DRAINING_IDLE_MILLIS);
         }
     }
 
     /** Closes the listening socket once the connections in its accept queue, which would be reset with it, are accepted. */
-    public void closeDoor() {
+    public void closeListener() {
         if (listener != null) {
             listener.closeWhenQueueIsEmpty();
         }
     }
 
     /** Closes the connections that owe no reply; a client whose request crosses the close sends it again. */
-    public void closeIdle() {
+    public void closeUnanswered() {
         connections.closeUnanswered();
     }
 
     /** Requests so far that were read but not passed on, as their clients had timed out and disconnected. */
-    public long abandoned() {
+    public long abandonedRequests() {
         return abandonedRequests;
     }
 
@@ -232,7 +238,7 @@
     }
 
     /** Connections that are served, and those that are being closed until their clients have read the last replies. */
-    public int open() {
+    public int openConnections() {
         return connections.open();
     }
 
--- a/sender/src/main/java/amberroute/sender/client/ClientSession.java
+++ b/sender/src/main/java/amberroute/sender/client/ClientSession.java
@@ -191,7 +191,7 @@
             switch (name) {
                 case "PING" -> {
                     validRequest();
-                    reply.line("+PONG\r\n");
+                    reply.send("+PONG\r\n");
                 }
                 case "SUBMIT" -> submit(words, reply);
                 default -> throw new IllegalArgumentException("unknown command");
@@ -224,7 +224,7 @@
     private void submitIfStillConnected(ClientServer.Submission submission, ReplyQueue.Reply reply) {
         long readNanos = System.nanoTime();
         Runnable submitOrDrop = () -> {
-            if (reply.wanted()) {
+            if (reply.isClientConnected()) {
                 long passedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - readNanos);
                 host.submit(submission.after(passedMillis), reply);
             } else {
--- a/sender/src/main/java/amberroute/sender/client/ConnectionDraining.java
+++ b/sender/src/main/java/amberroute/sender/client/ConnectionDraining.java
@@ -32,17 +32,17 @@
     }
 
     /** Whether no request may be read any more: every connection closes that owes no reply, even in the middle of a request. */
-    public boolean over(long now) {
+    public boolean isReadingOver(long now) {
         return now >= lastRequestMillis;
     }
 
     /** Milliseconds until the kill may come, 0 from then on. */
-    public long left(long now) {
+    public long millisUntilKill(long now) {
         return Math.max(0, killMillis - now);
     }
 
     /** Whether the kill may come. */
-    public boolean last(long now) {
+    public boolean isKillDue(long now) {
         return now >= killMillis;
     }
 
@@ -54,6 +54,8 @@
         if (connectionsAtBegin < 0) {
             connectionsAtBegin = open;
         }
-        return over(now) ? open : (int) Math.max(0, open - connectionsAtBegin * (lastRequestMillis - now) / SPREAD_MS);
+        return isReadingOver(now)
+                ? open
+                : (int) Math.max(0, open - connectionsAtBegin * (lastRequestMillis - now) / SPREAD_MS);
     }
 }
--- a/sender/src/main/java/amberroute/sender/client/ReplyQueue.java
+++ b/sender/src/main/java/amberroute/sender/client/ReplyQueue.java
@@ -80,12 +80,12 @@
         }
 
         @Override
-        public boolean wanted() {
+        public boolean isClientConnected() {
             return channel.isActive();
         }
 
         @Override
-        public void line(String reply) {
+        public void send(String reply) {
             text = reply;
             listener.replyGiven(key);
         }
--- a/sender/src/main/java/amberroute/sender/discovery/EndpointWatch.java
+++ b/sender/src/main/java/amberroute/sender/discovery/EndpointWatch.java
@@ -23,18 +23,18 @@
  */
 public final class EndpointWatch {
     /** A change counts as known so many milliseconds after discovery had it and could be reached, whether or not it arrived. */
-    public static final long TOLD_MS = 6_000;
+    public static final long CHANGE_KNOWN_MILLIS = 6_000;
     /** A heartbeat comes every 2 s: a watch without one, or an event, for this time since its opening counts as dead. */
     static final long SILENCE_MS = 3_000;
 
     static final long SILENCE_CHECK_INTERVAL_MILLIS = 100;
     static final long CONNECT_TIMEOUT_MILLIS = 1_000;
     /** Shortest pause in milliseconds after a watch that has ended. */
-    public static final long PAUSE_LEAST_MS = 100;
+    public static final long MIN_PAUSE_MILLIS = 100;
     /** Longest random part in milliseconds of that pause. */
-    public static final long PAUSE_MOST_MS = 1_000;
+    public static final long MAX_RANDOM_PAUSE_MILLIS = 1_000;
     /** Milliseconds allowed for the response itself and a late event loop. */
-    public static final long ANSWER_MS = 500;
+    public static final long RESPONSE_MILLIS = 500;
 
     private static final long FIRST_RANDOM_PAUSE_MILLIS = 200;
 
@@ -43,11 +43,11 @@
         // heard.
         long slowestMillis = SILENCE_MS
                 + SILENCE_CHECK_INTERVAL_MILLIS
-                + PAUSE_LEAST_MS
-                + PAUSE_MOST_MS
+                + MIN_PAUSE_MILLIS
+                + MAX_RANDOM_PAUSE_MILLIS
                 + CONNECT_TIMEOUT_MILLIS
-                + ANSWER_MS;
-        if (slowestMillis > TOLD_MS) {
+                + RESPONSE_MILLIS;
+        if (slowestMillis > CHANGE_KNOWN_MILLIS) {
             throw new AssertionError("a change can come later than it counts as told");
         }
     }
@@ -89,9 +89,9 @@
         list = new EndpointList(config, listener);
         address = config.discovery();
         backoff = new Backoff(
-                PAUSE_LEAST_MS,
+                MIN_PAUSE_MILLIS,
                 FIRST_RANDOM_PAUSE_MILLIS,
-                PAUSE_MOST_MS,
+                MAX_RANDOM_PAUSE_MILLIS,
                 config.settings().seed());
     }
 
@@ -159,12 +159,12 @@
     }
 
     /** Whether the list has come from discovery itself. */
-    public boolean current() {
+    public boolean isCurrent() {
         return list.isCurrent();
     }
 
     /** The list in discovery's form, with those that have left it and are still called. */
-    public JsonObject write(LongPredicate called) {
+    public JsonObject toJson(LongPredicate called) {
         return list.toJson(called);
     }
 
@@ -216,7 +216,7 @@
     }
 
     /** Whether an endpoint is listed as ready. */
-    public boolean ready(long number) {
+    public boolean isReady(long number) {
         return list.isReady(number);
     }
 
@@ -226,7 +226,7 @@
     }
 
     /** Whether an endpoint has left the list or was never on it. */
-    public boolean gone(long number) {
+    public boolean hasLeft(long number) {
         return !list.isListed(number);
     }
 
--- a/sender/src/main/java/amberroute/sender/lifecycle/ConnectionRetirement.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ConnectionRetirement.java
@@ -78,7 +78,7 @@
 
     /** Milliseconds until the process may be killed; only while {@link #draining}. */
     public long millisLeft() {
-        return draining.left(SchedulerClock.millis());
+        return draining.millisUntilKill(SchedulerClock.millis());
     }
 
     /** Lets idle clients reconnect to the successor; {@code unanswered} counts submissions that wait for its answer. */
@@ -93,15 +93,15 @@
     }
 
     private void retireStep(int connectionsPerStep, IntSupplier unanswered) {
-        clientServer.retireSome(connectionsPerStep);
+        clientServer.closeResting(connectionsPerStep);
         if (reclaimPossible.getAsBoolean()) {
             return;
         }
-        boolean idle = upstream.callsOut() == 0
+        boolean idle = upstream.callCount() == 0
                 && unanswered.getAsInt() == 0
                 && notifier.pending() == 0
-                && clientServer.open() == 0;
-        if (draining != null && (idle || draining.last(SchedulerClock.millis()))) {
+                && clientServer.openConnections() == 0;
+        if (draining != null && (idle || draining.isKillDue(SchedulerClock.millis()))) {
             finish(0);
         }
     }
--- a/sender/src/main/java/amberroute/sender/lifecycle/IncomingTransfer.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/IncomingTransfer.java
@@ -200,12 +200,12 @@
         }
 
         @Override
-        public boolean wanted() {
+        public boolean isClientConnected() {
             return !disconnected;
         }
 
         @Override
-        public void line(String text) {
+        public void send(String text) {
             JsonObject command = command("answer");
             command.addProperty("asked", submission);
             command.addProperty("line", text);
--- a/sender/src/main/java/amberroute/sender/lifecycle/OutgoingTransfer.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/OutgoingTransfer.java
@@ -110,7 +110,7 @@
                         ? unanswered.remove(command.get("asked").getAsLong())
                         : null;
                 if (answered != null) {
-                    answered.answer().line(command.get("line").getAsString());
+                    answered.answer().send(command.get("line").getAsString());
                 }
             }
             default -> LogEvent.of("transfer_command_unknown")
@@ -194,7 +194,7 @@
         command.addProperty("key", Long.toHexString(submission.key()));
         command.addProperty("id", submission.id());
         command.addProperty("class", submission.className());
-        command.addProperty("time_left", submission.timeLeft());
+        command.addProperty("time_left", submission.timeLeftMillis());
         command.addProperty("destination", submission.destination());
         command.addProperty("idempotency_key", submission.idempotencyKey());
         command.addProperty("body", Base64.getEncoder().encodeToString(submission.body()));
@@ -208,13 +208,13 @@
         JsonObject command = command("outcome");
         command.addProperty("number", result.message().number);
         command.addProperty("uid", uid);
-        command.addProperty("ending", result.ending().name());
-        command.addProperty("took", result.took());
-        command.addProperty("closed", result.closed());
-        command.addProperty("wait", result.toldWait());
-        command.addProperty("idle", result.idle());
+        command.addProperty("ending", result.outcome().name());
+        command.addProperty("took", result.durationMicros());
+        command.addProperty("closed", result.messageCompleted());
+        command.addProperty("wait", result.retryAfterMicros());
+        command.addProperty("idle", result.connectionIdleMicros());
         JsonArray report = new JsonArray();
-        result.report().forEach(report::add);
+        result.loadReport().forEach(report::add);
         command.add("report", report);
         successor.send(command);
     }
--- a/sender/src/main/java/amberroute/sender/lifecycle/ShutdownCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ShutdownCoordinator.java
@@ -142,7 +142,7 @@
         lifecycle.enter(LifecyclePhase.DRAINING);
         serviceManager.report("STOPPING=1");
         if (mode != ShutdownSequence.Mode.RESTART) {
-            clientServer.retireAnswered();
+            clientServer.closeAfterReplies();
             connectionsPerStep = 1 + clientServer.connections() / RETIREMENT_STEPS;
             host.announceKeys();
         }
@@ -166,10 +166,10 @@
     private void step() {
         boolean leaves = sequence.mode() != ShutdownSequence.Mode.RESTART;
         if (!host.retryDeferred() && leaves) {
-            clientServer.retireSome(connectionsPerStep, IDLE_BEFORE_CLOSE_MS);
+            clientServer.closeResting(connectionsPerStep, IDLE_BEFORE_CLOSE_MS);
         }
         ShutdownSequence.Load load = new ShutdownSequence.Load(
-                host.pendingCount(), upstream.callsOut(), notifier.pending(), clientServer.open());
+                host.pendingCount(), upstream.callCount(), notifier.pending(), clientServer.openConnections());
         switch (sequence.next(nowMillis(), load)) {
             case DELIVER -> {
                 if (leaves) {
@@ -178,7 +178,7 @@
             }
             case CANCEL_CALLS -> {
                 callsStopped = true;
-                upstream.callOff();
+                upstream.cancelAll();
             }
             case COMPLETE_ALL -> {
                 callsStopped = true;
@@ -186,8 +186,8 @@
             }
             case AWAIT_NOTIFICATIONS -> {}
             case CLOSE -> {
-                clientServer.closeDoor();
-                clientServer.closeIdle();
+                clientServer.closeListener();
+                clientServer.closeUnanswered();
             }
             case DONE -> finish(load);
             default -> throw new IllegalStateException("unknown step of a stop");
--- a/sender/src/main/java/amberroute/sender/upstream/UpstreamClient.java
+++ b/sender/src/main/java/amberroute/sender/upstream/UpstreamClient.java
@@ -42,23 +42,23 @@
             AcceptedMessage message,
             int attempt,
             long endpoint,
-            AttemptOutcome ending,
-            long took,
-            boolean closed,
-            long toldWait,
-            List<Double> report,
-            long idle) {}
+            AttemptOutcome outcome,
+            long durationMicros,
+            boolean messageCompleted,
+            long retryAfterMicros,
+            List<Double> loadReport,
+            long connectionIdleMicros) {}
 
     /** Learns of calls, on the event loop. */
     public interface Listener {
         /** An attempt has ended. */
-        void ended(Result result);
+        void attemptCompleted(Result result);
 
         /** A call is about to be written, perhaps long after its start; what this throws keeps it back. */
-        void writing();
+        void beforeWrite();
 
         /** A call with so many messages was written completely. */
-        void written(int messages);
+        void callWritten(int messages);
     }
 
     /** Where calls to an endpoint go; a wait that one endpoint asks for holds for all routes of its {@code waitGroup}. */
@@ -167,17 +167,17 @@
     }
 
     /** Calls in flight. */
-    public int callsOut() {
+    public int callCount() {
         return calls.size();
     }
 
     /** All calls whose outcome is still to be reported. */
-    public List<UpstreamCall> out() {
+    public List<UpstreamCall> callsInFlight() {
         return List.copyOf(calls);
     }
 
     /** Cancels all calls in flight; each message's result follows when its connection has closed. */
-    public void callOff() {
+    public void cancelAll() {
         for (UpstreamCall call : List.copyOf(calls)) {
             abandon(call, cancelledOutcome(call));
         }
@@ -230,12 +230,12 @@
      * Keeps calls on these routes that still wait for their connection from being written: a wait or a drain that was announced meanwhile holds
      * from a call's first byte on, and connecting may take longer than its grace period.
      */
-    public void bar(Predicate<Route> routes) {
+    public void preventWrites(Predicate<Route> routes) {
         calls.stream().filter(call -> !call.written && routes.test(call.route)).forEach(call -> call.barred = true);
     }
 
     /** Idle connections that can carry a call. */
-    public int kept() {
+    public int idleConnections() {
         return pool.usable();
     }
 
@@ -268,7 +268,7 @@
     private void finish(UpstreamCall call, ResponseReader.Response response) {
         ResponseInterpreter.CallOutcome outcome = interpreter.interpret(call, response);
         if (outcome.retryAfterMicros() > 0) {
-            bar(route -> route.waitGroup().equals(call.route.waitGroup()));
+            preventWrites(route -> route.waitGroup().equals(call.route.waitGroup()));
         }
         report(call, outcome);
     }
@@ -279,7 +279,7 @@
         for (int i = 0; i < items.size() && !call.disowned; i++) {
             CallMessage item = items.get(i);
             ResponseInterpreter.MessageOutcome message = outcome.messages().get(i);
-            listener.ended(new Result(
+            listener.attemptCompleted(new Result(
                     item.message(),
                     item.attempt(),
                     call.route.endpoint(),
@@ -302,7 +302,7 @@
     }
 
     /** Microseconds since this call was started. */
-    public static long took(UpstreamCall call) {
+    public static long elapsedMicros(UpstreamCall call) {
         return call.elapsedMicros();
     }
 
@@ -310,12 +310,12 @@
     private final class ConnectionEvents implements UpstreamConnection.Listener {
         @Override
         public void beforeWrite() {
-            listener.writing();
+            listener.beforeWrite();
         }
 
         @Override
         public void written(UpstreamCall call) {
-            listener.written(call.items.size());
+            listener.callWritten(call.items.size());
         }
 
         @Override
--- a/sender/src/test/java/amberroute/sender/AcceptQueueTest.java
+++ b/sender/src/test/java/amberroute/sender/AcceptQueueTest.java
@@ -72,12 +72,12 @@
             assertEquals("+OK", answer(client));
         }
         int gaveUp = STILL_THERE * GAVE_UP_BEFORE_EACH;
-        while (loop.submit(server::abandoned).sync().getNow() < gaveUp && submitted.size() <= STILL_THERE) {
+        while (loop.submit(server::abandonedRequests).sync().getNow() < gaveUp && submitted.size() <= STILL_THERE) {
             Thread.sleep(5);
         }
         assertEquals(
                 stillThere, submitted.stream().map(ClientServer.Submission::id).toList());
-        assertEquals(gaveUp, loop.submit(server::abandoned).sync().getNow());
+        assertEquals(gaveUp, loop.submit(server::abandonedRequests).sync().getNow());
     }
 
     /** However soon the process accepts: the queue is older than the process. */
@@ -87,7 +87,7 @@
         clients.add(submit("there"));
         serve();
         assertEquals("+OK", answer(clients.get(0)));
-        assertWholeClientTimeoutIsOff(submitted.take().timeLeft(), begun);
+        assertWholeClientTimeoutIsOff(submitted.take().timeLeftMillis(), begun);
     }
 
     /** What comes later on the same connections, and on new ones, is not taken for old. */
@@ -103,7 +103,7 @@
         assertEquals(
                 List.of("first", "second", "other"),
                 submitted.stream().map(ClientServer.Submission::id).toList());
-        assertEquals(0L, loop.submit(server::abandoned).sync().getNow());
+        assertEquals(0L, loop.submit(server::abandonedRequests).sync().getNow());
     }
 
     /** Its client may have had it ready all through the outage, and sent it when the message before had its answer. */
@@ -113,10 +113,10 @@
         clients.add(submit("before", KEY));
         serve();
         assertEquals("+OK", answer(clients.get(0)));
-        assertWholeClientTimeoutIsOff(submitted.take().timeLeft(), begun);
+        assertWholeClientTimeoutIsOff(submitted.take().timeLeftMillis(), begun);
         write(clients.get(0), "behind", KEY);
         assertEquals("+OK", answer(clients.get(0)));
-        long left = submitted.take().timeLeft();
+        long left = submitted.take().timeLeftMillis();
         assertTrue(left <= 8_000 - OutageBacklog.UNSEEN_MS, left + " ms left");
     }
 
@@ -136,7 +136,7 @@
                 },
                 1_000,
                 1 << 20);
-        server.classes(Set.of("safe"));
+        server.setClassNames(Set.of("safe"));
         server.listen(listening);
         return server;
     }
--- a/sender/src/test/java/amberroute/sender/ClientConnectionCloseTest.java
+++ b/sender/src/test/java/amberroute/sender/ClientConnectionCloseTest.java
@@ -50,7 +50,7 @@
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = group.next();
         server = new ClientServer(loop, (submission, answer) -> asked.add(answer), PLACES, 1 << 20);
-        server.classes(Set.of("safe"));
+        server.setClassNames(Set.of("safe"));
         port = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .getPort();
     }
@@ -89,9 +89,9 @@
     /** Brings it about that a connection which rests is ended. */
     private void end(String how) throws Exception {
         switch (how) {
-            case "pushed over to another process" -> server.retireSome(PLACES);
+            case "pushed over to another process" -> server.closeResting(PLACES);
             case "let go of before the kill" -> server.drain(new ConnectionDraining(0, 0), 1);
-            case "stopped for good" -> server.closeIdle();
+            case "stopped for good" -> server.closeUnanswered();
             default -> throw new IllegalArgumentException(how);
         }
     }
@@ -197,7 +197,7 @@
     void whatCameWithTheLastRequestIsAnsweredToo() throws Exception {
         SenderFixture.Client client = client();
         assertEquals("+PONG", client.ask("PING"));
-        held(() -> server.retireAnswered());
+        held(() -> server.closeAfterReplies());
         client.write(command("PING") + command("PING") + submit("a1"));
         assertEquals("+PONG", client.answer());
         assertEquals("+PONG", client.answer());
@@ -214,7 +214,7 @@
         client.write(submit("a1"));
         await(() -> asked.size() == 1);
         held(() -> {
-            server.retireAnswered();
+            server.closeAfterReplies();
             client.write(submit("a2"));
             asked.get(0).ok();
             // What the pass behind this one would do first, before it reads.
@@ -237,7 +237,7 @@
                 client.write(command("PING"));
                 waiting.add(client);
             }
-            server.closeDoor();
+            server.closeListener();
         });
         for (SenderFixture.Client client : waiting) {
             assertEquals("+PONG", client.answer());
@@ -265,14 +265,14 @@
         for (int i = 0; i < served; i++) {
             assertEquals("+PONG", client().ask("PING"));
         }
-        held(server::closeIdle);
+        held(server::closeUnanswered);
         // None of them closes its side: they linger.
-        held(() -> assertEquals(served, server.open() - server.connections()));
+        held(() -> assertEquals(served, server.openConnections() - server.connections()));
         for (int i = 0; i < PLACES; i++) {
             assertEquals("+PONG", client().ask("PING"));
-            held(() -> assertTrue(server.open() <= PLACES, "open " + server.open()));
+            held(() -> assertTrue(server.openConnections() <= PLACES, "open " + server.openConnections()));
         }
-        await(() -> server.open() == served);
+        await(() -> server.openConnections() == served);
         assertEquals(0, asked.size());
     }
 }
--- a/sender/src/test/java/amberroute/sender/ConnectionDrainingTest.java
+++ b/sender/src/test/java/amberroute/sender/ConnectionDrainingTest.java
@@ -55,18 +55,19 @@
         assertEquals(0, parting.surplus(12_450, 60));
         assertEquals(30, parting.surplus(12_750, 60));
         assertEquals(10, parting.surplus(12_750, 40), "what clients close themselves counts");
-        assertFalse(parting.over(13_049));
+        assertFalse(parting.isReadingOver(13_049));
         assertTrue(
-                parting.over(13_450 - QueueingDelay.CLIENT_TIMEOUT_MS), "who asked last would still wait at the kill");
+                parting.isReadingOver(13_450 - QueueingDelay.CLIENT_TIMEOUT_MS),
+                "who asked last would still wait at the kill");
         assertEquals(7, parting.surplus(13_050, 7));
-        assertFalse(parting.last(13_449));
-        assertTrue(parting.last(13_450));
+        assertFalse(parting.isKillDue(13_449));
+        assertTrue(parting.isKillDue(13_450));
     }
 
     @Test
     void aShortTimeIsAllForTheLastAnswers() {
         ConnectionDraining parting = new ConnectionDraining(0, 300);
-        assertTrue(parting.begun(0) && parting.over(0));
+        assertTrue(parting.begun(0) && parting.isReadingOver(0));
         assertEquals(9, parting.surplus(0, 9));
     }
 
--- a/sender/src/test/java/amberroute/sender/DiscoveryFaultTest.java
+++ b/sender/src/test/java/amberroute/sender/DiscoveryFaultTest.java
@@ -230,7 +230,7 @@
         await(world::watched);
         long took = (System.nanoTime() - from) / 1_000_000;
         over.set(true);
-        assertTrue(took < EndpointWatch.TOLD_MS, "told after " + took + " ms");
+        assertTrue(took < EndpointWatch.CHANGE_KNOWN_MILLIS, "told after " + took + " ms");
     }
 
     /** Refused for long, the pauses have grown; the change is there just behind a refusal. */
@@ -246,7 +246,10 @@
         long took = (System.nanoTime() - from) / 1_000_000;
         // The connection was accepted already, so that of the budget only the pause is left.
         assertTrue(
-                took <= EndpointWatch.PAUSE_LEAST_MS + EndpointWatch.PAUSE_MOST_MS + EndpointWatch.ANSWER_MS,
+                took
+                        <= EndpointWatch.MIN_PAUSE_MILLIS
+                                + EndpointWatch.MAX_RANDOM_PAUSE_MILLIS
+                                + EndpointWatch.RESPONSE_MILLIS,
                 "told after " + took + " ms");
     }
 
--- a/sender/src/test/java/amberroute/sender/QueueingDelayTest.java
+++ b/sender/src/test/java/amberroute/sender/QueueingDelayTest.java
@@ -106,7 +106,7 @@
                     },
                     10,
                     1 << 20);
-            server.classes(Set.of("safe"));
+            server.setClassNames(Set.of("safe"));
             InetSocketAddress address = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             old.connect(address);
             submit(old, "first");
@@ -135,11 +135,11 @@
                 // The time left goes on falling while the event loop works on the request.
                 long passed = 1 + (System.nanoTime() - released) / MS;
                 assertTrue(
-                        submission.timeLeft() <= 8_000 - waited,
-                        submission.id() + " has " + submission.timeLeft() + " ms after " + waited);
+                        submission.timeLeftMillis() <= 8_000 - waited,
+                        submission.id() + " has " + submission.timeLeftMillis() + " ms after " + waited);
                 assertTrue(
-                        submission.timeLeft() >= 8_000 - QueueingDelay.CLIENT_TIMEOUT_MS - passed,
-                        submission.id() + " has " + submission.timeLeft() + " ms, " + passed + " ms later");
+                        submission.timeLeftMillis() >= 8_000 - QueueingDelay.CLIENT_TIMEOUT_MS - passed,
+                        submission.id() + " has " + submission.timeLeftMillis() + " ms, " + passed + " ms later");
             }
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
+++ b/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
@@ -107,7 +107,7 @@
                 submission.className(),
                 submission.key(),
                 submission.destination(),
-                state.folder().steadyMillis() + submission.timeLeft(),
+                state.folder().steadyMillis() + submission.timeLeftMillis(),
                 submission.body());
     }
 
--- a/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
+++ b/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
@@ -46,15 +46,15 @@
             stallDetector,
             new UpstreamClient.Listener() {
                 @Override
-                public void ended(UpstreamClient.Result result) {
+                public void attemptCompleted(UpstreamClient.Result result) {
                     results.add(result);
                 }
 
                 @Override
-                public void writing() {}
+                public void beforeWrite() {}
 
                 @Override
-                public void written(int messages) {}
+                public void callWritten(int messages) {}
             },
             5_000_000,
             5_000_000,
@@ -90,7 +90,7 @@
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object news) {
-                        upstreamClient.bar(route -> true);
+                        upstreamClient.preventWrites(route -> true);
                     }
                 })
                 .connect(address(discovery))
@@ -164,7 +164,7 @@
                 news.getOutputStream().write('x');
                 goesOn.countDown();
                 UpstreamClient.Result result = results.poll(10, TimeUnit.SECONDS);
-                assertEquals(AttemptOutcome.MOOT, result.ending());
+                assertEquals(AttemptOutcome.MOOT, result.outcome());
                 assertEquals(0, accepted.getInputStream().available());
             }
         }
@@ -187,7 +187,7 @@
             filler.close();
         }
         try (Socket accepted = receiver.accept()) {
-            assertEquals(AttemptOutcome.MOOT, results.poll(10, TimeUnit.SECONDS).ending());
+            assertEquals(AttemptOutcome.MOOT, results.poll(10, TimeUnit.SECONDS).outcome());
             assertEquals(0, accepted.getInputStream().available());
         }
     }
@@ -216,8 +216,8 @@
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                             .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             UpstreamClient.Result result = results.poll(10, TimeUnit.SECONDS);
-            assertEquals(AttemptOutcome.OK, result.ending());
-            assertTrue(result.closed());
+            assertEquals(AttemptOutcome.OK, result.outcome());
+            assertTrue(result.messageCompleted());
         }
     }
 }
--- a/sender/src/test/java/amberroute/sender/lifecycle/OwnershipTransferCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/lifecycle/OwnershipTransferCompatibilityTest.java
@@ -353,7 +353,7 @@
             ClientServer.Submission read = submissions.poll(10, TimeUnit.SECONDS);
             assertNotNull(read);
             // The recorded time of sending lies in the past of this machine, or in its future after a restart.
-            assertTrue(read.timeLeft() >= 0);
+            assertTrue(read.timeLeftMillis() >= 0);
             assertEquals(
                     List.of(expected.key(), expected.id(), expected.className(), expected.destination()),
                     List.of(read.key(), read.id(), read.className(), read.destination()));
@@ -399,12 +399,12 @@
         }
 
         @Override
-        public boolean wanted() {
+        public boolean isClientConnected() {
             return true;
         }
 
         @Override
-        public void line(String text) {
+        public void send(String text) {
             lines.add(text);
         }
     }
