--- a/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -389,7 +389,7 @@
          * An attempt ended. Other attempts than the one in flight are ignored.
          *
          * @param attempt the number of the attempt, from 0
-         * @param connectionClosed whether the message is completed by it
+         * @param messageCompleted whether the destination said that the message has its end there
          * @param retryAfterMicros Retry-After of the receiver, 0 for none
          * @param loadReport values as {@link ReportFields} says, may be empty
          * @param connectionIdleMicros idle time of its connection before, 0 for a fresh one, -1 where it is not known
--- a/sender/src/main/java/amberroute/sender/FleetCoordination.java
+++ b/sender/src/main/java/amberroute/sender/FleetCoordination.java
@@ -185,7 +185,7 @@
         }
     }
 
-    /** The state of a destination became known; {@code sinceMicros} is as {@link SlowStartLimits#found} takes it. */
+    /** The state of a destination became known; {@code sinceMicros} is as {@link SlowStartLimits#onHealthChanged} takes it. */
     void healthFound(int destination, DeliveryScheduler.UpstreamStatus status, long sinceMicros) {
         if (limits != null) {
             limits.onHealthChanged(SchedulerClock.micros(), destination, heartbeatHealth(status), sinceMicros);
--- a/sender/src/main/java/amberroute/sender/client/ClientServer.java
+++ b/sender/src/main/java/amberroute/sender/client/ClientServer.java
@@ -25,7 +25,7 @@
     /**
      * A message as submitted by a client.
      *
-     * @param timeLeft milliseconds until the deadline as of now; the time that the request may have waited unread is subtracted
+     * @param timeLeftMillis milliseconds until the deadline as of now; the time that the request may have waited unread is subtracted
      */
     public record Submission(
             long key,
@@ -159,7 +159,7 @@
 
     /**
      * Stops accepting without closing the socket, which another process shares, and closes connections after their next reply. Those
-     * without a request are left to {@link #retireSome}.
+     * without a request are left to {@link #closeResting}.
      */
     public void retire() {
         retiring = true;
--- a/sender/src/main/java/amberroute/sender/client/ConnectionDraining.java
+++ b/sender/src/main/java/amberroute/sender/client/ConnectionDraining.java
@@ -17,7 +17,7 @@
     private int connectionsAtBegin = -1;
 
     /**
-     * Told to end at {@code now}, killed {@code within} milliseconds later at the soonest. Requests read before {@link #over} have a reply,
+     * Told to end at {@code now}, killed {@code within} milliseconds later at the soonest. Requests read before {@link #isReadingOver} have a reply,
      * or their clients have timed out, by then: clients wait no longer than {@link QueueingDelay#CLIENT_TIMEOUT_MS}.
      */
     public ConnectionDraining(long now, long within) {
--- a/sender/src/main/java/amberroute/sender/journal/StateLock.java
+++ b/sender/src/main/java/amberroute/sender/journal/StateLock.java
@@ -41,7 +41,7 @@
         throw new InvalidSettingsException("state folder " + folder + " is held by " + owner(folder));
     }
 
-    /** As {@link #tryTake}, and the log says so: the folder is this sender's own from then on. */
+    /** As {@link #tryAcquire}, and the log says so: the folder is this sender's own from then on. */
     public static StateLock tryAcquireOwn(Path folder, boolean recordPid) throws IOException {
         StateLock lock = tryAcquire(folder, recordPid);
         if (lock != null) {
--- a/sender/src/main/java/amberroute/sender/upstream/UpstreamClient.java
+++ b/sender/src/main/java/amberroute/sender/upstream/UpstreamClient.java
@@ -33,10 +33,10 @@
     /**
      * The outcome of one message's attempt; times are in microseconds.
      *
-     * @param closed whether the message has its end at the destination, so that it is over
-     * @param toldWait the wait that the endpoint asks for, 0 for none
-     * @param report the endpoint's load report, empty for none
-     * @param idle how long the connection was idle before the call, 0 for a fresh one
+     * @param messageCompleted whether the message has its end at the destination, so that it is over
+     * @param retryAfterMicros the wait that the endpoint asks for, 0 for none
+     * @param loadReport the endpoint's load report, empty for none
+     * @param connectionIdleMicros how long the connection was idle before the call, 0 for a fresh one
      */
     public record Result(
             AcceptedMessage message,
--- a/testkit/src/main/java/amberroute/testkit/TestEnvironment.java
+++ b/testkit/src/main/java/amberroute/testkit/TestEnvironment.java
@@ -18,7 +18,7 @@
 
 /**
  * All stand-ins of one run with their book, on one event loop of their own. What is done to them from other threads goes
- * through {@link #on}. Every random choice comes from the seed; sockets and processes still make runs differ.
+ * through {@link #callOnLoop}. Every random choice comes from the seed; sockets and processes still make runs differ.
  */
 public final class TestEnvironment implements AutoCloseable {
     private static final long ORIGIN = System.nanoTime();
@@ -52,7 +52,7 @@
         }
     }
 
-    /** As {@link #on(Callable)}, without a result. */
+    /** As {@link #callOnLoop(Callable)}, without a result. */
     public void runOnLoop(Runnable work) {
         callOnLoop(() -> {
             work.run();
