--- a/decisions/src/main/java/amberroute/decisions/Backoff.java
+++ b/decisions/src/main/java/amberroute/decisions/Backoff.java
@@ -10,7 +10,7 @@
 final class Backoff {
     /** Time that the backoff has for the call of one sender, where the upstream reports no limit. */
     static final long SENDER_SPACING_MICROS = 80_000;
-    /** Backoff beside the senders' spacing where the upstream named no Retry-After. */
+    /** Backoff beside the senders' spacing, for upstreams; a message that is retried waits for the spacing alone. */
     static final long BASE_MICROS = 240_000;
     /** A reported limit shortens the spacing of one sender to the time of so many calls under it. */
     private static final double SENDER_SPACING_CALLS = 3.2;
@@ -26,9 +26,9 @@
     }
 
     /**
-     * A backoff with room for all senders, at most up to {@code longestMicros} on the first try.
+     * A backoff with room for all senders: up to {@code longestMicros} at first, doubled up to eight times that.
      *
-     * @param tries how often it has been waited for, this time included
+     * @param tries for an upstream the failures in a row, for a message the attempts before this one
      */
     long micros(long senderSpacingMicros, long baseMicros, long longestMicros, int tries) {
         long first = Math.min(
--- a/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
+++ b/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
@@ -16,7 +16,7 @@
 final class CircuitBreaker {
     /** Failures in a row that open the breaker: a single one may be chance. */
     static final int FAILURES_TO_OPEN = 2;
-    /** The shortest outage: two successes closer together had none between them, and a longer Retry-After is one. */
+    /** Shortest outage: successes closer together count as uninterrupted, a longer Retry-After counts as an outage. */
     static final long MIN_OUTAGE_MICROS = 2_500_000;
     /** A success no longer shows that an upstream is healthy after this share of the longest deadline. */
     private static final double STALE_SUCCESS_DEADLINE_RATIO = 0.5;
--- a/replication/src/main/java/amberroute/replication/Candidacy.java
+++ b/replication/src/main/java/amberroute/replication/Candidacy.java
@@ -5,7 +5,7 @@
 
 /**
  * One attempt to become the owner of a journal for a term. Invariant: the candidate has granted the term to itself, on disk, before
- * it asks others. It wins with a quorum of the replica set that its own copy names. Not thread-safe.
+ * it asks others; a pre-vote is not recorded. It wins with a quorum of the replica set that its own copy names. Not thread-safe.
  */
 public final class Candidacy {
     private final String self;
--- a/replication/src/main/java/amberroute/replication/ReplicaState.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaState.java
@@ -6,8 +6,8 @@
  *
  * <p>Invariant: a term has one owner. It is granted once, and a replica that has granted a term takes nothing of an older one.
  *
- * <p>A replica that never heard of the journal may have lost its folder, and with it what it promised: it takes copies, but neither
- * grants nor counts until a replica set names it that was committed without it. An owner whose term is over cannot
+ * <p>A replica that never heard of the journal may have lost its folder, and with it what it promised: it takes copies, but grants
+ * only the beginning of a new journal and does not count until a replica set names it that was committed without it. An owner whose term is over cannot
  * bring that about, as each change of the replica set takes a quorum that does not count this one.
  *
  * @param term the highest term that was granted, or of which records were taken
--- a/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
+++ b/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
@@ -89,7 +89,7 @@
         if (folder.journal().attempt(message, uid, folder.steadyMillis())) {
             return true;
         }
-        if (messages.classes().type(message.type).idempotency() != DeliveryScheduler.Idempotency.IDEMPOTENT
+        if (messages.classes().type(message.classNumber).idempotency() != DeliveryScheduler.Idempotency.IDEMPOTENT
                 || peers.replicated()) {
             return false;
         }
--- a/sender/src/main/java/amberroute/sender/FolderAdoption.java
+++ b/sender/src/main/java/amberroute/sender/FolderAdoption.java
@@ -167,24 +167,27 @@
         List<AcceptedMessage> copies = orphans.stream()
                 .map(orphan -> OrphanedJournalRecovery.copy(orphan, folder.journal()::nextNumber))
                 .toList();
-        copies.forEach(copy -> copy.type = messages.classes().number(copy.className));
+        copies.forEach(copy -> copy.classNumber = messages.classes().number(copy.className));
         // Whether a message of an unknown class may be repeated is unknown as well.
-        copies.stream().filter(copy -> copy.type < 0 && copy.notice == null).forEach(copy -> copy.end(copy.failed()));
-        long until = copies.stream().mapToLong(copy -> copy.deadline).max().orElse(0)
-                + OrphanedJournalRecovery.EXPIRED_RETENTION_MS;
+        copies.stream()
+                .filter(copy -> copy.classNumber < 0 && copy.pendingNotification == null)
+                .forEach(copy -> copy.end(copy.failed()));
+        long until =
+                copies.stream().mapToLong(copy -> copy.deadlineMillis).max().orElse(0)
+                        + OrphanedJournalRecovery.EXPIRED_RETENTION_MS;
         Ownership owned = new Ownership(1, Ownership.Status.OWNED, "");
         if (lifecycle.ownershipReleased() || !folder.journal().acceptHandoffBatch(batch, owned, until, copies)) {
             return -1;
         }
         folder.forceOrHalt();
         for (int i = 0; i < copies.size(); i++) {
-            resume(copies.get(i), orphans.get(i).out);
+            resume(copies.get(i), orphans.get(i).attemptInFlight);
         }
         return copies.size();
     }
 
     private void resume(AcceptedMessage message, boolean interrupted) {
-        if (message.notice != null) {
+        if (message.pendingNotification != null) {
             recovery.resumeNotification(message);
         } else {
             messages.accepted().put(message.number, message);
--- a/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
@@ -23,7 +23,7 @@
 
 /**
  * What the handoff to and from peers does with the messages of this sender. What a peer is told next is forced to the disk before.
- * Event loop only; times are wall time in milliseconds.
+ * Event loop only; times are milliseconds of the folder's {@code SteadyClock}.
  */
 final class HandoffHostAdapter implements HandoffCoordinator.Host {
     private final SenderConfig config;
@@ -70,7 +70,7 @@
         // The journal has the order of acceptance, which is that of each key.
         for (AcceptedMessage message : folder.journal().pendingMessages()) {
             boolean ordered = messages.ordered(message);
-            if (message.notice != null || message.frozen || message.out) {
+            if (message.pendingNotification != null || message.offeredToPeer || message.attemptInFlight) {
                 // Nothing of an ordered key moves before this message completes.
                 if (ordered) {
                     waitingKeys.add(message.key);
@@ -96,9 +96,9 @@
 
     private long lastDeadline(List<AcceptedMessage> batch) {
         return batch.stream()
-                .mapToLong(message -> message.deadline)
+                .mapToLong(message -> message.deadlineMillis)
                 .max()
-                .orElse(folder.steadyMillis() + AcceptedMessage.LONGEST_LIFE_MS);
+                .orElse(folder.steadyMillis() + AcceptedMessage.MAX_LIFETIME_MILLIS);
     }
 
     private List<Long> orderedKeys(List<AcceptedMessage> batch) {
@@ -176,7 +176,7 @@
         int type = messages.classes().number(message.className);
         return type >= 0
                 && endpoints.listed(message.destination)
-                && message.deadline - folder.steadyMillis() >= HandoffPlacement.MIN_TIME_LEFT_MILLIS
+                && message.deadlineMillis - folder.steadyMillis() >= HandoffPlacement.MIN_TIME_LEFT_MILLIS
                 && theirClasses.has(message.className)
                 && theirClasses.get(message.className).getAsString().equals(meaning(type))
                 && !undeliverableRetry(message, messages.classes().type(type));
@@ -184,10 +184,10 @@
 
     /** Whether only the endpoint where the message may have run could take it again, and that endpoint is unknown here. */
     private boolean undeliverableRetry(AcceptedMessage message, DeliveryScheduler.MessageClass type) {
-        return message.doubtSince != 0
+        return message.unknownOutcomeSinceMillis != 0
                 && type.idempotency() == DeliveryScheduler.Idempotency.KEYED
                 && type.keyScope() != DeliveryScheduler.KeyScope.DESTINATION
-                && !endpoints.listed(message.doubtAt);
+                && !endpoints.listed(message.unknownOutcomeEndpoint);
     }
 
     /** What may be done with a message of a class: where two daemons differ in it, neither takes the other's messages. */
@@ -200,15 +200,15 @@
     @Override
     public JsonObject classMeanings(List<AcceptedMessage> offered) {
         JsonObject meanings = new JsonObject();
-        offered.forEach(
-                message -> meanings.addProperty(message.className, message.type < 0 ? "" : meaning(message.type)));
+        offered.forEach(message ->
+                meanings.addProperty(message.className, message.classNumber < 0 ? "" : meaning(message.classNumber)));
         return meanings;
     }
 
     @Override
     public boolean adoptBatch(String lot, Ownership ownership, List<AcceptedMessage> adopted, String origin) {
         long startMicros = SchedulerClock.micros();
-        adopted.forEach(message -> message.type = messages.classes().number(message.className));
+        adopted.forEach(message -> message.classNumber = messages.classes().number(message.className));
         List<Long> keys = orderedKeys(adopted);
         List<AcceptedMessage> later = keyHolds.blockedMessages(keys);
         if (!folder.journal().acceptHandoffBatch(lot, ownership, lastDeadline(adopted), adopted, origin, later)) {
--- a/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
+++ b/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
@@ -11,7 +11,7 @@
 
 /**
  * Ordered keys of which another daemon still has messages: to the scheduler a placeholder message of each is not completed, so that
- * later messages of the key wait. Event loop only; times are wall time in milliseconds.
+ * later messages of the key wait. Event loop only; times are milliseconds of the folder's {@code SteadyClock}.
  */
 final class KeyHoldTracker {
     /** The time until the notification of a completed message is surely acknowledged. */
@@ -91,7 +91,7 @@
     private boolean untried(AcceptedMessage message) {
         return messages.ordered(message)
                 && messages.accepted().containsKey(message.number)
-                && !message.out
+                && !message.attemptInFlight
                 && message.attempts == 0;
     }
 
@@ -106,14 +106,14 @@
         messages.arriving().values().stream()
                 .map(PendingAcceptance::message)
                 .filter(messages::ordered)
-                .forEach(message -> ends.merge(message.key, message.deadline, Math::max));
+                .forEach(message -> ends.merge(message.key, message.deadlineMillis, Math::max));
         return ends;
     }
 
     private long completedBy(AcceptedMessage message) {
-        return message.notice == null
-                ? message.deadline
-                : Math.max(message.deadline, folder.steadyMillis() + NOTIFICATION_MS);
+        return message.pendingNotification == null
+                ? message.deadlineMillis
+                : Math.max(message.deadlineMillis, folder.steadyMillis() + NOTIFICATION_MS);
     }
 
     /** As {@link #orderedKeys}, with the keys of which other daemons have messages from here. */
--- a/sender/src/main/java/amberroute/sender/MessageAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/MessageAcceptance.java
@@ -63,9 +63,8 @@
         AcceptedMessage message = arrival.message();
         if (arrival.reply().isClientConnected() && folder.journal().accept(message)) {
             messages.accepted().put(message.number, message);
-            // Without replication the message is delivered even if the force fails, but may be lost with the power.
-            // With
-            // it the client has no answer until it is replicated, as another daemon may deliver it, or none.
+            // Without replication the message is delivered even if the force fails. With it the client has no answer
+            // until the record is replicated, since another daemon may deliver the message, or none.
             folder.journal()
                     .whenDurable(
                             () -> arrival.reply().ok(),
--- a/sender/src/main/java/amberroute/sender/MessageCompletion.java
+++ b/sender/src/main/java/amberroute/sender/MessageCompletion.java
@@ -16,7 +16,7 @@
 
 /**
  * Completes messages that were not delivered: journals the outcome, then notifies the client. A message is complete to the scheduler
- * once its notification is acknowledged. Event loop only; times are wall time in milliseconds.
+ * once its notification is acknowledged. Event loop only; times are milliseconds of the folder's {@code SteadyClock}.
  */
 final class MessageCompletion {
     private final EventLoop loop;
@@ -59,7 +59,7 @@
         if (folder.journal().hasPendingWrite(message)) {
             loop.schedule(
                     () -> notifyWithoutRecord(message),
-                    message.deadline - folder.steadyMillis(),
+                    message.deadlineMillis - folder.steadyMillis(),
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -96,9 +96,9 @@
      * repeated, else as failed.
      */
     void completeUndelivered(AcceptedMessage message) {
-        DeliveryScheduler.MessageClass type = messages.classes().type(message.type);
+        DeliveryScheduler.MessageClass type = messages.classes().type(message.classNumber);
         boolean returned = ShutdownSequence.mayReject(
-                message.doubtSince != 0 || message.out,
+                message.unknownOutcomeSinceMillis != 0 || message.attemptInFlight,
                 type.idempotency() == DeliveryScheduler.Idempotency.IDEMPOTENT,
                 type.idempotency() == DeliveryScheduler.Idempotency.KEYED
                         && type.keyScope() == DeliveryScheduler.KeyScope.DESTINATION);
--- a/sender/src/main/java/amberroute/sender/MessageRecovery.java
+++ b/sender/src/main/java/amberroute/sender/MessageRecovery.java
@@ -112,17 +112,18 @@
     }
 
     private void restoreMessage(AcceptedMessage message) {
-        if (messages.classes().version(message.type) == null) {
-            message.type = messages.classes().number(message.className);
+        if (messages.classes().version(message.classNumber) == null) {
+            message.classNumber = messages.classes().number(message.className);
         }
-        if (message.notice == null && message.type < 0) {
+        if (message.pendingNotification == null && message.classNumber < 0) {
             folder.journal().end(message, message.failed());
             metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
         }
-        if (message.notice != null) {
+        if (message.pendingNotification != null) {
             resumeNotification(message);
-        } else if (!message.frozen) {
-            boolean interrupted = message.out && !transfers.callsInFlight().contains(message.number);
+        } else if (!message.offeredToPeer) {
+            boolean interrupted =
+                    message.attemptInFlight && !transfers.callsInFlight().contains(message.number);
             if (interrupted) {
                 folder.journal().outcome(message, true);
             }
@@ -144,23 +145,23 @@
         boolean callInFlight = transfers.callsInFlight().contains(message.number);
         scheduler.submit(new Event.MessageRecovered(
                 message.number,
-                message.type,
+                message.classNumber,
                 message.key,
-                (message.deadline - folder.steadyMillis()) * MICROS_PER_MILLI,
+                (message.deadlineMillis - folder.steadyMillis()) * MICROS_PER_MILLI,
                 message.destination,
                 message.attempts - (callInFlight ? 1 : 0),
                 uncertainForMicros(message),
-                endpointNumber(message.doubtAt),
+                endpointNumber(message.unknownOutcomeEndpoint),
                 interrupted));
     }
 
     private long uncertainForMicros(AcceptedMessage message) {
-        if (message.doubtSince == 0) {
+        if (message.unknownOutcomeSinceMillis == 0) {
             return NOT_UNCERTAIN;
         }
-        return folder.clock().interrupted(message.doubtSince)
+        return folder.clock().interrupted(message.unknownOutcomeSinceMillis)
                 ? SchedulerDriver.UNLIMITED_MICROS
-                : Math.max(0, (folder.steadyMillis() - message.doubtSince) * MICROS_PER_MILLI);
+                : Math.max(0, (folder.steadyMillis() - message.unknownOutcomeSinceMillis) * MICROS_PER_MILLI);
     }
 
     private long endpointNumber(String uid) {
--- a/sender/src/main/java/amberroute/sender/MessageTable.java
+++ b/sender/src/main/java/amberroute/sender/MessageTable.java
@@ -43,13 +43,13 @@
     /** Whether the message must not overtake others of its key. */
     boolean ordered(AcceptedMessage message) {
         return message.key != 0
-                && message.type >= 0
-                && classes.type(message.type).ordered();
+                && message.classNumber >= 0
+                && classes.type(message.classNumber).ordered();
     }
 
     /** Whether an attempt may be repeated without harm, with an idempotency key or without. */
     boolean repeatable(AcceptedMessage message) {
-        return classes.type(message.type).idempotency() != DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
+        return classes.type(message.classNumber).idempotency() != DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
     }
 
     /** Drops all messages and classes; the journal is read again next. */
--- a/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
+++ b/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
@@ -65,7 +65,7 @@
         if (result.messageCompleted()) {
             conclude(message, result.outcome());
         } else if (messages.accepted().containsKey(message.number)) {
-            folder.journal().outcome(message, mayHaveRun(result.outcome()));
+            folder.journal().outcome(message, result.outcome().mayHaveRun());
         }
         scheduler.submit(completed(result));
     }
@@ -78,12 +78,6 @@
         }
     }
 
-    private static boolean mayHaveRun(AttemptOutcome outcome) {
-        return outcome != AttemptOutcome.FULL
-                && outcome != AttemptOutcome.CONNECT_FAILED
-                && outcome != AttemptOutcome.MOOT;
-    }
-
     private static Event completed(UpstreamClient.Result result) {
         return new Event.AttemptCompleted(
                 result.message().number,
--- a/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
@@ -133,10 +133,10 @@
             Map<Long, AcceptedMessage> live, AcceptedMessage before) {
         AcceptedMessage current = live.get(before.number);
         boolean unsettled = current != null
-                && current.notice == null
-                && current.out
+                && current.pendingNotification == null
+                && current.attemptInFlight
                 && current.attempts == before.attempts
-                && current.sentTo.equals(before.sentTo);
+                && current.attemptEndpoint.equals(before.attemptEndpoint);
         return unsettled ? new UpstreamClient.CallMessage(current, current.attempts - 1) : null;
     }
 
--- a/sender/src/main/java/amberroute/sender/OwnershipRelease.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipRelease.java
@@ -102,7 +102,7 @@
     private void completeDueSoon() {
         long until = folder.steadyMillis() + TRANSFER_MS;
         for (AcceptedMessage message : List.copyOf(messages.accepted().values())) {
-            if (!message.out && message.deadline < until) {
+            if (!message.attemptInFlight && message.deadlineMillis < until) {
                 completion.completeUndelivered(message);
             }
         }
--- a/sender/src/main/java/amberroute/sender/PredecessorEvents.java
+++ b/sender/src/main/java/amberroute/sender/PredecessorEvents.java
@@ -46,9 +46,9 @@
         return new UpstreamClient.Result(
                 message,
                 message.attempts - 1,
-                endpoints.number(message.sentTo),
+                endpoints.number(message.attemptEndpoint),
                 ending,
-                Math.max(0, folder.steadyMillis() - message.sentAt) * MICROS_PER_MILLI,
+                Math.max(0, folder.steadyMillis() - message.attemptSentAtMillis) * MICROS_PER_MILLI,
                 false,
                 0,
                 List.of(),
--- a/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
@@ -62,8 +62,8 @@
                 new LinkedHashMap<>(config.standalone().peers());
         others.put(config.name(), peers.address());
         // Under the failed daemon's name: that daemon may come back, and has to hold these keys like any peer.
-        SenderConfig failoverConfig =
-                config.caretaker(replica.journalId, folder, config.standalone().caretaker(others));
+        SenderConfig failoverConfig = config.forFailover(
+                replica.journalId, folder, config.standalone().forFailover(others));
         return new FailoverSender(loop, peers.replication(), senders.create(failoverConfig), replica, term);
     }
 
--- a/sender/src/main/java/amberroute/sender/SenderDaemon.java
+++ b/sender/src/main/java/amberroute/sender/SenderDaemon.java
@@ -16,8 +16,8 @@
 final class SenderDaemon {
     /** Microseconds from SIGTERM to SIGKILL at least, less a margin. */
     private static final long KILL_TIMEOUT_MICROS = 3_600_000;
-    /** How long the process goes on after SIGTERM, with a margin to SIGKILL. */
-    private static final long TERMINATION_MS = 3_450;
+    /** The earliest SIGKILL behind SIGTERM that the draining of connections reckons with, in milliseconds. */
+    private static final long EARLIEST_KILL_MILLIS = 3_450;
 
     private final Sender sender;
     private final SenderConfig config;
@@ -98,7 +98,7 @@
                 .with("ownership", sender.state().lifecycle().ownershipReleased() ? "transferred" : "held_by_folder")
                 .warn();
         ConnectionRetirement connections = sender.lifecycleParts().connections;
-        connections.drain(TERMINATION_MS);
+        connections.drain(EARLIEST_KILL_MILLIS);
         sender.loop().execute(() -> sender.delivery().scheduler.submit(new Event.ShutdownStarted(KILL_TIMEOUT_MICROS)));
         connections.awaitFinished();
         LogEvent.of("process_exited").with("cause", "signal").warn();
--- a/sender/src/main/java/amberroute/sender/SettingsActivation.java
+++ b/sender/src/main/java/amberroute/sender/SettingsActivation.java
@@ -45,8 +45,8 @@
     String apply(SenderConfig config) {
         DeliveryScheduler.Settings settings = config.settings();
         Set<Integer> classesInUse = new HashSet<>();
-        folder.journal().pendingMessages().forEach(message -> classesInUse.add(message.type));
-        messages.arriving().values().forEach(arrival -> classesInUse.add(arrival.message().type));
+        folder.journal().pendingMessages().forEach(message -> classesInUse.add(message.classNumber));
+        messages.arriving().values().forEach(arrival -> classesInUse.add(arrival.message().classNumber));
         if (!messages.classes().take(config.classes(), settings.classes(), classesInUse::contains)) {
             return "held messages still need too many other classes";
         }
--- a/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
@@ -40,8 +40,8 @@
     private final IntSupplier deferredCount;
     /** Spreads the return of rejected clients; nothing that has to be reproducible depends on it. */
     private final SplittableRandom random = new SplittableRandom();
-    /** What makes a submission one that this sender cannot take, in this order. */
-    private final List<Check> validityChecks = List.of(
+    /** Checks that come before a submission counts as demand for its destination, in this order. */
+    private final List<Check> checksBeforeDemand = List.of(
             this::checkOwnership,
             this::checkKnownId,
             this::checkKnownIdOfFailover,
@@ -73,7 +73,7 @@
 
     /** Decides on a submission. A valid one counts as demand for its destination, whatever is decided then. */
     SubmissionVerdict decide(ClientServer.Submission submission) {
-        Optional<SubmissionVerdict> verdict = first(validityChecks, submission);
+        Optional<SubmissionVerdict> verdict = first(checksBeforeDemand, submission);
         if (verdict.isPresent()) {
             return verdict.get();
         }
--- a/sender/src/main/java/amberroute/sender/SubmissionHandler.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionHandler.java
@@ -98,7 +98,7 @@
                 submission.destination(),
                 folder.steadyMillis() + submission.timeLeftMillis(),
                 submission.body());
-        message.type = messages.classes().number(submission.className());
+        message.classNumber = messages.classes().number(submission.className());
         if (messages.ordered(message) && folder.journal().keyHolds().isHeld(message.key)) {
             peers.handoff().requestKey(message.key);
         }
@@ -106,7 +106,7 @@
         messages.arrivingIds().add(message.id);
         scheduler.submit(new Event.MessageSubmitted(
                 message.number,
-                message.type,
+                message.classNumber,
                 0,
                 submission.key(),
                 submission.timeLeftMillis() * MICROS_PER_MILLI,
--- a/sender/src/main/java/amberroute/sender/SubmissionVerdict.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionVerdict.java
@@ -4,7 +4,7 @@
 
 /** What {@link SubmissionAdmission} decides for a submission; {@link SubmissionHandler} carries it out. */
 sealed interface SubmissionVerdict {
-    /** Why a submission is rejected with advice when to come again. */
+    /** Why a submission is answered {@code -BUSY}; for the reused ids a retry is rejected again while the id is known. */
     enum RejectionReason {
         /** The id belongs to another message: an id identifies one message for its lifetime. */
         ID_REUSED,
@@ -53,7 +53,7 @@
     /** The message was accepted before, into this journal; the client has its answer once the record is durable. */
     record Duplicate(Journal journal) implements SubmissionVerdict {}
 
-    /** The client may come again; {@code retryAfterMillis} is the advice when, 0 for none. */
+    /** Answered {@code -BUSY}; {@code retryAfterMillis} is the advice when to retry, 0 for none. */
     record Reject(RejectionReason reason, long retryAfterMillis) implements SubmissionVerdict {}
 
     /** The client is in error. */
--- a/sender/src/main/java/amberroute/sender/admin/LateCompletionReporter.java
+++ b/sender/src/main/java/amberroute/sender/admin/LateCompletionReporter.java
@@ -6,7 +6,7 @@
 
 /**
  * Reports messages that pass a point of their life after their deadline: how many and the latest, at most one log line a second. A
- * process that is short of CPU time shows here first. Event loop only; times are wall time in milliseconds, as deadlines are.
+ * process that is short of CPU time shows here first. Event loop only; times are milliseconds of the folder's {@code SteadyClock}, as deadlines are.
  */
 public final class LateCompletionReporter {
     /** Clients allow some 300 ms behind the deadline. */
@@ -27,7 +27,7 @@
 
     /** A message passes the point now; returns the line to log, empty where none is due. */
     public Optional<LogEvent> passed(AcceptedMessage message, long nowMillis) {
-        long lateMillis = nowMillis - message.deadline;
+        long lateMillis = nowMillis - message.deadlineMillis;
         if (lateMillis > LATE_MS) {
             count++;
             if (lateMillis > worstMillis) {
--- a/sender/src/main/java/amberroute/sender/config/SenderConfig.java
+++ b/sender/src/main/java/amberroute/sender/config/SenderConfig.java
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Of an estate that goes on in this process: its name and folder, a quarter of the descriptors, and no door. Its slots are
-     * those that its own process had, which is gone: the destinations get no more calls for it than before.
+     * The configuration of a failover that runs in this process: the lost sender's name, the folder of its replica, a quarter of the
+     * descriptors and no listener. Its slots are those of the lost process: destinations get no more calls for it than before.
      */
-    public SenderConfig caretaker(String theirs, Path folder, StandaloneConfig.Standalone there) {
+    public SenderConfig forFailover(String theirs, Path folder, StandaloneConfig.Standalone there) {
         return new SenderConfig(
                 theirs,
                 null,
--- a/sender/src/main/java/amberroute/sender/config/StandaloneConfig.java
+++ b/sender/src/main/java/amberroute/sender/config/StandaloneConfig.java
@@ -159,8 +159,8 @@
             String zone,
             boolean overload,
             boolean parts) {
-        /** Of an estate that goes on in another's process: its peers, and nothing that clients or operators could reach. */
-        public Standalone caretaker(Map<String, InetSocketAddress> others) {
+        /** The configuration of a failover in another sender's process: its peers, and no listener for clients or operators. */
+        public Standalone forFailover(Map<String, InetSocketAddress> others) {
             return new Standalone(
                     endpoints,
                     notices,
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -271,7 +271,7 @@
     public List<AcceptedMessage> pendingMessages(List<Long> numbers) {
         return numbers.stream()
                 .map(contents.pending::get)
-                .filter(message -> message != null && message.notice == null)
+                .filter(message -> message != null && message.pendingNotification == null)
                 .toList();
     }
 
@@ -345,7 +345,7 @@
     /** Writes the outcome of an attempt, now or as soon as the disk takes it. */
     public void outcome(AcceptedMessage message, boolean mayHaveRun) {
         message.outcome(mayHaveRun);
-        if (contents.isPending(message) && message.notice == null) {
+        if (contents.isPending(message) && message.pendingNotification == null) {
             writeAttempts(message);
         }
     }
--- a/sender/src/main/java/amberroute/sender/journal/JournalContents.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalContents.java
@@ -69,7 +69,7 @@
 
     void add(AcceptedMessage message) {
         pending.put(message.number, message);
-        pendingIds.put(message.id, message.content);
+        pendingIds.put(message.id, message.contentHash);
         space.reserve(RecordSizes.of(message));
     }
 
@@ -102,10 +102,10 @@
     }
 
     CompletedRecord completedRecord(AcceptedMessage message) {
-        MessageClassRegistry.Version version = classes.get(message.type);
+        MessageClassRegistry.Version version = classes.get(message.classNumber);
         return new CompletedRecord(
                 message.id,
-                message.content,
+                message.contentHash,
                 version == null
                         ? DeliveryScheduler.Idempotency.NON_IDEMPOTENT
                         : version.type().idempotency());
@@ -138,7 +138,7 @@
         for (long number : batch.messageNumbers()) {
             AcceptedMessage message = pending.get(number);
             if (message != null && status != Ownership.Status.ENDED) {
-                message.frozen = status == Ownership.Status.OFFERED;
+                message.offeredToPeer = status == Ownership.Status.OFFERED;
             }
         }
     }
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
@@ -53,7 +53,7 @@
     static byte[] encodeEnded(AcceptedMessage message) {
         return encodeMessage(message, FORM_ENDED, out -> {
             out.writeInt(message.attempts);
-            out.writeUTF(message.notice == null ? "" : message.notice);
+            out.writeUTF(message.pendingNotification == null ? "" : message.pendingNotification);
         });
     }
 
@@ -65,9 +65,9 @@
             out.writeUTF(message.className);
             out.writeLong(message.key);
             out.writeInt(message.destination);
-            out.writeLong(message.deadline);
-            out.writeInt(message.type);
-            out.writeInt(message.content);
+            out.writeLong(message.deadlineMillis);
+            out.writeInt(message.classNumber);
+            out.writeInt(message.contentHash);
             out.writeLong(message.rank);
             rest.write(out);
         });
@@ -100,7 +100,7 @@
         byte[] body = decodeBody(in, form);
         AcceptedMessage message = new AcceptedMessage(
                 number, id, idempotencyKey, className, key, destination, deadline, body, contentHash);
-        message.type = classNumber;
+        message.classNumber = classNumber;
         message.rank = rank;
         if (form == FORM_ENDED) {
             message.attempts = in.getInt();
@@ -137,11 +137,11 @@
     static byte[] encodeAttempts(AcceptedMessage message) {
         return RecordBytes.encode(out -> {
             out.writeInt(message.attempts);
-            out.writeLong(message.doubtSince);
-            out.writeUTF(message.doubtAt);
-            out.writeBoolean(message.out);
-            out.writeLong(message.sentAt);
-            out.writeUTF(message.sentTo);
+            out.writeLong(message.unknownOutcomeSinceMillis);
+            out.writeUTF(message.unknownOutcomeEndpoint);
+            out.writeBoolean(message.attemptInFlight);
+            out.writeLong(message.attemptSentAtMillis);
+            out.writeUTF(message.attemptEndpoint);
         });
     }
 
--- a/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
@@ -92,7 +92,7 @@
             Batch batch = new Batch();
             if (contents.isPending(message)) {
                 MessageRecords.putCurrent(batch, message);
-                if (message.notice == null) {
+                if (message.pendingNotification == null) {
                     MessageRecords.putRank(batch, message.number, message.rank);
                 }
             }
--- a/sender/src/main/java/amberroute/sender/journal/JournalView.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalView.java
@@ -56,31 +56,33 @@
         for (AcceptedMessage message : pending) {
             out.add(message.id + " " + message.className + " dest=" + message.destination
                     + (message.key == 0 ? "" : " key=" + Long.toHexString(message.key))
-                    + " left=" + (message.deadline - wallMillis) + "ms attempts=" + message.attempts
+                    + " left=" + (message.deadlineMillis - wallMillis) + "ms attempts=" + message.attempts
                     + " (" + state(message) + ")");
         }
         return out;
     }
 
     private static String state(AcceptedMessage message) {
-        if (message.notice != null) {
-            return "ended, its notice is not answered: " + message.notice;
+        if (message.pendingNotification != null) {
+            return "ended, its notice is not answered: " + message.pendingNotification;
         }
-        if (message.out) {
-            return "a call is out to " + message.sentTo;
+        if (message.attemptInFlight) {
+            return "a call is out to " + message.attemptEndpoint;
         }
-        if (message.doubtSince != 0) {
-            return "may have run at " + message.doubtAt;
+        if (message.unknownOutcomeSinceMillis != 0) {
+            return "may have run at " + message.unknownOutcomeEndpoint;
         }
         return message.attempts > 0 ? "has not run" : "not tried";
     }
 
     /** Returns a line of counts. */
     public String summary() {
-        long notices =
-                pending.stream().filter(message -> message.notice != null).count();
+        long notices = pending.stream()
+                .filter(message -> message.pendingNotification != null)
+                .count();
         long unknown = pending.stream()
-                .filter(message -> message.notice == null && (message.out || message.doubtSince != 0))
+                .filter(message -> message.pendingNotification == null
+                        && (message.attemptInFlight || message.unknownOutcomeSinceMillis != 0))
                 .count();
         return pending.size() - notices + " messages held, " + unknown + " of them in doubt; " + notices
                 + " notices not answered; " + liveBytes + " of " + usedBytes + " bytes are wanted"
--- a/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -228,13 +228,13 @@
                 in.readLong(),
                 in.readNBytes(in.readInt()));
         // The number of the class was added by a later version of that format.
-        message.type = in.available() < Integer.BYTES ? -1 : in.readInt();
+        message.classNumber = in.available() < Integer.BYTES ? -1 : in.readInt();
         pending.put(number, message);
     }
 
     private void complete(AcceptedMessage message) {
         pending.remove(message.number);
-        completed.put(message.id, message.content);
+        completed.put(message.id, message.contentHash);
     }
 
     private void replayKeysHeld(DataInputStream in) throws IOException {
@@ -272,7 +272,7 @@
             if (message != null && status == Ownership.Status.GIVEN) {
                 complete(message);
             } else if (message != null && status != Ownership.Status.ENDED) {
-                message.frozen = status == Ownership.Status.OFFERED;
+                message.offeredToPeer = status == Ownership.Status.OFFERED;
             }
         }
     }
--- a/sender/src/main/java/amberroute/sender/journal/MessageRecords.java
+++ b/sender/src/main/java/amberroute/sender/journal/MessageRecords.java
@@ -29,6 +29,8 @@
 
     /** Puts a message's state without its rank: it is pending, or ended with a notice. */
     static Batch putCurrent(Batch batch, AcceptedMessage message) {
-        return message.notice == null ? putAttempts(putPending(batch, message), message) : putEnded(batch, message);
+        return message.pendingNotification == null
+                ? putAttempts(putPending(batch, message), message)
+                : putEnded(batch, message);
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/RecordSizes.java
+++ b/sender/src/main/java/amberroute/sender/journal/RecordSizes.java
@@ -30,7 +30,7 @@
         return MESSAGE_ITEMS * ITEM_BYTES
                 + message.body.length
                 + CHARACTER_BYTES * (message.id.length() + message.idempotencyKey.length() + message.className.length())
-                + (message.notice == null ? 0 : message.notice.length())
+                + (message.pendingNotification == null ? 0 : message.pendingNotification.length())
                 + LATER_RECORD_BYTES;
     }
 
--- a/sender/src/main/java/amberroute/sender/lifecycle/LifecyclePhase.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/LifecyclePhase.java
@@ -1,6 +1,9 @@
 package amberroute.sender.lifecycle;
 
-/** The phases in the life of a sender, in the order in which it passes them; a reclaim leads back to {@link #READY}. */
+/**
+ * The phases of a sender. {@link #READY} leads to {@link #DRAINING}, when a standalone sender stops, or to {@link #TRANSFERRED}, from
+ * where a reclaim leads back. After SIGTERM on the platform a sender stays ready until it is killed.
+ */
 public enum LifecyclePhase {
     STARTING("starting"),
     READY("ready"),
--- a/sender/src/main/java/amberroute/sender/lifecycle/OrphanedJournalRecovery.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/OrphanedJournalRecovery.java
@@ -10,7 +10,7 @@
 
 /**
  * Divides the messages of an orphaned state folder into batches and copies each message for its new owner. Decides only: the caller
- * has raised the fencing token and read the journal after it. Times are wall time in milliseconds.
+ * has raised the fencing token and read the journal after it. Times are milliseconds of the folder's {@code SteadyClock}.
  *
  * <p>The names of the batches depend on the fencing token and the journal only, so that an interrupted adoption is continued: a batch
  * whose name the adopter's journal has was adopted before.
@@ -34,7 +34,7 @@
         List<AcceptedMessage> batch = new ArrayList<>();
         long bytes = 0;
         for (AcceptedMessage message : live) {
-            if (message.deadline + EXPIRED_RETENTION_MS < nowMillis) {
+            if (message.deadlineMillis + EXPIRED_RETENTION_MS < nowMillis) {
                 continue;
             }
             long size = message.body.length + 1_024L;
@@ -64,18 +64,18 @@
                 message.className,
                 message.key,
                 message.destination,
-                message.deadline,
+                message.deadlineMillis,
                 message.body);
         copy.attempts = message.attempts;
-        copy.doubtSince = message.doubtSince;
-        copy.doubtAt = message.doubtAt;
-        copy.sentAt = message.sentAt;
-        copy.sentTo = message.sentTo;
-        if (message.out) {
+        copy.unknownOutcomeSinceMillis = message.unknownOutcomeSinceMillis;
+        copy.unknownOutcomeEndpoint = message.unknownOutcomeEndpoint;
+        copy.attemptSentAtMillis = message.attemptSentAtMillis;
+        copy.attemptEndpoint = message.attemptEndpoint;
+        if (message.attemptInFlight) {
             copy.outcome(true);
         }
-        if (message.notice != null || message.frozen) {
-            copy.end(message.notice != null ? message.notice : message.failed());
+        if (message.pendingNotification != null || message.offeredToPeer) {
+            copy.end(message.pendingNotification != null ? message.pendingNotification : message.failed());
         }
         return copy;
     }
--- a/sender/src/main/java/amberroute/sender/lifecycle/ShutdownSequence.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ShutdownSequence.java
@@ -113,7 +113,7 @@
      * Whether a message without a further call is completed as rejected, and not as failed. A rejection promises that submitting it
      * again does no harm: so only where it surely has not run, or where running twice does none.
      */
-    public static boolean mayReject(boolean mayHaveRun, boolean idempotent, boolean idempotentWithKey) {
-        return !mayHaveRun || idempotent || idempotentWithKey;
+    public static boolean mayReject(boolean mayHaveRun, boolean idempotent, boolean keyKnownAtWholeDestination) {
+        return !mayHaveRun || idempotent || keyKnownAtWholeDestination;
     }
 }
--- a/sender/src/main/java/amberroute/sender/lifecycle/SignalHandlers.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/SignalHandlers.java
@@ -21,13 +21,13 @@
 
     /** Handles the signal of this name, without its SIG, from now on. */
     public static SignalHandlers install(String name) {
-        SignalHandlers hangup = new SignalHandlers();
+        SignalHandlers handlers = new SignalHandlers();
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object received = Proxy.newProxyInstance(
                     SignalHandlers.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
-                        hangup.received();
+                        handlers.received();
                         return null;
                     });
             signal.getMethod("handle", signal, handler)
@@ -35,7 +35,7 @@
         } catch (ReflectiveOperationException e) {
             LogEvent.of("signal_handler_failed").with("signal", name).cause(e).warn();
         }
-        return hangup;
+        return handlers;
     }
 
     private synchronized void received() {
--- a/sender/src/main/java/amberroute/sender/message/AcceptedMessage.java
+++ b/sender/src/main/java/amberroute/sender/message/AcceptedMessage.java
@@ -7,7 +7,7 @@
 /** A message that this sender has taken on, and what must survive a restart to end it. */
 public final class AcceptedMessage {
     /** Longest lifetime of a message in milliseconds; an offer that a peer rejected cannot return after it. */
-    public static final long LONGEST_LIFE_MS = 3_600_000;
+    public static final long MAX_LIFETIME_MILLIS = 3_600_000;
 
     private static final byte[] EMPTY = new byte[0];
 
@@ -23,31 +23,31 @@
     public final long key;
 
     public final int destination;
-    /** Wall time in milliseconds, as it must mean the same after a restart. */
-    public final long deadline;
+    /** Milliseconds of the folder's {@code SteadyClock}, as it must mean the same after a restart. */
+    public final long deadlineMillis;
     /** Tells messages apart that came under one id; the body itself goes with the end. */
-    public final int content;
+    public final int contentHash;
 
     public byte[] body;
     /** Number of the version of its class in the {@link MessageClassRegistry}, -1 where only the name is known. */
-    public int type = -1;
+    public int classNumber = -1;
 
     public int attempts;
-    /** Wall time at which the first attempt that may have run was sent, 0 where none may have, and where. */
-    public long doubtSince;
+    /** Milliseconds of the steady clock at which the first attempt that may have run was sent, 0 where none may have, and where. */
+    public long unknownOutcomeSinceMillis;
 
-    public String doubtAt = "";
+    public String unknownOutcomeEndpoint = "";
     /** Whether an attempt is out; in a message read from the journal, whether one was at the end. */
-    public boolean out;
+    public boolean attemptInFlight;
     /** Offered to another daemon whose answer is not known: nobody works on it here meanwhile. */
-    public boolean frozen;
+    public boolean offeredToPeer;
     /** Came from another daemon, whose peers may hold its key until it is over. */
     public boolean adopted;
 
-    public long sentAt;
-    public String sentTo = "";
+    public long attemptSentAtMillis;
+    public String attemptEndpoint = "";
     /** The notice that ends it, until it is answered; null while the message goes on. */
-    public String notice;
+    public String pendingNotification;
     /** Place in the order of acceptance; its number, unless it went behind others. */
     public long rank;
 
@@ -90,9 +90,9 @@
         this.className = className;
         this.key = key;
         this.destination = destination;
-        this.deadline = deadline;
+        this.deadlineMillis = deadline;
         this.body = body;
-        this.content = content;
+        this.contentHash = content;
     }
 
     /** The same for what is the same; never 0. */
@@ -102,36 +102,36 @@
 
     public void attempt(String uid, long wall) {
         attempts++;
-        out = true;
-        sentAt = wall;
-        sentTo = uid;
+        attemptInFlight = true;
+        attemptSentAtMillis = wall;
+        attemptEndpoint = uid;
     }
 
     /** What attempts change, to be put back where one could not be recorded. */
     public record Attempts(int attempts, boolean out, long sentAt, String sentTo) {}
 
     public Attempts attempts() {
-        return new Attempts(attempts, out, sentAt, sentTo);
+        return new Attempts(attempts, attemptInFlight, attemptSentAtMillis, attemptEndpoint);
     }
 
     public void restore(Attempts before) {
         attempts = before.attempts();
-        out = before.out();
-        sentAt = before.sentAt();
-        sentTo = before.sentTo();
+        attemptInFlight = before.out();
+        attemptSentAtMillis = before.sentAt();
+        attemptEndpoint = before.sentTo();
     }
 
     public void outcome(boolean mayHaveRun) {
-        out = false;
-        if (mayHaveRun && doubtSince == 0) {
-            doubtSince = sentAt;
-            doubtAt = sentTo;
+        attemptInFlight = false;
+        if (mayHaveRun && unknownOutcomeSinceMillis == 0) {
+            unknownOutcomeSinceMillis = attemptSentAtMillis;
+            unknownOutcomeEndpoint = attemptEndpoint;
         }
     }
 
     /** An ended message keeps no body: only its notice is owed. */
     public void end(String line) {
-        notice = line;
+        pendingNotification = line;
         body = EMPTY;
     }
 
--- a/sender/src/main/java/amberroute/sender/notification/FailureNotifier.java
+++ b/sender/src/main/java/amberroute/sender/notification/FailureNotifier.java
@@ -163,7 +163,7 @@
         if (status == 204 || status == 200 || status == 400 && sent.size() == 1) {
             if (status == 400) {
                 LogEvent.of("notification_rejected")
-                        .with("notification", sent.get(0).notice)
+                        .with("notification", sent.get(0).pendingNotification)
                         .warn();
             }
             single = single && pending.size() > sent.size();
@@ -229,7 +229,7 @@
                     break;
                 }
                 out.add(message);
-                lines.append(message.notice).append('\n');
+                lines.append(message.pendingNotification).append('\n');
             }
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
--- a/sender/src/main/java/amberroute/sender/peer/AdoptedKeys.java
+++ b/sender/src/main/java/amberroute/sender/peer/AdoptedKeys.java
@@ -19,7 +19,7 @@
 final class AdoptedKeys {
     private final int maxOrigins;
     private final Map<Long, Set<String>> originsByKey = new HashMap<>();
-    /** Wall time in milliseconds at which the origin's own hold on a key ends. */
+    /** Milliseconds of the folder's {@code SteadyClock} at which the origin's own hold on a key ends. */
     private final Map<Long, Long> holdUntilMillis = new HashMap<>();
     /**
      * Finished keys by origin, with the end of its hold: it tells one move of a key from another.
--- a/sender/src/main/java/amberroute/sender/peer/ElectionAttempt.java
+++ b/sender/src/main/java/amberroute/sender/peer/ElectionAttempt.java
@@ -3,7 +3,7 @@
 import amberroute.replication.Candidacy;
 
 /**
- * One attempt to win the next term of a journal: first a pre-vote, which changes nothing anywhere, then the vote itself. Lives on the event
+ * One attempt to win the next term of a journal: first a pre-vote, which changes no durable state, then the vote itself. Lives on the event
  * loop.
  */
 final class ElectionAttempt {
--- a/sender/src/main/java/amberroute/sender/peer/ElectionCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/ElectionCoordinator.java
@@ -14,7 +14,7 @@
 
 /**
  * Stands for election: for this daemon's own journal after its start, and for journals whose owner is lost. Invariant: a term is granted to
- * this daemon on its own disk before it asks others for their vote. The transitions of an attempt are in {@link #advance}. Lives on the
+ * this daemon on its own disk before it asks others for their vote; a pre-vote is not recorded. The transitions of an attempt are in {@link #advance}. Lives on the
  * event loop.
  */
 final class ElectionCoordinator {
--- a/sender/src/main/java/amberroute/sender/peer/HandoffCodec.java
+++ b/sender/src/main/java/amberroute/sender/peer/HandoffCodec.java
@@ -30,7 +30,7 @@
 /**
  * The form of the handoff protocol on the wire: one JSON object a line. Alone knows the names of the fields. A message of a peer is held
  * to the bounds of a client's, as it goes the same ways; whatever breaks one is a {@link MalformedPeerMessageException}.
- * Times are milliseconds of wall time. Not thread-safe: lives on the event loop.
+ * Times are milliseconds of the steady clock, which starts as wall time and no step of that moves. Not thread-safe: lives on the event loop.
  */
 public final class HandoffCodec {
     /** Origins of one key's hold: as many as there may be daemons. */
@@ -188,10 +188,10 @@
         json.addProperty("class", message.className);
         json.addProperty(KEY, Long.toHexString(message.key));
         json.addProperty("destination", message.destination);
-        json.addProperty("deadline", message.deadline);
+        json.addProperty("deadline", message.deadlineMillis);
         json.addProperty("attempts", message.attempts);
-        json.addProperty("doubt_since", message.doubtSince);
-        json.addProperty("doubt_at", message.doubtAt);
+        json.addProperty("doubt_since", message.unknownOutcomeSinceMillis);
+        json.addProperty("doubt_at", message.unknownOutcomeEndpoint);
         json.addProperty("body", Base64.getEncoder().encodeToString(message.body));
         return json;
     }
@@ -300,8 +300,8 @@
                 line.integer("deadline"),
                 decodeBody(line.text("body")));
         message.attempts = line.smallInteger("attempts");
-        message.doubtSince = line.integer("doubt_since");
-        message.doubtAt = line.text("doubt_at");
+        message.unknownOutcomeSinceMillis = line.integer("doubt_since");
+        message.unknownOutcomeEndpoint = line.text("doubt_at");
         message.adopted = true;
         checkBounds(message);
         return message;
@@ -318,13 +318,16 @@
     private void checkBounds(AcceptedMessage message) {
         require(!message.id.isEmpty() && SubmitCommand.printable(message.id), "id", "printable and not empty");
         require(SubmitCommand.printable(message.idempotencyKey), "idempotency_key", "printable");
-        require(message.doubtAt.length() <= MAX_ENDPOINT_NAME_CHARS, "doubt_at", "the name of an endpoint");
+        require(
+                message.unknownOutcomeEndpoint.length() <= MAX_ENDPOINT_NAME_CHARS,
+                "doubt_at",
+                "the name of an endpoint");
         require(message.body.length <= RespDecoder.LARGEST_VALUE, "body", "within the bound of a client's message");
         require(message.attempts >= 0, "attempts", "at least 0");
-        require(message.doubtSince >= 0, "doubt_since", "at least 0");
-        long latestDeadline = wallMillis.getAsLong() + AcceptedMessage.LONGEST_LIFE_MS;
+        require(message.unknownOutcomeSinceMillis >= 0, "doubt_since", "at least 0");
+        long latestDeadline = wallMillis.getAsLong() + AcceptedMessage.MAX_LIFETIME_MILLIS;
         require(
-                message.deadline >= 0 && message.deadline <= latestDeadline,
+                message.deadlineMillis >= 0 && message.deadlineMillis <= latestDeadline,
                 "deadline",
                 "within the longest life of a message");
     }
--- a/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/HandoffCoordinator.java
@@ -188,7 +188,7 @@
         connections.close();
     }
 
-    /** Announces the ordered keys that are pending here to all peers, each with the wall time at which its last message is over. */
+    /** Announces the ordered keys that are pending here to all peers, each with the time of the steady clock at which its last message is over. */
     public void announceKeyHolds(Map<Long, Long> endMillisByKey) {
         keyHolds.announce(endMillisByKey);
     }
--- a/sender/src/main/java/amberroute/sender/peer/HandoffProtocolMessage.java
+++ b/sender/src/main/java/amberroute/sender/peer/HandoffProtocolMessage.java
@@ -10,7 +10,7 @@
 
 /**
  * The messages of the handoff protocol, as data; {@link HandoffCodec} knows their form on the wire. Requests name their sender, as a
- * connection may be new; a reply travels on the connection of its request. Times are milliseconds of wall time. Immutable but for
+ * connection may be new; a reply travels on the connection of its request. Times are milliseconds of the steady clock, which starts as wall time and no step of that moves. Immutable but for
  * the accepted messages that an offer carries.
  */
 public sealed interface HandoffProtocolMessage {
--- a/sender/src/main/java/amberroute/sender/peer/KeyHoldCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/peer/KeyHoldCoordinator.java
@@ -194,7 +194,7 @@
 
     /** Holds the keys of a peer and acknowledges it once that is safe; without room there is no answer. */
     void onHoldRequest(ChannelHandlerContext channel, KeyHoldRequest request) {
-        long latestMillis = context.wallMillis().getAsLong() + AcceptedMessage.LONGEST_LIFE_MS;
+        long latestMillis = context.wallMillis().getAsLong() + AcceptedMessage.MAX_LIFETIME_MILLIS;
         long untilMillis = Math.min(request.untilMillis(), latestMillis);
         if (!context.host().holdKeys(request.sender(), request.keys(), untilMillis)) {
             return;
--- a/sender/src/main/java/amberroute/sender/peer/OutgoingOffers.java
+++ b/sender/src/main/java/amberroute/sender/peer/OutgoingOffers.java
@@ -133,15 +133,19 @@
         long bytes = messages.stream()
                 .mapToLong(message -> message.body.length + MESSAGE_OVERHEAD_BYTES)
                 .sum();
-        long firstDeadline =
-                messages.stream().mapToLong(message -> message.deadline).min().orElse(nowMillis);
+        long firstDeadline = messages.stream()
+                .mapToLong(message -> message.deadlineMillis)
+                .min()
+                .orElse(nowMillis);
         return new HandoffPlacement.MessageGroup(
                 first.number, first.key, messages.size(), bytes, firstDeadline - nowMillis);
     }
 
     private static long holdUntilMillis(List<AcceptedMessage> messages) {
-        long lastDeadline =
-                messages.stream().mapToLong(message -> message.deadline).max().orElse(0);
+        long lastDeadline = messages.stream()
+                .mapToLong(message -> message.deadlineMillis)
+                .max()
+                .orElse(0);
         return lastDeadline + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS;
     }
 
@@ -184,7 +188,7 @@
     void repeatUnanswered() {
         long nowMillis = context.wallMillis().getAsLong();
         for (Offer offer : List.copyOf(offers.values())) {
-            if (offer.messages.stream().anyMatch(message -> message.deadline <= nowMillis)) {
+            if (offer.messages.stream().anyMatch(message -> message.deadlineMillis <= nowMillis)) {
                 abandon(offer);
                 continue;
             }
--- a/sender/src/main/java/amberroute/sender/upstream/IdempotencyWindow.java
+++ b/sender/src/main/java/amberroute/sender/upstream/IdempotencyWindow.java
@@ -25,9 +25,12 @@
         long left = UNBOUNDED;
         for (UpstreamClient.CallMessage item : items) {
             AcceptedMessage message = item.message();
-            DeliveryScheduler.MessageClass messageClass = types.apply(message.type);
-            if (message.doubtSince != 0 && messageClass.idempotency() == DeliveryScheduler.Idempotency.KEYED) {
-                left = Math.min(left, message.doubtSince + messageClass.keyLifeMicros() / 1_000 - MARGIN_MS - wall);
+            DeliveryScheduler.MessageClass messageClass = types.apply(message.classNumber);
+            if (message.unknownOutcomeSinceMillis != 0
+                    && messageClass.idempotency() == DeliveryScheduler.Idempotency.KEYED) {
+                left = Math.min(
+                        left,
+                        message.unknownOutcomeSinceMillis + messageClass.keyLifeMicros() / 1_000 - MARGIN_MS - wall);
             }
         }
         return left;
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -282,7 +282,10 @@
                     journal.nextNumber(), id, "", "safe", 0, 7, System.currentTimeMillis() + 15_000, new byte[3]);
             journal.accept(owned);
             journal.writeHandoffBatch(
-                    "lot-" + id, new Ownership(2, Ownership.Status.OFFERED, "heir"), owned.deadline, List.of(owned));
+                    "lot-" + id,
+                    new Ownership(2, Ownership.Status.OFFERED, "heir"),
+                    owned.deadlineMillis,
+                    List.of(owned));
             journal.close();
             world.receiver.requests.clear();
             if (adopted) {
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -143,9 +143,12 @@
             AcceptedMessage ended = message(journal, "ended", "safe", 0, 7);
             journal.end(ended, ended.returned(0));
             AcceptedMessage offered = message(journal, "offered", "unsafe", 0, 7);
-            assertTrue(journal.writeHandoffBatch("lot", Ownership.initial(), ended.deadline, List.of(offered)));
+            assertTrue(journal.writeHandoffBatch("lot", Ownership.initial(), ended.deadlineMillis, List.of(offered)));
             assertTrue(journal.writeHandoffBatch(
-                    "lot", new Ownership(2, Ownership.Status.OFFERED, "elsewhere"), ended.deadline, List.of(offered)));
+                    "lot",
+                    new Ownership(2, Ownership.Status.OFFERED, "elsewhere"),
+                    ended.deadlineMillis,
+                    List.of(offered)));
         }
         Sender heir = start("heir", 50);
         JsonObject answer = adopt("heir", orphan, false);
@@ -381,7 +384,7 @@
         }
         try (Journal journal = Journal.openReadOnly(orphan)) {
             assertTrue(
-                    journal.pendingMessages().iterator().next().out,
+                    journal.pendingMessages().iterator().next().attemptInFlight,
                     "whoever reads behind the fence has to see the attempt");
         }
         try (FileChannel file = FileChannel.open(orphan.resolve("fence"), StandardOpenOption.WRITE)) {
--- a/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
+++ b/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
@@ -114,7 +114,7 @@
     private void journal(ClientServer.Submission submission) {
         onLoop(() -> {
             AcceptedMessage message = message(submission);
-            message.type = state.messages().classes().number(submission.className());
+            message.classNumber = state.messages().classes().number(submission.className());
             state.folder().journal().accept(message);
         });
     }
--- a/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
+++ b/sender/src/test/java/amberroute/sender/UpstreamClientTest.java
@@ -104,7 +104,7 @@
 
     private static AcceptedMessage message(long doubtSince) {
         AcceptedMessage m = new AcceptedMessage(1, "id", "", "safe", 0, 7, 0, new byte[8]);
-        m.doubtSince = doubtSince;
+        m.unknownOutcomeSinceMillis = doubtSince;
         return m;
     }
 
--- a/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
+++ b/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
@@ -133,7 +133,7 @@
                 type + 1,
                 DEADLINE + bytes,
                 body);
-        message.type = type;
+        message.classNumber = type;
         return message;
     }
 
@@ -170,7 +170,7 @@
         journal.conclude(completed);
         journal.conclude(accept(journal, "completed-idempotent", 3, 0, 30));
         AcceptedMessage unclassified = message(journal, "unclassified", 3, 0, 20);
-        unclassified.type = -1;
+        unclassified.classNumber = -1;
         journal.accept(unclassified);
         journal.conclude(unclassified);
     }
@@ -233,8 +233,8 @@
         AcceptedMessage behind = accept(journal, "behind", 0, 31, 140);
         AcceptedMessage adopted = message(journal, "adopted", 0, 31, 210);
         adopted.attempts = 2;
-        adopted.doubtSince = WALL + 7;
-        adopted.doubtAt = "endpoint-5";
+        adopted.unknownOutcomeSinceMillis = WALL + 7;
+        adopted.unknownOutcomeEndpoint = "endpoint-5";
         AcceptedMessage notice = message(journal, "adopted-notice", 0, 33, 90);
         notice.end(notice.failed());
         List<AcceptedMessage> taken = List.of(adopted, notice);
@@ -255,10 +255,12 @@
         List<String> out = new ArrayList<>();
         for (AcceptedMessage m : journal.pendingMessages()) {
             out.add("message " + m.number + " " + m.id + " key=" + m.idempotencyKey + " class=" + m.className + " "
-                    + m.key + " " + m.destination + " " + m.deadline + " content=" + m.content + " body="
-                    + checksum(m.body) + " type=" + m.type + " attempts=" + m.attempts + " since=" + m.doubtSince
-                    + " at=" + m.doubtAt + " out=" + m.out + " frozen=" + m.frozen + " sent=" + m.sentAt + " to="
-                    + m.sentTo + " notice=" + m.notice + " rank=" + m.rank);
+                    + m.key + " " + m.destination + " " + m.deadlineMillis + " content=" + m.contentHash + " body="
+                    + checksum(m.body) + " type=" + m.classNumber + " attempts=" + m.attempts + " since="
+                    + m.unknownOutcomeSinceMillis
+                    + " at=" + m.unknownOutcomeEndpoint + " out=" + m.attemptInFlight + " frozen=" + m.offeredToPeer
+                    + " sent=" + m.attemptSentAtMillis + " to="
+                    + m.attemptEndpoint + " notice=" + m.pendingNotification + " rank=" + m.rank);
         }
         for (String id :
                 List.of("completed", "completed-idempotent", "unclassified", "given", "first-1", "second-58")) {
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -84,7 +84,9 @@
                 assertEquals(liveAndFrozen[i][0], journal.pendingMessages().size(), "after record " + i);
                 assertEquals(
                         liveAndFrozen[i][1],
-                        journal.pendingMessages().stream().filter(m -> m.frozen).count(),
+                        journal.pendingMessages().stream()
+                                .filter(m -> m.offeredToPeer)
+                                .count(),
                         "after record " + i);
             }
         }
@@ -100,12 +102,12 @@
         }
         try (Journal journal = open()) {
             assertEquals(2, journal.pendingMessages().size());
-            assertTrue(journal.pendingMessages().stream().noneMatch(m -> m.frozen));
+            assertTrue(journal.pendingMessages().stream().noneMatch(m -> m.offeredToPeer));
             journal.writeHandoffBatch(
                     "lot", new Ownership(3, Status.OFFERED, "other"), SOON, List.copyOf(journal.pendingMessages()));
         }
         try (Journal journal = open()) {
-            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.frozen));
+            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.offeredToPeer));
             assertEquals(
                     "other", journal.handoffBatches().get("lot").ownership().peer());
         }
@@ -126,7 +128,8 @@
             try (Journal journal = openCutAt(whole, ends.get(i))) {
                 assertEquals(2, journal.pendingMessages().size());
                 for (AcceptedMessage m : journal.pendingMessages()) {
-                    assertTrue(m.frozen || m.notice != null, "after record " + i + " it owns " + m.id);
+                    assertTrue(
+                            m.offeredToPeer || m.pendingNotification != null, "after record " + i + " it owns " + m.id);
                 }
             }
         }
@@ -138,8 +141,8 @@
         try (Journal journal = open()) {
             AcceptedMessage doubt = message(journal, "doubt", 50);
             doubt.attempts = 3;
-            doubt.doubtSince = 12_345;
-            doubt.doubtAt = "s-1";
+            doubt.unknownOutcomeSinceMillis = 12_345;
+            doubt.unknownOutcomeEndpoint = "s-1";
             assertTrue(journal.acceptHandoffBatch(
                     "lot", new Ownership(2, Status.OWNED, ""), SOON, List.of(doubt, message(journal, "other", 70))));
         }
@@ -156,8 +159,8 @@
             assertEquals(2, journal.pendingMessages().size());
             AcceptedMessage doubt = journal.pendingMessages().iterator().next();
             assertEquals(3, doubt.attempts);
-            assertEquals(12_345, doubt.doubtSince);
-            assertEquals("s-1", doubt.doubtAt);
+            assertEquals(12_345, doubt.unknownOutcomeSinceMillis);
+            assertEquals("s-1", doubt.unknownOutcomeEndpoint);
             assertEquals("idem-doubt", doubt.idempotencyKey);
             assertTrue(journal.handoffBatches().get("lot").ownership().isOwned());
         }
@@ -184,7 +187,10 @@
         }
         try (Journal journal = open()) {
             assertEquals(
-                    2, journal.pendingMessages().stream().filter(m -> m.frozen).count());
+                    2,
+                    journal.pendingMessages().stream()
+                            .filter(m -> m.offeredToPeer)
+                            .count());
             assertEquals(OFFERED, journal.handoffBatches().get("kept").ownership());
             assertEquals(
                     Status.REFUSED,
@@ -230,7 +236,7 @@
             assertTrue(journal.usedBytes() <= 400_000);
         }
         try (Journal journal = Journal.open(folder, 400_000)) {
-            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.notice != null));
+            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.pendingNotification != null));
         }
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -101,17 +101,20 @@
                                 journal.whenDurable(() -> taken.add(m.id), null);
                             }
                             case 2 -> {
-                                if (any.notice == null && !any.out && journal.attempt(any, "uid", 5)) {
+                                if (any.pendingNotification == null
+                                        && !any.attemptInFlight
+                                        && journal.attempt(any, "uid", 5)) {
                                     int n = any.attempts;
                                     journal.whenDurable(() -> attempts.put(any.id, n), null);
                                 }
                             }
                             case 3 -> {
-                                if (any.notice == null) {
+                                if (any.pendingNotification == null) {
                                     journal.end(
                                             any,
                                             any.failed(),
-                                            () -> journal.whenDurable(() -> ended.put(any.id, any.notice), null));
+                                            () -> journal.whenDurable(
+                                                    () -> ended.put(any.id, any.pendingNotification), null));
                                 }
                             }
                             default -> {
@@ -136,10 +139,13 @@
                     assertTrue(found.containsKey(id) || concluded.contains(id), at + ": " + id + " is lost");
                 }
                 attempts.forEach((id, n) -> assertTrue(
-                        !found.containsKey(id) || found.get(id).notice != null || found.get(id).attempts >= n,
+                        !found.containsKey(id)
+                                || found.get(id).pendingNotification != null
+                                || found.get(id).attempts >= n,
                         at + ": attempt " + n + " of " + id));
                 ended.forEach((id, notice) -> assertTrue(
-                        !found.containsKey(id) || notice.equals(found.get(id).notice), at + ": the end of " + id));
+                        !found.containsKey(id) || notice.equals(found.get(id).pendingNotification),
+                        at + ": the end of " + id));
                 checked += taken.size();
             }
         }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -91,12 +91,17 @@
         }
         try (Journal journal = Journal.open(folder, BUDGET)) {
             List<AcceptedMessage> live = List.copyOf(journal.pendingMessages());
-            assertEquals(notice, live.get(0).notice);
+            assertEquals(notice, live.get(0).pendingNotification);
             assertTrue(journal.knows("id000002"), "the id of an ended message was forgotten");
             AcceptedMessage last = live.get(live.size() - 1);
             assertEquals(
                     List.of(3_001, 6L, UID, true, 77L),
-                    List.of(last.attempts, last.doubtSince, last.doubtAt, last.out, last.sentAt));
+                    List.of(
+                            last.attempts,
+                            last.unknownOutcomeSinceMillis,
+                            last.unknownOutcomeEndpoint,
+                            last.attemptInFlight,
+                            last.attemptSentAtMillis));
             int taken = live.size();
             live.forEach(journal::conclude);
             assertTrue(acceptUntilFull(journal) >= taken, "room was lost over the restart");
@@ -150,7 +155,7 @@
             assertEquals(
                     List.of("tried", "ends", "later"),
                     again.pendingMessages().stream().map(m -> m.id).toList());
-            assertEquals(5, again.pendingMessages().iterator().next().doubtSince);
+            assertEquals(5, again.pendingMessages().iterator().next().unknownOutcomeSinceMillis);
             assertTrue(again.knows("over") && !again.knows("new"));
         }
     }
@@ -231,7 +236,7 @@
             for (int i = 0; i < 20_000; i++) {
                 AcceptedMessage safe =
                         new AcceptedMessage(journal.nextNumber(), "safe" + i, "", "safe", 0, 3, 1_000, new byte[50]);
-                safe.type = 0;
+                safe.classNumber = 0;
                 assertTrue(journal.accept(safe));
                 journal.conclude(safe);
                 journal.compactSlice();
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
@@ -202,23 +202,23 @@
         if (known.completedDurably) {
             recordViolation(Violation.DUPLICATED, m.id + " was over and is back" + when);
         }
-        if (known.noticeSent && !known.notice.equals(m.notice)) {
-            recordViolation(Violation.DUPLICATED, m.id + " was told as ended and has " + m.notice + when);
+        if (known.noticeSent && !known.notice.equals(m.pendingNotification)) {
+            recordViolation(Violation.DUPLICATED, m.id + " was told as ended and has " + m.pendingNotification + when);
         }
-        if (m.notice != null && !m.notice.equals(known.notice)) {
-            recordViolation(Violation.WRONG_STATE, m.id + " ended as nobody asked: " + m.notice + when);
+        if (m.pendingNotification != null && !m.pendingNotification.equals(known.notice)) {
+            recordViolation(Violation.WRONG_STATE, m.id + " ended as nobody asked: " + m.pendingNotification + when);
         }
-        if (m.notice == null) {
+        if (m.pendingNotification == null) {
             boolean counted = m.attempts == known.attempts || known.callInterrupted && m.attempts == known.attempts + 1;
             if (!counted) {
                 recordViolation(
                         Violation.DUPLICATED,
                         m.id + " had " + known.attempts + " attempts and has " + m.attempts + when);
             }
-            if (known.inFlight && !m.out && m.doubtSince == 0) {
+            if (known.inFlight && !m.attemptInFlight && m.unknownOutcomeSinceMillis == 0) {
                 recordViolation(Violation.DUPLICATED, m.id + " was out and is not" + when);
             }
-            if (known.mayHaveRun && m.doubtSince == 0 && !m.out) {
+            if (known.mayHaveRun && m.unknownOutcomeSinceMillis == 0 && !m.attemptInFlight) {
                 recordViolation(Violation.DUPLICATED, m.id + " may have run and is in no doubt" + when);
             }
             if (m.body.length != 40 + m.id.hashCode() % 40 + 40 || m.key != 7) {
@@ -233,9 +233,9 @@
         known.message = m;
         known.accepted = true;
         known.attempts = m.attempts;
-        known.inFlight = m.out;
-        known.mayHaveRun = m.doubtSince != 0;
-        known.notice = m.notice;
+        known.inFlight = m.attemptInFlight;
+        known.mayHaveRun = m.unknownOutcomeSinceMillis != 0;
+        known.notice = m.pendingNotification;
         return known;
     }
 
@@ -273,7 +273,7 @@
         } else if (known.notice != null) {
             if (known.noticeSent) {
                 conclude(known);
-            } else if (known.message.notice != null && random.nextBoolean()) {
+            } else if (known.message.pendingNotification != null && random.nextBoolean()) {
                 // A process that found it ended sends its notice again.
                 known.noticeSent |= journal.pendingWriteCount() == 0;
             }
@@ -349,11 +349,11 @@
                 if (own.accept(fresh)) {
                     out.println("A " + id);
                 }
-            } else if (m.notice != null) {
+            } else if (m.pendingNotification != null) {
                 out.println("? " + m.id);
                 own.conclude(m);
                 out.println("C " + m.id);
-            } else if (m.out) {
+            } else if (m.attemptInFlight) {
                 out.println("? " + m.id);
                 own.outcome(m, true);
             } else if (random.nextInt(3) > 0) {
@@ -449,8 +449,8 @@
             AcceptedMessage m = live.get(id);
             counts.lost += m == null && of.accepted && !of.completed && !of.callInterrupted ? 1 : 0;
             counts.duplicated += m != null && of.completed ? 1 : 0;
-            counts.wrongState += m != null && of.ended && m.notice == null ? 1 : 0;
-            counts.wrongState += m != null && m.notice == null && m.attempts < of.attempts ? 1 : 0;
+            counts.wrongState += m != null && of.ended && m.pendingNotification == null ? 1 : 0;
+            counts.wrongState += m != null && m.pendingNotification == null && m.attempts < of.attempts ? 1 : 0;
             counts.accepted += of.accepted ? 1 : 0;
             if (!counts.ok() && counts.firstViolation.isEmpty()) {
                 counts.firstViolation = when + ": " + id;
@@ -463,7 +463,7 @@
             ReportedMessage of = told.computeIfAbsent(id, i -> new ReportedMessage());
             of.accepted = true;
             of.attempts = m.attempts;
-            of.ended = m.notice != null;
+            of.ended = m.pendingNotification != null;
             of.callInterrupted = false;
         });
     }
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -53,18 +53,24 @@
         assertEquals(
                 List.of(1, 120, 7L, 3, "idem-first", SOON),
                 List.of(
-                        first.type,
+                        first.classNumber,
                         first.body.length,
                         first.key,
                         first.destination,
                         first.idempotencyKey,
-                        first.deadline));
+                        first.deadlineMillis));
         AcceptedMessage doubt = live.get(1);
         assertEquals(
                 List.of(2, 77L, "uid-a", true, 99L, "uid-b"),
-                List.of(doubt.attempts, doubt.doubtSince, doubt.doubtAt, doubt.out, doubt.sentAt, doubt.sentTo));
-        assertEquals(live.get(2).failed(), live.get(2).notice);
-        assertTrue(live.get(3).frozen);
+                List.of(
+                        doubt.attempts,
+                        doubt.unknownOutcomeSinceMillis,
+                        doubt.unknownOutcomeEndpoint,
+                        doubt.attemptInFlight,
+                        doubt.attemptSentAtMillis,
+                        doubt.attemptEndpoint));
+        assertEquals(live.get(2).failed(), live.get(2).pendingNotification);
+        assertTrue(live.get(3).offeredToPeer);
         assertEquals("heir", journal.handoffBatches().get("lot").ownership().peer());
         assertTrue(journal.knows("over") && journal.differs("over", 5));
         assertEquals(1, journal.healthRecords().size());
@@ -182,7 +188,7 @@
             for (int i = 0; i < ids.length; i++) {
                 all[i] = new AcceptedMessage(
                         journal.nextNumber(), ids[i], "idem-" + ids[i], "policy-order", 7, 3, SOON, new byte[120]);
-                all[i].type = 1;
+                all[i].classNumber = 1;
                 journal.accept(all[i]);
             }
             journal.attempt(all[1], "uid-a", 77);
--- a/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
+++ b/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
@@ -255,7 +255,7 @@
     List<AcceptedMessage> messages(List<Long> numbers) {
         return numbers.stream()
                 .map(live::get)
-                .filter(m -> m != null && m.notice == null)
+                .filter(m -> m != null && m.pendingNotification == null)
                 .toList();
     }
 
@@ -497,7 +497,7 @@
             if (m != null && lot.ownership().status() == Ownership.Status.GIVEN) {
                 drop(m);
             } else if (m != null && lot.ownership().status() != Ownership.Status.ENDED) {
-                m.frozen = lot.ownership().status() == Ownership.Status.OFFERED;
+                m.offeredToPeer = lot.ownership().status() == Ownership.Status.OFFERED;
             }
         }
     }
@@ -518,7 +518,7 @@
             for (AcceptedMessage m : messages) {
                 parts.add(accepted(m));
                 parts.add(standing(m));
-                if (m.notice != null) {
+                if (m.pendingNotification != null) {
                     parts.add(ending(m));
                 }
             }
@@ -598,10 +598,10 @@
             out.writeUTF(m.className);
             out.writeLong(m.key);
             out.writeInt(m.destination);
-            out.writeLong(m.deadline);
+            out.writeLong(m.deadlineMillis);
             out.writeInt(m.body.length);
             out.write(m.body);
-            out.writeInt(m.type);
+            out.writeInt(m.classNumber);
         });
     }
 
@@ -645,7 +645,7 @@
     private static byte[] ending(AcceptedMessage m) {
         return record('E', out -> {
             out.writeLong(m.number);
-            out.writeUTF(m.notice);
+            out.writeUTF(m.pendingNotification);
         });
     }
 
@@ -665,11 +665,11 @@
         return record('S', out -> {
             out.writeLong(m.number);
             out.writeInt(m.attempts);
-            out.writeLong(m.doubtSince);
-            out.writeUTF(m.doubtAt);
-            out.writeBoolean(m.out);
-            out.writeLong(m.sentAt);
-            out.writeUTF(m.sentTo);
+            out.writeLong(m.unknownOutcomeSinceMillis);
+            out.writeUTF(m.unknownOutcomeEndpoint);
+            out.writeBoolean(m.attemptInFlight);
+            out.writeLong(m.attemptSentAtMillis);
+            out.writeUTF(m.attemptEndpoint);
         });
     }
 
@@ -722,7 +722,7 @@
                     in.readInt(),
                     in.readLong(),
                     in.readNBytes(in.readInt()));
-            m.type = in.available() < Integer.BYTES ? -1 : in.readInt();
+            m.classNumber = in.available() < Integer.BYTES ? -1 : in.readInt();
             add(m);
             return;
         }
@@ -744,11 +744,11 @@
             case 'N' -> drop(m);
             case 'S' -> {
                 m.attempts = in.readInt();
-                m.doubtSince = in.readLong();
-                m.doubtAt = in.readUTF();
-                m.out = in.readBoolean();
-                m.sentAt = in.readLong();
-                m.sentTo = in.readUTF();
+                m.unknownOutcomeSinceMillis = in.readLong();
+                m.unknownOutcomeEndpoint = in.readUTF();
+                m.attemptInFlight = in.readBoolean();
+                m.attemptSentAtMillis = in.readLong();
+                m.attemptEndpoint = in.readUTF();
             }
             default -> throw new IOException("unknown record " + type);
         }
@@ -801,14 +801,14 @@
 
     private void add(AcceptedMessage m) {
         live.put(m.number, m);
-        liveIds.put(m.id, m.content);
+        liveIds.put(m.id, m.contentHash);
         reserved += reserve(m);
     }
 
     private void drop(AcceptedMessage m) {
         live.remove(m.number);
         liveIds.remove(m.id);
-        remember(m.id, m.content);
+        remember(m.id, m.contentHash);
         reserved -= reserve(m);
     }
 
@@ -906,7 +906,7 @@
                 if (m.attempts > 0) {
                     out.write(standing(m));
                 }
-                if (m.notice != null) {
+                if (m.pendingNotification != null) {
                     out.write(ending(m));
                 }
             }
--- a/sender/src/test/java/amberroute/sender/peer/HandoffCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/HandoffCompatibilityTest.java
@@ -108,8 +108,8 @@
         AcceptedMessage inDoubt = offer.messages().get(1);
         checkMessage(inDoubt, 100, "id-2", 0xfedcba9876543210L, new byte[] {0, 1, 2, -1});
         assertEquals(3, inDoubt.attempts);
-        assertEquals(1_700_000_000_123L, inDoubt.doubtSince);
-        assertEquals("endpoint-7", inDoubt.doubtAt);
+        assertEquals(1_700_000_000_123L, inDoubt.unknownOutcomeSinceMillis);
+        assertEquals("endpoint-7", inDoubt.unknownOutcomeEndpoint);
         checkMessage(offer.messages().get(2), 101, "id-3", 0, new byte[0]);
         for (String name : List.of("to_offer1", "to_offer3")) {
             String line = recorded.get(name);
@@ -126,7 +126,7 @@
         assertEquals("keyed", message.className);
         assertEquals(key, message.key);
         assertEquals(3, message.destination);
-        assertEquals(1_796_293_703_785L, message.deadline);
+        assertEquals(1_796_293_703_785L, message.deadlineMillis);
         assertArrayEquals(body, message.body);
         assertTrue(message.adopted);
     }
@@ -282,7 +282,7 @@
         malformedMessage("attempts", "attempts", "-1");
         malformedMessage("doubt_since", "doubt_since", "-1");
         malformedMessage("deadline", "deadline", "-1");
-        malformedMessage("deadline", "deadline", Long.toString(WALL_MILLIS + AcceptedMessage.LONGEST_LIFE_MS + 1));
+        malformedMessage("deadline", "deadline", Long.toString(WALL_MILLIS + AcceptedMessage.MAX_LIFETIME_MILLIS + 1));
         malformedMessage("body", "body", "%");
         malformedMessage("key", "key", "12345678123456781");
     }
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -115,7 +115,7 @@
                 assertEquals(
                         List.of("first", "second"),
                         copy.pendingMessages().stream().map(m -> m.id).toList());
-                assertTrue(copy.pendingMessages().iterator().next().out);
+                assertTrue(copy.pendingMessages().iterator().next().attemptInFlight);
                 assertTrue(copy.knows("over"));
                 assertEquals(
                         new LogPosition(1, owner.number), ReplicaRecords.decodePosition(copy.replicationPosition()));
