--- a/cli/src/main/java/amberroute/cli/FailoverExperiment.java
+++ b/cli/src/main/java/amberroute/cli/FailoverExperiment.java
@@ -461,7 +461,7 @@
                         || Long.parseLong(line.substring(0, space)) < lost.lostAtMillis) {
                     continue;
                 }
-                takes |= line.contains("takes over s" + lost.index + ".");
+                takes |= line.contains("event=failover_started journal=s" + lost.index + ".");
                 if (takes && line.contains("event=messages_recovered")) {
                     long took = Long.parseLong(line.substring(0, space)) - lost.lostAtMillis;
                     best = best < 0 ? took : Math.min(best, took);
