--- a/storage/src/main/java/amberroute/storage/SimulatedDisk.java
+++ b/storage/src/main/java/amberroute/storage/SimulatedDisk.java
@@ -13,7 +13,7 @@
 /**
  * A disk in memory, for tests and experiments. It kills the process, fails or fills up at an operation chosen by its number. How
  * much of a write lands is drawn from a seed, so a run can be repeated exactly. It records what was forced, and {@link
- * #powerFails} loses the rest, each name and each file's end on its own. Not thread-safe.
+ * #failPower} loses the rest, each name and each file's end on its own. Not thread-safe.
  */
 public final class SimulatedDisk implements Disk {
     /** The simulated process was killed: it must not do anything more. */
