--- a/sender/src/main/java/amberroute/sender/ReclaimOwner.java
+++ b/sender/src/main/java/amberroute/sender/ReclaimOwner.java
@@ -1,8 +1,8 @@
 package amberroute.sender;
 
 import amberroute.decisions.DeliveryScheduler.Event;
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.lifecycle.LifecyclePhase;
-import amberroute.sender.lifecycle.ShutdownSequence;
 import com.google.gson.JsonArray;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
@@ -71,7 +71,7 @@
         if (state.config().standalone() == null) {
             delivery.scheduler.submit(new Event.ShutdownStarted(TimeUnit.MILLISECONDS.toMicros(withinMillis)));
         } else {
-            lifecycle.shutdown.begin(ShutdownSequence.Mode.RESTART, withinMillis);
+            lifecycle.shutdown.begin(ShutdownMode.RESTART, withinMillis);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -4,6 +4,7 @@
 import amberroute.sender.admin.AdminServer;
 import amberroute.sender.admin.ControlSocket;
 import amberroute.sender.admin.SenderMetrics;
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.config.ActiveSettings;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.decision.SchedulerAction;
@@ -14,7 +15,6 @@
 import amberroute.sender.lifecycle.LifecycleState;
 import amberroute.sender.lifecycle.OutgoingTransfer;
 import amberroute.sender.lifecycle.ServiceManagerNotifier;
-import amberroute.sender.lifecycle.ShutdownSequence;
 import amberroute.sender.lifecycle.SignalHandlers;
 import amberroute.sender.lifecycle.StateFolder;
 import amberroute.sender.lifecycle.TransferChannel;
@@ -435,7 +435,7 @@
     // ---- For tests. ----
 
     /** Begins a stop. Event loop only. */
-    void beginStop(ShutdownSequence.Mode mode, long withinMillis) {
+    void beginStop(ShutdownMode mode, long withinMillis) {
         lifecycleParts.shutdown.begin(mode, withinMillis);
     }
 
--- a/sender/src/main/java/amberroute/sender/SenderCommands.java
+++ b/sender/src/main/java/amberroute/sender/SenderCommands.java
@@ -1,11 +1,11 @@
 package amberroute.sender;
 
 import amberroute.sender.admin.ControlCommands;
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.lifecycle.LifecyclePhase;
 import amberroute.sender.lifecycle.LifecycleState;
 import amberroute.sender.lifecycle.ShutdownCoordinator;
-import amberroute.sender.lifecycle.ShutdownSequence;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.io.IOException;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void stop(ShutdownSequence.Mode mode, long withinMillis) {
+    public void stop(ShutdownMode mode, long withinMillis) {
         shutdown.begin(mode, withinMillis);
     }
 
--- a/sender/src/main/java/amberroute/sender/SenderDaemon.java
+++ b/sender/src/main/java/amberroute/sender/SenderDaemon.java
@@ -2,10 +2,10 @@
 
 import amberroute.decisions.DeliveryScheduler.Event;
 import amberroute.decisions.settings.InvalidSettingsException;
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.lifecycle.ConnectionRetirement;
 import amberroute.sender.lifecycle.HeapReserve;
-import amberroute.sender.lifecycle.ShutdownSequence;
 import amberroute.sender.lifecycle.SignalHandlers;
 import amberroute.sender.util.LogEvent;
 import java.io.IOException;
@@ -68,7 +68,7 @@
                 .start());
         Runnable restart = () -> sender.loop()
                 .execute(() -> sender.beginStop(
-                        ShutdownSequence.Mode.RESTART, config.standalone().stopMillis()));
+                        ShutdownMode.RESTART, config.standalone().stopMillis()));
         SignalHandlers.install("TERM").then(restart);
         SignalHandlers.install("INT").then(restart);
     }
--- a/sender/src/main/java/amberroute/sender/admin/ControlCommands.java
+++ b/sender/src/main/java/amberroute/sender/admin/ControlCommands.java
@@ -1,7 +1,6 @@
 package amberroute.sender.admin;
 
 import amberroute.decisions.settings.InvalidSettingsException;
-import amberroute.sender.lifecycle.ShutdownSequence;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
@@ -51,7 +50,7 @@
         void absentPeers(Set<String> names);
 
         /** Begins a stop. */
-        void stop(ShutdownSequence.Mode mode, long withinMillis);
+        void stop(ShutdownMode mode, long withinMillis);
 
         /** Whether journals are replicated between daemons. */
         boolean replicated();
@@ -102,7 +101,7 @@
 
     private JsonObject stop(JsonObject request) {
         try {
-            ShutdownSequence.Mode mode = stopMode(request.get("mode").getAsString());
+            ShutdownMode mode = stopMode(request.get("mode").getAsString());
             long withinMillis =
                     request.has("within_ms") ? request.get("within_ms").getAsLong() : host.defaultStopMillis();
             if (host.handsOver() && request.has("absent")) {
@@ -117,11 +116,11 @@
         }
     }
 
-    private static ShutdownSequence.Mode stopMode(String name) {
+    private static ShutdownMode stopMode(String name) {
         return switch (name) {
-            case "restart" -> ShutdownSequence.Mode.RESTART;
-            case "final" -> ShutdownSequence.Mode.FINAL;
-            case "move" -> ShutdownSequence.Mode.MOVE;
+            case "restart" -> ShutdownMode.RESTART;
+            case "final" -> ShutdownMode.FINAL;
+            case "move" -> ShutdownMode.MOVE;
             default -> throw new IllegalArgumentException("mode is restart, move or final");
         };
     }
--- a/sender/src/main/java/amberroute/sender/lifecycle/ShutdownCoordinator.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ShutdownCoordinator.java
@@ -1,5 +1,6 @@
 package amberroute.sender.lifecycle;
 
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.client.ClientServer;
 import amberroute.sender.eventloop.SchedulerClock;
 import amberroute.sender.message.AcceptedMessage;
@@ -126,7 +127,7 @@
     }
 
     /** Begins a stop. A stop for good takes over from one for a restart; any other is in progress already. */
-    public void begin(ShutdownSequence.Mode mode, long withinMillis) {
+    public void begin(ShutdownMode mode, long withinMillis) {
         if (lifecycle.phase() == LifecyclePhase.STARTING) {
             requestedEarly = () -> begin(mode, withinMillis);
             return;
@@ -141,7 +142,7 @@
         sequence = new ShutdownSequence(mode, nowMillis(), withinMillis, restartMillis);
         lifecycle.enter(LifecyclePhase.DRAINING);
         serviceManager.report("STOPPING=1");
-        if (mode != ShutdownSequence.Mode.RESTART) {
+        if (mode != ShutdownMode.RESTART) {
             clientServer.closeAfterReplies();
             connectionsPerStep = 1 + clientServer.connections() / RETIREMENT_STEPS;
             host.announceKeys();
@@ -157,14 +158,12 @@
         }
     }
 
-    private boolean supersededBy(ShutdownSequence.Mode mode) {
-        return sequence.mode() != mode
-                && mode != ShutdownSequence.Mode.RESTART
-                && sequence.mode() != ShutdownSequence.Mode.FINAL;
+    private boolean supersededBy(ShutdownMode mode) {
+        return sequence.mode() != mode && mode != ShutdownMode.RESTART && sequence.mode() != ShutdownMode.FINAL;
     }
 
     private void step() {
-        boolean leaves = sequence.mode() != ShutdownSequence.Mode.RESTART;
+        boolean leaves = sequence.mode() != ShutdownMode.RESTART;
         if (!host.retryDeferred() && leaves) {
             clientServer.closeResting(connectionsPerStep, IDLE_BEFORE_CLOSE_MS);
         }
@@ -197,7 +196,7 @@
     private void finish(ShutdownSequence.Load load) {
         steps.cancel(false);
         logCompletion();
-        boolean isFinal = sequence.mode() == ShutdownSequence.Mode.FINAL;
+        boolean isFinal = sequence.mode() == ShutdownMode.FINAL;
         if (!isFinal) {
             host.announceReturn();
         }
--- a/sender/src/main/java/amberroute/sender/lifecycle/ShutdownSequence.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/ShutdownSequence.java
@@ -1,5 +1,6 @@
 package amberroute.sender.lifecycle;
 
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.client.OrderlyClose;
 
 /**
@@ -11,13 +12,6 @@
  * flight, completes the messages that are left, and waits until the notifications are acknowledged.
  */
 public final class ShutdownSequence {
-    /** Who continues: the next process, peers and then the next process, or nobody. */
-    public enum Mode {
-        RESTART,
-        MOVE,
-        FINAL
-    }
-
     /** What to do now. */
     public enum Step {
         /** Delivers, but accepts nothing new. */
@@ -50,14 +44,14 @@
 
     static final long MAX_LINGER_MS = OrderlyClose.LINGER_MS;
 
-    private final Mode mode;
+    private final ShutdownMode mode;
     private final long deadline;
     private final long deliveryEndsAt;
     private final long restartMillis;
     private long idleSince = -1;
 
     /** {@code restartMillis} is how long after its end a restarted sender serves again. */
-    public ShutdownSequence(Mode mode, long nowMillis, long withinMillis, long restartMillis) {
+    public ShutdownSequence(ShutdownMode mode, long nowMillis, long withinMillis, long restartMillis) {
         this.mode = mode;
         this.restartMillis = restartMillis;
         deadline = nowMillis + withinMillis;
@@ -65,7 +59,7 @@
     }
 
     /** Who continues after this stop. */
-    public Mode mode() {
+    public ShutdownMode mode() {
         return mode;
     }
 
@@ -75,7 +69,7 @@
 
     /** How long calls may still take, for decisions that look ahead. */
     public long deliveryMillisLeft(long nowMillis) {
-        return Math.max(0, (mode == Mode.FINAL ? deliveryEndsAt : deadline) - nowMillis);
+        return Math.max(0, (mode == ShutdownMode.FINAL ? deliveryEndsAt : deadline) - nowMillis);
     }
 
     /**
@@ -83,7 +77,7 @@
      * apart for each connection so that they are not overloaded. {@code place}, from 0 to 1, is the client's random place in that.
      */
     public long retryAdviceMillis(long nowMillis, int connections, double place) {
-        return mode != Mode.FINAL
+        return mode != ShutdownMode.FINAL
                 ? left(nowMillis) + restartMillis
                 : (long) (place * Math.min(MAX_RETRY_SPREAD_MS, RETRY_SPREAD_MS * connections));
     }
@@ -92,7 +86,7 @@
     public Step next(long nowMillis, Load load) {
         boolean over = nowMillis >= deadline;
         if (load.pendingMessages() > 0 && !over) {
-            if (mode != Mode.FINAL || nowMillis < deliveryEndsAt) {
+            if (mode != ShutdownMode.FINAL || nowMillis < deliveryEndsAt) {
                 idleSince = -1;
                 return Step.DELIVER;
             }
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -7,6 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberroute.handoff.Ownership;
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.journal.HandoffBatchRecord;
 import amberroute.sender.journal.Journal;
@@ -92,7 +93,7 @@
     }
 
     private static int stop(Sender sender, long within) throws Exception {
-        sender.blockEventLoop(() -> sender.beginStop(ShutdownSequence.Mode.FINAL, within));
+        sender.blockEventLoop(() -> sender.beginStop(ShutdownMode.FINAL, within));
         return sender.stopped().get(20, TimeUnit.SECONDS);
     }
 
@@ -229,7 +230,7 @@
         world.prove(again, client);
         hang(client);
         assertEquals("+OK", client.submit("safe", "m", NO_KEY));
-        two.blockEventLoop(() -> two.beginStop(ShutdownSequence.Mode.FINAL, 1_500));
+        two.blockEventLoop(() -> two.beginStop(ShutdownMode.FINAL, 1_500));
         assertEquals(0, stop(again, 1_500));
         assertEquals(0, two.stopped().get(20, TimeUnit.SECONDS));
         assertTrue(noticed("m", "returned"), world.notices.toString());
@@ -436,7 +437,7 @@
         return sender;
     }
 
-    private static void leave(Sender sender, ShutdownSequence.Mode mode, long within) {
+    private static void leave(Sender sender, ShutdownMode mode, long within) {
         sender.blockEventLoop(() -> sender.beginStop(mode, within));
     }
 
@@ -453,7 +454,7 @@
         for (int i = 1; i < 4; i++) {
             assertEquals("+OK", client.submit("keyed", "k" + i, KEY));
         }
-        leave(leaver, ShutdownSequence.Mode.FINAL, 9_000);
+        leave(leaver, ShutdownMode.FINAL, 9_000);
         String answer = client.submit("keyed", "k4", KEY);
         assertTrue(answer.startsWith("-BUSY"), answer);
         // All peers hold the key: its client may go at once, and does.
@@ -490,7 +491,7 @@
             world.prove(leaver, client);
             hang(client);
             assertEquals("+OK", client.submit("keyed", "k0", KEY));
-            leave(leaver, ShutdownSequence.Mode.FINAL, 3_000);
+            leave(leaver, ShutdownMode.FINAL, 3_000);
             long asked = System.nanoTime();
             String answer = client.submit("keyed", "k1", KEY);
             assertTrue(answer.startsWith("-BUSY "), answer);
@@ -652,7 +653,7 @@
         for (int i = 0; i < 3; i++) {
             assertEquals("+OK", client.submit("keyed", "k" + i, KEY));
         }
-        leave(leaver, ShutdownSequence.Mode.MOVE, 6_000);
+        leave(leaver, ShutdownMode.MOVE, 6_000);
         String answer = client.submit("keyed", "k3", KEY);
         assertTrue(answer.startsWith("-BUSY ") && Long.parseLong(answer.substring(6)) >= 3_000, answer);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
@@ -808,7 +809,7 @@
             assertEquals("+OK", client.submit("unsafe", "u", NO_KEY));
             await(() -> delivered("u").size() == 1);
             world.receiver.requests.clear();
-            leave(leaver, ShutdownSequence.Mode.FINAL, 2_500);
+            leave(leaver, ShutdownMode.FINAL, 2_500);
             await(() -> heir.pendingMessages() == 1);
             List<String> run = new java.util.concurrent.CopyOnWriteArrayList<>();
             world.receiver.answers = r -> {
@@ -875,7 +876,7 @@
         }
         Path aside = folder.resolve("endpoints.new");
         Files.writeString(aside, world.list(3, true, "Ready", "s-2"));
-        leave(leaver, ShutdownSequence.Mode.FINAL, 4_000);
+        leave(leaver, ShutdownMode.FINAL, 4_000);
         Files.move(aside, folder.resolve("endpoints.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
         await(() -> heir.endpointReady("s-2") && !heir.endpointReady("s-1"));
--- a/sender/src/test/java/amberroute/sender/StandaloneTest.java
+++ b/sender/src/test/java/amberroute/sender/StandaloneTest.java
@@ -10,13 +10,13 @@
 import amberroute.config.ConfigException;
 import amberroute.decisions.settings.InvalidSettingsException;
 import amberroute.sender.admin.ControlSocket;
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.config.SenderConfig;
 import amberroute.sender.config.StandaloneConfig;
 import amberroute.sender.journal.JournalView;
 import amberroute.sender.journal.SegmentFiles;
 import amberroute.sender.journal.SingleFileJournal;
 import amberroute.sender.lifecycle.ShutdownCoordinator;
-import amberroute.sender.lifecycle.ShutdownSequence;
 import amberroute.sender.message.AcceptedMessage;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -291,7 +291,7 @@
         client.submit("keyed", B, KEY);
         client.submit("unsafe", C, NO_KEY);
         await(() -> world.receiver.requests.size() == 2);
-        sender.blockEventLoop(() -> sender.beginStop(ShutdownSequence.Mode.RESTART, 300));
+        sender.blockEventLoop(() -> sender.beginStop(ShutdownMode.RESTART, 300));
         assertEquals(0, code());
         sender.stop();
         assertTrue(world.receiver.requests.stream().noneMatch(r -> r.body().contains(B)), "the later one ran ahead");
@@ -428,8 +428,8 @@
         world.receiver.answers = r -> null;
         client.submit("safe", A, NO_KEY);
         await(() -> world.receiver.requests.size() == 1);
-        sender.blockEventLoop(() -> sender.beginStop(ShutdownSequence.Mode.RESTART, 60_000));
-        sender.blockEventLoop(() -> sender.beginStop(ShutdownSequence.Mode.FINAL, 600));
+        sender.blockEventLoop(() -> sender.beginStop(ShutdownMode.RESTART, 60_000));
+        sender.blockEventLoop(() -> sender.beginStop(ShutdownMode.FINAL, 600));
         assertEquals(0, code());
         assertTrue(noticed(A, "returned"), world.notices.toString());
     }
@@ -441,7 +441,7 @@
         world.receiver.answers = r -> ok(503, "");
         client.submit("safe", A, NO_KEY);
         await(() -> world.receiver.requests.size() >= 1);
-        sender.blockEventLoop(() -> sender.beginStop(ShutdownSequence.Mode.RESTART, 1_500));
+        sender.blockEventLoop(() -> sender.beginStop(ShutdownMode.RESTART, 1_500));
         endpoints("Terminating");
         await(() -> !sender.endpointReady("s-1"));
         int calls = world.receiver.requests.size();
--- a/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
+++ b/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import amberroute.sender.admin.SenderMetrics;
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.client.ClientServer;
 import amberroute.sender.config.ActiveSettings;
 import amberroute.sender.config.SenderConfig;
@@ -10,7 +11,6 @@
 import amberroute.sender.lifecycle.LifecyclePhase;
 import amberroute.sender.lifecycle.LifecycleState;
 import amberroute.sender.lifecycle.ServiceManagerNotifier;
-import amberroute.sender.lifecycle.ShutdownSequence;
 import amberroute.sender.lifecycle.StateFolder;
 import amberroute.sender.message.AcceptedMessage;
 import io.netty.channel.EventLoop;
@@ -165,7 +165,7 @@
 
     @Test
     void aStopRejectsBeforeTheClassIsChecked() {
-        onLoop(() -> parts.shutdown.begin(ShutdownSequence.Mode.FINAL, 60_000));
+        onLoop(() -> parts.shutdown.begin(ShutdownMode.FINAL, 60_000));
         SubmissionVerdict.Reject verdict = (SubmissionVerdict.Reject) decide(submission("a", "none", "one"));
         assertEquals(SubmissionVerdict.RejectionReason.STOPPING, verdict.reason());
     }
@@ -173,7 +173,7 @@
     @Test
     void aDuplicateIsAnsweredDuringAStop() {
         journal(submission("a", "safe", "one"));
-        onLoop(() -> parts.shutdown.begin(ShutdownSequence.Mode.FINAL, 60_000));
+        onLoop(() -> parts.shutdown.begin(ShutdownMode.FINAL, 60_000));
         assertEquals(new SubmissionVerdict.Duplicate(state.folder().journal()), decide(submission("a", "safe", "one")));
     }
 
--- a/sender/src/test/java/amberroute/sender/lifecycle/ShutdownSequenceTest.java
+++ b/sender/src/test/java/amberroute/sender/lifecycle/ShutdownSequenceTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberroute.sender.admin.ShutdownMode;
 import amberroute.sender.lifecycle.ShutdownSequence.Load;
-import amberroute.sender.lifecycle.ShutdownSequence.Mode;
 import amberroute.sender.lifecycle.ShutdownSequence.Step;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -15,7 +15,7 @@
 
     @Test
     void aRestartDeliversUntilNothingIsHeld() {
-        ShutdownSequence plan = new ShutdownSequence(Mode.RESTART, 0, 8_000, 3_000);
+        ShutdownSequence plan = new ShutdownSequence(ShutdownMode.RESTART, 0, 8_000, 3_000);
         assertEquals(Step.DELIVER, plan.next(0, new Load(5, 2, 0, 0)));
         assertEquals(Step.DELIVER, plan.next(7_999, new Load(5, 2, 0, 0)));
         assertEquals(Step.AWAIT_NOTIFICATIONS, plan.next(2_000, new Load(0, 0, 3, 0)));
@@ -25,14 +25,14 @@
 
     @Test
     void aRestartLeavesTheRestWhenItsTimeIsUp() {
-        ShutdownSequence plan = new ShutdownSequence(Mode.RESTART, 100, 8_000, 3_000);
+        ShutdownSequence plan = new ShutdownSequence(ShutdownMode.RESTART, 100, 8_000, 3_000);
         assertEquals(Step.CLOSE, plan.next(8_100, new Load(5, 2, 1, 0)));
         assertEquals(Step.DONE, plan.next(8_100 + ShutdownSequence.LINGER_MS, new Load(5, 2, 1, 0)));
     }
 
     @Test
     void aStopForGoodCallsOffAndEndsAllWithTimeLeftForNotices() {
-        ShutdownSequence plan = new ShutdownSequence(Mode.FINAL, 0, 8_000, 3_000);
+        ShutdownSequence plan = new ShutdownSequence(ShutdownMode.FINAL, 0, 8_000, 3_000);
         assertEquals(Step.DELIVER, plan.next(5_599, new Load(5, 2, 0, 0)));
         assertEquals(Step.CANCEL_CALLS, plan.next(5_601, new Load(5, 2, 0, 0)));
         assertEquals(Step.COMPLETE_ALL, plan.next(5_650, new Load(5, 0, 0, 0)));
@@ -44,18 +44,18 @@
 
     @Test
     void aLongStopForGoodKeepsOnlySoMuchForItsEnd() {
-        ShutdownSequence plan = new ShutdownSequence(Mode.FINAL, 0, 600_000, 0);
+        ShutdownSequence plan = new ShutdownSequence(ShutdownMode.FINAL, 0, 600_000, 0);
         assertEquals(Step.DELIVER, plan.next(596_999, new Load(1, 0, 0, 0)));
         assertEquals(Step.COMPLETE_ALL, plan.next(597_000, new Load(1, 0, 0, 0)));
     }
 
     @Test
     void tellsWhenToComeAgain() {
-        ShutdownSequence restart = new ShutdownSequence(Mode.RESTART, 0, 8_000, 3_000);
+        ShutdownSequence restart = new ShutdownSequence(ShutdownMode.RESTART, 0, 8_000, 3_000);
         assertEquals(11_000, restart.retryAdviceMillis(0, 100, 0.9));
         assertEquals(5_000, restart.retryAdviceMillis(6_000, 100, 0.9));
         assertEquals(3_000, restart.retryAdviceMillis(9_000, 100, 0.9));
-        ShutdownSequence last = new ShutdownSequence(Mode.FINAL, 0, 8_000, 3_000);
+        ShutdownSequence last = new ShutdownSequence(ShutdownMode.FINAL, 0, 8_000, 3_000);
         assertEquals(0, last.retryAdviceMillis(0, 0, 0.9));
         assertEquals(50, last.retryAdviceMillis(0, 20, 0.5));
         assertEquals(ShutdownSequence.MAX_RETRY_SPREAD_MS / 2, last.retryAdviceMillis(0, 100_000, 0.5));
@@ -74,7 +74,7 @@
     void isAlwaysOverInTime() {
         for (long seed = 0; seed < 500; seed++) {
             Random random = new Random(seed);
-            Mode mode = random.nextBoolean() ? Mode.FINAL : Mode.RESTART;
+            ShutdownMode mode = random.nextBoolean() ? ShutdownMode.FINAL : ShutdownMode.RESTART;
             long span = random.nextInt(10_000);
             ShutdownSequence plan = new ShutdownSequence(mode, 0, span, 0);
             boolean cut = false;
@@ -98,13 +98,13 @@
     /** Connections that close still carry answers: they have a while, but not beyond the deadline. */
     @Test
     void whoIsSlowToReadTheLastAnswersHasAWhile() {
-        ShutdownSequence plan = new ShutdownSequence(Mode.FINAL, 0, 8_000, 0);
+        ShutdownSequence plan = new ShutdownSequence(ShutdownMode.FINAL, 0, 8_000, 0);
         assertEquals(Step.CLOSE, plan.next(1_000, new Load(0, 0, 0, 2)));
         assertEquals(Step.CLOSE, plan.next(1_000 + ShutdownSequence.LINGER_MS, new Load(0, 0, 0, 1)));
         assertEquals(Step.DONE, plan.next(1_001 + ShutdownSequence.LINGER_MS, EMPTY));
         assertEquals(Step.CLOSE, plan.next(999 + ShutdownSequence.MAX_LINGER_MS, new Load(0, 0, 0, 1)));
         assertEquals(Step.DONE, plan.next(1_000 + ShutdownSequence.MAX_LINGER_MS, new Load(0, 0, 0, 1)));
-        ShutdownSequence late = new ShutdownSequence(Mode.FINAL, 0, 500, 0);
+        ShutdownSequence late = new ShutdownSequence(ShutdownMode.FINAL, 0, 500, 0);
         assertEquals(Step.CLOSE, late.next(500, new Load(0, 0, 0, 1)));
         assertEquals(Step.DONE, late.next(500 + ShutdownSequence.LINGER_MS, new Load(0, 0, 0, 1)));
     }
