--- a/decisions/src/main/java/amberroute/decisions/AdmissionController.java
+++ b/decisions/src/main/java/amberroute/decisions/AdmissionController.java
@@ -64,7 +64,7 @@
 
     /** Tests the arrivals; the predicted wait counts once more messages wait than there are slots. */
     void admit(long now, Actions actions) {
-        boolean testWait = pending.waiting() > settings.limits().maxConcurrentCalls();
+        boolean testWait = pending.waitingCount() > settings.limits().maxConcurrentCalls();
         for (PendingMessage message : arrivals) {
             if (!message.completed) {
                 admit(now, message, testWait, actions);
@@ -92,14 +92,14 @@
     private long priceRejectionMicros(PendingMessage message) {
         AdmissionPriceChanged price = message.destination.admissionPrice;
         boolean rejected = message.priorityWeight < price.rejectedBelowWeight()
-                || message.priorityWeight < price.sharedUpToWeight() && message.sampleOfKey() >= price.admittedShare();
+                || message.priorityWeight < price.sharedUpToWeight() && message.keySample() >= price.admittedShare();
         return rejected ? 1 + price.retryAfterMicros() + random.nextLong(1 + price.retryAfterMicros()) : 0;
     }
 
     private void shedAboveCapacity(long now, Actions actions) {
         double capacity = SHED_ABOVE_CAPACITY_RATIO * settings.limits().maxPendingMessages();
-        while (messages.count() > capacity && pending.waiting() > 0) {
-            PendingMessage least = index.least(now);
+        while (messages.count() > capacity && pending.waitingCount() > 0) {
+            PendingMessage least = index.lowestIndexMessage(now);
             messages.answer(now, least, waitPrediction.micros(now, least), actions);
         }
     }
--- a/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
@@ -35,7 +35,7 @@
     private final SilentCallDetector silentCalls;
     private final DispatchSelector selector;
     private final ShutdownPolicy shutdownPolicy = new ShutdownPolicy(serviceTimes);
-    private final AttemptOutcomeHandler outcomes;
+    private final AttemptOutcomeHandler outcomeHandler;
 
     /**
      * A sender with nothing but its settings, whose final answers need no acknowledgement.
@@ -49,11 +49,11 @@
     /**
      * A sender with nothing but its settings.
      *
-     * @param acknowledgements whether the caller passes {@link Event.CompletionAcknowledged} once a final answer has been
+     * @param awaitAcknowledgements whether the caller passes {@link Event.CompletionAcknowledged} once a final answer has been
      *     received; until then the next message of its key is held back
      * @throws IllegalArgumentException if a setting is out of range
      */
-    public AtcDeliveryScheduler(Settings settings, boolean acknowledgements) {
+    public AtcDeliveryScheduler(Settings settings, boolean awaitAcknowledgements) {
         this.settings = new CurrentSettings(settings);
         SplittableRandom random = new SplittableRandom(settings.seed());
         Backoff backoff = new Backoff(this.settings, random);
@@ -61,7 +61,7 @@
         BacklogEstimate backlog = new BacklogEstimate(serviceTimes);
         expiry = new ExpirySchedule(serviceTimes, backlog);
         pending = new PendingMessages(serviceTimes, candidates, backlog, expiry);
-        keyOrdering = new KeyOrdering(this.settings, pending, acknowledgements);
+        keyOrdering = new KeyOrdering(this.settings, pending, awaitAcknowledgements);
         registry = new EndpointRegistry(this.settings, backoff, random, serviceTimes, pending);
         messages = new MessageLifecycle(this.settings, registry, keyOrdering, pending);
         healthTransfer = new HealthTransfer(registry, serviceTimes, pending);
@@ -78,7 +78,7 @@
         admission = new AdmissionController(this.settings, random, messages, pending, index, waitPrediction);
         silentCalls = new SilentCallDetector(this.settings, messages, calls, attemptTimeout, breaker, connections);
         selector = createSelector(attemptTimeout, gate);
-        outcomes = createOutcomeHandler(backoff, attemptTimeout, rateLimiter);
+        outcomeHandler = createOutcomeHandler(backoff, attemptTimeout, rateLimiter);
     }
 
     private DispatchSelector createSelector(AttemptTimeout attemptTimeout, UpstreamGate gate) {
@@ -112,9 +112,9 @@
         if (event instanceof Event.Decide) {
             decide(now, actions);
         } else if (event instanceof Event.TimerExpired) {
-            timer.expired(now);
+            timer.onExpired(now);
         } else if (event instanceof Event.AttemptCompleted completed) {
-            outcomes.handle(now, completed, actions);
+            outcomeHandler.handle(now, completed, actions);
         } else if (!onMessageEvent(now, event) && !onUpstreamEvent(now, event)) {
             onProcessEvent(now, event, actions);
         }
@@ -202,7 +202,7 @@
             message.unknownOutcomeEndpoint = registry.endpoint(event.unknownOutcomeEndpoint());
         }
         if (event.attemptInterrupted()) {
-            keyOrdering.pauseBehind(now, message);
+            keyOrdering.pauseAfter(now, message);
         }
         messages.enqueue(now, message);
     }
@@ -259,7 +259,7 @@
         for (PendingMessage message : pending.expired(now, settings.limits().maxAttempts())) {
             messages.answer(now, message, waitPrediction.micros(now, message), actions);
         }
-        timer.request(expiry.nextAt(now));
+        timer.request(expiry.nextExpiryAt(now));
     }
 
     // ---- What others may ask. ----
--- a/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
@@ -65,14 +65,14 @@
         if (event.retryAfterMicros() > 0) {
             health.retryAfterUntil = Math.max(health.retryAfterUntil, now + event.retryAfterMicros() + 1);
         }
-        if (!call.outcomeLearned) {
-            call.outcomeLearned = true;
+        if (!call.outcomeRecorded) {
+            call.outcomeRecorded = true;
             learn(now, message, call, event);
         }
         health.served.add(now, event.outcome() == AttemptOutcome.OK ? 1 : 0);
         messages.enqueue(now, message);
         messages.removeIfCompleted(now, message);
-        pending.recountAndWake(now, call.endpoint.destination);
+        pending.updateEstimatesAndWake(now, call.endpoint.destination);
     }
 
     private void updateMessage(long now, PendingMessage message, UpstreamCall call, AttemptCompleted event) {
@@ -80,7 +80,7 @@
         if (outcome.mayHaveRun()) {
             RetryPolicy.recordUnknownOutcome(message, call);
             if (outcome != AttemptOutcome.OK && outcome != AttemptOutcome.ERROR) {
-                keyOrdering.pauseBehind(now, message);
+                keyOrdering.pauseAfter(now, message);
             }
         }
         message.timeouts += outcome == AttemptOutcome.TIMEOUT ? 1 : 0;
--- a/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
+++ b/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
@@ -11,7 +11,7 @@
 final class BacklogEstimate {
     /** Sums are computed anew after so many changes, so that rounding errors do not add up. */
     private static final int CHANGES_BEFORE_RECOMPUTATION = 1 << 16;
-    /** {@link DispatchQueue#countedServiceMicros} of messages whose service time is not known. */
+    /** {@link DispatchQueue#backlogSteadyMicros} of messages whose service time is not known. */
     private static final double NOT_MEASURED = -1;
 
     /** All waiting messages of one priority weight. */
@@ -28,17 +28,17 @@
 
         /** Adds a queue as it is counted, or takes it away with a {@code sign} of -1. */
         void add(long now, DispatchQueue queue, int sign) {
-            int messages = sign * queue.countedMessages;
-            if (queue.countedServiceMicros < 0) {
+            int messages = sign * queue.backlogMessages;
+            if (queue.backlogSteadyMicros < 0) {
                 unmeasuredMessages += messages;
                 objectivesMicros += messages * (double) queue.messageClass.latencyObjectiveMicros();
                 return;
             }
-            double decayingMicros = messages * queue.countedDecayingMicros;
-            if (queue.countedAt != now) {
-                decayingMicros *= measuredMicros.factor(queue.countedAt, now);
+            double decayingMicros = messages * queue.backlogDecayingMicros;
+            if (queue.backlogUpdatedAt != now) {
+                decayingMicros *= measuredMicros.decayFactor(queue.backlogUpdatedAt, now);
             }
-            measuredMicros.add(now, messages * queue.countedServiceMicros, decayingMicros);
+            measuredMicros.add(now, messages * queue.backlogSteadyMicros, decayingMicros);
         }
     }
 
@@ -60,17 +60,17 @@
     void recount(long now, DispatchQueue queue, double steadyMicros, double decayingMicros) {
         Destination destination = queue.destination;
         Sums sums = sumsByWeight.get(queue.priorityWeight);
-        if (queue.countedMessages > 0 && sums != null) {
+        if (queue.backlogMessages > 0 && sums != null) {
             sums.add(now, queue, -1);
         }
-        queue.countedMessages = queue.messages.size();
-        queue.countedServiceMicros = destination.serviceMeasured ? steadyMicros : NOT_MEASURED;
-        queue.countedDecayingMicros = decayingMicros;
-        queue.countedAt = now;
+        queue.backlogMessages = queue.messages.size();
+        queue.backlogSteadyMicros = destination.serviceMeasured ? steadyMicros : NOT_MEASURED;
+        queue.backlogDecayingMicros = decayingMicros;
+        queue.backlogUpdatedAt = now;
         queue.logGain = destination.serviceMeasured
                 ? Math.log(queue.priorityWeight * destination.successProbability / steadyMicros)
                 : 0;
-        if (queue.countedMessages > 0) {
+        if (queue.backlogMessages > 0) {
             if (sums == null) {
                 sums = sumsByWeight.computeIfAbsent(queue.priorityWeight, weight -> new Sums());
             }
--- a/decisions/src/main/java/amberroute/decisions/CallsInFlight.java
+++ b/decisions/src/main/java/amberroute/decisions/CallsInFlight.java
@@ -66,19 +66,19 @@
     /** Adds a message to a call that has room. */
     void add(long now, PendingMessage message, UpstreamCall call) {
         call.shortOfTime |= attemptTimeout.isShortOfTime(now, message);
-        call.outstanding++;
+        call.outstandingMessages++;
         call.messages.add(message);
         call.nonIdempotent |= message.messageClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         message.destination.fleetRateLimit.charge();
         message.attempts++;
         message.call = call;
         pending.remove(message);
-        pending.recount(now, message.destination);
+        pending.updateEstimates(now, message.destination);
     }
 
     /** One message of a call has its outcome; ends the call with the last of them. */
     void recordOutcome(long now, UpstreamCall call, Actions actions) {
-        if (--call.outstanding > 0) {
+        if (--call.outstandingMessages > 0) {
             return;
         }
         Endpoint endpoint = call.endpoint;
--- a/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
+++ b/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
@@ -51,7 +51,7 @@
         Endpoint endpoint = call.endpoint;
         endpoint.failureRatio += UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * (1 - endpoint.failureRatio);
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
-            endpoint.connections = 0;
+            endpoint.openConnections = 0;
         }
         endpoint.consecutiveFailures++;
         if (wasTrial) {
--- a/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
@@ -45,7 +45,7 @@
     /** Whether a call to the endpoint would find a connection to reuse. */
     boolean hasWarmConnection(long now, Endpoint endpoint) {
         return (endpoint.callsInFlight > 0 || now - endpoint.lastUsedAt < trustedIdleMicros)
-                && endpoint.callsInFlight < endpoint.connections * callsPerConnection();
+                && endpoint.callsInFlight < endpoint.openConnections * callsPerConnection();
     }
 
     private int callsPerConnection() {
@@ -60,9 +60,10 @@
             if (!idleReported) {
                 closeIfIdleLonger(endpoint, trustedIdleMicros, actions);
             }
-            call.connectionIdleMicros = endpoint.connections > 0 ? endpoint.idleGapMicros : 0;
+            call.connectionIdleMicros = endpoint.openConnections > 0 ? endpoint.idleGapMicros : 0;
         }
-        endpoint.connections = Math.max(endpoint.connections, 1 + endpoint.callsInFlight / callsPerConnection());
+        endpoint.openConnections =
+                Math.max(endpoint.openConnections, 1 + endpoint.callsInFlight / callsPerConnection());
     }
 
     /** To be called when an endpoint's last call has ended. */
@@ -74,8 +75,8 @@
     }
 
     private static void closeIfIdleLonger(Endpoint endpoint, double longestMicros, Actions actions) {
-        if (endpoint.connections > 0 && endpoint.idleGapMicros > longestMicros) {
-            endpoint.connections = 0;
+        if (endpoint.openConnections > 0 && endpoint.idleGapMicros > longestMicros) {
+            endpoint.openConnections = 0;
             actions.closeIdle(endpoint.id);
         }
     }
--- a/decisions/src/main/java/amberroute/decisions/CurrentSettings.java
+++ b/decisions/src/main/java/amberroute/decisions/CurrentSettings.java
@@ -26,7 +26,7 @@
      * @throws IllegalArgumentException if one is out of range
      */
     void replace(Settings replacement) {
-        check(replacement);
+        validate(replacement);
         settings = replacement;
         longestDeadlineMicros = 0;
         highestPriorityWeight = 0;
@@ -36,7 +36,7 @@
         }
     }
 
-    private static void check(Settings settings) {
+    private static void validate(Settings settings) {
         Limits limits = settings.limits();
         Rules rules = settings.rules();
         require(settings.senderCount() > 0 && !settings.classes().isEmpty(), "senders or classes");
@@ -49,8 +49,8 @@
         }
     }
 
-    private static void require(boolean holds, String setting) {
-        if (!holds) {
+    private static void require(boolean inRange, String setting) {
+        if (!inRange) {
             throw new IllegalArgumentException("setting " + setting + " is out of range");
         }
     }
--- a/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -171,7 +171,7 @@
     /** Positions of the share of an allowance left (0 to 1) and of a limit (calls a second) in a load report; -1 for none. */
     record ReportFields(int allowanceLeft, int limit) {
         /** Whether a report has both. */
-        boolean in(List<Double> report) {
+        boolean presentIn(List<Double> report) {
             return allowanceLeft >= 0 && limit >= 0 && Math.max(allowanceLeft, limit) < report.size();
         }
     }
@@ -204,7 +204,7 @@
             ReportFields reportFields) {
 
         /** The same with other classes. */
-        public Settings withClasses(List<MessageClass> others) {
+        public Settings withClasses(List<MessageClass> newClasses) {
             return new Settings(
                     seed,
                     senderCount,
@@ -214,7 +214,7 @@
                     overQuotaWeightFactor,
                     lateValueDecay,
                     weightKind,
-                    others,
+                    newClasses,
                     tenants,
                     kinds,
                     limits,
@@ -413,7 +413,7 @@
                     long endpoint,
                     AttemptOutcome outcome,
                     long durationMicros,
-                    boolean connectionClosed,
+                    boolean messageCompleted,
                     long retryAfterMicros,
                     List<Double> loadReport) {
                 this(
@@ -422,7 +422,7 @@
                         endpoint,
                         outcome,
                         durationMicros,
-                        connectionClosed,
+                        messageCompleted,
                         retryAfterMicros,
                         loadReport,
                         -1);
@@ -481,7 +481,7 @@
         void closeIdle(long endpoint);
 
         /** Non-idempotent messages must not use connections that were idle for longer; callers without a pool ignore it. */
-        default void limitIdleReuse(long longestMicros) {}
+        default void limitIdleReuse(long maxIdleMicros) {}
 
         /** Replaces the checkpoint of the same upstream; callers without a lasting store ignore it. */
         default void saveCheckpoint(HealthCheckpoint checkpoint) {}
--- a/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
@@ -14,9 +14,9 @@
  */
 final class DispatchCandidates {
     /** Queues beyond the number of free slots that a round puts in order at first. */
-    private static final int ORDERED_BEYOND_FREE_SLOTS = 16;
+    private static final int EXTRA_ORDERED_QUEUES = 16;
     /** The reference time of decaying values moves on after so many spans: doubles reach some 700. */
-    private static final int SPANS_PER_DECAY_REFERENCE = 50;
+    private static final int MAX_REFERENCE_AGE_DECAY_SPANS = 50;
     /** Added to the logarithm of a bound, so that rounding never makes it too low. */
     private static final double BOUND_MARGIN = 1e-9;
     /** Times worked out from rates are rounded: a sleep ends so much earlier than it has to. */
@@ -38,11 +38,11 @@
     private long decayReference;
 
     private double[] bounds = new double[INITIAL_CAPACITY];
-    private int[] highest = new int[INITIAL_CAPACITY];
+    private int[] highestPositions = new int[INITIAL_CAPACITY];
     private final MaxHeap<DispatchQueue> heap = new MaxHeap<>();
     private long round;
     /** The highest bound of those that this round has left out so far. */
-    private double highestOmitted;
+    private double highestOmittedBound;
 
     DispatchCandidates(ServiceTimes serviceTimes) {
         this.serviceTimes = serviceTimes;
@@ -92,12 +92,12 @@
         if (position < 0) {
             return;
         }
-        decaySinceReference(queue.countedAt);
+        decaySinceReference(queue.backlogUpdatedAt);
         logGains[position] = queue.destination.serviceMeasured ? queue.logGain : Double.NaN;
-        decayingRatios[position] = queue.countedDecayingMicros > 0
-                ? queue.countedDecayingMicros
-                        / queue.countedServiceMicros
-                        * Math.exp((queue.countedAt - decayReference) / ServiceTimes.DECAY_SPAN_MICROS)
+        decayingRatios[position] = queue.backlogDecayingMicros > 0
+                ? queue.backlogDecayingMicros
+                        / queue.backlogSteadyMicros
+                        * Math.exp((queue.backlogUpdatedAt - decayReference) / ServiceTimes.DECAY_SPAN_MICROS)
                 : 0;
         earliestDues[position] = queue.earliestReadyDue;
     }
@@ -140,7 +140,7 @@
     /** When the next sleep is over, NEVER for none. */
     long nextWakeAt() {
         IndexedTimerHeap.Entry<Destination> timer = wakeTimers.peek();
-        return timer == null ? Micros.NEVER : timer.at() + WAKE_MARGIN_MICROS;
+        return timer == null ? Micros.NEVER : timer.dueAt() + WAKE_MARGIN_MICROS;
     }
 
     // ---- A selection round. ----
@@ -149,133 +149,133 @@
      * Begins a round; {@link #next} gives its queues. Where few slots are free most queues need not be put in order: only some
      * with the highest bounds are, and the others once those do not suffice.
      *
-     * @param pressureSpanMicros the span of the index by which urgency grows
+     * @param lookaheadMicros the span of the index by which urgency grows
      */
-    void beginRound(long now, double pressureSpanMicros, int freeSlots) {
+    void beginRound(long now, double lookaheadMicros, int freeSlots) {
         round++;
         heap.clear();
-        int ordered = ORDERED_BEYOND_FREE_SLOTS + freeSlots;
-        if (size <= ordered) {
-            offerAll(now, pressureSpanMicros);
+        int orderedCount = EXTRA_ORDERED_QUEUES + freeSlots;
+        if (size <= orderedCount) {
+            offerAll(now, lookaheadMicros);
         } else {
-            offerHighest(now, pressureSpanMicros, ordered);
+            offerHighest(now, lookaheadMicros, orderedCount);
         }
     }
 
-    private void offerHighest(long now, double pressureSpanMicros, int count) {
-        double decay = decaySinceReference(now);
+    private void offerHighest(long now, double lookaheadMicros, int count) {
+        double decayFactor = decaySinceReference(now);
         bounds = bounds.length < size ? new double[queues.length] : bounds;
-        highest = highest.length < count ? new int[count] : highest;
-        int lowest = 0;
-        highestOmitted = Double.NEGATIVE_INFINITY;
+        highestPositions = highestPositions.length < count ? new int[count] : highestPositions;
+        int lowestEntry = 0;
+        highestOmittedBound = Double.NEGATIVE_INFINITY;
         for (int i = 0; i < size; i++) {
-            double bound = bound(i, now, pressureSpanMicros, decay);
+            double bound = bound(i, now, lookaheadMicros, decayFactor);
             bounds[i] = bound;
             if (i < count) {
-                highest[i] = i;
-                lowest = bound < bounds[highest[lowest]] ? i : lowest;
-            } else if (bound > bounds[highest[lowest]]) {
-                highestOmitted = Math.max(highestOmitted, bounds[highest[lowest]]);
-                highest[lowest] = i;
-                lowest = lowestOfHighest(count, lowest);
+                highestPositions[i] = i;
+                lowestEntry = bound < bounds[highestPositions[lowestEntry]] ? i : lowestEntry;
+            } else if (bound > bounds[highestPositions[lowestEntry]]) {
+                highestOmittedBound = Math.max(highestOmittedBound, bounds[highestPositions[lowestEntry]]);
+                highestPositions[lowestEntry] = i;
+                lowestEntry = lowestOfHighestEntries(count, lowestEntry);
             } else {
-                highestOmitted = Math.max(highestOmitted, bound);
+                highestOmittedBound = Math.max(highestOmittedBound, bound);
             }
         }
         for (int i = 0; i < count; i++) {
-            offer(queues[highest[i]], bounds[highest[i]]);
+            offer(queues[highestPositions[i]], bounds[highestPositions[i]]);
         }
     }
 
-    private int lowestOfHighest(int count, int start) {
-        int lowest = start;
+    private int lowestOfHighestEntries(int count, int start) {
+        int lowestEntry = start;
         for (int i = 0; i < count; i++) {
-            lowest = bounds[highest[i]] < bounds[highest[lowest]] ? i : lowest;
+            lowestEntry = bounds[highestPositions[i]] < bounds[highestPositions[lowestEntry]] ? i : lowestEntry;
         }
-        return lowest;
+        return lowestEntry;
     }
 
-    private void offerAll(long now, double pressureSpanMicros) {
-        highestOmitted = Double.NEGATIVE_INFINITY;
-        double decay = decaySinceReference(now);
+    private void offerAll(long now, double lookaheadMicros) {
+        highestOmittedBound = Double.NEGATIVE_INFINITY;
+        double decayFactor = decaySinceReference(now);
         for (int i = 0; i < size; i++) {
-            offer(queues[i], bound(i, now, pressureSpanMicros, decay));
+            offer(queues[i], bound(i, now, lookaheadMicros, decayFactor));
         }
     }
 
     private void offer(DispatchQueue queue, double bound) {
-        if (queue.selectionRound != round) {
-            queue.selectionRound = round;
-            queue.iterating = false;
+        if (queue.lastSelectionRound != round) {
+            queue.lastSelectionRound = round;
+            queue.iteratorStarted = false;
             heap.add(queue, bound, 0);
         }
     }
 
     /** The next queue of the round, null for none; the first time by its bound alone, then by its iterator. */
-    DispatchQueue next(long now, double pressureSpanMicros) {
-        if (highestOmitted > Double.NEGATIVE_INFINITY && (heap.isEmpty() || heap.key() <= highestOmitted)) {
-            offerAll(now, pressureSpanMicros);
+    DispatchQueue next(long now, double lookaheadMicros) {
+        if (highestOmittedBound > Double.NEGATIVE_INFINITY && (heap.isEmpty() || heap.key() <= highestOmittedBound)) {
+            offerAll(now, lookaheadMicros);
         }
         return heap.isEmpty() ? null : heap.pop();
     }
 
     /** Puts a queue back by the message that its iterator is at. */
     void putBack(DispatchQueue queue) {
-        heap.push(queue, queue.iterator.index(), queue.iterator.here().number);
+        heap.push(queue, queue.iterator.index(), queue.iterator.current().sequenceNumber);
     }
 
     // ---- Bounds of the index, as logarithms. ----
 
     /** No message of the queue that is due then or later has a higher index. */
-    double bound(long now, DispatchQueue queue, long due, double pressureSpanMicros) {
+    double bound(long now, DispatchQueue queue, long due, double lookaheadMicros) {
         double logGain = queue.destination.serviceMeasured
                 ? queue.logGain
                 : Math.log(queue.priorityWeight
                         * queue.destination.successProbability
                         / serviceTimes.expectedMicros(now, queue));
-        return logGain - Math.max(due - now, 0) / pressureSpanMicros + BOUND_MARGIN;
+        return logGain - Math.max(due - now, 0) / lookaheadMicros + BOUND_MARGIN;
     }
 
     /** No waiting message of the queue has a lower index. */
-    double lowerBound(long now, DispatchQueue queue, double pressureSpanMicros) {
+    double lowerBound(long now, DispatchQueue queue, double lookaheadMicros) {
         Destination destination = queue.destination;
-        double longestMicros = Math.max(destination.serviceMicros, serviceTimes.expectedMicros(now, queue));
+        double maxServiceMicros = Math.max(destination.serviceMicros, serviceTimes.expectedMicros(now, queue));
         return Math.log(queue.priorityWeight
                         * destination.successProbability
                         * Math.min(1, queue.messageClass.lateValueShare())
-                        / longestMicros)
+                        / maxServiceMicros)
                 - BOUND_MARGIN
-                - Math.max(queue.latestDue - now, 0) / pressureSpanMicros;
+                - Math.max(queue.latestDue - now, 0) / lookaheadMicros;
     }
 
     /** As {@link #bound(long, DispatchQueue, long, double)} but closer: by the service time that it has now. */
-    private double bound(int position, long now, double pressureSpanMicros, double decay) {
+    private double bound(int position, long now, double lookaheadMicros, double decayFactor) {
         double logGain = logGains[position];
         long due = earliestDues[position];
         if (Double.isNaN(logGain)) {
-            return bound(now, queues[position], due, pressureSpanMicros);
+            return bound(now, queues[position], due, lookaheadMicros);
         }
         return logGain
-                - logAtLeast(1 + decayingRatios[position] * decay)
-                - Math.max(due - now, 0) / pressureSpanMicros
+                - logLowerBound(1 + decayingRatios[position] * decayFactor)
+                - Math.max(due - now, 0) / lookaheadMicros
                 + BOUND_MARGIN;
     }
 
     /** What is left now of what there was at the reference time, which moves on before doubles underflow. */
     private double decaySinceReference(long now) {
-        double decay = Math.exp((decayReference - now) / ServiceTimes.DECAY_SPAN_MICROS);
-        if (now - decayReference > SPANS_PER_DECAY_REFERENCE * ServiceTimes.DECAY_SPAN_MICROS) {
+        double decayFactor = Math.exp((decayReference - now) / ServiceTimes.DECAY_SPAN_MICROS);
+        if (now - decayReference > MAX_REFERENCE_AGE_DECAY_SPANS * ServiceTimes.DECAY_SPAN_MICROS) {
             for (int i = 0; i < size; i++) {
-                decayingRatios[i] *= decay;
+                decayingRatios[i] *= decayFactor;
             }
             decayReference = now;
             return 1;
         }
-        return decay;
+        return decayFactor;
     }
 
     /** A lower bound on the logarithm of a number of at least 1, too low by 0.0009 at most, at a fraction of its cost. */
-    static double logAtLeast(double value) {
+    static double logLowerBound(double value) {
         long bits = Double.doubleToRawLongBits(value);
         double mantissa = Double.longBitsToDouble(bits & 0xfffffffffffffL | 0x3ff0000000000000L);
         return ((bits >> 52) - 1_023) * LN_2 + 3 * (mantissa * mantissa - 1) / (mantissa * mantissa + 4 * mantissa + 1);
--- a/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
@@ -10,7 +10,7 @@
  */
 final class DispatchIndex {
     /** k of the index: how many mean service times ahead of its due date a message becomes urgent. */
-    private static final double PRESSURE_SPAN_SERVICE_TIMES = 25;
+    private static final double LOOKAHEAD_SERVICE_TIMES = 25;
     /** Least mean service time, so that the index is defined while nothing waits. */
     private static final double MIN_MEAN_SERVICE_MICROS = 1;
 
@@ -41,75 +41,77 @@
     /** Takes the mean service time of what waits now: the same for a whole decision. */
     void updateMeanServiceTime(long now) {
         double totalMicros = backlog.micros(now, Double.NEGATIVE_INFINITY);
-        meanServiceMicros = Math.max(MIN_MEAN_SERVICE_MICROS, totalMicros / Math.max(1, pending.waiting()));
+        meanServiceMicros = Math.max(MIN_MEAN_SERVICE_MICROS, totalMicros / Math.max(1, pending.waitingCount()));
     }
 
     /** The span by which a message's pressure grows as its due date comes nearer. */
-    double pressureSpanMicros() {
-        return PRESSURE_SPAN_SERVICE_TIMES * meanServiceMicros;
+    double lookaheadMicros() {
+        return LOOKAHEAD_SERVICE_TIMES * meanServiceMicros;
     }
 
     /**
      * Prepares the index of a queue's messages, cut into stretches of due dates in which it only rises or only falls and whose
      * messages fail for the same reasons.
      */
-    AtcIndex prepare(long now, DispatchQueue queue, AtcIndex into) {
-        into.set(
+    AtcIndex prepare(long now, DispatchQueue queue, AtcIndex target) {
+        target.set(
                 queue.priorityWeight,
                 queue.destination.successProbability,
                 serviceTimes.expectedMicros(now, queue),
                 now,
-                pressureSpanMicros(),
+                lookaheadMicros(),
                 queue.messageClass.latencyObjectiveMicros(),
                 queue.messageClass.deadlineMicros(),
                 queue.messageClass.lateValueShare(),
                 settings.get().lateValueDecay() == LateValueDecay.HALVING);
-        into.divide(
+        target.divide(
                 queue.earliestDue,
                 attemptTimeout.ampleTimeDue(now, queue.destination, queue.messageClass),
                 DispatchRisk.riskAcceptedDue(now, queue.messageClass));
-        return into;
+        return target;
     }
 
     /** The index of a message that waits. */
-    double of(long now, PendingMessage message) {
+    double indexFor(long now, PendingMessage message) {
         return prepare(now, message.queue, scratch).index(message.due);
     }
 
     /** How many messages of a queue have an index that is no less. */
     int countAtLeast(long now, DispatchQueue queue, double index) {
-        return queue.isEmpty() || candidates.bound(now, queue, queue.earliestDue, pressureSpanMicros()) < index
+        return queue.isEmpty() || candidates.bound(now, queue, queue.earliestDue, lookaheadMicros()) < index
                 ? 0
                 : prepare(now, queue, scratch).countAtLeast(queue.messages, index);
     }
 
     /** The service times of all messages with less priority weight whose index is no less. */
-    double microsAhead(long now, double weight, double index) {
-        double sum = 0;
+    double serviceMicrosAhead(long now, double weight, double index) {
+        double totalMicros = 0;
         if (backlog.anyBelow(weight)) {
             for (DispatchQueue queue : pending.nonEmptyQueues()) {
-                int messages = queue.priorityWeight < weight ? countAtLeast(now, queue, index) : 0;
-                sum += messages > 0 ? messages * serviceTimes.expectedMicros(now, queue) : 0;
+                int messagesAhead = queue.priorityWeight < weight ? countAtLeast(now, queue, index) : 0;
+                totalMicros += messagesAhead > 0 ? messagesAhead * serviceTimes.expectedMicros(now, queue) : 0;
             }
         }
-        return sum;
+        return totalMicros;
     }
 
     /** The waiting message with the least index, null for none; queues whose bound excludes it are not searched. */
-    PendingMessage least(long now) {
-        PendingMessage least = null;
-        double leastIndex = 0;
+    PendingMessage lowestIndexMessage(long now) {
+        PendingMessage lowest = null;
+        double lowestIndex = 0;
         for (DispatchQueue queue : pending.nonEmptyQueues()) {
-            double bound = candidates.lowerBound(now, queue, pressureSpanMicros());
-            if (least == null || bound <= leastIndex) {
-                PendingMessage message = prepare(now, queue, scratch).least(queue.messages);
+            double lowerBound = candidates.lowerBound(now, queue, lookaheadMicros());
+            if (lowest == null || lowerBound <= lowestIndex) {
+                PendingMessage message = prepare(now, queue, scratch).lowestIndexMessage(queue.messages);
                 double index = scratch.index(message.due);
-                if (least == null || index < leastIndex || index == leastIndex && message.number < least.number) {
-                    least = message;
-                    leastIndex = index;
+                if (lowest == null
+                        || index < lowestIndex
+                        || index == lowestIndex && message.sequenceNumber < lowest.sequenceNumber) {
+                    lowest = message;
+                    lowestIndex = index;
                 }
             }
         }
-        return least;
+        return lowest;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/DispatchQueue.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchQueue.java
@@ -24,24 +24,24 @@
     long latestDue;
 
     /** How many of its messages the backlog's sums contain. */
-    int countedMessages;
+    int backlogMessages;
     /** Service time that each is counted with: the part that stays, negative while none was measured. */
-    double countedServiceMicros;
-    /** Service time that each is counted with: the part that decays, as of {@link #countedAt}. */
-    double countedDecayingMicros;
+    double backlogSteadyMicros;
+    /** Service time that each is counted with: the part that decays, as of {@link #backlogUpdatedAt}. */
+    double backlogDecayingMicros;
 
-    long countedAt;
+    long backlogUpdatedAt;
     /** Logarithm of weight times success probability over the least service time; no message has a higher index. */
     double logGain;
 
     /** Position in the list of queues that are not empty; -1 for none. */
-    int position = -1;
+    int nonEmptyPosition = -1;
     /** Position among the queues that may have something to send; -1 for none. */
     int candidatePosition = -1;
     /** The last selection round that considered it. */
-    long selectionRound;
+    long lastSelectionRound;
     /** Whether its iterator has been started in that round. */
-    boolean iterating;
+    boolean iteratorStarted;
 
     DispatchQueue(Destination destination, MessageClass messageClass, double priorityWeight) {
         this.destination = destination;
--- a/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
@@ -29,8 +29,8 @@
 
     /** Whether a message may be sent to an upstream in a selection round. */
     boolean permits(long now, long round, PendingMessage message, UpstreamHealth health) {
-        boolean late = message.due - now < RISK_ACCEPTED_DEADLINE_RATIO * message.messageClass.deadlineMicros();
-        return !health.isUnproven() && (health.failureRatio < DOUBTFUL_FAILURE_RATIO || late)
+        boolean nearDeadline = message.due - now < RISK_ACCEPTED_DEADLINE_RATIO * message.messageClass.deadlineMicros();
+        return !health.isUnproven() && (health.failureRatio < DOUBTFUL_FAILURE_RATIO || nearDeadline)
                 || riskOf(message.messageClass, attemptTimeout.isShortOfTime(now, message))
                         <= leastRisk(now, round, message.destination);
     }
--- a/decisions/src/main/java/amberroute/decisions/DispatchSelector.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchSelector.java
@@ -15,7 +15,7 @@
     private final DispatchCandidates candidates;
     private final DispatchIndex index;
     private final CallsInFlight calls;
-    private final EndpointSelector endpoints;
+    private final EndpointSelector endpointSelector;
     private final DispatchRisk risk;
     private final ShutdownPolicy shutdownPolicy;
     private final AttemptTimeout attemptTimeout;
@@ -23,7 +23,7 @@
     private long round;
 
     /** Calls that this round has started. */
-    private final List<UpstreamCall> started = new ArrayList<>();
+    private final List<UpstreamCall> startedCalls = new ArrayList<>();
     /** Calls of this round that have room for more messages. */
     private int openCalls;
 
@@ -32,7 +32,7 @@
             DispatchCandidates candidates,
             DispatchIndex index,
             CallsInFlight calls,
-            EndpointSelector endpoints,
+            EndpointSelector endpointSelector,
             DispatchRisk risk,
             ShutdownPolicy shutdownPolicy,
             AttemptTimeout attemptTimeout) {
@@ -40,7 +40,7 @@
         this.candidates = candidates;
         this.index = index;
         this.calls = calls;
-        this.endpoints = endpoints;
+        this.endpointSelector = endpointSelector;
         this.risk = risk;
         this.shutdownPolicy = shutdownPolicy;
         this.attemptTimeout = attemptTimeout;
@@ -48,16 +48,16 @@
 
     /** Sends what may go now, and requests a wake-up for what may go later. */
     void dispatch(long now, WakeupTimer timer, Actions actions) {
-        pending.advance(now);
+        pending.resumeDue(now);
         round++;
         if (calls.freeSlots() > 0) {
             fillSlots(now, actions);
-            for (UpstreamCall call : started) {
+            for (UpstreamCall call : startedCalls) {
                 send(now, call, actions);
             }
-            started.clear();
+            startedCalls.clear();
         }
-        timer.request(pending.nextAdvanceAt());
+        timer.request(pending.nextResumeAt());
     }
 
     private void send(long now, UpstreamCall call, Actions actions) {
@@ -68,11 +68,11 @@
     }
 
     private void fillSlots(long now, Actions actions) {
-        double pressureSpanMicros = index.pressureSpanMicros();
-        candidates.beginRound(now, pressureSpanMicros, calls.freeSlots());
+        double lookaheadMicros = index.lookaheadMicros();
+        candidates.beginRound(now, lookaheadMicros, calls.freeSlots());
         openCalls = 0;
         while (calls.freeSlots() > 0 || openCalls > 0) {
-            DispatchQueue queue = candidates.next(now, pressureSpanMicros);
+            DispatchQueue queue = candidates.next(now, lookaheadMicros);
             if (queue == null) {
                 return;
             }
@@ -93,35 +93,37 @@
 
     /** Begins a queue's iterator, or sends its message and goes on; false where nothing more of the queue may go. */
     private boolean advance(long now, DispatchQueue queue, Actions actions) {
-        if (!queue.iterating) {
-            queue.iterating = true;
-            index.prepare(now, queue, queue.iterator.shape());
+        if (!queue.iteratorStarted) {
+            queue.iteratorStarted = true;
+            index.prepare(now, queue, queue.iterator.atcIndex());
             return queue.iterator.begin();
         }
-        PendingMessage message = queue.iterator.here();
+        PendingMessage message = queue.iterator.current();
         boolean dispatched = dispatch(now, message, actions);
         return dispatched || !RetryPolicy.repeatableAnywhere(message)
                 ? queue.iterator.advance()
-                : queue.iterator.skip();
+                : queue.iterator.skipInterval();
     }
 
     /** Adds a message to the open call of its destination, or starts a call with it; false where neither is possible. */
     private boolean dispatch(long now, PendingMessage message, Actions actions) {
         Destination destination = message.destination;
-        UpstreamCall open = openCall(destination);
-        UpstreamCall call = open;
-        if (open == null || destination.fleetRateLimit.opensAt(now) > now || !mayJoin(now, message, open)) {
-            Endpoint endpoint = calls.freeSlots() > 0 ? endpoints.select(now, round, message) : null;
+        UpstreamCall existingCall = openCall(destination);
+        UpstreamCall call = existingCall;
+        if (existingCall == null
+                || destination.fleetRateLimit.opensAt(now) > now
+                || !mayJoin(now, message, existingCall)) {
+            Endpoint endpoint = calls.freeSlots() > 0 ? endpointSelector.select(now, round, message) : null;
             if (endpoint == null) {
                 return false;
             }
             call = calls.start(now, endpoint, actions);
             destination.openCall = call;
             destination.openCallRound = round;
-            started.add(call);
+            startedCalls.add(call);
         }
         calls.add(now, message, call);
-        openCalls += (call.hasRoom() ? 1 : 0) - (open != null ? 1 : 0);
+        openCalls += (call.hasRoom() ? 1 : 0) - (existingCall != null ? 1 : 0);
         return true;
     }
 
--- a/decisions/src/main/java/amberroute/decisions/Endpoint.java
+++ b/decisions/src/main/java/amberroute/decisions/Endpoint.java
@@ -17,7 +17,7 @@
     EndpointState state;
     int callsInFlight;
     /** Connections that the caller is taken to hold open. */
-    int connections;
+    int openConnections;
 
     long lastUsedAt = LONG_AGO;
     /** Time between the last two periods of use. */
--- a/decisions/src/main/java/amberroute/decisions/EndpointRegistry.java
+++ b/decisions/src/main/java/amberroute/decisions/EndpointRegistry.java
@@ -58,11 +58,11 @@
     }
 
     /** The destination with this number, which need not be listed. */
-    Destination destination(int number) {
-        Destination destination = destinations.get(number);
+    Destination destination(int id) {
+        Destination destination = destinations.get(id);
         if (destination == null) {
-            destination = new Destination(new UpstreamHealth(number, 0));
-            destinations.put(number, destination);
+            destination = new Destination(new UpstreamHealth(id, 0));
+            destinations.put(id, destination);
         }
         return destination;
     }
@@ -113,9 +113,9 @@
     /** Takes note of a list, of its changes, or of a failed subscription. */
     void update(long now, EndpointListUpdated event) {
         if (event.kind() == EndpointListKind.FAILED) {
-            long delay = RESUBSCRIBE_DELAY_MICROS << Math.min(failedSubscriptions++, MAX_RESUBSCRIBE_DOUBLINGS);
-            long longest = settings.rules().discoveryDeadlineMicros() / RESUBSCRIBES_PER_DISCOVERY_DEADLINE;
-            subscribeAt = now + backoff.jitter(Math.min(delay, longest));
+            long delayMicros = RESUBSCRIBE_DELAY_MICROS << Math.min(failedSubscriptions++, MAX_RESUBSCRIBE_DOUBLINGS);
+            long maxDelayMicros = settings.rules().discoveryDeadlineMicros() / RESUBSCRIBES_PER_DISCOVERY_DEADLINE;
+            subscribeAt = now + backoff.jitter(Math.min(delayMicros, maxDelayMicros));
             return;
         }
         failedSubscriptions = event.kind() == EndpointListKind.CACHED ? failedSubscriptions : 0;
@@ -124,12 +124,12 @@
             updated.addAll(endpoints.values());
         }
         destinations.values().forEach(destination -> serviceTimes.decay(now, destination));
-        updated.forEach(known -> known.state = EndpointState.GONE);
+        updated.forEach(endpoint -> endpoint.state = EndpointState.GONE);
         event.entries().forEach(entry -> updated.add(update(entry)));
         updated.forEach(this::removeIfGone);
         Set<Destination> changed = new LinkedHashSet<>();
         updated.forEach(endpoint -> changed.add(endpoint.destination));
-        changed.forEach(destination -> pending.recountAndWake(now, destination));
+        changed.forEach(destination -> pending.updateEstimatesAndWake(now, destination));
     }
 
     /** Removes an endpoint that is not listed any more and has no call in flight. */
--- a/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
@@ -46,14 +46,14 @@
     Endpoint select(long now, long round, PendingMessage message) {
         Endpoint best = null;
         double bestCost = Double.POSITIVE_INFINITY;
-        long opensAt = Micros.NEVER;
+        long earliestAvailableAt = Micros.NEVER;
         for (Endpoint endpoint : message.destination.endpoints) {
             if (!endpoint.isReady() || !isSuitable(now, round, message, endpoint)) {
                 continue;
             }
-            long at = opensAt(now, endpoint);
-            if (at > now) {
-                opensAt = Math.min(opensAt, at);
+            long endpointAvailableAt = availableAt(now, endpoint);
+            if (endpointAvailableAt > now) {
+                earliestAvailableAt = Math.min(earliestAvailableAt, endpointAvailableAt);
                 continue;
             }
             double cost = cost(now, message, endpoint);
@@ -63,8 +63,8 @@
             }
         }
         if (best == null) {
-            timer.request(opensAt);
-            blockIfClosed(now, round, message.destination);
+            timer.request(earliestAvailableAt);
+            blockIfUnavailable(now, round, message.destination);
         }
         return best;
     }
@@ -76,37 +76,37 @@
                 && shutdownPolicy.permits(now, message, endpoint.health);
     }
 
-    private long opensAt(long now, Endpoint endpoint) {
+    private long availableAt(long now, Endpoint endpoint) {
         return Math.max(gate.opensAt(now, endpoint.health), endpoint.destination.fleetRateLimit.opensAt(now));
     }
 
     /** Where no endpoint takes calls now, the destination is left out until that may change. */
-    private void blockIfClosed(long now, long round, Destination destination) {
-        long until = Micros.NEVER;
+    private void blockIfUnavailable(long now, long round, Destination destination) {
+        long sleepUntil = Micros.NEVER;
         for (Endpoint endpoint : destination.endpoints) {
             if (endpoint.isReady()) {
-                long at = opensAt(now, endpoint);
-                if (at <= now) {
+                long endpointAvailableAt = availableAt(now, endpoint);
+                if (endpointAvailableAt <= now) {
                     return;
                 }
-                timer.request(at);
-                until = Math.min(until, gate.askAgainAt(at, endpoint.health));
+                timer.request(endpointAvailableAt);
+                sleepUntil = Math.min(sleepUntil, gate.askAgainAt(endpointAvailableAt, endpoint.health));
             }
         }
         destination.blockedRound = round;
-        candidates.sleep(now, destination, until);
+        candidates.sleep(now, destination, sleepUntil);
     }
 
     private double cost(long now, PendingMessage message, Endpoint endpoint) {
         Prices prices = settings.get().prices();
         boolean warm = connections.hasWarmConnection(now, endpoint);
-        boolean otherZone =
+        boolean crossZone =
                 prices.crossZone() > 0 && endpoint.zone != settings.get().zone();
         List<Double> zoneTolls = prices.zoneTolls();
         double zoneToll = endpoint.zone < zoneTolls.size() ? zoneTolls.get(endpoint.zone) : 0;
         return endpoint.callsInFlight
                 + (warm ? 0 : FRESH_CONNECTION_COST_CALLS)
-                + (otherZone ? CROSS_ZONE_COST_CALLS : 0)
+                + (crossZone ? CROSS_ZONE_COST_CALLS : 0)
                 + (endpoint == message.lastFailedEndpoint ? LAST_FAILED_COST_CALLS : 0)
                 + FAILURE_COST_CALLS * (endpoint.failureRatio + endpoint.silentCalls)
                 + ZONE_TOLL_COST_CALLS * zoneToll;
--- a/decisions/src/main/java/amberroute/decisions/ExpirySchedule.java
+++ b/decisions/src/main/java/amberroute/decisions/ExpirySchedule.java
@@ -19,9 +19,9 @@
     private final ServiceTimes serviceTimes;
     private final BacklogEstimate backlog;
     private final IndexedTimerHeap<DispatchQueue> queueTimers = new IndexedTimerHeap<>();
-    private final IndexedTimerHeap<PendingMessage> repeatLimits = new IndexedTimerHeap<>();
+    private final IndexedTimerHeap<PendingMessage> retryLimits = new IndexedTimerHeap<>();
     /** Messages that may have had all their attempts. */
-    private final List<PendingMessage> attempted = new ArrayList<>();
+    private final List<PendingMessage> attemptsToCheck = new ArrayList<>();
 
     private final List<PendingMessage> expired = new ArrayList<>();
     /** The usual latency that timers of queues without a measured service time were set with. */
@@ -33,27 +33,27 @@
     }
 
     /** Sets how long a message may be sent again, NEVER for no limit but its deadline. */
-    void limitRepeats(PendingMessage message, long until) {
+    void limitRetries(PendingMessage message, long until) {
         if (until != Micros.NEVER) {
-            if (message.repeatLimitTimer == null) {
-                message.repeatLimitTimer = new IndexedTimerHeap.Entry<>(message);
+            if (message.retryLimitTimer == null) {
+                message.retryLimitTimer = new IndexedTimerHeap.Entry<>(message);
             }
-            repeatLimits.set(message.repeatLimitTimer, until);
+            retryLimits.set(message.retryLimitTimer, until);
         }
     }
 
     /** Has the next decision compare the message's attempts with the most that are allowed. */
     void checkAttempts(PendingMessage message) {
-        attempted.add(message);
+        attemptsToCheck.add(message);
     }
 
-    void removed(PendingMessage message) {
-        if (message.repeatLimitTimer != null) {
-            repeatLimits.remove(message.repeatLimitTimer);
+    void remove(PendingMessage message) {
+        if (message.retryLimitTimer != null) {
+            retryLimits.remove(message.retryLimitTimer);
         }
     }
 
-    void removed(DispatchQueue queue) {
+    void remove(DispatchQueue queue) {
         queueTimers.remove(queue.expiryTimer);
     }
 
@@ -61,7 +61,7 @@
     void schedule(long now, DispatchQueue queue) {
         if (!queue.isEmpty()) {
             long expiry = expiryAt(now, queue, queue.earliestDue);
-            if (!queue.expiryTimer.queued() || expiry < queue.expiryTimer.at()) {
+            if (!queue.expiryTimer.isQueued() || expiry < queue.expiryTimer.dueAt()) {
                 queueTimers.set(queue.expiryTimer, expiry);
             }
         }
@@ -72,38 +72,38 @@
     }
 
     /** When the next message expires, NEVER for none. */
-    long nextAt(long now) {
+    long nextExpiryAt(long now) {
         IndexedTimerHeap.Entry<DispatchQueue> timer = queueTimers.peek();
-        while (timer != null && expiryAt(now, timer.item(), timer.item().earliestDue) > timer.at()) {
+        while (timer != null && expiryAt(now, timer.item(), timer.item().earliestDue) > timer.dueAt()) {
             queueTimers.set(timer, expiryAt(now, timer.item(), timer.item().earliestDue));
             timer = queueTimers.peek();
         }
-        IndexedTimerHeap.Entry<PendingMessage> repeatLimit = repeatLimits.peek();
+        IndexedTimerHeap.Entry<PendingMessage> retryLimit = retryLimits.peek();
         return Math.min(
-                timer == null ? Micros.NEVER : timer.at(), repeatLimit == null ? Micros.NEVER : repeatLimit.at());
+                timer == null ? Micros.NEVER : timer.dueAt(), retryLimit == null ? Micros.NEVER : retryLimit.dueAt());
     }
 
     /** The messages that expire now, in the order of arrival; the list is valid until the next call. */
     List<PendingMessage> expired(long now, int maxAttempts, List<DispatchQueue> nonEmptyQueues) {
         expired.clear();
-        for (PendingMessage message : attempted) {
+        for (PendingMessage message : attemptsToCheck) {
             if (message.waiting && message.attempts >= maxAttempts) {
                 expired.add(message);
             }
         }
-        attempted.clear();
-        for (IndexedTimerHeap.Entry<PendingMessage> limit = repeatLimits.poll(now);
+        attemptsToCheck.clear();
+        for (IndexedTimerHeap.Entry<PendingMessage> limit = retryLimits.poll(now);
                 limit != null;
-                limit = repeatLimits.poll(now)) {
+                limit = retryLimits.poll(now)) {
             expired.add(limit.item());
         }
         rescheduleUnmeasured(now, nonEmptyQueues);
         for (IndexedTimerHeap.Entry<DispatchQueue> timer = queueTimers.poll(now);
                 timer != null;
                 timer = queueTimers.poll(now)) {
-            expire(now, timer);
+            collectExpired(now, timer);
         }
-        expired.sort(Comparator.comparingLong(message -> message.number));
+        expired.sort(Comparator.comparingLong(message -> message.sequenceNumber));
         removeDuplicates();
         return expired;
     }
@@ -121,12 +121,12 @@
         scheduledUsualLatencyMicros = usualLatencyMicros;
     }
 
-    private void expire(long now, IndexedTimerHeap.Entry<DispatchQueue> timer) {
+    private void collectExpired(long now, IndexedTimerHeap.Entry<DispatchQueue> timer) {
         DispatchQueue queue = timer.item();
         PendingMessage message = queue.messages.first();
         while (message != null && expiryAt(now, queue, message.due) <= now) {
             expired.add(message);
-            message = queue.messages.after(message.due, message.number, Long.MAX_VALUE, false);
+            message = queue.messages.after(message.due, message.sequenceNumber, Long.MAX_VALUE, false);
         }
         if (message != null) {
             queueTimers.set(timer, expiryAt(now, queue, message.due));
--- a/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
+++ b/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
@@ -84,7 +84,7 @@
         health.lastSlowStartCallAt = now;
         health.nextTrialAt = now;
         health.failureRatio = unavailable ? 1 : 0;
-        pending.recountAndWake(now, destination);
+        pending.updateEstimatesAndWake(now, destination);
     }
 
     /** Goes on with all that the process knew that this one takes over from. */
@@ -104,7 +104,7 @@
         }
         destination.successProbability = snapshot.successProbability();
         restoreMeasurements(now, health, snapshot);
-        pending.recount(now, destination);
+        pending.updateEstimates(now, destination);
     }
 
     private static void restoreMeasurements(long now, UpstreamHealth health, UpstreamSnapshot snapshot) {
--- a/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
@@ -18,7 +18,7 @@
 final class KeyOrdering {
     private final CurrentSettings settings;
     private final PendingMessages pending;
-    private final boolean acknowledgements;
+    private final boolean awaitAcknowledgements;
     private final Map<Long, KeyQueue> queues = new HashMap<>();
     /** Answered messages that stay first of their key until the answer is acknowledged. */
     private final Map<Long, PendingMessage> unacknowledged = new HashMap<>();
@@ -28,12 +28,12 @@
     /**
      * An order without messages.
      *
-     * @param acknowledgements whether {@link #acknowledge} will be called for each message that this sender answers
+     * @param awaitAcknowledgements whether {@link #acknowledge} will be called for each message that this sender answers
      */
-    KeyOrdering(CurrentSettings settings, PendingMessages pending, boolean acknowledgements) {
+    KeyOrdering(CurrentSettings settings, PendingMessages pending, boolean awaitAcknowledgements) {
         this.settings = settings;
         this.pending = pending;
-        this.acknowledgements = acknowledgements;
+        this.awaitAcknowledgements = awaitAcknowledgements;
     }
 
     /** Puts a message last of its key. */
@@ -53,7 +53,7 @@
     }
 
     /** Pauses a key for the settle period but for this message; does nothing where it keeps no order. */
-    void pauseBehind(long now, PendingMessage message) {
+    void pauseAfter(long now, PendingMessage message) {
         KeyQueue queue = message.keyQueue;
         if (queue != null) {
             queue.pausedUntil = now + settings.rules().settlePeriodMicros();
@@ -91,19 +91,19 @@
 
     /** Lets the next of the key go behind a message that is completed, or behind the acknowledgement of its answer. */
     void complete(long now, PendingMessage message) {
-        if (message.keyQueue != null && message.answeredHere && acknowledgements) {
+        if (message.keyQueue != null && message.answeredBySender && awaitAcknowledgements) {
             unacknowledged.put(message.id, message);
         } else {
-            leave(now, message);
+            dequeue(now, message);
         }
     }
 
     /** The answer of a message has reached its client; ignores what is not known. */
     void acknowledge(long now, long id) {
-        leave(now, unacknowledged.remove(id));
+        dequeue(now, unacknowledged.remove(id));
     }
 
-    private void leave(long now, PendingMessage message) {
+    private void dequeue(long now, PendingMessage message) {
         if (message != null && message.keyQueue != null) {
             KeyQueue queue = message.keyQueue;
             queue.remove(message);
--- a/decisions/src/main/java/amberroute/decisions/MessageLifecycle.java
+++ b/decisions/src/main/java/amberroute/decisions/MessageLifecycle.java
@@ -18,7 +18,7 @@
     private final KeyOrdering keyOrdering;
     private final PendingMessages pending;
     private final Map<Long, PendingMessage> messages = new LinkedHashMap<>();
-    private long lastNumber;
+    private long lastSequenceNumber;
 
     MessageLifecycle(
             CurrentSettings settings, EndpointRegistry registry, KeyOrdering keyOrdering, PendingMessages pending) {
@@ -47,7 +47,7 @@
         List<MessageClass> classes = settings.get().classes();
         PendingMessage message = new PendingMessage();
         message.id = id;
-        message.number = ++lastNumber;
+        message.sequenceNumber = ++lastSequenceNumber;
         message.messageClass = classes.get(Math.min(messageClass, classes.size() - 1));
         message.destination = registry.destination(destination);
         message.destination.pendingMessages++;
@@ -81,16 +81,16 @@
      */
     void answer(long now, PendingMessage message, long retryAfterMicros, Actions actions) {
         if (RetryPolicy.mayReject(message)) {
-            actions.reject(message.id, allowedAdvice(retryAfterMicros));
+            actions.reject(message.id, allowedRetryAdviceMicros(retryAfterMicros));
         } else {
             actions.fail(message.id);
         }
         message.completed = true;
-        message.answeredHere = true;
+        message.answeredBySender = true;
         removeIfCompleted(now, message);
     }
 
-    private long allowedAdvice(long retryAfterMicros) {
+    private long allowedRetryAdviceMicros(long retryAfterMicros) {
         Limits limits = settings.limits();
         return limits.retryAdviceAllowed() ? Math.max(0, Math.min(retryAfterMicros, limits.maxRetryAdviceMicros())) : 0;
     }
@@ -103,7 +103,7 @@
         messages.remove(message.id);
         pending.remove(message);
         message.destination.pendingMessages--;
-        pending.recount(now, message.destination);
+        pending.updateEstimates(now, message.destination);
         keyOrdering.complete(now, message);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/PendingMessage.java
+++ b/decisions/src/main/java/amberroute/decisions/PendingMessage.java
@@ -37,18 +37,18 @@
     /** It has its final answer, or was cancelled by its client. */
     boolean completed;
     /** This sender rejected or failed it, rather than its destination answering it. */
-    boolean answeredHere;
+    boolean answeredBySender;
     /** When the first attempt that may have run was sent. */
     long unknownOutcomeSince = NO_UNKNOWN_OUTCOME;
 
     Endpoint unknownOutcomeEndpoint;
     Endpoint lastFailedEndpoint;
     /** Backoff: no attempt starts earlier. */
-    long notBefore;
+    long backoffUntil;
     /** When its backoff or the pause of its key is over; null until there was one. */
     IndexedTimerHeap.Entry<PendingMessage> resumeTimer;
     /** Until when it may be sent again; null until there was a limit. */
-    IndexedTimerHeap.Entry<PendingMessage> repeatLimitTimer;
+    IndexedTimerHeap.Entry<PendingMessage> retryLimitTimer;
 
     /** Whether an attempt may have run whose outcome is not known to be success. */
     boolean outcomeUnknown() {
@@ -56,7 +56,7 @@
     }
 
     /** A number in [0, 1), evenly distributed over keys: the same for all messages of a key, at every sender. */
-    double sampleOfKey() {
+    double keySample() {
         return ((keyQueue == null ? id : keyQueue.key) * 0x9e3779b97f4a7c15L >>> 11) * 0x1p-53;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/PendingMessages.java
+++ b/decisions/src/main/java/amberroute/decisions/PendingMessages.java
@@ -19,7 +19,7 @@
     private final ExpirySchedule expiry;
     private final List<DispatchQueue> nonEmptyQueues = new ArrayList<>();
     private final IndexedTimerHeap<PendingMessage> resumeTimers = new IndexedTimerHeap<>();
-    private int waiting;
+    private int waitingCount;
 
     PendingMessages(
             ServiceTimes serviceTimes, DispatchCandidates candidates, BacklogEstimate backlog, ExpirySchedule expiry) {
@@ -30,8 +30,8 @@
     }
 
     /** How many messages wait to be sent. */
-    int waiting() {
-        return waiting;
+    int waitingCount() {
+        return waitingCount;
     }
 
     /** The queues with waiting messages, in no particular order; not to be changed. */
@@ -42,19 +42,19 @@
     /**
      * Enqueues a message unless it is completed.
      *
-     * @param repeatableUntil until when it may be sent, NEVER for no limit but its deadline
+     * @param retryableUntil until when it may be sent, NEVER for no limit but its deadline
      */
-    void enqueue(long now, PendingMessage message, long repeatableUntil) {
+    void enqueue(long now, PendingMessage message, long retryableUntil) {
         if (message.completed) {
             return;
         }
         add(message);
-        expiry.limitRepeats(message, repeatableUntil);
+        expiry.limitRetries(message, retryableUntil);
         if (message.attempts > 0) {
             expiry.checkAttempts(message);
         }
         updateReadiness(now, message);
-        recount(now, message.destination);
+        updateEstimates(now, message.destination);
     }
 
     private void add(PendingMessage message) {
@@ -62,12 +62,12 @@
         message.queue = queue;
         message.waiting = true;
         queue.messages.add(message, false, false);
-        boolean only = queue.messages.size() == 1;
-        queue.earliestDue = only ? message.due : Math.min(queue.earliestDue, message.due);
-        queue.latestDue = only ? message.due : Math.max(queue.latestDue, message.due);
-        waiting++;
-        if (queue.position < 0) {
-            queue.position = nonEmptyQueues.size();
+        boolean isOnlyMessage = queue.messages.size() == 1;
+        queue.earliestDue = isOnlyMessage ? message.due : Math.min(queue.earliestDue, message.due);
+        queue.latestDue = isOnlyMessage ? message.due : Math.max(queue.latestDue, message.due);
+        waitingCount++;
+        if (queue.nonEmptyPosition < 0) {
+            queue.nonEmptyPosition = nonEmptyQueues.size();
             nonEmptyQueues.add(queue);
         }
     }
@@ -82,14 +82,14 @@
             }
         }
         if (destination.queues.size() >= QUEUES_KEPT_PER_DESTINATION) {
-            destination.queues.removeIf(queue -> queue.position < 0 && queue.countedMessages == 0);
+            destination.queues.removeIf(queue -> queue.nonEmptyPosition < 0 && queue.backlogMessages == 0);
         }
         DispatchQueue queue = new DispatchQueue(destination, message.messageClass, message.priorityWeight);
         destination.queues.add(queue);
         return queue;
     }
 
-    /** Takes a message out, if it waits: it goes in flight or is completed. {@link #recount} has to follow. */
+    /** Takes a message out, if it waits: it goes in flight or is completed. {@link #updateEstimates} has to follow. */
     void remove(PendingMessage message) {
         if (!message.waiting) {
             return;
@@ -97,12 +97,12 @@
         DispatchQueue queue = message.queue;
         boolean wasReady = message.ready();
         message.waiting = false;
-        waiting--;
+        waitingCount--;
         queue.messages.remove(message);
         if (message.resumeTimer != null) {
             resumeTimers.remove(message.resumeTimer);
         }
-        expiry.removed(message);
+        expiry.remove(message);
         if (queue.isEmpty()) {
             removeEmpty(queue);
         } else {
@@ -119,11 +119,11 @@
     private void removeEmpty(DispatchQueue queue) {
         DispatchQueue last = nonEmptyQueues.remove(nonEmptyQueues.size() - 1);
         if (last != queue) {
-            nonEmptyQueues.set(queue.position, last);
-            last.position = queue.position;
+            nonEmptyQueues.set(queue.nonEmptyPosition, last);
+            last.nonEmptyPosition = queue.nonEmptyPosition;
         }
-        queue.position = -1;
-        expiry.removed(queue);
+        queue.nonEmptyPosition = -1;
+        expiry.remove(queue);
     }
 
     /** Works out whether a message is first of its key and ready, else when it may be; ignores null and what does not wait. */
@@ -131,18 +131,18 @@
         if (message == null || !message.waiting) {
             return;
         }
-        long keyOpensAt = keyOpensAt(now, message);
-        long readyAt = keyOpensAt > now ? keyOpensAt : message.notBefore;
+        long keyAvailableAt = keyAvailableAt(now, message);
+        long readyAt = keyAvailableAt > now ? keyAvailableAt : message.backoffUntil;
         boolean ready = readyAt <= now;
         boolean wasReady = message.ready();
-        message.queue.messages.mark(message, ready, keyOpensAt <= now);
+        message.queue.messages.mark(message, ready, keyAvailableAt <= now);
         setResumeTimer(message, ready ? Micros.NEVER : readyAt);
         if (ready != wasReady) {
             readinessChanged(message.queue, message.due, ready);
         }
     }
 
-    private static long keyOpensAt(long now, PendingMessage message) {
+    private static long keyAvailableAt(long now, PendingMessage message) {
         KeyQueue keyQueue = message.keyQueue;
         if (keyQueue == null) {
             return now;
@@ -153,12 +153,12 @@
         return keyQueue.exemptFromPause == message ? now : keyQueue.pausedUntil;
     }
 
-    private void setResumeTimer(PendingMessage message, long at) {
-        if (at != Micros.NEVER) {
+    private void setResumeTimer(PendingMessage message, long dueAt) {
+        if (dueAt != Micros.NEVER) {
             if (message.resumeTimer == null) {
                 message.resumeTimer = new IndexedTimerHeap.Entry<>(message);
             }
-            resumeTimers.set(message.resumeTimer, at);
+            resumeTimers.set(message.resumeTimer, dueAt);
         } else if (message.resumeTimer != null) {
             resumeTimers.remove(message.resumeTimer);
         }
@@ -174,7 +174,7 @@
     }
 
     /** Readies what has waited out its backoff or its key's pause, and wakes destinations. */
-    void advance(long now) {
+    void resumeDue(long now) {
         for (IndexedTimerHeap.Entry<PendingMessage> timer = resumeTimers.poll(now);
                 timer != null;
                 timer = resumeTimers.poll(now)) {
@@ -184,9 +184,9 @@
     }
 
     /** When a backoff, a pause or a sleep ends next, NEVER for none. */
-    long nextAdvanceAt() {
+    long nextResumeAt() {
         IndexedTimerHeap.Entry<PendingMessage> timer = resumeTimers.peek();
-        return Math.min(timer == null ? Micros.NEVER : timer.at(), candidates.nextWakeAt());
+        return Math.min(timer == null ? Micros.NEVER : timer.dueAt(), candidates.nextWakeAt());
     }
 
     /** The messages that expire now, in the order of arrival; the list is valid until the next call. */
@@ -195,7 +195,7 @@
     }
 
     /** Brings sums, bounds and expiry up to date: a destination's waiting messages or service time have changed. */
-    void recount(long now, Destination destination) {
+    void updateEstimates(long now, Destination destination) {
         serviceTimes.decay(now, destination);
         double steadyMicros =
                 destination.callsInFlight > 0 ? destination.serviceMicros : serviceTimes.steadyMicros(destination);
@@ -211,8 +211,8 @@
     }
 
     /** Recounts a destination that may take calls again, as something has become known of it. */
-    void recountAndWake(long now, Destination destination) {
-        recount(now, destination);
+    void updateEstimatesAndWake(long now, Destination destination) {
+        updateEstimates(now, destination);
         candidates.wake(destination);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/RateLimiter.java
+++ b/decisions/src/main/java/amberroute/decisions/RateLimiter.java
@@ -72,7 +72,7 @@
     /** Takes note of a load report: a limit sets the pace, a low allowance cuts it. An absurdly low limit is ignored. */
     void readReport(long now, UpstreamHealth health, List<Double> report) {
         ReportFields fields = settings.get().reportFields();
-        if (!fields.in(report) || !(report.get(fields.limit()) >= MIN_FLEET_PACE_PER_SECOND)) {
+        if (!fields.presentIn(report) || !(report.get(fields.limit()) >= MIN_FLEET_PACE_PER_SECOND)) {
             return;
         }
         double fleetPerSecond =
--- a/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
@@ -75,7 +75,7 @@
     void backOff(long now, PendingMessage message, UpstreamHealth health, AttemptCompleted event) {
         int withoutBackoff = Math.max(MIN_ATTEMPTS_WITHOUT_BACKOFF, message.destination.endpoints.size());
         if (message.attempts >= withoutBackoff) {
-            message.notBefore = now
+            message.backoffUntil = now
                     + backoff.micros(
                             backoff.senderSpacingMicros(health, event),
                             0,
--- a/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
+++ b/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
@@ -113,7 +113,7 @@
 
     private boolean anyMessageWaits(long now) {
         for (PendingMessage message : messages.all()) {
-            if (message.call == null && message.notBefore <= now) {
+            if (message.call == null && message.backoffUntil <= now) {
                 return true;
             }
         }
@@ -132,7 +132,7 @@
                 }
             }
         }
-        silent.sort(Comparator.comparingLong(message -> message.number));
+        silent.sort(Comparator.comparingLong(message -> message.sequenceNumber));
         return silent;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/UpstreamCall.java
+++ b/decisions/src/main/java/amberroute/decisions/UpstreamCall.java
@@ -11,9 +11,9 @@
 
     final List<PendingMessage> messages = new ArrayList<>(1);
     /** How many of its messages have no outcome yet. */
-    int outstanding;
+    int outstandingMessages;
     /** Its outcome has been taken into account: one for all of its messages. */
-    boolean outcomeLearned;
+    boolean outcomeRecorded;
     /** No answer came for so long that it is taken for lost, see {@link SilentCallDetector}. */
     boolean silent;
 
--- a/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
+++ b/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
@@ -43,7 +43,7 @@
 
     private long micros(long now, PendingMessage message, boolean upperBound) {
         Destination destination = message.destination;
-        double messageIndex = index.of(now, message);
+        double messageIndex = index.indexFor(now, message);
         double allMicros = backlog.micros(now, upperBound ? Double.NEGATIVE_INFINITY : message.priorityWeight)
                 - serviceTimes.expectedMicros(now, message);
         double hereMicros = 0;
@@ -60,7 +60,7 @@
             hereMicros += ahead * serviceTimes.expectedMicros(now, queue);
             messagesAhead += ahead;
         }
-        allMicros += upperBound ? 0 : index.microsAhead(now, message.priorityWeight, messageIndex);
+        allMicros += upperBound ? 0 : index.serviceMicrosAhead(now, message.priorityWeight, messageIndex);
         double waitMicros = Math.max(
                 allMicros / settings.limits().maxConcurrentCalls(),
                 hereMicros / Math.max(1, concurrencyCap(now, destination)));
--- a/decisions/src/main/java/amberroute/decisions/WakeupTimer.java
+++ b/decisions/src/main/java/amberroute/decisions/WakeupTimer.java
@@ -30,7 +30,7 @@
         }
     }
 
-    void expired(long now) {
+    void onExpired(long now) {
         scheduledAt = scheduledAt <= now ? Micros.NEVER : scheduledAt;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/collections/AtcIndex.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/AtcIndex.java
@@ -15,13 +15,13 @@
  */
 public final class AtcIndex {
     /** Steps of a staircase; what lies below the last has less than 2^−60 of its value left, and counts as one step. */
-    private static final int MAX_STEPS = 60;
+    private static final int MAX_HALVINGS = 60;
 
-    private static final int INITIAL_STRETCHES = 8;
+    private static final int INITIAL_INTERVALS = 8;
 
     private double gain;
     private double serviceMicros;
-    private double pressureSpanMicros;
+    private double lookaheadMicros;
     private long now;
     /** Span from the latency objective to the due date. */
     private long slackMicros;
@@ -29,44 +29,44 @@
     private long objectiveMicros;
     private double lateShare;
     private boolean halving;
-    private int stretches;
-    private long[] begins = new long[INITIAL_STRETCHES];
-    private long[] ends = new long[INITIAL_STRETCHES];
-    private boolean[] rising = new boolean[INITIAL_STRETCHES];
+    private int intervalCount;
+    private long[] begins = new long[INITIAL_INTERVALS];
+    private long[] ends = new long[INITIAL_INTERVALS];
+    private boolean[] rising = new boolean[INITIAL_INTERVALS];
 
     /**
      * Sets what the messages have in common; spans are above 0.
      *
      * @param successProbability share of calls that succeed
-     * @param pressureSpan the span by which urgency grows
-     * @param toObjective span from the submission of a message to its latency objective
-     * @param toDeadline span from the submission of a message to its deadline
+     * @param lookaheadSpanMicros the span by which urgency grows
+     * @param latencyObjectiveMicros span from the submission of a message to its latency objective
+     * @param deadlineMicros span from the submission of a message to its deadline
      * @param lateValueShare share of the value that is left at the deadline
-     * @param halves whether the value halves with each latency objective, rather than falling linearly
+     * @param valueHalves whether the value halves with each latency objective, rather than falling linearly
      */
     public void set(
             double priorityWeight,
             double successProbability,
-            double serviceTime,
-            long at,
-            double pressureSpan,
-            long toObjective,
-            long toDeadline,
+            double expectedServiceMicros,
+            long currentTime,
+            double lookaheadSpanMicros,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
             double lateValueShare,
-            boolean halves) {
-        gain = priorityWeight * successProbability / serviceTime;
-        serviceMicros = serviceTime;
-        pressureSpanMicros = pressureSpan;
-        now = at;
-        objectiveMicros = toObjective;
-        slackMicros = toDeadline - toObjective;
+            boolean valueHalves) {
+        gain = priorityWeight * successProbability / expectedServiceMicros;
+        serviceMicros = expectedServiceMicros;
+        lookaheadMicros = lookaheadSpanMicros;
+        now = currentTime;
+        objectiveMicros = latencyObjectiveMicros;
+        slackMicros = deadlineMicros - latencyObjectiveMicros;
         lateShare = lateValueShare;
-        halving = halves;
+        halving = valueHalves;
     }
 
     /** The logarithm of the index of a message that is due then. */
     public double index(long due) {
-        return Math.log(valueLeft(due) * gain) - Math.max(due - now, 0) / pressureSpanMicros;
+        return Math.log(valueLeft(due) * gain) - Math.max(due - now, 0) / lookaheadMicros;
     }
 
     /** Share of the value that is left when the message has been served. */
@@ -84,41 +84,41 @@
     // ---- Stretches. ----
 
     /** Divides all due dates from {@code first} on into stretches, also at the two cuts that are given. */
-    public void divide(long first, long cut, long otherCut) {
-        stretches = 0;
-        long served = (long) Math.ceil(now + serviceMicros);
-        long onTime = served + slackMicros;
+    public void divide(long earliestDue, long splitDue, long otherSplitDue) {
+        intervalCount = 0;
+        long servedAt = (long) Math.ceil(now + serviceMicros);
+        long earliestOnTimeDue = servedAt + slackMicros;
         if (lateShare >= 1) {
-            addStretch(Long.MIN_VALUE, onTime, false);
+            addInterval(Long.MIN_VALUE, earliestOnTimeDue, false);
         } else if (halving) {
-            addStaircase(first, onTime);
+            addHalvingSteps(earliestDue, earliestOnTimeDue);
         } else if (slackMicros <= 0) {
             // All value is lost within a microsecond of the objective.
-            addStretch(Long.MIN_VALUE, onTime - 1, false);
-            addStretch(onTime - 1, onTime, false);
+            addInterval(Long.MIN_VALUE, earliestOnTimeDue - 1, false);
+            addInterval(earliestOnTimeDue - 1, earliestOnTimeDue, false);
         } else {
-            long peak = (long) Math.ceil(Math.min(
-                    onTime,
+            long peakDue = (long) Math.ceil(Math.min(
+                    earliestOnTimeDue,
                     Math.max(
-                            served,
-                            pressureSpanMicros + now + serviceMicros + slackMicros - slackMicros / (1 - lateShare))));
-            addStretch(Long.MIN_VALUE, served, false);
-            addStretch(served, peak, true);
-            addStretch(peak, onTime, false);
+                            servedAt,
+                            lookaheadMicros + now + serviceMicros + slackMicros - slackMicros / (1 - lateShare))));
+            addInterval(Long.MIN_VALUE, servedAt, false);
+            addInterval(servedAt, peakDue, true);
+            addInterval(peakDue, earliestOnTimeDue, false);
         }
-        addStretch(onTime, Long.MAX_VALUE, false);
-        cut(cut);
-        cut(otherCut);
+        addInterval(earliestOnTimeDue, Long.MAX_VALUE, false);
+        splitAt(splitDue);
+        splitAt(otherSplitDue);
     }
 
-    private void addStaircase(long first, long onTime) {
+    private void addHalvingSteps(long earliestDue, long earliestOnTimeDue) {
         int steps = 0;
-        while (steps < MAX_STEPS && Math.pow(0.5, steps + 1) > lateShare && stepBegin(steps + 1) > first) {
+        while (steps < MAX_HALVINGS && Math.pow(0.5, steps + 1) > lateShare && stepBegin(steps + 1) > earliestDue) {
             steps++;
         }
-        addStretch(Long.MIN_VALUE, stepBegin(steps), false);
+        addInterval(Long.MIN_VALUE, stepBegin(steps), false);
         for (int step = steps; step > 0; step--) {
-            addStretch(stepBegin(step), step == 1 ? onTime : stepBegin(step - 1), false);
+            addInterval(stepBegin(step), step == 1 ? earliestOnTimeDue : stepBegin(step - 1), false);
         }
     }
 
@@ -127,59 +127,59 @@
         return (long) Math.ceil(now + serviceMicros + slackMicros - (double) halvings * objectiveMicros);
     }
 
-    private void addStretch(long begin, long end, boolean rises) {
+    private void addInterval(long begin, long end, boolean isRising) {
         if (begin < end) {
-            if (stretches == begins.length) {
-                begins = Arrays.copyOf(begins, 2 * stretches);
-                ends = Arrays.copyOf(ends, 2 * stretches);
-                rising = Arrays.copyOf(rising, 2 * stretches);
+            if (intervalCount == begins.length) {
+                begins = Arrays.copyOf(begins, 2 * intervalCount);
+                ends = Arrays.copyOf(ends, 2 * intervalCount);
+                rising = Arrays.copyOf(rising, 2 * intervalCount);
             }
-            begins[stretches] = begin;
-            ends[stretches] = end;
-            rising[stretches++] = rises;
+            begins[intervalCount] = begin;
+            ends[intervalCount] = end;
+            rising[intervalCount++] = isRising;
         }
     }
 
-    private void cut(long at) {
-        for (int i = 0; i < stretches; i++) {
-            if (begins[i] < at && at < ends[i]) {
+    private void splitAt(long due) {
+        for (int i = 0; i < intervalCount; i++) {
+            if (begins[i] < due && due < ends[i]) {
                 long end = ends[i];
-                ends[i] = at;
-                addStretch(at, end, rising[i]);
+                ends[i] = due;
+                addInterval(due, end, rising[i]);
                 return;
             }
         }
     }
 
-    int stretches() {
-        return stretches;
+    int intervalCount() {
+        return intervalCount;
     }
 
     /** The first due date of a stretch. */
-    long begin(int stretch) {
-        return begins[stretch];
+    long begin(int interval) {
+        return begins[interval];
     }
 
     /** The due date behind a stretch. */
-    long end(int stretch) {
-        return ends[stretch];
+    long end(int interval) {
+        return ends[interval];
     }
 
-    boolean rising(int stretch) {
-        return rising[stretch];
+    boolean rising(int interval) {
+        return rising[interval];
     }
 
     // ---- Questions to a treap of such messages; divide() comes first. ----
 
     /** How many messages have this index or a higher one. */
-    public <N extends DueDateTreap.Node<N>> int countAtLeast(DueDateTreap<N> messages, double least) {
+    public <N extends DueDateTreap.Node<N>> int countAtLeast(DueDateTreap<N> messages, double minIndex) {
         int count = 0;
-        for (int i = 0; i < stretches; i++) {
+        for (int i = 0; i < intervalCount; i++) {
             if (rising[i]) {
-                long first = messages.boundary(begins[i], ends[i], due -> index(due) < least);
+                long first = messages.boundary(begins[i], ends[i], due -> index(due) < minIndex);
                 count += messages.count(first, ends[i]);
             } else {
-                long end = messages.boundary(begins[i], ends[i], due -> index(due) >= least);
+                long end = messages.boundary(begins[i], ends[i], due -> index(due) >= minIndex);
                 count += messages.count(begins[i], end);
             }
         }
@@ -187,10 +187,10 @@
     }
 
     /** The message with the least index, of equals the one with the smallest number; null in an empty treap. */
-    public <N extends DueDateTreap.Node<N>> N least(DueDateTreap<N> messages) {
-        N least = null;
-        double leastIndex = 0;
-        for (int i = 0; i < stretches; i++) {
+    public <N extends DueDateTreap.Node<N>> N lowestIndexMessage(DueDateTreap<N> messages) {
+        N lowest = null;
+        double lowestIndex = 0;
+        for (int i = 0; i < intervalCount; i++) {
             N candidate = rising[i]
                     ? messages.earliest(begins[i], ends[i], false)
                     : messages.latest(begins[i], ends[i], false);
@@ -198,11 +198,13 @@
                 continue;
             }
             double index = index(candidate.due);
-            if (least == null || index < leastIndex || index == leastIndex && candidate.number < least.number) {
-                least = candidate;
-                leastIndex = index;
+            if (lowest == null
+                    || index < lowestIndex
+                    || index == lowestIndex && candidate.sequenceNumber < lowest.sequenceNumber) {
+                lowest = candidate;
+                lowestIndex = index;
             }
         }
-        return least;
+        return lowest;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/collections/DecayingSum.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DecayingSum.java
@@ -6,7 +6,7 @@
  * the largest term each time, which a new sum of the same terms does not have. Times are microseconds. Not thread-safe.
  */
 public final class DecayingSum {
-    private final double spanMicros;
+    private final double timeConstantMicros;
     private double constant;
     private double decaying;
     private long updatedAt;
@@ -14,16 +14,16 @@
     /**
      * An empty sum.
      *
-     * @param spanMicros the span in which decaying parts fall to 1/e
+     * @param timeConstantMicros the span in which decaying parts fall to 1/e
      */
-    public DecayingSum(double spanMicros) {
-        this.spanMicros = spanMicros;
+    public DecayingSum(double timeConstantMicros) {
+        this.timeConstantMicros = timeConstantMicros;
     }
 
     /** Adds a term as of now, or subtracts one by its negative; {@code now} must not go back. */
     public void add(long now, double constantPart, double decayingPart) {
         if (now != updatedAt) {
-            decaying *= factor(updatedAt, now);
+            decaying *= decayFactor(updatedAt, now);
             updatedAt = now;
         }
         constant += constantPart;
@@ -38,11 +38,11 @@
 
     /** The sum at this time, which is not before the last change. */
     public double value(long now) {
-        return constant + (decaying == 0 ? 0 : decaying * factor(updatedAt, now));
+        return constant + (decaying == 0 ? 0 : decaying * decayFactor(updatedAt, now));
     }
 
     /** What is left at one time of a decaying part of 1 at another. */
-    public double factor(long from, long to) {
-        return Math.exp((from - to) / spanMicros);
+    public double decayFactor(long from, long to) {
+        return Math.exp((from - to) / timeConstantMicros);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
@@ -13,7 +13,7 @@
         /** The due date; it must not change while the node is in a treap. */
         public long due;
         /** The number, different for each node; it must not change while the node is in a treap. */
-        public long number;
+        public long sequenceNumber;
 
         private N left;
         private N right;
@@ -55,7 +55,7 @@
     /** Adds a message with these marks: ready to be sent, and first of a key that is not paused. */
     public void add(N node, boolean ready, boolean firstOfKey) {
         Node<N> added = node;
-        added.priority = (int) (mix(node.number) >>> 32);
+        added.priority = (int) (mix(node.sequenceNumber) >>> 32);
         added.ready = ready;
         added.firstOfKey = firstOfKey;
         added.left = null;
@@ -69,7 +69,7 @@
      * @throws IllegalStateException if it is not here
      */
     public void remove(N node) {
-        root = without(root, node);
+        root = removeFrom(root, node);
         Node<N> removed = node;
         removed.left = null;
         removed.right = null;
@@ -87,10 +87,12 @@
         }
         marked.ready = ready;
         marked.firstOfKey = firstOfKey;
-        for (N at = root; at != null; at = at == node ? null : before(node, at) ? left(at) : right(at)) {
-            Node<N> here = at;
-            here.readyCount += readyDelta;
-            here.firstOfKeyCount += firstOfKeyDelta;
+        for (N cursor = root;
+                cursor != null;
+                cursor = cursor == node ? null : before(node, cursor) ? left(cursor) : right(cursor)) {
+            Node<N> pathNode = cursor;
+            pathNode.readyCount += readyDelta;
+            pathNode.firstOfKeyCount += firstOfKeyDelta;
         }
     }
 
@@ -100,34 +102,34 @@
     }
 
     /** The first of those due in [from, to), null for none; with {@code ready} among the ready ones only. */
-    public N earliest(long from, long to, boolean ready) {
-        return after(from, Long.MIN_VALUE, to, ready);
+    public N earliest(long from, long to, boolean readyOnly) {
+        return after(from, Long.MIN_VALUE, to, readyOnly);
     }
 
     /** The first behind this due date and number that is due before {@code to}, null for none. */
-    public N after(long due, long number, long to, boolean ready) {
-        N found = after(root, due, number, ready);
+    public N after(long due, long sequenceNumber, long to, boolean readyOnly) {
+        N found = after(root, due, sequenceNumber, readyOnly);
         return found == null || found.due >= to ? null : found;
     }
 
-    private static <N extends Node<N>> N after(N at, long due, long number, boolean ready) {
-        if (at == null || ready && readyCount(at) == 0) {
+    private static <N extends Node<N>> N after(N subtree, long due, long sequenceNumber, boolean readyOnly) {
+        if (subtree == null || readyOnly && readyCount(subtree) == 0) {
             return null;
         }
-        if (at.due < due || at.due == due && at.number <= number) {
-            return after(right(at), due, number, ready);
+        if (subtree.due < due || subtree.due == due && subtree.sequenceNumber <= sequenceNumber) {
+            return after(right(subtree), due, sequenceNumber, readyOnly);
         }
-        N found = after(left(at), due, number, ready);
+        N found = after(left(subtree), due, sequenceNumber, readyOnly);
         if (found != null) {
             return found;
         }
-        return !ready || at.ready() ? at : after(right(at), due, number, true);
+        return !readyOnly || subtree.ready() ? subtree : after(right(subtree), due, sequenceNumber, true);
     }
 
     /** Of those due last in [from, to) the one with the smallest number, null for none; with {@code ready} of the ready ones. */
-    public N latest(long from, long to, boolean ready) {
-        N found = latest(root, to, ready, false);
-        return found == null || found.due < from ? null : after(found.due, Long.MIN_VALUE, Long.MAX_VALUE, ready);
+    public N latest(long from, long to, boolean readyOnly) {
+        N found = latest(root, to, readyOnly, false);
+        return found == null || found.due < from ? null : after(found.due, Long.MIN_VALUE, Long.MAX_VALUE, readyOnly);
     }
 
     /** The latest due date of those that are first of their key, MIN_VALUE for none. */
@@ -136,35 +138,37 @@
         return found == null ? Long.MIN_VALUE : found.due;
     }
 
-    private static <N extends Node<N>> N latest(N at, long to, boolean ready, boolean firstOfKey) {
-        if (at == null || ready && readyCount(at) == 0 || firstOfKey && firstOfKeyCount(at) == 0) {
+    private static <N extends Node<N>> N latest(N subtree, long to, boolean readyOnly, boolean firstOfKeyOnly) {
+        if (subtree == null
+                || readyOnly && readyCount(subtree) == 0
+                || firstOfKeyOnly && firstOfKeyCount(subtree) == 0) {
             return null;
         }
-        if (at.due >= to) {
-            return latest(left(at), to, ready, firstOfKey);
+        if (subtree.due >= to) {
+            return latest(left(subtree), to, readyOnly, firstOfKeyOnly);
         }
-        N found = latest(right(at), to, ready, firstOfKey);
+        N found = latest(right(subtree), to, readyOnly, firstOfKeyOnly);
         if (found != null) {
             return found;
         }
-        return (!ready || at.ready()) && (!firstOfKey || at.firstOfKey())
-                ? at
-                : latest(left(at), to, ready, firstOfKey);
+        return (!readyOnly || subtree.ready()) && (!firstOfKeyOnly || subtree.firstOfKey())
+                ? subtree
+                : latest(left(subtree), to, readyOnly, firstOfKeyOnly);
     }
 
     /** How many messages are due in [from, to). */
     public int count(long from, long to) {
-        return to <= from ? 0 : below(to) - below(from);
+        return to <= from ? 0 : countBefore(to) - countBefore(from);
     }
 
-    private int below(long due) {
+    private int countBefore(long due) {
         int count = 0;
-        for (N at = root; at != null; ) {
-            if (at.due < due) {
-                count += 1 + size(left(at));
-                at = right(at);
+        for (N cursor = root; cursor != null; ) {
+            if (cursor.due < due) {
+                count += 1 + size(left(cursor));
+                cursor = right(cursor);
             } else {
-                at = left(at);
+                cursor = left(cursor);
             }
         }
         return count;
@@ -174,14 +178,14 @@
      * The first due date in [from, to) for which a condition does not hold, {@code to} where it holds for all. It has to hold for
      * the earlier due dates and not for the later ones.
      */
-    public long boundary(long from, long to, LongPredicate holds) {
+    public long boundary(long from, long to, LongPredicate condition) {
         long found = to;
-        for (N at = root; at != null; ) {
-            if (at.due < from || at.due < to && holds.test(at.due)) {
-                at = right(at);
+        for (N cursor = root; cursor != null; ) {
+            if (cursor.due < from || cursor.due < to && condition.test(cursor.due)) {
+                cursor = right(cursor);
             } else {
-                found = Math.min(found, Math.max(from, at.due));
-                at = left(at);
+                found = Math.min(found, Math.max(from, cursor.due));
+                cursor = left(cursor);
             }
         }
         return found;
@@ -210,82 +214,83 @@
     }
 
     private static <N extends Node<N>> boolean before(N a, N b) {
-        return a.due < b.due || a.due == b.due && a.number < b.number;
+        return a.due < b.due || a.due == b.due && a.sequenceNumber < b.sequenceNumber;
     }
 
-    private static <N extends Node<N>> N count(N node) {
-        Node<N> here = node;
-        here.size = 1 + size(here.left) + size(here.right);
-        here.readyCount = (here.ready ? 1 : 0) + readyCount(here.left) + readyCount(here.right);
-        here.firstOfKeyCount = (here.firstOfKey ? 1 : 0) + firstOfKeyCount(here.left) + firstOfKeyCount(here.right);
+    private static <N extends Node<N>> N updateCounts(N node) {
+        Node<N> updated = node;
+        updated.size = 1 + size(updated.left) + size(updated.right);
+        updated.readyCount = (updated.ready ? 1 : 0) + readyCount(updated.left) + readyCount(updated.right);
+        updated.firstOfKeyCount =
+                (updated.firstOfKey ? 1 : 0) + firstOfKeyCount(updated.left) + firstOfKeyCount(updated.right);
         return node;
     }
 
-    private static <N extends Node<N>> N insert(N at, N node) {
-        if (at == null) {
-            return count(node);
+    private static <N extends Node<N>> N insert(N subtree, N node) {
+        if (subtree == null) {
+            return updateCounts(node);
         }
-        Node<N> here = at;
-        if (((Node<N>) node).priority > here.priority) {
-            split(at, node);
-            return count(node);
+        Node<N> subtreeRoot = subtree;
+        if (((Node<N>) node).priority > subtreeRoot.priority) {
+            split(subtree, node);
+            return updateCounts(node);
         }
-        if (before(node, at)) {
-            here.left = insert(here.left, node);
+        if (before(node, subtree)) {
+            subtreeRoot.left = insert(subtreeRoot.left, node);
         } else {
-            here.right = insert(here.right, node);
+            subtreeRoot.right = insert(subtreeRoot.right, node);
         }
-        return count(at);
+        return updateCounts(subtree);
     }
 
     /** Splits a subtree: what is before the node becomes its left side, the rest its right side. */
-    private static <N extends Node<N>> void split(N at, N node) {
-        Node<N> by = node;
-        if (at == null) {
-            by.left = null;
-            by.right = null;
+    private static <N extends Node<N>> void split(N subtree, N node) {
+        Node<N> newRoot = node;
+        if (subtree == null) {
+            newRoot.left = null;
+            newRoot.right = null;
             return;
         }
-        Node<N> here = at;
-        if (before(at, node)) {
-            split(here.right, node);
-            here.right = by.left;
-            by.left = count(at);
+        Node<N> subtreeRoot = subtree;
+        if (before(subtree, node)) {
+            split(subtreeRoot.right, node);
+            subtreeRoot.right = newRoot.left;
+            newRoot.left = updateCounts(subtree);
         } else {
-            split(here.left, node);
-            here.left = by.right;
-            by.right = count(at);
+            split(subtreeRoot.left, node);
+            subtreeRoot.left = newRoot.right;
+            newRoot.right = updateCounts(subtree);
         }
     }
 
-    private static <N extends Node<N>> N without(N at, N node) {
-        if (at == null) {
-            throw new IllegalStateException("number " + node.number + " is not here");
+    private static <N extends Node<N>> N removeFrom(N subtree, N node) {
+        if (subtree == null) {
+            throw new IllegalStateException("number " + node.sequenceNumber + " is not here");
         }
-        Node<N> here = at;
-        if (at == node) {
-            return merge(here.left, here.right);
+        Node<N> subtreeRoot = subtree;
+        if (subtree == node) {
+            return merge(subtreeRoot.left, subtreeRoot.right);
         }
-        if (before(node, at)) {
-            here.left = without(here.left, node);
+        if (before(node, subtree)) {
+            subtreeRoot.left = removeFrom(subtreeRoot.left, node);
         } else {
-            here.right = without(here.right, node);
+            subtreeRoot.right = removeFrom(subtreeRoot.right, node);
         }
-        return count(at);
+        return updateCounts(subtree);
     }
 
-    private static <N extends Node<N>> N merge(N a, N b) {
-        if (a == null || b == null) {
-            return a == null ? b : a;
+    private static <N extends Node<N>> N merge(N earlier, N later) {
+        if (earlier == null || later == null) {
+            return earlier == null ? later : earlier;
         }
-        Node<N> left = a;
-        Node<N> right = b;
+        Node<N> left = earlier;
+        Node<N> right = later;
         if (left.priority > right.priority) {
-            left.right = merge(left.right, b);
-            return count(a);
+            left.right = merge(left.right, later);
+            return updateCounts(earlier);
         }
-        right.left = merge(a, right.left);
-        return count(b);
+        right.left = merge(earlier, right.left);
+        return updateCounts(later);
     }
 
     private static long mix(long value) {
--- a/decisions/src/main/java/amberroute/decisions/collections/IndexOrderIterator.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexOrderIterator.java
@@ -8,16 +8,16 @@
  * the iterator has passed or is at, and must not change otherwise meanwhile. Not thread-safe.
  */
 public final class IndexOrderIterator<N extends DueDateTreap.Node<N>> {
-    private static final int INITIAL_STRETCHES = 8;
+    private static final int INITIAL_INTERVALS = 8;
 
     private final DueDateTreap<N> messages;
-    private final AtcIndex shape = new AtcIndex();
+    private final AtcIndex atcIndex = new AtcIndex();
     /** The next message of each stretch, null for none, and its index. */
-    private Object[] next = new Object[INITIAL_STRETCHES];
+    private Object[] nextMessages = new Object[INITIAL_INTERVALS];
 
-    private double[] indexes = new double[INITIAL_STRETCHES];
+    private double[] nextIndexes = new double[INITIAL_INTERVALS];
     /** The stretch that the iterator is in; negative for none. */
-    private int current;
+    private int currentInterval;
 
     /** An iterator that has to be begun. */
     public IndexOrderIterator(DueDateTreap<N> messages) {
@@ -25,24 +25,24 @@
     }
 
     /** The index that it goes by, to be set and divided before {@link #begin}. */
-    public AtcIndex shape() {
-        return shape;
+    public AtcIndex atcIndex() {
+        return atcIndex;
     }
 
     /** Goes to the message with the highest index; false where there is none. */
     public boolean begin() {
-        if (next.length < shape.stretches()) {
-            next = new Object[shape.stretches()];
-            indexes = new double[shape.stretches()];
+        if (nextMessages.length < atcIndex.intervalCount()) {
+            nextMessages = new Object[atcIndex.intervalCount()];
+            nextIndexes = new double[atcIndex.intervalCount()];
         }
-        Arrays.fill(next, null);
-        for (int stretch = 0; stretch < shape.stretches(); stretch++) {
-            long begin = shape.begin(stretch);
-            long end = shape.end(stretch);
-            if (shape.rising(stretch)) {
-                set(stretch, messages.latest(begin, end, true));
+        Arrays.fill(nextMessages, null);
+        for (int interval = 0; interval < atcIndex.intervalCount(); interval++) {
+            long begin = atcIndex.begin(interval);
+            long end = atcIndex.end(interval);
+            if (atcIndex.rising(interval)) {
+                setNext(interval, messages.latest(begin, end, true));
             } else {
-                set(stretch, messages.earliest(begin, end, true));
+                setNext(interval, messages.earliest(begin, end, true));
             }
         }
         return goToHighest();
@@ -50,51 +50,57 @@
 
     /** The message that it is at; there has to be one. */
     @SuppressWarnings("unchecked")
-    public N here() {
-        return (N) next[current];
+    public N current() {
+        return (N) nextMessages[currentInterval];
     }
 
     /** The logarithm of that message's index. */
     public double index() {
-        return indexes[current];
+        return nextIndexes[currentInterval];
     }
 
     /** Goes on to the next message; false where there is none. */
     public boolean advance() {
-        N here = here();
-        if (!shape.rising(current)) {
-            set(current, messages.after(here.due, here.number, shape.end(current), true));
+        N message = current();
+        if (!atcIndex.rising(currentInterval)) {
+            setNext(
+                    currentInterval,
+                    messages.after(message.due, message.sequenceNumber, atcIndex.end(currentInterval), true));
         } else {
-            N equal = messages.after(here.due, here.number, here.due + 1, true);
-            set(current, equal != null ? equal : messages.latest(shape.begin(current), here.due, true));
+            N sameDue = messages.after(message.due, message.sequenceNumber, message.due + 1, true);
+            setNext(
+                    currentInterval,
+                    sameDue != null ? sameDue : messages.latest(atcIndex.begin(currentInterval), message.due, true));
         }
         return goToHighest();
     }
 
     /** Passes over all else of the stretch that it is in, see {@link AtcIndex#divide}; false where nothing is left. */
-    public boolean skip() {
-        next[current] = null;
+    public boolean skipInterval() {
+        nextMessages[currentInterval] = null;
         return goToHighest();
     }
 
-    private void set(int stretch, N message) {
-        next[stretch] = message;
-        indexes[stretch] = message == null ? 0 : shape.index(message.due);
+    private void setNext(int interval, N message) {
+        nextMessages[interval] = message;
+        nextIndexes[interval] = message == null ? 0 : atcIndex.index(message.due);
     }
 
     private boolean goToHighest() {
-        current = -1;
-        for (int stretch = 0; stretch < shape.stretches(); stretch++) {
-            if (next[stretch] != null && (current < 0 || isHigher(stretch, current))) {
-                current = stretch;
+        currentInterval = -1;
+        for (int interval = 0; interval < atcIndex.intervalCount(); interval++) {
+            if (nextMessages[interval] != null && (currentInterval < 0 || isHigher(interval, currentInterval))) {
+                currentInterval = interval;
             }
         }
-        return current >= 0;
+        return currentInterval >= 0;
     }
 
     @SuppressWarnings("unchecked")
-    private boolean isHigher(int stretch, int other) {
-        return indexes[stretch] > indexes[other]
-                || indexes[stretch] == indexes[other] && ((N) next[stretch]).number < ((N) next[other]).number;
+    private boolean isHigher(int interval, int otherInterval) {
+        return nextIndexes[interval] > nextIndexes[otherInterval]
+                || nextIndexes[interval] == nextIndexes[otherInterval]
+                        && ((N) nextMessages[interval]).sequenceNumber
+                                < ((N) nextMessages[otherInterval]).sequenceNumber;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/collections/IndexedTimerHeap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexedTimerHeap.java
@@ -14,7 +14,7 @@
     /** An item's place in one heap. */
     public static final class Entry<T> {
         private final T item;
-        private long at;
+        private long dueAt;
         private int position = NOT_QUEUED;
 
         /** An entry that is in no heap yet. */
@@ -28,12 +28,12 @@
         }
 
         /** The time that it was set to last. */
-        public long at() {
-            return at;
+        public long dueAt() {
+            return dueAt;
         }
 
         /** Whether it is in a heap. */
-        public boolean queued() {
+        public boolean isQueued() {
             return position >= 0;
         }
     }
@@ -44,18 +44,18 @@
     private int size;
 
     /** Adds an entry, or moves one that is here, to this time. */
-    public void set(Entry<T> entry, long at) {
+    public void set(Entry<T> entry, long dueAt) {
         if (entry.position < 0) {
             if (size == heap.length) {
                 heap = Arrays.copyOf(heap, 2 * size);
             }
-            entry.at = at;
+            entry.dueAt = dueAt;
             put(entry, size++);
             siftUp(entry);
         } else {
-            long before = entry.at;
-            entry.at = at;
-            if (at < before) {
+            long previousDueAt = entry.dueAt;
+            entry.dueAt = dueAt;
+            if (dueAt < previousDueAt) {
                 siftUp(entry);
             } else {
                 siftDown(entry);
@@ -86,7 +86,7 @@
 
     /** Removes the earliest entry if it is not after this time; else null. */
     public Entry<T> poll(long now) {
-        Entry<T> first = size == 0 || heap[0].at > now ? null : heap[0];
+        Entry<T> first = size == 0 || heap[0].dueAt > now ? null : heap[0];
         if (first != null) {
             remove(first);
         }
@@ -106,7 +106,7 @@
     private void siftUp(Entry<T> entry) {
         while (entry.position > 0) {
             Entry<T> parent = heap[(entry.position - 1) / 2];
-            if (parent.at <= entry.at) {
+            if (parent.dueAt <= entry.dueAt) {
                 return;
             }
             int position = parent.position;
@@ -121,11 +121,11 @@
             if (child >= size) {
                 return;
             }
-            if (child + 1 < size && heap[child + 1].at < heap[child].at) {
+            if (child + 1 < size && heap[child + 1].dueAt < heap[child].dueAt) {
                 child++;
             }
             Entry<T> earliestChild = heap[child];
-            if (earliestChild.at >= entry.at) {
+            if (earliestChild.dueAt >= entry.dueAt) {
                 return;
             }
             put(earliestChild, entry.position);
--- a/decisions/src/main/java/amberroute/decisions/collections/MaxHeap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/MaxHeap.java
@@ -10,17 +10,17 @@
     private static final int INITIAL_CAPACITY = 64;
 
     private double[] keys = new double[INITIAL_CAPACITY];
-    private long[] numbers = new long[INITIAL_CAPACITY];
+    private long[] tieBreakers = new long[INITIAL_CAPACITY];
     private Object[] items = new Object[INITIAL_CAPACITY];
     private int size;
     /** The size when the items were last in the order of a heap. */
-    private int orderedSize;
+    private int heapifiedSize;
 
     /** Removes all items. */
     public void clear() {
         Arrays.fill(items, 0, size, null);
         size = 0;
-        orderedSize = 0;
+        heapifiedSize = 0;
     }
 
     /** Whether there are no items. */
@@ -29,22 +29,22 @@
     }
 
     /** Adds an item; the heap is put in order when it is next read. */
-    public void add(T item, double key, long number) {
+    public void add(T item, double key, long tieBreaker) {
         if (size == keys.length) {
             keys = Arrays.copyOf(keys, 2 * size);
-            numbers = Arrays.copyOf(numbers, 2 * size);
+            tieBreakers = Arrays.copyOf(tieBreakers, 2 * size);
             items = Arrays.copyOf(items, 2 * size);
         }
-        set(size++, item, key, number);
+        set(size++, item, key, tieBreaker);
     }
 
     /** Adds an item at the cost of the logarithm of the size. */
-    public void push(T item, double key, long number) {
-        order();
-        add(item, key, number);
-        orderedSize = size;
+    public void push(T item, double key, long tieBreaker) {
+        heapify();
+        add(item, key, tieBreaker);
+        heapifiedSize = size;
         int position = size - 1;
-        while (position > 0 && isAbove(position, (position - 1) / 2)) {
+        while (position > 0 && hasPriorityOver(position, (position - 1) / 2)) {
             swap(position, (position - 1) / 2);
             position = (position - 1) / 2;
         }
@@ -52,26 +52,26 @@
 
     /** The greatest key; there has to be one. */
     public double key() {
-        order();
+        heapify();
         return keys[0];
     }
 
     /** Removes the item with the greatest key; there has to be one. */
     @SuppressWarnings("unchecked")
     public T pop() {
-        order();
+        heapify();
         T top = (T) items[0];
         size--;
-        orderedSize = size;
+        heapifiedSize = size;
         swap(0, size);
         items[size] = null;
         siftDown(0);
         return top;
     }
 
-    private void order() {
-        if (orderedSize != size) {
-            orderedSize = size;
+    private void heapify() {
+        if (heapifiedSize != size) {
+            heapifiedSize = size;
             for (int i = size / 2 - 1; i >= 0; i--) {
                 siftDown(i);
             }
@@ -85,10 +85,10 @@
             if (child >= size) {
                 return;
             }
-            if (child + 1 < size && isAbove(child + 1, child)) {
+            if (child + 1 < size && hasPriorityOver(child + 1, child)) {
                 child++;
             }
-            if (!isAbove(child, position)) {
+            if (!hasPriorityOver(child, position)) {
                 return;
             }
             swap(child, position);
@@ -96,21 +96,22 @@
         }
     }
 
-    private boolean isAbove(int position, int other) {
-        return keys[position] > keys[other] || keys[position] == keys[other] && numbers[position] < numbers[other];
+    private boolean hasPriorityOver(int position, int other) {
+        return keys[position] > keys[other]
+                || keys[position] == keys[other] && tieBreakers[position] < tieBreakers[other];
     }
 
-    private void set(int position, Object item, double key, long number) {
+    private void set(int position, Object item, double key, long tieBreaker) {
         items[position] = item;
         keys[position] = key;
-        numbers[position] = number;
+        tieBreakers[position] = tieBreaker;
     }
 
     private void swap(int position, int other) {
         Object item = items[position];
         double key = keys[position];
-        long number = numbers[position];
-        set(position, items[other], keys[other], numbers[other]);
-        set(other, item, key, number);
+        long tieBreaker = tieBreakers[position];
+        set(position, items[other], keys[other], tieBreakers[other]);
+        set(other, item, key, tieBreaker);
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
+++ b/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
@@ -27,7 +27,7 @@
     }
 
     /** Ten quick answers, one after the other, so that the usual latency is known. */
-    private static SchedulerScript warmed(int destination, int endpoints) {
+    private static SchedulerScript scriptWithMeasuredLatency(int destination, int endpoints) {
         SchedulerScript script = script().listEndpoints(destination, endpoints);
         for (int i = 0; i < 10; i++) {
             script.submit(1000 * destination + i, SchedulerScript.IDEMPOTENT, destination)
@@ -60,15 +60,16 @@
     }
 
     /** Time passes, and each call is answered after 50 ms. */
-    private static void answering(SchedulerScript script, long span) {
-        int seen = script.sends.size();
-        for (long end = script.now + span; script.now < end; ) {
+    private static void advanceAnsweringCalls(SchedulerScript script, long spanMicros) {
+        int answeredCount = script.sends.size();
+        for (long end = script.now + spanMicros; script.now < end; ) {
             script.advance(50_000);
-            List<SchedulerScript.Send> due = List.copyOf(script.sends.subList(seen, script.sends.size()));
-            for (SchedulerScript.Send send : due) {
+            List<SchedulerScript.Send> unanswered =
+                    List.copyOf(script.sends.subList(answeredCount, script.sends.size()));
+            for (SchedulerScript.Send send : unanswered) {
                 if (script.now - send.at() >= 50_000) {
                     script.complete(send.id(), AttemptOutcome.OK).decide();
-                    seen++;
+                    answeredCount++;
                 }
             }
         }
@@ -76,7 +77,7 @@
 
     /** Priority weights in the script: 3 idempotent, 1 keyed, 4 non-idempotent, 1 ordered. */
     @Test
-    void messageBelowThePriceOfACallIsRejectedWithAdvice() {
+    void messageBelowTheAdmissionPriceIsRejected() {
         SchedulerScript script = script().listEndpoints(1, 1);
         script.add(new Event.AdmissionPriceChanged(1, 2, 2.4, 1, 500_000)).decide();
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
@@ -108,75 +109,75 @@
 
     /** Under a fleet rate limit messages leave evenly, and at once when it is lifted. */
     @Test
-    void fleetRateLimitHoldsTheRate() {
-        SchedulerScript script = warmed(1, 1);
-        int before = script.sends.size();
+    void messagesUnderAFleetRateLimitLeaveEvenly() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
+        int sendsBefore = script.sends.size();
         script.add(new Event.FleetRateLimitChanged(1, 2, 0.5, false)).decide();
         for (int i = 1; i <= 6; i++) {
             script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
         }
         long from = script.now;
-        answering(script, 2_000_000);
-        List<SchedulerScript.Send> sent = script.sends.subList(before, script.sends.size());
+        advanceAnsweringCalls(script, 2_000_000);
+        List<SchedulerScript.Send> sent = script.sends.subList(sendsBefore, script.sends.size());
         assertEquals(
                 List.of(250_000L, 750_000L, 1_250_000L, 1_750_000L),
-                sent.stream().map(x -> x.at() - from).toList());
+                sent.stream().map(send -> send.at() - from).toList());
         script.add(new Event.FleetRateLimitChanged(1, 0, 0, false)).decide();
-        answering(script, 1_000_000);
-        assertEquals(before + 4, script.sends.size());
+        advanceAnsweringCalls(script, 1_000_000);
+        assertEquals(sendsBefore + 4, script.sends.size());
         script.add(new Event.FleetRateLimitChanged(1, Double.POSITIVE_INFINITY, 0, false))
                 .decide();
-        assertEquals(before + 6, script.sends.size());
+        assertEquals(sendsBefore + 6, script.sends.size());
     }
 
     /** A call with several messages is charged for each of them. */
     @Test
-    void fleetRateLimitCountsMessagesAndNotCalls() {
+    void fleetRateLimitChargesEachMessageOfACall() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(8, false, 5)).listEndpoints(1, 1);
         script.submit(100, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .advance(50_000)
                 .complete(100, AttemptOutcome.OK)
                 .decide();
-        int before = script.sends.size();
+        int sendsBefore = script.sends.size();
         script.add(new Event.FleetRateLimitChanged(1, 1, 1, false)).decide();
         for (int i = 1; i <= 5; i++) {
             script.submit(i, SchedulerScript.IDEMPOTENT, 1);
         }
         script.decide();
-        answering(script, 3_500_000);
-        assertEquals(4, script.sends.size() - before);
+        advanceAnsweringCalls(script, 3_500_000);
+        assertEquals(4, script.sends.size() - sendsBefore);
     }
 
     /** Another sender was answered: the destination is tried now, not when this sender's own trial is due. */
     @Test
     void recoverySeenByAnotherSenderBringsTheNextTrialForward() {
-        SchedulerScript script = warmed(1, 1);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
-        int ended = 0;
+        int failedAttempts = 0;
         for (int i = 0; i < 80; i++) {
-            int out = script.sends.size();
-            if (out > ended + 10) {
+            int sendCount = script.sends.size();
+            if (sendCount > failedAttempts + 10) {
                 script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
-                ended++;
+                failedAttempts++;
             }
             script.advance(50_000);
         }
         // Its last call is in flight or completed; its own next trial would come later than this.
-        if (script.sends.size() > ended + 10) {
+        if (script.sends.size() > failedAttempts + 10) {
             script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
         }
         script.submit(2, SchedulerScript.IDEMPOTENT, 1).decide();
-        int before = script.sends.size();
+        int sendsBefore = script.sends.size();
         script.decide();
-        assertEquals(before, script.sends.size(), "a trial was due anyhow");
+        assertEquals(sendsBefore, script.sends.size(), "a trial was due anyhow");
         script.add(new Event.FleetRateLimitChanged(1, 100, 1, true)).decide();
-        assertEquals(before + 1, script.sends.size());
+        assertEquals(sendsBefore + 1, script.sends.size());
     }
 
     @Test
-    void higherIndexGoesFirst() {
-        SchedulerScript script = warmed(1, 1);
+    void messageWithTheHigherIndexIsSentFirst() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.submit(1, SchedulerScript.KEYED, 1)
                 .submit(2, SchedulerScript.NON_IDEMPOTENT, 1)
                 .submit(3, SchedulerScript.IDEMPOTENT, 1)
@@ -195,8 +196,8 @@
     }
 
     @Test
-    void rejectsAtOnceWhenTheWaitIsLongerThanTheTimeLeft() {
-        SchedulerScript script = warmed(1, 1);
+    void messageWithALongerWaitThanTimeLeftIsRejectedAtOnce() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         for (int i = 0; i < 40; i++) {
             script.submit(1 + i, SchedulerScript.IDEMPOTENT, 1);
         }
@@ -213,8 +214,8 @@
     }
 
     @Test
-    void retryAfterHoldsTheWholeDestination() {
-        SchedulerScript script = warmed(1, 2);
+    void retryAfterOfOneEndpointHoldsBackTheWholeDestination() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .complete(1, AttemptOutcome.FULL, 900_000)
@@ -226,8 +227,8 @@
     }
 
     @Test
-    void nonIdempotentIsNeverRepeatedAndKeyedOnlyWhileRemembered() {
-        SchedulerScript script = warmed(1, 1);
+    void nonIdempotentMessageIsNotRetriedAndKeyedOneOnlyWithinItsKeyLife() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1)
                 .decide()
                 .complete(1, AttemptOutcome.ERROR)
@@ -239,22 +240,22 @@
                 .decide()
                 .advance(16_100_000);
         assertEquals(List.of(1L), script.failed);
-        assertEquals(1, script.sends.stream().filter(x -> x.id() == 1).count());
-        assertTrue(script.sends.stream().filter(x -> x.id() == 2).count() > 1);
+        assertEquals(1, script.sends.stream().filter(send -> send.id() == 1).count());
+        assertTrue(script.sends.stream().filter(send -> send.id() == 2).count() > 1);
     }
 
     @Test
-    void nonIdempotentIsRepeatedWhenItNeverRan() {
-        SchedulerScript script = warmed(1, 2);
+    void nonIdempotentMessageThatDidNotRunIsRetriedAtAnotherEndpoint() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2);
         script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1).decide();
-        long first = script.last(1).endpoint();
+        long firstEndpoint = script.lastSend(1).endpoint();
         script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
-        assertNotEquals(first, script.last(1).endpoint(), "the sibling is tried next");
+        assertNotEquals(firstEndpoint, script.lastSend(1).endpoint(), "the sibling is tried next");
     }
 
     @Test
-    void messagesOfAKeyGoInOrderAndPauseAfterAnUnknownOutcome() {
-        SchedulerScript script = warmed(1, 1);
+    void messagesOfAKeyAreSentInOrderAndPauseAfterAnUnknownOutcome() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.submit(1, SchedulerScript.ORDERED, 1, 77)
                 .submit(2, SchedulerScript.ORDERED, 1, 77)
                 .decide();
@@ -267,12 +268,12 @@
     }
 
     private static boolean hasSent(SchedulerScript script, long id) {
-        return script.sends.stream().anyMatch(x -> x.id() == id);
+        return script.sends.stream().anyMatch(send -> send.id() == id);
     }
 
     @Test
-    void nothingNewToADrainingEndpoint() {
-        SchedulerScript script = warmed(1, 2).changeEndpoint(1, 0, EndpointState.DRAINING);
+    void drainingOrGoneEndpointGetsNoNewCalls() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2).changeEndpoint(1, 0, EndpointState.DRAINING);
         for (int i = 1; i < 6; i++) {
             script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
         }
@@ -285,7 +286,7 @@
     /** Incident: calls without an answer held all slots until their time-outs. */
     @Test
     void silentCallsOpenTheBreakerAndFreeTheirSlots() {
-        SchedulerScript script = warmed(1, 1);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         for (int i = 1; i <= 6; i++) {
             script.submit(i, SchedulerScript.IDEMPOTENT, 1);
         }
@@ -298,22 +299,22 @@
 
     @Test
     void oneSilentEndpointDoesNotBlockItsSibling() {
-        SchedulerScript script = warmed(1, 2);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .submit(2, SchedulerScript.IDEMPOTENT, 1)
                 .decide();
-        long faulty = script.last(1).endpoint();
+        long silentEndpoint = script.lastSend(1).endpoint();
         script.complete(2, AttemptOutcome.OK).decide().advance(3_000_000);
         for (int i = 3; i < 10; i++) {
             script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
-            assertNotEquals(faulty, script.last(i).endpoint());
+            assertNotEquals(silentEndpoint, script.lastSend(i).endpoint());
             script.advance(100_000).complete(i, AttemptOutcome.OK).decide();
         }
     }
 
     @Test
     void oneErrorDoesNotOpenTheBreaker() {
-        SchedulerScript script = warmed(1, 1);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .complete(1, AttemptOutcome.ERROR)
@@ -325,39 +326,41 @@
     }
 
     @Test
-    void slowStartAfterAnOutage() {
-        SchedulerScript script = warmed(1, 1);
+    void destinationGetsFewCallsInTheSlowStartAfterAnOutage() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         for (int i = 1; i <= 20; i++) {
             script.submit(i, SchedulerScript.IDEMPOTENT, 1).decide();
-            if (script.sends.stream().anyMatch(x -> x.id() == i0(script)) && script.isInFlight(i0(script))) {
-                script.complete(i0(script), AttemptOutcome.CONNECT_FAILED).decide();
+            if (script.sends.stream().anyMatch(send -> send.id() == lastSentMessage(script))
+                    && script.isInFlight(lastSentMessage(script))) {
+                script.complete(lastSentMessage(script), AttemptOutcome.CONNECT_FAILED)
+                        .decide();
             }
             script.advance(300_000);
         }
         script.advance(3_000_000);
-        while (script.sends.stream().noneMatch(x -> script.isInFlight(x.id()))) {
+        while (script.sends.stream().noneMatch(send -> script.isInFlight(send.id()))) {
             script.advance(100_000);
         }
-        script.complete(i0(script), AttemptOutcome.OK).decide();
+        script.complete(lastSentMessage(script), AttemptOutcome.OK).decide();
         long from = script.now;
         for (int i = 0; i < 30; i++) {
             script.advance(100_000);
-            while (script.sends.stream().anyMatch(x -> script.isInFlight(x.id()))) {
-                script.complete(i0(script), AttemptOutcome.OK).decide();
+            while (script.sends.stream().anyMatch(send -> script.isInFlight(send.id()))) {
+                script.complete(lastSentMessage(script), AttemptOutcome.OK).decide();
             }
         }
         assertTrue(script.sendsTo(1, from) <= 6, "sent in the first three seconds: " + script.sendsTo(1, from));
     }
 
     /** The message of the latest attempt. */
-    private static long i0(SchedulerScript script) {
+    private static long lastSentMessage(SchedulerScript script) {
         return script.sends.get(script.sends.size() - 1).id();
     }
 
     /** Many senders with little traffic used up a destination's limit by rejected calls. */
     @Test
     void backoffGrowsWhileADestinationRejects() {
-        SchedulerScript script = warmed(1, 1);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
         for (int i = 0; i < 2_000 && !script.rejected.contains(1L); i++) {
             if (script.isInFlight(1)) {
@@ -365,7 +368,7 @@
             }
             script.advance(5_000);
         }
-        assertTrue(script.sends.stream().filter(x -> x.id() == 1).count() <= 8);
+        assertTrue(script.sends.stream().filter(send -> send.id() == 1).count() <= 8);
     }
 
     @Test
@@ -380,8 +383,8 @@
 
     /** Idle connections of hundreds of senders filled the tables of destinations that each called seldom. */
     @Test
-    void connectionsThatWillNotBeReusedAreClosedWhereTablesAreFull() {
-        SchedulerScript script = warmed(1, 1);
+    void idleConnectionsAreClosedWhereConnectionTablesAreFull() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         assertEquals(List.of(), script.closedEndpoints, "connections are to be had");
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
@@ -394,31 +397,31 @@
                 .advance(200_000)
                 .complete(2, AttemptOutcome.OK)
                 .decide();
-        int before = script.closedEndpoints.size();
-        assertTrue(before > 0, "a gap longer than its life shows that it serves nobody");
+        int closedBefore = script.closedEndpoints.size();
+        assertTrue(closedBefore > 0, "a gap longer than its life shows that it serves nobody");
         script.advance(200_000)
                 .submit(3, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .advance(200_000)
                 .complete(3, AttemptOutcome.OK)
                 .decide();
-        assertEquals(before, script.closedEndpoints.size(), "calls close together keep theirs");
+        assertEquals(closedBefore, script.closedEndpoints.size(), "calls close together keep theirs");
     }
 
     /** Connections were dropped unseen while idle, and calls on them were lost. */
     @Test
     void connectionsThatFailAfterIdlingAreNotReused() {
-        SchedulerScript script = warmed(1, 1).listEndpoints(2, 1);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1).listEndpoints(2, 1);
         for (int i = 1; i <= 12; i++) {
             script.advance(1_500_000)
                     .submit(i, SchedulerScript.NON_IDEMPOTENT, 1)
                     .decide()
                     .advance(100_000);
-            if (script.sends.stream().anyMatch(x -> x.id() < 100) && script.isInFlight(i)) {
+            if (script.sends.stream().anyMatch(send -> send.id() < 100) && script.isInFlight(i)) {
                 script.complete(i, AttemptOutcome.RESET).decide();
             }
             script.submit(100 + i, SchedulerScript.IDEMPOTENT, 1).decide();
-            for (int k = 0; k < 40; k++) {
+            for (int tick = 0; tick < 40; tick++) {
                 script.advance(100_000);
                 for (long id : List.of((long) i, 100L + i)) {
                     if (script.isInFlight(id)) {
@@ -433,7 +436,7 @@
 
     /** With three slots, two silent non-idempotent calls stopped a sender until their deadline. */
     @Test
-    void silentNonIdempotentCallsFreeTheirSlotsUnderPressure() {
+    void silentNonIdempotentCallIsCancelledWhenAnotherMessageNeedsItsSlot() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(2, false, 1))
                 .listEndpoints(1, 1)
                 .listEndpoints(2, 1);
@@ -450,7 +453,7 @@
     /** A slow start that only an answer could end blocked a destination for senders that called it seldom. */
     @Test
     void slowStartEndsWithoutTraffic() {
-        SchedulerScript script = warmed(1, 1);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .submit(2, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
@@ -474,7 +477,7 @@
     /** With one call in tens of seconds an outage was over before a second failure was seen. */
     @Test
     void oneFailureOpensTheBreakerWhereNoSuccessIsRecent() {
-        SchedulerScript script = warmed(1, 1);
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.advance(20_000_000)
                 .submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
@@ -488,8 +491,8 @@
 
     /** Messages made a dozen attempts each, and hundreds of senders overloaded the destination. */
     @Test
-    void aMessageMakesFewAttemptsAtADeadDestination() {
-        SchedulerScript script = new SchedulerScript(crowd(7)).listEndpoints(1, 1);
+    void messageMakesFewAttemptsAtADestinationThatRejects() {
+        SchedulerScript script = new SchedulerScript(settingsOfThreeHundredSenders(7)).listEndpoints(1, 1);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
         while (!script.rejected.contains(1L)) {
             if (script.isInFlight(1)) {
@@ -502,10 +505,10 @@
 
     /** A burst rejected at hundreds of senders came back at once and overloaded the destination. */
     @Test
-    void rejectedSendersComeBackFarApart() {
-        TreeSet<Long> returns = new TreeSet<>();
+    void rejectedSendersRetryFarApart() {
+        TreeSet<Long> retryDelaysMicros = new TreeSet<>();
         for (int seed = 1; seed <= 20; seed++) {
-            SchedulerScript script = new SchedulerScript(crowd(seed)).listEndpoints(1, 1);
+            SchedulerScript script = new SchedulerScript(settingsOfThreeHundredSenders(seed)).listEndpoints(1, 1);
             script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                     .decide()
                     .complete(1, AttemptOutcome.FULL)
@@ -513,35 +516,37 @@
             while (script.sends.size() < 2 && script.rejected.isEmpty()) {
                 script.advance(50_000);
             }
-            returns.add(script.now - SchedulerScript.START);
+            retryDelaysMicros.add(script.now - SchedulerScript.START);
         }
-        assertTrue(returns.first() >= 8_000_000, "none soon: " + returns);
-        assertTrue(returns.last() - returns.first() > 4_000_000 && returns.size() > 12, "apart: " + returns);
+        assertTrue(retryDelaysMicros.first() >= 8_000_000, "none soon: " + retryDelaysMicros);
+        assertTrue(
+                retryDelaysMicros.last() - retryDelaysMicros.first() > 4_000_000 && retryDelaysMicros.size() > 12,
+                "apart: " + retryDelaysMicros);
     }
 
     /** Settings of one among three hundred senders. */
-    private static DeliveryScheduler.Settings crowd(long seed) {
-        DeliveryScheduler.Settings few = SchedulerScript.settings(4, false, 1);
+    private static DeliveryScheduler.Settings settingsOfThreeHundredSenders(long seed) {
+        DeliveryScheduler.Settings base = SchedulerScript.settings(4, false, 1);
         return new DeliveryScheduler.Settings(
                 seed,
                 300,
                 0,
-                few.tickMicros(),
+                base.tickMicros(),
                 false,
                 0.1,
-                few.lateValueDecay(),
-                few.weightKind(),
-                few.classes(),
-                few.tenants(),
-                few.kinds(),
-                few.limits(),
-                few.rules(),
-                few.prices(),
-                few.reportFields());
+                base.lateValueDecay(),
+                base.weightKind(),
+                base.classes(),
+                base.tenants(),
+                base.kinds(),
+                base.limits(),
+                base.rules(),
+                base.prices(),
+                base.reportFields());
     }
 
     @Test
-    void subscribesOnRequestAndRenews() {
+    void failedSubscriptionIsRenewed() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(4, true, 1)).decide();
         assertEquals(1, script.subscriptions);
         script.add(new Event.EndpointListUpdated(EndpointListKind.FAILED, List.of()))
@@ -551,14 +556,14 @@
     }
 
     @Test
-    void settingsOutOfRangeAreNamed() {
+    void settingsOutOfRangeAreRejected() {
         assertThrows(
                 IllegalArgumentException.class, () -> new AtcDeliveryScheduler(SchedulerScript.settings(0, false, 1)));
     }
 
     @Test
-    void unknownEventsAreHarmless() {
-        SchedulerScript script = warmed(1, 1);
+    void eventsOfUnknownMessagesAreIgnored() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.add(new Event.AttemptCompleted(999, 0, 5, AttemptOutcome.UNKNOWN, 1, false, 0, List.of()));
         script.add(new Event.MessageCancelled(999))
                 .add(new Event.TimerExpired(4))
@@ -571,15 +576,15 @@
 
     /** Long random scenarios keep the rules that the script asserts, and give the same actions twice. */
     @Test
-    void randomScenariosKeepTheRules() {
+    void randomScenariosKeepTheRulesAndAreReproducible() {
         for (int seed = 1; seed <= 20; seed++) {
-            assertEquals(randomDay(seed), randomDay(seed));
+            assertEquals(runRandomScenario(seed), runRandomScenario(seed));
         }
     }
 
     /** Instances share nothing: a step of one between the steps of another changes neither. */
     @Test
-    void interleavedInstancesActAsAlone() {
+    void interleavedSchedulersDoNotAffectEachOther() {
         SchedulerScript alone = script().listEndpoints(1, 2);
         SchedulerScript first = script().listEndpoints(1, 2);
         SchedulerScript second = script().listEndpoints(1, 2);
@@ -597,20 +602,20 @@
         assertEquals(alone.sends, second.sends);
     }
 
-    private static List<SchedulerScript.Send> randomDay(int seed) {
+    private static List<SchedulerScript.Send> runRandomScenario(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(4, false, 1 + seed % 3))
                 .listEndpoints(1, 2)
                 .listEndpoints(2, 1)
                 .listEndpoints(3, 3);
-        AttemptOutcome[] endings = AttemptOutcome.values();
+        AttemptOutcome[] outcomes = AttemptOutcome.values();
         for (int i = 0; i < 300; i++) {
             script.submit(i, random.nextInt(4), 1 + random.nextInt(3), 1 + random.nextInt(5));
             script.advance(5_000L * random.nextInt(1, 40));
             for (SchedulerScript.Send send : List.copyOf(script.sends)) {
-                if (script.isInFlight(send.id()) && script.last(send.id()) == send && random.nextInt(3) > 0) {
-                    AttemptOutcome ending = endings[random.nextInt(2) * random.nextInt(endings.length)];
-                    script.complete(send.id(), ending, ending == AttemptOutcome.FULL ? random.nextInt(1_000_000) : 0);
+                if (script.isInFlight(send.id()) && script.lastSend(send.id()) == send && random.nextInt(3) > 0) {
+                    AttemptOutcome outcome = outcomes[random.nextInt(2) * random.nextInt(outcomes.length)];
+                    script.complete(send.id(), outcome, outcome == AttemptOutcome.FULL ? random.nextInt(1_000_000) : 0);
                 }
             }
             script.decide();
@@ -645,8 +650,8 @@
 
     /** An outcome that would come after the end of the process loses a non-idempotent message; others are recovered. */
     @Test
-    void startsNoNonIdempotentAttemptJustBeforeTheProcessEnds() {
-        SchedulerScript script = warmed(1, 1);
+    void nonIdempotentMessageIsNotSentJustBeforeTheProcessEnds() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.add(new DeliveryScheduler.Event.ShutdownStarted(100_000)).decide();
         script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1)
                 .submit(2, SchedulerScript.IDEMPOTENT, 1)
@@ -657,8 +662,8 @@
     }
 
     @Test
-    void startsNonIdempotentAttemptsThatEndBeforeTheProcessDoes() {
-        SchedulerScript script = warmed(1, 1);
+    void nonIdempotentMessageIsSentLongBeforeTheProcessEnds() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 1);
         script.add(new DeliveryScheduler.Event.ShutdownStarted(3_600_000)).decide();
         script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1).decide();
         assertEquals(1, script.sends.stream().filter(send -> send.id() == 1).count());
@@ -666,10 +671,10 @@
 
     /** Where answers are acknowledged, the next message of a key goes only behind the acknowledgement. */
     @Test
-    void holdsTheKeyUntilAnAnswerIsAcknowledged() {
+    void nextMessageOfAKeyWaitsForTheAcknowledgement() {
         List<Long> sent = new ArrayList<>();
         List<Long> answered = new ArrayList<>();
-        DeliveryScheduler.Actions actions = recording(sent, answered);
+        DeliveryScheduler.Actions actions = recordingActions(sent, answered);
         AtcDeliveryScheduler scheduler = new AtcDeliveryScheduler(SchedulerScript.settings(4, false, 1), true);
         long now = SchedulerScript.START;
         scheduler.step(
@@ -697,10 +702,10 @@
 
     /** What was in flight at a kill may have run: non-idempotent fails, keyed goes on only while its key is remembered. */
     @Test
-    void recoversByClass() {
+    void recoveredMessagesAreRetriedAsTheirIdempotencyAllows() {
         List<Long> sent = new ArrayList<>();
         List<Long> answered = new ArrayList<>();
-        DeliveryScheduler.Actions actions = recording(sent, answered);
+        DeliveryScheduler.Actions actions = recordingActions(sent, answered);
         AtcDeliveryScheduler scheduler = new AtcDeliveryScheduler(SchedulerScript.settings(8, false, 1), true);
         long now = SchedulerScript.START;
         scheduler.step(
@@ -709,12 +714,12 @@
                         EndpointListKind.CACHED,
                         List.of(new DeliveryScheduler.EndpointEntry(10, 1, EndpointState.READY, 1, 0, 0))),
                 actions);
-        resume(scheduler, now, 1, SchedulerScript.NON_IDEMPOTENT, 1, 2_000_000, actions);
-        resume(scheduler, now, 2, SchedulerScript.NON_IDEMPOTENT, 1, -1, actions);
-        resume(scheduler, now, 3, SchedulerScript.KEYED, 1, 2_000_000, actions);
-        resume(scheduler, now, 4, SchedulerScript.KEYED, 1, 6_500_000, actions);
-        resume(scheduler, now, 5, SchedulerScript.IDEMPOTENT, 1, 9_000_000, actions);
-        resume(scheduler, now, 6, SchedulerScript.IDEMPOTENT, 8, -1, actions);
+        recover(scheduler, now, 1, SchedulerScript.NON_IDEMPOTENT, 1, 2_000_000, actions);
+        recover(scheduler, now, 2, SchedulerScript.NON_IDEMPOTENT, 1, -1, actions);
+        recover(scheduler, now, 3, SchedulerScript.KEYED, 1, 2_000_000, actions);
+        recover(scheduler, now, 4, SchedulerScript.KEYED, 1, 6_500_000, actions);
+        recover(scheduler, now, 5, SchedulerScript.IDEMPOTENT, 1, 9_000_000, actions);
+        recover(scheduler, now, 6, SchedulerScript.IDEMPOTENT, 8, -1, actions);
         scheduler.step(now, new DeliveryScheduler.Event.Decide(), actions);
         assertEquals(List.of(5L), sent, "the safe one tells whether the destination answers");
         scheduler.step(
@@ -726,30 +731,38 @@
         assertEquals(List.of(1L, 4L, 6L), answered.stream().sorted().toList());
     }
 
-    private static void resume(
+    private static void recover(
             AtcDeliveryScheduler scheduler,
             long now,
             long id,
-            int type,
+            int messageClass,
             int attempts,
-            long doubtAge,
+            long unknownOutcomeAgeMicros,
             DeliveryScheduler.Actions actions) {
         scheduler.step(
                 now,
                 new DeliveryScheduler.Event.MessageRecovered(
-                        id, type, 0, 10_000_000, 1, attempts, doubtAge, 10, doubtAge >= 0),
+                        id,
+                        messageClass,
+                        0,
+                        10_000_000,
+                        1,
+                        attempts,
+                        unknownOutcomeAgeMicros,
+                        10,
+                        unknownOutcomeAgeMicros >= 0),
                 actions);
     }
 
-    private static DeliveryScheduler.Actions recording(List<Long> sent, List<Long> answered) {
+    private static DeliveryScheduler.Actions recordingActions(List<Long> sent, List<Long> answered) {
         return new DeliveryScheduler.Actions() {
             @Override
-            public void send(long id, long endpoint, long giveUpAt) {
+            public void send(long id, long endpoint, long timeoutAt) {
                 sent.add(id);
             }
 
             @Override
-            public void reject(long id, long retryAfter) {
+            public void reject(long id, long retryAfterMicros) {
                 answered.add(id);
             }
 
@@ -765,7 +778,7 @@
             public void closeIdle(long endpoint) {}
 
             @Override
-            public void scheduleTimer(long delay, long token) {}
+            public void scheduleTimer(long delayMicros, long token) {}
 
             @Override
             public void subscribe() {}
@@ -777,19 +790,19 @@
 
     // ---- Settings that change. ----
 
-    private static DeliveryScheduler.Settings fewer(
-            DeliveryScheduler.Settings settings, int attempts, DeliveryScheduler.Idempotency effect) {
+    private static DeliveryScheduler.Settings withAttemptsAndIdempotency(
+            DeliveryScheduler.Settings settings, int maxAttempts, DeliveryScheduler.Idempotency idempotency) {
         DeliveryScheduler.Limits limits = settings.limits();
         List<DeliveryScheduler.MessageClass> classes = settings.classes().stream()
-                .map(c -> new DeliveryScheduler.MessageClass(
-                        c.priorityWeight(),
-                        c.lateValueShare(),
-                        c.latencyObjectiveMicros(),
-                        c.deadlineMicros(),
-                        effect,
-                        c.keyScope(),
-                        c.keyLifeMicros(),
-                        c.ordered()))
+                .map(messageClass -> new DeliveryScheduler.MessageClass(
+                        messageClass.priorityWeight(),
+                        messageClass.lateValueShare(),
+                        messageClass.latencyObjectiveMicros(),
+                        messageClass.deadlineMicros(),
+                        idempotency,
+                        messageClass.keyScope(),
+                        messageClass.keyLifeMicros(),
+                        messageClass.ordered()))
                 .toList();
         return new DeliveryScheduler.Settings(
                 settings.seed(),
@@ -806,7 +819,7 @@
                 new DeliveryScheduler.Limits(
                         limits.maxConcurrentCalls(),
                         limits.maxPendingMessages(),
-                        attempts,
+                        maxAttempts,
                         limits.parallelAttempts(),
                         limits.cancellationAllowed(),
                         limits.retryAdviceAllowed(),
@@ -820,11 +833,11 @@
     }
 
     @Test
-    void pendingMessageKeepsItsClassAndNewOnesGetTheNewOne() {
-        SchedulerScript script = warmed(1, 2);
+    void pendingMessageKeepsItsClassAfterASettingsChange() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1).decide();
-        script.add(new Event.SettingsChanged(
-                        fewer(SchedulerScript.settings(8, false, 1), 12, DeliveryScheduler.Idempotency.NON_IDEMPOTENT)))
+        script.add(new Event.SettingsChanged(withAttemptsAndIdempotency(
+                        SchedulerScript.settings(8, false, 1), 12, DeliveryScheduler.Idempotency.NON_IDEMPOTENT)))
                 .decide();
         script.advance(100_000).complete(1, AttemptOutcome.ERROR).decide().advance(100_000);
         assertTrue(script.isInFlight(1), "a safe message was not sent again");
@@ -838,27 +851,27 @@
     }
 
     @Test
-    void fewerAttemptsAnswerWhatHasHadThem() {
-        SchedulerScript script = warmed(1, 2);
+    void messageAtALoweredAttemptLimitIsRejected() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2);
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .advance(100_000)
                 .complete(1, AttemptOutcome.ERROR);
-        script.add(new Event.SettingsChanged(
-                        fewer(SchedulerScript.settings(8, false, 1), 1, DeliveryScheduler.Idempotency.IDEMPOTENT)))
+        script.add(new Event.SettingsChanged(withAttemptsAndIdempotency(
+                        SchedulerScript.settings(8, false, 1), 1, DeliveryScheduler.Idempotency.IDEMPOTENT)))
                 .decide();
         assertEquals(List.of(1L), script.rejected);
     }
 
     @Test
-    void settingsThatCannotBeUsedChangeNothing() {
-        SchedulerScript script = warmed(1, 2);
-        for (int attempts : new int[] {0, -1}) {
+    void settingsOutOfRangeChangeNothing() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2);
+        for (int maxAttempts : new int[] {0, -1}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> script.configure(fewer(
+                    () -> script.configure(withAttemptsAndIdempotency(
                             SchedulerScript.settings(8, false, 1),
-                            attempts,
+                            maxAttempts,
                             DeliveryScheduler.Idempotency.NON_IDEMPOTENT)));
         }
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
@@ -871,8 +884,8 @@
     }
 
     @Test
-    void countsAvoidedEndpoints() {
-        SchedulerScript script = warmed(1, 2);
+    void failedEndpointsAreCountedAsAvoided() {
+        SchedulerScript script = scriptWithMeasuredLatency(1, 2);
         assertEquals(0, script.avoidedEndpoints());
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
@@ -885,35 +898,35 @@
 
     // ---- Transfer from a process that still runs. ----
 
-    private static Event resumed(long id, int type, long key) {
-        return new Event.MessageRecovered(id, type, key, 10_000_000, 1, 0, -1, 0, false);
+    private static Event messageRecovered(long id, int messageClass, long key) {
+        return new Event.MessageRecovered(id, messageClass, key, 10_000_000, 1, 0, -1, 0, false);
     }
 
-    private static Event ended(long id, AttemptOutcome ending) {
-        return new Event.AttemptCompleted(id, 0, 10, ending, 60_000, ending == AttemptOutcome.OK, 0, List.of());
+    private static Event attemptCompleted(long id, AttemptOutcome outcome) {
+        return new Event.AttemptCompleted(id, 0, 10, outcome, 60_000, outcome == AttemptOutcome.OK, 0, List.of());
     }
 
     @Test
-    void callInFlightOfTheOtherProcessHoldsItsSlotAndIsNotRepeated() {
+    void transferredCallKeepsItsSlotAndIsNotRetried() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(1, false, 1)).listEndpoints(1, 1);
-        script.add(resumed(1, SchedulerScript.NON_IDEMPOTENT, 0))
+        script.add(messageRecovered(1, SchedulerScript.NON_IDEMPOTENT, 0))
                 .add(new Event.CallInFlight(List.of(1L), 10, 50_000))
                 .decide();
         script.submit(2, SchedulerScript.IDEMPOTENT, 1).decide().advance(50_000);
         assertEquals(List.of(), script.sends);
-        script.add(ended(1, AttemptOutcome.OK)).decide();
+        script.add(attemptCompleted(1, AttemptOutcome.OK)).decide();
         assertTrue(script.isInFlight(2));
         assertEquals(1, script.sends.size());
     }
 
     /** Both messages of one call: one slot, free only when both have their outcomes. */
     @Test
-    void severalMessagesOfOneCallShareItsSlot() {
+    void messagesOfATransferredCallShareItsSlot() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(2, false, 2))
                 .listEndpoints(1, 1)
                 .listEndpoints(2, 2);
-        script.add(resumed(1, SchedulerScript.NON_IDEMPOTENT, 0))
-                .add(resumed(2, SchedulerScript.NON_IDEMPOTENT, 0))
+        script.add(messageRecovered(1, SchedulerScript.NON_IDEMPOTENT, 0))
+                .add(messageRecovered(2, SchedulerScript.NON_IDEMPOTENT, 0))
                 .add(new Event.CallInFlight(List.of(1L, 2L), 10, 50_000))
                 .decide();
         script.submit(3, SchedulerScript.IDEMPOTENT, 2)
@@ -926,28 +939,28 @@
                         .map(SchedulerScript.Send::endpoint)
                         .distinct()
                         .count());
-        script.add(ended(1, AttemptOutcome.OK))
+        script.add(attemptCompleted(1, AttemptOutcome.OK))
                 .decide()
-                .add(ended(2, AttemptOutcome.OK))
+                .add(attemptCompleted(2, AttemptOutcome.OK))
                 .decide();
         script.submit(5, SchedulerScript.IDEMPOTENT, 1).decide();
         assertTrue(script.isInFlight(5), "the slot did not come back");
     }
 
     @Test
-    void callInFlightOfTheOtherProcessHoldsItsKey() {
+    void transferredCallBlocksItsKey() {
         SchedulerScript script = script().listEndpoints(1, 2);
-        script.add(resumed(1, SchedulerScript.ORDERED, 5))
+        script.add(messageRecovered(1, SchedulerScript.ORDERED, 5))
                 .add(new Event.CallInFlight(List.of(1L), 10, 0))
                 .decide();
         script.submit(2, SchedulerScript.ORDERED, 1, 5).decide().advance(100_000);
         assertFalse(script.isInFlight(2));
-        script.add(ended(1, AttemptOutcome.OK)).decide();
+        script.add(attemptCompleted(1, AttemptOutcome.OK)).decide();
         assertTrue(script.isInFlight(2));
     }
 
     @Test
-    void keyStaysPausedAndWaitsForAnOutstandingAcknowledgement() {
+    void transferredPauseAndMissingAcknowledgementBlockTheirKeys() {
         SchedulerScript script = script().listEndpoints(1, 2);
         script.add(new Event.KeyPaused(new DeliveryScheduler.KeyPause(5, 80_000, 0)))
                 .add(new Event.CompletedMessageRecovered(9, 6))
@@ -967,63 +980,74 @@
     }
 
     @Test
-    void transferredStateBindsTheNextProcess() {
-        SchedulerScript before = warmed(1, 2);
-        before.submit(1, SchedulerScript.IDEMPOTENT, 1)
+    void transferredRetryAfterIsObeyedByTheNextProcess() {
+        SchedulerScript previousProcess = scriptWithMeasuredLatency(1, 2);
+        previousProcess
+                .submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .complete(1, AttemptOutcome.FULL, 900_000)
                 .decide();
-        List<DeliveryScheduler.UpstreamSnapshot> learned = before.snapshots();
-        SchedulerScript after = script().listEndpoints(1, 2);
-        learned.forEach(l -> after.add(new Event.UpstreamStateTransferred(l)));
-        after.submit(2, SchedulerScript.IDEMPOTENT, 1).decide().advance(850_000);
-        assertFalse(after.isInFlight(2), "the told wait is not kept");
-        after.advance(900_000);
-        assertTrue(after.isInFlight(2));
-        List<DeliveryScheduler.UpstreamSnapshot> again = script().listEndpoints(1, 2)
-                .add(new Event.UpstreamStateTransferred(learned.get(0)))
+        List<DeliveryScheduler.UpstreamSnapshot> snapshots = previousProcess.snapshots();
+        SchedulerScript nextProcess = script().listEndpoints(1, 2);
+        snapshots.forEach(snapshot -> nextProcess.add(new Event.UpstreamStateTransferred(snapshot)));
+        nextProcess.submit(2, SchedulerScript.IDEMPOTENT, 1).decide().advance(850_000);
+        assertFalse(nextProcess.isInFlight(2), "the told wait is not kept");
+        nextProcess.advance(900_000);
+        assertTrue(nextProcess.isInFlight(2));
+        List<DeliveryScheduler.UpstreamSnapshot> restored = script().listEndpoints(1, 2)
+                .add(new Event.UpstreamStateTransferred(snapshots.get(0)))
                 .decide()
                 .snapshots();
         // For how long an upstream has been healthy is not kept: nothing depends on it.
         assertEquals(
-                learned.stream().map(AtcDeliverySchedulerTest::sinceEver).toList(),
-                again.stream().map(AtcDeliverySchedulerTest::sinceEver).toList());
+                snapshots.stream()
+                        .map(AtcDeliverySchedulerTest::withoutHealthyTime)
+                        .toList(),
+                restored.stream()
+                        .map(AtcDeliverySchedulerTest::withoutHealthyTime)
+                        .toList());
     }
 
-    private static DeliveryScheduler.UpstreamSnapshot sinceEver(DeliveryScheduler.UpstreamSnapshot l) {
-        DeliveryScheduler.HealthCheckpoint m = l.checkpoint();
+    private static DeliveryScheduler.UpstreamSnapshot withoutHealthyTime(DeliveryScheduler.UpstreamSnapshot snapshot) {
+        DeliveryScheduler.HealthCheckpoint checkpoint = snapshot.checkpoint();
         return new DeliveryScheduler.UpstreamSnapshot(
                 new DeliveryScheduler.HealthCheckpoint(
-                        m.destination(), m.endpoint(), m.status(), 0, m.callsPerSecond(), m.usualLatencyMicros()),
-                l.retryAfterMicros(),
-                l.backoffMicros(),
-                l.pacePerSecond(),
-                l.sinceRejectionMicros(),
-                l.sinceSuccessMicros(),
-                l.presentLatencyMicros(),
-                l.expectedServiceMicros(),
-                l.successProbability(),
-                l.sentPerSecond(),
-                l.servedPerSecond(),
-                l.reportedLimit(),
-                l.failureRatio());
+                        checkpoint.destination(),
+                        checkpoint.endpoint(),
+                        checkpoint.status(),
+                        0,
+                        checkpoint.callsPerSecond(),
+                        checkpoint.usualLatencyMicros()),
+                snapshot.retryAfterMicros(),
+                snapshot.backoffMicros(),
+                snapshot.pacePerSecond(),
+                snapshot.sinceRejectionMicros(),
+                snapshot.sinceSuccessMicros(),
+                snapshot.presentLatencyMicros(),
+                snapshot.expectedServiceMicros(),
+                snapshot.successProbability(),
+                snapshot.sentPerSecond(),
+                snapshot.servedPerSecond(),
+                snapshot.reportedLimit(),
+                snapshot.failureRatio());
     }
 
     @Test
-    void outageIsTransferred() {
-        SchedulerScript before = warmed(1, 1);
-        before.submit(1, SchedulerScript.IDEMPOTENT, 1)
+    void transferredOutageKeepsTheEndpointAvoided() {
+        SchedulerScript previousProcess = scriptWithMeasuredLatency(1, 1);
+        previousProcess
+                .submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .complete(1, AttemptOutcome.CONNECT_FAILED)
                 .decide()
                 .advance(600_000);
-        while (before.avoidedEndpoints() == 0) {
-            before.complete(1, AttemptOutcome.CONNECT_FAILED).decide().advance(600_000);
+        while (previousProcess.avoidedEndpoints() == 0) {
+            previousProcess.complete(1, AttemptOutcome.CONNECT_FAILED).decide().advance(600_000);
         }
-        SchedulerScript after = script().listEndpoints(1, 1);
-        before.snapshots().forEach(l -> after.add(new Event.UpstreamStateTransferred(l)));
-        after.decide();
-        assertEquals(1, after.avoidedEndpoints());
+        SchedulerScript nextProcess = script().listEndpoints(1, 1);
+        previousProcess.snapshots().forEach(snapshot -> nextProcess.add(new Event.UpstreamStateTransferred(snapshot)));
+        nextProcess.decide();
+        assertEquals(1, nextProcess.avoidedEndpoints());
         assertEquals(0, script().listEndpoints(1, 1).decide().avoidedEndpoints());
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/DispatchCandidatesTest.java
+++ b/decisions/src/test/java/amberroute/decisions/DispatchCandidatesTest.java
@@ -8,9 +8,9 @@
 class DispatchCandidatesTest {
     /** The bound is never above the logarithm, and close enough to be of use. */
     @Test
-    void logAtLeastIsACloseLowerBoundOfTheLogarithm() {
+    void logLowerBoundStaysCloseBelowTheLogarithm() {
         for (double value = 1; value < 1e300; value *= 1.0003) {
-            double bound = DispatchCandidates.logAtLeast(value);
+            double bound = DispatchCandidates.logLowerBound(value);
             assertTrue(bound <= Math.log(value) + 1e-10 && bound > Math.log(value) - 0.0009, value + " has " + bound);
         }
     }
--- a/decisions/src/test/java/amberroute/decisions/EmbeddingExampleTest.java
+++ b/decisions/src/test/java/amberroute/decisions/EmbeddingExampleTest.java
@@ -77,23 +77,23 @@
     // example ends
 
     @Test
-    void sendsOne() {
+    void exampleSendsItsMessage() {
         sendOne(SchedulerScript.settings(4, false, 1));
         assertTrue(done.contains("send 7"), done.toString());
     }
 
     @Test
-    void documentationShowsTheSame() throws IOException {
+    void documentationShowsTheCompiledExample() throws IOException {
         assertEquals(
-                code(Files.readString(Path.of("..", "docs", "embedding.md")), "```java\n(.*?)```"),
-                code(
+                extractCode(Files.readString(Path.of("..", "docs", "embedding.md")), "```java\n(.*?)```"),
+                extractCode(
                         Files.readString(Path.of("src/test/java/amberroute/decisions/EmbeddingExampleTest.java")),
                         "// example begins\n(.*?) *// example ends"));
     }
 
-    private static String code(String text, String pattern) {
-        Matcher m = Pattern.compile(pattern, Pattern.DOTALL).matcher(text);
-        assertTrue(m.find());
-        return m.group(1).replaceAll("(?m)^ +", "").strip();
+    private static String extractCode(String text, String pattern) {
+        Matcher matcher = Pattern.compile(pattern, Pattern.DOTALL).matcher(text);
+        assertTrue(matcher.find());
+        return matcher.group(1).replaceAll("(?m)^ +", "").strip();
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/SchedulerScript.java
+++ b/decisions/src/test/java/amberroute/decisions/SchedulerScript.java
@@ -53,7 +53,7 @@
     private final Map<Integer, Long> retryAfterUntil = new HashMap<>();
     private final Map<Long, Long> unlistedSince = new HashMap<>();
     private final TreeSet<Long> timers = new TreeSet<>();
-    private final List<Event> batch = new ArrayList<>();
+    private final List<Event> undeliveredEvents = new ArrayList<>();
 
     SchedulerScript(DeliveryScheduler.Settings settings) {
         this.settings = settings;
@@ -134,24 +134,31 @@
     }
 
     /** Completes the attempt in flight of a message. */
-    SchedulerScript complete(long id, AttemptOutcome outcome, long wait) {
+    SchedulerScript complete(long id, AttemptOutcome outcome, long retryAfterMicros) {
         SubmittedMessage message = messages.get(id);
         assertTrue(message.inFlight, "no attempt of " + id + " is out");
-        Send send = last(id);
-        boolean never = outcome == AttemptOutcome.FULL
+        Send send = lastSend(id);
+        boolean didNotRun = outcome == AttemptOutcome.FULL
                 || outcome == AttemptOutcome.CONNECT_FAILED
                 || outcome == AttemptOutcome.MOOT;
         message.inFlight = false;
         message.completed |= outcome == AttemptOutcome.OK;
-        if (!never && !message.mayHaveRun) {
+        if (!didNotRun && !message.mayHaveRun) {
             message.mayHaveRun = true;
             message.unknownOutcomeSince = send.at();
         }
-        if (wait > 0) {
-            retryAfterUntil.merge(destinationOf.get(send.endpoint()), now + wait, Math::max);
+        if (retryAfterMicros > 0) {
+            retryAfterUntil.merge(destinationOf.get(send.endpoint()), now + retryAfterMicros, Math::max);
         }
         return add(new Event.AttemptCompleted(
-                id, send.attempt(), send.endpoint(), outcome, now - send.at(), message.completed, wait, List.of()));
+                id,
+                send.attempt(),
+                send.endpoint(),
+                outcome,
+                now - send.at(),
+                message.completed,
+                retryAfterMicros,
+                List.of()));
     }
 
     SchedulerScript complete(long id, AttemptOutcome outcome) {
@@ -170,43 +177,43 @@
         return scheduler.avoidedEndpointCount();
     }
 
-    void configure(DeliveryScheduler.Settings other) {
-        scheduler.step(now, new Event.SettingsChanged(other), this);
+    void configure(DeliveryScheduler.Settings newSettings) {
+        scheduler.step(now, new Event.SettingsChanged(newSettings), this);
     }
 
     SchedulerScript add(Event event) {
-        batch.add(event);
+        undeliveredEvents.add(event);
         return this;
     }
 
     /** Passes the events that were added as one moment, then decides. */
     SchedulerScript decide() {
-        batch.forEach(event -> scheduler.step(now, event, this));
-        batch.clear();
+        undeliveredEvents.forEach(event -> scheduler.step(now, event, this));
+        undeliveredEvents.clear();
         scheduler.step(now, new Event.Decide(), this);
         return this;
     }
 
     /** Lets time pass in ticks of 5 ms, in which timers expire and attempts time out. */
-    SchedulerScript advance(long span) {
-        long until = now + span;
+    SchedulerScript advance(long spanMicros) {
+        long until = now + spanMicros;
         decide();
         while (now < until) {
             now = Math.min(until, now + 5_000);
-            boolean due = false;
+            boolean decisionDue = false;
             while (!timers.isEmpty() && timers.first() <= now) {
                 add(new Event.TimerExpired(0));
                 timers.pollFirst();
-                due = true;
+                decisionDue = true;
             }
             for (Send send : List.copyOf(sends)) {
                 SubmittedMessage message = messages.get(send.id());
-                if (message.inFlight && send == last(send.id()) && send.timeoutAt() <= now) {
+                if (message.inFlight && send == lastSend(send.id()) && send.timeoutAt() <= now) {
                     complete(send.id(), AttemptOutcome.TIMEOUT);
-                    due = true;
+                    decisionDue = true;
                 }
             }
-            if (due || !batch.isEmpty()) {
+            if (decisionDue || !undeliveredEvents.isEmpty()) {
                 decide();
             }
             messages.forEach((id, message) -> assertTrue(
@@ -216,7 +223,7 @@
         return this;
     }
 
-    Send last(long id) {
+    Send lastSend(long id) {
         Send found = null;
         for (Send send : sends) {
             found = send.id() == id ? send : found;
@@ -227,7 +234,7 @@
 
     long sendsTo(int destination, long since) {
         return sends.stream()
-                .filter(s -> s.at() >= since && destinationOf.get(s.endpoint()) == destination)
+                .filter(send -> send.at() >= since && destinationOf.get(send.endpoint()) == destination)
                 .count();
     }
 
@@ -251,12 +258,12 @@
         assertFalse(unlistedSince.containsKey(endpoint), "sent to a draining or gone endpoint: " + id);
         assertTrue(timeoutAt <= message.due, "runs past the client's time: " + id);
         if (message.messageClass == ORDERED && message.key != 0) {
-            messages.forEach((other, t) -> assertTrue(
-                    t == message
-                            || t.messageClass != ORDERED
-                            || t.key != message.key
-                            || other > id
-                            || t.completed && !t.inFlight,
+            messages.forEach((otherId, otherMessage) -> assertTrue(
+                    otherMessage == message
+                            || otherMessage.messageClass != ORDERED
+                            || otherMessage.key != message.key
+                            || otherId > id
+                            || otherMessage.completed && !otherMessage.inFlight,
                     "out of turn: " + id));
         }
         message.inFlight = true;
@@ -264,7 +271,7 @@
     }
 
     @Override
-    public void reject(long id, long retryAfter) {
+    public void reject(long id, long retryAfterMicros) {
         SubmittedMessage message = messages.get(id);
         assertFalse(message.completed, "answered twice: " + id);
         assertFalse(message.inFlight && message.messageClass != IDEMPOTENT, "refused while out: " + id);
@@ -283,8 +290,8 @@
 
     @Override
     public void cancel(long id, int attempt) {
-        assertEquals(last(id).attempt(), attempt, "cancels an attempt that is not out");
-        cancelled.add(last(id));
+        assertEquals(lastSend(id).attempt(), attempt, "cancels an attempt that is not out");
+        cancelled.add(lastSend(id));
         complete(id, AttemptOutcome.CANCELLED);
     }
 
@@ -295,9 +302,9 @@
     }
 
     @Override
-    public void scheduleTimer(long delay, long token) {
-        assertTrue(delay > 0, "a timer in the past");
-        timers.add(now + delay);
+    public void scheduleTimer(long delayMicros, long token) {
+        assertTrue(delayMicros > 0, "a timer in the past");
+        timers.add(now + delayMicros);
     }
 
     @Override
--- a/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
+++ b/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
@@ -19,178 +19,193 @@
 class CollectionsTest {
     private static final class Item extends DueDateTreap.Node<Item> {
         private boolean isReady;
-        private boolean hasTurn;
+        private boolean isFirstOfKey;
 
         Item(long due, long number) {
             this.due = due;
-            this.number = number;
+            this.sequenceNumber = number;
         }
 
         @Override
         public String toString() {
-            return due + "/" + number;
+            return due + "/" + sequenceNumber;
         }
     }
 
     private static final Comparator<Item> ORDER =
-            Comparator.<Item>comparingLong(i -> i.due).thenComparingLong(i -> i.number);
+            Comparator.<Item>comparingLong(i -> i.due).thenComparingLong(i -> i.sequenceNumber);
 
     private static Item first(TreeSet<Item> model, Predicate<Item> wanted) {
         return model.stream().filter(wanted).findFirst().orElse(null);
     }
 
     @Test
-    void treapAnswersAsASortedListDoes() {
+    void treapGivesTheSameAnswersAsASortedSet() {
         for (long seed = 1; seed <= 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            DueDateTreap<Item> tree = new DueDateTreap<>();
+            DueDateTreap<Item> treap = new DueDateTreap<>();
             TreeSet<Item> model = new TreeSet<>(ORDER);
-            int dues = 1 + random.nextInt(200);
+            int dueRange = 1 + random.nextInt(200);
             for (int step = 0; step < 600; step++) {
-                String at = "seed " + seed + ", step " + step;
-                int what = random.nextInt(5);
-                if (what < 2 || model.isEmpty()) {
-                    Item item = new Item(random.nextInt(dues), step);
+                String context = "seed " + seed + ", step " + step;
+                int operation = random.nextInt(5);
+                if (operation < 2 || model.isEmpty()) {
+                    Item item = new Item(random.nextInt(dueRange), step);
                     item.isReady = random.nextBoolean();
-                    item.hasTurn = random.nextBoolean();
-                    tree.add(item, item.isReady, item.hasTurn);
+                    item.isFirstOfKey = random.nextBoolean();
+                    treap.add(item, item.isReady, item.isFirstOfKey);
                     model.add(item);
                 } else {
-                    Item any = List.copyOf(model).get(random.nextInt(model.size()));
-                    if (what == 2) {
-                        tree.remove(any);
-                        model.remove(any);
+                    Item item = List.copyOf(model).get(random.nextInt(model.size()));
+                    if (operation == 2) {
+                        treap.remove(item);
+                        model.remove(item);
                     } else {
-                        any.isReady = random.nextBoolean();
-                        any.hasTurn = random.nextBoolean();
-                        tree.mark(any, any.isReady, any.hasTurn);
+                        item.isReady = random.nextBoolean();
+                        item.isFirstOfKey = random.nextBoolean();
+                        treap.mark(item, item.isReady, item.isFirstOfKey);
                     }
                 }
-                long from = random.nextInt(dues + 2) - 1;
-                long to = random.nextInt(dues + 2) - 1;
+                long from = random.nextInt(dueRange + 2) - 1;
+                long to = random.nextInt(dueRange + 2) - 1;
                 boolean ready = random.nextBoolean();
-                Predicate<Item> counts = i -> !ready || i.isReady;
-                assertEquals(model.size(), tree.size(), at);
-                assertEquals(model.stream().filter(i -> i.isReady).count(), tree.readyCount(), at);
-                assertEquals(model.stream().filter(i -> i.hasTurn).count(), tree.firstOfKeyCount(), at);
-                assertSame(first(model, i -> true), tree.first(), at);
+                Predicate<Item> matches = item -> !ready || item.isReady;
+                assertEquals(model.size(), treap.size(), context);
+                assertEquals(model.stream().filter(item -> item.isReady).count(), treap.readyCount(), context);
+                assertEquals(
+                        model.stream().filter(item -> item.isFirstOfKey).count(), treap.firstOfKeyCount(), context);
+                assertSame(first(model, item -> true), treap.first(), context);
                 assertSame(
-                        first(model, i -> counts.test(i) && i.due >= from && i.due < to),
-                        tree.earliest(from, to, ready),
-                        at);
-                long number = random.nextInt(step + 1);
+                        first(model, item -> matches.test(item) && item.due >= from && item.due < to),
+                        treap.earliest(from, to, ready),
+                        context);
+                long sequenceNumber = random.nextInt(step + 1);
                 assertSame(
                         first(
                                 model,
-                                i -> counts.test(i)
-                                        && i.due < to
-                                        && (i.due > from || i.due == from && i.number > number)),
-                        tree.after(from, number, to, ready),
-                        at);
+                                item -> matches.test(item)
+                                        && item.due < to
+                                        && (item.due > from
+                                                || item.due == from && item.sequenceNumber > sequenceNumber)),
+                        treap.after(from, sequenceNumber, to, ready),
+                        context);
                 long lastDue = model.stream()
-                        .filter(i -> counts.test(i) && i.due >= from && i.due < to)
-                        .mapToLong(i -> i.due)
+                        .filter(item -> matches.test(item) && item.due >= from && item.due < to)
+                        .mapToLong(item -> item.due)
                         .max()
                         .orElse(-9);
-                assertSame(first(model, i -> counts.test(i) && i.due == lastDue), tree.latest(from, to, ready), at);
+                assertSame(
+                        first(model, item -> matches.test(item) && item.due == lastDue),
+                        treap.latest(from, to, ready),
+                        context);
                 assertEquals(
                         model.stream()
-                                .filter(i -> i.hasTurn)
-                                .mapToLong(i -> i.due)
+                                .filter(item -> item.isFirstOfKey)
+                                .mapToLong(item -> item.due)
                                 .max()
                                 .orElse(Long.MIN_VALUE),
-                        tree.latestFirstOfKeyDue(),
-                        at);
+                        treap.latestFirstOfKeyDue(),
+                        context);
                 assertEquals(
-                        model.stream().filter(i -> i.due >= from && i.due < to).count(), tree.count(from, to), at);
-                long until = random.nextInt(dues + 1);
-                Item turn = first(model, i -> i.due >= from && i.due < to && i.due >= until);
+                        model.stream()
+                                .filter(item -> item.due >= from && item.due < to)
+                                .count(),
+                        treap.count(from, to),
+                        context);
+                long threshold = random.nextInt(dueRange + 1);
+                Item expected = first(model, item -> item.due >= from && item.due < to && item.due >= threshold);
                 if (from <= to) {
-                    assertEquals(turn == null ? to : turn.due, tree.boundary(from, to, due -> due < until), at);
+                    assertEquals(
+                            expected == null ? to : expected.due,
+                            treap.boundary(from, to, due -> due < threshold),
+                            context);
                 }
             }
         }
     }
 
     @Test
-    void timerHeapGivesTheEarliestWhateverWasMovedOrRemoved() {
+    void timerHeapGivesTheEarliestEntryAfterMovesAndRemovals() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            IndexedTimerHeap<Integer> queue = new IndexedTimerHeap<>();
+            IndexedTimerHeap<Integer> heap = new IndexedTimerHeap<>();
             List<IndexedTimerHeap.Entry<Integer>> entries = new ArrayList<>();
             for (int i = 0; i < 80; i++) {
                 entries.add(new IndexedTimerHeap.Entry<>(i));
             }
-            Set<IndexedTimerHeap.Entry<Integer>> in = new HashSet<>();
+            Set<IndexedTimerHeap.Entry<Integer>> queued = new HashSet<>();
             for (int step = 0; step < 2_000; step++) {
-                IndexedTimerHeap.Entry<Integer> any = entries.get(random.nextInt(entries.size()));
+                IndexedTimerHeap.Entry<Integer> entry = entries.get(random.nextInt(entries.size()));
                 switch (random.nextInt(4)) {
                     case 0, 1 -> {
-                        queue.set(any, random.nextInt(50));
-                        in.add(any);
+                        heap.set(entry, random.nextInt(50));
+                        queued.add(entry);
                     }
                     case 2 -> {
-                        queue.remove(any);
-                        in.remove(any);
+                        heap.remove(entry);
+                        queued.remove(entry);
                     }
                     default -> {
                         long now = random.nextInt(50);
-                        IndexedTimerHeap.Entry<Integer> polled = queue.poll(now);
-                        long least = in.stream()
-                                .mapToLong(IndexedTimerHeap.Entry::at)
+                        IndexedTimerHeap.Entry<Integer> polled = heap.poll(now);
+                        long earliest = queued.stream()
+                                .mapToLong(IndexedTimerHeap.Entry::dueAt)
                                 .min()
                                 .orElse(Long.MAX_VALUE);
-                        assertEquals(least <= now, polled != null, "seed " + seed + ", step " + step);
+                        assertEquals(earliest <= now, polled != null, "seed " + seed + ", step " + step);
                         if (polled != null) {
-                            assertEquals(least, polled.at());
-                            assertTrue(in.remove(polled));
+                            assertEquals(earliest, polled.dueAt());
+                            assertTrue(queued.remove(polled));
                         }
                     }
                 }
-                assertEquals(in.size(), queue.size());
-                assertEquals(in.contains(any), any.queued());
+                assertEquals(queued.size(), heap.size());
+                assertEquals(queued.contains(entry), entry.isQueued());
                 assertEquals(
-                        in.stream().mapToLong(IndexedTimerHeap.Entry::at).min().orElse(-1),
-                        queue.peek() == null ? -1 : queue.peek().at(),
+                        queued.stream()
+                                .mapToLong(IndexedTimerHeap.Entry::dueAt)
+                                .min()
+                                .orElse(-1),
+                        heap.peek() == null ? -1 : heap.peek().dueAt(),
                         "seed " + seed + ", step " + step);
             }
         }
     }
 
     @Test
-    void greatestKeyComesFirstHoweverItemsWereAdded() {
+    void maxHeapGivesTheGreatestKeyFirst() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            MaxHeap<Item> queue = new MaxHeap<>();
+            MaxHeap<Item> heap = new MaxHeap<>();
             List<Item> model = new ArrayList<>();
             for (int step = 0; step < 1_500; step++) {
                 if (random.nextInt(3) > 0) {
                     Item item = new Item(random.nextInt(40), step);
                     model.add(item);
                     if (random.nextBoolean()) {
-                        queue.add(item, item.due, item.number);
+                        heap.add(item, item.due, item.sequenceNumber);
                     } else {
-                        queue.push(item, item.due, item.number);
+                        heap.push(item, item.due, item.sequenceNumber);
                     }
                 } else if (!model.isEmpty()) {
                     Item best = model.stream()
-                            .max(Comparator.<Item>comparingLong(i -> i.due).thenComparing(i -> -i.number))
+                            .max(Comparator.<Item>comparingLong(i -> i.due).thenComparing(i -> -i.sequenceNumber))
                             .orElseThrow();
-                    assertEquals(best.due, queue.key(), "seed " + seed + ", step " + step);
-                    assertSame(best, queue.pop(), "seed " + seed + ", step " + step);
+                    assertEquals(best.due, heap.key(), "seed " + seed + ", step " + step);
+                    assertSame(best, heap.pop(), "seed " + seed + ", step " + step);
                     model.remove(best);
                 }
                 if (random.nextInt(400) == 0) {
-                    queue.clear();
+                    heap.clear();
                     model.clear();
                 }
-                assertEquals(model.isEmpty(), queue.isEmpty());
+                assertEquals(model.isEmpty(), heap.isEmpty());
             }
         }
     }
 
     @Test
-    void sumDecaysAsItsTermsDo() {
+    void decayingSumEqualsTheSumOfItsDecayedTerms() {
         SplittableRandom random = new SplittableRandom(5);
         DecayingSum sum = new DecayingSum(1_000_000);
         List<double[]> terms = new ArrayList<>();
@@ -202,14 +217,14 @@
                 sum.add(now, term[0], term[1]);
                 terms.add(term);
             } else {
-                double[] gone = terms.remove(random.nextInt(terms.size()));
-                sum.add(now, -gone[0], -gone[1] * sum.factor((long) gone[2], now));
+                double[] removed = terms.remove(random.nextInt(terms.size()));
+                sum.add(now, -removed[0], -removed[1] * sum.decayFactor((long) removed[2], now));
             }
-            double wanted = 0;
+            double expected = 0;
             for (double[] term : terms) {
-                wanted += term[0] + term[1] * Math.exp((term[2] - now) / 1e6);
+                expected += term[0] + term[1] * Math.exp((term[2] - now) / 1e6);
             }
-            assertEquals(wanted, sum.value(now), 1e-9 * Math.max(1e6, wanted), "step " + step);
+            assertEquals(expected, sum.value(now), 1e-9 * Math.max(1e6, expected), "step " + step);
         }
         sum.clear();
         assertEquals(0, sum.value(now));
@@ -218,142 +233,151 @@
     // ---- The index. ----
 
     /** Random classes, loads and moments; dues reach from behind to far ahead, many of them equal. */
-    private static final class Scene {
+    private static final class IndexScenario {
         final SplittableRandom random;
-        final AtcIndex shape;
-        final IndexOrderIterator<Item> walk;
-        final DueDateTreap<Item> tree = new DueDateTreap<>();
+        final AtcIndex atcIndex;
+        final IndexOrderIterator<Item> iterator;
+        final DueDateTreap<Item> treap = new DueDateTreap<>();
         final List<Item> items = new ArrayList<>();
         final long now = 50_000_000;
-        final double p;
-        final long cut;
-        final long otherCut;
+        final double serviceMicros;
+        final long splitDue;
+        final long otherSplitDue;
 
-        Scene(long seed) {
+        IndexScenario(long seed) {
             random = new SplittableRandom(seed);
-            walk = new IndexOrderIterator<>(tree);
-            shape = walk.shape();
-            long aim = 1 + random.nextLong(3_000_000);
-            long deadline = aim + random.nextLong(10_000_000) - (random.nextInt(10) == 0 ? aim / 2 : 0);
-            p = Math.pow(10, random.nextDouble() * 7);
-            boolean halves = random.nextBoolean();
+            iterator = new IndexOrderIterator<>(treap);
+            atcIndex = iterator.atcIndex();
+            long objectiveMicros = 1 + random.nextLong(3_000_000);
+            long deadlineMicros =
+                    objectiveMicros + random.nextLong(10_000_000) - (random.nextInt(10) == 0 ? objectiveMicros / 2 : 0);
+            serviceMicros = Math.pow(10, random.nextDouble() * 7);
+            boolean valueHalves = random.nextBoolean();
             // Of a stair without end only the first sixty steps are told apart.
-            double[] lates = {halves ? 0.5 : 0, 0.5, 1, random.nextDouble() + 1e-6, 0.001};
-            shape.set(
+            double[] lateShares = {valueHalves ? 0.5 : 0, 0.5, 1, random.nextDouble() + 1e-6, 0.001};
+            atcIndex.set(
                     random.nextDouble() * 4,
                     random.nextDouble(),
-                    p,
+                    serviceMicros,
                     now,
                     25 * Math.pow(10, random.nextDouble() * 7),
-                    aim,
-                    deadline,
-                    lates[random.nextInt(lates.length)],
-                    halves);
-            int n = 1 + random.nextInt(120);
-            long grain = random.nextBoolean() ? 1 : 100_000;
-            for (int i = 0; i < n; i++) {
-                Item item = new Item((now - 1_000_000 + random.nextLong(2 * deadline + 2_000_000)) / grain * grain, i);
+                    objectiveMicros,
+                    deadlineMicros,
+                    lateShares[random.nextInt(lateShares.length)],
+                    valueHalves);
+            int count = 1 + random.nextInt(120);
+            long granularityMicros = random.nextBoolean() ? 1 : 100_000;
+            for (int i = 0; i < count; i++) {
+                Item item = new Item(
+                        (now - 1_000_000 + random.nextLong(2 * deadlineMicros + 2_000_000))
+                                / granularityMicros
+                                * granularityMicros,
+                        i);
                 item.isReady = random.nextInt(4) > 0;
-                tree.add(item, item.isReady, true);
+                treap.add(item, item.isReady, true);
                 items.add(item);
             }
-            cut = now + random.nextLong(4_000_000);
-            otherCut = now + random.nextLong(4_000_000);
-            shape.divide(tree.first().due, cut, otherCut);
+            splitDue = now + random.nextLong(4_000_000);
+            otherSplitDue = now + random.nextLong(4_000_000);
+            atcIndex.divide(treap.first().due, splitDue, otherSplitDue);
         }
     }
 
     @Test
-    void iteratesInTheOrderOfTheIndex() {
+    void iteratorVisitsReadyMessagesInTheOrderOfTheirIndex() {
         for (long seed = 1; seed <= 4_000; seed++) {
-            Scene scene = new Scene(seed);
-            List<Item> walked = new ArrayList<>();
-            boolean take = scene.random.nextBoolean();
-            for (boolean more = scene.walk.begin(); more; ) {
-                Item here = scene.walk.here();
-                assertEquals(scene.shape.index(here.due), scene.walk.index());
-                walked.add(here);
-                if (take) {
-                    scene.tree.remove(here);
+            IndexScenario scenario = new IndexScenario(seed);
+            List<Item> visited = new ArrayList<>();
+            boolean removeVisited = scenario.random.nextBoolean();
+            for (boolean more = scenario.iterator.begin(); more; ) {
+                Item item = scenario.iterator.current();
+                assertEquals(scenario.atcIndex.index(item.due), scenario.iterator.index());
+                visited.add(item);
+                if (removeVisited) {
+                    scenario.treap.remove(item);
                 }
-                more = scene.walk.advance();
+                more = scenario.iterator.advance();
             }
-            List<Item> wanted =
-                    new ArrayList<>(scene.items.stream().filter(i -> i.isReady).toList());
-            assertEquals(wanted.size(), walked.size(), "seed " + seed);
-            assertEquals(new HashSet<>(wanted), new HashSet<>(walked), "seed " + seed);
-            for (int i = 1; i < walked.size(); i++) {
-                double before = scene.shape.index(walked.get(i - 1).due);
-                double after = scene.shape.index(walked.get(i).due);
+            List<Item> expected = new ArrayList<>(
+                    scenario.items.stream().filter(item -> item.isReady).toList());
+            assertEquals(expected.size(), visited.size(), "seed " + seed);
+            assertEquals(new HashSet<>(expected), new HashSet<>(visited), "seed " + seed);
+            for (int i = 1; i < visited.size(); i++) {
+                double previousIndex = scenario.atcIndex.index(visited.get(i - 1).due);
+                double index = scenario.atcIndex.index(visited.get(i).due);
                 // Where the index is flat to the last digit its neighbours may change places.
                 assertTrue(
-                        before >= after || Math.abs(before - after) <= 1e-9 * Math.max(1, Math.abs(after)),
-                        "seed " + seed + ": " + walked.get(i - 1) + " has " + before + ", " + walked.get(i) + " "
-                                + after);
-                if (walked.get(i - 1).due == walked.get(i).due) {
-                    assertTrue(walked.get(i - 1).number < walked.get(i).number, "seed " + seed);
+                        previousIndex >= index
+                                || Math.abs(previousIndex - index) <= 1e-9 * Math.max(1, Math.abs(index)),
+                        "seed " + seed + ": " + visited.get(i - 1) + " has " + previousIndex + ", " + visited.get(i)
+                                + " " + index);
+                if (visited.get(i - 1).due == visited.get(i).due) {
+                    assertTrue(visited.get(i - 1).sequenceNumber < visited.get(i).sequenceNumber, "seed " + seed);
                 }
             }
         }
     }
 
     @Test
-    void countsWhatIsAheadAndFindsTheLeast() {
+    void indexCountsMessagesAtLeastAsHighAndFindsTheLowest() {
         for (long seed = 1; seed <= 4_000; seed++) {
-            Scene scene = new Scene(seed);
+            IndexScenario scenario = new IndexScenario(seed);
             for (int i = 0; i < 5; i++) {
-                double index = scene.shape.index(scene.items.get(scene.random.nextInt(scene.items.size())).due);
-                double sure = index == Double.NEGATIVE_INFINITY ? index : index + 1e-9 * Math.max(1, Math.abs(index));
-                double near = index == Double.NEGATIVE_INFINITY ? index : index - 1e-9 * Math.max(1, Math.abs(index));
-                long least = scene.items.stream()
-                        .filter(item -> scene.shape.index(item.due) >= sure)
+                double index =
+                        scenario.atcIndex.index(scenario.items.get(scenario.random.nextInt(scenario.items.size())).due);
+                double upperThreshold =
+                        index == Double.NEGATIVE_INFINITY ? index : index + 1e-9 * Math.max(1, Math.abs(index));
+                double lowerThreshold =
+                        index == Double.NEGATIVE_INFINITY ? index : index - 1e-9 * Math.max(1, Math.abs(index));
+                long minCount = scenario.items.stream()
+                        .filter(item -> scenario.atcIndex.index(item.due) >= upperThreshold)
                         .count();
-                long most = scene.items.stream()
-                        .filter(item -> scene.shape.index(item.due) >= near)
+                long maxCount = scenario.items.stream()
+                        .filter(item -> scenario.atcIndex.index(item.due) >= lowerThreshold)
                         .count();
-                int counted = scene.shape.countAtLeast(scene.tree, index);
+                int counted = scenario.atcIndex.countAtLeast(scenario.treap, index);
                 assertTrue(
-                        counted >= least && counted <= most,
-                        "seed " + seed + ": " + counted + " of " + least + " to " + most);
+                        counted >= minCount && counted <= maxCount,
+                        "seed " + seed + ": " + counted + " of " + minCount + " to " + maxCount);
             }
-            double lowest = scene.items.stream()
-                    .mapToDouble(item -> scene.shape.index(item.due))
+            double lowest = scenario.items.stream()
+                    .mapToDouble(item -> scenario.atcIndex.index(item.due))
                     .min()
                     .orElseThrow();
             assertEquals(
                     lowest,
-                    scene.shape.index(scene.shape.least(scene.tree).due),
+                    scenario.atcIndex.index(scenario.atcIndex.lowestIndexMessage(scenario.treap).due),
                     lowest == Double.NEGATIVE_INFINITY ? 0 : 1e-9 * Math.max(1, Math.abs(lowest)),
                     "seed " + seed);
-            assertNull(scene.shape.least(new DueDateTreap<Item>()));
+            assertNull(scenario.atcIndex.lowestIndexMessage(new DueDateTreap<Item>()));
         }
     }
 
     /** What is skipped is just what lies between the same cuts and stretches; the rest is walked through as before. */
     @Test
-    void skippingPassesOverOneStretchOnly() {
+    void skippingLeavesOutOneIntervalOnly() {
         for (long seed = 1; seed <= 500; seed++) {
-            Scene scene = new Scene(seed);
-            Set<Item> left =
-                    new HashSet<>(scene.items.stream().filter(i -> i.isReady).toList());
-            boolean more = scene.walk.begin();
+            IndexScenario scenario = new IndexScenario(seed);
+            Set<Item> remaining = new HashSet<>(
+                    scenario.items.stream().filter(item -> item.isReady).toList());
+            boolean more = scenario.iterator.begin();
             if (more) {
-                Item first = scene.walk.here();
-                more = scene.walk.skip();
-                left.remove(first);
+                Item first = scenario.iterator.current();
+                more = scenario.iterator.skipInterval();
+                remaining.remove(first);
             }
-            int skipped = left.size();
+            int skipped = remaining.size();
             while (more) {
-                Item here = scene.walk.here();
-                assertTrue(left.remove(here), "seed " + seed);
+                Item item = scenario.iterator.current();
+                assertTrue(remaining.remove(item), "seed " + seed);
                 skipped--;
-                more = scene.walk.advance();
+                more = scenario.iterator.advance();
             }
             assertTrue(skipped >= 0);
-            for (Item one : left) {
-                for (Item other : left) {
-                    assertEquals(one.due < scene.cut, other.due < scene.cut, "seed " + seed);
-                    assertEquals(one.due < scene.otherCut, other.due < scene.otherCut, "seed " + seed);
+            for (Item one : remaining) {
+                for (Item other : remaining) {
+                    assertEquals(one.due < scenario.splitDue, other.due < scenario.splitDue, "seed " + seed);
+                    assertEquals(one.due < scenario.otherSplitDue, other.due < scenario.otherSplitDue, "seed " + seed);
                 }
             }
         }
