--- a/decisions/src/main/java/amberroute/decisions/AdmissionController.java
+++ b/decisions/src/main/java/amberroute/decisions/AdmissionController.java
@@ -50,7 +50,7 @@
     }
 
     /** Takes note of an arrival, to be tested in the next decision; a message beyond its tenant's quota loses weight. */
-    void arrived(long now, PendingMessage message, int tenant) {
+    void onArrival(long now, PendingMessage message, int tenant) {
         message.priorityWeight *= withinQuota(now, tenant) ? 1 : settings.get().overQuotaWeightFactor();
         arrivals.add(message);
     }
@@ -63,23 +63,23 @@
     }
 
     /** Tests the arrivals; the predicted wait counts once more messages wait than there are slots. */
-    void admit(long now, Actions actions) {
-        boolean testWait = pending.waitingCount() > settings.limits().maxConcurrentCalls();
+    void admitArrivals(long now, Actions actions) {
+        boolean checkWait = pending.waitingCount() > settings.limits().maxConcurrentCalls();
         for (PendingMessage message : arrivals) {
             if (!message.completed) {
-                admit(now, message, testWait, actions);
+                rejectUnlessAdmissible(now, message, checkWait, actions);
             }
         }
         arrivals.clear();
         shedAboveCapacity(now, actions);
     }
 
-    private void admit(long now, PendingMessage message, boolean testWait, Actions actions) {
-        long waitMicros = testWait ? waitPrediction.upperBoundMicros(now, message) : 0;
-        if (testWait && message.due - now - waitMicros < 0) {
-            waitMicros = waitPrediction.micros(now, message);
+    private void rejectUnlessAdmissible(long now, PendingMessage message, boolean checkWait, Actions actions) {
+        long waitMicros = checkWait ? waitPrediction.upperBoundMicros(now, message) : 0;
+        if (checkWait && message.due - now - waitMicros < 0) {
+            waitMicros = waitPrediction.predictedWaitMicros(now, message);
         }
-        long retryAfterMicros = priceRejectionMicros(message);
+        long retryAfterMicros = priceRetryAfterMicros(message);
         if (retryAfterMicros > 0 || message.due - now - waitMicros < 0) {
             messages.answer(now, message, Math.max(waitMicros, retryAfterMicros), actions);
         }
@@ -89,7 +89,7 @@
      * When to submit a message again that is not worth the price of a call, 0 for one that is. At the limit a share is admitted,
      * by whole keys, so that no message of a key overtakes one that was rejected.
      */
-    private long priceRejectionMicros(PendingMessage message) {
+    private long priceRetryAfterMicros(PendingMessage message) {
         AdmissionPriceChanged price = message.destination.admissionPrice;
         boolean rejected = message.priorityWeight < price.rejectedBelowWeight()
                 || message.priorityWeight < price.sharedUpToWeight() && message.keySample() >= price.admittedShare();
@@ -99,8 +99,8 @@
     private void shedAboveCapacity(long now, Actions actions) {
         double capacity = SHED_ABOVE_CAPACITY_RATIO * settings.limits().maxPendingMessages();
         while (messages.count() > capacity && pending.waitingCount() > 0) {
-            PendingMessage least = index.lowestIndexMessage(now);
-            messages.answer(now, least, waitPrediction.micros(now, least), actions);
+            PendingMessage lowestIndexed = index.lowestIndexMessage(now);
+            messages.answer(now, lowestIndexed, waitPrediction.predictedWaitMicros(now, lowestIndexed), actions);
         }
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
@@ -178,7 +178,7 @@
         registry.evictUnused();
         PendingMessage message = messages.accept(
                 now, event.id(), event.messageClass(), event.key(), event.timeLeftMicros(), event.destination());
-        admission.arrived(now, message, event.tenant());
+        admission.onArrival(now, message, event.tenant());
         messages.enqueue(now, message);
     }
 
@@ -246,18 +246,18 @@
         registry.subscribeIfDue(now, timer, actions);
         answerExpired(now, actions);
         index.updateMeanServiceTime(now);
-        admission.admit(now, actions);
+        admission.admitArrivals(now, actions);
         silentCalls.detect(now, timer);
-        silentCalls.cancel(now, actions);
-        connections.announce(actions);
+        silentCalls.cancelSilentCalls(now, actions);
+        connections.announceIdleLimit(actions);
         selector.dispatch(now, timer, actions);
-        breaker.saveChanges(now, actions);
+        breaker.saveCheckpoints(now, actions);
         timer.schedule(now, actions);
     }
 
     private void answerExpired(long now, Actions actions) {
         for (PendingMessage message : pending.expired(now, settings.limits().maxAttempts())) {
-            messages.answer(now, message, waitPrediction.micros(now, message), actions);
+            messages.answer(now, message, waitPrediction.predictedWaitMicros(now, message), actions);
         }
         timer.request(expiry.nextExpiryAt(now));
     }
--- a/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
@@ -67,9 +67,9 @@
         }
         if (!call.outcomeRecorded) {
             call.outcomeRecorded = true;
-            learn(now, message, call, event);
+            updateUpstream(now, message, call, event);
         }
-        health.served.add(now, event.outcome() == AttemptOutcome.OK ? 1 : 0);
+        health.servedRate.add(now, event.outcome() == AttemptOutcome.OK ? 1 : 0);
         messages.enqueue(now, message);
         messages.removeIfCompleted(now, message);
         pending.updateEstimatesAndWake(now, call.endpoint.destination);
@@ -88,7 +88,7 @@
         retryPolicy.backOff(now, message, call.endpoint.health, event);
     }
 
-    private void learn(long now, PendingMessage message, UpstreamCall call, AttemptCompleted event) {
+    private void updateUpstream(long now, PendingMessage message, UpstreamCall call, AttemptCompleted event) {
         UpstreamHealth health = call.endpoint.health;
         AttemptOutcome outcome = event.outcome();
         boolean wasTrial = health.trial == call;
@@ -103,30 +103,30 @@
             health.failureRatio += UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * (1 - success - health.failureRatio);
         }
         switch (outcome) {
-            case OK -> succeeded(now, call, event);
-            case FULL -> rejected(now, message, call, event, wasTrial);
+            case OK -> handleSuccess(now, call, event);
+            case FULL -> handleRejection(now, message, call, event, wasTrial);
             case MOOT -> {
                 // Says nothing of the upstream.
             }
-            case CANCELLED -> cancelled(now, call, wasTrial);
-            case TIMEOUT -> timedOut(now, message, call, event, wasTrial);
-            case RESET -> reset(now, call, event, wasTrial);
+            case CANCELLED -> handleCancellation(now, call, wasTrial);
+            case TIMEOUT -> handleTimeout(now, message, call, event, wasTrial);
+            case RESET -> handleReset(now, call, event, wasTrial);
             default -> breaker.recordFailure(now, call, outcome, wasTrial);
         }
     }
 
-    private void succeeded(long now, UpstreamCall call, AttemptCompleted event) {
+    private void handleSuccess(long now, UpstreamCall call, AttemptCompleted event) {
         Endpoint endpoint = call.endpoint;
         UpstreamHealth health = endpoint.health;
         serviceTimes.recordSuccess(endpoint.destination, health, Math.max(1, event.durationMicros()));
         health.rejections /= 2;
         breaker.recordSuccess(now, call);
-        rateLimiter.readReport(now, health, event.loadReport());
-        rateLimiter.raise(now, health);
+        rateLimiter.applyLoadReport(now, health, event.loadReport());
+        rateLimiter.raisePace(now, health);
     }
 
     /** A rejection holds calls back; a trial that is rejected, or a long Retry-After, opens the breaker. */
-    private void rejected(
+    private void handleRejection(
             long now, PendingMessage message, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
         UpstreamHealth health = call.endpoint.health;
         long retryAfterMicros = event.retryAfterMicros();
@@ -134,7 +134,7 @@
         health.rejections += sentAfterLastRejection ? 1 : 0;
         health.lastRejectionAt = now;
         if (sentAfterLastRejection || retryAfterMicros > 0) {
-            long backoffMicros = backoff.micros(
+            long backoffMicros = backoff.delayMicros(
                     backoff.senderSpacingMicros(health, event),
                     retryAfterMicros > 0 ? 0 : Backoff.BASE_MICROS,
                     message.messageClass.deadlineMicros(),
@@ -146,29 +146,29 @@
             breaker.open(now, health);
         } else if (call.sentAt >= health.lastPaceCutAt
                 && !event.connectionLimitReached(settings.get().reportFields())) {
-            rateLimiter.cut(now, health);
+            rateLimiter.cutPace(now, health);
         }
     }
 
     /** A call that was cancelled for its silence is a failure unless its endpoint has answered others since. */
-    private void cancelled(long now, UpstreamCall call, boolean wasTrial) {
+    private void handleCancellation(long now, UpstreamCall call, boolean wasTrial) {
         if (call.silent && call.sentAt >= call.endpoint.lastSuccessAt) {
             breaker.recordFailure(now, call, AttemptOutcome.CANCELLED, wasTrial);
         }
     }
 
     /** A trial that timed out before it was silent, for its message's deadline, shows slowness at most: another is due. */
-    private void timedOut(
+    private void handleTimeout(
             long now, PendingMessage message, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
         UpstreamHealth health = call.endpoint.health;
         serviceTimes.recordTimeout(message.destination, health, event.durationMicros());
-        if (!wasTrial || now - call.sentAt >= attemptTimeout.silenceMicros(health)) {
+        if (!wasTrial || now - call.sentAt >= attemptTimeout.silenceThresholdMicros(health)) {
             breaker.recordFailure(now, call, AttemptOutcome.TIMEOUT, wasTrial);
         }
     }
 
     /** The reset of a reused connection shows that the connection was stale; a faulty endpoint resets fresh ones too. */
-    private void reset(long now, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
+    private void handleReset(long now, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
         boolean reused = event.connectionIdleMicros() > 0;
         if (!reused || wasTrial) {
             breaker.recordFailure(now, call, AttemptOutcome.RESET, wasTrial);
--- a/decisions/src/main/java/amberroute/decisions/AttemptTimeout.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptTimeout.java
@@ -55,17 +55,17 @@
                 Math.max(serviceTimes.expectedMicros(now, message), call.endpoint.health.presentLatencyMicros(now));
         double timeoutMicros = Math.max(MIN_TIMEOUT_MICROS, TIMEOUT_LATENCIES * expectedMicros)
                 * (1 << Math.min(message.timeouts, MAX_TIMEOUT_DOUBLINGS));
-        double leastMicros = MIN_TIMEOUT_TIME_LEFT_RATIO * (message.due - now);
-        return Math.min(message.due, now + (long) Math.max(timeoutMicros, leastMicros));
+        double minMicros = MIN_TIMEOUT_TIME_LEFT_RATIO * (message.due - now);
+        return Math.min(message.due, now + (long) Math.max(timeoutMicros, minMicros));
     }
 
     /** After how long without an answer a call to this upstream is silent. */
-    long silenceMicros(UpstreamHealth health) {
+    long silenceThresholdMicros(UpstreamHealth health) {
         double latencyMicros = health.usualLatencyMicros > 0
                 ? Math.max(health.usualLatencyMicros, health.presentLatencyMicros)
                 : serviceTimes.usualLatencyMicros();
-        long leastMicros = (long) (MIN_SILENCE_DEADLINE_RATIO * settings.longestDeadlineMicros());
-        return Math.max(leastMicros, (long) (SILENT_AFTER_LATENCIES * latencyMicros));
+        long minMicros = (long) (MIN_SILENCE_DEADLINE_RATIO * settings.longestDeadlineMicros());
+        return Math.max(minMicros, (long) (SILENT_AFTER_LATENCIES * latencyMicros));
     }
 
     /** Whether the message may run out of time before a slow answer: its call would time out before that is silence. */
--- a/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
+++ b/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
@@ -10,13 +10,13 @@
  */
 final class BacklogEstimate {
     /** Sums are computed anew after so many changes, so that rounding errors do not add up. */
-    private static final int CHANGES_BEFORE_RECOMPUTATION = 1 << 16;
+    private static final int RECOUNTS_BEFORE_RECOMPUTATION = 1 << 16;
     /** {@link DispatchQueue#backlogSteadyMicros} of messages whose service time is not known. */
     private static final double NOT_MEASURED = -1;
 
     /** All waiting messages of one priority weight. */
     private static final class Sums {
-        final DecayingSum measuredMicros = new DecayingSum(ServiceTimes.DECAY_SPAN_MICROS);
+        final DecayingSum measuredMicros = new DecayingSum(ServiceTimes.DECAY_TIME_CONSTANT_MICROS);
         int unmeasuredMessages;
         /** Latency objectives of the messages without a measured service time. */
         double objectivesMicros;
@@ -44,7 +44,7 @@
 
     private final ServiceTimes serviceTimes;
     private final TreeMap<Double, Sums> sumsByWeight = new TreeMap<>();
-    private int changes;
+    private int recountsSinceRecomputation;
 
     BacklogEstimate(ServiceTimes serviceTimes) {
         this.serviceTimes = serviceTimes;
@@ -54,21 +54,21 @@
      * Counts one queue anew with the service time that its destination has now. To be called when that or the number of its
      * messages has changed.
      *
-     * @param steadyMicros the part of the service time that stays
+     * @param baselineMicros the part of the service time that stays
      * @param decayingMicros the part that decays
      */
-    void recount(long now, DispatchQueue queue, double steadyMicros, double decayingMicros) {
+    void recount(long now, DispatchQueue queue, double baselineMicros, double decayingMicros) {
         Destination destination = queue.destination;
         Sums sums = sumsByWeight.get(queue.priorityWeight);
         if (queue.backlogMessages > 0 && sums != null) {
             sums.add(now, queue, -1);
         }
         queue.backlogMessages = queue.messages.size();
-        queue.backlogSteadyMicros = destination.serviceMeasured ? steadyMicros : NOT_MEASURED;
+        queue.backlogSteadyMicros = destination.serviceMeasured ? baselineMicros : NOT_MEASURED;
         queue.backlogDecayingMicros = decayingMicros;
         queue.backlogUpdatedAt = now;
         queue.logGain = destination.serviceMeasured
-                ? Math.log(queue.priorityWeight * destination.successProbability / steadyMicros)
+                ? Math.log(queue.priorityWeight * destination.successProbability / baselineMicros)
                 : 0;
         if (queue.backlogMessages > 0) {
             if (sums == null) {
@@ -80,10 +80,10 @@
 
     /** To be called behind each recount of a destination's queues. */
     void recomputeIfDue(long now, List<DispatchQueue> nonEmptyQueues) {
-        if (++changes <= CHANGES_BEFORE_RECOMPUTATION) {
+        if (++recountsSinceRecomputation <= RECOUNTS_BEFORE_RECOMPUTATION) {
             return;
         }
-        changes = 0;
+        recountsSinceRecomputation = 0;
         sumsByWeight.clear();
         for (DispatchQueue queue : nonEmptyQueues) {
             sumsByWeight
@@ -93,16 +93,16 @@
     }
 
     /** The service times of all waiting messages with at least this priority weight. */
-    double micros(long now, double leastWeight) {
-        double total = 0;
-        for (Sums sums : sumsByWeight.tailMap(leastWeight, true).values()) {
-            total += sums.totalMicros(now, serviceTimes.usualLatencyMicros());
+    double waitingMicros(long now, double minWeight) {
+        double totalMicros = 0;
+        for (Sums sums : sumsByWeight.tailMap(minWeight, true).values()) {
+            totalMicros += sums.totalMicros(now, serviceTimes.usualLatencyMicros());
         }
-        return total;
+        return totalMicros;
     }
 
     /** Whether any message with less priority weight may be waiting. */
-    boolean anyBelow(double weight) {
+    boolean anyWithLowerWeight(double weight) {
         return !sumsByWeight.headMap(weight, false).isEmpty();
     }
 
--- a/decisions/src/main/java/amberroute/decisions/Backoff.java
+++ b/decisions/src/main/java/amberroute/decisions/Backoff.java
@@ -28,12 +28,12 @@
     /**
      * A backoff with room for all senders: up to {@code longestMicros} at first, doubled up to eight times that.
      *
-     * @param tries for an upstream the failures in a row, for a message the attempts before this one
+     * @param attempts for an upstream the failures in a row, for a message the attempts before this one
      */
-    long micros(long senderSpacingMicros, long baseMicros, long longestMicros, int tries) {
-        long first = Math.min(
-                jitter(baseMicros + senderSpacingMicros * settings.get().senderCount()), jitter(longestMicros));
-        return first << Math.min(tries - 1, MAX_DOUBLINGS);
+    long delayMicros(long senderSpacingMicros, long baseMicros, long maxInitialMicros, int attempts) {
+        long initialMicros = Math.min(
+                jitter(baseMicros + senderSpacingMicros * settings.get().senderCount()), jitter(maxInitialMicros));
+        return initialMicros << Math.min(attempts - 1, MAX_DOUBLINGS);
     }
 
     /**
--- a/decisions/src/main/java/amberroute/decisions/CallsInFlight.java
+++ b/decisions/src/main/java/amberroute/decisions/CallsInFlight.java
@@ -54,12 +54,12 @@
         UpstreamCall call = new UpstreamCall(endpoint, now);
         slotsUsed++;
         serviceTimes.decay(now, endpoint.destination);
-        connections.callStarts(now, call, actions);
+        connections.onCallStarting(now, call, actions);
         endpoint.callsInFlight++;
         endpoint.destination.callsInFlight++;
-        endpoint.health.calls.add(call);
+        endpoint.health.callsInFlight.add(call);
         busyUpstreams.add(endpoint.health);
-        gate.charge(now, endpoint.health, call);
+        gate.recordCallStarted(now, endpoint.health, call);
         return call;
     }
 
@@ -69,7 +69,7 @@
         call.outstandingMessages++;
         call.messages.add(message);
         call.nonIdempotent |= message.messageClass.idempotency() == Idempotency.NON_IDEMPOTENT;
-        message.destination.fleetRateLimit.charge();
+        message.destination.fleetRateLimit.consume();
         message.attempts++;
         message.call = call;
         pending.remove(message);
@@ -88,14 +88,14 @@
         endpoint.lastUsedAt = now;
         endpoint.destination.serviceUpdatedAt = now;
         endpoint.destination.callsInFlight--;
-        health.calls.remove(call);
+        health.callsInFlight.remove(call);
         if (endpoint.callsInFlight == 0) {
-            connections.endpointBecameIdle(endpoint, actions);
+            connections.onEndpointIdle(endpoint, actions);
         }
         registry.removeIfGone(endpoint);
-        if (health.calls.isEmpty()) {
+        if (health.callsInFlight.isEmpty()) {
             busyUpstreams.remove(health);
-            for (Endpoint member : health.members) {
+            for (Endpoint member : health.endpoints) {
                 member.silentCalls = 0;
             }
         }
--- a/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
+++ b/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
@@ -30,7 +30,7 @@
     private final RecoveryRamp recoveryRamp;
     private final DispatchCandidates candidates;
     /** Upstreams whose breaker has changed since the last decision. */
-    private final Set<UpstreamHealth> changed = new LinkedHashSet<>();
+    private final Set<UpstreamHealth> changedUpstreams = new LinkedHashSet<>();
 
     CircuitBreaker(
             CurrentSettings settings, Backoff backoff, RecoveryRamp recoveryRamp, DispatchCandidates candidates) {
@@ -73,7 +73,7 @@
         health.failedTrials = 0;
         if (health.breaker == BreakerState.OPEN) {
             health.breaker = falseAlarm ? BreakerState.CLOSED : BreakerState.SLOW_START;
-            changed.add(health);
+            changedUpstreams.add(health);
             RecoveryRamp.start(now, health);
         }
     }
@@ -87,7 +87,7 @@
 
     private boolean hasFailed(long now, UpstreamHealth health) {
         int failures = 0;
-        for (Endpoint endpoint : health.members) {
+        for (Endpoint endpoint : health.endpoints) {
             int endpointFailures = endpoint.consecutiveFailures + endpoint.silentCalls;
             if (endpointFailures == 0 && endpoint.isReady()) {
                 return false;
@@ -101,15 +101,15 @@
 
     /** Opens the breaker, or keeps it open behind a failed trial, and sets the time of the next trial. */
     void open(long now, UpstreamHealth health) {
-        for (Endpoint endpoint : health.members) {
+        for (Endpoint endpoint : health.endpoints) {
             candidates.wake(endpoint.destination);
         }
         if (health.breaker == BreakerState.CLOSED) {
-            health.formerPacePerSecond = health.served.perSecondAtLastEvent();
+            health.callsPerSecondBeforeOutage = health.servedRate.perSecondAtLastEvent();
         }
         if (health.breaker != BreakerState.OPEN) {
             health.openedAt = now;
-            changed.add(health);
+            changedUpstreams.add(health);
             health.trial = null;
             health.failedTrials = 0;
         }
@@ -120,21 +120,21 @@
 
     /** The trials of all senders together come no faster than a slow start begins: an upstream that returns can take them. */
     private long trialIntervalMicros(UpstreamHealth health) {
-        long interval = backoff.micros(
+        long interval = backoff.delayMicros(
                 Backoff.SENDER_SPACING_MICROS,
                 Backoff.BASE_MICROS,
                 settings.longestDeadlineMicros(),
                 1 + health.failedTrials);
-        double longestMicros = MAX_TRIAL_INTERVAL_CALLS * Micros.PER_SECOND / recoveryRamp.callsPerSecond(0, health);
-        interval = Math.min(interval, backoff.jitter((long) longestMicros));
+        double maxMicros = MAX_TRIAL_INTERVAL_CALLS * Micros.PER_SECOND / recoveryRamp.callsPerSecond(0, health);
+        interval = Math.min(interval, backoff.jitter((long) maxMicros));
         return Math.min(MAX_TRIAL_INTERVAL_MICROS * settings.get().senderCount(), interval);
     }
 
     /** Saves what has to outlast the process; that changes with breakers only, so it is seldom written. */
-    void saveChanges(long now, Actions actions) {
-        for (UpstreamHealth health : changed) {
+    void saveCheckpoints(long now, Actions actions) {
+        for (UpstreamHealth health : changedUpstreams) {
             actions.saveCheckpoint(HealthTransfer.checkpoint(now, health));
         }
-        changed.clear();
+        changedUpstreams.clear();
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
@@ -15,23 +15,23 @@
     /** Weight of a call in shares over all destinations: about the last thirty calls count. */
     private static final double POOLED_WEIGHT_RATIO = 0.03;
     /** Idle connections are distrusted when so much larger a share of calls is lost on them than on fresh ones. */
-    private static final double DISTRUST_EXCESS_LOSS_RATIO = 0.1;
+    private static final double EXCESS_LOSS_THRESHOLD_RATIO = 0.1;
     /** Part of the connections' life by which each answer raises the trusted idle time. */
-    private static final double RAISE_LIFE_RATIO = 0.002;
+    private static final double RAISE_PER_SUCCESS_LIFE_RATIO = 0.002;
     /** Factor by which an answer raises it where the caller reports the idle time of each connection. */
     private static final double REPORTED_RAISE_FACTOR = 1.03;
     /** Share of calls without a connection from which endpoints' tables of connections are taken to be full. */
-    private static final double TABLES_FULL_RATIO = 0.01;
+    private static final double CONNECTION_TABLES_FULL_RATIO = 0.01;
     /** Part of the trusted idle time that is still used while tables begin to be full. */
-    private static final double TABLES_FULL_IDLE_RATIO = 0.5;
+    private static final double CONNECTION_TABLES_FULL_IDLE_RATIO = 0.5;
     /** Share of calls without a connection at which that part has fallen to nothing. */
-    private static final double NO_IDLE_RATIO = 0.1;
+    private static final double NO_IDLE_REUSE_RATIO = 0.1;
 
     private final CurrentSettings settings;
-    private double trustedIdleMicros;
-    private double announcedIdleMicros;
+    private double maxReusableIdleMicros;
+    private double announcedMaxIdleMicros;
     /** The caller knows each connection's idle time and keeps to the announced one by itself. */
-    private boolean idleReported;
+    private boolean callerReportsIdleTime;
 
     private double freshLossRatio;
     private double idleLossRatio;
@@ -39,12 +39,12 @@
 
     ConnectionReusePolicy(CurrentSettings settings) {
         this.settings = settings;
-        trustedIdleMicros = settings.limits().idleConnectionLifeMicros();
+        maxReusableIdleMicros = settings.limits().idleConnectionLifeMicros();
     }
 
     /** Whether a call to the endpoint would find a connection to reuse. */
     boolean hasWarmConnection(long now, Endpoint endpoint) {
-        return (endpoint.callsInFlight > 0 || now - endpoint.lastUsedAt < trustedIdleMicros)
+        return (endpoint.callsInFlight > 0 || now - endpoint.lastUsedAt < maxReusableIdleMicros)
                 && endpoint.callsInFlight < endpoint.openConnections * callsPerConnection();
     }
 
@@ -53,12 +53,12 @@
     }
 
     /** To be called when a call starts, before the endpoint's other calls in flight include it. */
-    void callStarts(long now, UpstreamCall call, Actions actions) {
+    void onCallStarting(long now, UpstreamCall call, Actions actions) {
         Endpoint endpoint = call.endpoint;
         if (endpoint.callsInFlight == 0) {
             endpoint.idleGapMicros = now - endpoint.lastUsedAt;
-            if (!idleReported) {
-                closeIfIdleLonger(endpoint, trustedIdleMicros, actions);
+            if (!callerReportsIdleTime) {
+                closeIfIdleLonger(endpoint, maxReusableIdleMicros, actions);
             }
             call.connectionIdleMicros = endpoint.openConnections > 0 ? endpoint.idleGapMicros : 0;
         }
@@ -67,15 +67,16 @@
     }
 
     /** To be called when an endpoint's last call has ended. */
-    void endpointBecameIdle(Endpoint endpoint, Actions actions) {
-        if (unconnectedRatio > TABLES_FULL_RATIO) {
-            double keptRatio = TABLES_FULL_IDLE_RATIO * Math.max(0, 1 - unconnectedRatio / NO_IDLE_RATIO);
-            closeIfIdleLonger(endpoint, keptRatio * trustedIdleMicros, actions);
+    void onEndpointIdle(Endpoint endpoint, Actions actions) {
+        if (unconnectedRatio > CONNECTION_TABLES_FULL_RATIO) {
+            double reusableIdleRatio =
+                    CONNECTION_TABLES_FULL_IDLE_RATIO * Math.max(0, 1 - unconnectedRatio / NO_IDLE_REUSE_RATIO);
+            closeIfIdleLonger(endpoint, reusableIdleRatio * maxReusableIdleMicros, actions);
         }
     }
 
-    private static void closeIfIdleLonger(Endpoint endpoint, double longestMicros, Actions actions) {
-        if (endpoint.openConnections > 0 && endpoint.idleGapMicros > longestMicros) {
+    private static void closeIfIdleLonger(Endpoint endpoint, double maxIdleMicros, Actions actions) {
+        if (endpoint.openConnections > 0 && endpoint.idleGapMicros > maxIdleMicros) {
             endpoint.openConnections = 0;
             actions.closeIdle(endpoint.id);
         }
@@ -83,15 +84,15 @@
 
     /** Learns from the outcome of a call. */
     void recordOutcome(UpstreamCall call, AttemptCompleted event) {
-        boolean reported = event.connectionIdleMicros() >= 0;
-        idleReported |= reported;
-        if (reported) {
+        boolean idleTimeReported = event.connectionIdleMicros() >= 0;
+        callerReportsIdleTime |= idleTimeReported;
+        if (idleTimeReported) {
             call.connectionIdleMicros = event.connectionIdleMicros();
         }
         AttemptOutcome outcome = event.outcome();
         if (!call.silent) {
             boolean lost = outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.TIMEOUT;
-            recordConnection(call, lost, reported);
+            recordConnectionResult(call, lost, idleTimeReported);
         }
         boolean connected = outcome != AttemptOutcome.CONNECT_FAILED
                 && !event.connectionLimitReached(settings.get().reportFields());
@@ -100,30 +101,31 @@
 
     /** Learns from a call that has become silent: it counts as lost, once. */
     void recordSilence(UpstreamCall call) {
-        recordConnection(call, true, false);
+        recordConnectionResult(call, true, false);
     }
 
-    private void recordConnection(UpstreamCall call, boolean lost, boolean reported) {
+    private void recordConnectionResult(UpstreamCall call, boolean lost, boolean idleTimeReported) {
         double lifeMicros = settings.limits().idleConnectionLifeMicros();
         double loss = lost ? 1 : 0;
         freshLossRatio += call.connectionIdleMicros == 0 ? POOLED_WEIGHT_RATIO * (loss - freshLossRatio) : 0;
         idleLossRatio += call.connectionIdleMicros > 0 ? POOLED_WEIGHT_RATIO * (loss - idleLossRatio) : 0;
-        if (!lost && reported) {
+        if (!lost && idleTimeReported) {
             // Only a connection that was idle for nearly so long shows that a longer time can be trusted.
-            trustedIdleMicros *= call.connectionIdleMicros > trustedIdleMicros / 2 ? REPORTED_RAISE_FACTOR : 1;
-            trustedIdleMicros = Math.min(lifeMicros, trustedIdleMicros);
+            maxReusableIdleMicros *= call.connectionIdleMicros > maxReusableIdleMicros / 2 ? REPORTED_RAISE_FACTOR : 1;
+            maxReusableIdleMicros = Math.min(lifeMicros, maxReusableIdleMicros);
         } else if (!lost) {
-            trustedIdleMicros = Math.min(lifeMicros, trustedIdleMicros + RAISE_LIFE_RATIO * lifeMicros);
-        } else if (call.connectionIdleMicros > 0 && idleLossRatio > freshLossRatio + DISTRUST_EXCESS_LOSS_RATIO) {
-            trustedIdleMicros = Math.min(trustedIdleMicros, call.connectionIdleMicros / 2.0);
+            maxReusableIdleMicros =
+                    Math.min(lifeMicros, maxReusableIdleMicros + RAISE_PER_SUCCESS_LIFE_RATIO * lifeMicros);
+        } else if (call.connectionIdleMicros > 0 && idleLossRatio > freshLossRatio + EXCESS_LOSS_THRESHOLD_RATIO) {
+            maxReusableIdleMicros = Math.min(maxReusableIdleMicros, call.connectionIdleMicros / 2.0);
         }
     }
 
     /** Tells the caller the trusted idle time where it has changed. */
-    void announce(Actions actions) {
-        if (trustedIdleMicros != announcedIdleMicros) {
-            announcedIdleMicros = trustedIdleMicros;
-            actions.limitIdleReuse((long) trustedIdleMicros);
+    void announceIdleLimit(Actions actions) {
+        if (maxReusableIdleMicros != announcedMaxIdleMicros) {
+            announcedMaxIdleMicros = maxReusableIdleMicros;
+            actions.limitIdleReuse((long) maxReusableIdleMicros);
         }
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
@@ -97,7 +97,7 @@
         decayingRatios[position] = queue.backlogDecayingMicros > 0
                 ? queue.backlogDecayingMicros
                         / queue.backlogSteadyMicros
-                        * Math.exp((queue.backlogUpdatedAt - decayReference) / ServiceTimes.DECAY_SPAN_MICROS)
+                        * Math.exp((queue.backlogUpdatedAt - decayReference) / ServiceTimes.DECAY_TIME_CONSTANT_MICROS)
                 : 0;
         earliestDues[position] = queue.earliestReadyDue;
     }
@@ -263,8 +263,8 @@
 
     /** What is left now of what there was at the reference time, which moves on before doubles underflow. */
     private double decaySinceReference(long now) {
-        double decayFactor = Math.exp((decayReference - now) / ServiceTimes.DECAY_SPAN_MICROS);
-        if (now - decayReference > MAX_REFERENCE_AGE_DECAY_SPANS * ServiceTimes.DECAY_SPAN_MICROS) {
+        double decayFactor = Math.exp((decayReference - now) / ServiceTimes.DECAY_TIME_CONSTANT_MICROS);
+        if (now - decayReference > MAX_REFERENCE_AGE_DECAY_SPANS * ServiceTimes.DECAY_TIME_CONSTANT_MICROS) {
             for (int i = 0; i < size; i++) {
                 decayingRatios[i] *= decayFactor;
             }
--- a/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
@@ -40,7 +40,7 @@
 
     /** Takes the mean service time of what waits now: the same for a whole decision. */
     void updateMeanServiceTime(long now) {
-        double totalMicros = backlog.micros(now, Double.NEGATIVE_INFINITY);
+        double totalMicros = backlog.waitingMicros(now, Double.NEGATIVE_INFINITY);
         meanServiceMicros = Math.max(MIN_MEAN_SERVICE_MICROS, totalMicros / Math.max(1, pending.waitingCount()));
     }
 
@@ -86,7 +86,7 @@
     /** The service times of all messages with less priority weight whose index is no less. */
     double serviceMicrosAhead(long now, double weight, double index) {
         double totalMicros = 0;
-        if (backlog.anyBelow(weight)) {
+        if (backlog.anyWithLowerWeight(weight)) {
             for (DispatchQueue queue : pending.nonEmptyQueues()) {
                 int messagesAhead = queue.priorityWeight < weight ? countAtLeast(now, queue, index) : 0;
                 totalMicros += messagesAhead > 0 ? messagesAhead * serviceTimes.expectedMicros(now, queue) : 0;
--- a/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
@@ -64,7 +64,7 @@
     private int leastInFlightRisk(long now, Destination destination) {
         int least = Integer.MAX_VALUE;
         for (Endpoint endpoint : destination.endpoints) {
-            for (UpstreamCall call : endpoint.health.calls) {
+            for (UpstreamCall call : endpoint.health.callsInFlight) {
                 for (PendingMessage message : call.messages) {
                     if (message.call == call) {
                         boolean shortOfTime = attemptTimeout.isShortOfTime(now, message);
--- a/decisions/src/main/java/amberroute/decisions/DispatchSelector.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchSelector.java
@@ -100,7 +100,7 @@
         }
         PendingMessage message = queue.iterator.current();
         boolean dispatched = dispatch(now, message, actions);
-        return dispatched || !RetryPolicy.repeatableAnywhere(message)
+        return dispatched || !RetryPolicy.retryableAnywhere(message)
                 ? queue.iterator.advance()
                 : queue.iterator.skipInterval();
     }
@@ -111,7 +111,7 @@
         UpstreamCall existingCall = openCall(destination);
         UpstreamCall call = existingCall;
         if (existingCall == null
-                || destination.fleetRateLimit.opensAt(now) > now
+                || destination.fleetRateLimit.nextMessageAt(now) > now
                 || !mayJoin(now, message, existingCall)) {
             Endpoint endpoint = calls.freeSlots() > 0 ? endpointSelector.select(now, round, message) : null;
             if (endpoint == null) {
@@ -133,7 +133,7 @@
         return call.shortOfTime == attemptTimeout.isShortOfTime(now, message)
                 && risk.permits(now, round, message, health)
                 && (message.messageClass.idempotency() == Idempotency.IDEMPOTENT || !health.isUnproven())
-                && RetryPolicy.repeatableAt(message, call.endpoint)
+                && RetryPolicy.retryableAt(message, call.endpoint)
                 && shutdownPolicy.permits(now, message, health);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/EndpointRegistry.java
+++ b/decisions/src/main/java/amberroute/decisions/EndpointRegistry.java
@@ -137,7 +137,7 @@
         if (endpoint.state == EndpointState.GONE && endpoint.callsInFlight == 0) {
             endpoints.remove(endpoint.id, endpoint);
             endpoint.destination.endpoints.remove(endpoint);
-            endpoint.health.members.remove(endpoint);
+            endpoint.health.endpoints.remove(endpoint);
         }
     }
 
@@ -167,7 +167,7 @@
         endpoints.put(endpoint.id, endpoint);
         List<Endpoint> siblings = destination.endpoints;
         siblings.add(random.nextInt(siblings.size() + 1), endpoint);
-        health.members.add(endpoint);
+        health.endpoints.add(endpoint);
         return endpoint;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
@@ -71,13 +71,13 @@
 
     /** Whether a message may go to an endpoint, apart from the endpoint's state and limits. */
     private boolean isSuitable(long now, long round, PendingMessage message, Endpoint endpoint) {
-        return RetryPolicy.repeatableAt(message, endpoint)
+        return RetryPolicy.retryableAt(message, endpoint)
                 && risk.permits(now, round, message, endpoint.health)
                 && shutdownPolicy.permits(now, message, endpoint.health);
     }
 
     private long availableAt(long now, Endpoint endpoint) {
-        return Math.max(gate.opensAt(now, endpoint.health), endpoint.destination.fleetRateLimit.opensAt(now));
+        return Math.max(gate.nextCallAt(now, endpoint.health), endpoint.destination.fleetRateLimit.nextMessageAt(now));
     }
 
     /** Where no endpoint takes calls now, the destination is left out until that may change. */
@@ -90,7 +90,7 @@
                     return;
                 }
                 timer.request(endpointAvailableAt);
-                sleepUntil = Math.min(sleepUntil, gate.askAgainAt(endpointAvailableAt, endpoint.health));
+                sleepUntil = Math.min(sleepUntil, gate.reevaluateAt(endpointAvailableAt, endpoint.health));
             }
         }
         destination.blockedRound = round;
--- a/decisions/src/main/java/amberroute/decisions/FleetRateLimit.java
+++ b/decisions/src/main/java/amberroute/decisions/FleetRateLimit.java
@@ -8,7 +8,7 @@
     private static final double CAPACITY_TOKENS = 1;
     private static final double MAX_REFILL_PER_SECOND = 1e6;
     /** Tokens by which a rounded sum may fall short of one. */
-    private static final double ROUNDING_TOKENS = 1e-9;
+    private static final double ROUNDING_TOLERANCE_TOKENS = 1e-9;
 
     private double perSecond = Double.POSITIVE_INFINITY;
     private double tokens;
@@ -17,16 +17,16 @@
     /**
      * Sets the rate; the tokens that were saved under a finite rate stay.
      *
-     * @param rate messages a second, infinite for no limit
+     * @param ratePerSecond messages a second, infinite for no limit
      * @param initialTokens tokens to begin with where there was no limit before
      */
-    void set(long now, double rate, double initialTokens) {
+    void set(long now, double ratePerSecond, double initialTokens) {
         if (Double.isInfinite(perSecond)) {
             tokens = Math.min(CAPACITY_TOKENS, initialTokens);
         } else {
             refill(now);
         }
-        perSecond = Math.max(0, rate);
+        perSecond = Math.max(0, ratePerSecond);
         refilledAt = now;
     }
 
@@ -41,20 +41,20 @@
     }
 
     /** When the next message may be sent, MAX_VALUE while the rate is 0. */
-    long opensAt(long now) {
+    long nextMessageAt(long now) {
         if (Double.isInfinite(perSecond)) {
             return now;
         }
         refill(now);
         double missingTokens = 1 - tokens;
-        if (missingTokens <= ROUNDING_TOKENS) {
+        if (missingTokens <= ROUNDING_TOLERANCE_TOKENS) {
             return now;
         }
         return perSecond == 0 ? Long.MAX_VALUE : now + (long) Math.ceil(missingTokens * Micros.PER_SECOND / perSecond);
     }
 
     /** Takes the token of one message, also where that overdraws the bucket. */
-    void charge() {
+    void consume() {
         tokens -= Double.isInfinite(perSecond) ? 0 : 1;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
+++ b/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
@@ -30,19 +30,19 @@
                     case SLOW_START -> UpstreamStatus.SLOW_START;
                     case CLOSED -> UpstreamStatus.HEALTHY;
                 };
-        long since = status == UpstreamStatus.UNAVAILABLE ? health.openedAt : health.slowStartFrom;
+        long statusSince = status == UpstreamStatus.UNAVAILABLE ? health.openedAt : health.slowStartBeganAt;
         return new HealthCheckpoint(
-                health.destination,
-                health.endpoint,
+                health.destinationId,
+                health.endpointId,
                 status,
-                now - since,
-                health.formerPacePerSecond,
+                now - statusSince,
+                health.callsPerSecondBeforeOutage,
                 health.usualLatencyMicros);
     }
 
     /** What another process needs that takes over at once. */
     static UpstreamSnapshot snapshot(long now, UpstreamHealth health) {
-        Destination destination = health.members.get(0).destination;
+        Destination destination = health.endpoints.get(0).destination;
         return new UpstreamSnapshot(
                 checkpoint(now, health),
                 Math.max(0, health.retryAfterUntil - now),
@@ -53,8 +53,8 @@
                 health.presentLatencyMicros,
                 destination.serviceMeasured ? destination.serviceMicros : 0,
                 destination.successProbability,
-                health.sent.perSecond(now),
-                health.served.perSecond(now),
+                health.sentRate.perSecond(now),
+                health.servedRate.perSecond(now),
                 health.reportedLimit,
                 health.failureRatio);
     }
@@ -73,14 +73,14 @@
         boolean unavailable = checkpoint.status() == UpstreamStatus.UNAVAILABLE;
         health.usualLatencyMicros = checkpoint.usualLatencyMicros();
         health.presentLatencyMicros = checkpoint.usualLatencyMicros();
-        health.formerPacePerSecond = checkpoint.callsPerSecond();
+        health.callsPerSecondBeforeOutage = checkpoint.callsPerSecond();
         if (checkpoint.usualLatencyMicros() > 0) {
             destination.serviceMicros = checkpoint.usualLatencyMicros();
             destination.serviceMeasured = true;
         }
         health.breaker = unavailable ? BreakerState.OPEN : BreakerState.SLOW_START;
         health.openedAt = now - ageMicros;
-        health.slowStartFrom = now - ageMicros;
+        health.slowStartBeganAt = now - ageMicros;
         health.lastSlowStartCallAt = now;
         health.nextTrialAt = now;
         health.failureRatio = unavailable ? 1 : 0;
@@ -109,14 +109,14 @@
 
     private static void restoreMeasurements(long now, UpstreamHealth health, UpstreamSnapshot snapshot) {
         health.presentLatencyMicros = snapshot.presentLatencyMicros();
-        health.formerPacePerSecond = snapshot.checkpoint().callsPerSecond();
+        health.callsPerSecondBeforeOutage = snapshot.checkpoint().callsPerSecond();
         health.retryAfterUntil = now + snapshot.retryAfterMicros();
         health.backoffUntil = now + snapshot.backoffMicros();
         health.pacePerSecond = snapshot.pacePerSecond();
         health.lastRejectionAt = now - snapshot.sinceRejectionMicros();
         health.lastSuccessAt = now - snapshot.sinceSuccessMicros();
-        health.sent.addConstantRate(now, snapshot.sentPerSecond());
-        health.served.addConstantRate(now, snapshot.servedPerSecond());
+        health.sentRate.addConstantRate(now, snapshot.sentPerSecond());
+        health.servedRate.addConstantRate(now, snapshot.servedPerSecond());
         health.reportedLimit = snapshot.reportedLimit();
         health.failureRatio = snapshot.failureRatio();
     }
--- a/decisions/src/main/java/amberroute/decisions/MessageLifecycle.java
+++ b/decisions/src/main/java/amberroute/decisions/MessageLifecycle.java
@@ -62,7 +62,7 @@
 
     /** Has a message wait to be sent unless it is completed. */
     void enqueue(long now, PendingMessage message) {
-        pending.enqueue(now, message, RetryPolicy.repeatableUntil(message));
+        pending.enqueue(now, message, RetryPolicy.retryableUntil(message));
     }
 
     /** The client cancelled a message; ignores what is not known. */
--- a/decisions/src/main/java/amberroute/decisions/PendingMessages.java
+++ b/decisions/src/main/java/amberroute/decisions/PendingMessages.java
@@ -198,7 +198,7 @@
     void updateEstimates(long now, Destination destination) {
         serviceTimes.decay(now, destination);
         double steadyMicros =
-                destination.callsInFlight > 0 ? destination.serviceMicros : serviceTimes.steadyMicros(destination);
+                destination.callsInFlight > 0 ? destination.serviceMicros : serviceTimes.baselineMicros(destination);
         double decayingMicros = destination.serviceMicros - steadyMicros;
         for (DispatchQueue queue : destination.queues) {
             backlog.recount(now, queue, steadyMicros, decayingMicros);
--- a/decisions/src/main/java/amberroute/decisions/RateLimiter.java
+++ b/decisions/src/main/java/amberroute/decisions/RateLimiter.java
@@ -35,7 +35,7 @@
     /** Calls that may go out at once under a pace. */
     private static final double BURST_CALLS = 2;
     /** A pace is dropped after so long without a rejection, unless a limit is reported. */
-    private static final long PACE_LIFE_MICROS = 6_000_000;
+    private static final long PACE_EXPIRY_MICROS = 6_000_000;
 
     private final CurrentSettings settings;
 
@@ -48,8 +48,8 @@
     }
 
     /** When the pace lets the next call out; long ago where there is none. */
-    long opensAt(long now, UpstreamHealth health) {
-        if (now - health.lastRejectionAt > PACE_LIFE_MICROS && health.reportedLimit == 0) {
+    long nextCallAt(long now, UpstreamHealth health) {
+        if (now - health.lastRejectionAt > PACE_EXPIRY_MICROS && health.reportedLimit == 0) {
             health.pacePerSecond = Double.POSITIVE_INFINITY;
         }
         return isLimited(health)
@@ -58,11 +58,11 @@
     }
 
     /** When the pace is dropped if no rejection comes until then, NEVER where there is none. */
-    long paceEndsAt(UpstreamHealth health) {
-        return isLimited(health) ? health.lastRejectionAt + PACE_LIFE_MICROS + 1 : Micros.NEVER;
+    long paceExpiresAt(UpstreamHealth health) {
+        return isLimited(health) ? health.lastRejectionAt + PACE_EXPIRY_MICROS + 1 : Micros.NEVER;
     }
 
-    void charge(long now, UpstreamHealth health) {
+    void recordCallStarted(long now, UpstreamHealth health) {
         if (isLimited(health)) {
             health.nextPacedCallAt =
                     Math.max(health.nextPacedCallAt, now) + (long) (Micros.PER_SECOND / health.pacePerSecond);
@@ -70,13 +70,13 @@
     }
 
     /** Takes note of a load report: a limit sets the pace, a low allowance cuts it. An absurdly low limit is ignored. */
-    void readReport(long now, UpstreamHealth health, List<Double> report) {
+    void applyLoadReport(long now, UpstreamHealth health, List<Double> report) {
         ReportFields fields = settings.get().reportFields();
         if (!fields.presentIn(report) || !(report.get(fields.limit()) >= MIN_FLEET_PACE_PER_SECOND)) {
             return;
         }
         double fleetPerSecond =
-                Math.max(MIN_FLEET_PACE_PER_SECOND, settings.get().senderCount() * health.sent.perSecond(now));
+                Math.max(MIN_FLEET_PACE_PER_SECOND, settings.get().senderCount() * health.sentRate.perSecond(now));
         health.reportedLimit = Math.min(report.get(fields.limit()), MAX_REPORTED_LIMIT_RATIO * fleetPerSecond);
         health.reportedAllowanceLeft = report.get(fields.allowanceLeft());
         if (!isLimited(health)) {
@@ -84,31 +84,32 @@
                     INITIAL_FAIR_SHARES * health.reportedLimit / settings.get().senderCount();
         } else if (health.reportedAllowanceLeft < LOW_ALLOWANCE_RATIO
                 && now - health.lastPaceCutAt > MIN_CUT_INTERVAL_MICROS) {
-            cut(now, health);
+            cutPace(now, health);
         }
     }
 
     /** Raises the pace behind a success, unless the allowance is known to be less than ample. */
-    void raise(long now, UpstreamHealth health) {
+    void raisePace(long now, UpstreamHealth health) {
         if (!isLimited(health) || health.reportedAllowanceLeft < AMPLE_ALLOWANCE_RATIO) {
             return;
         }
-        double fairShare = health.reportedLimit
+        double fairShareSinceRaise = health.reportedLimit
                 / settings.get().senderCount()
                 * Math.min(1, (now - health.lastPaceRaiseAt) / Micros.PER_SECOND);
         health.pacePerSecond += health.reportedLimit > 0
-                ? FAIR_SHARES_GAINED_PER_SECOND * fairShare
+                ? FAIR_SHARES_GAINED_PER_SECOND * fairShareSinceRaise
                 : RAISE_PER_SUCCESS_RATIO * health.pacePerSecond;
         health.lastPaceRaiseAt = now;
     }
 
     /** Cuts the pace behind a rejection or for a low allowance. */
-    void cut(long now, UpstreamHealth health) {
-        double servedPerSecond = health.served.perSecond(now);
-        double before = Math.min(health.pacePerSecond, Math.max(servedPerSecond, health.sent.perSecond(now)));
-        double least = Math.max(MIN_FLEET_PACE_PER_SECOND, MIN_FAIR_SHARES * health.reportedLimit)
+    void cutPace(long now, UpstreamHealth health) {
+        double servedPerSecond = health.servedRate.perSecond(now);
+        double usedPerSecond =
+                Math.min(health.pacePerSecond, Math.max(servedPerSecond, health.sentRate.perSecond(now)));
+        double minPerSecond = Math.max(MIN_FLEET_PACE_PER_SECOND, MIN_FAIR_SHARES * health.reportedLimit)
                 / settings.get().senderCount();
-        health.pacePerSecond = Math.max(Math.max(least, CUT_RATIO * servedPerSecond), CUT_RATIO * before);
+        health.pacePerSecond = Math.max(Math.max(minPerSecond, CUT_RATIO * servedPerSecond), CUT_RATIO * usedPerSecond);
         health.lastPaceCutAt = now;
         health.lastRejectionAt = Math.max(health.lastRejectionAt, now);
     }
--- a/decisions/src/main/java/amberroute/decisions/RecoveryRamp.java
+++ b/decisions/src/main/java/amberroute/decisions/RecoveryRamp.java
@@ -27,14 +27,14 @@
 
     /** Begins the slow start of an upstream that has answered behind an outage. */
     static void start(long now, UpstreamHealth health) {
-        health.slowStartFrom = now;
+        health.slowStartBeganAt = now;
         health.lastSlowStartCallAt = now;
     }
 
     /** Closes the breaker of an upstream whose slow start is over. */
     void finishIfOver(long now, UpstreamHealth health) {
         if (health.breaker == BreakerState.SLOW_START
-                && now - health.slowStartFrom >= settings.rules().slowStartMicros()) {
+                && now - health.slowStartBeganAt >= settings.rules().slowStartMicros()) {
             health.breaker = BreakerState.CLOSED;
         }
     }
@@ -47,25 +47,25 @@
 
     /** When the slow start is over. */
     long endsAt(UpstreamHealth health) {
-        return health.slowStartFrom + settings.rules().slowStartMicros();
+        return health.slowStartBeganAt + settings.rules().slowStartMicros();
     }
 
     /** Progress of the slow start from 0 to 1; 0 during an outage. */
     double progress(long now, UpstreamHealth health) {
-        double spanMicros = settings.rules().slowStartMicros() + 1;
-        return health.breaker == BreakerState.OPEN ? 0 : Math.min(1, (now - health.slowStartFrom) / spanMicros);
+        double durationMicros = settings.rules().slowStartMicros() + 1;
+        return health.breaker == BreakerState.OPEN ? 0 : Math.min(1, (now - health.slowStartBeganAt) / durationMicros);
     }
 
     /** Calls a second that a slow start lets out: the former pace times what the rules allow at this progress. */
     double callsPerSecond(double progress, UpstreamHealth health) {
         Rules rules = settings.rules();
         double capacityRatio = rules.slowStartCapacity() + (1 - rules.slowStartCapacity()) * progress;
-        double reportedPace =
+        double reportedPacePerSecond =
                 Math.max(RateLimiter.MIN_FLEET_PACE_PER_SECOND, REPORTED_LIMIT_RATIO * health.reportedLimit)
                         / settings.get().senderCount();
         return PERMITTED_OVERLOAD_RATIO
                 * rules.overloadMultiple()
                 * capacityRatio
-                * Math.max(health.formerPacePerSecond, reportedPace);
+                * Math.max(health.callsPerSecondBeforeOutage, reportedPacePerSecond);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
@@ -24,7 +24,7 @@
     }
 
     /** Until when the message may be sent again, NEVER for no limit but its deadline. */
-    static long repeatableUntil(PendingMessage message) {
+    static long retryableUntil(PendingMessage message) {
         if (!message.outcomeUnknown() || message.messageClass.idempotency() == Idempotency.IDEMPOTENT) {
             return Micros.NEVER;
         }
@@ -34,22 +34,24 @@
     }
 
     /** Whether the message may be repeated at any endpoint of its destination. */
-    static boolean repeatableAnywhere(PendingMessage message) {
+    static boolean retryableAnywhere(PendingMessage message) {
         return !message.outcomeUnknown()
                 || message.messageClass.idempotency() == Idempotency.IDEMPOTENT
                 || message.messageClass.keyScope() == KeyScope.DESTINATION;
     }
 
     /** Whether the message may be repeated at this endpoint: the endpoint knows its key if an earlier attempt ran. */
-    static boolean repeatableAt(PendingMessage message, Endpoint endpoint) {
-        if (repeatableAnywhere(message)) {
+    static boolean retryableAt(PendingMessage message, Endpoint endpoint) {
+        if (retryableAnywhere(message)) {
             return true;
         }
-        Endpoint earlier = message.unknownOutcomeEndpoint;
-        if (earlier == null) {
+        Endpoint earlierEndpoint = message.unknownOutcomeEndpoint;
+        if (earlierEndpoint == null) {
             return false;
         }
-        return message.messageClass.keyScope() == KeyScope.ZONE ? earlier.zone == endpoint.zone : earlier == endpoint;
+        return message.messageClass.keyScope() == KeyScope.ZONE
+                ? earlierEndpoint.zone == endpoint.zone
+                : earlierEndpoint == endpoint;
     }
 
     /** Whether a rejection is harmless: no attempt is in flight, and none may have run unless a repetition does no harm. */
@@ -73,10 +75,10 @@
 
     /** Sets the backoff of a message that each endpoint may have failed by now. */
     void backOff(long now, PendingMessage message, UpstreamHealth health, AttemptCompleted event) {
-        int withoutBackoff = Math.max(MIN_ATTEMPTS_WITHOUT_BACKOFF, message.destination.endpoints.size());
-        if (message.attempts >= withoutBackoff) {
+        int attemptsWithoutBackoff = Math.max(MIN_ATTEMPTS_WITHOUT_BACKOFF, message.destination.endpoints.size());
+        if (message.attempts >= attemptsWithoutBackoff) {
             message.backoffUntil = now
-                    + backoff.micros(
+                    + backoff.delayMicros(
                             backoff.senderSpacingMicros(health, event),
                             0,
                             message.messageClass.deadlineMicros(),
--- a/decisions/src/main/java/amberroute/decisions/ServiceTimes.java
+++ b/decisions/src/main/java/amberroute/decisions/ServiceTimes.java
@@ -10,7 +10,7 @@
  */
 final class ServiceTimes {
     /** Span in which a learned time falls to 1/e of its excess over the usual latency. */
-    static final double DECAY_SPAN_MICROS = 1_000_000;
+    static final double DECAY_TIME_CONSTANT_MICROS = 1_000_000;
     /** Present latency up to this multiple of the usual is noise of ordinary service times, not slowness. */
     static final double NORMAL_LATENCY_RATIO = 2;
     /** Weight of a new latency in the usual one: slow enough to outlast a fault of tens of calls. */
@@ -44,41 +44,41 @@
 
     /** The service times of all messages in flight that are not completed. */
     double inFlightMicros(long now, UpstreamHealth health) {
-        double sum = 0;
-        for (UpstreamCall call : health.calls) {
+        double totalMicros = 0;
+        for (UpstreamCall call : health.callsInFlight) {
             for (PendingMessage message : call.messages) {
-                sum += message.call == call && !message.completed ? expectedMicros(now, message) : 0;
+                totalMicros += message.call == call && !message.completed ? expectedMicros(now, message) : 0;
             }
         }
-        return sum;
+        return totalMicros;
     }
 
     /** Brings the learned time up to now. */
     void decay(long now, Destination destination) {
         if (destination.callsInFlight == 0 && destination.serviceUpdatedAt != now) {
-            double steady = steadyMicros(destination);
-            destination.serviceMicros = steady
-                    + (destination.serviceMicros - steady)
-                            * Math.exp((destination.serviceUpdatedAt - now) / DECAY_SPAN_MICROS);
+            double baselineMicros = baselineMicros(destination);
+            destination.serviceMicros = baselineMicros
+                    + (destination.serviceMicros - baselineMicros)
+                            * Math.exp((destination.serviceUpdatedAt - now) / DECAY_TIME_CONSTANT_MICROS);
         }
         destination.serviceUpdatedAt = now;
     }
 
     /** What the learned time decays to: the least usual latency of the endpoints, or the learned time if that is less. */
-    double steadyMicros(Destination destination) {
-        double steady = destination.serviceMicros;
+    double baselineMicros(Destination destination) {
+        double baselineMicros = destination.serviceMicros;
         for (Endpoint endpoint : destination.endpoints) {
-            double usual = endpoint.health.usualLatencyMicros;
-            steady = usual > 0 ? Math.min(steady, usual) : steady;
+            double usualMicros = endpoint.health.usualLatencyMicros;
+            baselineMicros = usualMicros > 0 ? Math.min(baselineMicros, usualMicros) : baselineMicros;
         }
-        return steady;
+        return baselineMicros;
     }
 
     /** Learns from a call that succeeded. */
     void recordSuccess(Destination destination, UpstreamHealth health, double latencyMicros) {
         mergeUsualLatency(latencyMicros, POOLED_WEIGHT_RATIO);
         destination.serviceMicros = destination.serviceMeasured
-                ? moved(destination.serviceMicros, latencyMicros, UpstreamHealth.RECENT_CALL_WEIGHT_RATIO)
+                ? exponentialAverage(destination.serviceMicros, latencyMicros, UpstreamHealth.RECENT_CALL_WEIGHT_RATIO)
                 : latencyMicros;
         destination.serviceMeasured = true;
         if (health.usualLatencyMicros == 0) {
@@ -87,18 +87,19 @@
             return;
         }
         health.presentLatencyMicros =
-                moved(health.presentLatencyMicros, latencyMicros, UpstreamHealth.RECENT_CALL_WEIGHT_RATIO);
+                exponentialAverage(health.presentLatencyMicros, latencyMicros, UpstreamHealth.RECENT_CALL_WEIGHT_RATIO);
         if (health.presentLatencyMicros < NORMAL_LATENCY_RATIO * health.usualLatencyMicros) {
-            health.usualLatencyMicros = moved(health.usualLatencyMicros, latencyMicros, USUAL_WEIGHT_RATIO);
+            health.usualLatencyMicros =
+                    exponentialAverage(health.usualLatencyMicros, latencyMicros, USUAL_WEIGHT_RATIO);
         }
     }
 
     /** Learns from a call that timed out: it takes longer than so long. */
-    void recordTimeout(Destination destination, UpstreamHealth health, double waitedMicros) {
+    void recordTimeout(Destination destination, UpstreamHealth health, double elapsedMicros) {
         destination.serviceMicros +=
-                UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * Math.max(0, waitedMicros - destination.serviceMicros);
+                UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * Math.max(0, elapsedMicros - destination.serviceMicros);
         health.presentLatencyMicros +=
-                UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * Math.max(0, waitedMicros - health.presentLatencyMicros);
+                UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * Math.max(0, elapsedMicros - health.presentLatencyMicros);
     }
 
     /** Moves the usual latency over all destinations by a share towards a measured one; the first is taken as it is. */
@@ -107,7 +108,7 @@
                 usualLatencyMicros == 0 ? measuredMicros : weightRatio * (measuredMicros - usualLatencyMicros);
     }
 
-    private static double moved(double from, double towards, double weightRatio) {
-        return from + weightRatio * (towards - from);
+    private static double exponentialAverage(double average, double sample, double weightRatio) {
+        return average + weightRatio * (sample - average);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
+++ b/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
@@ -13,9 +13,9 @@
  */
 final class SilentCallDetector {
     /** Share of the slots that silent calls may hold while messages wait and no slot is free. */
-    private static final double SILENT_SLOTS_RATIO = 0.2;
+    private static final double MAX_SILENT_SLOTS_RATIO = 0.2;
     /** How much longer a non-idempotent call may be silent before it is cancelled, as that loses its message. */
-    private static final double NON_IDEMPOTENT_PATIENCE_RATIO = 2.5;
+    private static final double NON_IDEMPOTENT_SILENCE_FACTOR = 2.5;
 
     private final CurrentSettings settings;
     private final MessageLifecycle messages;
@@ -47,11 +47,11 @@
     }
 
     private void detect(long now, UpstreamHealth health, WakeupTimer timer) {
-        for (Endpoint endpoint : health.members) {
+        for (Endpoint endpoint : health.endpoints) {
             endpoint.silentCalls = 0;
         }
-        for (UpstreamCall call : health.calls) {
-            long silentAt = call.sentAt + attemptTimeout.silenceMicros(health);
+        for (UpstreamCall call : health.callsInFlight) {
+            long silentAt = call.sentAt + attemptTimeout.silenceThresholdMicros(health);
             if (silentAt > now) {
                 timer.request(silentAt);
                 continue;
@@ -63,7 +63,7 @@
                 connections.recordSilence(call);
             }
         }
-        if (!health.calls.isEmpty()) {
+        if (!health.callsInFlight.isEmpty()) {
             breaker.openIfFailed(now, health);
         }
     }
@@ -72,20 +72,20 @@
      * Cancels silent calls: idempotent ones once the breaker of their upstream is open, and one of any kind in each decision
      * while messages wait and silent calls hold many of the slots, as with few slots two such calls would stop a sender.
      */
-    void cancel(long now, Actions actions) {
+    void cancelSilentCalls(long now, Actions actions) {
         int silentCalls = silentCalls();
         if (silentCalls == 0 || !settings.limits().cancellationAllowed()) {
             return;
         }
         boolean slotsNeeded = calls.freeSlots() <= 0
-                && silentCalls >= SILENT_SLOTS_RATIO * settings.limits().maxConcurrentCalls()
-                && anyMessageWaits(now);
+                && silentCalls >= MAX_SILENT_SLOTS_RATIO * settings.limits().maxConcurrentCalls()
+                && isAnyMessageWaiting(now);
         for (PendingMessage message : silentMessages()) {
             if (message.cancelling) {
                 continue;
             }
             UpstreamCall call = message.call;
-            if (call.cancelling || isCancelledFirst(now, call, slotsNeeded)) {
+            if (call.cancelling || shouldCancel(now, call, slotsNeeded)) {
                 message.cancelling = true;
                 call.cancelling = true;
                 slotsNeeded = false;
@@ -94,24 +94,24 @@
         }
     }
 
-    private boolean isCancelledFirst(long now, UpstreamCall call, boolean slotsNeeded) {
+    private boolean shouldCancel(long now, UpstreamCall call, boolean slotsNeeded) {
         UpstreamHealth health = call.endpoint.health;
-        double patienceRatio = call.nonIdempotent ? NON_IDEMPOTENT_PATIENCE_RATIO : 1;
-        return slotsNeeded && now - call.sentAt > patienceRatio * attemptTimeout.silenceMicros(health)
+        double silenceFactor = call.nonIdempotent ? NON_IDEMPOTENT_SILENCE_FACTOR : 1;
+        return slotsNeeded && now - call.sentAt > silenceFactor * attemptTimeout.silenceThresholdMicros(health)
                 || !call.nonIdempotent && health.breaker == BreakerState.OPEN;
     }
 
     private int silentCalls() {
         int silentCalls = 0;
         for (UpstreamHealth health : calls.busyUpstreams()) {
-            for (UpstreamCall call : health.calls) {
+            for (UpstreamCall call : health.callsInFlight) {
                 silentCalls += call.silent ? 1 : 0;
             }
         }
         return silentCalls;
     }
 
-    private boolean anyMessageWaits(long now) {
+    private boolean isAnyMessageWaiting(long now) {
         for (PendingMessage message : messages.all()) {
             if (message.call == null && message.backoffUntil <= now) {
                 return true;
@@ -124,7 +124,7 @@
     private List<PendingMessage> silentMessages() {
         List<PendingMessage> silent = new ArrayList<>();
         for (UpstreamHealth health : calls.busyUpstreams()) {
-            for (UpstreamCall call : health.calls) {
+            for (UpstreamCall call : health.callsInFlight) {
                 for (PendingMessage message : call.messages) {
                     if (call.silent && message.call == call && !message.cancelling) {
                         silent.add(message);
--- a/decisions/src/main/java/amberroute/decisions/UpstreamGate.java
+++ b/decisions/src/main/java/amberroute/decisions/UpstreamGate.java
@@ -17,32 +17,35 @@
     }
 
     /** From when a call may go out; NEVER if only an outcome can change that. */
-    long opensAt(long now, UpstreamHealth health) {
-        long at = Math.max(health.retryAfterUntil, health.backoffUntil);
+    long nextCallAt(long now, UpstreamHealth health) {
+        long permittedAt = Math.max(health.retryAfterUntil, health.backoffUntil);
         if (health.breaker == BreakerState.OPEN) {
-            return health.trial != null ? Micros.NEVER : Math.max(at, health.nextTrialAt);
+            return health.trial != null ? Micros.NEVER : Math.max(permittedAt, health.nextTrialAt);
         }
-        if (health.calls.size() >= maxCallsInFlight(now, health)) {
+        if (health.callsInFlight.size() >= maxCallsInFlight(now, health)) {
             return Micros.NEVER;
         }
         recoveryRamp.finishIfOver(now, health);
         if (health.breaker == BreakerState.SLOW_START) {
-            at = Math.max(at, Math.min(recoveryRamp.nextCallAt(now, health), recoveryRamp.endsAt(health)));
+            permittedAt =
+                    Math.max(permittedAt, Math.min(recoveryRamp.nextCallAt(now, health), recoveryRamp.endsAt(health)));
         }
-        return Math.max(at, rateLimiter.opensAt(now, health));
+        return Math.max(permittedAt, rateLimiter.nextCallAt(now, health));
     }
 
     /** When to ask again for an upstream that is closed until {@code at}: slow starts speed up and paces end. */
-    long askAgainAt(long at, UpstreamHealth health) {
-        long again = health.breaker != BreakerState.SLOW_START || at == Micros.NEVER
-                ? at
-                : Math.min(at, recoveryRamp.nextCallAt(at, health));
-        return health.breaker == BreakerState.OPEN ? again : Math.min(again, rateLimiter.paceEndsAt(health));
+    long reevaluateAt(long closedUntil, UpstreamHealth health) {
+        long reevaluateAt = health.breaker != BreakerState.SLOW_START || closedUntil == Micros.NEVER
+                ? closedUntil
+                : Math.min(closedUntil, recoveryRamp.nextCallAt(closedUntil, health));
+        return health.breaker == BreakerState.OPEN
+                ? reevaluateAt
+                : Math.min(reevaluateAt, rateLimiter.paceExpiresAt(health));
     }
 
     /** One call for each endpoint until the first success, as all that waits behind a restart would else go out at once. */
     private int maxCallsInFlight(long now, UpstreamHealth health) {
-        return health.usualLatencyMicros == 0 ? health.members.size() : concurrencyCap(now, health);
+        return health.usualLatencyMicros == 0 ? health.endpoints.size() : concurrencyCap(now, health);
     }
 
     /**
@@ -54,17 +57,17 @@
         if (health.usualLatencyMicros == 0) {
             return slots;
         }
-        double scaled = slots
+        double scaledSlots = slots
                 * ServiceTimes.NORMAL_LATENCY_RATIO
                 * health.usualLatencyMicros
                 / health.presentLatencyMicros(now);
-        return (int) Math.max(1, Math.min(slots, scaled));
+        return (int) Math.max(1, Math.min(slots, scaledSlots));
     }
 
     /** Counts a call that goes out: it is the trial of an open breaker, and uses up pace and slow start. */
-    void charge(long now, UpstreamHealth health, UpstreamCall call) {
-        health.sent.add(now, 1);
-        rateLimiter.charge(now, health);
+    void recordCallStarted(long now, UpstreamHealth health, UpstreamCall call) {
+        health.sentRate.add(now, 1);
+        rateLimiter.recordCallStarted(now, health);
         if (health.breaker == BreakerState.OPEN) {
             health.trial = call;
         } else if (health.breaker == BreakerState.SLOW_START) {
--- a/decisions/src/main/java/amberroute/decisions/UpstreamHealth.java
+++ b/decisions/src/main/java/amberroute/decisions/UpstreamHealth.java
@@ -10,20 +10,20 @@
  */
 final class UpstreamHealth {
     /** Span over which the rate of sent calls is averaged. */
-    private static final double SENT_RATE_SPAN_MICROS = 2_000_000;
+    private static final double SENT_RATE_TIME_CONSTANT_MICROS = 2_000_000;
     /** Span over which the rate of answered calls is averaged. */
-    private static final double SERVED_RATE_SPAN_MICROS = 8_000_000;
+    private static final double SERVED_RATE_TIME_CONSTANT_MICROS = 8_000_000;
     /** Weight of a new call in averages of one upstream: about the last seven calls count. */
     static final double RECENT_CALL_WEIGHT_RATIO = 0.15;
 
-    final int destination;
+    final int destinationId;
     /** 0 where the health is that of a whole destination. */
-    final long endpoint;
+    final long endpointId;
 
-    final List<Endpoint> members = new ArrayList<>();
-    final List<UpstreamCall> calls = new ArrayList<>();
-    final DecayingRate sent = new DecayingRate(SENT_RATE_SPAN_MICROS);
-    final DecayingRate served = new DecayingRate(SERVED_RATE_SPAN_MICROS);
+    final List<Endpoint> endpoints = new ArrayList<>();
+    final List<UpstreamCall> callsInFlight = new ArrayList<>();
+    final DecayingRate sentRate = new DecayingRate(SENT_RATE_TIME_CONSTANT_MICROS);
+    final DecayingRate servedRate = new DecayingRate(SERVED_RATE_TIME_CONSTANT_MICROS);
 
     /** Latency in normal operation; 0 until the first success. */
     double usualLatencyMicros;
@@ -59,16 +59,16 @@
     /** The half-open trial in flight; null for none. */
     UpstreamCall trial;
 
-    long slowStartFrom;
+    long slowStartBeganAt;
     long lastSlowStartCallAt;
     /** Calls answered a second before the breaker opened. */
-    double formerPacePerSecond;
+    double callsPerSecondBeforeOutage;
 
     long lastSuccessAt = Endpoint.LONG_AGO;
 
-    UpstreamHealth(int destination, long endpoint) {
-        this.destination = destination;
-        this.endpoint = endpoint;
+    UpstreamHealth(int destinationId, long endpointId) {
+        this.destinationId = destinationId;
+        this.endpointId = endpointId;
     }
 
     /** Whether nothing is known of it, or only that it failed. */
@@ -78,13 +78,13 @@
 
     /** The present latency; a call that has been unanswered for longer counts as though it were answered now. */
     double presentLatencyMicros(long now) {
-        double latency = presentLatencyMicros;
-        for (UpstreamCall call : calls) {
-            double age = now - call.sentAt;
-            if (age > latency && call.sentAt >= lastSuccessAt) {
-                latency += RECENT_CALL_WEIGHT_RATIO * (age - latency);
+        double latencyMicros = presentLatencyMicros;
+        for (UpstreamCall call : callsInFlight) {
+            double ageMicros = now - call.sentAt;
+            if (ageMicros > latencyMicros && call.sentAt >= lastSuccessAt) {
+                latencyMicros += RECENT_CALL_WEIGHT_RATIO * (ageMicros - latencyMicros);
             }
         }
-        return latency;
+        return latencyMicros;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
+++ b/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
@@ -32,64 +32,64 @@
     }
 
     /** The predicted wait of a message that waits now. */
-    long micros(long now, PendingMessage message) {
-        return micros(now, message, false);
+    long predictedWaitMicros(long now, PendingMessage message) {
+        return predictedWaitMicros(now, message, false);
     }
 
     /** An upper bound on the predicted wait at a fraction of its cost: all that waits counts as ahead. */
     long upperBoundMicros(long now, PendingMessage message) {
-        return micros(now, message, true);
+        return predictedWaitMicros(now, message, true);
     }
 
-    private long micros(long now, PendingMessage message, boolean upperBound) {
+    private long predictedWaitMicros(long now, PendingMessage message, boolean upperBound) {
         Destination destination = message.destination;
         double messageIndex = index.indexFor(now, message);
-        double allMicros = backlog.micros(now, upperBound ? Double.NEGATIVE_INFINITY : message.priorityWeight)
+        double totalMicros = backlog.waitingMicros(now, upperBound ? Double.NEGATIVE_INFINITY : message.priorityWeight)
                 - serviceTimes.expectedMicros(now, message);
-        double hereMicros = 0;
+        double destinationMicros = 0;
         for (UpstreamHealth health : calls.busyUpstreams()) {
             double inFlightMicros = serviceTimes.inFlightMicros(now, health);
-            allMicros += inFlightMicros;
-            hereMicros += health.destination == destination.sharedHealth.destination ? inFlightMicros : 0;
+            totalMicros += inFlightMicros;
+            destinationMicros += health.destinationId == destination.sharedHealth.destinationId ? inFlightMicros : 0;
         }
         double messagesAhead = 0;
         for (DispatchQueue queue : destination.queues) {
-            double ahead = queue.priorityWeight >= message.priorityWeight
+            double aheadInQueue = queue.priorityWeight >= message.priorityWeight
                     ? queue.messages.size() - (queue == message.queue ? 1 : 0)
                     : index.countAtLeast(now, queue, messageIndex);
-            hereMicros += ahead * serviceTimes.expectedMicros(now, queue);
-            messagesAhead += ahead;
+            destinationMicros += aheadInQueue * serviceTimes.expectedMicros(now, queue);
+            messagesAhead += aheadInQueue;
         }
-        allMicros += upperBound ? 0 : index.serviceMicrosAhead(now, message.priorityWeight, messageIndex);
+        totalMicros += upperBound ? 0 : index.serviceMicrosAhead(now, message.priorityWeight, messageIndex);
         double waitMicros = Math.max(
-                allMicros / settings.limits().maxConcurrentCalls(),
-                hereMicros / Math.max(1, concurrencyCap(now, destination)));
-        return (long) Math.max(waitMicros, limitedWaitMicros(now, destination, messagesAhead));
+                totalMicros / settings.limits().maxConcurrentCalls(),
+                destinationMicros / Math.max(1, concurrencyCap(now, destination)));
+        return (long) Math.max(waitMicros, rateLimitedWaitMicros(now, destination, messagesAhead));
     }
 
     private double concurrencyCap(long now, Destination destination) {
         double cap = 0;
-        UpstreamHealth last = null;
+        UpstreamHealth lastCounted = null;
         for (Endpoint endpoint : destination.endpoints) {
-            if (endpoint.isReady() && endpoint.health != last) {
-                last = endpoint.health;
-                cap += gate.concurrencyCap(now, last);
+            if (endpoint.isReady() && endpoint.health != lastCounted) {
+                lastCounted = endpoint.health;
+                cap += gate.concurrencyCap(now, lastCounted);
             }
         }
         return cap;
     }
 
     /** The time until limits let the message out behind those ahead: an outage, a slow start, paces and the fleet's limit. */
-    private double limitedWaitMicros(long now, Destination destination, double messagesAhead) {
+    private double rateLimitedWaitMicros(long now, Destination destination, double messagesAhead) {
         double messagesPerSecond = 0;
-        long returnsAt = Micros.NEVER;
-        UpstreamHealth last = null;
+        long availableAt = Micros.NEVER;
+        UpstreamHealth lastCounted = null;
         for (Endpoint endpoint : destination.endpoints) {
-            if (endpoint.isReady() && endpoint.health != last) {
-                last = endpoint.health;
+            if (endpoint.isReady() && endpoint.health != lastCounted) {
+                lastCounted = endpoint.health;
                 // Paces count calls, and what waits behind a limit fills them.
-                messagesPerSecond += endpoint.messagesPerCall * callsPerSecond(now, last);
-                returnsAt = Math.min(returnsAt, returnsAt(now, last));
+                messagesPerSecond += endpoint.messagesPerCall * callsPerSecond(now, lastCounted);
+                availableAt = Math.min(availableAt, availableAt(now, lastCounted));
             }
         }
         messagesPerSecond = Math.min(messagesPerSecond, destination.fleetRateLimit.perSecond());
@@ -99,7 +99,7 @@
         double pacedMicros = Math.min(
                 messagesAhead / messagesPerSecond * Micros.PER_SECOND,
                 settings.rules().slowStartMicros());
-        return Math.max(0, returnsAt - now) + pacedMicros;
+        return Math.max(0, availableAt - now) + pacedMicros;
     }
 
     /** The pace of an upstream; during an outage and a slow start the mean of the rest of the slow start. */
@@ -110,8 +110,8 @@
     }
 
     /** When an upstream is expected to take calls: an outage without a Retry-After counts as half over. */
-    private static long returnsAt(long now, UpstreamHealth health) {
-        long advisedAt = Math.max(health.retryAfterUntil, health.backoffUntil);
-        return health.breaker == BreakerState.OPEN ? Math.max(advisedAt, 2 * now - health.openedAt) : advisedAt;
+    private static long availableAt(long now, UpstreamHealth health) {
+        long holdOffUntil = Math.max(health.retryAfterUntil, health.backoffUntil);
+        return health.breaker == BreakerState.OPEN ? Math.max(holdOffUntil, 2 * now - health.openedAt) : holdOffUntil;
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
@@ -103,7 +103,7 @@
             case "pure" -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.KEYED;
             case "side_effect" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw unreadable(path);
+            default -> throw invalidSetting(path);
         };
     }
 
@@ -117,16 +117,16 @@
 
     private List<DestinationKind> destinationKinds() {
         int count = list("kinds").size();
-        List<String> independent = list("family_info.routes_apart");
-        List<String> messagesPerCall = list("family_info.per_call");
+        List<String> independentValues = list("family_info.routes_apart");
+        List<String> messagesPerCallValues = list("family_info.per_call");
         List<DestinationKind> kinds = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             boolean independentEndpoints =
-                    i < independent.size() && independent.get(i).equals("true");
-            int messages = i < messagesPerCall.size()
-                    ? parse("family_info.per_call", messagesPerCall.get(i), Integer::parseInt)
+                    i < independentValues.size() && independentValues.get(i).equals("true");
+            int messagesPerCall = i < messagesPerCallValues.size()
+                    ? parse("family_info.per_call", messagesPerCallValues.get(i), Integer::parseInt)
                     : 1;
-            kinds.add(new DestinationKind(independentEndpoints, messages));
+            kinds.add(new DestinationKind(independentEndpoints, messagesPerCall));
         }
         return kinds;
     }
@@ -202,7 +202,7 @@
     private String text(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw unreadable(path);
+            throw invalidSetting(path);
         }
         return value;
     }
@@ -215,27 +215,27 @@
         return parse(path, text(path), Integer::parseInt);
     }
 
-    private int integer(String path, int absent) {
-        return values.containsKey(path) ? integer(path) : absent;
+    private int integer(String path, int defaultValue) {
+        return values.containsKey(path) ? integer(path) : defaultValue;
     }
 
     private double decimal(String path) {
         return parse(path, text(path), Double::parseDouble);
     }
 
-    private double decimal(String path, double absent) {
-        return values.containsKey(path) ? decimal(path) : absent;
+    private double decimal(String path, double defaultValue) {
+        return values.containsKey(path) ? decimal(path) : defaultValue;
     }
 
     private static <T> T parse(String path, String value, Function<String, T> parser) {
         try {
             return parser.apply(value);
         } catch (NumberFormatException e) {
-            throw unreadable(path);
+            throw invalidSetting(path);
         }
     }
 
-    private static InvalidSettingsException unreadable(String path) {
+    private static InvalidSettingsException invalidSetting(String path) {
         return new InvalidSettingsException("setting " + path + " is missing or cannot be read");
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
@@ -15,40 +15,41 @@
 class FleetBehaviorTest {
     private static final long SEED = 20_261;
 
-    private static FleetSimulation outage(int senders, double limit) {
-        FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limitPerSecond = limit;
-        play.outageFrom = 6_000_000;
-        play.outageUntil = 11_000_000;
-        return play;
+    private static FleetSimulation outage(int senders, double limitPerSecond) {
+        FleetSimulation simulation = new FleetSimulation(senders, SEED);
+        simulation.limitPerSecond = limitPerSecond;
+        simulation.outageStartMicros = 6_000_000;
+        simulation.outageEndMicros = 11_000_000;
+        return simulation;
     }
 
     /** Half of the limit is offered, which a destination in slow start can take within 5 s of its return. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
-    void aFleetIsBackSoonAfterAnOutageWithoutPushingOver(int senders) {
-        FleetSimulation play = outage(senders, 200);
-        play.run(26_000_000);
-        String seen = senders + " senders: push " + play.peakOverload + ", rates after the return";
-        for (int s = 0; s < 12; s++) {
-            seen += " " + (int) play.answersPerSecond((11 + s) * 1_000_000L, (12 + s) * 1_000_000L);
+    void destinationAfterOutageRecoversWithoutOverload(int senders) {
+        FleetSimulation simulation = outage(senders, 200);
+        simulation.run(26_000_000);
+        String summary = senders + " senders: push " + simulation.peakOverload + ", rates after the return";
+        for (int second = 0; second < 12; second++) {
+            summary += " " + (int) simulation.answersPerSecond((11 + second) * 1_000_000L, (12 + second) * 1_000_000L);
         }
-        System.out.println(seen + "; refused " + play.rejectedCalls + " of " + play.calls + ", turned away "
-                + play.rejectedMessages + " of " + play.offered + ", seed " + SEED);
-        assertTrue(play.peakOverload < 1, seen);
-        assertTrue(play.answersPerSecond(11_000_000, 13_000_000) > 0.1 * play.limitPerSecond, seen);
-        assertTrue(play.answersPerSecond(14_000_000, 17_000_000) > 0.4 * play.limitPerSecond, seen);
+        System.out.println(
+                summary + "; refused " + simulation.rejectedCalls + " of " + simulation.calls + ", turned away "
+                        + simulation.rejectedMessages + " of " + simulation.offeredMessages + ", seed " + SEED);
+        assertTrue(simulation.peakOverload < 1, summary);
+        assertTrue(simulation.answersPerSecond(11_000_000, 13_000_000) > 0.1 * simulation.limitPerSecond, summary);
+        assertTrue(simulation.answersPerSecond(14_000_000, 17_000_000) > 0.4 * simulation.limitPerSecond, summary);
     }
 
     /** Trials and slow starts of many senders stay within the rule where the limit is small, too. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
-    void aSmallDestinationIsNotPushedOver(int senders) {
-        FleetSimulation play = outage(senders, 15);
-        play.run(30_000_000);
-        System.out.println(senders + " senders, small: push " + play.peakOverload + ", refused " + play.rejectedCalls
-                + " of " + play.calls + ", seed " + SEED);
-        assertTrue(play.peakOverload < 1, "push " + play.peakOverload);
+    void smallDestinationAfterOutageIsNotOverloaded(int senders) {
+        FleetSimulation simulation = outage(senders, 15);
+        simulation.run(30_000_000);
+        System.out.println(senders + " senders, small: push " + simulation.peakOverload + ", refused "
+                + simulation.rejectedCalls + " of " + simulation.calls + ", seed " + SEED);
+        assertTrue(simulation.peakOverload < 1, "push " + simulation.peakOverload);
     }
 
     /**
@@ -71,59 +72,69 @@
         "30,200,0,0,30,false",
         "30,15,1,4000000,15,false"
     })
-    void theSumOfAllStaysWithinWhatIsPutDownToChance(
-            int senders, double limit, double uneven, long learnsWithin, int restarting, boolean told) {
-        StringBuilder seen = new StringBuilder(senders + " senders, limit " + limit + ", uneven " + uneven
-                + ", learn within " + learnsWithin + ", " + restarting + " restarts, limit told " + told + ": excess");
-        double worst = Double.NEGATIVE_INFINITY;
+    void totalLoadAfterOutageStaysWithinRandomVariation(
+            int senders,
+            double limitPerSecond,
+            double trafficSkew,
+            long detectionSpreadMicros,
+            int restartingSenders,
+            boolean limitReported) {
+        StringBuilder summary = new StringBuilder(senders + " senders, limit " + limitPerSecond + ", uneven "
+                + trafficSkew + ", learn within " + detectionSpreadMicros + ", " + restartingSenders
+                + " restarts, limit told " + limitReported + ": excess");
+        double worstExcess = Double.NEGATIVE_INFINITY;
         for (int seed = 0; seed < 8; seed++) {
-            FleetSimulation play = new FleetSimulation(senders, SEED + seed);
-            play.limitPerSecond = limit;
-            play.offeredRatio = 0.8;
-            play.reportOverride = told ? null : List::of;
-            play.outageFrom = 6_000_000;
-            play.outageUntil = 11_000_000;
-            play.trafficSkew = uneven;
-            play.firstMessagesWithinMicros = learnsWithin;
-            play.restartingSenders = restarting;
-            play.restartFrom = 9_000_000;
-            play.restartUntil = 20_000_000;
-            play.run(27_000_000);
-            worst = Math.max(worst, play.excess);
-            seen.append(String.format(
+            FleetSimulation simulation = new FleetSimulation(senders, SEED + seed);
+            simulation.limitPerSecond = limitPerSecond;
+            simulation.offeredLoadRatio = 0.8;
+            simulation.reportOverride = limitReported ? null : List::of;
+            simulation.outageStartMicros = 6_000_000;
+            simulation.outageEndMicros = 11_000_000;
+            simulation.trafficSkew = trafficSkew;
+            simulation.outageDetectionSpreadMicros = detectionSpreadMicros;
+            simulation.restartingSenders = restartingSenders;
+            simulation.firstRestartMicros = 9_000_000;
+            simulation.lastRestartMicros = 20_000_000;
+            simulation.run(27_000_000);
+            worstExcess = Math.max(worstExcess, simulation.peakExcess);
+            summary.append(String.format(
                     " %.2f (push %.2f, answered %.2f)",
-                    play.excess, play.peakOverload, (double) play.answered / play.offered));
+                    simulation.peakExcess,
+                    simulation.peakOverload,
+                    (double) simulation.answeredCalls / simulation.offeredMessages));
         }
-        System.out.println(seen + ", seeds from " + SEED);
-        assertTrue(worst < 1, seen.toString());
+        System.out.println(summary + ", seeds from " + SEED);
+        assertTrue(worstExcess < 1, summary.toString());
     }
 
-    private static FleetSimulation overloaded(int senders, boolean windows) {
-        FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limitPerSecond = 40;
-        play.offeredRatio = 1.3;
-        play.fixedWindows = windows;
-        return play;
+    private static FleetSimulation overloaded(int senders, boolean fixedWindows) {
+        FleetSimulation simulation = new FleetSimulation(senders, SEED);
+        simulation.limitPerSecond = 40;
+        simulation.offeredLoadRatio = 1.3;
+        simulation.fixedWindows = fixedWindows;
+        return simulation;
     }
 
     /** Rejected calls use up the limit: all that is sent has to stay near the limit, evenly shared. */
     @ParameterizedTest
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
-    void allTogetherStayNearATellingLimit(int senders, boolean windows) {
-        FleetSimulation play = overloaded(senders, windows);
-        play.run(30_000_000);
-        int least = Arrays.stream(play.answeredBy).min().orElse(0);
-        int most = Arrays.stream(play.answeredBy).max().orElse(0);
-        String seen =
-                senders + " senders, windows " + windows + ": answered " + play.answersPerSecond(10_000_000, 30_000_000)
-                        + " a second, sent " + play.calls + ", refused " + play.rejectedCalls + ", answered by one "
-                        + least + " to "
-                        + most + ", seed " + SEED;
-        System.out.println(seen);
+    void fleetUnderReportedLimitStaysNearIt(int senders, boolean fixedWindows) {
+        FleetSimulation simulation = overloaded(senders, fixedWindows);
+        simulation.run(30_000_000);
+        int minAnswered = Arrays.stream(simulation.answeredCallsBySender).min().orElse(0);
+        int maxAnswered = Arrays.stream(simulation.answeredCallsBySender).max().orElse(0);
+        String summary = senders + " senders, windows " + fixedWindows + ": answered "
+                + simulation.answersPerSecond(10_000_000, 30_000_000)
+                + " a second, sent " + simulation.calls + ", refused " + simulation.rejectedCalls + ", answered by one "
+                + minAnswered + " to "
+                + maxAnswered + ", seed " + SEED;
+        System.out.println(summary);
         assertTrue(
-                play.answersPerSecond(10_000_000, 30_000_000) > (senders > 14 ? 0.6 : 0.8) * play.limitPerSecond, seen);
-        assertTrue(play.rejectedCalls < 0.25 * play.calls, seen);
-        assertTrue(most <= 4 * Math.max(least, 10), seen);
+                simulation.answersPerSecond(10_000_000, 30_000_000)
+                        > (senders > 14 ? 0.6 : 0.8) * simulation.limitPerSecond,
+                summary);
+        assertTrue(simulation.rejectedCalls < 0.25 * simulation.calls, summary);
+        assertTrue(maxAnswered <= 4 * Math.max(minAnswered, 10), summary);
     }
 
     /**
@@ -132,97 +143,100 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoIsRefusedAtALargeLimitIsSoonBack(boolean windows) {
-        FleetSimulation play = overloaded(100, windows);
-        play.limitPerSecond = 280;
-        play.run(30_000_000);
-        String seen = "large limit, windows " + windows + ": answered " + play.answersPerSecond(10_000_000, 30_000_000)
-                + " a second of 280, refused " + play.rejectedCalls + " of " + play.calls + ", seed " + SEED;
-        System.out.println(seen);
-        assertTrue(play.answersPerSecond(10_000_000, 30_000_000) > 0.8 * play.limitPerSecond, seen);
-        assertTrue(play.rejectedCalls < 0.25 * play.calls, seen);
+    void rejectedSendersAtLargeLimitResumeSoon(boolean fixedWindows) {
+        FleetSimulation simulation = overloaded(100, fixedWindows);
+        simulation.limitPerSecond = 280;
+        simulation.run(30_000_000);
+        String summary = "large limit, windows " + fixedWindows + ": answered "
+                + simulation.answersPerSecond(10_000_000, 30_000_000) + " a second of 280, refused "
+                + simulation.rejectedCalls + " of " + simulation.calls + ", seed " + SEED;
+        System.out.println(summary);
+        assertTrue(simulation.answersPerSecond(10_000_000, 30_000_000) > 0.8 * simulation.limitPerSecond, summary);
+        assertTrue(simulation.rejectedCalls < 0.25 * simulation.calls, summary);
     }
 
     /** The limit falls to half for 9 s and comes back. */
     @ParameterizedTest
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
-    void aLimitThatFallsIsBelievedAndLeftWhenItIsBack(int senders, boolean windows) {
-        FleetSimulation play = overloaded(senders, windows);
-        play.when(8_000_000, () -> play.limitPerSecond = 20);
-        play.when(17_000_000, () -> play.limitPerSecond = 40);
-        play.run(30_000_000);
-        String seen =
-                senders + " senders, windows " + windows + ": lowered " + play.answersPerSecond(10_000_000, 17_000_000)
-                        + ", back "
-                        + play.answersPerSecond(20_000_000, 30_000_000) + " a second, refused " + play.rejectedCalls
-                        + " of " + play.calls
-                        + ", seed " + SEED;
-        System.out.println(seen);
-        assertTrue(play.answersPerSecond(10_000_000, 17_000_000) > (senders > 14 ? 0.4 : 0.5) * 20, seen);
-        assertTrue(play.answersPerSecond(20_000_000, 30_000_000) > (senders > 14 ? 0.55 : 0.75) * 40, seen);
-        assertTrue(play.rejectedCalls < 0.3 * play.calls, seen);
+    void limitLoweredAndRestoredIsFollowedBothWays(int senders, boolean fixedWindows) {
+        FleetSimulation simulation = overloaded(senders, fixedWindows);
+        simulation.scheduleSinceStart(8_000_000, () -> simulation.limitPerSecond = 20);
+        simulation.scheduleSinceStart(17_000_000, () -> simulation.limitPerSecond = 40);
+        simulation.run(30_000_000);
+        String summary = senders + " senders, windows " + fixedWindows + ": lowered "
+                + simulation.answersPerSecond(10_000_000, 17_000_000)
+                + ", back "
+                + simulation.answersPerSecond(20_000_000, 30_000_000) + " a second, refused " + simulation.rejectedCalls
+                + " of " + simulation.calls
+                + ", seed " + SEED;
+        System.out.println(summary);
+        assertTrue(simulation.answersPerSecond(10_000_000, 17_000_000) > (senders > 14 ? 0.4 : 0.5) * 20, summary);
+        assertTrue(simulation.answersPerSecond(20_000_000, 30_000_000) > (senders > 14 ? 0.55 : 0.75) * 40, summary);
+        assertTrue(simulation.rejectedCalls < 0.3 * simulation.calls, summary);
     }
 
     /** Where half of the senders are gone the others use their share of the limit. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
-    void whatTheDeadLeaveOfALimitIsUsed(int senders) {
-        FleetSimulation play = overloaded(senders, false);
-        play.offeredRatio = 2;
-        play.stoppingSenders = senders / 2;
-        play.stopAt = 8_000_000;
-        play.run(30_000_000);
-        System.out.println(senders + " senders, half of them dead: " + play.answersPerSecond(16_000_000, 30_000_000)
-                + " a second");
+    void limitShareOfStoppedSendersIsUsedByOthers(int senders) {
+        FleetSimulation simulation = overloaded(senders, false);
+        simulation.offeredLoadRatio = 2;
+        simulation.stoppingSenders = senders / 2;
+        simulation.stopAtMicros = 8_000_000;
+        simulation.run(30_000_000);
+        System.out.println(senders + " senders, half of them dead: "
+                + simulation.answersPerSecond(16_000_000, 30_000_000) + " a second");
         assertTrue(
-                play.answersPerSecond(16_000_000, 30_000_000) > (senders > 14 ? 0.55 : 0.75) * play.limitPerSecond,
-                "" + play.answersPerSecond(16_000_000, 30_000_000));
+                simulation.answersPerSecond(16_000_000, 30_000_000)
+                        > (senders > 14 ? 0.55 : 0.75) * simulation.limitPerSecond,
+                "" + simulation.answersPerSecond(16_000_000, 30_000_000));
     }
 
     /** Absurd reports neither starve a destination nor overload it behind an outage. */
     @ParameterizedTest
     @CsvSource({"0,0", "-1,-5", "NaN,NaN", "7,1e300", "0,1e-9", "Infinity,Infinity", "0,1e300", "1,1e-300"})
-    void absurdReportsAreBounded(double left, double limit) {
-        FleetSimulation play = outage(14, 60);
-        play.reportOverride = () -> List.of(left, limit);
-        play.run(34_000_000);
-        String seen = left + " " + limit + ": push " + play.peakOverload + ", answered " + play.answered + " of "
-                + play.offered + ", at the end " + play.answersPerSecond(26_000_000, 34_000_000) + ", seed " + SEED;
-        System.out.println(seen);
-        assertTrue(play.peakOverload < 1, seen);
-        assertTrue(play.answersPerSecond(26_000_000, 34_000_000) > 0.25 * play.limitPerSecond, seen);
+    void implausibleLoadReportsHaveBoundedEffect(double allowanceLeft, double limitPerSecond) {
+        FleetSimulation simulation = outage(14, 60);
+        simulation.reportOverride = () -> List.of(allowanceLeft, limitPerSecond);
+        simulation.run(34_000_000);
+        String summary = allowanceLeft + " " + limitPerSecond + ": push " + simulation.peakOverload + ", answered "
+                + simulation.answeredCalls + " of " + simulation.offeredMessages + ", at the end "
+                + simulation.answersPerSecond(26_000_000, 34_000_000) + ", seed " + SEED;
+        System.out.println(summary);
+        assertTrue(simulation.peakOverload < 1, summary);
+        assertTrue(simulation.answersPerSecond(26_000_000, 34_000_000) > 0.25 * simulation.limitPerSecond, summary);
     }
 
     /** A limit that jumps tenfold between two answers. */
     @Test
-    void aLimitThatJumpsIsSurvived() {
-        FleetSimulation play = outage(14, 60);
-        int[] count = new int[1];
-        play.reportOverride = () -> List.of(0.5, count[0]++ % 2 == 0 ? 6.0 : 600.0);
-        play.run(34_000_000);
-        String seen =
-                "jumping: push " + play.peakOverload + ", at the end " + play.answersPerSecond(26_000_000, 34_000_000);
-        System.out.println(seen);
-        assertTrue(play.peakOverload < 1, seen);
-        assertTrue(play.answersPerSecond(26_000_000, 34_000_000) > 0.25 * play.limitPerSecond, seen);
+    void jumpingReportedLimitNeitherOverloadsNorStarvesDestination() {
+        FleetSimulation simulation = outage(14, 60);
+        int[] reportCount = new int[1];
+        simulation.reportOverride = () -> List.of(0.5, reportCount[0]++ % 2 == 0 ? 6.0 : 600.0);
+        simulation.run(34_000_000);
+        String summary = "jumping: push " + simulation.peakOverload + ", at the end "
+                + simulation.answersPerSecond(26_000_000, 34_000_000);
+        System.out.println(summary);
+        assertTrue(simulation.peakOverload < 1, summary);
+        assertTrue(simulation.answersPerSecond(26_000_000, 34_000_000) > 0.25 * simulation.limitPerSecond, summary);
     }
 
     /** Reports that are 8 s old are read as current ones: the limit has halved and risen again since. */
     @Test
-    void oldReportsDoNotStarveADestination() {
-        FleetSimulation play = overloaded(14, false);
-        Deque<List<Double>> old = new ArrayDeque<>();
-        play.reportOverride = () -> {
-            old.addLast(List.of(play.reportedAllowanceLeft(), play.reportedLimit()));
-            return old.size() > 280 ? old.removeFirst() : old.peekFirst();
+    void outdatedLoadReportsDoNotStarveDestination() {
+        FleetSimulation simulation = overloaded(14, false);
+        Deque<List<Double>> delayedReports = new ArrayDeque<>();
+        simulation.reportOverride = () -> {
+            delayedReports.addLast(List.of(simulation.reportedAllowanceLeft(), simulation.reportedLimit()));
+            return delayedReports.size() > 280 ? delayedReports.removeFirst() : delayedReports.peekFirst();
         };
-        play.when(8_000_000, () -> play.limitPerSecond = 20);
-        play.when(17_000_000, () -> play.limitPerSecond = 40);
-        play.run(34_000_000);
-        String seen = "old reports: at the end " + play.answersPerSecond(26_000_000, 34_000_000) + " a second, refused "
-                + play.rejectedCalls + " of " + play.calls + ", seed " + SEED;
-        System.out.println(seen);
-        assertTrue(play.answersPerSecond(26_000_000, 34_000_000) > 0.4 * 40, seen);
+        simulation.scheduleSinceStart(8_000_000, () -> simulation.limitPerSecond = 20);
+        simulation.scheduleSinceStart(17_000_000, () -> simulation.limitPerSecond = 40);
+        simulation.run(34_000_000);
+        String summary = "old reports: at the end " + simulation.answersPerSecond(26_000_000, 34_000_000)
+                + " a second, refused " + simulation.rejectedCalls + " of " + simulation.calls + ", seed " + SEED;
+        System.out.println(summary);
+        assertTrue(simulation.answersPerSecond(26_000_000, 34_000_000) > 0.4 * 40, summary);
     }
 
     /**
@@ -231,17 +245,18 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
-    void aFullHouseIsNotLeftAlone(int senders) {
-        FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limitPerSecond = 100;
-        play.maxConnectionsInUse = 5;
-        play.run(30_000_000);
-        String seen = senders + " senders, five places: answered " + play.answered + " of " + play.offered + ", "
-                + play.unconnectedCalls + " found no place, in the last ten seconds "
-                + play.answersPerSecond(20_000_000, 30_000_000)
+    void destinationWithFewConnectionsIsStillUsed(int senders) {
+        FleetSimulation simulation = new FleetSimulation(senders, SEED);
+        simulation.limitPerSecond = 100;
+        simulation.maxConnectionsInUse = 5;
+        simulation.run(30_000_000);
+        String summary = senders + " senders, five places: answered " + simulation.answeredCalls + " of "
+                + simulation.offeredMessages + ", "
+                + simulation.unconnectedCalls + " found no place, in the last ten seconds "
+                + simulation.answersPerSecond(20_000_000, 30_000_000)
                 + " a second, seed " + SEED;
-        System.out.println(seen);
-        assertTrue(play.answered > (senders > 14 ? 0.75 : 0.9) * play.offered, seen);
+        System.out.println(summary);
+        assertTrue(simulation.answeredCalls > (senders > 14 ? 0.75 : 0.9) * simulation.offeredMessages, summary);
     }
 
     /**
@@ -250,17 +265,18 @@
      */
     @ParameterizedTest
     @CsvSource({"14,6", "50,10", "100,10"})
-    void aTableFullOfIdleConnectionsIsNoLimit(int senders, int table) {
-        FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limitPerSecond = 40;
-        play.maxConnections = table;
-        play.idleLifeMicros = 4_000_000;
-        play.run(40_000_000);
-        String seen = senders + " senders, a table of " + table + ": answered " + play.answered + " of " + play.offered
-                + ", turned away at the" + " door " + play.unconnectedCalls + ", in the last twenty seconds "
-                + play.answersPerSecond(20_000_000, 40_000_000) + " a second, seed " + SEED;
-        System.out.println(seen);
-        assertTrue(play.answered > 0.85 * play.offered, seen);
+    void connectionTableFullOfIdleConnectionsIsNotTakenForRateLimit(int senders, int maxConnections) {
+        FleetSimulation simulation = new FleetSimulation(senders, SEED);
+        simulation.limitPerSecond = 40;
+        simulation.maxConnections = maxConnections;
+        simulation.idleConnectionLifeMicros = 4_000_000;
+        simulation.run(40_000_000);
+        String summary = senders + " senders, a table of " + maxConnections + ": answered " + simulation.answeredCalls
+                + " of " + simulation.offeredMessages
+                + ", turned away at the" + " door " + simulation.unconnectedCalls + ", in the last twenty seconds "
+                + simulation.answersPerSecond(20_000_000, 40_000_000) + " a second, seed " + SEED;
+        System.out.println(summary);
+        assertTrue(simulation.answeredCalls > 0.85 * simulation.offeredMessages, summary);
     }
 
     /**
@@ -276,20 +292,22 @@
         "2,1.5,false,60",
         "2,1.5,true,60"
     })
-    void whatARestartFindsUntriedIsTried(int senders, double load, boolean outage, int mostHeld) {
-        int untried = 0;
-        int givenUp = 0;
+    void unattemptedMessagesAreAttemptedAfterRestart(
+            int senders, double offeredLoadRatio, boolean outage, int maxPending) {
+        int recovered = 0;
+        int abandoned = 0;
         for (int seed = 0; seed < 5; seed++) {
-            FleetSimulation play = new FleetSimulation(senders, SEED + seed, mostHeld);
-            restartAll(play, senders, load, outage);
-            untried += play.recoveredUntried;
-            givenUp += play.abandonedUntried;
+            FleetSimulation simulation = new FleetSimulation(senders, SEED + seed, maxPending);
+            restartAll(simulation, senders, offeredLoadRatio, outage);
+            recovered += simulation.recoveredUnattempted;
+            abandoned += simulation.abandonedUnattempted;
         }
-        String seen = senders + " senders, load " + load + ", outage " + outage + ", room for " + mostHeld + ": of "
-                + untried + " found untried " + givenUp + " were given up with no call, seeds from " + SEED;
-        System.out.println(seen);
-        assertTrue(untried > 20, seen);
-        assertTrue(givenUp < 0.5 * untried, seen);
+        String summary = senders + " senders, load " + offeredLoadRatio + ", outage " + outage + ", room for "
+                + maxPending + ": of " + recovered + " found untried " + abandoned
+                + " were given up with no call, seeds from " + SEED;
+        System.out.println(summary);
+        assertTrue(recovered > 20, summary);
+        assertTrue(abandoned < 0.5 * recovered, summary);
     }
 
     /**
@@ -311,60 +329,64 @@
         "20,1.3,true,12,KEYED,1",
         "2,1.5,true,60,KEYED,1"
     })
-    void whatARestartFindsUntriedAndMayNotRepeatIsTried(
+    void unattemptedMessagesThatAreNotIdempotentAreAttemptedAfterRestart(
             int senders,
-            double load,
+            double offeredLoadRatio,
             boolean outage,
-            int mostHeld,
-            DeliveryScheduler.Idempotency effect,
-            double worth) {
-        int untried = 0;
-        int givenUp = 0;
+            int maxPending,
+            DeliveryScheduler.Idempotency idempotency,
+            double priorityWeight) {
+        int recovered = 0;
+        int abandoned = 0;
         for (int seed = 0; seed < 5; seed++) {
-            FleetSimulation play =
-                    new FleetSimulation(senders, SEED + seed, mostHeld, FleetSimulation.messageClass(worth, effect));
-            play.otherClassPeriod = 3;
-            restartAll(play, senders, load, outage);
-            untried += play.recoveredUntriedOther;
-            givenUp += play.abandonedUntriedOther;
+            FleetSimulation simulation = new FleetSimulation(
+                    senders, SEED + seed, maxPending, FleetSimulation.messageClass(priorityWeight, idempotency));
+            simulation.otherClassPeriod = 3;
+            restartAll(simulation, senders, offeredLoadRatio, outage);
+            recovered += simulation.recoveredUnattemptedOther;
+            abandoned += simulation.abandonedUnattemptedOther;
         }
-        String seen = senders + " senders, load " + load + ", outage " + outage + ", " + effect + " worth " + worth
-                + ": of " + untried + " found untried that may not be repeated " + givenUp
+        String summary = senders + " senders, load " + offeredLoadRatio + ", outage " + outage + ", " + idempotency
+                + " worth " + priorityWeight
+                + ": of " + recovered + " found untried that may not be repeated " + abandoned
                 + " were given up with no call, seeds from " + SEED;
-        System.out.println(seen);
-        assertTrue(untried > 20, seen);
-        assertTrue(givenUp < 0.5 * untried, seen);
+        System.out.println(summary);
+        assertTrue(recovered > 20, summary);
+        assertTrue(abandoned < 0.5 * recovered, summary);
     }
 
     /** A limit of 40 a second, all senders restarted between 9 and 13 s, an outage up to its middle. */
-    private static void restartAll(FleetSimulation play, int senders, double load, boolean outage) {
-        play.limitPerSecond = 40;
-        play.offeredRatio = load;
-        play.outageFrom = outage ? 6_000_000 : Long.MAX_VALUE;
-        play.outageUntil = outage ? 11_000_000 : Long.MAX_VALUE;
-        play.restartingSenders = senders;
-        play.restartFrom = 9_000_000;
-        play.restartUntil = 13_000_000;
-        play.run(30_000_000);
+    private static void restartAll(FleetSimulation simulation, int senders, double offeredLoadRatio, boolean outage) {
+        simulation.limitPerSecond = 40;
+        simulation.offeredLoadRatio = offeredLoadRatio;
+        simulation.outageStartMicros = outage ? 6_000_000 : Long.MAX_VALUE;
+        simulation.outageEndMicros = outage ? 11_000_000 : Long.MAX_VALUE;
+        simulation.restartingSenders = senders;
+        simulation.firstRestartMicros = 9_000_000;
+        simulation.lastRestartMicros = 13_000_000;
+        simulation.run(30_000_000);
     }
 
     /** All start in the same millisecond with 300 messages pending in all, 7 s of the limit, and without checkpoints. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
-    void aFleetThatStartsTogetherSpreadsWhatItHolds(int senders) {
-        FleetSimulation play = new FleetSimulation(senders, SEED);
-        play.limitPerSecond = 40;
-        play.offeredRatio = 0.3;
-        play.pendingAtStart = 300 / senders;
-        play.run(20_000_000);
-        String seen = senders + " senders that start together: refused in the first second "
-                + play.rejectedCalls(0, 1_000_000)
-                + ", then " + play.rejectedCalls(1_000_000, 20_000_000) + ", answered a second up to 8 s "
-                + play.answersPerSecond(0, 8_000_000) + ", of all " + play.answered + " of " + play.offered + ", seed "
+    void fleetStartingAtOnceSpreadsPendingMessages(int senders) {
+        FleetSimulation simulation = new FleetSimulation(senders, SEED);
+        simulation.limitPerSecond = 40;
+        simulation.offeredLoadRatio = 0.3;
+        simulation.pendingAtStart = 300 / senders;
+        simulation.run(20_000_000);
+        String summary = senders + " senders that start together: refused in the first second "
+                + simulation.rejectedCalls(0, 1_000_000)
+                + ", then " + simulation.rejectedCalls(1_000_000, 20_000_000) + ", answered a second up to 8 s "
+                + simulation.answersPerSecond(0, 8_000_000) + ", of all " + simulation.answeredCalls + " of "
+                + simulation.offeredMessages + ", seed "
                 + SEED;
-        System.out.println(seen);
-        assertTrue(play.rejectedCalls(0, 1_000_000) <= 2 * senders + 20, seen);
-        assertTrue(play.rejectedCalls(1_000_000, 20_000_000) < 0.3 * play.calls, seen);
-        assertTrue(play.answersPerSecond(0, 8_000_000) > (senders > 14 ? 0.4 : 0.75) * play.limitPerSecond, seen);
+        System.out.println(summary);
+        assertTrue(simulation.rejectedCalls(0, 1_000_000) <= 2 * senders + 20, summary);
+        assertTrue(simulation.rejectedCalls(1_000_000, 20_000_000) < 0.3 * simulation.calls, summary);
+        assertTrue(
+                simulation.answersPerSecond(0, 8_000_000) > (senders > 14 ? 0.4 : 0.75) * simulation.limitPerSecond,
+                summary);
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
@@ -24,7 +24,7 @@
     static final long OVERLOAD_WINDOW_MICROS = 1_500_000;
     static final long SLOW_START_MICROS = 14_000_000;
     static final double SLOW_START_CAPACITY = 0.13;
-    private static final long SERVICE_MICROS = 50_000;
+    private static final long SERVICE_TIME_MICROS = 50_000;
     private static final long REPORT_PERIOD_MICROS = 300_000;
 
     /** Calls a second that the destination permits, and its capacity as a multiple of that. */
@@ -32,10 +32,10 @@
 
     double capacityRatio = 1.3;
     /** Messages a second from all clients, as a share of the limit. */
-    double offeredRatio = 0.5;
+    double offeredLoadRatio = 0.5;
 
-    long outageFrom = Long.MAX_VALUE;
-    long outageUntil = Long.MAX_VALUE;
+    long outageStartMicros = Long.MAX_VALUE;
+    long outageEndMicros = Long.MAX_VALUE;
     /** The values of load reports (allowance left, limit) in place of the true ones; null for the true ones. */
     Supplier<List<Double>> reportOverride;
     /** The limit counts in fixed windows of 2 s, and rejected calls are charged to the next, up to half; else a token bucket. */
@@ -49,49 +49,49 @@
     /** Connections that the receiver keeps, in use and idle; further ones are rejected without a load report. */
     int maxConnections = Integer.MAX_VALUE;
     /** How long a connection may be idle. */
-    long idleLifeMicros = 12_000_000;
+    long idleConnectionLifeMicros = 12_000_000;
 
     private int openConnections;
     /** Traffic of each sender falls off by this power of its number; 0 for even traffic. */
     double trafficSkew;
     /** Span in which senders get their first messages of an outage, so that they learn of it one after another. */
-    long firstMessagesWithinMicros;
+    long outageDetectionSpreadMicros;
     /** Senders that restart during the slow start of the destination, each at a moment of its own; they keep their checkpoints. */
     int restartingSenders;
 
-    long restartFrom;
-    long restartUntil;
+    long firstRestartMicros;
+    long lastRestartMicros;
     /** The largest excess in any window behind the outage, as a share of what counts as chance: 2 x root of N + 2. */
-    double excess;
+    double peakExcess;
     /** Messages that restarts recovered untried: all, and those that were rejected without a call. */
-    int recoveredUntried;
+    int recoveredUnattempted;
 
-    int abandonedUntried;
+    int abandonedUnattempted;
     /** The same for messages of the other class; every so many messages one is of it, 0 for none. */
     int otherClassPeriod;
 
-    int recoveredUntriedOther;
-    int abandonedUntriedOther;
+    int recoveredUnattemptedOther;
+    int abandonedUnattemptedOther;
     private final int maxPending;
     /** Senders that stop for good, and when. */
     int stoppingSenders;
 
-    long stopAt = Long.MAX_VALUE;
+    long stopAtMicros = Long.MAX_VALUE;
 
     int calls;
     int rejectedCalls;
-    int answered;
+    int answeredCalls;
     int rejectedMessages;
     int failedMessages;
-    int offered;
+    int offeredMessages;
     /** The largest load in any window behind the outage, as a share of what overloads the destination. */
     double peakOverload;
 
-    final int[] answeredBy;
+    final int[] answeredCallsBySender;
     final List<Long> answerTimes = new ArrayList<>();
     final List<Long> rejectionTimes = new ArrayList<>();
 
-    private record ScheduledEvent(long at, long order, Runnable what) implements Comparable<ScheduledEvent> {
+    private record ScheduledEvent(long at, long order, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
         public int compareTo(ScheduledEvent other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -101,14 +101,14 @@
     private final PriorityQueue<ScheduledEvent> scheduledEvents = new PriorityQueue<>();
     private final SplittableRandom random;
     private final List<SimulatedSender> senders = new ArrayList<>();
-    private final Deque<Long> recent = new ArrayDeque<>();
+    private final Deque<Long> recentCallTimes = new ArrayDeque<>();
     private long now = 1_000_000_000L;
-    private final long start = now;
-    private long order;
+    private final long startedAt = now;
+    private long nextOrder;
     private double tokens = Double.NaN;
-    private long filledAt = now;
-    private double free = now;
-    private int connected;
+    private long refilledAt = now;
+    private double serverFreeAt = now;
+    private int connectionsInUse;
     private double reportedAllowanceLeft = 1;
     private double reportedLimit;
     private long reportedAt = Long.MIN_VALUE / 2;
@@ -126,7 +126,7 @@
     FleetSimulation(int senders, long seed, int maxPending, DeliveryScheduler.MessageClass other) {
         this.maxPending = maxPending;
         random = new SplittableRandom(seed);
-        answeredBy = new int[senders];
+        answeredCallsBySender = new int[senders];
         for (int i = 0; i < senders; i++) {
             this.senders.add(new SimulatedSender(i, settings(senders, random.nextLong(), maxPending, other)));
         }
@@ -176,39 +176,41 @@
                 false);
     }
 
-    private void at(long when, Runnable what) {
-        scheduledEvents.add(new ScheduledEvent(when, order++, what));
+    private void schedule(long at, Runnable action) {
+        scheduledEvents.add(new ScheduledEvent(at, nextOrder++, action));
     }
 
-    void run(long span) {
+    void run(long durationMicros) {
         for (SimulatedSender sender : senders) {
             sender.listEndpoints();
             for (int n = 0; n < pendingAtStart; n++) {
-                offered++;
+                offeredMessages++;
                 sender.submit();
             }
         }
         for (int i = 0; i < restartingSenders; i++) {
             SimulatedSender sender = senders.get(senders.size() - 1 - i);
-            at(
-                    start + restartFrom + (restartUntil - restartFrom) * i / Math.max(1, restartingSenders),
+            schedule(
+                    startedAt
+                            + firstRestartMicros
+                            + (lastRestartMicros - firstRestartMicros) * i / Math.max(1, restartingSenders),
                     sender::restart);
         }
         scheduleSubmission();
-        while (!scheduledEvents.isEmpty() && scheduledEvents.peek().at() <= start + span) {
+        while (!scheduledEvents.isEmpty() && scheduledEvents.peek().at() <= startedAt + durationMicros) {
             ScheduledEvent next = scheduledEvents.poll();
             now = next.at();
-            next.what().run();
+            next.action().run();
         }
     }
 
     private void scheduleSubmission() {
-        double perSecond = offeredRatio * limitAtStart();
-        at(now + (long) (-Math.log(1 - random.nextDouble()) * 1e6 / perSecond), () -> {
-            SimulatedSender to = senders.get(chooseSender());
-            if (!to.isStopped()) {
-                offered++;
-                to.submit();
+        double perSecond = offeredLoadRatio * initialLimitPerSecond();
+        schedule(now + (long) (-Math.log(1 - random.nextDouble()) * 1e6 / perSecond), () -> {
+            SimulatedSender sender = senders.get(chooseSender());
+            if (!sender.isStopped()) {
+                offeredMessages++;
+                sender.submit();
             }
             scheduleSubmission();
         });
@@ -216,122 +218,154 @@
 
     /** The number of the sender that gets the next message. */
     private int chooseSender() {
-        int among = senders.size();
-        if (firstMessagesWithinMicros > 0 && now - start >= outageFrom) {
+        int candidateSenders = senders.size();
+        if (outageDetectionSpreadMicros > 0 && now - startedAt >= outageStartMicros) {
             // Senders get their first message of the outage one after another.
-            among = (int) Math.max(1, Math.min(among, among * (now - start - outageFrom) / firstMessagesWithinMicros));
+            candidateSenders = (int) Math.max(
+                    1,
+                    Math.min(
+                            candidateSenders,
+                            candidateSenders * (now - startedAt - outageStartMicros) / outageDetectionSpreadMicros));
         }
         if (trafficSkew == 0) {
-            return random.nextInt(among);
+            return random.nextInt(candidateSenders);
         }
-        double sum = 0;
-        for (int i = 0; i < among; i++) {
-            sum += Math.pow(1 + i, -trafficSkew);
+        double totalWeight = 0;
+        for (int i = 0; i < candidateSenders; i++) {
+            totalWeight += Math.pow(1 + i, -trafficSkew);
         }
-        double left = sum * random.nextDouble();
+        double remainingWeight = totalWeight * random.nextDouble();
         int i = 0;
-        while (i < among - 1 && (left -= Math.pow(1 + i, -trafficSkew)) > 0) {
+        while (i < candidateSenders - 1 && (remainingWeight -= Math.pow(1 + i, -trafficSkew)) > 0) {
             i++;
         }
         return i;
     }
 
-    private double first = Double.NaN;
+    private double initialLimitPerSecond = Double.NaN;
 
-    private double limitAtStart() {
-        first = Double.isNaN(first) ? limitPerSecond : first;
-        return first;
+    private double initialLimitPerSecond() {
+        initialLimitPerSecond = Double.isNaN(initialLimitPerSecond) ? limitPerSecond : initialLimitPerSecond;
+        return initialLimitPerSecond;
     }
 
     /** At a time since the start. */
-    void when(long since, Runnable what) {
-        at(start + since, what);
+    void scheduleSinceStart(long sinceStartMicros, Runnable action) {
+        schedule(startedAt + sinceStartMicros, action);
     }
 
     private boolean isUnavailable() {
-        return now - start >= outageFrom && now - start < outageUntil;
+        return now - startedAt >= outageStartMicros && now - startedAt < outageEndMicros;
     }
 
-    private double capacityShare() {
-        return now - start < outageFrom
+    private double availableCapacityRatio() {
+        return now - startedAt < outageStartMicros
                 ? 1
                 : Math.min(
                         1,
                         SLOW_START_CAPACITY
-                                + (1 - SLOW_START_CAPACITY) * (now - start - outageUntil) / (double) SLOW_START_MICROS);
+                                + (1 - SLOW_START_CAPACITY)
+                                        * (now - startedAt - outageEndMicros)
+                                        / (double) SLOW_START_MICROS);
     }
 
     /** Schedules the outcome of a call. */
-    private void serve(SimulatedSender from, long id, int attempt, BooleanSupplier stillRunning) {
+    private void handleCall(SimulatedSender sender, long id, int attempt, BooleanSupplier senderStillRunning) {
         if (isUnavailable()) {
-            at(
+            schedule(
                     now + 1_000,
-                    () -> from.completed(
-                            stillRunning, id, attempt, AttemptOutcome.CONNECT_FAILED, 1_000, 0, List.of()));
+                    () -> sender.handleOutcome(
+                            senderStillRunning, id, attempt, AttemptOutcome.CONNECT_FAILED, 1_000, 0, List.of()));
             return;
         }
-        if (connected >= maxConnectionsInUse) {
+        if (connectionsInUse >= maxConnectionsInUse) {
             unconnectedCalls++;
-            at(
+            schedule(
                     now + 1_000,
-                    () -> from.completed(
-                            stillRunning, id, attempt, AttemptOutcome.CONNECT_FAILED, 1_000, 0, List.of()));
+                    () -> sender.handleOutcome(
+                            senderStillRunning, id, attempt, AttemptOutcome.CONNECT_FAILED, 1_000, 0, List.of()));
             return;
         }
-        long idle = from.connection(maxConnections);
-        if (idle < 0) {
+        long connectionIdleMicros = sender.acquireConnection(maxConnections);
+        if (connectionIdleMicros < 0) {
             unconnectedCalls++;
-            at(
+            schedule(
                     now + 30_000,
-                    () -> from.completed(stillRunning, id, attempt, AttemptOutcome.FULL, 30_000, 0, List.of()));
+                    () -> sender.handleOutcome(
+                            senderStillRunning, id, attempt, AttemptOutcome.FULL, 30_000, 0, List.of()));
             return;
         }
         calls++;
-        if (now - start >= outageUntil) {
-            recent.addLast(now);
-            while (recent.peekFirst() < now - OVERLOAD_WINDOW_MICROS) {
-                recent.removeFirst();
+        if (now - startedAt >= outageEndMicros) {
+            recentCallTimes.addLast(now);
+            while (recentCallTimes.peekFirst() < now - OVERLOAD_WINDOW_MICROS) {
+                recentCallTimes.removeFirst();
             }
-            double budget =
-                    OVERLOAD_MULTIPLE * capacityRatio * limitPerSecond * capacityShare() * OVERLOAD_WINDOW_MICROS / 1e6;
-            peakOverload = Math.max(peakOverload, recent.size() / budget);
-            excess = Math.max(excess, (recent.size() - budget) / (2 * Math.sqrt(budget) + 2));
-        }
-        double depth = fixedWindows ? 2 * limitPerSecond : Math.max(1, limitPerSecond / 2);
+            double overloadThresholdCalls = OVERLOAD_MULTIPLE
+                    * capacityRatio
+                    * limitPerSecond
+                    * availableCapacityRatio()
+                    * OVERLOAD_WINDOW_MICROS
+                    / 1e6;
+            peakOverload = Math.max(peakOverload, recentCallTimes.size() / overloadThresholdCalls);
+            peakExcess = Math.max(
+                    peakExcess,
+                    (recentCallTimes.size() - overloadThresholdCalls) / (2 * Math.sqrt(overloadThresholdCalls) + 2));
+        }
+        double bucketCapacity = fixedWindows ? 2 * limitPerSecond : Math.max(1, limitPerSecond / 2);
         if (fixedWindows) {
-            boolean next = (now - start) / 2_000_000 != (filledAt - start) / 2_000_000 || Double.isNaN(tokens);
-            tokens = next ? depth - Math.min(depth / 2, Double.isNaN(tokens) ? 0 : Math.max(0, -tokens)) : tokens;
+            boolean newWindow =
+                    (now - startedAt) / 2_000_000 != (refilledAt - startedAt) / 2_000_000 || Double.isNaN(tokens);
+            tokens = newWindow
+                    ? bucketCapacity - Math.min(bucketCapacity / 2, Double.isNaN(tokens) ? 0 : Math.max(0, -tokens))
+                    : tokens;
         } else {
-            tokens = Double.isNaN(tokens) ? depth : Math.min(depth, tokens + limitPerSecond * (now - filledAt) / 1e6);
+            tokens = Double.isNaN(tokens)
+                    ? bucketCapacity
+                    : Math.min(bucketCapacity, tokens + limitPerSecond * (now - refilledAt) / 1e6);
         }
-        filledAt = now;
+        refilledAt = now;
         if (now - reportedAt >= REPORT_PERIOD_MICROS) {
             reportedAt = now;
-            reportedAllowanceLeft = Math.max(0, Math.min(1, tokens / depth));
+            reportedAllowanceLeft = Math.max(0, Math.min(1, tokens / bucketCapacity));
             reportedLimit = limitPerSecond * (1 + 0.1 * (2 * random.nextDouble() - 1));
         }
-        double each = 1e6 / (capacityRatio * limitPerSecond * capacityShare());
+        double serviceIntervalMicros = 1e6 / (capacityRatio * limitPerSecond * availableCapacityRatio());
         // Rejected calls use up the limit as well, down to a debt.
-        tokens = Math.max(fixedWindows ? -depth : -limitPerSecond / 10, tokens - 1);
-        if (tokens < 0 || free - now > 8 * each + 100_000) {
+        tokens = Math.max(fixedWindows ? -bucketCapacity : -limitPerSecond / 10, tokens - 1);
+        if (tokens < 0 || serverFreeAt - now > 8 * serviceIntervalMicros + 100_000) {
             rejectedCalls++;
-            rejectionTimes.add(now - start);
-            at(
+            rejectionTimes.add(now - startedAt);
+            schedule(
                     now + 30_000,
-                    () -> from.completed(stillRunning, id, attempt, AttemptOutcome.FULL, 30_000, idle, from.report()));
+                    () -> sender.handleOutcome(
+                            senderStillRunning,
+                            id,
+                            attempt,
+                            AttemptOutcome.FULL,
+                            30_000,
+                            connectionIdleMicros,
+                            sender.report()));
             return;
         }
-        free = Math.max(free, now) + each;
-        long durationMicros = (long) (free - now)
-                + (long) (SERVICE_MICROS / Math.max(0.3, capacityShare()) * (0.5 + random.nextDouble()));
-        long sent = now;
-        connected++;
-        at(now + durationMicros, () -> {
-            connected--;
-            answered++;
-            answeredBy[from.index]++;
-            answerTimes.add(now - start);
-            from.completed(stillRunning, id, attempt, AttemptOutcome.OK, now - sent, idle, from.report());
+        serverFreeAt = Math.max(serverFreeAt, now) + serviceIntervalMicros;
+        long durationMicros = (long) (serverFreeAt - now)
+                + (long) (SERVICE_TIME_MICROS / Math.max(0.3, availableCapacityRatio()) * (0.5 + random.nextDouble()));
+        long sentAt = now;
+        connectionsInUse++;
+        schedule(now + durationMicros, () -> {
+            connectionsInUse--;
+            answeredCalls++;
+            answeredCallsBySender[sender.index]++;
+            answerTimes.add(now - startedAt);
+            sender.handleOutcome(
+                    senderStillRunning,
+                    id,
+                    attempt,
+                    AttemptOutcome.OK,
+                    now - sentAt,
+                    connectionIdleMicros,
+                    sender.report());
         });
     }
 
@@ -344,13 +378,19 @@
     }
 
     /** Rejected calls in a span since the start. */
-    long rejectedCalls(long from, long until) {
-        return rejectionTimes.stream().filter(t -> t >= from && t < until).count();
+    long rejectedCalls(long fromMicros, long untilMicros) {
+        return rejectionTimes.stream()
+                .filter(time -> time >= fromMicros && time < untilMicros)
+                .count();
     }
 
     /** Answers in a span since the start, a second. */
-    double answersPerSecond(long from, long until) {
-        return answerTimes.stream().filter(t -> t >= from && t < until).count() * 1e6 / (until - from);
+    double answersPerSecond(long fromMicros, long untilMicros) {
+        return answerTimes.stream()
+                        .filter(time -> time >= fromMicros && time < untilMicros)
+                        .count()
+                * 1e6
+                / (untilMicros - fromMicros);
     }
 
     private final class SimulatedSender implements DeliveryScheduler.Actions {
@@ -362,12 +402,12 @@
         /** Number of the start; outcomes and timers of earlier ones are ignored. */
         int incarnation;
 
-        final Map<Long, Integer> attempts = new HashMap<>();
+        final Map<Long, Integer> attemptsById = new HashMap<>();
         /** Recovered by the last restart, and neither called nor completed since. */
-        private final Set<Long> recoveredUntriedIds = new HashSet<>();
+        private final Set<Long> recoveredUnattemptedIds = new HashSet<>();
 
-        private final Deque<Long> idleSince = new ArrayDeque<>();
-        long ids;
+        private final Deque<Long> idleConnectionsSince = new ArrayDeque<>();
+        long lastId;
 
         SimulatedSender(int index, DeliveryScheduler.Settings settings) {
             this.index = index;
@@ -378,27 +418,29 @@
         /** Killed and started again with its checkpoint; its pending messages are recovered. */
         void restart() {
             incarnation++;
-            Map<Long, Integer> pending = new HashMap<>(attempts);
+            Map<Long, Integer> pendingAttempts = new HashMap<>(attemptsById);
             scheduler = new AtcDeliveryScheduler(settings);
             listEndpoints();
             if (checkpoint != null) {
                 scheduler.step(now, new Event.HealthRestored(checkpoint, now - checkpointAt), this);
             }
-            recoveredUntriedIds.clear();
-            pending.forEach((id, tried) -> {
-                if (tried == 0) {
-                    recoveredUntriedIds.add(id);
-                    FleetSimulation.this.recoveredUntried++;
-                    recoveredUntriedOther += classOf(id);
+            recoveredUnattemptedIds.clear();
+            pendingAttempts.forEach((id, attemptCount) -> {
+                if (attemptCount == 0) {
+                    recoveredUnattemptedIds.add(id);
+                    FleetSimulation.this.recoveredUnattempted++;
+                    recoveredUnattemptedOther += classOf(id);
                 }
             });
-            pending.forEach((id, tried) -> scheduler.step(
-                    now, new Event.MessageRecovered(id, classOf(id), 0, 8_000_000, 1, tried, -1, 0, false), this));
+            pendingAttempts.forEach((id, attemptCount) -> scheduler.step(
+                    now,
+                    new Event.MessageRecovered(id, classOf(id), 0, 8_000_000, 1, attemptCount, -1, 0, false),
+                    this));
             decide();
         }
 
         boolean isStopped() {
-            return index < stoppingSenders && now - start >= stopAt;
+            return index < stoppingSenders && now - startedAt >= stopAtMicros;
         }
 
         void listEndpoints() {
@@ -416,8 +458,8 @@
         }
 
         void submit() {
-            attempts.put(++ids, 0);
-            scheduler.step(now, new Event.MessageSubmitted(ids, classOf(ids), -1, 0, 12_000_000, 1), this);
+            attemptsById.put(++lastId, 0);
+            scheduler.step(now, new Event.MessageSubmitted(lastId, classOf(lastId), -1, 0, 12_000_000, 1), this);
             decide();
         }
 
@@ -426,10 +468,10 @@
             return otherClassPeriod > 0 && id % otherClassPeriod == 0 ? 1 : 0;
         }
 
-        private void abandoned(long id) {
-            if (recoveredUntriedIds.remove(id)) {
-                abandonedUntried++;
-                abandonedUntriedOther += classOf(id);
+        private void recordAbandoned(long id) {
+            if (recoveredUnattemptedIds.remove(id)) {
+                abandonedUnattempted++;
+                abandonedUnattemptedOther += classOf(id);
             }
         }
 
@@ -438,14 +480,14 @@
         }
 
         /** A connection for a call: how long it has been idle, 0 for a fresh one, -1 where it is rejected. */
-        long connection(int limit) {
-            if (limit == Integer.MAX_VALUE) {
+        long acquireConnection(int maxOpen) {
+            if (maxOpen == Integer.MAX_VALUE) {
                 return 0;
             }
-            if (!idleSince.isEmpty()) {
-                return Math.max(1, now - idleSince.removeLast());
+            if (!idleConnectionsSince.isEmpty()) {
+                return Math.max(1, now - idleConnectionsSince.removeLast());
             }
-            if (FleetSimulation.this.openConnections >= limit) {
+            if (FleetSimulation.this.openConnections >= maxOpen) {
                 return -1;
             }
             FleetSimulation.this.openConnections++;
@@ -453,11 +495,13 @@
         }
 
         /** A call has ended: its connection is idle until it is used, closed, or has been idle too long. */
-        private void connectionBecameIdle() {
+        private void releaseConnection() {
             if (maxConnections != Integer.MAX_VALUE) {
-                long since = now;
-                idleSince.addLast(since);
-                at(now + idleLifeMicros, () -> closeConnections(idleSince.remove(since) ? 1 : 0));
+                long idleFrom = now;
+                idleConnectionsSince.addLast(idleFrom);
+                schedule(
+                        now + idleConnectionLifeMicros,
+                        () -> closeConnections(idleConnectionsSince.remove(idleFrom) ? 1 : 0));
             }
         }
 
@@ -465,27 +509,35 @@
             FleetSimulation.this.openConnections -= connections;
         }
 
-        void completed(
-                BooleanSupplier stillRunning,
+        void handleOutcome(
+                BooleanSupplier senderStillRunning,
                 long id,
                 int attempt,
                 AttemptOutcome outcome,
                 long durationMicros,
-                long idle,
+                long connectionIdleMicros,
                 List<Double> report) {
-            if (isStopped() || !stillRunning.getAsBoolean() || !attempts.containsKey(id)) {
+            if (isStopped() || !senderStillRunning.getAsBoolean() || !attemptsById.containsKey(id)) {
                 return;
             }
             if (outcome != AttemptOutcome.CONNECT_FAILED && !(outcome == AttemptOutcome.FULL && report.isEmpty())) {
-                connectionBecameIdle();
+                releaseConnection();
             }
             if (outcome == AttemptOutcome.OK) {
-                attempts.remove(id);
+                attemptsById.remove(id);
             }
             scheduler.step(
                     now,
                     new Event.AttemptCompleted(
-                            id, attempt, 1, outcome, durationMicros, outcome == AttemptOutcome.OK, 0, report, idle),
+                            id,
+                            attempt,
+                            1,
+                            outcome,
+                            durationMicros,
+                            outcome == AttemptOutcome.OK,
+                            0,
+                            report,
+                            connectionIdleMicros),
                     this);
             decide();
         }
@@ -496,23 +548,23 @@
 
         @Override
         public void send(long id, long endpoint, long timeoutAt) {
-            int startedIn = incarnation;
-            recoveredUntriedIds.remove(id);
-            int attempt = attempts.merge(id, 1, Integer::sum) - 1;
-            serve(this, id, attempt, () -> startedIn == incarnation);
+            int sendingIncarnation = incarnation;
+            recoveredUnattemptedIds.remove(id);
+            int attempt = attemptsById.merge(id, 1, Integer::sum) - 1;
+            handleCall(this, id, attempt, () -> sendingIncarnation == incarnation);
         }
 
         @Override
-        public void reject(long id, long retryAfter) {
-            attempts.remove(id);
-            abandoned(id);
+        public void reject(long id, long retryAfterMicros) {
+            attemptsById.remove(id);
+            recordAbandoned(id);
             rejectedMessages++;
         }
 
         @Override
         public void fail(long id) {
-            attempts.remove(id);
-            abandoned(id);
+            attemptsById.remove(id);
+            recordAbandoned(id);
             failedMessages++;
         }
 
@@ -521,15 +573,15 @@
 
         @Override
         public void closeIdle(long endpoint) {
-            closeConnections(idleSince.size());
-            idleSince.clear();
+            closeConnections(idleConnectionsSince.size());
+            idleConnectionsSince.clear();
         }
 
         @Override
-        public void scheduleTimer(long delay, long token) {
-            int startedIn = incarnation;
-            at(now + delay, () -> {
-                if (!isStopped() && startedIn == incarnation) {
+        public void scheduleTimer(long delayMicros, long token) {
+            int schedulingIncarnation = incarnation;
+            schedule(now + delayMicros, () -> {
+                if (!isStopped() && schedulingIncarnation == incarnation) {
                     scheduler.step(now, new Event.TimerExpired(token), this);
                     decide();
                 }
--- a/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
@@ -43,33 +43,34 @@
             // One slot only: silent calls are called off for those that wait.
             new RandomScenario.Plan(3, 3, 1, 40, 40, 2, true));
 
-    private final int plan;
+    private final int planNumber;
     private final MessageDigest digest;
-    private final RandomScenario.Plan size;
+    private final RandomScenario.Plan plan;
     private final SplittableRandom random;
-    private final List<Event> scheduled = new ArrayList<>();
+    private final List<Event> scheduledEvents = new ArrayList<>();
     private DeliveryScheduler.Settings settings;
     private long lastAddedId = FIRST_ADDED_ID;
 
-    private DecisionTrace(int plan, long seed, MessageDigest digest) {
-        this.plan = plan;
+    private DecisionTrace(int planNumber, long seed, MessageDigest digest) {
+        this.planNumber = planNumber;
         this.digest = digest;
-        size = PLANS.get(plan);
+        plan = PLANS.get(planNumber);
         random = new SplittableRandom(seed * 77 + 5);
         settings = settings(seed);
     }
 
     /** The seeds of one plan, as text. */
-    static String seeds(int plan) {
-        return (1 + 100 * plan) + " to " + (100 * plan + SEEDS_PER_PLAN);
+    static String seeds(int planNumber) {
+        return (1 + 100 * planNumber) + " to " + (100 * planNumber + SEEDS_PER_PLAN);
     }
 
     /** SHA-256, in hexadecimal, of all that the scheduler does in the scenarios of one plan. */
-    static String digest(int plan) {
+    static String digest(int planNumber) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             LongStream.rangeClosed(1, SEEDS_PER_PLAN)
-                    .forEach(seed -> new DecisionTrace(plan, 100 * plan + seed, digest).play(100 * plan + seed));
+                    .forEach(seed -> new DecisionTrace(planNumber, 100 * planNumber + seed, digest)
+                            .play(100 * planNumber + seed));
             return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
@@ -77,8 +78,8 @@
     }
 
     private void play(long seed) {
-        DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings, size.acknowledgements());
-        RandomScenario scenario = new RandomScenario(seed, size);
+        DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings, plan.acknowledgements());
+        RandomScenario scenario = new RandomScenario(seed, plan);
         Event event = scenario.initialList();
         for (int step = 0; step < STEPS; step++) {
             step(scheduler, scenario, event);
@@ -108,23 +109,23 @@
 
     /** Settings of the scenario; for some seeds with listed weights, zone tolls and extreme classes. */
     private DeliveryScheduler.Settings settings(long seed) {
-        DeliveryScheduler.Settings plain = RandomScenario.settings(seed, size);
+        DeliveryScheduler.Settings scenarioSettings = RandomScenario.settings(seed, plan);
         return new DeliveryScheduler.Settings(
-                plain.seed(),
-                plain.senderCount(),
-                plain.zone(),
-                plain.tickMicros(),
-                plain.endpointListPolled(),
-                plain.overQuotaWeightFactor(),
-                plain.lateValueDecay(),
-                seed % 5 == 0 ? DeliveryScheduler.WeightKind.NOMINAL : plain.weightKind(),
-                seed % 4 == 3 ? extremeClasses(plain.classes()) : plain.classes(),
-                plain.tenants(),
-                plain.kinds(),
-                plain.limits(),
-                plain.rules(),
-                seed % 3 == 0 ? new DeliveryScheduler.Prices(0.1, 0.2, List.of(0.01, 0.2)) : plain.prices(),
-                plain.reportFields());
+                scenarioSettings.seed(),
+                scenarioSettings.senderCount(),
+                scenarioSettings.zone(),
+                scenarioSettings.tickMicros(),
+                scenarioSettings.endpointListPolled(),
+                scenarioSettings.overQuotaWeightFactor(),
+                scenarioSettings.lateValueDecay(),
+                seed % 5 == 0 ? DeliveryScheduler.WeightKind.NOMINAL : scenarioSettings.weightKind(),
+                seed % 4 == 3 ? extremeClasses(scenarioSettings.classes()) : scenarioSettings.classes(),
+                scenarioSettings.tenants(),
+                scenarioSettings.kinds(),
+                scenarioSettings.limits(),
+                scenarioSettings.rules(),
+                seed % 3 == 0 ? new DeliveryScheduler.Prices(0.1, 0.2, List.of(0.01, 0.2)) : scenarioSettings.prices(),
+                scenarioSettings.reportFields());
     }
 
     /** Classes without weight, with an objective of a microsecond or equal to the deadline, and with all value left when late. */
@@ -149,9 +150,9 @@
     }
 
     private List<Event> addedEvents(DeliveryScheduler scheduler, long now) {
-        List<Event> events = new ArrayList<>(scheduled);
-        scheduled.clear();
-        int destination = random.nextInt(size.destinations());
+        List<Event> events = new ArrayList<>(scheduledEvents);
+        scheduledEvents.clear();
+        int destination = random.nextInt(plan.destinations());
         switch (random.nextInt(10)) {
             case 0 -> events.add(new Event.AdmissionPriceChanged(
                     destination,
@@ -160,7 +161,7 @@
                     random.nextDouble(),
                     random.nextLong(2_000_000)));
             case 1 -> events.add(new Event.KeyPaused(new DeliveryScheduler.KeyPause(
-                    1 + random.nextInt(Math.max(1, size.keys())),
+                    1 + random.nextInt(Math.max(1, plan.keys())),
                     random.nextLong(1_500_000),
                     random.nextInt(3) == 0 ? 1 + random.nextInt(500) : 0)));
             case 2 -> {
@@ -176,7 +177,7 @@
                     random.nextBoolean() ? EndpointListKind.CACHED : EndpointListKind.FULL, weightedList()));
             case 7 -> {
                 events.add(new Event.CompletedMessageRecovered(++lastAddedId, 1 + random.nextInt(5)));
-                scheduled.add(new Event.CompletionAcknowledged(lastAddedId));
+                scheduledEvents.add(new Event.CompletionAcknowledged(lastAddedId));
             }
             case 8 -> addCallInFlight(events, destination);
             default -> events.add(new Event.FleetRateLimitChanged(
@@ -220,8 +221,8 @@
 
     private List<DeliveryScheduler.EndpointEntry> weightedList() {
         List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
-        for (int destination = 0; destination < size.destinations(); destination++) {
-            for (int i = 0; i < size.endpointsEach(); i++) {
+        for (int destination = 0; destination < plan.destinations(); destination++) {
+            for (int i = 0; i < plan.endpointsPerDestination(); i++) {
                 entries.add(new DeliveryScheduler.EndpointEntry(
                         firstEndpoint(destination) + i,
                         destination,
@@ -240,16 +241,16 @@
         events.add(new Event.MessageRecovered(id, random.nextInt(3), 0, 6_000_000, destination, 0, -1, 0, false));
         events.add(new Event.CallInFlight(List.of(id), endpoint, random.nextLong(3_000_000)));
         AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-        scheduled.add(new Event.AttemptCompleted(
+        scheduledEvents.add(new Event.AttemptCompleted(
                 id, 0, endpoint, outcome, 50_000 + random.nextLong(2_000_000), true, 0, List.of(), -1));
     }
 
     private long firstEndpoint(int destination) {
-        return 1 + destination * (long) size.endpointsEach();
+        return 1 + destination * (long) plan.endpointsPerDestination();
     }
 
     private void record(String kind, Object... values) {
-        StringBuilder line = new StringBuilder().append(plan).append(' ').append(kind);
+        StringBuilder line = new StringBuilder().append(planNumber).append(' ').append(kind);
         for (Object value : values) {
             append(line.append(' '), value);
         }
@@ -268,9 +269,9 @@
         }
     }
 
-    private static Object valueOf(RecordComponent component, Object of) {
+    private static Object valueOf(RecordComponent component, Object owner) {
         try {
-            return component.getAccessor().invoke(of);
+            return component.getAccessor().invoke(owner);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
@@ -281,15 +282,15 @@
         final RandomScenario.Recorder recorder = new RandomScenario.Recorder();
 
         @Override
-        public void send(long id, long endpoint, long giveUpAt) {
-            record("send", id, endpoint, giveUpAt);
-            recorder.send(id, endpoint, giveUpAt);
+        public void send(long id, long endpoint, long timeoutAt) {
+            record("send", id, endpoint, timeoutAt);
+            recorder.send(id, endpoint, timeoutAt);
         }
 
         @Override
-        public void reject(long id, long retryAfter) {
-            record("reject", id, retryAfter);
-            recorder.reject(id, retryAfter);
+        public void reject(long id, long retryAfterMicros) {
+            record("reject", id, retryAfterMicros);
+            recorder.reject(id, retryAfterMicros);
         }
 
         @Override
@@ -310,8 +311,8 @@
         }
 
         @Override
-        public void limitIdleReuse(long longest) {
-            record("limitIdleReuse", longest);
+        public void limitIdleReuse(long longestMicros) {
+            record("limitIdleReuse", longestMicros);
         }
 
         @Override
@@ -320,9 +321,9 @@
         }
 
         @Override
-        public void scheduleTimer(long delay, long token) {
-            record("scheduleTimer", delay, token);
-            recorder.scheduleTimer(delay, token);
+        public void scheduleTimer(long delayMicros, long token) {
+            record("scheduleTimer", delayMicros, token);
+            recorder.scheduleTimer(delayMicros, token);
         }
 
         @Override
--- a/decisions/src/test/java/amberroute/decisions/reference/DecisionTraceDigestTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTraceDigestTest.java
@@ -11,7 +11,7 @@
  * split into one class a rule. Every action with its ids, times and delays is part of a digest, see {@link DecisionTrace}.
  */
 class DecisionTraceDigestTest {
-    private static final List<String> RECORDED = List.of(
+    private static final List<String> RECORDED_DIGESTS = List.of(
             "6ccc86a6615c6a39082b318300db983c0bf70896a83d9d6c9454f6700d3a0017",
             "ee4e9d3be856699fc1f444d921feac7fac0c7a6d83a3b5548cd255122f4c8674",
             "feecfa2b82d7f6081e55cfe9c3c0edc11679aa0a522a7b4749723edfbdcb0907",
@@ -22,13 +22,13 @@
             "5322df779053d73bc669194b5294bd712bdcb7a4206c48da48750d8a43ac4604");
 
     @Test
-    void actionsAreThoseOfTheRecordedVersion() {
+    void actionsOfAllPlansMatchRecordedDigests() {
         List<String> digests = new ArrayList<>();
         for (int plan = 0; plan < DecisionTrace.PLANS.size(); plan++) {
             digests.add(DecisionTrace.digest(plan));
             System.out.println(
                     "decision trace: plan " + plan + ", seeds " + DecisionTrace.seeds(plan) + ", " + digests.get(plan));
         }
-        assertEquals(RECORDED, digests);
+        assertEquals(RECORDED_DIGESTS, digests);
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
@@ -18,7 +18,7 @@
 
 /** Cases that are hard for structures that order by time and sum up, beside the reference scheduler, which visits all messages. */
 class HardCasesTest {
-    private static final long LONG = 40_000_000;
+    private static final long DEADLINE_MICROS = 40_000_000;
 
     /** Both schedulers, the same events to each, and the calls in flight. */
     private static final class SideBySideFixture {
@@ -28,9 +28,9 @@
         final Map<Long, Integer> attempts = new LinkedHashMap<>();
         final Set<Long> completed = new HashSet<>();
         long now = 1_000_000;
-        long ids;
+        long lastId;
         /** False where the index of the reference underflows and its messages tie. */
-        boolean compared = true;
+        boolean comparesWithReference = true;
 
         int sends;
         int rejected;
@@ -42,26 +42,28 @@
         }
 
         void step(Event event) {
-            RandomScenario.Recorder wanted = new RandomScenario.Recorder();
-            RandomScenario.Recorder did = new RandomScenario.Recorder();
-            if (compared) {
-                reference.step(now, event, wanted);
+            RandomScenario.Recorder expected = new RandomScenario.Recorder();
+            RandomScenario.Recorder actual = new RandomScenario.Recorder();
+            if (comparesWithReference) {
+                reference.step(now, event, expected);
             }
-            scheduler.step(now, event, did);
+            scheduler.step(now, event, actual);
             assertTrue(
-                    !compared || SideBySideRun.same(wanted.actionsWithoutTimers(), did.actionsWithoutTimers()),
-                    () -> "at " + now + " " + event + "\nbefore:\n" + String.join("\n", wanted.actionsWithoutTimers())
-                            + "\nnow:\n" + String.join("\n", did.actionsWithoutTimers()));
-            for (long[] send : did.sends) {
+                    !comparesWithReference
+                            || SideBySideRun.sameActions(
+                                    expected.actionsWithoutTimers(), actual.actionsWithoutTimers()),
+                    () -> "at " + now + " " + event + "\nbefore:\n" + String.join("\n", expected.actionsWithoutTimers())
+                            + "\nnow:\n" + String.join("\n", actual.actionsWithoutTimers()));
+            for (long[] send : actual.sends) {
                 inFlight.put(send[0], send);
                 attempts.merge(send[0], 1, Integer::sum);
                 sends++;
             }
-            for (String line : did.lines) {
+            for (String line : actual.lines) {
                 rejected += line.startsWith("refuse") ? 1 : 0;
                 failed += line.startsWith("fail") ? 1 : 0;
             }
-            for (long id : did.answered) {
+            for (long id : actual.answered) {
                 assertTrue(completed.add(id), "two ends of " + id);
             }
         }
@@ -70,45 +72,54 @@
             step(new Event.Decide());
         }
 
-        void listEndpoints(int destinations, int each, DeliveryScheduler.EndpointState state) {
+        void listEndpoints(int destinations, int endpointsEach, DeliveryScheduler.EndpointState state) {
             List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
-            for (int d = 0; d < destinations; d++) {
-                for (int i = 0; i < each; i++) {
-                    entries.add(new DeliveryScheduler.EndpointEntry(1 + d * (long) each + i, d, state, 0, 0, 0));
+            for (int destination = 0; destination < destinations; destination++) {
+                for (int i = 0; i < endpointsEach; i++) {
+                    entries.add(new DeliveryScheduler.EndpointEntry(
+                            1 + destination * (long) endpointsEach + i, destination, state, 0, 0, 0));
                 }
             }
             step(new Event.EndpointListUpdated(DeliveryScheduler.EndpointListKind.DELTA, entries));
         }
 
-        long submit(int type, long key, long timeLeft, int destination) {
-            step(new Event.MessageSubmitted(++ids, type, -1, key, timeLeft, destination));
-            return ids;
+        long submit(int messageClass, long key, long timeLeftMicros, int destination) {
+            step(new Event.MessageSubmitted(++lastId, messageClass, -1, key, timeLeftMicros, destination));
+            return lastId;
         }
 
         /** Completes the call that has been in flight longest. */
-        void complete(AttemptOutcome outcome, long took) {
-            long[] call = inFlight.remove(inFlight.keySet().iterator().next());
-            boolean closed = outcome == AttemptOutcome.OK;
-            if (closed) {
-                assertTrue(completed.add(call[0]), "two ends of " + call[0]);
+        void complete(AttemptOutcome outcome, long durationMicros) {
+            long[] send = inFlight.remove(inFlight.keySet().iterator().next());
+            boolean messageCompleted = outcome == AttemptOutcome.OK;
+            if (messageCompleted) {
+                assertTrue(completed.add(send[0]), "two ends of " + send[0]);
             }
             step(new Event.AttemptCompleted(
-                    call[0], attempts.get(call[0]) - 1, call[1], outcome, took, closed, 0, List.of(), 0));
+                    send[0],
+                    attempts.get(send[0]) - 1,
+                    send[1],
+                    outcome,
+                    durationMicros,
+                    messageCompleted,
+                    0,
+                    List.of(),
+                    0));
         }
 
         /** Completes so many calls one after another, with a decision and some time behind each. */
-        void completeCalls(int calls, long took, AttemptOutcome outcome) {
+        void completeCalls(int calls, long durationMicros, AttemptOutcome outcome) {
             for (int i = 0; i < calls && !inFlight.isEmpty(); i++) {
                 now += 1_000;
-                complete(outcome, took);
+                complete(outcome, durationMicros);
                 decide();
             }
         }
 
         /** Lets time pass in steps with a decision behind each. */
-        void advance(long span, long step) {
-            for (long end = now + span; now < end; ) {
-                now += step;
+        void advance(long durationMicros, long stepMicros) {
+            for (long end = now + durationMicros; now < end; ) {
+                now += stepMicros;
                 step(new Event.TimerExpired(0));
                 decide();
             }
@@ -116,7 +127,10 @@
     }
 
     private static DeliveryScheduler.Settings settings(
-            int slots, int open, DeliveryScheduler.LateValueDecay late, DeliveryScheduler.MessageClass... classes) {
+            int maxConcurrentCalls,
+            int maxPendingMessages,
+            DeliveryScheduler.LateValueDecay lateValueDecay,
+            DeliveryScheduler.MessageClass... classes) {
         return new DeliveryScheduler.Settings(
                 3,
                 1,
@@ -124,12 +138,22 @@
                 5_000,
                 false,
                 0.3,
-                late,
+                lateValueDecay,
                 DeliveryScheduler.WeightKind.NONE,
                 List.of(classes),
                 List.of(),
                 List.of(new DeliveryScheduler.DestinationKind(false, 1)),
-                new DeliveryScheduler.Limits(slots, open, 6, false, true, true, 3_000_000, 1, 15_000_000, 1_000_000),
+                new DeliveryScheduler.Limits(
+                        maxConcurrentCalls,
+                        maxPendingMessages,
+                        6,
+                        false,
+                        true,
+                        true,
+                        3_000_000,
+                        1,
+                        15_000_000,
+                        1_000_000),
                 new DeliveryScheduler.Rules(300_000, 6_000_000, 0.15, 12_000_000, 2.5, 1_500_000, 100_000),
                 new DeliveryScheduler.Prices(0, 0, List.of()),
                 new DeliveryScheduler.ReportFields(-1, -1));
@@ -137,43 +161,51 @@
 
     private static DeliveryScheduler.MessageClass messageClass(
             double priorityWeight,
-            double late,
-            long latencyObjective,
-            long deadline,
+            double lateValueShare,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
             DeliveryScheduler.Idempotency idempotency,
-            boolean order) {
+            boolean ordered) {
         return new DeliveryScheduler.MessageClass(
                 priorityWeight,
-                late,
-                latencyObjective,
-                deadline,
+                lateValueShare,
+                latencyObjectiveMicros,
+                deadlineMicros,
                 idempotency,
                 DeliveryScheduler.KeyScope.DESTINATION,
-                deadline,
-                order);
+                deadlineMicros,
+                ordered);
     }
 
     private static final DeliveryScheduler.MessageClass IDEMPOTENT =
-            messageClass(2, 0.5, 3_000_000, LONG, DeliveryScheduler.Idempotency.IDEMPOTENT, false);
+            messageClass(2, 0.5, 3_000_000, DEADLINE_MICROS, DeliveryScheduler.Idempotency.IDEMPOTENT, false);
     private static final DeliveryScheduler.MessageClass ORDERED =
-            messageClass(1, 0.2, 2_000_000, LONG, DeliveryScheduler.Idempotency.KEYED, true);
+            messageClass(1, 0.2, 2_000_000, DEADLINE_MICROS, DeliveryScheduler.Idempotency.KEYED, true);
     private static final DeliveryScheduler.MessageClass NON_IDEMPOTENT =
-            messageClass(4, 0.7, 1_000_000, LONG, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false);
+            messageClass(4, 0.7, 1_000_000, DEADLINE_MICROS, DeliveryScheduler.Idempotency.NON_IDEMPOTENT, false);
 
-    private static SideBySideFixture fixture(int slots, int open) {
-        return new SideBySideFixture(
-                settings(slots, open, DeliveryScheduler.LateValueDecay.LINEAR, IDEMPOTENT, ORDERED, NON_IDEMPOTENT));
+    private static SideBySideFixture fixture(int maxConcurrentCalls, int maxPendingMessages) {
+        return new SideBySideFixture(settings(
+                maxConcurrentCalls,
+                maxPendingMessages,
+                DeliveryScheduler.LateValueDecay.LINEAR,
+                IDEMPOTENT,
+                ORDERED,
+                NON_IDEMPOTENT));
     }
 
     /** Queues change their order all at once as service times move, an outage makes one explode, and it falls back. */
     @Test
-    void serviceTimesMoveWhileMessagesArePending() {
+    void pendingMessagesWithChangingServiceTimesAreHandledAsByReference() {
         SideBySideFixture fixture = fixture(6, 5_000);
         fixture.listEndpoints(12, 2, DeliveryScheduler.EndpointState.READY);
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 600; i++) {
             fixture.submit(
-                    random.nextInt(3), 1 + random.nextInt(40), LONG - random.nextInt(5_000_000), random.nextInt(12));
+                    random.nextInt(3),
+                    1 + random.nextInt(40),
+                    DEADLINE_MICROS - random.nextInt(5_000_000),
+                    random.nextInt(12));
         }
         fixture.decide();
         for (int i = 0; i < 200; i++) {
@@ -186,20 +218,20 @@
     }
 
     @Test
-    void burstForOneDestinationInOneDecision() {
+    void burstForOneDestinationIsHandledAsByReference() {
         SideBySideFixture fixture = fixture(4, 4_000);
         fixture.listEndpoints(3, 2, DeliveryScheduler.EndpointState.READY);
-        fixture.submit(0, 0, LONG, 0);
+        fixture.submit(0, 0, DEADLINE_MICROS, 0);
         fixture.decide();
         fixture.completeCalls(1, 5_000, AttemptOutcome.OK);
         for (int i = 0; i < 2_000; i++) {
-            fixture.submit(i % 3, i, LONG - i, 0);
+            fixture.submit(i % 3, i, DEADLINE_MICROS - i, 0);
         }
         fixture.decide();
         fixture.completeCalls(300, 5_000, AttemptOutcome.OK);
         // Near capacity the least are shed.
         for (int i = 0; i < 2_500; i++) {
-            fixture.submit(i % 3, i, LONG - i, 1);
+            fixture.submit(i % 3, i, DEADLINE_MICROS - i, 1);
         }
         fixture.decide();
         assertTrue(
@@ -208,11 +240,11 @@
     }
 
     @Test
-    void manyDestinationsWithOneMessageEach() {
+    void manyDestinationsWithOneMessageEachAreAllServed() {
         SideBySideFixture fixture = fixture(10, 2_000);
         fixture.listEndpoints(1_500, 1, DeliveryScheduler.EndpointState.READY);
-        for (int d = 0; d < 1_500; d++) {
-            fixture.submit(d % 3, 0, LONG, d);
+        for (int destination = 0; destination < 1_500; destination++) {
+            fixture.submit(destination % 3, 0, DEADLINE_MICROS, destination);
         }
         fixture.decide();
         fixture.completeCalls(1_500, 8_000, AttemptOutcome.OK);
@@ -220,7 +252,7 @@
     }
 
     @Test
-    void allAreDueInTheSameInstant() {
+    void messagesDueAtTheSameInstantAreAllHandled() {
         SideBySideFixture fixture = fixture(3, 2_000);
         fixture.listEndpoints(20, 1, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 900; i++) {
@@ -233,11 +265,11 @@
     }
 
     @Test
-    void keyWithThousandsBehindOneUnknownOutcome() {
+    void keyWithUnknownOutcomeSendsOneMessageAtATime() {
         SideBySideFixture fixture = fixture(4, 5_000);
         fixture.listEndpoints(2, 2, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 1_500; i++) {
-            fixture.submit(1, 7, LONG - i, 0);
+            fixture.submit(1, 7, DEADLINE_MICROS - i, 0);
         }
         fixture.decide();
         assertEquals(1, fixture.sends);
@@ -247,18 +279,18 @@
         fixture.advance(3_000_000, 100_000);
         fixture.completeCalls(60, 4_000, AttemptOutcome.OK);
         // Messages in the middle of the key's order run out of time as well.
-        fixture.advance(LONG, 2_000_000);
+        fixture.advance(DEADLINE_MICROS, 2_000_000);
         assertTrue(
                 fixture.rejected + fixture.failed > 1_000,
                 fixture.rejected + " refused, " + fixture.failed + " failed");
     }
 
     @Test
-    void halfOfTheEndpointsAreRemovedWithPendingMessages() {
+    void endpointsRemovedWithPendingMessagesAreHandledAsByReference() {
         SideBySideFixture fixture = fixture(8, 3_000);
         fixture.listEndpoints(40, 1, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 1_200; i++) {
-            fixture.submit(i % 3, i % 50, LONG - 1_000L * i, i % 40);
+            fixture.submit(i % 3, i % 50, DEADLINE_MICROS - 1_000L * i, i % 40);
         }
         fixture.decide();
         fixture.completeCalls(60, 7_000, AttemptOutcome.OK);
@@ -273,11 +305,11 @@
     }
 
     @Test
-    void everyDestinationIsUnavailableAtOnce() {
+    void outageOfAllDestinationsIsHandledAsByReference() {
         SideBySideFixture fixture = fixture(30, 3_000);
         fixture.listEndpoints(60, 1, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 900; i++) {
-            fixture.submit(i % 3, i % 70, LONG, i % 60);
+            fixture.submit(i % 3, i % 70, DEADLINE_MICROS, i % 60);
         }
         fixture.decide();
         fixture.completeCalls(200, 6_000, AttemptOutcome.OK);
@@ -291,22 +323,22 @@
     }
 
     @Test
-    void restartRecoversThousandsInOneDecision() {
+    void thousandsOfRecoveredMessagesAreHandledAsByReference() {
         SideBySideFixture fixture = fixture(8, 4_000);
         fixture.listEndpoints(30, 2, DeliveryScheduler.EndpointState.READY);
         for (int i = 0; i < 2_500; i++) {
-            fixture.attempts.put(++fixture.ids, i % 2);
-            boolean doubt = i % 2 == 1 && i % 3 != 0;
+            fixture.attempts.put(++fixture.lastId, i % 2);
+            boolean outcomeUnknown = i % 2 == 1 && i % 3 != 0;
             fixture.step(new Event.MessageRecovered(
-                    fixture.ids,
+                    fixture.lastId,
                     i % 3,
                     1 + i % 90,
-                    LONG - 300L * (i * 37 % 2_500),
+                    DEADLINE_MICROS - 300L * (i * 37 % 2_500),
                     i % 30,
                     i % 2,
-                    doubt ? 100_000 : -1,
-                    doubt ? 1 + i % 60 : 0,
-                    doubt && i % 4 == 1));
+                    outcomeUnknown ? 100_000 : -1,
+                    outcomeUnknown ? 1 + i % 60 : 0,
+                    outcomeUnknown && i % 4 == 1));
         }
         fixture.decide();
         fixture.completeCalls(400, 6_000, AttemptOutcome.OK);
@@ -315,12 +347,12 @@
 
     /** Nothing is NaN or overflows, and every message gets its answer; messages without weight still have an order. */
     @Test
-    void extremeClassesAndTimes() {
-        for (DeliveryScheduler.LateValueDecay late : DeliveryScheduler.LateValueDecay.values()) {
+    void extremeClassesAndTimesGiveEveryMessageAnAnswer() {
+        for (DeliveryScheduler.LateValueDecay lateValueDecay : DeliveryScheduler.LateValueDecay.values()) {
             SideBySideFixture fixture = new SideBySideFixture(settings(
                     3,
                     400,
-                    late,
+                    lateValueDecay,
                     messageClass(0, 0, 1, 1, DeliveryScheduler.Idempotency.IDEMPOTENT, false),
                     messageClass(0, 0, 1, 400_000_000_000L, DeliveryScheduler.Idempotency.KEYED, true),
                     messageClass(
@@ -331,7 +363,7 @@
                             DeliveryScheduler.Idempotency.NON_IDEMPOTENT,
                             false),
                     messageClass(1e-9, 0.5, 5, 1_000_000, DeliveryScheduler.Idempotency.IDEMPOTENT, false)));
-            fixture.compared = false;
+            fixture.comparesWithReference = false;
             fixture.listEndpoints(5, 1, DeliveryScheduler.EndpointState.READY);
             SplittableRandom random = new SplittableRandom(9);
             for (int round = 0; round < 60; round++) {
@@ -347,7 +379,7 @@
             }
             assertTrue(
                     fixture.sends > 50 && fixture.rejected > 50,
-                    late + ": " + fixture.sends + " sends, " + fixture.rejected + " refused");
+                    lateValueDecay + ": " + fixture.sends + " sends, " + fixture.rejected + " refused");
             // Calls in flight time out, and all other messages expire.
             while (!fixture.inFlight.isEmpty()) {
                 fixture.now += 1_000;
@@ -355,9 +387,9 @@
             }
             fixture.advance(600_000_000_000L, 100_000_000_000L);
             assertEquals(
-                    fixture.ids,
+                    fixture.lastId,
                     fixture.completed.size() + fixture.inFlight.size(),
-                    late + ": all but what is out has its end");
+                    lateValueDecay + ": all but what is out has its end");
         }
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
@@ -31,14 +31,14 @@
         }
 
         @Override
-        public void send(long id, long endpoint, long giveUpAt) {
-            lines.add("send " + id + " " + endpoint + " " + giveUpAt);
-            sends.add(new long[] {id, endpoint, giveUpAt});
+        public void send(long id, long endpoint, long timeoutAt) {
+            lines.add("send " + id + " " + endpoint + " " + timeoutAt);
+            sends.add(new long[] {id, endpoint, timeoutAt});
         }
 
         @Override
-        public void reject(long id, long retryAfter) {
-            lines.add("refuse " + id + " " + retryAfter);
+        public void reject(long id, long retryAfterMicros) {
+            lines.add("refuse " + id + " " + retryAfterMicros);
             answered.add(id);
         }
 
@@ -60,19 +60,19 @@
         }
 
         @Override
-        public void limitIdleReuse(long longest) {
-            lines.add("trustIdle " + longest);
+        public void limitIdleReuse(long longestMicros) {
+            lines.add("trustIdle " + longestMicros);
         }
 
         @Override
-        public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint memory) {
-            lines.add("remember " + memory);
+        public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint checkpoint) {
+            lines.add("remember " + checkpoint);
         }
 
         @Override
-        public void scheduleTimer(long delay, long token) {
-            lines.add("wake " + delay);
-            timerDelayMicros = delay;
+        public void scheduleTimer(long delayMicros, long token) {
+            lines.add("wake " + delayMicros);
+            timerDelayMicros = delayMicros;
         }
 
         @Override
@@ -89,10 +89,10 @@
     /** How large a scenario is. */
     record Plan(
             int destinations,
-            int endpointsEach,
+            int endpointsPerDestination,
             int maxConcurrentCalls,
             int maxPendingMessages,
-            double perSecond,
+            double submissionsPerSecond,
             int keys,
             boolean acknowledgements) {}
 
@@ -134,7 +134,7 @@
         this.plan = plan;
         behaviors = new UpstreamBehavior[plan.destinations()];
         java.util.Arrays.fill(behaviors, UpstreamBehavior.HEALTHY);
-        listed = new boolean[plan.destinations() * plan.endpointsEach()];
+        listed = new boolean[plan.destinations() * plan.endpointsPerDestination()];
         nextSubmissionAt = now;
     }
 
@@ -202,17 +202,22 @@
                 new DeliveryScheduler.ReportFields(0, 1));
     }
 
-    private long endpoint(int destination, int i) {
-        return 1 + destination * (long) plan.endpointsEach() + i;
+    private long endpointId(int destination, int index) {
+        return 1 + destination * (long) plan.endpointsPerDestination() + index;
     }
 
     Event initialList() {
         List<DeliveryScheduler.EndpointEntry> entries = new ArrayList<>();
-        for (int d = 0; d < plan.destinations(); d++) {
-            for (int i = 0; i < plan.endpointsEach(); i++) {
+        for (int destination = 0; destination < plan.destinations(); destination++) {
+            for (int i = 0; i < plan.endpointsPerDestination(); i++) {
                 entries.add(new DeliveryScheduler.EndpointEntry(
-                        endpoint(d, i), d, DeliveryScheduler.EndpointState.READY, 0, i % 2, d % 2));
-                listed[d * plan.endpointsEach() + i] = true;
+                        endpointId(destination, i),
+                        destination,
+                        DeliveryScheduler.EndpointState.READY,
+                        0,
+                        i % 2,
+                        destination % 2));
+                listed[destination * plan.endpointsPerDestination() + i] = true;
             }
         }
         return new Event.EndpointListUpdated(DeliveryScheduler.EndpointListKind.FULL, entries);
@@ -231,43 +236,43 @@
         if (!unacknowledged.isEmpty() && random.nextInt(3) == 0) {
             return new Event.CompletionAcknowledged(unacknowledged.remove(0));
         }
-        int what = random.nextInt(1_000);
-        if (what < 3) {
+        int choice = random.nextInt(1_000);
+        if (choice < 3) {
             behaviors[random.nextInt(behaviors.length)] =
                     UpstreamBehavior.values()[random.nextInt(UpstreamBehavior.values().length)];
-        } else if (what < 5) {
-            int at = random.nextInt(listed.length);
-            listed[at] = !listed[at];
-            int d = at / plan.endpointsEach();
+        } else if (choice < 5) {
+            int listIndex = random.nextInt(listed.length);
+            listed[listIndex] = !listed[listIndex];
+            int destination = listIndex / plan.endpointsPerDestination();
             return new Event.EndpointListUpdated(
                     DeliveryScheduler.EndpointListKind.DELTA,
                     List.of(new DeliveryScheduler.EndpointEntry(
-                            at + 1,
-                            d,
-                            listed[at]
+                            listIndex + 1,
+                            destination,
+                            listed[listIndex]
                                     ? DeliveryScheduler.EndpointState.READY
                                     : random.nextBoolean()
                                             ? DeliveryScheduler.EndpointState.GONE
                                             : DeliveryScheduler.EndpointState.DRAINING,
                             0,
-                            at % plan.endpointsEach() % 2,
-                            d % 2)));
-        } else if (what < 6) {
+                            listIndex % plan.endpointsPerDestination() % 2,
+                            destination % 2)));
+        } else if (choice < 6) {
             return recovered();
-        } else if (what < 8 && !pending.isEmpty()) {
+        } else if (choice < 8 && !pending.isEmpty()) {
             long id = pending.keySet().iterator().next();
             pending.remove(id);
             return new Event.MessageCancelled(id);
-        } else if (what < 9) {
+        } else if (choice < 9) {
             return new Event.FleetRateLimitChanged(
                     random.nextInt(plan.destinations()), random.nextInt(30), 1, random.nextBoolean());
         }
-        long soonest = Math.min(
+        long nextAt = Math.min(
                 Math.min(timerAt, nextSubmissionAt),
                 scheduledOutcomes.isEmpty()
                         ? Long.MAX_VALUE
                         : scheduledOutcomes.peek().at());
-        now = Math.max(now, soonest);
+        now = Math.max(now, nextAt);
         if (!scheduledOutcomes.isEmpty() && scheduledOutcomes.peek().at() <= now) {
             return completed(scheduledOutcomes.poll());
         }
@@ -276,22 +281,24 @@
             return new Event.TimerExpired(0);
         }
         nextSubmissionAt = now
-                + (random.nextInt(200) == 0 ? 0 : (long) (-Math.log(1 - random.nextDouble()) / plan.perSecond() * 1e6));
+                + (random.nextInt(200) == 0
+                        ? 0
+                        : (long) (-Math.log(1 - random.nextDouble()) / plan.submissionsPerSecond() * 1e6));
         return submitted();
     }
 
     private Event submitted() {
-        int type = random.nextInt(3);
+        int messageClass = random.nextInt(3);
         long id = nextId++;
         pending.put(id, true);
         attempts.put(id, 0);
-        long full = type == 0 ? 12_000_000 : type == 1 ? 10_000_000 : 8_000_000;
+        long deadlineMicros = messageClass == 0 ? 12_000_000 : messageClass == 1 ? 10_000_000 : 8_000_000;
         return new Event.MessageSubmitted(
                 id,
-                type,
+                messageClass,
                 random.nextInt(3) - 1,
                 key(),
-                random.nextInt(4) == 0 ? 100_000 + random.nextLong(full) : full,
+                random.nextInt(4) == 0 ? 100_000 + random.nextLong(deadlineMicros) : deadlineMicros,
                 random.nextInt(plan.destinations()));
     }
 
@@ -302,26 +309,26 @@
     private Event recovered() {
         long id = nextId++;
         pending.put(id, true);
-        int tried = random.nextInt(3);
-        attempts.put(id, tried);
-        boolean doubt = tried > 0 && random.nextBoolean();
-        int d = random.nextInt(plan.destinations());
+        int attemptCount = random.nextInt(3);
+        attempts.put(id, attemptCount);
+        boolean outcomeUnknown = attemptCount > 0 && random.nextBoolean();
+        int destination = random.nextInt(plan.destinations());
         return new Event.MessageRecovered(
                 id,
                 random.nextInt(3),
                 key(),
                 100_000 + random.nextLong(8_000_000),
-                d,
-                tried,
-                doubt ? random.nextLong(3_000_000) : -1,
-                doubt ? endpoint(d, random.nextInt(plan.endpointsEach())) : 0,
-                doubt && random.nextBoolean());
+                destination,
+                attemptCount,
+                outcomeUnknown ? random.nextLong(3_000_000) : -1,
+                outcomeUnknown ? endpointId(destination, random.nextInt(plan.endpointsPerDestination())) : 0,
+                outcomeUnknown && random.nextBoolean());
     }
 
     private Event completed(ScheduledOutcome call) {
         inFlight.remove(call.id());
-        boolean closed = call.outcome() == AttemptOutcome.OK || random.nextInt(200) == 0;
-        if (closed) {
+        boolean messageCompleted = call.outcome() == AttemptOutcome.OK || random.nextInt(200) == 0;
+        if (messageCompleted) {
             pending.remove(call.id());
             if (plan.acknowledgements()) {
                 // As a sender does it: at once.
@@ -334,61 +341,63 @@
                 call.endpoint(),
                 call.outcome(),
                 call.durationMicros(),
-                closed,
+                messageCompleted,
                 call.retryAfterMicros(),
                 random.nextInt(20) == 0 ? List.of(random.nextDouble(), 10 + random.nextDouble() * 50) : List.of(),
                 random.nextBoolean() ? -1 : random.nextLong(5_000_000));
     }
 
     /** Takes note of the actions: calls get an outcome that comes later, by the behavior of their destination. */
-    void apply(Recorder did) {
-        for (long[] send : did.sends) {
-            int d = (int) ((send[1] - 1) / plan.endpointsEach());
-            long took = 20_000 + random.nextLong(200_000);
+    void apply(Recorder recorded) {
+        for (long[] send : recorded.sends) {
+            int destination = (int) ((send[1] - 1) / plan.endpointsPerDestination());
+            long durationMicros = 20_000 + random.nextLong(200_000);
             AttemptOutcome outcome = random.nextInt(100) == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK;
-            long wait = 0;
-            switch (behaviors[d]) {
-                case SLOW -> took *= 10;
+            long retryAfterMicros = 0;
+            switch (behaviors[destination]) {
+                case SLOW -> durationMicros *= 10;
                 case UNREACHABLE -> {
                     outcome = random.nextBoolean() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT;
-                    took = outcome == AttemptOutcome.TIMEOUT ? Long.MAX_VALUE : took;
+                    durationMicros = outcome == AttemptOutcome.TIMEOUT ? Long.MAX_VALUE : durationMicros;
                 }
                 case REJECTING -> {
                     outcome = random.nextInt(4) == 0 ? AttemptOutcome.OK : AttemptOutcome.FULL;
-                    wait = outcome == AttemptOutcome.FULL && random.nextInt(3) == 0 ? random.nextLong(4_000_000) : 0;
+                    retryAfterMicros =
+                            outcome == AttemptOutcome.FULL && random.nextInt(3) == 0 ? random.nextLong(4_000_000) : 0;
                 }
                 case FAILING -> outcome = random.nextBoolean()
                         ? AttemptOutcome.ERROR
                         : random.nextBoolean() ? AttemptOutcome.RESET : AttemptOutcome.OK;
                 default -> {}
             }
-            long end = took == Long.MAX_VALUE ? send[2] : Math.min(send[2], now + took);
-            if (end == send[2] && outcome != AttemptOutcome.CONNECT_FAILED) {
+            long completesAt = durationMicros == Long.MAX_VALUE ? send[2] : Math.min(send[2], now + durationMicros);
+            if (completesAt == send[2] && outcome != AttemptOutcome.CONNECT_FAILED) {
                 outcome = AttemptOutcome.TIMEOUT;
             }
             int attempt = attempts.merge(send[0], 1, Integer::sum) - 1;
-            ScheduledOutcome call = new ScheduledOutcome(end, send[0], attempt, send[1], outcome, end - now, wait);
+            ScheduledOutcome call = new ScheduledOutcome(
+                    completesAt, send[0], attempt, send[1], outcome, completesAt - now, retryAfterMicros);
             inFlight.put(send[0], call);
             scheduledOutcomes.add(call);
         }
-        for (long[] cancel : did.cancels) {
+        for (long[] cancel : recorded.cancels) {
             ScheduledOutcome call = inFlight.remove(cancel[0]);
             if (call != null) {
                 scheduledOutcomes.remove(call);
-                ScheduledOutcome early = new ScheduledOutcome(
+                ScheduledOutcome cancelled = new ScheduledOutcome(
                         now + 1_000, call.id(), call.attempt(), call.endpoint(), AttemptOutcome.CANCELLED, 1_000, 0);
-                inFlight.put(call.id(), early);
-                scheduledOutcomes.add(early);
+                inFlight.put(call.id(), cancelled);
+                scheduledOutcomes.add(cancelled);
             }
         }
-        for (long id : did.answered) {
+        for (long id : recorded.answered) {
             pending.remove(id);
             if (plan.acknowledgements()) {
                 unacknowledged.add(id);
             }
         }
-        if (did.timerDelayMicros >= 0) {
-            timerAt = now + did.timerDelayMicros;
+        if (recorded.timerDelayMicros >= 0) {
+            timerAt = now + recorded.timerDelayMicros;
         }
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparison.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparison.java
@@ -23,24 +23,24 @@
         }
         long seed = options.get("--seed");
         long steps = 0;
-        Map<String, Integer> seen = new TreeMap<>();
+        Map<String, Integer> actionCounts = new TreeMap<>();
         boolean ok = true;
         for (long round = 0; ok && round < options.get("--rounds"); round++) {
             try {
-                int n = options.get("--steps").intValue();
-                SideBySideRun.play(
+                int stepsInRound = options.get("--steps").intValue();
+                SideBySideRun.run(
                                 seed + round,
                                 SideBySideRun.PLANS.get((int) ((seed + round) % SideBySideRun.PLANS.size())),
-                                n)
-                        .forEach((kind, count) -> seen.merge(kind, count, Integer::sum));
-                steps += n;
+                                stepsInRound)
+                        .forEach((kind, count) -> actionCounts.merge(kind, count, Integer::sum));
+                steps += stepsInRound;
             } catch (AssertionError e) {
                 System.out.println(e.getMessage());
                 ok = false;
             }
         }
         StringBuilder counts = new StringBuilder();
-        seen.forEach(
+        actionCounts.forEach(
                 (kind, count) -> counts.append(",\"").append(kind).append("\":").append(count));
         System.out.println("{\"ok\":" + ok + ",\"seed\":" + seed + ",\"steps\":" + steps + counts + "}");
         System.exit(ok ? 0 : 1);
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
@@ -10,15 +10,17 @@
 /** The present module beside the one of before its data structures changed: the same actions in the same order. */
 class ReferenceComparisonTest {
     @Test
-    void theSameActionsInTheSameOrder() {
-        Map<String, Integer> seen = new HashMap<>();
+    void schedulerAndReferenceTakeTheSameActionsInTheSameOrder() {
+        Map<String, Integer> actionCounts = new HashMap<>();
         for (long seed = 1; seed <= 40; seed++) {
-            SideBySideRun.play(seed, SideBySideRun.PLANS.get((int) (seed % SideBySideRun.PLANS.size())), 2_500)
-                    .forEach((kind, n) -> seen.merge(kind, n, Integer::sum));
+            SideBySideRun.run(seed, SideBySideRun.PLANS.get((int) (seed % SideBySideRun.PLANS.size())), 2_500)
+                    .forEach((kind, count) -> actionCounts.merge(kind, count, Integer::sum));
         }
         for (String kind :
                 List.of("send", "refuse", "fail", "cancel", "closeIdle", "trustIdle", "remember", "wake", "follow")) {
-            assertTrue(seen.getOrDefault(kind, 0) > 10, kind + " was seen " + seen.get(kind) + " times: " + seen);
+            assertTrue(
+                    actionCounts.getOrDefault(kind, 0) > 10,
+                    kind + " was seen " + actionCounts.get(kind) + " times: " + actionCounts);
         }
     }
 }
