--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
@@ -18,24 +18,24 @@
 
     static final class PendingMessage {
         long id;
-        DeliveryScheduler.MessageClass type;
+        DeliveryScheduler.MessageClass messageClass;
         Destination destination;
-        KeyQueue turn;
+        KeyQueue keyQueue;
         long due;
-        long aim;
-        double worth;
+        long latencyObjectiveAt;
+        double priorityWeight;
         int attempts;
-        int timeOuts;
-        Call out;
-        boolean calledOff;
-        boolean ended;
+        int timeouts;
+        Call call;
+        boolean cancelling;
+        boolean completed;
         /** Answered by this sender; where answers are concluded later, the key's turn waits for that. */
-        boolean answered;
+        boolean answeredHere;
         /** When the first attempt that may have run was sent, MAX_VALUE while none may have. */
-        long doubtSince = Long.MAX_VALUE;
+        long unknownOutcomeSince = Long.MAX_VALUE;
 
-        Endpoint doubtAt;
-        Endpoint failedAt;
+        Endpoint unknownOutcomeEndpoint;
+        Endpoint lastFailedEndpoint;
         long notBefore;
         double index;
     }
@@ -43,19 +43,19 @@
     static final class Call {
         Endpoint endpoint;
         long sentAt;
-        final List<PendingMessage> load = new ArrayList<>(1);
-        int messages;
-        int waiting;
-        boolean noted;
+        final List<PendingMessage> messages = new ArrayList<>(1);
+        int messageCount;
+        int outstanding;
+        boolean outcomeLearned;
         boolean silent;
         /** One of its messages may not be repeated. */
-        boolean unsafe;
+        boolean nonIdempotent;
         /** One of its messages has little time left, so that all are given up early. */
-        boolean hurried;
+        boolean shortOfTime;
 
-        boolean calledOff;
+        boolean cancelling;
         /** How long the connection it may have reused had lain idle, 0 for a fresh one. */
-        long idleBefore;
+        long connectionIdleMicros;
     }
 
     static final class Endpoint {
@@ -63,132 +63,136 @@
         int zone;
         int messagesPerCall = 1;
         Destination destination;
-        UpstreamHealth scope;
+        UpstreamHealth health;
         DeliveryScheduler.EndpointState state;
-        int inFlight;
+        int callsInFlight;
         int connections;
-        long lastUse = Long.MIN_VALUE / 2;
+        long lastUsedAt = Long.MIN_VALUE / 2;
         /** Time between the last two stretches of use. */
-        long gap;
+        long idleGapMicros;
 
-        double failing;
-        int failures;
-        int lost;
-        long lastOk = Long.MIN_VALUE / 2;
+        double failureRatio;
+        int consecutiveFailures;
+        int silentCalls;
+        long lastSuccessAt = Long.MIN_VALUE / 2;
     }
 
     static final class Destination {
         final List<Endpoint> endpoints = new ArrayList<>(2);
-        final FleetRateLimit ceiling = new FleetRateLimit();
-        final UpstreamHealth shared;
-        double p;
-        boolean measured;
+        final FleetRateLimit fleetRateLimit = new FleetRateLimit();
+        final UpstreamHealth sharedHealth;
+        double serviceMicros;
+        boolean serviceMeasured;
         /** Up to when p is as it was learned. */
-        long heardAt;
+        long serviceUpdatedAt;
         /** Share of recent calls that were answered. */
-        double odds = 1;
+        double successProbability = 1;
         /** The least risk of a call among the messages for it; worked out anew in each choice. */
         int leastRisk;
 
-        Destination(UpstreamHealth shared) {
-            this.shared = shared;
+        Destination(UpstreamHealth sharedHealth) {
+            this.sharedHealth = sharedHealth;
         }
     }
 
     static final class KeyQueue {
         long key;
-        final Deque<PendingMessage> queue = new ArrayDeque<>();
-        long restUntil;
-        PendingMessage restsAfter;
+        final Deque<PendingMessage> messages = new ArrayDeque<>();
+        long pausedUntil;
+        PendingMessage exemptFromPause;
     }
 
     /** Exponentially averaged rate. */
     static final class DecayingRate {
-        private final double span;
+        private final double timeConstantMicros;
         private double sum;
-        private long at;
+        private long updatedAt;
 
-        DecayingRate(double span) {
-            this.span = span;
+        DecayingRate(double timeConstantMicros) {
+            this.timeConstantMicros = timeConstantMicros;
         }
 
-        void add(long now, double n) {
-            sum = sum * Math.exp((at - now) / span) + n;
-            at = now;
+        void add(long now, double events) {
+            sum = sum * Math.exp((updatedAt - now) / timeConstantMicros) + events;
+            updatedAt = now;
         }
 
         double perSecond(long now) {
-            return sum * Math.exp((at - now) / span) * 1e6 / span;
+            return sum * Math.exp((updatedAt - now) / timeConstantMicros) * 1e6 / timeConstantMicros;
         }
 
-        double atLast() {
-            return sum * 1e6 / span;
+        double perSecondAtLastEvent() {
+            return sum * 1e6 / timeConstantMicros;
         }
     }
 
     /** Health and limits of what shares one limit and one fate. */
     static final class UpstreamHealth {
         /** Whose it is: a destination's, or one endpoint's where that is not 0. */
-        final int destination;
-
-        final long endpoint;
-        final List<Endpoint> members = new ArrayList<>();
-        final List<Call> calls = new ArrayList<>();
-        final DecayingRate sent;
-        final DecayingRate served;
-        double usual;
-        double present;
-        long waitUntil;
+        final int destinationId;
+
+        final long endpointId;
+        final List<Endpoint> endpoints = new ArrayList<>();
+        final List<Call> callsInFlight = new ArrayList<>();
+        final DecayingRate sentRate;
+        final DecayingRate servedRate;
+        double usualLatencyMicros;
+        double presentLatencyMicros;
+        long retryAfterUntil;
         long backoffUntil;
-        double pace = Double.POSITIVE_INFINITY;
-        long paceNext;
-        long lastCut;
-        long lastRaise;
-        long lastRefusal;
-        int refusals;
-        double weight;
-        double left = Double.NaN;
+        double pacePerSecond = Double.POSITIVE_INFINITY;
+        long nextPacedCallAt;
+        long lastPaceCutAt;
+        long lastPaceRaiseAt;
+        long lastRejectionAt;
+        int rejections;
+        double reportedLimit;
+        double reportedAllowanceLeft = Double.NaN;
         /** Share of recent calls that may have run and were not answered as done. */
-        double harm;
+        double failureRatio;
 
         BreakerState breaker = BreakerState.CLOSED;
-        int trials;
+        int failedTrials;
         long openedAt;
-        long trialAt;
+        long nextTrialAt;
         Call trial;
-        long rampFrom;
-        long rampSent;
-        double formerPace;
-        long lastOk = Long.MIN_VALUE / 2;
-
-        UpstreamHealth(int destination, long endpoint, double sentSpan, double servedSpan) {
-            this.destination = destination;
-            this.endpoint = endpoint;
-            sent = new DecayingRate(sentSpan);
-            served = new DecayingRate(servedSpan);
+        long slowStartBeganAt;
+        long lastSlowStartCallAt;
+        double callsPerSecondBeforeOutage;
+        long lastSuccessAt = Long.MIN_VALUE / 2;
+
+        UpstreamHealth(
+                int destinationId,
+                long endpointId,
+                double sentRateTimeConstantMicros,
+                double servedRateTimeConstantMicros) {
+            this.destinationId = destinationId;
+            this.endpointId = endpointId;
+            sentRate = new DecayingRate(sentRateTimeConstantMicros);
+            servedRate = new DecayingRate(servedRateTimeConstantMicros);
         }
     }
 
     /** An account of messages that may be sent; it saves up one at most, so that nothing comes in a burst. */
     static final class FleetRateLimit {
         private double perSecond = Double.POSITIVE_INFINITY;
-        private double saved;
-        private long at;
+        private double tokens;
+        private long refilledAt;
 
         /** From now on so many a second; what was saved up under the rate before stays. */
-        void set(long now, double rate, double first) {
+        void set(long now, double ratePerSecond, double initialTokens) {
             if (Double.isInfinite(perSecond)) {
-                saved = Math.min(1, first);
+                tokens = Math.min(1, initialTokens);
             } else {
-                save(now);
+                refill(now);
             }
-            perSecond = Math.max(0, rate);
-            at = now;
+            perSecond = Math.max(0, ratePerSecond);
+            refilledAt = now;
         }
 
-        private void save(long now) {
-            saved = Math.min(1, saved + Math.min(1e6, perSecond) * (now - at) / 1e6);
-            at = now;
+        private void refill(long now) {
+            tokens = Math.min(1, tokens + Math.min(1e6, perSecond) * (now - refilledAt) / 1e6);
+            refilledAt = now;
         }
 
         double perSecond() {
@@ -196,41 +200,41 @@
         }
 
         /** When the next message may be sent, MAX_VALUE while the rate is 0. */
-        long opensAt(long now) {
+        long nextMessageAt(long now) {
             if (Double.isInfinite(perSecond)) {
                 return now;
             }
-            save(now);
-            double missing = 1 - saved;
-            return missing <= 1e-9
+            refill(now);
+            double missingTokens = 1 - tokens;
+            return missingTokens <= 1e-9
                     ? now
-                    : perSecond == 0 ? Long.MAX_VALUE : now + (long) Math.ceil(missing * 1e6 / perSecond);
+                    : perSecond == 0 ? Long.MAX_VALUE : now + (long) Math.ceil(missingTokens * 1e6 / perSecond);
         }
 
         /** One is sent; more than were saved up are owed. */
-        void charge() {
-            saved -= Double.isInfinite(perSecond) ? 0 : 1;
+        void consume() {
+            tokens -= Double.isInfinite(perSecond) ? 0 : 1;
         }
     }
 
     /** Token bucket that starts full and holds one token at least. */
     static final class TokenBucket {
         private final double perSecond;
-        private final double most;
+        private final double capacity;
         private double tokens;
-        private long at = Long.MIN_VALUE;
+        private long refilledAt = Long.MIN_VALUE;
 
-        TokenBucket(double perSecond, double seconds) {
+        TokenBucket(double perSecond, double burstSeconds) {
             this.perSecond = perSecond;
-            most = Math.max(1, perSecond * seconds);
-            tokens = most;
+            capacity = Math.max(1, perSecond * burstSeconds);
+            tokens = capacity;
         }
 
-        boolean take(long now) {
-            if (at != Long.MIN_VALUE) {
-                tokens = Math.min(most, tokens + perSecond * (now - at) / 1e6);
+        boolean tryTake(long now) {
+            if (refilledAt != Long.MIN_VALUE) {
+                tokens = Math.min(capacity, tokens + perSecond * (now - refilledAt) / 1e6);
             }
-            at = now;
+            refilledAt = now;
             boolean granted = tokens >= 1;
             tokens -= granted ? 1 : 0;
             return granted;
--- a/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
@@ -22,16 +22,17 @@
             new RandomScenario.Plan(60, 3, 40, 400, 400, 0, true));
 
     /** Whether the actions are the same; times may differ by rounding, as sums are made in another order. */
-    static boolean same(List<String> expected, List<String> actual) {
+    static boolean sameActions(List<String> expected, List<String> actual) {
         for (int i = 0; i < expected.size() && expected.size() == actual.size(); i++) {
-            String a = expected.get(i);
-            String b = actual.get(i);
-            int end = a.lastIndexOf(' ') + 1;
-            boolean timed = a.startsWith("refuse ") || a.startsWith("send ");
-            if (!a.equals(b)
-                    && !(timed
-                            && b.startsWith(a.substring(0, end))
-                            && Math.abs(Long.parseLong(a.substring(end)) - Long.parseLong(b.substring(end)))
+            String expectedLine = expected.get(i);
+            String actualLine = actual.get(i);
+            int prefixEnd = expectedLine.lastIndexOf(' ') + 1;
+            boolean endsWithTime = expectedLine.startsWith("refuse ") || expectedLine.startsWith("send ");
+            if (!expectedLine.equals(actualLine)
+                    && !(endsWithTime
+                            && actualLine.startsWith(expectedLine.substring(0, prefixEnd))
+                            && Math.abs(Long.parseLong(expectedLine.substring(prefixEnd))
+                                            - Long.parseLong(actualLine.substring(prefixEnd)))
                                     <= TOLERANCE_MICROS)) {
                 return false;
             }
@@ -40,12 +41,12 @@
     }
 
     /** Returns how often each kind of action was seen; an AssertionError tells the first difference. */
-    static Map<String, Integer> play(long seed, RandomScenario.Plan plan, int steps) {
-        Map<String, Integer> seen = new HashMap<>();
+    static Map<String, Integer> run(long seed, RandomScenario.Plan plan, int steps) {
+        Map<String, Integer> actionCounts = new HashMap<>();
         DeliveryScheduler.Settings settings = RandomScenario.settings(seed, plan);
         ReferenceScheduler reference = new ReferenceScheduler(settings, plan.acknowledgements());
         DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings, plan.acknowledgements());
-        long timer = Long.MAX_VALUE;
+        long timerAt = Long.MAX_VALUE;
         RandomScenario scenario = new RandomScenario(seed, plan);
         Event event = scenario.initialList();
         for (int step = 0; step < steps; step++) {
@@ -54,22 +55,24 @@
                 RandomScenario.Recorder actual = new RandomScenario.Recorder();
                 reference.step(scenario.now(), current, expected);
                 scheduler.step(scenario.now(), current, actual);
-                String at = "seed " + seed + ", " + plan + ", step " + step + " at " + scenario.now() + ": " + current;
-                if (!same(expected.actionsWithoutTimers(), actual.actionsWithoutTimers())) {
-                    throw new AssertionError(at + "\nbefore:\n" + String.join("\n", expected.actionsWithoutTimers())
-                            + "\nnow:\n" + String.join("\n", actual.actionsWithoutTimers()));
+                String context =
+                        "seed " + seed + ", " + plan + ", step " + step + " at " + scenario.now() + ": " + current;
+                if (!sameActions(expected.actionsWithoutTimers(), actual.actionsWithoutTimers())) {
+                    throw new AssertionError(
+                            context + "\nbefore:\n" + String.join("\n", expected.actionsWithoutTimers()) + "\nnow:\n"
+                                    + String.join("\n", actual.actionsWithoutTimers()));
                 }
-                timer = actual.timerDelayMicros >= 0
+                timerAt = actual.timerDelayMicros >= 0
                         ? scenario.now() + actual.timerDelayMicros
-                        : current instanceof Event.TimerExpired && timer <= scenario.now() ? Long.MAX_VALUE : timer;
+                        : current instanceof Event.TimerExpired && timerAt <= scenario.now() ? Long.MAX_VALUE : timerAt;
                 // It may be due earlier, as it is set for a destination and not for each of its messages.
                 if (current instanceof Event.Decide
-                        && timer - TOLERANCE_MICROS > Math.max(scenario.now() + 1, reference.wakeAt())) {
+                        && timerAt - TOLERANCE_MICROS > Math.max(scenario.now() + 1, reference.wakeAt())) {
                     throw new AssertionError(
-                            at + ": the timer is set for " + timer + ", not for " + reference.wakeAt());
+                            context + ": the timer is set for " + timerAt + ", not for " + reference.wakeAt());
                 }
                 scenario.apply(expected);
-                expected.lines.forEach(line -> seen.merge(line.split(" ")[0], 1, Integer::sum));
+                expected.lines.forEach(line -> actionCounts.merge(line.split(" ")[0], 1, Integer::sum));
             }
             if (reference.avoidedEndpointCount() != scheduler.avoidedEndpointCount()) {
                 throw new AssertionError("seed " + seed + ", step " + step + ": " + reference.avoidedEndpointCount()
@@ -77,6 +80,6 @@
             }
             event = scenario.nextEvent();
         }
-        return seen;
+        return actionCounts;
     }
 }
