--- a/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
+++ b/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
@@ -59,84 +59,88 @@
 
     private void startCall(List<Send> batch) {
         long endpoint = batch.get(0).endpoint();
-        long giveUpAtMicros = batch.get(0).giveUpAt();
+        long attemptDeadlineMicros = batch.get(0).giveUpAt();
         UpstreamClient.Route route = endpoints.route(endpoint);
-        List<UpstreamClient.CallMessage> items = new ArrayList<>();
+        List<UpstreamClient.CallMessage> callMessages = new ArrayList<>();
         for (Send send : batch) {
             AcceptedMessage message = messages.accepted().get(send.id());
             if (message == null) {
                 reportMoot(send.id(), 0, endpoint, true);
             } else if (route != null && recordAttempt(message, endpoints.uid(endpoint))) {
-                items.add(new UpstreamClient.CallMessage(message, message.attempts - 1));
+                callMessages.add(new UpstreamClient.CallMessage(message, message.attempts - 1));
             } else {
                 message.attempts++;
                 reportMoot(message.number, message.attempts - 1, endpoint, false);
             }
         }
-        if (!items.isEmpty()) {
-            boolean repeatable = items.stream().allMatch(item -> messages.repeatable(item.message()));
-            long longestIdleMicros =
-                    repeatable ? SchedulerDriver.UNLIMITED_MICROS : scheduler.longestTrustedIdleMicros();
+        if (!callMessages.isEmpty()) {
+            boolean allRetrySafe =
+                    callMessages.stream().allMatch(callMessage -> messages.isRetrySafe(callMessage.message()));
+            long longestTrustedIdleMicros =
+                    allRetrySafe ? SchedulerDriver.UNLIMITED_MICROS : scheduler.longestTrustedIdleMicros();
             folder.journal()
                     .whenDurable(
-                            () -> callWanted(route, items, giveUpAtMicros, longestIdleMicros),
-                            () -> abort(route, items));
+                            () -> startUncancelled(
+                                    route, callMessages, attemptDeadlineMicros, longestTrustedIdleMicros),
+                            () -> abortAttempts(route, callMessages));
         }
     }
 
     /** An idempotent message is attempted also while the disk takes no record, unless records are replicated. */
-    private boolean recordAttempt(AcceptedMessage message, String uid) {
-        if (folder.journal().attempt(message, uid, folder.steadyMillis())) {
+    private boolean recordAttempt(AcceptedMessage message, String endpointUid) {
+        if (folder.journal().attempt(message, endpointUid, folder.steadyMillis())) {
             return true;
         }
         if (messages.classes().type(message.classNumber).idempotency() != DeliveryScheduler.Idempotency.IDEMPOTENT
-                || peers.replicated()) {
+                || peers.isReplicated()) {
             return false;
         }
-        folder.journal().attemptUnrecorded(message, uid, folder.steadyMillis());
+        folder.journal().attemptUnrecorded(message, endpointUid, folder.steadyMillis());
         return true;
     }
 
     /** Makes the call without the attempts that were cancelled, or whose message completed, while the record was forced. */
-    private void callWanted(
+    private void startUncancelled(
             UpstreamClient.Route route,
-            List<UpstreamClient.CallMessage> items,
-            long giveUpAtMicros,
-            long longestIdleMicros) {
-        List<UpstreamClient.CallMessage> wanted = items.stream()
-                .filter(item -> messages.accepted().containsKey(item.message().number) && !cancelled.contains(item))
+            List<UpstreamClient.CallMessage> callMessages,
+            long attemptDeadlineMicros,
+            long longestTrustedIdleMicros) {
+        List<UpstreamClient.CallMessage> remaining = callMessages.stream()
+                .filter(callMessage -> messages.accepted().containsKey(callMessage.message().number)
+                        && !cancelled.contains(callMessage))
                 .toList();
-        List<UpstreamClient.CallMessage> unwanted =
-                items.stream().filter(item -> !wanted.contains(item)).toList();
-        if (!unwanted.isEmpty()) {
-            abort(route, unwanted);
+        List<UpstreamClient.CallMessage> dropped = callMessages.stream()
+                .filter(callMessage -> !remaining.contains(callMessage))
+                .toList();
+        if (!dropped.isEmpty()) {
+            abortAttempts(route, dropped);
         }
-        if (!wanted.isEmpty()) {
+        if (!remaining.isEmpty()) {
             upstream.start(
                     route,
-                    wanted,
-                    giveUpAtMicros - SchedulerClock.micros(),
-                    longestIdleMicros,
-                    IdempotencyWindow.left(wanted, messages.classes()::type, folder.steadyMillis()));
+                    remaining,
+                    attemptDeadlineMicros - SchedulerClock.micros(),
+                    longestTrustedIdleMicros,
+                    IdempotencyWindow.left(remaining, messages.classes()::type, folder.steadyMillis()));
         }
     }
 
     /** Ends attempts that were recorded and not made. */
-    private void abort(UpstreamClient.Route route, List<UpstreamClient.CallMessage> items) {
-        for (UpstreamClient.CallMessage item : items) {
-            AcceptedMessage message = item.message();
-            cancelled.remove(item);
-            boolean accepted = messages.accepted().containsKey(message.number);
-            if (accepted) {
+    private void abortAttempts(UpstreamClient.Route route, List<UpstreamClient.CallMessage> callMessages) {
+        for (UpstreamClient.CallMessage callMessage : callMessages) {
+            AcceptedMessage message = callMessage.message();
+            cancelled.remove(callMessage);
+            boolean stillAccepted = messages.accepted().containsKey(message.number);
+            if (stillAccepted) {
                 folder.journal().outcome(message, false);
             }
-            reportMoot(message.number, item.attempt(), route.endpoint(), !accepted);
+            reportMoot(message.number, callMessage.attempt(), route.endpoint(), !stillAccepted);
         }
     }
 
-    private void reportMoot(long number, int attempt, long endpoint, boolean completed) {
-        scheduler.submit(
-                new Event.AttemptCompleted(number, attempt, endpoint, AttemptOutcome.MOOT, 0, completed, 0, List.of()));
+    private void reportMoot(long messageNumber, int attempt, long endpoint, boolean messageCompleted) {
+        scheduler.submit(new Event.AttemptCompleted(
+                messageNumber, attempt, endpoint, AttemptOutcome.MOOT, 0, messageCompleted, 0, List.of()));
     }
 
     /** Cancels an attempt, in flight or while its record is forced. */
@@ -147,7 +151,7 @@
     }
 
     /** To be called at the end of an iteration: nothing can still be cancelled once all records are durable. */
-    void forgetCancelled() {
+    void clearCancelledOnceDurable() {
         if (folder.journal().deferredEffects() == 0) {
             cancelled.clear();
         }
--- a/sender/src/main/java/amberroute/sender/CallsInFlight.java
+++ b/sender/src/main/java/amberroute/sender/CallsInFlight.java
@@ -21,7 +21,9 @@
     List<TransferredState.CallInFlight> list() {
         return upstream.callsInFlight().stream()
                 .map(call -> new TransferredState.CallInFlight(
-                        call.items.stream().map(item -> item.message().number).toList(),
+                        call.items.stream()
+                                .map(callMessage -> callMessage.message().number)
+                                .toList(),
                         endpoints.uid(call.route.endpoint()),
                         UpstreamClient.elapsedMicros(call)))
                 .toList();
@@ -29,8 +31,8 @@
 
     /** The numbers of the endpoints that are called. */
     Set<Long> endpointNumbers() {
-        Set<Long> called = new HashSet<>();
-        upstream.callsInFlight().forEach(call -> called.add(call.route.endpoint()));
-        return called;
+        Set<Long> calledEndpoints = new HashSet<>();
+        upstream.callsInFlight().forEach(call -> calledEndpoints.add(call.route.endpoint()));
+        return calledEndpoints;
     }
 }
--- a/sender/src/main/java/amberroute/sender/ConfigSource.java
+++ b/sender/src/main/java/amberroute/sender/ConfigSource.java
@@ -10,5 +10,5 @@
  */
 record ConfigSource(Map<String, String> environment, long fingerprint) {
     /** A configuration that cannot be read again. */
-    static final ConfigSource FIXED = new ConfigSource(null, 0);
+    static final ConfigSource NOT_RELOADABLE = new ConfigSource(null, 0);
 }
--- a/sender/src/main/java/amberroute/sender/DeliveryComponents.java
+++ b/sender/src/main/java/amberroute/sender/DeliveryComponents.java
@@ -27,9 +27,9 @@
     final SubmissionHandler submissions;
     final ClientServer clientServer;
     final MessageCompletion completion;
-    final AttemptDispatcher attempts;
+    final AttemptDispatcher attemptDispatcher;
     final MessageAcceptance acceptance;
-    final SchedulerActions actions;
+    final SchedulerActions schedulerActions;
     final KeyHoldTracker keyHolds;
     final MessageRecovery recovery;
     private final EndpointListUpdates endpointListUpdates;
@@ -39,13 +39,13 @@
             SenderState state,
             EventLoopStallDetector stallDetector,
             DeliveryScheduler deliveryScheduler,
-            SchedulerDriver.ActionHandler handler) {
+            SchedulerDriver.ActionHandler actionHandler) {
         SenderConfig config = state.config();
         StateFolder folder = state.folder();
         MessageTable messages = state.messages();
         SenderMetrics metrics = state.metrics();
         endpoints = new EndpointWatch(state.loop(), config, this::onEndpointList);
-        scheduler = new SchedulerDriver(deliveryScheduler, state, stallDetector, endpoints::settled, handler);
+        scheduler = new SchedulerDriver(deliveryScheduler, state, stallDetector, endpoints::settled, actionHandler);
         peers = new PeerServices(config, state.loop(), folder, state.lifecycle());
         fleet = new FleetCoordination(state, scheduler);
         outcomes = new OutcomeProcessor(state, scheduler, fleet, endpoints);
@@ -55,9 +55,10 @@
         submissions = new SubmissionHandler(state, scheduler, peers);
         clientServer = new ClientServer(state.loop(), submissions, config.mostClients(), config.requestBytes());
         completion = new MessageCompletion(state, scheduler, notifier, peers);
-        attempts = new AttemptDispatcher(folder, messages, scheduler, endpoints, upstream, peers);
+        attemptDispatcher = new AttemptDispatcher(folder, messages, scheduler, endpoints, upstream, peers);
         acceptance = new MessageAcceptance(folder, messages, scheduler, metrics, submissions, peers);
-        actions = new SchedulerActions(state, scheduler, completion, attempts, endpoints, upstream, fleet);
+        schedulerActions =
+                new SchedulerActions(state, scheduler, completion, attemptDispatcher, endpoints, upstream, fleet);
         keyHolds = new KeyHoldTracker(config.name(), folder, messages, scheduler, peers);
         recovery = new MessageRecovery(state, scheduler, notifier, endpoints, fleet, keyHolds);
         endpointListUpdates = new EndpointListUpdates(endpoints, upstream, fleet, scheduler);
@@ -82,6 +83,6 @@
     }
 
     private void onNotificationAcknowledged(AcceptedMessage message) {
-        completion.acknowledged(message);
+        completion.onNotificationAcknowledged(message);
     }
 }
--- a/sender/src/main/java/amberroute/sender/EndpointFileFollower.java
+++ b/sender/src/main/java/amberroute/sender/EndpointFileFollower.java
@@ -10,7 +10,7 @@
     private final SenderConfig config;
     private final EventLoop loop;
     private final EndpointWatch endpoints;
-    private EndpointFile file;
+    private EndpointFile endpointFile;
 
     EndpointFileFollower(SenderConfig config, EventLoop loop, EndpointWatch endpoints) {
         this.config = config;
@@ -21,20 +21,22 @@
     /** Starts to follow the file. */
     void start() {
         if (config.standalone() != null && config.standalone().endpoints() != null) {
-            file = new EndpointFile(
-                    config.standalone().endpoints(), config, list -> loop.execute(() -> endpoints.replace(list)));
+            endpointFile = new EndpointFile(
+                    config.standalone().endpoints(),
+                    config,
+                    endpointList -> loop.execute(() -> endpoints.replace(endpointList)));
         }
     }
 
     /** Reads the file again though it has not changed; the follower does it so that no older content is applied later. */
-    void readAgain() {
-        file.ask();
+    void reload() {
+        endpointFile.ask();
     }
 
     /** Stops to follow the file. */
     void close() {
-        if (file != null) {
-            file.close();
+        if (endpointFile != null) {
+            endpointFile.close();
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/FailoverSender.java
+++ b/sender/src/main/java/amberroute/sender/FailoverSender.java
@@ -15,7 +15,7 @@
 final class FailoverSender implements ReplicationCoordinator.Failover {
     private final SenderState state;
     private final DeliveryComponents delivery;
-    private final LifecycleComponents lifecycleParts;
+    private final LifecycleComponents lifecycleComponents;
     private final PeerServices peers;
 
     /**
@@ -32,7 +32,7 @@
             throws IOException {
         state = sender.state();
         delivery = sender.delivery();
-        lifecycleParts = sender.lifecycleParts();
+        lifecycleComponents = sender.lifecycleComponents();
         peers = delivery.peers;
         try {
             loop.submit(() -> {
@@ -41,7 +41,7 @@
                     })
                     .sync();
             sender.start();
-            loop.execute(this::announceKeys);
+            loop.execute(this::announceOrderedKeys);
         } catch (Exception e) {
             loop.submit(this::stop).awaitUninterruptibly();
             throw new IOException(e.getMessage(), e);
@@ -49,10 +49,10 @@
     }
 
     /** Tells peers for which ordered keys this sender has messages, and offers them what can move. */
-    private void announceKeys() {
+    private void announceOrderedKeys() {
         HandoffCoordinator handoff = peers.handoff();
         if (handoff != null && !state.lifecycle().ownershipReleased()) {
-            handoff.announceKeyHolds(delivery.keyHolds.orderedKeysWithHolds());
+            handoff.announceKeyHolds(delivery.keyHolds.latestCompletionByKeyWithHolds());
         }
     }
 
@@ -71,12 +71,12 @@
         return state.lifecycle().ready()
                 && journal().pendingMessages().isEmpty()
                 && delivery.upstream.callCount() == 0
-                && peers.offeredCount() == 0;
+                && peers.offeredMessageCount() == 0;
     }
 
     @Override
-    public boolean isHeldBy(String daemon) {
-        return peers.handoff() != null && peers.handoff().isHeldBy(daemon);
+    public boolean isHeldBy(String senderName) {
+        return peers.handoff() != null && peers.handoff().isHeldBy(senderName);
     }
 
     @Override
@@ -88,7 +88,7 @@
         if (peers.failoverReplicator() != null) {
             peers.failoverReplicator().close();
         }
-        lifecycleParts.maintenance.stop();
+        lifecycleComponents.maintenance.stop();
         delivery.scheduler.halt();
         delivery.upstream.cancelAll();
         delivery.upstream.closeIdle(endpoint -> true);
@@ -97,7 +97,7 @@
         if (peers.handoff() != null) {
             peers.handoff().close();
         }
-        lifecycleParts.endpointFile.close();
+        lifecycleComponents.endpointFile.close();
         state.folder().close();
     }
 }
--- a/sender/src/main/java/amberroute/sender/FleetCoordination.java
+++ b/sender/src/main/java/amberroute/sender/FleetCoordination.java
@@ -33,7 +33,7 @@
  */
 final class FleetCoordination {
     /** How long the counts of pending messages by destination stay valid. */
-    private static final long PENDING_COUNTS_VALID_MICROS = 100_000;
+    private static final long PENDING_COUNTS_MAX_AGE_MICROS = 100_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -47,12 +47,12 @@
     /** Null without a lease for slow starts; the limits with it. */
     private HeartbeatTransport heartbeats;
 
-    private SlowStartLimits limits;
+    private SlowStartLimits slowStartLimits;
     /** Null unless daemons report their load. */
     private LoadReportTransport loadReports;
 
-    private Map<Integer, Integer> pendingByDestination = Map.of();
-    private long pendingCountedMicros = Long.MIN_VALUE / 2;
+    private Map<Integer, Integer> pendingCountByDestination = Map.of();
+    private long pendingCountedAtMicros = Long.MIN_VALUE / 2;
 
     FleetCoordination(SenderState state, SchedulerDriver scheduler) {
         config = state.config();
@@ -82,26 +82,26 @@
         loadReports = new LoadReportTransport(
                 loop,
                 config.name(),
-                otherDaemons(standalone),
+                otherSenders(standalone),
                 activeSettings.settings().senderCount(),
                 standalone.parts(),
                 SchedulerClock::micros,
                 folder.steadyMillis(),
-                this::pendingFor,
+                this::pendingCountOf,
                 scheduler::submit);
     }
 
     private void startHeartbeats(StandaloneConfig.Standalone standalone) {
-        List<String> names = new ArrayList<>(otherDaemons(standalone).keySet());
-        names.add(config.name());
-        names.sort(null);
+        List<String> senderNames = new ArrayList<>(otherSenders(standalone).keySet());
+        senderNames.add(config.name());
+        senderNames.sort(null);
         DeliveryScheduler.Rules rules = activeSettings.settings().rules();
-        int daemons = Math.max(activeSettings.settings().senderCount(), names.size());
-        limits = new SlowStartLimits(
+        int fleetSize = Math.max(activeSettings.settings().senderCount(), senderNames.size());
+        slowStartLimits = new SlowStartLimits(
                 SchedulerClock.micros(),
                 new SlowStartLimits.FleetParameters(
-                        daemons,
-                        names.indexOf(config.name()),
+                        fleetSize,
+                        senderNames.indexOf(config.name()),
                         standalone.lease(),
                         new SlowStartLimit.Rules(
                                 rules.slowStartCapacity(),
@@ -113,16 +113,16 @@
         heartbeats = new HeartbeatTransport(
                 loop,
                 config.name(),
-                otherDaemons(standalone),
+                otherSenders(standalone),
                 SchedulerClock::micros,
                 folder.steadyMillis(),
-                limits,
+                slowStartLimits,
                 lifecycle::membershipPhase,
-                this::pendingFor,
+                this::pendingCountOf,
                 this::applyRateLimit);
     }
 
-    private Map<String, InetSocketAddress> otherDaemons(StandaloneConfig.Standalone standalone) {
+    private Map<String, InetSocketAddress> otherSenders(StandaloneConfig.Standalone standalone) {
         Map<String, InetSocketAddress> others = new LinkedHashMap<>(standalone.peers());
         others.remove(config.name());
         return others;
@@ -146,14 +146,14 @@
     }
 
     /** Begins to report load on a socket. */
-    void startReporting(Channel socket) {
+    void startLoadReporting(Channel socket) {
         if (loadReports != null) {
             loadReports.start(socket);
         }
     }
 
     /** A datagram that is no heartbeat. */
-    void receive(DatagramPacket packet) {
+    void onDatagram(DatagramPacket packet) {
         if (loadReports != null) {
             loadReports.heard(packet);
         }
@@ -165,41 +165,43 @@
     }
 
     /** A message of this priority weight was submitted for a destination. */
-    void submitted(int destination, double priorityWeight) {
+    void onSubmission(int destination, double priorityWeight) {
         if (loadReports != null) {
             loadReports.onDemand(destination, priorityWeight);
         }
     }
 
     /** An attempt at a destination has completed. */
-    void attemptCompleted(int destination, AttemptOutcome outcome) {
+    void onAttemptCompleted(int destination, AttemptOutcome outcome) {
         if (loadReports != null) {
             loadReports.onAttemptEnded(destination, outcome);
         }
     }
 
     /** A message was delivered: other daemons hear of it soon if its destination had been unavailable. */
-    void delivered(int destination) {
-        if (limits != null && limits.onSuccess(SchedulerClock.micros(), destination)) {
+    void onDelivery(int destination) {
+        if (slowStartLimits != null && slowStartLimits.onSuccess(SchedulerClock.micros(), destination)) {
             heartbeats.announceSoon();
         }
     }
 
     /** The state of a destination became known; {@code sinceMicros} is as {@link SlowStartLimits#onHealthChanged} takes it. */
-    void healthFound(int destination, DeliveryScheduler.UpstreamStatus status, long sinceMicros) {
-        if (limits != null) {
-            limits.onHealthChanged(SchedulerClock.micros(), destination, heartbeatHealth(status), sinceMicros);
+    void onHealthChanged(int destination, DeliveryScheduler.UpstreamStatus status, long sinceMicros) {
+        if (slowStartLimits != null) {
+            slowStartLimits.onHealthChanged(
+                    SchedulerClock.micros(), destination, toHeartbeatHealth(status), sinceMicros);
             heartbeats.announceSoon();
         }
     }
 
     /** Applies the rate limits that are known for the destinations of listed endpoints. */
     void applyKnownRateLimits(List<DeliveryScheduler.EndpointEntry> entries) {
-        if (limits == null) {
+        if (slowStartLimits == null) {
             return;
         }
         for (DeliveryScheduler.EndpointEntry entry : entries) {
-            SlowStartLimits.RateLimit limit = limits.onDestinationListed(SchedulerClock.micros(), entry.destination());
+            SlowStartLimits.RateLimit limit =
+                    slowStartLimits.onDestinationListed(SchedulerClock.micros(), entry.destination());
             if (limit != null) {
                 applyRateLimit(limit);
             }
@@ -211,17 +213,17 @@
                 limit.destination(), limit.perSecond(), limit.initialCredit(), limit.recoveredElsewhere()));
     }
 
-    private double pendingFor(int destination) {
-        if (SchedulerClock.micros() - pendingCountedMicros > PENDING_COUNTS_VALID_MICROS) {
-            pendingCountedMicros = SchedulerClock.micros();
+    private double pendingCountOf(int destination) {
+        if (SchedulerClock.micros() - pendingCountedAtMicros > PENDING_COUNTS_MAX_AGE_MICROS) {
+            pendingCountedAtMicros = SchedulerClock.micros();
             Map<Integer, Integer> counts = new HashMap<>();
             messages.accepted().values().forEach(message -> counts.merge(message.destination, 1, Integer::sum));
-            pendingByDestination = counts;
+            pendingCountByDestination = counts;
         }
-        return pendingByDestination.getOrDefault(destination, 0);
+        return pendingCountByDestination.getOrDefault(destination, 0);
     }
 
-    private static Heartbeat.Health heartbeatHealth(DeliveryScheduler.UpstreamStatus status) {
+    private static Heartbeat.Health toHeartbeatHealth(DeliveryScheduler.UpstreamStatus status) {
         return switch (status) {
             case HEALTHY -> Heartbeat.Health.HEALTHY;
             case UNAVAILABLE -> Heartbeat.Health.UNAVAILABLE;
--- a/sender/src/main/java/amberroute/sender/FolderAdoption.java
+++ b/sender/src/main/java/amberroute/sender/FolderAdoption.java
@@ -53,20 +53,20 @@
      * @throws InvalidSettingsException if the folder cannot be taken over
      * @throws IOException if a folder cannot be read or written
      */
-    Result adopt(Path orphaned, boolean fenced) throws IOException {
-        if (!hasJournal(orphaned)) {
-            throw new InvalidSettingsException("no journal in " + orphaned);
+    Result adopt(Path orphanedFolder, boolean fenced) throws IOException {
+        if (!hasJournal(orphanedFolder)) {
+            throw new InvalidSettingsException("no journal in " + orphanedFolder);
         }
-        if (Files.isSameFile(orphaned, config.state())) {
-            throw new InvalidSettingsException(orphaned + " is this process's own");
+        if (Files.isSameFile(orphanedFolder, config.state())) {
+            throw new InvalidSettingsException(orphanedFolder + " is this process's own");
         }
-        StateLock orphanedLock = StateLock.tryAcquire(orphaned, false);
+        StateLock orphanedLock = StateLock.tryAcquire(orphanedFolder, false);
         try {
             if (orphanedLock == null) {
-                checkFence(orphaned, fenced);
+                checkFencingPossible(orphanedFolder, fenced);
             }
-            checkRoom(JournalView.read(orphaned).pendingCount());
-            return adoptFenced(FencingToken.raise(orphaned, config.name(), config.state()), orphaned);
+            checkCapacity(JournalView.read(orphanedFolder).pendingCount());
+            return adoptFenced(FencingToken.raise(orphanedFolder, config.name(), config.state()), orphanedFolder);
         } finally {
             if (orphanedLock != null) {
                 orphanedLock.close();
@@ -78,93 +78,100 @@
      * Takes over a folder before this process serves, so that no message of a key comes ahead of those that it takes over. Does
      * nothing where that is done already.
      */
-    void adoptBeforeServing(Path orphaned) throws IOException {
-        if (!hasJournal(orphaned)) {
+    void adoptBeforeServing(Path orphanedFolder) throws IOException {
+        if (!hasJournal(orphanedFolder)) {
             // Its process died before it opened a journal, so it accepted nothing.
-            LogEvent.of("orphaned_folder_empty").with("folder", orphaned).warn();
+            LogEvent.of("orphaned_folder_empty").with("folder", orphanedFolder).warn();
             return;
         }
-        FencingToken token = FencingToken.read(orphaned);
+        FencingToken token = FencingToken.read(orphanedFolder);
         if (token == null || !token.completed()) {
-            adopt(orphaned, true);
+            adopt(orphanedFolder, true);
         }
     }
 
-    private static boolean hasJournal(Path orphaned) {
-        return Files.isRegularFile(orphaned.resolve("journal"));
+    private static boolean hasJournal(Path orphanedFolder) {
+        return Files.isRegularFile(orphanedFolder.resolve("journal"));
     }
 
-    private static void checkFence(Path orphaned, boolean fenced) throws IOException {
+    private static void checkFencingPossible(Path orphanedFolder, boolean fenced) throws IOException {
         if (!fenced) {
-            throw new InvalidSettingsException("a process holds " + orphaned + "; only a fence could stop it");
+            throw new InvalidSettingsException("a process holds " + orphanedFolder + "; only a fence could stop it");
         }
-        if (!StateLock.fenceWatched(orphaned)) {
-            throw new InvalidSettingsException("the process that holds " + orphaned + " does not look for a fence");
+        if (!StateLock.fenceWatched(orphanedFolder)) {
+            throw new InvalidSettingsException(
+                    "the process that holds " + orphanedFolder + " does not look for a fence");
         }
     }
 
-    private void checkRoom(int expected) {
-        int room = loop.submit(() -> activeSettings.settings().limits().maxPendingMessages() - messages.pendingCount())
+    private void checkCapacity(int messageCount) {
+        int capacity = loop.submit(
+                        () -> activeSettings.settings().limits().maxPendingMessages() - messages.pendingCount())
                 .syncUninterruptibly()
                 .getNow();
-        if (expected > room) {
-            throw new InvalidSettingsException("no room for " + expected + " messages, only for " + Math.max(0, room));
+        if (messageCount > capacity) {
+            throw new InvalidSettingsException(
+                    "no room for " + messageCount + " messages, only for " + Math.max(0, capacity));
         }
     }
 
     /** The fencing token is raised: what the journal has now is all that it ever will. */
-    private Result adoptFenced(FencingToken token, Path orphaned) throws IOException {
+    private Result adoptFenced(FencingToken token, Path orphanedFolder) throws IOException {
         int adopted = 0;
         int adoptedBefore = 0;
-        try (Journal journal = Journal.openReadOnly(orphaned)) {
+        try (Journal journal = Journal.openReadOnly(orphanedFolder)) {
             Map<String, List<AcceptedMessage>> batches = OrphanedJournalRecovery.batches(
                     token.handoffId(), journal.pendingMessages(), folder.steadyMillis());
             for (Map.Entry<String, List<AcceptedMessage>> batch : batches.entrySet()) {
-                int taken = adoptOnLoop(batch.getKey(), batch.getValue(), orphaned);
-                adopted += taken;
-                adoptedBefore += taken == 0 ? batch.getValue().size() : 0;
+                int adoptedFromBatch = adoptOnEventLoop(batch.getKey(), batch.getValue(), orphanedFolder);
+                adopted += adoptedFromBatch;
+                adoptedBefore += adoptedFromBatch == 0 ? batch.getValue().size() : 0;
             }
-            continueAdoptions(journal);
+            copyAdoptionRecords(journal);
         }
-        token.finish(orphaned);
+        token.finish(orphanedFolder);
         LogEvent.of("orphaned_folder_adopted")
-                .with("folder", orphaned)
+                .with("folder", orphanedFolder)
                 .with("messages", adopted)
                 .with("messages_adopted_before", adoptedBefore)
                 .warn();
         return new Result(adopted, adoptedBefore);
     }
 
-    private int adoptOnLoop(String batch, List<AcceptedMessage> orphans, Path orphaned) throws IOException {
-        int taken = loop.submit(() -> adoptBatch(batch, orphans))
+    private int adoptOnEventLoop(String batchId, List<AcceptedMessage> orphanedMessages, Path orphanedFolder)
+            throws IOException {
+        int adopted = loop.submit(() -> adoptBatch(batchId, orphanedMessages))
                 .syncUninterruptibly()
                 .getNow();
-        if (taken < 0) {
+        if (adopted < 0) {
             throw new IOException(
-                    "the journal has no room; what is left in " + orphaned + " can be taken by asking again");
+                    "the journal has no room; what is left in " + orphanedFolder + " can be taken by asking again");
         }
-        return taken;
+        return adopted;
     }
 
     /** What that process had taken over itself, and not finished, goes on here. */
-    private void continueAdoptions(Journal orphaned) {
-        orphaned.handoffBatches().forEach((batch, handoff) -> {
-            if (batch.startsWith(OrphanedJournalRecovery.PREFIX)) {
-                loop.submit(() -> folder.journal().handoffBatches().containsKey(batch)
+    private void copyAdoptionRecords(Journal orphanedJournal) {
+        orphanedJournal.handoffBatches().forEach((batchId, handoffBatch) -> {
+            if (batchId.startsWith(OrphanedJournalRecovery.PREFIX)) {
+                loop.submit(() -> folder.journal().handoffBatches().containsKey(batchId)
                                 || folder.journal()
                                         .writeHandoffBatch(
-                                                batch, handoff.ownership(), handoff.untilMillis(), List.of()))
+                                                batchId,
+                                                handoffBatch.ownership(),
+                                                handoffBatch.untilMillis(),
+                                                List.of()))
                         .syncUninterruptibly();
             }
         });
     }
 
     /** Returns how many messages are this process's now, 0 where the batch had been taken before, -1 where there is no room. */
-    private int adoptBatch(String batch, List<AcceptedMessage> orphans) {
-        if (folder.journal().handoffBatches().containsKey(batch)) {
+    private int adoptBatch(String batchId, List<AcceptedMessage> orphanedMessages) {
+        if (folder.journal().handoffBatches().containsKey(batchId)) {
             return 0;
         }
-        List<AcceptedMessage> copies = orphans.stream()
+        List<AcceptedMessage> copies = orphanedMessages.stream()
                 .map(orphan -> OrphanedJournalRecovery.copy(orphan, folder.journal()::nextNumber))
                 .toList();
         copies.forEach(copy -> copy.classNumber = messages.classes().number(copy.className));
@@ -172,26 +179,27 @@
         copies.stream()
                 .filter(copy -> copy.classNumber < 0 && copy.pendingNotification == null)
                 .forEach(copy -> copy.end(copy.failed()));
-        long until =
+        long retainedUntilMillis =
                 copies.stream().mapToLong(copy -> copy.deadlineMillis).max().orElse(0)
                         + OrphanedJournalRecovery.EXPIRED_RETENTION_MS;
-        Ownership owned = new Ownership(1, Ownership.Status.OWNED, "");
-        if (lifecycle.ownershipReleased() || !folder.journal().acceptHandoffBatch(batch, owned, until, copies)) {
+        Ownership ownership = new Ownership(1, Ownership.Status.OWNED, "");
+        if (lifecycle.ownershipReleased()
+                || !folder.journal().acceptHandoffBatch(batchId, ownership, retainedUntilMillis, copies)) {
             return -1;
         }
         folder.forceOrHalt();
         for (int i = 0; i < copies.size(); i++) {
-            resume(copies.get(i), orphans.get(i).attemptInFlight);
+            resume(copies.get(i), orphanedMessages.get(i).attemptInFlight);
         }
         return copies.size();
     }
 
-    private void resume(AcceptedMessage message, boolean interrupted) {
+    private void resume(AcceptedMessage message, boolean attemptInterrupted) {
         if (message.pendingNotification != null) {
             recovery.resumeNotification(message);
         } else {
             messages.accepted().put(message.number, message);
-            recovery.resume(message, interrupted);
+            recovery.resume(message, attemptInterrupted);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
@@ -62,27 +62,29 @@
     @Override
     public List<List<AcceptedMessage>> movableGroups() {
         List<List<AcceptedMessage>> groups = new ArrayList<>();
-        if (!messages.arriving().isEmpty()) {
+        if (!messages.pendingAcceptances().isEmpty()) {
             return groups;
         }
-        Map<Long, List<AcceptedMessage>> byKey = new LinkedHashMap<>();
-        Set<Long> waitingKeys = new HashSet<>(keyHolds.blockedKeys());
+        Map<Long, List<AcceptedMessage>> messagesByKey = new LinkedHashMap<>();
+        Set<Long> blockedKeys = new HashSet<>(keyHolds.blockedKeys());
         // The journal has the order of acceptance, which is that of each key.
         for (AcceptedMessage message : folder.journal().pendingMessages()) {
-            boolean ordered = messages.ordered(message);
+            boolean ordered = messages.isOrdered(message);
             if (message.pendingNotification != null || message.offeredToPeer || message.attemptInFlight) {
                 // Nothing of an ordered key moves before this message completes.
                 if (ordered) {
-                    waitingKeys.add(message.key);
+                    blockedKeys.add(message.key);
                 }
             } else if (messages.accepted().containsKey(message.number) && ordered) {
-                byKey.computeIfAbsent(message.key, key -> new ArrayList<>()).add(message);
+                messagesByKey
+                        .computeIfAbsent(message.key, key -> new ArrayList<>())
+                        .add(message);
             } else if (messages.accepted().containsKey(message.number)) {
                 groups.add(List.of(message));
             }
         }
-        byKey.forEach((key, group) -> {
-            if (!waitingKeys.contains(key)) {
+        messagesByKey.forEach((key, group) -> {
+            if (!blockedKeys.contains(key)) {
                 groups.add(group);
             }
         });
@@ -91,10 +93,10 @@
 
     @Override
     public boolean isOrdered(AcceptedMessage message) {
-        return messages.ordered(message);
+        return messages.isOrdered(message);
     }
 
-    private long lastDeadline(List<AcceptedMessage> batch) {
+    private long lastDeadlineMillis(List<AcceptedMessage> batch) {
         return batch.stream()
                 .mapToLong(message -> message.deadlineMillis)
                 .max()
@@ -103,7 +105,7 @@
 
     private List<Long> orderedKeys(List<AcceptedMessage> batch) {
         return batch.stream()
-                .filter(messages::ordered)
+                .filter(messages::isOrdered)
                 .map(message -> message.key)
                 .distinct()
                 .toList();
@@ -111,9 +113,16 @@
 
     @Override
     public boolean recordOffer(
-            String lot, Ownership ownership, List<AcceptedMessage> offered, List<Long> keys, long holdUntil) {
+            String batchId, Ownership ownership, List<AcceptedMessage> offered, List<Long> keys, long holdUntilMillis) {
         if (!folder.journal()
-                .offerHandoffBatch(lot, ownership, lastDeadline(offered), offered, config.name(), keys, holdUntil)) {
+                .offerHandoffBatch(
+                        batchId,
+                        ownership,
+                        lastDeadlineMillis(offered),
+                        offered,
+                        config.name(),
+                        keys,
+                        holdUntilMillis)) {
             return false;
         }
         folder.forceOrHalt();
@@ -126,10 +135,10 @@
     }
 
     @Override
-    public boolean recordOwnership(String lot, Ownership ownership, List<AcceptedMessage> offered) {
+    public boolean recordOwnership(String batchId, Ownership ownership, List<AcceptedMessage> offered) {
         boolean written = ownership.isOwned()
-                ? takeBack(lot, ownership, offered)
-                : folder.journal().writeHandoffBatch(lot, ownership, lastDeadline(offered), offered);
+                ? reclaimBatch(batchId, ownership, offered)
+                : folder.journal().writeHandoffBatch(batchId, ownership, lastDeadlineMillis(offered), offered);
         if (written) {
             folder.forceOrHalt();
         }
@@ -137,62 +146,63 @@
     }
 
     /** No peer took the messages: they go on here, ahead of what has come of their keys since. */
-    private boolean takeBack(String lot, Ownership ownership, List<AcceptedMessage> offered) {
+    private boolean reclaimBatch(String batchId, Ownership ownership, List<AcceptedMessage> offered) {
         List<Long> keys = orderedKeys(offered);
-        List<AcceptedMessage> later = keyHolds.blockedMessages(keys);
-        List<Long> released = folder.journal()
-                .reclaimHandoffBatch(lot, ownership, lastDeadline(offered), offered, config.name(), keys);
-        if (released == null) {
+        List<AcceptedMessage> laterMessages = keyHolds.blockedMessages(keys);
+        List<Long> releasedKeys = folder.journal()
+                .reclaimHandoffBatch(batchId, ownership, lastDeadlineMillis(offered), offered, config.name(), keys);
+        if (releasedKeys == null) {
             return false;
         }
-        resumeAhead(offered, later);
-        keyHolds.release(released);
+        resumeInOrder(offered, laterMessages);
+        keyHolds.release(releasedKeys);
         return true;
     }
 
-    private void resumeAhead(List<AcceptedMessage> resumed, List<AcceptedMessage> later) {
-        later.forEach(message -> scheduler.submit(new Event.MessageCancelled(message.number)));
-        for (AcceptedMessage message : resumed) {
+    private void resumeInOrder(List<AcceptedMessage> earlierMessages, List<AcceptedMessage> laterMessages) {
+        laterMessages.forEach(message -> scheduler.submit(new Event.MessageCancelled(message.number)));
+        for (AcceptedMessage message : earlierMessages) {
             messages.accepted().put(message.number, message);
             recovery.resume(message, false);
         }
-        later.forEach(message -> recovery.resume(message, false));
+        laterMessages.forEach(message -> recovery.resume(message, false));
     }
 
     @Override
-    public HandoffPlacement.RejectionReason rejectionReason(List<AcceptedMessage> offered, JsonObject theirClasses) {
+    public HandoffPlacement.RejectionReason rejectionReason(
+            List<AcceptedMessage> offered, JsonObject ownerClassMeanings) {
         if (shutdown.stopping()
                 || !lifecycle.ready()
                 || messages.pendingCount() + offered.size()
                         > activeSettings.settings().limits().maxPendingMessages()) {
             return HandoffPlacement.RejectionReason.ROOM;
         }
-        return offered.stream().allMatch(message -> deliverable(message, theirClasses))
+        return offered.stream().allMatch(message -> isDeliverable(message, ownerClassMeanings))
                 ? null
                 : HandoffPlacement.RejectionReason.UNFIT;
     }
 
-    private boolean deliverable(AcceptedMessage message, JsonObject theirClasses) {
-        int type = messages.classes().number(message.className);
-        return type >= 0
+    private boolean isDeliverable(AcceptedMessage message, JsonObject ownerClassMeanings) {
+        int classNumber = messages.classes().number(message.className);
+        return classNumber >= 0
                 && endpoints.listed(message.destination)
                 && message.deadlineMillis - folder.steadyMillis() >= HandoffPlacement.MIN_TIME_LEFT_MILLIS
-                && theirClasses.has(message.className)
-                && theirClasses.get(message.className).getAsString().equals(meaning(type))
-                && !undeliverableRetry(message, messages.classes().type(type));
+                && ownerClassMeanings.has(message.className)
+                && ownerClassMeanings.get(message.className).getAsString().equals(classMeaning(classNumber))
+                && !isRetryEndpointUnknown(message, messages.classes().type(classNumber));
     }
 
     /** Whether only the endpoint where the message may have run could take it again, and that endpoint is unknown here. */
-    private boolean undeliverableRetry(AcceptedMessage message, DeliveryScheduler.MessageClass type) {
+    private boolean isRetryEndpointUnknown(AcceptedMessage message, DeliveryScheduler.MessageClass messageClass) {
         return message.unknownOutcomeSinceMillis != 0
-                && type.idempotency() == DeliveryScheduler.Idempotency.KEYED
-                && type.keyScope() != DeliveryScheduler.KeyScope.DESTINATION
+                && messageClass.idempotency() == DeliveryScheduler.Idempotency.KEYED
+                && messageClass.keyScope() != DeliveryScheduler.KeyScope.DESTINATION
                 && !endpoints.listed(message.unknownOutcomeEndpoint);
     }
 
     /** What may be done with a message of a class: where two daemons differ in it, neither takes the other's messages. */
-    private String meaning(int type) {
-        DeliveryScheduler.MessageClass messageClass = messages.classes().type(type);
+    private String classMeaning(int classNumber) {
+        DeliveryScheduler.MessageClass messageClass = messages.classes().type(classNumber);
         return messageClass.idempotency().wireName() + " " + messageClass.keyScope() + " "
                 + messageClass.keyLifeMicros() + " " + messageClass.ordered();
     }
@@ -200,23 +210,24 @@
     @Override
     public JsonObject classMeanings(List<AcceptedMessage> offered) {
         JsonObject meanings = new JsonObject();
-        offered.forEach(message ->
-                meanings.addProperty(message.className, message.classNumber < 0 ? "" : meaning(message.classNumber)));
+        offered.forEach(message -> meanings.addProperty(
+                message.className, message.classNumber < 0 ? "" : classMeaning(message.classNumber)));
         return meanings;
     }
 
     @Override
-    public boolean adoptBatch(String lot, Ownership ownership, List<AcceptedMessage> adopted, String origin) {
+    public boolean adoptBatch(String batchId, Ownership ownership, List<AcceptedMessage> adopted, String origin) {
         long startMicros = SchedulerClock.micros();
         adopted.forEach(message -> message.classNumber = messages.classes().number(message.className));
         List<Long> keys = orderedKeys(adopted);
-        List<AcceptedMessage> later = keyHolds.blockedMessages(keys);
-        if (!folder.journal().acceptHandoffBatch(lot, ownership, lastDeadline(adopted), adopted, origin, later)) {
+        List<AcceptedMessage> laterMessages = keyHolds.blockedMessages(keys);
+        if (!folder.journal()
+                .acceptHandoffBatch(batchId, ownership, lastDeadlineMillis(adopted), adopted, origin, laterMessages)) {
             return false;
         }
         folder.forceOrHalt();
-        resumeAhead(adopted, later);
-        scheduler.recordPause(SchedulerClock.micros() - startMicros);
+        resumeInOrder(adopted, laterMessages);
+        scheduler.recordEventLoopPause(SchedulerClock.micros() - startMicros);
         keyHolds.release(keys.stream()
                 .filter(key -> !folder.journal().keyHolds().isHeld(key))
                 .toList());
@@ -224,8 +235,8 @@
     }
 
     @Override
-    public boolean holdKeys(String origin, List<Long> keys, long until) {
-        if (lifecycle.ownershipReleased() || !folder.journal().holdKeys(origin, keys, until)) {
+    public boolean holdKeys(String origin, List<Long> keys, long untilMillis) {
+        if (lifecycle.ownershipReleased() || !folder.journal().holdKeys(origin, keys, untilMillis)) {
             return false;
         }
         folder.forceOrHalt();
@@ -235,11 +246,11 @@
 
     @Override
     public void releaseKeys(String origin, List<Long> keys) {
-        List<Long> known = keys.stream()
+        List<Long> heldKeys = keys.stream()
                 .filter(key -> folder.journal().keyHolds().origins(key).contains(origin))
                 .toList();
-        if (!lifecycle.ownershipReleased() && !known.isEmpty()) {
-            keyHolds.release(folder.journal().releaseKeys(origin, known));
+        if (!lifecycle.ownershipReleased() && !heldKeys.isEmpty()) {
+            keyHolds.release(folder.journal().releaseKeys(origin, heldKeys));
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/JournalMaintenance.java
+++ b/sender/src/main/java/amberroute/sender/JournalMaintenance.java
@@ -11,7 +11,7 @@
 /** Repeated work on the journal: retries of failed writes, compaction, expiry of key holds and handoff batches. Event loop only. */
 final class JournalMaintenance {
     /** Interval of retries of failed writes and of compaction. */
-    private static final long TIDY_INTERVAL_MS = 100;
+    private static final long RETRY_AND_COMPACTION_INTERVAL_MS = 100;
     /** Interval of the expiry of key holds. */
     private static final long EXPIRY_INTERVAL_MS = 100;
 
@@ -19,7 +19,7 @@
     private final StateFolder folder;
     private final LifecycleState lifecycle;
     private final KeyHoldTracker keyHolds;
-    private final List<Future<?>> repeating = new ArrayList<>();
+    private final List<Future<?>> scheduledTasks = new ArrayList<>();
 
     JournalMaintenance(EventLoop loop, StateFolder folder, LifecycleState lifecycle, KeyHoldTracker keyHolds) {
         this.loop = loop;
@@ -30,7 +30,7 @@
 
     /** Starts retries and compaction. */
     void start() {
-        repeat(TIDY_INTERVAL_MS, () -> {
+        scheduleWhileOwner(RETRY_AND_COMPACTION_INTERVAL_MS, () -> {
             folder.journal().retry();
             folder.journal().compactSlice();
             folder.clock().record();
@@ -39,23 +39,24 @@
 
     /** Starts the expiry of key holds, for senders with a handoff. */
     void startExpiry() {
-        repeat(EXPIRY_INTERVAL_MS, () -> {
+        scheduleWhileOwner(EXPIRY_INTERVAL_MS, () -> {
             folder.journal().expireHandoffBatches(folder.steadyMillis());
             keyHolds.release(folder.journal().expireKeyHolds(folder.steadyMillis()));
         });
     }
 
-    private void repeat(long intervalMillis, Runnable task) {
-        Runnable ownerOnly = () -> {
+    private void scheduleWhileOwner(long intervalMillis, Runnable task) {
+        Runnable taskWhileOwner = () -> {
             if (!lifecycle.ownershipReleased()) {
                 task.run();
             }
         };
-        repeating.add(loop.scheduleWithFixedDelay(ownerOnly, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS));
+        scheduledTasks.add(
+                loop.scheduleWithFixedDelay(taskWhileOwner, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS));
     }
 
     /** Ends all repeated work. */
     void stop() {
-        repeating.forEach(task -> task.cancel(false));
+        scheduledTasks.forEach(task -> task.cancel(false));
     }
 }
--- a/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
+++ b/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
@@ -15,7 +15,7 @@
  */
 final class KeyHoldTracker {
     /** The time until the notification of a completed message is surely acknowledged. */
-    private static final long NOTIFICATION_MS = 5_000;
+    private static final long MAX_NOTIFICATION_TIME_MS = 5_000;
 
     private final String senderName;
     private final StateFolder folder;
@@ -23,7 +23,7 @@
     private final SchedulerDriver scheduler;
     private final PeerServices peers;
     /** The number of the placeholder message by key. */
-    private final Map<Long, Long> placeholders = new HashMap<>();
+    private final Map<Long, Long> placeholderNumbers = new HashMap<>();
 
     KeyHoldTracker(
             String senderName,
@@ -40,20 +40,20 @@
 
     /** The keys that are blocked now. */
     Set<Long> blockedKeys() {
-        return placeholders.keySet();
+        return placeholderNumbers.keySet();
     }
 
     /** Forgets all keys, for a recovery that blocks them again. */
     void clear() {
-        placeholders.clear();
+        placeholderNumbers.clear();
     }
 
     /** Blocks keys: other daemons have messages of them. */
     void block(Iterable<Long> keys) {
         for (long key : keys) {
-            if (!placeholders.containsKey(key)) {
+            if (!placeholderNumbers.containsKey(key)) {
                 long number = folder.journal().nextNumber();
-                placeholders.put(key, number);
+                placeholderNumbers.put(key, number);
                 scheduler.submit(new Event.CompletedMessageRecovered(number, key));
             }
         }
@@ -62,7 +62,7 @@
     /** Unblocks keys: no other daemon has messages of them any more. */
     void release(List<Long> keys) {
         for (long key : keys) {
-            Long number = placeholders.remove(key);
+            Long number = placeholderNumbers.remove(key);
             if (number != null) {
                 scheduler.submit(new Event.CompletionAcknowledged(number));
             }
@@ -74,54 +74,54 @@
 
     /** Messages that came while their key was blocked and were not attempted: they go behind what the other daemon had. */
     List<AcceptedMessage> blockedMessages(List<Long> keys) {
-        if (!messages.arriving().isEmpty()) {
+        if (!messages.pendingAcceptances().isEmpty()) {
             // Messages that are not accepted yet would otherwise go ahead.
             scheduler.runIteration();
         }
-        Set<Long> blocked = new HashSet<>(keys);
-        blocked.retainAll(placeholders.keySet());
-        if (blocked.isEmpty()) {
+        Set<Long> blockedKeys = new HashSet<>(keys);
+        blockedKeys.retainAll(placeholderNumbers.keySet());
+        if (blockedKeys.isEmpty()) {
             return List.of();
         }
         return folder.journal().pendingMessages().stream()
-                .filter(message -> blocked.contains(message.key) && untried(message))
+                .filter(message -> blockedKeys.contains(message.key) && isUnattempted(message))
                 .toList();
     }
 
-    private boolean untried(AcceptedMessage message) {
-        return messages.ordered(message)
+    private boolean isUnattempted(AcceptedMessage message) {
+        return messages.isOrdered(message)
                 && messages.accepted().containsKey(message.number)
                 && !message.attemptInFlight
                 && message.attempts == 0;
     }
 
     /** For each ordered key with a message here: when the last of them is surely completed. */
-    Map<Long, Long> orderedKeys() {
-        Map<Long, Long> ends = new HashMap<>();
+    Map<Long, Long> latestCompletionByKey() {
+        Map<Long, Long> latestCompletion = new HashMap<>();
         for (AcceptedMessage message : folder.journal().pendingMessages()) {
-            if (messages.ordered(message)) {
-                ends.merge(message.key, completedBy(message), Math::max);
+            if (messages.isOrdered(message)) {
+                latestCompletion.merge(message.key, latestCompletionMillis(message), Math::max);
             }
         }
-        messages.arriving().values().stream()
+        messages.pendingAcceptances().values().stream()
                 .map(PendingAcceptance::message)
-                .filter(messages::ordered)
-                .forEach(message -> ends.merge(message.key, message.deadlineMillis, Math::max));
-        return ends;
+                .filter(messages::isOrdered)
+                .forEach(message -> latestCompletion.merge(message.key, message.deadlineMillis, Math::max));
+        return latestCompletion;
     }
 
-    private long completedBy(AcceptedMessage message) {
+    private long latestCompletionMillis(AcceptedMessage message) {
         return message.pendingNotification == null
                 ? message.deadlineMillis
-                : Math.max(message.deadlineMillis, folder.steadyMillis() + NOTIFICATION_MS);
+                : Math.max(message.deadlineMillis, folder.steadyMillis() + MAX_NOTIFICATION_TIME_MS);
     }
 
-    /** As {@link #orderedKeys}, with the keys of which other daemons have messages from here. */
-    Map<Long, Long> orderedKeysWithHolds() {
-        Map<Long, Long> ends = orderedKeys();
+    /** As {@link #latestCompletionByKey}, with the keys of which other daemons have messages from here. */
+    Map<Long, Long> latestCompletionByKeyWithHolds() {
+        Map<Long, Long> latestCompletion = latestCompletionByKey();
         folder.journal().keyHolds().allHolds().stream()
                 .filter(hold -> hold.origin().equals(senderName))
-                .forEach(hold -> ends.merge(hold.key(), hold.untilMillis(), Math::max));
-        return ends;
+                .forEach(hold -> latestCompletion.merge(hold.key(), hold.untilMillis(), Math::max));
+        return latestCompletion;
     }
 }
--- a/sender/src/main/java/amberroute/sender/LifecycleComponents.java
+++ b/sender/src/main/java/amberroute/sender/LifecycleComponents.java
@@ -24,23 +24,23 @@
     final ConnectionRetirement connections;
     final ShutdownCoordinator shutdown;
     final FolderAdoption adoption;
-    final ControlCommands commands;
+    final ControlCommands controlCommands;
 
     /**
      * Wires the parts.
      *
      * @param serviceManager is told of readiness and of a stop
-     * @param source the configuration's source, for reloads
+     * @param configSource the configuration's source, for reloads
      * @param exitCode completed when a stop is done
-     * @param address where clients connect to, known once the sender serves
+     * @param clientAddress where clients connect to, known once the sender serves
      */
     LifecycleComponents(
             SenderState state,
             DeliveryComponents delivery,
             ServiceManagerNotifier serviceManager,
-            ConfigSource source,
+            ConfigSource configSource,
             CompletableFuture<Integer> exitCode,
-            Supplier<InetSocketAddress> address) {
+            Supplier<InetSocketAddress> clientAddress) {
         SenderConfig config = state.config();
         EventLoop loop = state.loop();
         endpointFile = new EndpointFileFollower(config, loop, delivery.endpoints);
@@ -48,7 +48,12 @@
         settingsActivation = new SettingsActivation(
                 state, delivery.scheduler, delivery.endpoints, delivery.upstream, delivery.clientServer);
         settingsReload = new SettingsReload(
-                state, source.fingerprint(), settingsActivation, delivery.endpoints, endpointFile, delivery.notifier);
+                state,
+                configSource.fingerprint(),
+                settingsActivation,
+                delivery.endpoints,
+                endpointFile,
+                delivery.notifier);
         callsInFlight = new CallsInFlight(delivery.upstream, delivery.endpoints);
         connections = new ConnectionRetirement(
                 loop,
@@ -58,9 +63,9 @@
                 exitCode,
                 state.transfers()::reclaimPossible);
         shutdown = newShutdown(state, delivery, serviceManager, exitCode);
-        delivery.submissions.decideBy(newAdmission(state, delivery));
+        delivery.submissions.setAdmission(newAdmission(state, delivery));
         adoption = new FolderAdoption(state, delivery.recovery);
-        commands = new ControlCommands(loop, newCommands(state, delivery, source, address));
+        controlCommands = new ControlCommands(loop, newSenderCommands(state, delivery, configSource, clientAddress));
     }
 
     private ShutdownCoordinator newShutdown(
@@ -69,7 +74,7 @@
             ServiceManagerNotifier serviceManager,
             CompletableFuture<Integer> exitCode) {
         StandaloneConfig.Standalone standalone = state.config().standalone();
-        ShutdownWork work = new ShutdownWork(
+        ShutdownWork shutdownWork = new ShutdownWork(
                 state,
                 delivery.scheduler,
                 delivery.completion,
@@ -86,7 +91,7 @@
                 serviceManager,
                 exitCode,
                 standalone == null ? 0 : standalone.backMillis(),
-                work);
+                shutdownWork);
     }
 
     private SubmissionAdmission newAdmission(SenderState state, DeliveryComponents delivery) {
@@ -99,13 +104,16 @@
                 delivery.submissions::deferredCount);
     }
 
-    private SenderCommands newCommands(
-            SenderState state, DeliveryComponents delivery, ConfigSource source, Supplier<InetSocketAddress> address) {
+    private SenderCommands newSenderCommands(
+            SenderState state,
+            DeliveryComponents delivery,
+            ConfigSource configSource,
+            Supplier<InetSocketAddress> clientAddress) {
         StatusReport status = new StatusReport(
-                state, delivery.scheduler, delivery.upstream, delivery.notifier, delivery.clientServer, address);
+                state, delivery.scheduler, delivery.upstream, delivery.notifier, delivery.clientServer, clientAddress);
         return new SenderCommands(
                 state.config(),
-                source.environment(),
+                configSource.environment(),
                 state.lifecycle(),
                 status,
                 settingsReload,
--- a/sender/src/main/java/amberroute/sender/Main.java
+++ b/sender/src/main/java/amberroute/sender/Main.java
@@ -17,19 +17,19 @@
      * code 0: stopped as asked; 1: cannot start; 2: wrong usage; 3: stopped for good with something left in the journal.
      */
     public static void main(String[] args) {
-        boolean file = args.length == 3 && args[1].equals("--config");
-        if (args.length < 1 || !args[0].equals("serve") || args.length > 1 && !file) {
+        boolean hasConfigOption = args.length == 3 && args[1].equals("--config");
+        if (args.length < 1 || !args[0].equals("serve") || args.length > 1 && !hasConfigOption) {
             System.err.println("usage: java -jar amberroute.jar serve [--config FILE]");
             System.exit(2);
         }
         // First of all: without a handler the signal would end the process.
-        SignalHandlers hangup = SignalHandlers.install();
+        SignalHandlers hangupSignal = SignalHandlers.install();
         Map<String, String> environment = new HashMap<>(System.getenv());
-        if (file) {
+        if (hasConfigOption) {
             environment.put("GW_CONFIG", Path.of(args[2]).toAbsolutePath().toString());
         }
         try {
-            Sender.run(environment, hangup);
+            Sender.run(environment, hangupSignal);
         } catch (InvalidSettingsException | ConfigException | IOException e) {
             System.err.println("amberroute: " + String.valueOf(e.getMessage()).replaceAll("\\p{Cntrl}", " "));
             // The event loop may run already, on a thread that keeps the process.
--- a/sender/src/main/java/amberroute/sender/MessageAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/MessageAcceptance.java
@@ -38,47 +38,51 @@
     }
 
     /** Answers all submissions since the last iteration. */
-    void answerArrivals(List<SchedulerAction> actions) {
+    void answerSubmissions(List<SchedulerAction> actions) {
         for (SchedulerAction action : actions) {
             if (action instanceof Reject reject) {
-                rejectArrival(reject.id(), SchedulerActions.millisRoundedUp(reject.retryAfter()));
+                rejectSubmission(reject.id(), SchedulerActions.millisRoundedUp(reject.retryAfter()));
             } else if (action instanceof Fail fail) {
-                rejectArrival(fail.id(), 0);
+                rejectSubmission(fail.id(), 0);
             }
         }
-        messages.arriving().values().forEach(this::accept);
-        messages.arriving().clear();
-        messages.arrivingIds().clear();
+        messages.pendingAcceptances().values().forEach(this::accept);
+        messages.pendingAcceptances().clear();
+        messages.pendingAcceptanceIds().clear();
     }
 
-    private void rejectArrival(long number, long retryAfterMillis) {
-        PendingAcceptance rejected = messages.arriving().remove(number);
+    private void rejectSubmission(long messageNumber, long retryAfterMillis) {
+        PendingAcceptance rejected = messages.pendingAcceptances().remove(messageNumber);
         if (rejected != null) {
             submissions.shed(rejected.message().className, rejected.reply(), retryAfterMillis);
             scheduler.submit(new Event.CompletionAcknowledged(rejected.message().number));
         }
     }
 
-    private void accept(PendingAcceptance arrival) {
-        AcceptedMessage message = arrival.message();
-        if (arrival.reply().isClientConnected() && folder.journal().accept(message)) {
+    private void accept(PendingAcceptance pendingAcceptance) {
+        AcceptedMessage message = pendingAcceptance.message();
+        if (pendingAcceptance.reply().isClientConnected() && folder.journal().accept(message)) {
             messages.accepted().put(message.number, message);
             // Without replication the message is delivered even if the force fails. With it the client has no answer
             // until the record is replicated, since another daemon may deliver the message, or none.
             folder.journal()
                     .whenDurable(
-                            () -> arrival.reply().ok(),
+                            () -> pendingAcceptance.reply().ok(),
                             peers.replication() != null
                                     ? null
-                                    : () -> arrival.reply().error("the message could not be forced to the disk"));
+                                    : () -> pendingAcceptance
+                                            .reply()
+                                            .error("the message could not be forced to the disk"));
         } else if (folder.journal().uncertain()) {
             // The next process may find the record: a rejection would promise that nobody delivers the message.
             metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
-            arrival.reply().error("the message could not be recorded, or may have been");
+            pendingAcceptance.reply().error("the message could not be recorded, or may have been");
             scheduler.submit(new Event.MessageCancelled(message.number));
         } else {
             submissions.shed(
-                    message.className, arrival.reply(), folder.journal().retryAfterMillis());
+                    message.className,
+                    pendingAcceptance.reply(),
+                    folder.journal().retryAfterMillis());
             scheduler.submit(new Event.MessageCancelled(message.number));
         }
     }
--- a/sender/src/main/java/amberroute/sender/MessageCompletion.java
+++ b/sender/src/main/java/amberroute/sender/MessageCompletion.java
@@ -27,8 +27,9 @@
     private final SenderMetrics metrics;
     private final FailureNotifier notifier;
     private final PeerServices peers;
-    private final LateCompletionReporter lateCompletions = new LateCompletionReporter("completed");
-    private final LateCompletionReporter lateAcknowledgements = new LateCompletionReporter("notification_acknowledged");
+    private final LateCompletionReporter lateCompletionReporter = new LateCompletionReporter("completed");
+    private final LateCompletionReporter lateAcknowledgementReporter =
+            new LateCompletionReporter("notification_acknowledged");
 
     MessageCompletion(SenderState state, SchedulerDriver scheduler, FailureNotifier notifier, PeerServices peers) {
         loop = state.loop();
@@ -42,18 +43,21 @@
     }
 
     /** Completes an accepted message as rejected; {@code retryAfterMillis} is the advice to its client, 0 for none. */
-    void reject(long number, long retryAfterMillis) {
-        complete(number, messages.accepted().get(number).returned(retryAfterMillis), SenderMetrics.MessageResult.SHED);
+    void reject(long messageNumber, long retryAfterMillis) {
+        complete(
+                messageNumber,
+                messages.accepted().get(messageNumber).returned(retryAfterMillis),
+                SenderMetrics.MessageResult.SHED);
     }
 
     /** Completes an accepted message as failed. */
-    void fail(long number) {
-        complete(number, messages.accepted().get(number).failed(), SenderMetrics.MessageResult.ERRORS);
+    void fail(long messageNumber) {
+        complete(messageNumber, messages.accepted().get(messageNumber).failed(), SenderMetrics.MessageResult.ERRORS);
     }
 
-    private void complete(long number, String notification, SenderMetrics.MessageResult result) {
-        AcceptedMessage message = messages.accepted().remove(number);
-        report(lateCompletions, message);
+    private void complete(long messageNumber, String notification, SenderMetrics.MessageResult result) {
+        AcceptedMessage message = messages.accepted().remove(messageNumber);
+        reportIfLate(lateCompletionReporter, message);
         metrics.completed(message.className, result);
         folder.journal().end(message, notification, () -> notifyWhenDurable(message));
         if (folder.journal().hasPendingWrite(message)) {
@@ -82,7 +86,7 @@
     private void notifyWhenDurable(AcceptedMessage message) {
         folder.journal()
                 .whenDurable(
-                        () -> notifier.send(message), peers.replicated() ? () -> notifyUnreplicated(message) : null);
+                        () -> notifier.send(message), peers.isReplicated() ? () -> notifyUnreplicated(message) : null);
     }
 
     /** The outcome was not replicated in time, so another daemon may deliver the message: only a failure promises nothing. */
@@ -96,14 +100,14 @@
      * repeated, else as failed.
      */
     void completeUndelivered(AcceptedMessage message) {
-        DeliveryScheduler.MessageClass type = messages.classes().type(message.classNumber);
-        boolean returned = ShutdownSequence.mayReject(
+        DeliveryScheduler.MessageClass messageClass = messages.classes().type(message.classNumber);
+        boolean rejectable = ShutdownSequence.mayReject(
                 message.unknownOutcomeSinceMillis != 0 || message.attemptInFlight,
-                type.idempotency() == DeliveryScheduler.Idempotency.IDEMPOTENT,
-                type.idempotency() == DeliveryScheduler.Idempotency.KEYED
-                        && type.keyScope() == DeliveryScheduler.KeyScope.DESTINATION);
+                messageClass.idempotency() == DeliveryScheduler.Idempotency.IDEMPOTENT,
+                messageClass.idempotency() == DeliveryScheduler.Idempotency.KEYED
+                        && messageClass.keyScope() == DeliveryScheduler.KeyScope.DESTINATION);
         scheduler.submit(new Event.MessageCancelled(message.number));
-        if (returned) {
+        if (rejectable) {
             reject(message.number, 0);
         } else {
             fail(message.number);
@@ -111,16 +115,16 @@
     }
 
     /** The platform has acknowledged the notification of a message, which is over with it. */
-    void acknowledged(AcceptedMessage message) {
+    void onNotificationAcknowledged(AcceptedMessage message) {
         if (lifecycle.ownershipReleased()) {
             return;
         }
-        report(lateAcknowledgements, message);
+        reportIfLate(lateAcknowledgementReporter, message);
         folder.journal().conclude(message);
         scheduler.submit(new Event.CompletionAcknowledged(message.number));
     }
 
-    private void report(LateCompletionReporter reporter, AcceptedMessage message) {
+    private void reportIfLate(LateCompletionReporter reporter, AcceptedMessage message) {
         reporter.passed(message, folder.steadyMillis()).ifPresent(LogEvent::warn);
     }
 }
--- a/sender/src/main/java/amberroute/sender/MessageRecovery.java
+++ b/sender/src/main/java/amberroute/sender/MessageRecovery.java
@@ -23,7 +23,7 @@
 final class MessageRecovery {
     private static final long MICROS_PER_MILLI = 1_000;
     /** Of an uncertain attempt that never was. */
-    private static final long NOT_UNCERTAIN = -1;
+    private static final long NO_UNKNOWN_OUTCOME = -1;
 
     private final StateFolder folder;
     private final MessageTable messages;
@@ -55,36 +55,37 @@
 
     /** Applies the transferred endpoint list, where there is one. Returns its endpoints that are about to leave. */
     JsonArray applyTransferredEndpoints() {
-        if (transfers.state() == null) {
+        if (transfers.transferredState() == null) {
             return new JsonArray();
         }
-        Set<String> called = new HashSet<>();
-        transfers.state().callsInFlight().forEach(call -> called.add(call.uid()));
-        JsonArray leaving = endpoints.takeOver(transfers.state().endpointList(), called);
-        for (TransferredState.CallInFlight call : transfers.state().callsInFlight()) {
+        Set<String> calledEndpointUids = new HashSet<>();
+        transfers.transferredState().callsInFlight().forEach(call -> calledEndpointUids.add(call.uid()));
+        JsonArray leavingEndpoints =
+                endpoints.takeOver(transfers.transferredState().endpointList(), calledEndpointUids);
+        for (TransferredState.CallInFlight call : transfers.transferredState().callsInFlight()) {
             if (endpoints.listed(call.uid())) {
-                transfers.callsInFlight().addAll(call.numbers());
+                transfers.transferredCallMessages().addAll(call.numbers());
             } else {
                 // The scheduler cannot know of a call to an unknown endpoint, and would make it a second time.
                 call.numbers().forEach(transfers.incoming()::cancel);
             }
         }
-        return leaving;
+        return leavingEndpoints;
     }
 
     /**
      * Brings health, classes, key holds and messages to the scheduler. {@code leaving} is the result of
      * {@link #applyTransferredEndpoints}; {@code settings} puts the settings in force once the journal's classes are known.
      */
-    void restore(JsonArray leaving, Runnable settings) {
+    void restore(JsonArray leavingEndpoints, Runnable applySettings) {
         restoreHealth();
         folder.journal().classes().forEach(messages.classes()::restore);
-        settings.run();
+        applySettings.run();
         folder.journal().expireKeyHolds(folder.steadyMillis());
         restoreMessages();
-        if (transfers.state() != null) {
-            resumeCalls();
-            endpoints.release(leaving);
+        if (transfers.transferredState() != null) {
+            restoreTransferredState();
+            endpoints.release(leavingEndpoints);
         }
     }
 
@@ -104,24 +105,24 @@
     private void restoreHealth() {
         folder.journal()
                 .healthRecords()
-                .forEach(health -> fleet.healthFound(
-                        health.destination(),
-                        health.health(),
+                .forEach(healthRecord -> fleet.onHealthChanged(
+                        healthRecord.destination(),
+                        healthRecord.health(),
                         Math.max(
                                 0,
                                 SchedulerClock.micros()
-                                        - (folder.steadyMillis() - health.sinceMillis()) * MICROS_PER_MILLI)));
+                                        - (folder.steadyMillis() - healthRecord.sinceMillis()) * MICROS_PER_MILLI)));
         folder.journal()
                 .healthRecords()
-                .forEach(health -> scheduler.submit(new Event.HealthRestored(
+                .forEach(healthRecord -> scheduler.submit(new Event.HealthRestored(
                         new DeliveryScheduler.HealthCheckpoint(
-                                health.destination(),
-                                endpointNumber(health.uid()),
-                                health.health(),
+                                healthRecord.destination(),
+                                endpointNumber(healthRecord.uid()),
+                                healthRecord.health(),
                                 0,
-                                health.callsPerSecond(),
-                                health.usualLatencyMicros()),
-                        Math.max(0, folder.steadyMillis() - health.sinceMillis()) * MICROS_PER_MILLI)));
+                                healthRecord.callsPerSecond(),
+                                healthRecord.usualLatencyMicros()),
+                        Math.max(0, folder.steadyMillis() - healthRecord.sinceMillis()) * MICROS_PER_MILLI)));
     }
 
     private void restoreMessage(AcceptedMessage message) {
@@ -135,27 +136,27 @@
         if (message.pendingNotification != null) {
             resumeNotification(message);
         } else if (!message.offeredToPeer) {
-            boolean interrupted =
-                    message.attemptInFlight && !transfers.callsInFlight().contains(message.number);
-            if (interrupted) {
+            boolean attemptInterrupted = message.attemptInFlight
+                    && !transfers.transferredCallMessages().contains(message.number);
+            if (attemptInterrupted) {
                 folder.journal().outcome(message, true);
             }
             messages.accepted().put(message.number, message);
-            resume(message, interrupted);
+            resume(message, attemptInterrupted);
         }
     }
 
     /** Notifies the client of a completed message again; the next message of its key waits until that is acknowledged. */
     void resumeNotification(AcceptedMessage message) {
-        if (messages.ordered(message)) {
+        if (messages.isOrdered(message)) {
             scheduler.submit(new Event.CompletedMessageRecovered(message.number, message.key));
         }
         notifier.send(message);
     }
 
     /** Brings an accepted message to the scheduler; {@code interrupted} says that an attempt may still run unobserved. */
-    void resume(AcceptedMessage message, boolean interrupted) {
-        boolean callInFlight = transfers.callsInFlight().contains(message.number);
+    void resume(AcceptedMessage message, boolean attemptInterrupted) {
+        boolean callInFlight = transfers.transferredCallMessages().contains(message.number);
         scheduler.submit(new Event.MessageRecovered(
                 message.number,
                 message.classNumber,
@@ -163,31 +164,31 @@
                 (message.deadlineMillis - folder.steadyMillis()) * MICROS_PER_MILLI,
                 message.destination,
                 message.attempts - (callInFlight ? 1 : 0),
-                uncertainForMicros(message),
+                unknownOutcomeAgeMicros(message),
                 endpointNumber(message.unknownOutcomeEndpoint),
-                interrupted));
+                attemptInterrupted));
     }
 
-    private long uncertainForMicros(AcceptedMessage message) {
+    private long unknownOutcomeAgeMicros(AcceptedMessage message) {
         if (message.unknownOutcomeSinceMillis == 0) {
-            return NOT_UNCERTAIN;
+            return NO_UNKNOWN_OUTCOME;
         }
         return folder.clock().interrupted(message.unknownOutcomeSinceMillis)
                 ? SchedulerDriver.UNLIMITED_MICROS
                 : Math.max(0, (folder.steadyMillis() - message.unknownOutcomeSinceMillis) * MICROS_PER_MILLI);
     }
 
-    private long endpointNumber(String uid) {
-        return uid.isEmpty() ? 0 : endpoints.number(uid);
+    private long endpointNumber(String endpointUid) {
+        return endpointUid.isEmpty() ? 0 : endpoints.number(endpointUid);
     }
 
-    private void resumeCalls() {
-        TransferredState state = transfers.state();
-        long passedMicros = TimeUnit.NANOSECONDS.toMicros(Math.max(0, System.nanoTime() - state.atNanos()));
+    private void restoreTransferredState() {
+        TransferredState state = transfers.transferredState();
+        long sinceTransferMicros = TimeUnit.NANOSECONDS.toMicros(Math.max(0, System.nanoTime() - state.atNanos()));
         state.snapshots().forEach(snapshot -> scheduler.submit(new Event.UpstreamStateTransferred(snapshot)));
         for (TransferredState.CallInFlight call : state.callsInFlight()) {
             scheduler.submit(new Event.CallInFlight(
-                    call.numbers(), endpoints.number(call.uid()), call.sentAgoMicros() + passedMicros));
+                    call.numbers(), endpoints.number(call.uid()), call.sentAgoMicros() + sinceTransferMicros));
         }
         state.pausedKeys().forEach(pause -> scheduler.submit(new Event.KeyPaused(pause)));
     }
--- a/sender/src/main/java/amberroute/sender/MessageTable.java
+++ b/sender/src/main/java/amberroute/sender/MessageTable.java
@@ -12,8 +12,8 @@
 /** The messages that this sender delivers, those about to be accepted, and the versions of their classes. Event loop only. */
 final class MessageTable {
     private final Map<Long, AcceptedMessage> accepted = new HashMap<>();
-    private final Map<Long, PendingAcceptance> arriving = new LinkedHashMap<>();
-    private final Set<String> arrivingIds = new HashSet<>();
+    private final Map<Long, PendingAcceptance> pendingAcceptances = new LinkedHashMap<>();
+    private final Set<String> pendingAcceptanceIds = new HashSet<>();
     private MessageClassRegistry classes = new MessageClassRegistry();
 
     /** Messages in delivery by their number. */
@@ -22,13 +22,13 @@
     }
 
     /** Messages submitted since the last event loop iteration by their number, in the order of submission. */
-    Map<Long, PendingAcceptance> arriving() {
-        return arriving;
+    Map<Long, PendingAcceptance> pendingAcceptances() {
+        return pendingAcceptances;
     }
 
-    /** The ids of {@link #arriving}. */
-    Set<String> arrivingIds() {
-        return arrivingIds;
+    /** The ids of {@link #pendingAcceptances}. */
+    Set<String> pendingAcceptanceIds() {
+        return pendingAcceptanceIds;
     }
 
     MessageClassRegistry classes() {
@@ -37,18 +37,18 @@
 
     /** The number of messages that count against the bound on pending messages. */
     int pendingCount() {
-        return accepted.size() + arriving.size();
+        return accepted.size() + pendingAcceptances.size();
     }
 
     /** Whether the message must not overtake others of its key. */
-    boolean ordered(AcceptedMessage message) {
+    boolean isOrdered(AcceptedMessage message) {
         return message.key != 0
                 && message.classNumber >= 0
                 && classes.type(message.classNumber).ordered();
     }
 
     /** Whether an attempt may be repeated without harm, with an idempotency key or without. */
-    boolean repeatable(AcceptedMessage message) {
+    boolean isRetrySafe(AcceptedMessage message) {
         return classes.type(message.classNumber).idempotency() != DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
     }
 
@@ -56,7 +56,7 @@
     void clear() {
         classes = new MessageClassRegistry();
         accepted.clear();
-        arriving.clear();
-        arrivingIds.clear();
+        pendingAcceptances.clear();
+        pendingAcceptanceIds.clear();
     }
 }
--- a/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
+++ b/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
@@ -40,7 +40,7 @@
             process(result);
         } else if (transfers.outgoing() != null) {
             // The endpoint's state, Retry-After above all, counts again if this process reclaims the ownership.
-            scheduler.learn(completed(result));
+            scheduler.stepWithoutActions(completedEvent(result));
             transfers.outgoing().forwardOutcome(result, endpoints.uid(result.endpoint()));
         }
         // Else another daemon owns the replicated journal, and takes the attempt for one that may have run.
@@ -61,24 +61,24 @@
     /** Journals the outcome of an attempt and reports it to the scheduler. */
     void process(UpstreamClient.Result result) {
         AcceptedMessage message = result.message();
-        fleet.attemptCompleted(message.destination, result.outcome());
+        fleet.onAttemptCompleted(message.destination, result.outcome());
         if (result.messageCompleted()) {
-            conclude(message, result.outcome());
+            completeMessage(message, result.outcome());
         } else if (messages.accepted().containsKey(message.number)) {
             folder.journal().outcome(message, result.outcome().mayHaveRun());
         }
-        scheduler.submit(completed(result));
+        scheduler.submit(completedEvent(result));
     }
 
-    private void conclude(AcceptedMessage message, AttemptOutcome outcome) {
+    private void completeMessage(AcceptedMessage message, AttemptOutcome outcome) {
         folder.journal().conclude(message);
         if (messages.accepted().remove(message.number) != null && outcome == AttemptOutcome.OK) {
             metrics.completed(message.className, SenderMetrics.MessageResult.OK);
-            fleet.delivered(message.destination);
+            fleet.onDelivery(message.destination);
         }
     }
 
-    private static Event completed(UpstreamClient.Result result) {
+    private static Event completedEvent(UpstreamClient.Result result) {
         return new Event.AttemptCompleted(
                 result.message().number,
                 result.attempt(),
--- a/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
@@ -23,12 +23,12 @@
  * transfer and the readiness of this process. Runs on the thread that starts the sender, which blocks meanwhile.
  */
 final class OwnershipAcquisition {
-    private static final long TIMEOUT_MS = 20_000;
-    private static final long RETRY_MS = 20;
+    private static final long TRANSFER_TIMEOUT_MS = 20_000;
+    private static final long RETRY_INTERVAL_MS = 20;
     /** How long the endpoint list may take to come before the transfer is requested. */
     private static final long ENDPOINT_LIST_TIMEOUT_MS = 700;
     /** The time left of a message in the rehearsal. */
-    private static final long REHEARSED_TIME_LEFT_MICROS = 1_000_000;
+    private static final long WARM_UP_TIME_LEFT_MICROS = 1_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -62,31 +62,31 @@
      *
      * @throws InvalidSettingsException if the owner does not transfer the folder in time
      */
-    void acquire(FolderOpener opener) throws IOException, InterruptedException {
+    void acquire(FolderOpener folderOpener) throws IOException, InterruptedException {
         loop.submit(endpoints::start).sync();
         long startNanos = System.nanoTime();
         while (millisSince(startNanos) < ENDPOINT_LIST_TIMEOUT_MS
                 && !loop.submit(endpoints::isCurrent).sync().getNow()) {
-            Thread.sleep(RETRY_MS);
+            Thread.sleep(RETRY_INTERVAL_MS);
         }
-        rehearse();
-        JsonObject transferred = requestUntilLocked(startNanos);
-        opener.open();
-        if (transferred != null) {
-            loop.submit(() -> readState(transferred)).sync();
+        warmUpRecovery();
+        JsonObject transferredJson = requestUntilLocked(startNanos);
+        folderOpener.open();
+        if (transferredJson != null) {
+            loop.submit(() -> readTransferredState(transferredJson)).sync();
         }
         logAcquisition();
     }
 
     private void logAcquisition() {
-        TransferredState state = transfers.state();
-        if (state == null) {
+        TransferredState transferredState = transfers.transferredState();
+        if (transferredState == null) {
             LogEvent.of("state_folder_became_free")
                     .with("folder", config.state())
                     .warn();
         } else {
             LogEvent.of("ownership_acquired")
-                    .with("calls_in_flight", state.callsInFlight().size())
+                    .with("calls_in_flight", transferredState.callsInFlight().size())
                     .warn();
         }
     }
@@ -95,27 +95,27 @@
         while (true) {
             IncomingTransfer incoming = new IncomingTransfer(loop, host);
             transfers.setIncoming(incoming);
-            JsonObject transferred = incoming.request(config.state());
+            JsonObject transferredJson = incoming.request(config.state());
             if (folder.tryLock()) {
-                return transferred;
+                return transferredJson;
             }
-            if (System.nanoTime() - startNanos > TIMEOUT_MS * NANOS_PER_MILLI) {
+            if (System.nanoTime() - startNanos > TRANSFER_TIMEOUT_MS * NANOS_PER_MILLI) {
                 throw new InvalidSettingsException(
                         "state folder " + config.state() + " is held by a process that does not give it");
             }
-            Thread.sleep(RETRY_MS);
+            Thread.sleep(RETRY_INTERVAL_MS);
         }
     }
 
-    private static long millisSince(long nanos) {
-        return (System.nanoTime() - nanos) / NANOS_PER_MILLI;
+    private static long millisSince(long startNanos) {
+        return (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 
     /** A state that cannot be read counts as a crash of the other process: its calls in flight are uncertain. */
-    private void readState(JsonObject transferred) {
+    private void readTransferredState(JsonObject transferredJson) {
         try {
-            transfers.setState(TransferredState.read(transferred, endpoints::number));
-            clientServer.servedUntil(transfers.state().atNanos());
+            transfers.setTransferredState(TransferredState.read(transferredJson, endpoints::number));
+            clientServer.servedUntil(transfers.transferredState().atNanos());
         } catch (RuntimeException e) {
             LogEvent.of("transferred_state_unreadable").cause(e).warn();
             transfers.incoming().close();
@@ -123,24 +123,24 @@
     }
 
     /** Runs the code of the recovery once without effect, so that its classes are loaded when it has to be quick. */
-    private void rehearse() {
+    private void warmUpRecovery() {
         try (Journal journal = Journal.openReadOnly(config.state())) {
-            DeliveryScheduler trial = SchedulerDriver.checked(config.settings());
-            long atMicros = SchedulerClock.micros();
+            DeliveryScheduler warmUpScheduler = SchedulerDriver.newCheckedScheduler(config.settings());
+            long nowMicros = SchedulerClock.micros();
             for (AcceptedMessage message : journal.pendingMessages()) {
                 Event event = new Event.MessageRecovered(
                         message.number,
                         Math.max(0, config.classes().indexOf(message.className)),
                         message.key,
-                        REHEARSED_TIME_LEFT_MICROS,
+                        WARM_UP_TIME_LEFT_MICROS,
                         message.destination,
                         message.attempts,
                         -1,
                         0,
                         false);
-                trial.step(atMicros, event, new ActionRecorder(SchedulerDriver.UNLIMITED_MICROS));
+                warmUpScheduler.step(nowMicros, event, new ActionRecorder(SchedulerDriver.UNLIMITED_MICROS));
             }
-            trial.step(atMicros, new Event.Decide(), new ActionRecorder(SchedulerDriver.UNLIMITED_MICROS));
+            warmUpScheduler.step(nowMicros, new Event.Decide(), new ActionRecorder(SchedulerDriver.UNLIMITED_MICROS));
         } catch (IOException | RuntimeException e) {
             LogEvent.of("recovery_rehearsal_skipped").cause(e).warn();
         }
--- a/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
@@ -26,7 +26,7 @@
  */
 final class OwnershipReclaim implements FolderReclaim.Host {
     /** Exit code of a process that cannot go on. */
-    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_CODE_FAILED = 1;
 
     /** What the reclaim asks of the sender. */
     interface Owner {
@@ -34,13 +34,13 @@
         void openFolder() throws IOException;
 
         /** Forgets all messages, as the journal says which are pending. */
-        void forgetMessages();
+        void clearMessages();
 
         /** Restores all messages from the journal, with {@code leaving} as the endpoint watch returned it. */
-        void restore(JsonArray leaving);
+        void restore(JsonArray leavingEndpoints);
 
         /** Serves again, with the stop that was requested meanwhile, if any. */
-        void serveAgain();
+        void resumeServing();
     }
 
     private final StateFolder folder;
@@ -93,57 +93,61 @@
     @Override
     public void resume() {
         connections.stopRetiring();
-        List<DeliveryScheduler.UpstreamSnapshot> snapshots = scheduler.snapshots();
-        List<DeliveryScheduler.KeyPause> pauses = scheduler.pausedKeys();
-        owner.forgetMessages();
-        OutgoingTransfer.UnacknowledgedWork unsettled = transfers.outgoing().takeBack();
-        JsonArray leaving = endpoints.resume(callsInFlight.endpointNumbers()::contains);
-        Map<Long, AcceptedMessage> live = new HashMap<>();
-        folder.journal().pendingMessages().forEach(message -> live.put(message.number, message));
-        upstream.rebind(item -> unsettledAttempt(live, item.message()));
-        List<UpstreamClient.Result> unsettledOutcomes = unsettled.outcomes().stream()
-                .map(result -> unsettledOutcome(live, result))
+        List<DeliveryScheduler.UpstreamSnapshot> upstreamSnapshots = scheduler.snapshots();
+        List<DeliveryScheduler.KeyPause> keyPauses = scheduler.pausedKeys();
+        owner.clearMessages();
+        OutgoingTransfer.UnacknowledgedWork unacknowledgedWork =
+                transfers.outgoing().takeBack();
+        JsonArray leavingEndpoints = endpoints.resume(callsInFlight.endpointNumbers()::contains);
+        Map<Long, AcceptedMessage> pendingByNumber = new HashMap<>();
+        folder.journal().pendingMessages().forEach(message -> pendingByNumber.put(message.number, message));
+        upstream.rebind(callMessage -> unfinishedAttempt(pendingByNumber, callMessage.message()));
+        List<UpstreamClient.Result> unjournaledOutcomes = unacknowledgedWork.outcomes().stream()
+                .map(result -> unjournaledOutcome(pendingByNumber, result))
                 .filter(Objects::nonNull)
                 .toList();
-        restore(leaving, callsWith(unsettledOutcomes), snapshots, pauses);
-        unsettledOutcomes.forEach(outcomes::process);
-        owner.serveAgain();
-        unsettled.submissions().forEach(again -> submissions.submitted(again.submission(), again.answer()));
+        restoreFromJournal(leavingEndpoints, callsToRestore(unjournaledOutcomes), upstreamSnapshots, keyPauses);
+        unjournaledOutcomes.forEach(outcomes::process);
+        owner.resumeServing();
+        unacknowledgedWork
+                .submissions()
+                .forEach(resubmission -> submissions.submitted(resubmission.submission(), resubmission.answer()));
         LogEvent.of("ownership_reclaimed")
                 .with("messages", messages.accepted().size())
                 .with("calls_in_flight", upstream.callCount())
-                .with("settled_outcomes", unsettledOutcomes.size())
-                .with("settled_submissions", unsettled.submissions().size())
+                .with("settled_outcomes", unjournaledOutcomes.size())
+                .with("settled_submissions", unacknowledgedWork.submissions().size())
                 .warn();
     }
 
-    private void restore(
-            JsonArray leaving,
+    private void restoreFromJournal(
+            JsonArray leavingEndpoints,
             List<TransferredState.CallInFlight> calls,
-            List<DeliveryScheduler.UpstreamSnapshot> snapshots,
-            List<DeliveryScheduler.KeyPause> pauses) {
-        transfers.setState(new TransferredState(System.nanoTime(), new JsonObject(), calls, snapshots, pauses));
-        calls.forEach(call -> transfers.callsInFlight().addAll(call.numbers()));
-        owner.restore(leaving);
-        transfers.clearState();
+            List<DeliveryScheduler.UpstreamSnapshot> upstreamSnapshots,
+            List<DeliveryScheduler.KeyPause> keyPauses) {
+        transfers.setTransferredState(
+                new TransferredState(System.nanoTime(), new JsonObject(), calls, upstreamSnapshots, keyPauses));
+        calls.forEach(call -> transfers.transferredCallMessages().addAll(call.numbers()));
+        owner.restore(leavingEndpoints);
+        transfers.clearTransferredState();
     }
 
     /** The attempt as the journal has it, null where the successor has gone on with the message, or completed it. */
-    private static UpstreamClient.CallMessage unsettledAttempt(
-            Map<Long, AcceptedMessage> live, AcceptedMessage before) {
-        AcceptedMessage current = live.get(before.number);
-        boolean unsettled = current != null
+    private static UpstreamClient.CallMessage unfinishedAttempt(
+            Map<Long, AcceptedMessage> pendingByNumber, AcceptedMessage previous) {
+        AcceptedMessage current = pendingByNumber.get(previous.number);
+        boolean unfinished = current != null
                 && current.pendingNotification == null
                 && current.attemptInFlight
-                && current.attempts == before.attempts
-                && current.attemptEndpoint.equals(before.attemptEndpoint);
-        return unsettled ? new UpstreamClient.CallMessage(current, current.attempts - 1) : null;
+                && current.attempts == previous.attempts
+                && current.attemptEndpoint.equals(previous.attemptEndpoint);
+        return unfinished ? new UpstreamClient.CallMessage(current, current.attempts - 1) : null;
     }
 
     /** An outcome that the successor was sent and has not journaled, null where it has. */
-    private static UpstreamClient.Result unsettledOutcome(
-            Map<Long, AcceptedMessage> live, UpstreamClient.Result result) {
-        UpstreamClient.CallMessage attempt = unsettledAttempt(live, result.message());
+    private static UpstreamClient.Result unjournaledOutcome(
+            Map<Long, AcceptedMessage> pendingByNumber, UpstreamClient.Result result) {
+        UpstreamClient.CallMessage attempt = unfinishedAttempt(pendingByNumber, result.message());
         return attempt == null
                 ? null
                 : new UpstreamClient.Result(
@@ -158,9 +162,9 @@
                         result.connectionIdleMicros());
     }
 
-    private List<TransferredState.CallInFlight> callsWith(List<UpstreamClient.Result> unsettledOutcomes) {
+    private List<TransferredState.CallInFlight> callsToRestore(List<UpstreamClient.Result> unjournaledOutcomes) {
         List<TransferredState.CallInFlight> calls = new ArrayList<>(callsInFlight.list());
-        unsettledOutcomes.forEach(result -> calls.add(new TransferredState.CallInFlight(
+        unjournaledOutcomes.forEach(result -> calls.add(new TransferredState.CallInFlight(
                 List.of(result.message().number), endpoints.uid(result.endpoint()), result.durationMicros())));
         return calls;
     }
@@ -174,6 +178,6 @@
 
     @Override
     public void failed() {
-        connections.finish(EXIT_FAILED);
+        connections.finish(EXIT_CODE_FAILED);
     }
 }
--- a/sender/src/main/java/amberroute/sender/OwnershipRelease.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipRelease.java
@@ -17,9 +17,9 @@
 /** Transfers the ownership of the messages to a successor process that asks for it. Event loop only. */
 final class OwnershipRelease implements OutgoingTransfer.Host {
     /** A message with less time left completes before the transfer: the successor's first iteration may come so late. */
-    private static final long TRANSFER_MS = 700;
+    private static final long MIN_TIME_LEFT_MS = 700;
     /** Idle client connections close in so many steps. */
-    private static final int RETIREMENT_STEPS = 100;
+    private static final int CONNECTION_RETIREMENT_STEPS = 100;
 
     private final LifecycleState lifecycle;
     private final StateFolder folder;
@@ -34,7 +34,7 @@
     private final ConnectionRetirement connections;
     private final PeerServices peers;
     private final OwnershipTransfers transfers;
-    private final Runnable reclaimer;
+    private final Runnable startReclaim;
 
     /** {@code reclaimer} starts the reclaim of the state folder. */
     OwnershipRelease(
@@ -43,7 +43,7 @@
             EndpointFileFollower endpointFile,
             CallsInFlight callsInFlight,
             ConnectionRetirement connections,
-            Runnable reclaimer) {
+            Runnable startReclaim) {
         lifecycle = state.lifecycle();
         folder = state.folder();
         messages = state.messages();
@@ -57,7 +57,7 @@
         this.endpointFile = endpointFile;
         this.callsInFlight = callsInFlight;
         this.connections = connections;
-        this.reclaimer = reclaimer;
+        this.startReclaim = startReclaim;
     }
 
     @Override
@@ -78,7 +78,7 @@
     public JsonObject releaseOwnership() {
         // Submissions that wait for the iteration are answered first, as neither process would own them.
         scheduler.runIteration();
-        completeDueSoon();
+        completeMessagesDueSoon();
         // Up to the end of this statement nothing has changed: if it fails, this process goes on.
         JsonObject state = stateToTransfer();
         lifecycle.releaseOwnership();
@@ -94,15 +94,15 @@
                 .with("messages", messages.accepted().size())
                 .with("calls_in_flight", upstream.callCount())
                 .warn();
-        int connectionsPerStep = 1 + clientServer.connections() / RETIREMENT_STEPS;
+        int connectionsPerStep = 1 + clientServer.connections() / CONNECTION_RETIREMENT_STEPS;
         connections.startRetiring(connectionsPerStep, transfers.outgoing()::unansweredSubmissions);
         return state;
     }
 
-    private void completeDueSoon() {
-        long until = folder.steadyMillis() + TRANSFER_MS;
+    private void completeMessagesDueSoon() {
+        long minDeadlineMillis = folder.steadyMillis() + MIN_TIME_LEFT_MS;
         for (AcceptedMessage message : List.copyOf(messages.accepted().values())) {
-            if (!message.attemptInFlight && message.deadlineMillis < until) {
+            if (!message.attemptInFlight && message.deadlineMillis < minDeadlineMillis) {
                 completion.completeUndelivered(message);
             }
         }
@@ -119,8 +119,8 @@
     }
 
     @Override
-    public void cancel(long number) {
-        AcceptedMessage message = messages.accepted().get(number);
+    public void cancel(long messageNumber) {
+        AcceptedMessage message = messages.accepted().get(messageNumber);
         if (message != null) {
             upstream.cancel(message, message.attempts - 1);
         }
@@ -128,6 +128,6 @@
 
     @Override
     public void successorGone() {
-        reclaimer.run();
+        startReclaim.run();
     }
 }
--- a/sender/src/main/java/amberroute/sender/OwnershipTransfers.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipTransfers.java
@@ -12,13 +12,13 @@
  * process may become it. Event loop only once the process serves.
  */
 final class OwnershipTransfers {
-    private final Set<Long> callsInFlight = new HashSet<>();
+    private final Set<Long> transferredCallMessages = new HashSet<>();
     /** Null where this process can give its ownership to no other. */
     private OutgoingTransfer outgoing;
     /** Null for a usual start. */
     private IncomingTransfer incoming;
     /** Null once all that was transferred is in place. */
-    private TransferredState state;
+    private TransferredState transferredState;
     /** Null until the successor process has gone for the first time. */
     private FolderReclaim reclaim;
 
@@ -39,23 +39,23 @@
     }
 
     /** The state that was transferred and is not in place yet, null where there is none. */
-    TransferredState state() {
-        return state;
+    TransferredState transferredState() {
+        return transferredState;
     }
 
-    void setState(TransferredState transferred) {
-        state = transferred;
+    void setTransferredState(TransferredState transferred) {
+        transferredState = transferred;
     }
 
-    /** The numbers of messages whose call another process has in flight, while {@link #state} is set. */
-    Set<Long> callsInFlight() {
-        return callsInFlight;
+    /** The numbers of messages whose call another process has in flight, while {@link #transferredState} is set. */
+    Set<Long> transferredCallMessages() {
+        return transferredCallMessages;
     }
 
     /** The transferred state is in place. */
-    void clearState() {
-        state = null;
-        callsInFlight.clear();
+    void clearTransferredState() {
+        transferredState = null;
+        transferredCallMessages.clear();
     }
 
     FolderReclaim reclaim() {
@@ -72,7 +72,7 @@
     }
 
     /** Whether a call with this message is in flight from the predecessor process. */
-    boolean calledByPredecessor(long number) {
-        return incoming != null && incoming.callInFlight(number);
+    boolean isCalledByPredecessor(long messageNumber) {
+        return incoming != null && incoming.callInFlight(messageNumber);
     }
 }
--- a/sender/src/main/java/amberroute/sender/PeerServices.java
+++ b/sender/src/main/java/amberroute/sender/PeerServices.java
@@ -33,7 +33,7 @@
     /** Set in a sender that continues the replicated journal of another daemon. */
     private JournalReplicator failoverReplicator;
 
-    private InetSocketAddress address;
+    private InetSocketAddress handoffAddress;
 
     PeerServices(SenderConfig config, EventLoop loop, StateFolder folder, LifecycleState lifecycle) {
         this.config = config;
@@ -59,17 +59,17 @@
     }
 
     /** Where peers hand over to this sender, null where they may not. */
-    InetSocketAddress address() {
-        return address;
+    InetSocketAddress handoffAddress() {
+        return handoffAddress;
     }
 
     /** Whether each change of the journal goes to other daemons before it counts. */
-    boolean replicated() {
+    boolean isReplicated() {
         return replication != null || failoverReplicator != null;
     }
 
     /** The number of messages that are offered to peers and not adopted yet. */
-    int offeredCount() {
+    int offeredMessageCount() {
         return handoff == null ? 0 : handoff.unansweredMessages();
     }
 
@@ -79,12 +79,12 @@
         if (standalone == null || standalone.survive() == null) {
             return;
         }
-        Map<String, InetSocketAddress> others = new LinkedHashMap<>(standalone.peers());
-        others.remove(config.name());
-        if (others.size() + 1 < standalone.survive().copies()) {
+        Map<String, InetSocketAddress> otherSenders = new LinkedHashMap<>(standalone.peers());
+        otherSenders.remove(config.name());
+        if (otherSenders.size() + 1 < standalone.survive().copies()) {
             LogEvent.of("replication_disabled")
                     .with("copies_configured", standalone.survive().copies())
-                    .with("senders", others.size() + 1)
+                    .with("senders", otherSenders.size() + 1)
                     .warn();
             return;
         }
@@ -92,7 +92,7 @@
                 loop,
                 config.name(),
                 standalone.zone(),
-                others,
+                otherSenders,
                 SchedulerClock::micros,
                 folder.steadyMillis(),
                 lifecycle::membershipPhase);
@@ -102,7 +102,7 @@
     /** Starts the handoff where peers are configured, or the journal has something of an earlier one. Returns whether it did. */
     boolean startHandoff(HandoffCoordinator.Host host) {
         StandaloneConfig.Standalone standalone = config.standalone();
-        if (standalone == null || !handoffNeeded(standalone)) {
+        if (standalone == null || !isHandoffNeeded(standalone)) {
             return false;
         }
         handoff = new HandoffCoordinator(
@@ -111,7 +111,7 @@
         return true;
     }
 
-    private boolean handoffNeeded(StandaloneConfig.Standalone standalone) {
+    private boolean isHandoffNeeded(StandaloneConfig.Standalone standalone) {
         return standalone.handOver() != null
                 || !standalone.peers().isEmpty()
                 || !folder.journal().handoffBatches().isEmpty()
@@ -124,28 +124,28 @@
             handoff.handleReplicationWith(replication);
         }
         if (handoff != null && config.standalone().handOver() != null) {
-            address = handoff.listen(config.standalone().handOver());
+            handoffAddress = handoff.listen(config.standalone().handOver());
         }
-        fleet.listen(address);
+        fleet.listen(handoffAddress);
         if (replication != null || fleet.reportsLoad()) {
-            Channel socket = fleet.datagramSocket(address, packet -> receive(packet, fleet));
-            loop.execute(() -> startDatagrams(socket, fleet));
+            Channel socket = fleet.datagramSocket(handoffAddress, packet -> onDatagram(packet, fleet));
+            loop.execute(() -> startDatagramServices(socket, fleet));
         }
     }
 
-    private void receive(DatagramPacket packet, FleetCoordination fleet) {
+    private void onDatagram(DatagramPacket packet, FleetCoordination fleet) {
         if (membership != null) {
             membership.onDatagram(packet);
         }
-        fleet.receive(packet);
+        fleet.onDatagram(packet);
     }
 
-    private void startDatagrams(Channel socket, FleetCoordination fleet) {
+    private void startDatagramServices(Channel socket, FleetCoordination fleet) {
         if (replication != null) {
             membership.start(socket);
             replication.start();
         }
-        fleet.startReporting(socket);
+        fleet.startLoadReporting(socket);
     }
 
     /** Closes the services. Not on the event loop. */
--- a/sender/src/main/java/amberroute/sender/PredecessorEvents.java
+++ b/sender/src/main/java/amberroute/sender/PredecessorEvents.java
@@ -15,7 +15,7 @@
 /** What the predecessor process reports after it has transferred the ownership to this one. Event loop only. */
 final class PredecessorEvents implements IncomingTransfer.Host {
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final long IDLE_UNKNOWN = -1;
+    private static final long IDLE_TIME_UNKNOWN = -1;
 
     private final StateFolder folder;
     private final MessageTable messages;
@@ -34,46 +34,49 @@
     }
 
     @Override
-    public void outcome(long number, String uid, AttemptOutcome ending, JsonObject report) {
+    public void outcome(long number, String endpointUid, AttemptOutcome attemptOutcome, JsonObject report) {
         AcceptedMessage message = messages.accepted().get(number);
         if (message != null) {
-            outcomes.process(report == null ? lost(message, ending) : reported(message, uid, ending, report));
+            outcomes.process(
+                    report == null
+                            ? lostResult(message, attemptOutcome)
+                            : reportedResult(message, endpointUid, attemptOutcome, report));
         }
     }
 
     /** The predecessor is gone, and with it the outcome of its call. */
-    private UpstreamClient.Result lost(AcceptedMessage message, AttemptOutcome ending) {
+    private UpstreamClient.Result lostResult(AcceptedMessage message, AttemptOutcome attemptOutcome) {
         return new UpstreamClient.Result(
                 message,
                 message.attempts - 1,
                 endpoints.number(message.attemptEndpoint),
-                ending,
+                attemptOutcome,
                 Math.max(0, folder.steadyMillis() - message.attemptSentAtMillis) * MICROS_PER_MILLI,
                 false,
                 0,
                 List.of(),
-                IDLE_UNKNOWN);
+                IDLE_TIME_UNKNOWN);
     }
 
-    private UpstreamClient.Result reported(
-            AcceptedMessage message, String uid, AttemptOutcome ending, JsonObject report) {
-        long endpoint = endpoints.number(uid);
-        long retryAfter = report.get("wait").getAsLong();
+    private UpstreamClient.Result reportedResult(
+            AcceptedMessage message, String endpointUid, AttemptOutcome attemptOutcome, JsonObject report) {
+        long endpoint = endpoints.number(endpointUid);
+        long retryAfterMicros = report.get("wait").getAsLong();
         UpstreamClient.Route route = endpoints.route(endpoint);
-        if (retryAfter > 0 && route != null) {
-            upstream.preventWrites(other -> other.waitGroup().equals(route.waitGroup()));
+        if (retryAfterMicros > 0 && route != null) {
+            upstream.preventWrites(otherRoute -> otherRoute.waitGroup().equals(route.waitGroup()));
         }
-        List<Double> load = new ArrayList<>();
-        report.getAsJsonArray("report").forEach(value -> load.add(value.getAsDouble()));
+        List<Double> loadReport = new ArrayList<>();
+        report.getAsJsonArray("report").forEach(value -> loadReport.add(value.getAsDouble()));
         return new UpstreamClient.Result(
                 message,
                 message.attempts - 1,
                 endpoint,
-                ending,
+                attemptOutcome,
                 report.get("took").getAsLong(),
                 report.get("closed").getAsBoolean(),
-                retryAfter,
-                load,
+                retryAfterMicros,
+                loadReport,
                 report.get("idle").getAsLong());
     }
 
--- a/sender/src/main/java/amberroute/sender/ReclaimOwner.java
+++ b/sender/src/main/java/amberroute/sender/ReclaimOwner.java
@@ -11,36 +11,36 @@
 final class ReclaimOwner implements OwnershipReclaim.Owner {
     private final SenderState state;
     private final DeliveryComponents delivery;
-    private final LifecycleComponents lifecycle;
-    private final OwnershipAcquisition.FolderOpener opener;
-    private final ConfigSource source;
+    private final LifecycleComponents lifecycleComponents;
+    private final OwnershipAcquisition.FolderOpener folderOpener;
+    private final ConfigSource configSource;
 
     /** {@code opener} opens the state folder; {@code source} is read again, as the successor may have been told to. */
     ReclaimOwner(
             SenderState state,
             DeliveryComponents delivery,
-            LifecycleComponents lifecycle,
-            OwnershipAcquisition.FolderOpener opener,
-            ConfigSource source) {
+            LifecycleComponents lifecycleComponents,
+            OwnershipAcquisition.FolderOpener folderOpener,
+            ConfigSource configSource) {
         this.state = state;
         this.delivery = delivery;
-        this.lifecycle = lifecycle;
-        this.opener = opener;
-        this.source = source;
+        this.lifecycleComponents = lifecycleComponents;
+        this.folderOpener = folderOpener;
+        this.configSource = configSource;
     }
 
     @Override
     public void openFolder() throws IOException {
-        opener.open();
+        folderOpener.open();
         state.transfers().outgoing().listen(state.config().state());
     }
 
     @Override
-    public void forgetMessages() {
+    public void clearMessages() {
         delivery.scheduler.reset();
         state.messages().clear();
         delivery.keyHolds.clear();
-        delivery.attempts.clear();
+        delivery.attemptDispatcher.clear();
         state.lifecycle().regainOwnership();
     }
 
@@ -48,30 +48,32 @@
     public void restore(JsonArray leavingEndpoints) {
         delivery.recovery.restore(
                 leavingEndpoints,
-                () -> lifecycle.settingsActivation.apply(state.activeSettings().config()));
+                () -> lifecycleComponents.settingsActivation.apply(
+                        state.activeSettings().config()));
     }
 
     @Override
-    public void serveAgain() {
-        if (!lifecycle.connections.closing()) {
+    public void resumeServing() {
+        if (!lifecycleComponents.connections.closing()) {
             delivery.clientServer.resume();
         }
-        lifecycle.endpointFile.start();
+        lifecycleComponents.endpointFile.start();
         state.lifecycle().enter(LifecyclePhase.READY);
-        if (lifecycle.connections.draining()) {
-            stopWithin(lifecycle.connections.millisLeft());
+        if (lifecycleComponents.connections.draining()) {
+            beginStop(lifecycleComponents.connections.millisLeft());
         }
-        if (source.environment() != null && lifecycle.settingsReload.changed(source.environment())) {
-            new Thread(() -> lifecycle.settingsReload.reload(source.environment()), "reload").start();
+        if (configSource.environment() != null
+                && lifecycleComponents.settingsReload.hasChanged(configSource.environment())) {
+            new Thread(() -> lifecycleComponents.settingsReload.reload(configSource.environment()), "reload").start();
         }
     }
 
     /** Begins the stop that was requested while another process owned the messages. */
-    private void stopWithin(long withinMillis) {
+    private void beginStop(long withinMillis) {
         if (state.config().standalone() == null) {
             delivery.scheduler.submit(new Event.ShutdownStarted(TimeUnit.MILLISECONDS.toMicros(withinMillis)));
         } else {
-            lifecycle.shutdown.begin(ShutdownMode.RESTART, withinMillis);
+            lifecycleComponents.shutdown.begin(ShutdownMode.RESTART, withinMillis);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
@@ -17,7 +17,7 @@
 /** What the replication asks of this sender: to end when its journal goes on elsewhere, and to continue a failed daemon's journal. */
 final class ReplicationHostAdapter implements ReplicationCoordinator.Host {
     /** Exit code of a process whose journal goes on elsewhere; it may be started again, and begins a new journal. */
-    private static final int EXIT_SUPERSEDED = 7;
+    private static final int EXIT_CODE_SUPERSEDED = 7;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -30,41 +30,41 @@
     private final EventLoop loop;
     private final ActiveSettings activeSettings;
     private final PeerServices peers;
-    private final SenderFactory senders;
+    private final SenderFactory senderFactory;
 
     ReplicationHostAdapter(
             SenderConfig config,
             EventLoop loop,
             ActiveSettings activeSettings,
             PeerServices peers,
-            SenderFactory senders) {
+            SenderFactory senderFactory) {
         this.config = config;
         this.loop = loop;
         this.activeSettings = activeSettings;
         this.peers = peers;
-        this.senders = senders;
+        this.senderFactory = senderFactory;
     }
 
     @Override
-    public void fenced(String why) {
+    public void fenced(String reason) {
         LogEvent.of("journal_superseded")
-                .with("reason", why)
-                .with("exit_code", EXIT_SUPERSEDED)
+                .with("reason", reason)
+                .with("exit_code", EXIT_CODE_SUPERSEDED)
                 .warn();
         SupersededReplicas.markSuperseded(config.state());
-        Runtime.getRuntime().halt(EXIT_SUPERSEDED);
+        Runtime.getRuntime().halt(EXIT_CODE_SUPERSEDED);
     }
 
     @Override
     public ReplicationCoordinator.Failover startFailover(ReplicaStore.StoredReplica replica, Path folder, long term)
             throws IOException {
-        Map<String, InetSocketAddress> others =
+        Map<String, InetSocketAddress> failoverPeers =
                 new LinkedHashMap<>(config.standalone().peers());
-        others.put(config.name(), peers.address());
+        failoverPeers.put(config.name(), peers.handoffAddress());
         // Under the failed daemon's name: that daemon may come back, and has to hold these keys like any peer.
         SenderConfig failoverConfig = config.forFailover(
-                replica.journalId, folder, config.standalone().forFailover(others));
-        return new FailoverSender(loop, peers.replication(), senders.create(failoverConfig), replica, term);
+                replica.journalId, folder, config.standalone().forFailover(failoverPeers));
+        return new FailoverSender(loop, peers.replication(), senderFactory.create(failoverConfig), replica, term);
     }
 
     @Override
--- a/sender/src/main/java/amberroute/sender/SchedulerActions.java
+++ b/sender/src/main/java/amberroute/sender/SchedulerActions.java
@@ -24,7 +24,7 @@
     private final MessageTable messages;
     private final SchedulerDriver scheduler;
     private final MessageCompletion completion;
-    private final AttemptDispatcher attempts;
+    private final AttemptDispatcher attemptDispatcher;
     private final EndpointWatch endpoints;
     private final UpstreamClient upstream;
     private final FleetCoordination fleet;
@@ -34,7 +34,7 @@
             SenderState state,
             SchedulerDriver scheduler,
             MessageCompletion completion,
-            AttemptDispatcher attempts,
+            AttemptDispatcher attemptDispatcher,
             EndpointWatch endpoints,
             UpstreamClient upstream,
             FleetCoordination fleet) {
@@ -43,7 +43,7 @@
         transfers = state.transfers();
         this.scheduler = scheduler;
         this.completion = completion;
-        this.attempts = attempts;
+        this.attemptDispatcher = attemptDispatcher;
         this.endpoints = endpoints;
         this.upstream = upstream;
         this.fleet = fleet;
@@ -78,23 +78,23 @@
         if (message == null) {
             return;
         }
-        if (transfers.calledByPredecessor(message.number)) {
+        if (transfers.isCalledByPredecessor(message.number)) {
             transfers.incoming().cancel(message.number);
         } else {
-            attempts.cancel(message, cancel.attempt());
+            attemptDispatcher.cancel(message, cancel.attempt());
         }
     }
 
-    private void saveCheckpoint(DeliveryScheduler.HealthCheckpoint health) {
-        fleet.healthFound(health.destination(), health.status(), health.sinceMicros());
+    private void saveCheckpoint(DeliveryScheduler.HealthCheckpoint checkpoint) {
+        fleet.onHealthChanged(checkpoint.destination(), checkpoint.status(), checkpoint.sinceMicros());
         folder.journal()
                 .recordHealth(new HealthRecord(
-                        health.destination(),
-                        endpoints.uid(health.endpoint()),
-                        health.status(),
-                        folder.steadyMillis() - health.sinceMicros() / MICROS_PER_MILLI,
-                        health.callsPerSecond(),
-                        health.usualLatencyMicros()));
+                        checkpoint.destination(),
+                        endpoints.uid(checkpoint.endpoint()),
+                        checkpoint.status(),
+                        folder.steadyMillis() - checkpoint.sinceMicros() / MICROS_PER_MILLI,
+                        checkpoint.callsPerSecond(),
+                        checkpoint.usualLatencyMicros()));
     }
 
     /** Microseconds in milliseconds, rounded up so that a client never comes too early. */
--- a/sender/src/main/java/amberroute/sender/SchedulerDriver.java
+++ b/sender/src/main/java/amberroute/sender/SchedulerDriver.java
@@ -27,9 +27,9 @@
     /** Time without a limit, in microseconds; small enough for a sum in nanoseconds. */
     static final long UNLIMITED_MICROS = 1L << 50;
     /** The pause between two iterations, as a multiple of the duration of the first one. */
-    private static final int PAUSE_MULTIPLE = 4;
+    private static final int PAUSE_TO_ITERATION_RATIO = 4;
     /** Interval of the check whether the first iteration may run. */
-    private static final long ENDPOINTS_CHECK_MS = 2;
+    private static final long ENDPOINTS_CHECK_INTERVAL_MS = 2;
 
     /** Carries out the actions of one iteration. */
     interface ActionHandler {
@@ -49,9 +49,9 @@
     private final List<TimedEvent> events = new ArrayList<>();
     private DeliveryScheduler scheduler;
     private Future<?> timer;
-    private boolean iterationDue;
-    private long iterationEndedMicros;
-    private long iterationTookMicros;
+    private boolean iterationRequested;
+    private long lastIterationEndMicros;
+    private long lastIterationDurationMicros;
     private long longestIterationMicros;
 
     /** {@code endpointsSettled} tells for a time in nanoseconds whether the endpoint list is complete enough to decide with. */
@@ -75,7 +75,7 @@
      *
      * @throws InvalidSettingsException if it cannot work with them
      */
-    static DeliveryScheduler checked(DeliveryScheduler.Settings settings) {
+    static DeliveryScheduler newCheckedScheduler(DeliveryScheduler.Settings settings) {
         try {
             return new AtcDeliveryScheduler(settings, true);
         } catch (IllegalArgumentException e) {
@@ -83,9 +83,9 @@
         }
     }
 
-    /** A traced scheduler with the settings in force, which it checks as {@link #checked} does. */
-    static DeliveryScheduler newScheduler(ActiveSettings activeSettings) {
-        return DecisionTrace.around(checked(activeSettings.settings()), activeSettings.settings());
+    /** A traced scheduler with the settings in force, which it checks as {@link #newCheckedScheduler} does. */
+    static DeliveryScheduler newTracedScheduler(ActiveSettings activeSettings) {
+        return DecisionTrace.around(newCheckedScheduler(activeSettings.settings()), activeSettings.settings());
     }
 
     /**
@@ -101,7 +101,7 @@
     }
 
     /** Steps the scheduler through one event at once and drops the actions, for what it learns of it. */
-    void learn(Event event) {
+    void stepWithoutActions(Event event) {
         step(SchedulerClock.micros(), event);
         recorder.drain();
     }
@@ -116,7 +116,7 @@
 
     /** Starts over with a scheduler that knows no messages. */
     void reset() {
-        scheduler = newScheduler(activeSettings);
+        scheduler = newTracedScheduler(activeSettings);
         recorder.drain();
         events.clear();
     }
@@ -147,8 +147,8 @@
     }
 
     /** Counts a pause of the event loop outside an iteration as one. */
-    void recordPause(long micros) {
-        longestIterationMicros = Math.max(longestIterationMicros, micros);
+    void recordEventLoopPause(long pauseMicros) {
+        longestIterationMicros = Math.max(longestIterationMicros, pauseMicros);
     }
 
     /** The longest iteration in microseconds since the last call. */
@@ -163,13 +163,14 @@
      * iteration looks at all pending messages and must leave the loop time for I/O.
      */
     void requestIteration() {
-        if (iterationDue) {
+        if (iterationRequested) {
             return;
         }
-        iterationDue = true;
+        iterationRequested = true;
         long pauseMicros = Math.min(
-                iterationTookMicros * PAUSE_MULTIPLE, activeSettings.settings().tickMicros());
-        long delayMicros = iterationEndedMicros + pauseMicros - SchedulerClock.micros();
+                lastIterationDurationMicros * PAUSE_TO_ITERATION_RATIO,
+                activeSettings.settings().tickMicros());
+        long delayMicros = lastIterationEndMicros + pauseMicros - SchedulerClock.micros();
         if (delayMicros > 0) {
             loop.schedule(this::iterate, delayMicros, TimeUnit.MICROSECONDS);
         } else {
@@ -184,7 +185,7 @@
             return;
         }
         if (!lifecycle.ownershipReleased() && !endpointsSettled.test(System.nanoTime())) {
-            loop.schedule(this::iterate, ENDPOINTS_CHECK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::iterate, ENDPOINTS_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         runIteration();
@@ -192,19 +193,19 @@
 
     /** Runs an iteration at once, so that the scheduler knows all events when this returns. */
     void runIteration() {
-        iterationDue = false;
+        iterationRequested = false;
         if (lifecycle.ownershipReleased()) {
             return;
         }
         long startMicros = SchedulerClock.micros();
         List<TimedEvent> batch = List.copyOf(events);
         events.clear();
-        batch.forEach(timed -> step(timed.atMicros(), timed.event()));
+        batch.forEach(timedEvent -> step(timedEvent.atMicros(), timedEvent.event()));
         step(startMicros, new Event.Decide());
         handler.carryOut(recorder.drain());
-        iterationEndedMicros = SchedulerClock.micros();
-        iterationTookMicros = iterationEndedMicros - startMicros;
-        recordPause(iterationTookMicros);
+        lastIterationEndMicros = SchedulerClock.micros();
+        lastIterationDurationMicros = lastIterationEndMicros - startMicros;
+        recordEventLoopPause(lastIterationDurationMicros);
     }
 
     /** A defect that one event brings to light must not end the process with the messages of others. */
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -58,30 +58,30 @@
      * Netty's own log is off: it is not bounded, and with no descriptor left the first line of the JDK's logger cannot
      * load its time zones and ends the event loop with an error.
      */
-    private static final Logger NETTY = Logger.getLogger("io.netty");
+    private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     static {
-        NETTY.setLevel(Level.OFF);
+        NETTY_LOGGER.setLevel(Level.OFF);
     }
 
     private final SenderConfig config;
     /** The listening socket that the process was started with, null where it opens its own. */
-    private final ServerSocketChannel inherited;
+    private final ServerSocketChannel inheritedSocket;
     /** Null but in a sender that continues another daemon's journal, on the event loop of this one. */
     private final Sender parent;
 
-    private final ConfigSource source;
+    private final ConfigSource configSource;
 
     private final EventLoopStallDetector stallDetector;
-    private final EventLoopGroup group;
+    private final EventLoopGroup eventLoopGroup;
     private final EventLoop loop;
     private final LifecycleState lifecycle = new LifecycleState();
     private final ServiceManagerNotifier serviceManager;
     private final StateFolder folder;
     private final SenderState state;
-    private final ControlSocket control;
+    private final ControlSocket controlSocket;
     private final DeliveryComponents delivery;
-    private final LifecycleComponents lifecycleParts;
+    private final LifecycleComponents lifecycleComponents;
     /** Completed with the exit code when a stop is done; its sockets and files are then closed by {@link #stop}. */
     private final CompletableFuture<Integer> exitCode = new CompletableFuture<>();
     /** Published for the admin server, which has a thread of its own. */
@@ -94,26 +94,28 @@
     /**
      * Takes the lock on the state folder and opens it, unless another process has it that may transfer it.
      *
-     * @param inherited the socket that clients connect to, null if this process is to open one
+     * @param inheritedSocket the socket that clients connect to, null if this process is to open one
      * @param parent the sender on whose event loop this one runs, null for an event loop of its own
-     * @param source where the configuration comes from
+     * @param configSource where the configuration comes from
      * @throws IOException if the state folder cannot be used
      */
-    Sender(SenderConfig config, ServerSocketChannel inherited, Sender parent, ConfigSource source) throws IOException {
+    Sender(SenderConfig config, ServerSocketChannel inheritedSocket, Sender parent, ConfigSource configSource)
+            throws IOException {
         this.config = config;
-        this.inherited = inherited;
+        this.inheritedSocket = inheritedSocket;
         this.parent = parent;
-        this.source = source;
-        serviceManager = new ServiceManagerNotifier(source.environment() == null ? Map.of() : source.environment());
+        this.configSource = configSource;
+        serviceManager =
+                new ServiceManagerNotifier(configSource.environment() == null ? Map.of() : configSource.environment());
         ActiveSettings activeSettings = new ActiveSettings(config);
-        DeliveryScheduler scheduler = SchedulerDriver.newScheduler(activeSettings);
+        DeliveryScheduler scheduler = SchedulerDriver.newTracedScheduler(activeSettings);
         folder = new StateFolder(config);
         lockFolder();
         stallDetector = parent == null ? new EventLoopStallDetector() : parent.stallDetector;
-        group = parent == null ? newGroup(stallDetector) : parent.group;
-        loop = parent == null ? group.next() : parent.loop;
-        control = new ControlSocket(loop, this::onCommand);
-        if (!answersCommands()) {
+        eventLoopGroup = parent == null ? newEventLoopGroup(stallDetector) : parent.eventLoopGroup;
+        loop = parent == null ? eventLoopGroup.next() : parent.loop;
+        controlSocket = new ControlSocket(loop, this::onCommand);
+        if (!hasControlSocket()) {
             openFolderIfLocked();
         }
         state = new SenderState(
@@ -127,34 +129,35 @@
                 new OwnershipTransfers());
         publishedMetrics = state.metrics().snapshot(new SenderMetrics.Now(0, 0, 0));
         delivery = new DeliveryComponents(state, stallDetector, scheduler, this::carryOut);
-        lifecycleParts = new LifecycleComponents(state, delivery, serviceManager, source, exitCode, this::address);
-        if (transferable()) {
+        lifecycleComponents =
+                new LifecycleComponents(state, delivery, serviceManager, configSource, exitCode, this::address);
+        if (supportsOwnershipTransfer()) {
             state.transfers().setOutgoing(new OutgoingTransfer(loop, newOwnershipRelease()));
         }
-        if (answersCommands()) {
+        if (hasControlSocket()) {
             // Commands may come as soon as the folder is locked and while the journal opens: all parts have to exist.
             openFolderIfLocked();
         }
     }
 
     /** Whether this sender has a control socket. */
-    private boolean answersCommands() {
+    private boolean hasControlSocket() {
         return config.standalone() != null && parent == null;
     }
 
-    private boolean transferable() {
-        return inherited != null && TransferChannel.supported(config.state());
+    private boolean supportsOwnershipTransfer() {
+        return inheritedSocket != null && TransferChannel.supported(config.state());
     }
 
     private void lockFolder() throws IOException {
-        if (transferable()) {
+        if (supportsOwnershipTransfer()) {
             folder.tryLock();
         } else {
             folder.lock();
         }
     }
 
-    private static EventLoopGroup newGroup(EventLoopStallDetector stallDetector) {
+    private static EventLoopGroup newEventLoopGroup(EventLoopStallDetector stallDetector) {
         return new MultiThreadIoEventLoopGroup(
                 1,
                 MillisecondSelectStrategy.around(NioIoHandler.newFactory(SelectorProvider.provider(), stallDetector)));
@@ -167,9 +170,9 @@
         try {
             openFolder();
         } catch (IOException | RuntimeException e) {
-            control.close();
+            controlSocket.close();
             if (parent == null) {
-                group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+                eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             }
             folder.unlock();
             throw e;
@@ -184,8 +187,8 @@
         if (config.standalone() == null) {
             return;
         }
-        if (answersCommands()) {
-            control.listen(config.standalone().control());
+        if (hasControlSocket()) {
+            controlSocket.listen(config.standalone().control());
         }
         if (config.standalone().survive() != null) {
             SupersededReplicas.setAside(config.state());
@@ -196,28 +199,28 @@
         return new OwnershipRelease(
                 state,
                 delivery,
-                lifecycleParts.endpointFile,
-                lifecycleParts.callsInFlight,
-                lifecycleParts.connections,
+                lifecycleComponents.endpointFile,
+                lifecycleComponents.callsInFlight,
+                lifecycleComponents.connections,
                 this::startReclaim);
     }
 
     private void startReclaim() {
-        ReclaimOwner owner = new ReclaimOwner(state, delivery, lifecycleParts, this::openFolder, source);
-        OwnershipReclaim host =
-                new OwnershipReclaim(state, delivery, lifecycleParts.callsInFlight, lifecycleParts.connections, owner);
-        FolderReclaim reclaim = new FolderReclaim(loop, host);
+        ReclaimOwner owner = new ReclaimOwner(state, delivery, lifecycleComponents, this::openFolder, configSource);
+        OwnershipReclaim reclaimHost = new OwnershipReclaim(
+                state, delivery, lifecycleComponents.callsInFlight, lifecycleComponents.connections, owner);
+        FolderReclaim reclaim = new FolderReclaim(loop, reclaimHost);
         state.transfers().setReclaim(reclaim);
         reclaim.start();
     }
 
     private void onCommand(JsonObject request, Consumer<JsonObject> answer) {
-        lifecycleParts.commands.handle(request, answer);
+        lifecycleComponents.controlCommands.handle(request, answer);
     }
 
     /** Serves until the process is told to end; {@code hangup} says when to read the configuration again. */
-    public static void run(Map<String, String> environment, SignalHandlers hangup) throws IOException {
-        SenderDaemon.run(environment, hangup);
+    public static void run(Map<String, String> environment, SignalHandlers hangupSignal) throws IOException {
+        SenderDaemon.run(environment, hangupSignal);
     }
 
     /** Starts on an event loop of its own; tests use it too. */
@@ -226,14 +229,14 @@
     }
 
     /** Starts with a socket that listens already, from which other processes may accept as well. */
-    static Sender start(SenderConfig config, ServerSocketChannel inherited) throws IOException {
-        Sender sender = new Sender(config, inherited, null, ConfigSource.FIXED);
+    static Sender start(SenderConfig config, ServerSocketChannel inheritedSocket) throws IOException {
+        Sender sender = new Sender(config, inheritedSocket, null, ConfigSource.NOT_RELOADABLE);
         sender.start();
         return sender;
     }
 
     private Sender newFailoverSender(SenderConfig failoverConfig) throws IOException {
-        return new Sender(failoverConfig, null, this, ConfigSource.FIXED);
+        return new Sender(failoverConfig, null, this, ConfigSource.NOT_RELOADABLE);
     }
 
     /** Starts to serve. Not on the event loop. */
@@ -247,8 +250,8 @@
             loop.submit(this::recover).sync();
             delivery.peers.listen(delivery.fleet);
             if (config.standalone() != null) {
-                for (Path orphaned : config.standalone().adopt()) {
-                    lifecycleParts.adoption.adoptBeforeServing(orphaned);
+                for (Path orphanedFolder : config.standalone().adopt()) {
+                    lifecycleComponents.adoption.adoptBeforeServing(orphanedFolder);
                 }
             }
             listen();
@@ -310,9 +313,9 @@
         }
         restore(delivery.recovery.applyTransferredEndpoints());
         if (delivery.peers.startHandoff(newHandoffHost())) {
-            lifecycleParts.maintenance.startExpiry();
+            lifecycleComponents.maintenance.startExpiry();
         }
-        lifecycleParts.maintenance.start();
+        lifecycleComponents.maintenance.start();
         LogEvent.of("messages_recovered")
                 .with("messages", state.messages().accepted().size())
                 .warn();
@@ -327,13 +330,13 @@
                 delivery.recovery,
                 delivery.endpoints,
                 delivery.keyHolds,
-                lifecycleParts.shutdown);
+                lifecycleComponents.shutdown);
     }
 
     private void restore(JsonArray leavingEndpoints) {
         delivery.recovery.restore(
                 leavingEndpoints,
-                () -> lifecycleParts.settingsActivation.apply(
+                () -> lifecycleComponents.settingsActivation.apply(
                         state.activeSettings().config()));
     }
 
@@ -342,19 +345,19 @@
         if (parent != null) {
             return;
         }
-        address = inherited == null ? listenOnFreedAddress() : delivery.clientServer.listen(inherited);
+        address = inheritedSocket == null ? listenOnceAddressIsFree() : delivery.clientServer.listen(inheritedSocket);
     }
 
     /** Where this process replaces one that was fenced, that one's address is free only once it has found the fencing token. */
-    private InetSocketAddress listenOnFreedAddress() throws Exception {
-        boolean replaces =
+    private InetSocketAddress listenOnceAddressIsFree() throws Exception {
+        boolean replacesFencedProcess =
                 config.standalone() != null && !config.standalone().adopt().isEmpty();
         long startNanos = System.nanoTime();
         while (true) {
             try {
                 return delivery.clientServer.listen(config.listen());
             } catch (Exception e) {
-                if (!replaces
+                if (!replacesFencedProcess
                         || !(e instanceof BindException)
                         || System.nanoTime() - startNanos > LISTEN_TIMEOUT_MS * NANOS_PER_MILLI) {
                     throw e;
@@ -365,54 +368,54 @@
     }
 
     private void becomeReady() {
-        if (state.transfers().state() != null) {
-            state.transfers().incoming().open(state.transfers().callsInFlight());
-            state.transfers().clearState();
+        if (state.transfers().transferredState() != null) {
+            state.transfers().incoming().open(state.transfers().transferredCallMessages());
+            state.transfers().clearTransferredState();
         }
         lifecycle.enter(LifecyclePhase.READY);
         serviceManager.report("READY=1");
-        lifecycleParts.shutdown.ready();
-        lifecycleParts.endpointFile.start();
+        lifecycleComponents.shutdown.ready();
+        lifecycleComponents.endpointFile.start();
     }
 
     /** Carries out the actions of an event loop iteration. A failure of one action does not drop the others. */
     private void carryOut(List<SchedulerAction> actions) {
-        Log.guarded("accept", () -> delivery.acceptance.answerArrivals(actions));
-        actions.forEach(action -> Log.guarded("complete", () -> delivery.actions.complete(action)));
-        if (!lifecycleParts.shutdown.callsStopped()) {
-            Log.guarded("call", () -> delivery.attempts.startCalls(actions));
+        Log.guarded("accept", () -> delivery.acceptance.answerSubmissions(actions));
+        actions.forEach(action -> Log.guarded("complete", () -> delivery.schedulerActions.complete(action)));
+        if (!lifecycleComponents.shutdown.callsStopped()) {
+            Log.guarded("call", () -> delivery.attemptDispatcher.startCalls(actions));
         }
-        actions.forEach(action -> Log.guarded("other", () -> delivery.actions.carryOut(action)));
+        actions.forEach(action -> Log.guarded("other", () -> delivery.schedulerActions.carryOut(action)));
         folder.journal().compactSlice();
-        delivery.attempts.forgetCancelled();
+        delivery.attemptDispatcher.clearCancelledOnceDurable();
     }
 
     /** Reads the configuration again. Returns null, or why it is not taken. Not on the event loop. */
     String reload(Map<String, String> newEnvironment) {
-        return lifecycleParts.settingsReload.reload(newEnvironment);
+        return lifecycleComponents.settingsReload.reload(newEnvironment);
     }
 
     /** Ends at once, as a kill would but for the journal's file being closed. Not on the event loop. */
     void stop() {
         OwnershipTransfers transfers = state.transfers();
-        if (transfers.outgoing() != null && !group.isShuttingDown()) {
+        if (transfers.outgoing() != null && !eventLoopGroup.isShuttingDown()) {
             loop.submit(transfers.outgoing()::close).awaitUninterruptibly(CLOSE_TIMEOUT_MS);
         }
         if (transfers.reclaim() != null) {
             transfers.reclaim().cancel();
         }
-        control.close();
+        controlSocket.close();
         if (adminServer != null) {
             adminServer.close();
         }
         delivery.peers.close();
         delivery.fleet.close();
-        lifecycleParts.endpointFile.close();
+        lifecycleComponents.endpointFile.close();
         if (parent != null) {
             // The event loop is the parent's, and the failover sender closes the rest on it.
             return;
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         folder.close();
     }
 
@@ -428,15 +431,15 @@
         return delivery;
     }
 
-    LifecycleComponents lifecycleParts() {
-        return lifecycleParts;
+    LifecycleComponents lifecycleComponents() {
+        return lifecycleComponents;
     }
 
     // ---- For tests. ----
 
     /** Begins a stop. Event loop only. */
     void beginStop(ShutdownMode mode, long withinMillis) {
-        lifecycleParts.shutdown.begin(mode, withinMillis);
+        lifecycleComponents.shutdown.begin(mode, withinMillis);
     }
 
     /** Completed with the exit code when a stop is done. */
@@ -456,33 +459,33 @@
 
     /** Where peers hand over to this sender, null where they may not. */
     InetSocketAddress handoffAddress() {
-        return delivery.peers.address();
+        return delivery.peers.handoffAddress();
     }
 
     /** The number of messages that are not over yet, with those whose notification is not acknowledged. */
-    int pendingMessages() {
+    int pendingMessageCount() {
         return loop.submit(() -> folder.journal().pendingMessages().size())
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** The number of idle connections to upstreams. */
-    int idleUpstreamConnections() {
+    int idleUpstreamConnectionCount() {
         return loop.submit(delivery.upstream::idleConnections)
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** The number of open client connections. */
-    int clientConnections() {
+    int clientConnectionCount() {
         return loop.submit(delivery.clientServer::connections)
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** Whether an endpoint is listed as ready. */
-    boolean endpointReady(String uid) {
-        return loop.submit(() -> delivery.endpoints.isReady(delivery.endpoints.number(uid)))
+    boolean isEndpointReady(String endpointUid) {
+        return loop.submit(() -> delivery.endpoints.isReady(delivery.endpoints.number(endpointUid)))
                 .syncUninterruptibly()
                 .getNow();
     }
--- a/sender/src/main/java/amberroute/sender/SenderDaemon.java
+++ b/sender/src/main/java/amberroute/sender/SenderDaemon.java
@@ -15,9 +15,9 @@
 /** Runs a sender as a process: signals, shutdown hook and exit code. Not on the event loop. */
 final class SenderDaemon {
     /** Microseconds from SIGTERM to SIGKILL at least, less a margin. */
-    private static final long KILL_TIMEOUT_MICROS = 3_600_000;
+    private static final long SIGKILL_DELAY_MICROS = 3_600_000;
     /** The earliest SIGKILL behind SIGTERM that the draining of connections reckons with, in milliseconds. */
-    private static final long EARLIEST_KILL_MILLIS = 3_450;
+    private static final long EARLIEST_SIGKILL_MS = 3_450;
 
     private final Sender sender;
     private final SenderConfig config;
@@ -32,11 +32,11 @@
      *
      * @throws IOException if the sender cannot start
      */
-    static void run(Map<String, String> environment, SignalHandlers hangup) throws IOException {
+    static void run(Map<String, String> environment, SignalHandlers hangupSignal) throws IOException {
         long fingerprint = SenderConfig.fingerprint(environment);
         SenderConfig config = SenderConfig.read(environment);
-        ServerSocketChannel inherited = SenderConfig.inherits(environment) ? inheritedSocket() : null;
-        Sender sender = new Sender(config, inherited, null, new ConfigSource(environment, fingerprint));
+        ServerSocketChannel inheritedSocket = SenderConfig.inherits(environment) ? inheritedSocket() : null;
+        Sender sender = new Sender(config, inheritedSocket, null, new ConfigSource(environment, fingerprint));
         SenderDaemon daemon = new SenderDaemon(sender, config);
         if (config.standalone() != null) {
             daemon.handleStandaloneSignals();
@@ -45,7 +45,7 @@
             HeapReserve.commit();
         }
         sender.start();
-        hangup.then(() -> sender.reload(environment));
+        hangupSignal.then(() -> sender.reload(environment));
         if (config.standalone() == null) {
             daemon.handlePlatformSignals();
         }
@@ -97,9 +97,10 @@
         LogEvent.of("process_terminating")
                 .with("ownership", sender.state().lifecycle().ownershipReleased() ? "transferred" : "held_by_folder")
                 .warn();
-        ConnectionRetirement connections = sender.lifecycleParts().connections;
-        connections.drain(EARLIEST_KILL_MILLIS);
-        sender.loop().execute(() -> sender.delivery().scheduler.submit(new Event.ShutdownStarted(KILL_TIMEOUT_MICROS)));
+        ConnectionRetirement connections = sender.lifecycleComponents().connections;
+        connections.drain(EARLIEST_SIGKILL_MS);
+        sender.loop()
+                .execute(() -> sender.delivery().scheduler.submit(new Event.ShutdownStarted(SIGKILL_DELAY_MICROS)));
         connections.awaitFinished();
         LogEvent.of("process_exited").with("cause", "signal").warn();
     }
--- a/sender/src/main/java/amberroute/sender/SettingsActivation.java
+++ b/sender/src/main/java/amberroute/sender/SettingsActivation.java
@@ -46,7 +46,9 @@
         DeliveryScheduler.Settings settings = config.settings();
         Set<Integer> classesInUse = new HashSet<>();
         folder.journal().pendingMessages().forEach(message -> classesInUse.add(message.classNumber));
-        messages.arriving().values().forEach(arrival -> classesInUse.add(arrival.message().classNumber));
+        messages.pendingAcceptances()
+                .values()
+                .forEach(pendingAcceptance -> classesInUse.add(pendingAcceptance.message().classNumber));
         if (!messages.classes().take(config.classes(), settings.classes(), classesInUse::contains)) {
             return "held messages still need too many other classes";
         }
--- a/sender/src/main/java/amberroute/sender/SettingsReload.java
+++ b/sender/src/main/java/amberroute/sender/SettingsReload.java
@@ -50,7 +50,7 @@
     }
 
     /** Whether the configuration differs from the one that was read last. */
-    boolean changed(Map<String, String> environment) {
+    boolean hasChanged(Map<String, String> environment) {
         return SenderConfig.fingerprint(environment) != fingerprint;
     }
 
@@ -67,7 +67,7 @@
             if (rejection != null) {
                 throw new InvalidSettingsException(rejection);
             }
-            loop.execute(() -> applied(config));
+            loop.execute(() -> onApplied(config));
             return null;
         } catch (InvalidSettingsException | ConfigException | IOException e) {
             loop.execute(metrics::rejected);
@@ -84,17 +84,17 @@
             throw new InvalidSettingsException("another process has taken this one's place");
         }
         config.checkAgainst(startConfig);
-        SchedulerDriver.checked(config.settings());
+        SchedulerDriver.newCheckedScheduler(config.settings());
     }
 
-    private void applied(SenderConfig config) {
+    private void onApplied(SenderConfig config) {
         metrics.applied();
         LogEvent.of("configuration_applied")
                 .with("classes", config.classes().size())
                 .with("max_attempts", config.settings().limits().maxAttempts())
                 .warn();
         if (config.discovery() == null) {
-            endpointFile.readAgain();
+            endpointFile.reload();
         } else {
             LogEvent.of("discovery_address_set")
                     .with("address", config.discovery())
--- a/sender/src/main/java/amberroute/sender/ShutdownWork.java
+++ b/sender/src/main/java/amberroute/sender/ShutdownWork.java
@@ -35,7 +35,7 @@
 
     @Override
     public int pendingCount() {
-        return messages.pendingCount() + submissions.deferredCount() + peers.offeredCount();
+        return messages.pendingCount() + submissions.deferredCount() + peers.offeredMessageCount();
     }
 
     @Override
@@ -56,7 +56,7 @@
     @Override
     public void announceKeys() {
         if (peers.handoff() != null) {
-            peers.handoff().announceKeyHolds(keyHolds.orderedKeys());
+            peers.handoff().announceKeyHolds(keyHolds.latestCompletionByKey());
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/StatusReport.java
+++ b/sender/src/main/java/amberroute/sender/StatusReport.java
@@ -51,8 +51,8 @@
         status.addProperty("state", lifecycle.phase().wireName());
         status.addProperty("for_ms", lifecycle.millisInPhase());
         if (lifecycle.phase() != LifecyclePhase.STARTING) {
-            InetSocketAddress listen = listenAddress.get();
-            status.addProperty("listen", listen.getAddress().getHostAddress() + ":" + listen.getPort());
+            InetSocketAddress address = listenAddress.get();
+            status.addProperty("listen", address.getAddress().getHostAddress() + ":" + address.getPort());
             status.addProperty("held", messages.accepted().size());
             status.addProperty("calls", upstream.callCount());
             status.addProperty("notices", notifier.pending());
--- a/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
@@ -39,18 +39,18 @@
     private final ShutdownCoordinator shutdown;
     private final IntSupplier deferredCount;
     /** Spreads the return of rejected clients; nothing that has to be reproducible depends on it. */
-    private final SplittableRandom random = new SplittableRandom();
+    private final SplittableRandom retryJitter = new SplittableRandom();
     /** Checks that come before a submission counts as demand for its destination, in this order. */
     private final List<Check> checksBeforeDemand = List.of(
             this::checkOwnership,
             this::checkKnownId,
-            this::checkKnownIdOfFailover,
+            this::checkKnownIdInFailover,
             this::checkReplicas,
             this::checkStopping,
             this::checkClass,
             this::checkDestination);
     /** What postpones or rejects a valid submission, in this order. */
-    private final List<Check> loadChecks = List.of(this::checkArrivingId, this::checkCapacity);
+    private final List<Check> checksAfterDemand = List.of(this::checkPendingId, this::checkCapacity);
 
     /** {@code deferredCount} is the number of submissions deferred for a key whose owner is unknown. */
     SubmissionAdmission(
@@ -73,15 +73,15 @@
 
     /** Decides on a submission. A valid one counts as demand for its destination, whatever is decided then. */
     SubmissionVerdict decide(ClientServer.Submission submission) {
-        Optional<SubmissionVerdict> verdict = first(checksBeforeDemand, submission);
+        Optional<SubmissionVerdict> verdict = firstVerdict(checksBeforeDemand, submission);
         if (verdict.isPresent()) {
             return verdict.get();
         }
-        fleet.submitted(submission.destination(), messageClass(submission).priorityWeight());
-        return first(loadChecks, submission).orElseGet(SubmissionVerdict.Accept::new);
+        fleet.onSubmission(submission.destination(), messageClass(submission).priorityWeight());
+        return firstVerdict(checksAfterDemand, submission).orElseGet(SubmissionVerdict.Accept::new);
     }
 
-    private static Optional<SubmissionVerdict> first(List<Check> checks, ClientServer.Submission submission) {
+    private static Optional<SubmissionVerdict> firstVerdict(List<Check> checks, ClientServer.Submission submission) {
         for (Check check : checks) {
             Optional<SubmissionVerdict> verdict = check.check(submission);
             if (verdict.isPresent()) {
@@ -102,7 +102,7 @@
         return Optional.of(duplicateOf(folder.journal(), submission, SubmissionVerdict.RejectionReason.ID_REUSED));
     }
 
-    private Optional<SubmissionVerdict> checkKnownIdOfFailover(ClientServer.Submission submission) {
+    private Optional<SubmissionVerdict> checkKnownIdInFailover(ClientServer.Submission submission) {
         Journal journal =
                 peers.replication() == null ? null : peers.replication().failoverJournalKnowing(submission.id());
         if (journal == null) {
@@ -112,15 +112,15 @@
     }
 
     private static SubmissionVerdict duplicateOf(
-            Journal journal, ClientServer.Submission submission, SubmissionVerdict.RejectionReason ifDifferent) {
-        int content = AcceptedMessage.content(
+            Journal journal, ClientServer.Submission submission, SubmissionVerdict.RejectionReason reasonIfDifferent) {
+        int contentHash = AcceptedMessage.content(
                 submission.className(),
                 submission.key(),
                 submission.destination(),
                 submission.idempotencyKey(),
                 submission.body());
-        return journal.differs(submission.id(), content)
-                ? new SubmissionVerdict.Reject(ifDifferent, 0)
+        return journal.differs(submission.id(), contentHash)
+                ? new SubmissionVerdict.Reject(reasonIfDifferent, 0)
                 : new SubmissionVerdict.Duplicate(journal);
     }
 
@@ -129,9 +129,9 @@
         if (peers.replication() == null || peers.replication().isReady() || shutdown.stopping()) {
             return Optional.empty();
         }
-        boolean advise = activeSettings.settings().limits().retryAdviceAllowed();
+        boolean adviseRetry = activeSettings.settings().limits().retryAdviceAllowed();
         return Optional.of(new SubmissionVerdict.Reject(
-                SubmissionVerdict.RejectionReason.TOO_FEW_REPLICAS, advise ? TOO_FEW_REPLICAS_RETRY_MS : 0));
+                SubmissionVerdict.RejectionReason.TOO_FEW_REPLICAS, adviseRetry ? TOO_FEW_REPLICAS_RETRY_MS : 0));
     }
 
     private Optional<SubmissionVerdict> checkStopping(ClientServer.Submission submission) {
@@ -144,16 +144,16 @@
                         && messageClass(submission).ordered()
                 ? submission.key()
                 : 0;
-        boolean mayMove = peers.handoff() != null && orderedKey != 0;
-        if (mayMove
+        boolean mayBeHandedOver = peers.handoff() != null && orderedKey != 0;
+        if (mayBeHandedOver
                 && peers.handoff().isHoldUndecided(orderedKey)
                 && deferredCount.getAsInt() < MAX_DEFERRED_SUBMISSIONS) {
             return new SubmissionVerdict.Defer(SubmissionVerdict.DeferReason.KEY_OWNER_UNKNOWN);
         }
-        long adviceMillis = shutdown.retryAdviceMillis(random.nextDouble());
-        long keyMovedMillis = mayMove ? peers.handoff().retryElsewhereDelayMillis(orderedKey) : 0;
+        long retryAdviceMillis = shutdown.retryAdviceMillis(retryJitter.nextDouble());
+        long handedOverKeyRetryMillis = mayBeHandedOver ? peers.handoff().retryElsewhereDelayMillis(orderedKey) : 0;
         return new SubmissionVerdict.Reject(
-                SubmissionVerdict.RejectionReason.STOPPING, Math.max(adviceMillis, keyMovedMillis));
+                SubmissionVerdict.RejectionReason.STOPPING, Math.max(retryAdviceMillis, handedOverKeyRetryMillis));
     }
 
     private Optional<SubmissionVerdict> checkClass(ClientServer.Submission submission) {
@@ -168,8 +168,8 @@
                 : Optional.of(new SubmissionVerdict.Invalid(SubmissionVerdict.InvalidReason.UNKNOWN_DESTINATION));
     }
 
-    private Optional<SubmissionVerdict> checkArrivingId(ClientServer.Submission submission) {
-        return messages.arrivingIds().contains(submission.id())
+    private Optional<SubmissionVerdict> checkPendingId(ClientServer.Submission submission) {
+        return messages.pendingAcceptanceIds().contains(submission.id())
                 ? Optional.of(new SubmissionVerdict.Defer(SubmissionVerdict.DeferReason.DUPLICATE_ARRIVING))
                 : Optional.empty();
     }
--- a/sender/src/main/java/amberroute/sender/SubmissionHandler.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionHandler.java
@@ -27,7 +27,7 @@
     private final PeerServices peers;
     private final OwnershipTransfers transfers;
     private final List<DeferredSubmission> deferred = new ArrayList<>();
-    private final Map<SubmissionVerdict.RejectionReason, Long> rejections =
+    private final Map<SubmissionVerdict.RejectionReason, Long> rejectionCounts =
             new EnumMap<>(SubmissionVerdict.RejectionReason.class);
     private SubmissionAdmission admission;
 
@@ -42,7 +42,7 @@
     }
 
     /** Sets what decides; to be called once, before the first submission. */
-    void decideBy(SubmissionAdmission submissionAdmission) {
+    void setAdmission(SubmissionAdmission submissionAdmission) {
         admission = submissionAdmission;
     }
 
@@ -61,15 +61,18 @@
         if (deferred.isEmpty()) {
             return false;
         }
-        List<DeferredSubmission> again = List.copyOf(deferred);
+        List<DeferredSubmission> retried = List.copyOf(deferred);
         deferred.clear();
-        again.forEach(one -> carryOut(admission.decideWhileStopping(one.submission()), one.submission(), one.reply()));
+        retried.forEach(deferredSubmission -> carryOut(
+                admission.decideWhileStopping(deferredSubmission.submission()),
+                deferredSubmission.submission(),
+                deferredSubmission.reply()));
         return true;
     }
 
     /** How often submissions were rejected for this reason since the start of the process. */
-    long rejections(SubmissionVerdict.RejectionReason reason) {
-        return rejections.getOrDefault(reason, 0L);
+    long rejectionCount(SubmissionVerdict.RejectionReason reason) {
+        return rejectionCounts.getOrDefault(reason, 0L);
     }
 
     private void carryOut(SubmissionVerdict verdict, ClientServer.Submission submission, ClientServer.Answer reply) {
@@ -82,7 +85,7 @@
         } else if (verdict instanceof SubmissionVerdict.Reject rejection) {
             reject(rejection, submission, reply);
         } else if (verdict instanceof SubmissionVerdict.Invalid invalid) {
-            invalid(invalid.reason(), submission, reply);
+            replyInvalid(invalid.reason(), submission, reply);
         } else if (verdict instanceof SubmissionVerdict.Defer defer) {
             defer(defer.reason(), submission, reply);
         }
@@ -99,11 +102,11 @@
                 folder.steadyMillis() + submission.timeLeftMillis(),
                 submission.body());
         message.classNumber = messages.classes().number(submission.className());
-        if (messages.ordered(message) && folder.journal().keyHolds().isHeld(message.key)) {
+        if (messages.isOrdered(message) && folder.journal().keyHolds().isHeld(message.key)) {
             peers.handoff().requestKey(message.key);
         }
-        messages.arriving().put(message.number, new PendingAcceptance(message, reply));
-        messages.arrivingIds().add(message.id);
+        messages.pendingAcceptances().put(message.number, new PendingAcceptance(message, reply));
+        messages.pendingAcceptanceIds().add(message.id);
         scheduler.submit(new Event.MessageSubmitted(
                 message.number,
                 message.classNumber,
@@ -121,7 +124,7 @@
 
     private void reject(
             SubmissionVerdict.Reject rejection, ClientServer.Submission submission, ClientServer.Answer reply) {
-        rejections.merge(rejection.reason(), 1L, Long::sum);
+        rejectionCounts.merge(rejection.reason(), 1L, Long::sum);
         if (rejection.reason() == SubmissionVerdict.RejectionReason.ID_REUSED) {
             LogEvent.of("submission_id_reused").with("id", submission.id()).warn();
         }
@@ -134,7 +137,7 @@
         reply.busy(retryAfterMillis);
     }
 
-    private void invalid(
+    private void replyInvalid(
             SubmissionVerdict.InvalidReason reason, ClientServer.Submission submission, ClientServer.Answer reply) {
         if (reason == SubmissionVerdict.InvalidReason.UNKNOWN_DESTINATION) {
             metrics.completed(submission.className(), SenderMetrics.MessageResult.ERRORS);
--- a/sender/src/test/java/amberroute/sender/AdminServerTest.java
+++ b/sender/src/test/java/amberroute/sender/AdminServerTest.java
@@ -79,12 +79,12 @@
         SenderFixture.Client client = world.client(sender);
         client.submit("safe", SenderFixture.ID + "1", NO_KEY);
         client.submit("keyed", SenderFixture.ID + "2", NO_KEY);
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         world.receiver.answers = r -> ok(500, "");
         client.submit("unsafe", SenderFixture.ID + "3", NO_KEY);
         client.submit("safe", SenderFixture.ID + "4", NO_KEY, 600, 8);
         assertEquals("-ERR unknown destination", client.submit("safe", SenderFixture.ID + "5", NO_KEY, 8_000, 99));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         await(() -> figure(sender, ended("safe", "shed")) == 1);
         assertEquals(
                 List.of(1.0, 1.0, 1.0, 0.0, 1.0, 3.0, 0.0, 2.0),
--- a/sender/src/test/java/amberroute/sender/BadClientsTest.java
+++ b/sender/src/test/java/amberroute/sender/BadClientsTest.java
@@ -105,7 +105,7 @@
         assertEquals("-BUSY", owner.ask("SUBMIT", key, id, "c=safe,d=2000,dest=7", "the owner's"));
         assertEquals("-BUSY", owner.ask("SUBMIT", key, id, "c=unsafe,d=8000,dest=7", "the thief's"));
         assertEquals("+OK", owner.ask("SUBMIT", key, id, "c=safe,d=7900,dest=7", "the thief's"));
-        assertEquals(1, sender.pendingMessages());
+        assertEquals(1, sender.pendingMessageCount());
         world.receiver.answers = r -> SenderFixture.ok(200, "");
         world.receiver.sockets.forEach(s -> {
             try {
@@ -114,7 +114,7 @@
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        SenderFixture.await(() -> sender.pendingMessages() == 0);
+        SenderFixture.await(() -> sender.pendingMessageCount() == 0);
         assertEquals("-BUSY", owner.ask("SUBMIT", key, id, "c=safe,d=2000,dest=7", "the owner's"));
         assertEquals("+OK", owner.ask("SUBMIT", key, id, "c=safe,d=2000,dest=7", "the thief's"));
     }
@@ -146,7 +146,7 @@
         }
         closes(silent.get(0));
         assertEquals("+OK", usual.submit("safe", SenderFixture.ID + "1", NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals("+PONG", world.client(sender).ask("PING"));
     }
 
@@ -160,7 +160,7 @@
             }
         });
         for (int i = 0; i < 200; i++) {
-            assertTrue(sender.clientConnections() <= most, "connections: " + sender.clientConnections());
+            assertTrue(sender.clientConnectionCount() <= most, "connections: " + sender.clientConnectionCount());
         }
         assertEquals("+PONG", world.client(sender).ask("PING"));
     }
@@ -174,7 +174,7 @@
         for (int i = 0; i < most / 2; i++) {
             assertEquals("+PONG", world.client(sender).ask("PING"));
         }
-        await(() -> sender.clientConnections() <= most / 3);
+        await(() -> sender.clientConnectionCount() <= most / 3);
         closes(first);
         assertEquals("+OK", world.client(sender).submit("safe", SenderFixture.ID + "2", NO_KEY));
     }
--- a/sender/src/test/java/amberroute/sender/DiscoveryFaultTest.java
+++ b/sender/src/test/java/amberroute/sender/DiscoveryFaultTest.java
@@ -73,13 +73,13 @@
     @Test
     void anIndentedListIsRead() throws IOException {
         sender = world.start();
-        await(() -> sender.endpointReady("s-1"));
+        await(() -> sender.isEndpointReady("s-1"));
         world.announce(indented(9, "s-2").substring(0, 100));
         world.announce(indented(9, "s-2").substring(100));
-        await(() -> sender.endpointReady("s-2"));
+        await(() -> sender.isEndpointReady("s-2"));
         world.announce(world.list(10, false, "Terminating", "s-2"));
-        await(() -> !sender.endpointReady("s-2"));
-        assertTrue(sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-2"));
+        assertTrue(sender.isEndpointReady("s-1"));
     }
 
     /** What cannot be read was news: passed over, it would never come again, and the next news would hide that. */
@@ -87,9 +87,9 @@
     @ValueSource(strings = {"cut short and a blank line", "cut short and the next list", "a version that is none"})
     void newsThatCannotBeReadAreAskedForAgain(String how) throws IOException {
         sender = world.start();
-        await(() -> sender.endpointReady("s-1"));
+        await(() -> sender.isEndpointReady("s-1"));
         world.announce(world.list(9, false, "Ready", "s-2"));
-        await(() -> sender.endpointReady("s-2"));
+        await(() -> sender.isEndpointReady("s-2"));
         world.announce(switch (how) {
                     case "cut short and a blank line" -> indented(10, "s-3").substring(0, 60) + "\n\n";
                     case "cut short and the next list" -> world.list(10, false, "Ready", "s-3")
@@ -98,7 +98,7 @@
                 }
                 + world.list(11, false, "Ready", "s-4"));
         await(() -> world.discovery.requests.stream().anyMatch(r -> r.head().contains("since=9 ")));
-        await(() -> sender.endpointReady("s-1") && !sender.endpointReady("s-2"));
+        await(() -> sender.isEndpointReady("s-1") && !sender.isEndpointReady("s-2"));
     }
 
     @ParameterizedTest
@@ -116,11 +116,11 @@
         await(() -> System.nanoTime() - from > 4_000_000_000L);
         long since = asked() - asked;
         assertTrue(since >= 1 && since <= 12, "asked " + since + " times in 4 s");
-        assertTrue(sender.endpointReady("s-1"), "what is known is kept");
+        assertTrue(sender.isEndpointReady("s-1"), "what is known is kept");
         world.discovery.answers = good;
         await(() -> world.watched());
         world.announce(world.list(3, false, "Terminating"));
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
     }
 
     /** A watch on which nothing changes has only empty lines to bring: when it ends it is asked for again soon. */
@@ -155,7 +155,7 @@
         sender = world.start();
         SenderFixture.Client client = world.client(sender);
         client.submit("safe", ID + "0", NO_KEY);
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
         pause(300);
         assertEquals(0, world.receiver.requests.size());
     }
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -492,7 +492,7 @@
             SenderFixture.Client client = world.client(sender);
             answers.add(client.submit("safe", "m1", "0000000000000000"));
             answers.add(client.submit("safe", "m1", "0000000000000000"));
-            assertEquals(0, sender.pendingMessages());
+            assertEquals(0, sender.pendingMessageCount());
         } finally {
             sender.stop();
         }
--- a/sender/src/test/java/amberroute/sender/GracefulShutdownTest.java
+++ b/sender/src/test/java/amberroute/sender/GracefulShutdownTest.java
@@ -123,16 +123,16 @@
         double seconds = (System.nanoTime() - from) / 1e9;
         // Two a second by its own part; what the partner answers raises it, at most to a few.
         assertTrue(3 / seconds < 6, 3 / seconds + " a second");
-        assertTrue(sender.pendingMessages() > 5);
+        assertTrue(sender.pendingMessageCount() > 5);
     }
 
     /** A peer that is answered says that it is well: nothing holds this daemon back. */
     @Test
     void aPeersWordThatItIsWellLiftsTheCeiling() throws Exception {
         hand(0, 16);
-        assertTrue(sender.pendingMessages() > 5);
+        assertTrue(sender.pendingMessageCount() > 5);
         tell(List.of(new Heartbeat.SlowStartUpdate(7, Health.HEALTHY, -1, -1, 10, 50, 50, 0)), List.of());
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals(16, answered());
     }
 
@@ -222,7 +222,7 @@
         }
         assertEquals("+PONG", world.client(sender).ask("PING"));
         hand(0, 16);
-        assertTrue(sender.pendingMessages() > 5, "a stranger's word lifted the ceiling");
+        assertTrue(sender.pendingMessageCount() > 5, "a stranger's word lifted the ceiling");
         world.receiver.answers = r -> ok(200, "");
     }
 }
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -113,8 +113,8 @@
         // Calls that hang go on hanging; what is tried again must not, or the heir tries nothing else for seconds.
         world.receiver.answers = r -> ok(200, "");
         assertEquals(0, stop(leaver, 2_000));
-        assertEquals(0, leaver.pendingMessages());
-        await(() -> heir.pendingMessages() == 0);
+        assertEquals(0, leaver.pendingMessageCount());
+        await(() -> heir.pendingMessageCount() == 0);
         List<String> bodies = world.receiver.requests.stream()
                 .map(SenderFixture.Request::body)
                 .toList();
@@ -159,13 +159,13 @@
     void anOfferThatComesAgainIsAnsweredTheSameAndCarriedOutOnce() throws Exception {
         Sender heir = start("heir", "");
         offer(heir, "lot", "m", "safe", 0);
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
         offer(heir, "lot", "m", "safe", 0);
         heir.stop();
         senders.remove(heir);
         Sender again = start("heir", "");
         offer(again, "lot", "m", "safe", 0);
-        assertEquals(0, again.pendingMessages());
+        assertEquals(0, again.pendingMessageCount());
         assertEquals(1, world.receiver.requests.size());
     }
 
@@ -180,7 +180,7 @@
         assertEquals("+OK", client.submit("keyed", "k0", KEY));
         assertEquals("+OK", client.submit("keyed", "k1", KEY));
         assertEquals(0, stop(leaver, 1_500));
-        assertEquals(0, heir.pendingMessages());
+        assertEquals(0, heir.pendingMessageCount());
         assertTrue(noticed("k0", "returned") && noticed("k1", "returned"), world.notices.toString());
     }
 
@@ -222,7 +222,7 @@
             assertEquals("+OK", client.submit("safe", "m", NO_KEY));
             assertEquals(0, stop(leaver, 1_500));
             assertTrue(noticed("m", "failed"), world.notices.toString());
-            assertEquals(0, leaver.pendingMessages());
+            assertEquals(0, leaver.pendingMessageCount());
         }
         // A process that dies between the two records must find the message ended, not its own again.
         Path state = folder.resolve("leaver");
@@ -269,7 +269,7 @@
                 await(() -> world.receiver.requests.size() == 1);
             }
             Sender leaver = start("leaver", peer("heir", heir));
-            await(() -> leaver.pendingMessages() == 0 && heir.pendingMessages() == 0);
+            await(() -> leaver.pendingMessageCount() == 0 && heir.pendingMessageCount() == 0);
             assertEquals(
                     1,
                     world.receiver.requests.stream()
@@ -313,9 +313,9 @@
             line = refused[0].contains("lot") ? line.replaceAll("\\[\\{.*\\}\\]", "[]") : line;
             assertTrue(exchange(heir, line).contains("\"NO\""), line);
         }
-        assertEquals(0, heir.pendingMessages());
+        assertEquals(0, heir.pendingMessageCount());
         assertTrue(exchange(heir, good).contains("\"YES\""));
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
         assertEquals(1, world.receiver.requests.size());
     }
 
@@ -340,7 +340,7 @@
         senders.remove(heir);
         world.receiver.answers = r -> ok(200, "");
         Sender again = start("heir", "");
-        await(() -> again.pendingMessages() == 0);
+        await(() -> again.pendingMessageCount() == 0);
         assertTrue(world.receiver.requests.stream()
                 .anyMatch(r -> r.header("X-Request-ID").equals("m")));
         assertEquals(List.of(), world.notices);
@@ -361,7 +361,7 @@
                 + (System.currentTimeMillis() + 15_000)
                 + ",\"attempts\":0,\"doubt_since\":0,\"doubt_at\":\"\",\"body\":\"\"}]}\n";
         assertTrue(exchange(again, late).contains("\"NO\""));
-        assertEquals(0, again.pendingMessages());
+        assertEquals(0, again.pendingMessageCount());
         assertEquals(0, world.receiver.requests.size());
     }
 
@@ -447,7 +447,7 @@
         for (java.net.Socket socket : world.receiver.sockets) {
             socket.close();
         }
-        await(() -> heir.pendingMessages() == 0 && leaver.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0 && leaver.pendingMessageCount() == 0);
         List<String> run = new ArrayList<>(delivered("k"));
         run.remove("k0");
         assertEquals(
@@ -566,13 +566,13 @@
         Sender first = start("first", peer("second", second));
         await(() -> noticed("lost", "failed"));
         stop(first, 3_000);
-        assertEquals(0, first.pendingMessages());
-        assertEquals(3, second.pendingMessages());
+        assertEquals(0, first.pendingMessageCount());
+        assertEquals(3, second.pendingMessageCount());
         stop(second, 3_000);
-        assertEquals(3, third.pendingMessages());
+        assertEquals(3, third.pendingMessageCount());
         world.receiver.requests.clear();
         world.receiver.answers = r -> ok(200, "");
-        await(() -> third.pendingMessages() == 0 && second.pendingMessages() == 0);
+        await(() -> third.pendingMessageCount() == 0 && second.pendingMessageCount() == 0);
         assertEquals(List.of("k0", "k1"), delivered("k"));
         assertEquals(List.of("u"), delivered("u"));
         assertEquals(List.of("{\"id\":\"lost\",\"state\":\"failed\"}"), world.notices);
@@ -594,14 +594,14 @@
         // returned.
         int code = stop(leaver, 6_000);
         assertEquals(0, code);
-        assertEquals(0, leaver.pendingMessages());
+        assertEquals(0, leaver.pendingMessageCount());
         long returned = world.notices.stream()
                 .filter(n -> n.contains("big") && n.contains("returned"))
                 .count();
         assertTrue(returned > 0, world.notices.toString());
         assertFalse(world.notices.stream().anyMatch(n -> n.contains("failed")), world.notices.toString());
         world.receiver.answers = r -> ok(200, "");
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
     }
 
     /** A key's life counts from the first try at the first owner: behind it nothing is tried at the heir. */
@@ -610,7 +610,7 @@
         Sender heir = start("heir", "");
         offer(heir, "old", "old", "keyed", System.currentTimeMillis() - 4_900);
         offer(heir, "young", "young", "keyed", System.currentTimeMillis() - 500);
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
         assertTrue(noticed("old", "returned"), world.notices.toString());
         assertEquals(
                 List.of("young"),
@@ -661,14 +661,14 @@
         world.noticeAnswers = r -> null;
         Sender leaver = start("leaver", peer("heir", heir));
         assertEquals(ShutdownCoordinator.EXIT_LEFT_OVER, stop(leaver, 1_000));
-        assertEquals(0, heir.pendingMessages());
+        assertEquals(0, heir.pendingMessageCount());
         assertEquals(0, world.receiver.requests.size());
         leaver.stop();
         senders.remove(leaver);
         world.notices.clear();
         world.noticeAnswers = r -> ok(204, "");
         Sender again = start("leaver", peer("heir", heir));
-        await(() -> again.pendingMessages() == 0);
+        await(() -> again.pendingMessageCount() == 0);
         assertTrue(noticed("k0", "failed"), world.notices.toString());
     }
 
@@ -687,8 +687,8 @@
         String answer = client.submit("keyed", "k3", KEY);
         assertTrue(answer.startsWith("-BUSY ") && Long.parseLong(answer.substring(6)) >= 3_000, answer);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
-        assertEquals(0, leaver.pendingMessages());
-        assertEquals(3, heir.pendingMessages());
+        assertEquals(0, leaver.pendingMessageCount());
+        assertEquals(3, heir.pendingMessageCount());
         leaver.stop();
         senders.remove(leaver);
         world.receiver.requests.clear();
@@ -696,7 +696,7 @@
         SenderFixture.Client back = world.client(again);
         assertEquals("+OK", back.submit("keyed", "k3", KEY));
         world.receiver.answers = r -> ok(200, "");
-        await(() -> again.pendingMessages() == 0 && heir.pendingMessages() == 0);
+        await(() -> again.pendingMessageCount() == 0 && heir.pendingMessageCount() == 0);
         List<String> run = new ArrayList<>();
         // Refused ones are tried again: the last time of each is when it ran.
         delivered("k").forEach(k -> {
@@ -733,7 +733,7 @@
                     client.submit(id.equals("u") ? "unsafe" : "keyed", id, id.equals("u") ? NO_KEY : KEY, 30_000, 7));
         }
         stop(leaver, 5_000);
-        assertEquals(3, heir.pendingMessages());
+        assertEquals(3, heir.pendingMessageCount());
         leaver.stop();
         heir.stop();
         senders.clear();
@@ -767,7 +767,7 @@
                 world.receiver.answers = r -> ok(200, "");
                 Sender heirAgain = start("heir", "");
                 Sender leaverAgain = start("leaver", peer("heir", heirAgain));
-                await(() -> heirAgain.pendingMessages() == 0 && leaverAgain.pendingMessages() == 0);
+                await(() -> heirAgain.pendingMessageCount() == 0 && leaverAgain.pendingMessageCount() == 0);
                 String at = "leaver " + l + ", heir " + h + ": " + delivered("") + world.notices;
                 if (h <= adopted + 1) {
                     assertEquals(List.of("k0", "k1"), delivered("k"), at);
@@ -840,18 +840,18 @@
             await(() -> delivered("u").size() == 1);
             world.receiver.requests.clear();
             leave(leaver, ShutdownMode.FINAL, 2_500);
-            await(() -> heir.pendingMessages() == 1);
+            await(() -> heir.pendingMessageCount() == 1);
             List<String> run = new java.util.concurrent.CopyOnWriteArrayList<>();
             world.receiver.answers = r -> {
                 run.add(bodyOf(r));
                 return ok(200, "");
             };
             await(() -> noticed("u", "failed"));
-            await(() -> heir.pendingMessages() == 0);
+            await(() -> heir.pendingMessageCount() == 0);
             heal.countDown();
             await(() -> late.get() > 0);
             assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
-            assertEquals(0, leaver.pendingMessages());
+            assertEquals(0, leaver.pendingMessageCount());
             assertEquals(List.of("u"), run);
             assertEquals(1, world.notices.size(), world.notices.toString());
         }
@@ -879,14 +879,14 @@
         Sender leaver = start("leaver", peer("heir", heir));
         await(() -> delivered("k").size() == 1);
         assertEquals(0, stop(leaver, 3_000));
-        assertEquals(1, heir.pendingMessages());
+        assertEquals(1, heir.pendingMessageCount());
         List<String> run = new java.util.concurrent.CopyOnWriteArrayList<>();
         await(() -> delivered("k").size() == 2);
         world.receiver.answers = r -> {
             run.add(bodyOf(r));
             return ok(200, "");
         };
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
         assertEquals(List.of(), run);
         assertTrue(
                 world.notices.stream().anyMatch(n -> n.contains("\"k\"") && n.contains("returned")),
@@ -909,10 +909,10 @@
         leave(leaver, ShutdownMode.FINAL, 4_000);
         Files.move(aside, folder.resolve("endpoints.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
         assertEquals(0, leaver.stopped().get(20, TimeUnit.SECONDS));
-        await(() -> heir.endpointReady("s-2") && !heir.endpointReady("s-1"));
+        await(() -> heir.isEndpointReady("s-2") && !heir.isEndpointReady("s-1"));
         world.receiver.requests.clear();
         world.receiver.answers = r -> ok(200, "");
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
         List<String> run = delivered("k").stream().distinct().toList();
         assertEquals(List.of("k0", "k1", "k2"), run);
         assertEquals(List.of(), world.notices);
--- a/sender/src/test/java/amberroute/sender/KeyHoldRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/KeyHoldRecoveryTest.java
@@ -70,7 +70,7 @@
             accept(journal, "k2");
         }
         sender = Sender.start(world.handoffConfig("heir", "", 50));
-        await(() -> sender.pendingMessages() == 1);
+        await(() -> sender.pendingMessageCount() == 1);
         assertEquals(List.of("body of k0", "body of k1"), delivered());
     }
 
@@ -84,10 +84,10 @@
                     journal.nextNumber(), "other", "other", "safe", 0, 7, endMillis(), "body of other".getBytes()));
         }
         sender = Sender.start(world.handoffConfig("heir", "", 50));
-        await(() -> sender.pendingMessages() == 1);
+        await(() -> sender.pendingMessageCount() == 1);
         assertEquals(List.of("body of other"), delivered());
         sender.blockEventLoop(() -> sender.delivery().keyHolds.release(List.of(KEY)));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals(List.of("body of other", "body of k0"), delivered());
     }
 }
--- a/sender/src/test/java/amberroute/sender/MalformedResponsesTest.java
+++ b/sender/src/test/java/amberroute/sender/MalformedResponsesTest.java
@@ -56,7 +56,7 @@
     }
 
     private void settled() {
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
     }
 
     /** For one message the first line is the truth: delivered, however the answer goes on; and no more calls on it. */
@@ -197,7 +197,7 @@
         SenderFixture.Client client = answering(r -> "HTTP/1.1 " + interim + "\r\n\r\n" + ok(200, ""));
         client.submit("unsafe", A, NO_KEY, 6_000, 7);
         settled();
-        await(() -> sender.idleUpstreamConnections() == 1);
+        await(() -> sender.idleUpstreamConnectionCount() == 1);
         client.submit("unsafe", B, NO_KEY, 6_000, 7);
         settled();
         assertEquals(List.of(), world.notices);
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -153,7 +153,7 @@
         Sender heir = start("heir", 50);
         JsonObject answer = adopt("heir", orphan, false);
         assertEquals(8, answer.get("adopted").getAsInt(), answer.toString());
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
         assertEquals(List.of(1, 0, 1, 0), List.of(calls("fresh"), calls("out"), calls("refused"), calls("offered")));
         assertEquals(
                 List.of("k0", "k1", "k2"),
@@ -176,7 +176,7 @@
                                 "c=unsafe,d=8000,k=idem-fresh,dest=7",
                                 "body of fresh"));
         assertEquals(0, adopt("heir", orphan, false).get("adopted").getAsInt());
-        await(() -> heir.pendingMessages() == 0);
+        await(() -> heir.pendingMessageCount() == 0);
         assertEquals(1, calls("fresh"));
     }
 
@@ -192,7 +192,7 @@
         }
         Sender first = start("heir", 400);
         assertEquals(count, adopt("heir", orphan, false).get("adopted").getAsInt());
-        assertEquals(count, first.pendingMessages());
+        assertEquals(count, first.pendingMessageCount());
         first.stop();
         senders.clear();
         Path written = segments(folder.resolve("heir")).get(0);
@@ -205,7 +205,7 @@
             }
             Files.write(written, java.util.Arrays.copyOf(whole, cut));
             Sender again = start("heir", 400);
-            int had = again.pendingMessages();
+            int had = again.pendingMessageCount();
             JsonObject answer = adopt("heir", orphan, false);
             assertEquals(
                     List.of(count - had, had),
@@ -213,7 +213,7 @@
                             answer.get("adopted").getAsInt(),
                             answer.get("adopted_before").getAsInt()),
                     "seed 5, cut at " + cut);
-            assertEquals(count, again.pendingMessages());
+            assertEquals(count, again.pendingMessageCount());
             again.stop();
             senders.clear();
             try (Journal journal = Journal.openReadOnly(folder.resolve("heir"))) {
@@ -272,7 +272,7 @@
                 "GW_CONFIG", file("third", 400, "").toString(), "GW_ADOPT", folder.resolve("second") + ":" + orphan));
         Sender third = Sender.start(config);
         senders.add(third);
-        assertEquals(count, third.pendingMessages());
+        assertEquals(count, third.pendingMessageCount());
         assertTrue(FencingToken.read(orphan).completed()
                 && FencingToken.read(folder.resolve("second")).completed());
         assertEquals(whole.handoffId(), FencingToken.read(orphan).handoffId());
@@ -280,7 +280,7 @@
         senders.remove(third);
         third = Sender.start(config);
         senders.add(third);
-        assertEquals(count, third.pendingMessages());
+        assertEquals(count, third.pendingMessageCount());
     }
 
     /** Each refusal leaves the folder as it was: without a fence, for another to take. */
@@ -351,7 +351,7 @@
             assertEquals(8, answer.get("adopted").getAsInt(), answer.toString());
             client.write(SenderFixture.command(
                     "SUBMIT", "0000000000000000", "late", "c=safe,d=8000,dest=7", "body of late"));
-            await(() -> heir.pendingMessages() == 0);
+            await(() -> heir.pendingMessageCount() == 0);
             int before = world.receiver.requests.size();
             signal("CONT", zombie);
             assertTrue(zombie.waitFor(20, TimeUnit.SECONDS), "it lives on");
--- a/sender/src/test/java/amberroute/sender/OutageTest.java
+++ b/sender/src/test/java/amberroute/sender/OutageTest.java
@@ -76,7 +76,7 @@
         safe(SAFE);
         await(() -> calls() >= 2);
         unsafe(UNSAFE);
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals(List.of(), world.notices, "lost as a trial");
         assertTrue(called().subList(0, 5).stream().allMatch(SAFE::equals), "calls: " + called());
     }
@@ -94,7 +94,7 @@
         world.receiver.answers = r -> calls() < 4 ? ok(500, "") : ok(200, "");
         sender.stop();
         sender = world.start();
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals(List.of(), world.notices, "lost to a receiver that had never answered");
     }
 
@@ -147,7 +147,7 @@
         for (char c = 'a'; c < 'e'; c++) {
             safe(SenderFixture.ID + c);
         }
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         world.receiver.answers = r -> ok(200, "");
         await(() -> client.tryAsk("SUBMIT", NO_KEY, SAFE, "c=safe,d=250,k=5c0f,dest=7", "body")
                 .equals("+OK"));
