--- a/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
+++ b/sender/src/test/java/amberroute/sender/OwnershipTransferTest.java
@@ -124,7 +124,7 @@
         assertEquals("200", ready(old));
         Sender fresh = start();
         assertEquals(List.of("503", "200"), List.of(ready(old), ready(fresh)));
-        assertEquals(5, fresh.pendingMessages());
+        assertEquals(5, fresh.pendingMessageCount());
         // The old one's client still asks there: its answer comes from the new one, and then the connection ends. On a
         // slow machine it may have been sent over already, and asks once more on another connection.
         String passed;
@@ -140,7 +140,7 @@
         for (Socket socket : held.values()) {
             SenderFixture.write(socket, ok(200, ""));
         }
-        await(() -> fresh.pendingMessages() == 0);
+        await(() -> fresh.pendingMessageCount() == 0);
         assertEquals(
                 List.of("body of k0", "body of k1", "body of k2", "body of k3"),
                 world.receiver.requests.stream()
@@ -149,7 +149,7 @@
                         .toList());
         assertEquals(List.of(1, 1, 1, List.of()), List.of(calls("s"), calls("u"), calls("n"), world.notices));
         await(() -> AdminServerTest.figure(old, "svc_active") == 0);
-        await(() -> old.clientConnections() == 0);
+        await(() -> old.clientConnectionCount() == 0);
     }
 
     /** As after any end of a process: what was out may have run. */
@@ -165,9 +165,9 @@
         // A door of its own: in one JVM the old one's end would close the shared one under the new one's loop.
         Sender fresh =
                 start(ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
-        assertEquals(2, fresh.pendingMessages());
+        assertEquals(2, fresh.pendingMessageCount());
         old.stop();
-        await(() -> fresh.pendingMessages() == 0);
+        await(() -> fresh.pendingMessageCount() == 0);
         assertEquals(List.of(2, 1, true), List.of(calls("s"), calls("u"), noticed("u", "failed")));
     }
 
@@ -193,7 +193,7 @@
         Sender fresh =
                 start(ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
         end.join();
-        await(() -> fresh.pendingMessages() == 0);
+        await(() -> fresh.pendingMessageCount() == 0);
         assertEquals(2, calls("s"));
     }
 
@@ -210,7 +210,7 @@
         await(() -> AdminServerTest.figure(old, "svc_active") == 1);
         world.receiver.answers = r -> ok(200, "");
         Sender fresh = start();
-        await(() -> fresh.pendingMessages() == 0);
+        await(() -> fresh.pendingMessageCount() == 0);
         assertEquals(2, calls("a"));
         long waited = (System.nanoTime() - told) / 1_000_000;
         assertTrue(waited >= 2_300, "called again after " + waited + " ms");
@@ -226,7 +226,7 @@
         client.submit("safe", "s", NO_KEY);
         await(() -> held.size() == 1);
         Sender fresh = start();
-        await(() -> fresh.pendingMessages() == 0);
+        await(() -> fresh.pendingMessageCount() == 0);
         assertEquals(2, calls("s"));
         await(() -> held.get("s").isClosed());
     }
@@ -245,7 +245,7 @@
         await(() -> calls("n") == 1);
         assertEquals(0, calls("k1"));
         world.noticeAnswers = r -> ok(204, "");
-        await(() -> fresh.pendingMessages() == 0);
+        await(() -> fresh.pendingMessageCount() == 0);
         assertEquals(1, calls("k1"));
         assertFalse(old == fresh);
     }
@@ -282,7 +282,7 @@
         }
         assertEquals("no", say("{\"do\":\"take\",\"v\":99}", true).get("do").getAsString());
         assertEquals("+OK", client().submit("safe", "a", NO_KEY));
-        await(() -> old.pendingMessages() == 0);
+        await(() -> old.pendingMessageCount() == 0);
         assertEquals(1, calls("a"));
     }
 
@@ -300,13 +300,13 @@
         JsonObject yours = say("{\"do\":\"take\",\"v\":1}", true);
         assertEquals(2, yours.getAsJsonObject("estate").getAsJsonArray("out").size());
         await(() -> ready(old).equals("200"));
-        assertEquals(3, old.pendingMessages());
+        assertEquals(3, old.pendingMessageCount());
         assertEquals("+OK", client().submit("safe", "n", NO_KEY, 60_000, 7));
         assertEquals(0, calls("k1"), "k1 went before k0 had ended");
         for (Socket socket : held.values()) {
             SenderFixture.write(socket, ok(200, ""));
         }
-        await(() -> old.pendingMessages() == 0);
+        await(() -> old.pendingMessageCount() == 0);
         assertEquals(
                 List.of("body of k0", "body of k1"),
                 world.receiver.requests.stream()
@@ -340,7 +340,7 @@
         }
         long over = System.nanoTime();
         assertEquals("+OK", client.answer());
-        await(() -> old.pendingMessages() == 0);
+        await(() -> old.pendingMessageCount() == 0);
         long waited = (System.nanoTime() - over) / 1_000_000;
         assertEquals(List.of(1, 2, 1, List.of()), List.of(calls("u"), calls("s"), calls("asked"), world.notices));
         assertTrue(waited >= 1_000, "called again " + waited + " ms behind a wait of 1.5 s was told");
@@ -361,7 +361,7 @@
                 List.of("no", "calls of the process before this one are still out"),
                 List.of(refused.get("do").getAsString(), refused.get("why").getAsString()));
         SenderFixture.write(held.get("u"), ok(200, ""));
-        await(() -> second.pendingMessages() == 0);
+        await(() -> second.pendingMessageCount() == 0);
         Sender third = start();
         assertEquals("200", ready(third));
         assertEquals(List.of(1, List.of()), List.of(calls("u"), world.notices));
@@ -386,7 +386,7 @@
         }
         await(() -> ready(old).equals("200"));
         // Its notice is repeated, as nobody has recorded the answer.
-        await(() -> old.pendingMessages() == 1);
+        await(() -> old.pendingMessageCount() == 1);
     }
 
     private static String wordOf(String line) {
@@ -401,7 +401,7 @@
         Sender third = start();
         assertEquals(List.of("503", "503", "200"), List.of(ready(old), ready(second), ready(third)));
         assertEquals("+OK", client().submit("safe", "a", NO_KEY));
-        await(() -> third.pendingMessages() == 0);
+        await(() -> third.pendingMessageCount() == 0);
         assertThrows(InvalidSettingsException.class, () -> Sender.start(SenderConfig.read(world.environment())));
         assertThrows(InvalidSettingsException.class, () -> SenderConfig.inherits(Map.of("GW_ACCEPT_FD", "3")));
     }
@@ -426,7 +426,7 @@
         between.start();
         Sender fresh = start();
         between.join();
-        await(() -> fresh.pendingMessages() == 0);
+        await(() -> fresh.pendingMessageCount() == 0);
         assertEquals(List.of(2, 1, true), List.of(calls("s"), calls("u"), noticed("u", "failed")));
         await(() -> held.values().stream().allMatch(OwnershipTransferTest::closedByTheOther));
         assertFalse(old.stopped().isDone(), "it ended though nobody had asked for that");
--- a/sender/src/test/java/amberroute/sender/ReloadTest.java
+++ b/sender/src/test/java/amberroute/sender/ReloadTest.java
@@ -58,10 +58,10 @@
         environment.put("GW_DISCOVERY", world.discovery.address());
         sender = Sender.start(SenderConfig.read(environment));
         world.announce(world.list(3, false, "Ready", "s-2"));
-        await(() -> sender.endpointReady("s-2"));
+        await(() -> sender.isEndpointReady("s-2"));
         world.moveDiscovery(4, "Terminating");
         sender.reload(environment);
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
         assertTrue(world.moved.requests.get(0).head().contains("since=3"), "the version was lost");
         await(() -> world.discovery.sockets.get(0).isClosed());
         world.moved.sockets.get(0).close();
@@ -80,12 +80,12 @@
                 assertTrue(old.getInputStream().read() >= 0, "no request came");
                 world.moveDiscovery(4, "Terminating");
                 sender.reload(environment);
-                await(() -> !sender.endpointReady("s-1"));
+                await(() -> !sender.isEndpointReady("s-1"));
                 String list = world.list(9, true, "Ready", "s-9");
                 SenderFixture.write(old, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 readToEnd(old);
             }
-            assertTrue(!sender.endpointReady("s-9"), "the former discovery was heard");
+            assertTrue(!sender.isEndpointReady("s-9"), "the former discovery was heard");
             assertEquals(1, watches(world.moved));
         }
     }
@@ -106,7 +106,7 @@
         await(() -> !world.notices.isEmpty());
         world.moveDiscovery(3, "Ready");
         sender.reload(world.environment());
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertTrue(world.moved.requests.stream().anyMatch(r -> r.body().contains(A)));
     }
 
@@ -120,7 +120,7 @@
         world.discovery.sockets.get(0).close();
         await(() -> watches(world.discovery) == 2);
         assertEquals("+OK", world.client(sender).submit("safe", A, NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
     }
 
     // ---- New settings. ----
@@ -175,7 +175,7 @@
         world.lanes += NEW.formatted("pure");
         assertEquals(Map.of("error", "null"), reload());
         assertEquals("+OK", client.submit("late", A, NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         world.lanes = world.lanes.substring(0, world.lanes.indexOf(",{\"name\":\"late\""));
         reload();
         assertEquals("-ERR unknown class", client.submit("late", SenderFixture.ID + "2", NO_KEY));
@@ -189,10 +189,10 @@
         sender = world.start();
         SenderFixture.Client client = world.client(sender);
         world.prove(sender, client);
-        await(() -> sender.idleUpstreamConnections() == 1);
+        await(() -> sender.idleUpstreamConnectionCount() == 1);
         world.keepAlive = 1_000_000;
         assertEquals(Map.of("error", "null"), reload());
-        await(() -> sender.idleUpstreamConnections() == 0);
+        await(() -> sender.idleUpstreamConnectionCount() == 0);
         assertEquals("+OK", client.submit("safe", A, NO_KEY));
         await(() -> world.receiver.sockets.size() == 2
                 && world.receiver.sockets.get(1).isClosed());
@@ -216,13 +216,13 @@
         assertEquals(null, sender.reload(environment));
         await(() -> watches(world.discovery) == 2);
         world.announce(world.list(7, true, "Ready", "s-2").replace("\"model\":\"std\"", "\"model\":\"solo\""));
-        await(() -> sender.endpointReady("s-2"));
+        await(() -> sender.isEndpointReady("s-2"));
         StringBuilder four = new StringBuilder();
         for (int i = 1; i <= 4; i++) {
             four.append(SenderFixture.command("SUBMIT", NO_KEY, SenderFixture.ID + i, "c=safe,d=8000,dest=7", "body"));
         }
         client.write(four.toString());
-        await(() -> world.receiver.requests.size() == 4 && sender.pendingMessages() == 0);
+        await(() -> world.receiver.requests.size() == 4 && sender.pendingMessageCount() == 0);
         assertTrue(world.receiver.requests.stream().allMatch(r -> r.head().startsWith("POST /receive ")));
     }
 
@@ -257,7 +257,7 @@
             String answer = client.answer();
             assertTrue(answer.equals("+OK") || answer.equals("-ERR unknown class"), answer);
         }
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
     }
 
     /** Safe when it was taken on, unsafe by the file of now: it may go out twice, a new one of that name may not. */
@@ -274,11 +274,11 @@
         sender.stop();
         world.receiver.answers = r -> ok(200, "");
         sender = world.start();
-        await(() -> world.receiver.requests.size() == 2 && sender.pendingMessages() == 0);
+        await(() -> world.receiver.requests.size() == 2 && sender.pendingMessageCount() == 0);
         assertEquals(java.util.List.of(), world.notices);
         world.receiver.answers = r -> ok(500, "");
         assertEquals("+OK", world.client(sender).submit("late", SenderFixture.ID + "2", NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals(3, world.receiver.requests.size(), "an unsafe message went out again");
         assertTrue(world.notices.get(0).contains("failed"), world.notices.toString());
     }
@@ -303,7 +303,7 @@
             world.discoveryAddress = shut.address();
             sender = world.start();
             world.client(sender).submit("unsafe", A, NO_KEY, 300, 8);
-            await(() -> sender.pendingMessages() == 0);
+            await(() -> sender.pendingMessageCount() == 0);
             assertTrue(shut.requests.stream().anyMatch(r -> r.body().contains(A)));
         }
     }
--- a/sender/src/test/java/amberroute/sender/SenderFixture.java
+++ b/sender/src/test/java/amberroute/sender/SenderFixture.java
@@ -382,7 +382,7 @@
     /** Lets one message through, so that the sender knows the receiver to answer, and forgets the call. */
     void prove(Sender sender, Client client) throws IOException {
         assertEquals("+OK", client.submit("safe", ID + "0", "0000000000000000"));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         receiver.requests.clear();
     }
 
--- a/sender/src/test/java/amberroute/sender/SenderTest.java
+++ b/sender/src/test/java/amberroute/sender/SenderTest.java
@@ -67,7 +67,7 @@
     }
 
     private boolean concluded() {
-        return sender.pendingMessages() == 0;
+        return sender.pendingMessageCount() == 0;
     }
 
     // ---- Calls and their outcomes. ----
@@ -165,7 +165,7 @@
         SenderFixture.Client client = started();
         for (int i = 0; i < 5; i++) {
             client.submit("safe", SenderFixture.ID + i, NO_KEY);
-            await(() -> concluded() && sender.idleUpstreamConnections() == 1);
+            await(() -> concluded() && sender.idleUpstreamConnectionCount() == 1);
         }
         assertEquals(5, calls());
         assertEquals(1, world.receiver.sockets.size());
@@ -188,11 +188,11 @@
         };
         for (int i = 0; i < 8; i++) {
             client.submit("safe", SenderFixture.ID + "s" + i, NO_KEY);
-            await(() -> concluded() && sender.idleUpstreamConnections() == 1);
+            await(() -> concluded() && sender.idleUpstreamConnectionCount() == 1);
         }
         for (int i = 0; i < 4; i++) {
             client.submit("unsafe", SenderFixture.ID + "u" + i, NO_KEY);
-            await(() -> concluded() && sender.idleUpstreamConnections() >= 1);
+            await(() -> concluded() && sender.idleUpstreamConnectionCount() >= 1);
         }
         assertEquals(List.of(), world.notices);
     }
@@ -203,9 +203,9 @@
         world.keepAlive = 700_000;
         SenderFixture.Client client = started();
         client.submit("safe", A, NO_KEY);
-        await(() -> concluded() && sender.idleUpstreamConnections() == 1);
+        await(() -> concluded() && sender.idleUpstreamConnectionCount() == 1);
         await(() -> world.receiver.sockets.get(0).isClosed());
-        assertEquals(0, sender.idleUpstreamConnections());
+        assertEquals(0, sender.idleUpstreamConnectionCount());
     }
 
     /** Whoever comes to the address of one that is gone gets connections of its own. */
@@ -213,10 +213,10 @@
     void leavesNothingToTheNextAtAnAddress() throws IOException {
         SenderFixture.Client client = started();
         client.submit("safe", A, NO_KEY);
-        await(() -> concluded() && sender.idleUpstreamConnections() == 1 && world.watched());
+        await(() -> concluded() && sender.idleUpstreamConnectionCount() == 1 && world.watched());
         world.announce(world.list(3, false, "Gone"));
         world.announce(world.list(4, false, "Ready", "s-2"));
-        await(() -> world.receiver.sockets.get(0).isClosed() && sender.endpointReady("s-2"));
+        await(() -> world.receiver.sockets.get(0).isClosed() && sender.isEndpointReady("s-2"));
         client.submit("safe", B, NO_KEY);
         await(this::concluded);
         assertEquals(2, world.receiver.sockets.size());
@@ -250,7 +250,7 @@
         await(this::concluded);
         world.announce("this is no line of discovery\n");
         world.announce(world.list(3, false, "Terminating"));
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
         client.submit("safe", B, NO_KEY, 700, 7);
         await(() -> world.notices.stream().anyMatch(n -> n.contains(B)));
         assertEquals(1, calls());
@@ -305,7 +305,7 @@
             assertEquals("+OK", client.submit("safe", SenderFixture.ID + "x" + i, NO_KEY, 20_000, 7));
         }
         await(() -> !world.notices.isEmpty());
-        assertTrue(sender.pendingMessages() > 2, "only when nothing waited any more");
+        assertTrue(sender.pendingMessageCount() > 2, "only when nothing waited any more");
         assertTrue(world.notices.get(0).contains("failed"), world.notices.get(0));
     }
 
@@ -319,12 +319,12 @@
         restart();
         SenderFixture.Client warm = world.client(sender);
         assertEquals("+OK", warm.submit("safe", SenderFixture.ID + "4", NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         world.receiver.answers = r -> r.header("X-Request-ID").equals(A) && callsFor(A) == 1 ? null : ok(200, "");
         assertEquals("+OK", warm.submit("safe", A, NO_KEY));
         await(() -> callsFor(A) == 1);
         assertEquals("+OK", warm.submit("safe", B, NO_KEY, 1_400, 7));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals(List.of(), world.notices, "waited for a stuck call");
     }
 
@@ -567,7 +567,7 @@
                 new byte[] {0x52, 0x45, 0x43, 0x31, 0, 0, 0, 90, 1, 2, 3, 4, 'A', 0},
                 StandardOpenOption.APPEND);
         sender = world.start();
-        assertEquals(1, sender.pendingMessages());
+        assertEquals(1, sender.pendingMessageCount());
     }
 
     // ---- Room. ----
@@ -625,7 +625,7 @@
             assertTrue(client.ask("SUBMIT", NO_KEY, A, "c=safe,d=" + number + ",dest=7", "")
                     .startsWith("-ERR bad number d"));
         }
-        await(() -> sender.endpointReady("s-1") && world.watched());
+        await(() -> sender.isEndpointReady("s-1") && world.watched());
         assertEquals("-ERR unknown destination", client.submit("safe", A, NO_KEY, 900, 9));
         assertTrue(client.ask("S".repeat(2_000)).startsWith("-ERR too long a word"));
         assertEquals("+OK", client.submit("safe", A, NO_KEY));
--- a/sender/src/test/java/amberroute/sender/StandaloneTest.java
+++ b/sender/src/test/java/amberroute/sender/StandaloneTest.java
@@ -136,13 +136,13 @@
     void servesFromAFileOfEndpointsAndFollowsIt() throws IOException {
         SenderFixture.Client client = started();
         assertEquals("+OK", client.submit("safe", A, NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         endpoints("Terminating");
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
         endpoints("Ready");
-        await(() -> sender.endpointReady("s-1"));
+        await(() -> sender.isEndpointReady("s-1"));
         assertEquals("+OK", client.submit("safe", B, NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertEquals(2, world.receiver.requests.size());
     }
 
@@ -152,9 +152,9 @@
         Files.writeString(folder.resolve("endpoints.json"), "{\"targets\":[{\"uid\":\"x\"}]}");
         sender.reload(Map.of("GW_CONFIG", folder.resolve("amberroute.toml").toString()));
         sender.blockEventLoop(() -> {});
-        assertTrue(sender.endpointReady("s-1"));
+        assertTrue(sender.isEndpointReady("s-1"));
         assertEquals("+OK", client.submit("safe", A, NO_KEY));
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
     }
 
     @Test
@@ -276,7 +276,7 @@
         SenderFixture.Request call = world.receiver.requests.get(0);
         SenderFixture.write(call.socket(), ok(200, ""));
         assertEquals(0, code());
-        assertEquals(0, sender.pendingMessages());
+        assertEquals(0, sender.pendingMessageCount());
         assertEquals(1, world.receiver.requests.size());
         assertEquals(List.of(), world.notices);
     }
@@ -298,7 +298,7 @@
         world.receiver.answers = r -> ok(200, "");
         int before = world.receiver.requests.size();
         sender = Sender.start(read());
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         List<String> bodies = world.receiver.requests.stream()
                 .skip(before)
                 .map(SenderFixture.Request::body)
@@ -347,7 +347,7 @@
         SenderConfig config = read();
         endpoints("Terminating");
         sender = Sender.start(config);
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
     }
 
     @Test
@@ -357,7 +357,7 @@
                 Map.of("GW_CONFIG", folder.resolve("amberroute.toml").toString());
         endpoints("Terminating");
         assertEquals(null, sender.reload(environment));
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
         Files.writeString(folder.resolve("endpoints.json"), "{}");
         String error = sender.reload(environment);
         assertTrue(error.contains("targets is missing") && error.lines().count() == 1, error);
@@ -378,7 +378,7 @@
                 .getMessage();
         assertEquals("setting senders or classes is out of range", message);
         sender = world.start();
-        assertTrue(sender.endpointReady("s-1"));
+        assertTrue(sender.isEndpointReady("s-1"));
     }
 
     /** What surely never ran is returned, what may have run and must not run twice has failed. */
@@ -397,7 +397,7 @@
         assertTrue(noticed(B, "returned"), world.notices.toString());
         assertTrue(noticed(C, "returned"), world.notices.toString());
         assertEquals(3, world.notices.size());
-        assertEquals(0, sender.pendingMessages());
+        assertEquals(0, sender.pendingMessageCount());
         assertEquals(2, world.receiver.requests.size(), "a call went out after the call-off");
     }
 
@@ -411,13 +411,13 @@
         await(() -> world.receiver.requests.size() == 1);
         ask("{\"do\":\"stop\",\"mode\":\"final\",\"within_ms\":800}");
         assertEquals(ShutdownCoordinator.EXIT_LEFT_OVER, code());
-        assertEquals(1, sender.pendingMessages());
+        assertEquals(1, sender.pendingMessageCount());
         sender.stop();
         JournalView view = JournalView.read(folder.resolve("s"));
         assertTrue(view.summary().startsWith("0 messages held, 0 of them in doubt; 1 notices"), view.summary());
         world.noticeAnswers = r -> ok(204, "");
         sender = Sender.start(read());
-        await(() -> sender.pendingMessages() == 0);
+        await(() -> sender.pendingMessageCount() == 0);
         assertTrue(noticed(A, "failed"));
     }
 
@@ -443,11 +443,11 @@
         await(() -> world.receiver.requests.size() >= 1);
         sender.blockEventLoop(() -> sender.beginStop(ShutdownMode.RESTART, 1_500));
         endpoints("Terminating");
-        await(() -> !sender.endpointReady("s-1"));
+        await(() -> !sender.isEndpointReady("s-1"));
         int calls = world.receiver.requests.size();
         assertEquals(0, code());
         assertTrue(world.receiver.requests.size() <= calls + 1, "went on calling an endpoint that drains");
-        assertEquals(1, sender.pendingMessages());
+        assertEquals(1, sender.pendingMessageCount());
     }
 
     /** Looking at a journal beside a running daemon changes nothing of it. */
--- a/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
+++ b/sender/src/test/java/amberroute/sender/SubmissionAdmissionTest.java
@@ -61,12 +61,12 @@
                 new SenderMetrics(),
                 new OwnershipTransfers());
         DeliveryComponents delivery = new DeliveryComponents(
-                state, new EventLoopStallDetector(), SchedulerDriver.newScheduler(settings), actions -> {});
+                state, new EventLoopStallDetector(), SchedulerDriver.newTracedScheduler(settings), actions -> {});
         parts = new LifecycleComponents(
                 state,
                 delivery,
                 new ServiceManagerNotifier(Map.of()),
-                ConfigSource.FIXED,
+                ConfigSource.NOT_RELOADABLE,
                 new CompletableFuture<>(),
                 () -> null);
         admission = new SubmissionAdmission(
@@ -148,7 +148,7 @@
     @Test
     void anIdThatArrivesTwiceInAnIterationIsDeferredEvenAtCapacity() {
         ClientServer.Submission first = submission("a", "safe", "one");
-        onLoop(() -> state.messages().arrivingIds().add(first.id()));
+        onLoop(() -> state.messages().pendingAcceptanceIds().add(first.id()));
         fill();
         assertEquals(new SubmissionVerdict.Defer(SubmissionVerdict.DeferReason.DUPLICATE_ARRIVING), decide(first));
         assertEquals(reject(SubmissionVerdict.RejectionReason.CAPACITY), decide(submission("b", "safe", "one")));
