--- a/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
+++ b/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
@@ -88,14 +88,14 @@
 
     /** An idempotent message is attempted also while the disk takes no record, unless records are replicated. */
     private boolean recordAttempt(AcceptedMessage message, String endpointUid) {
-        if (folder.journal().attempt(message, endpointUid, folder.steadyMillis())) {
+        if (folder.journal().recordAttempt(message, endpointUid, folder.steadyMillis())) {
             return true;
         }
         if (messages.classes().type(message.classNumber).idempotency() != DeliveryScheduler.Idempotency.IDEMPOTENT
                 || peers.isReplicated()) {
             return false;
         }
-        folder.journal().attemptUnrecorded(message, endpointUid, folder.steadyMillis());
+        folder.journal().recordAttemptEventually(message, endpointUid, folder.steadyMillis());
         return true;
     }
 
@@ -132,7 +132,7 @@
             cancelled.remove(callMessage);
             boolean stillAccepted = messages.accepted().containsKey(message.number);
             if (stillAccepted) {
-                folder.journal().outcome(message, false);
+                folder.journal().recordOutcome(message, false);
             }
             reportMoot(message.number, callMessage.attempt(), route.endpoint(), !stillAccepted);
         }
@@ -145,14 +145,14 @@
 
     /** Cancels an attempt, in flight or while its record is forced. */
     void cancel(AcceptedMessage message, int attempt) {
-        if (!upstream.cancel(message, attempt) && folder.journal().deferredEffects() > 0) {
+        if (!upstream.cancel(message, attempt) && folder.journal().deferredEffectCount() > 0) {
             cancelled.add(new UpstreamClient.CallMessage(message, attempt));
         }
     }
 
     /** To be called at the end of an iteration: nothing can still be cancelled once all records are durable. */
     void clearCancelledOnceDurable() {
-        if (folder.journal().deferredEffects() == 0) {
+        if (folder.journal().deferredEffectCount() == 0) {
             cancelled.clear();
         }
     }
--- a/sender/src/main/java/amberroute/sender/FolderAdoption.java
+++ b/sender/src/main/java/amberroute/sender/FolderAdoption.java
@@ -66,7 +66,7 @@
                 checkFencingPossible(orphanedFolder, fenced);
             }
             checkCapacity(JournalView.read(orphanedFolder).pendingCount());
-            return adoptFenced(FencingToken.raise(orphanedFolder, config.name(), config.state()), orphanedFolder);
+            return adoptFenced(FencingToken.create(orphanedFolder, config.name(), config.state()), orphanedFolder);
         } finally {
             if (orphanedLock != null) {
                 orphanedLock.close();
@@ -98,7 +98,7 @@
         if (!fenced) {
             throw new InvalidSettingsException("a process holds " + orphanedFolder + "; only a fence could stop it");
         }
-        if (!StateLock.fenceWatched(orphanedFolder)) {
+        if (!StateLock.isFencingChecked(orphanedFolder)) {
             throw new InvalidSettingsException(
                     "the process that holds " + orphanedFolder + " does not look for a fence");
         }
@@ -129,7 +129,7 @@
             }
             copyAdoptionRecords(journal);
         }
-        token.finish(orphanedFolder);
+        token.markCompleted(orphanedFolder);
         LogEvent.of("orphaned_folder_adopted")
                 .with("folder", orphanedFolder)
                 .with("messages", adopted)
@@ -159,7 +159,7 @@
                                         .writeHandoffBatch(
                                                 batchId,
                                                 handoffBatch.ownership(),
-                                                handoffBatch.untilMillis(),
+                                                handoffBatch.retainUntilMillis(),
                                                 List.of()))
                         .syncUninterruptibly();
             }
--- a/sender/src/main/java/amberroute/sender/JournalMaintenance.java
+++ b/sender/src/main/java/amberroute/sender/JournalMaintenance.java
@@ -31,9 +31,9 @@
     /** Starts retries and compaction. */
     void start() {
         scheduleWhileOwner(RETRY_AND_COMPACTION_INTERVAL_MS, () -> {
-            folder.journal().retry();
-            folder.journal().compactSlice();
-            folder.clock().record();
+            folder.journal().retryFailedWrites();
+            folder.journal().compactStep();
+            folder.clock().persist();
         });
     }
 
--- a/sender/src/main/java/amberroute/sender/MessageAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/MessageAcceptance.java
@@ -73,7 +73,7 @@
                                     : () -> pendingAcceptance
                                             .reply()
                                             .error("the message could not be forced to the disk"));
-        } else if (folder.journal().uncertain()) {
+        } else if (folder.journal().lastWriteUncertain()) {
             // The next process may find the record: a rejection would promise that nobody delivers the message.
             metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
             pendingAcceptance.reply().error("the message could not be recorded, or may have been");
--- a/sender/src/main/java/amberroute/sender/MessageCompletion.java
+++ b/sender/src/main/java/amberroute/sender/MessageCompletion.java
@@ -59,7 +59,7 @@
         AcceptedMessage message = messages.accepted().remove(messageNumber);
         reportIfLate(lateCompletionReporter, message);
         metrics.completed(message.className, result);
-        folder.journal().end(message, notification, () -> notifyWhenDurable(message));
+        folder.journal().endWithNotice(message, notification, () -> notifyWhenDurable(message));
         if (folder.journal().hasPendingWrite(message)) {
             loop.schedule(
                     () -> notifyWithoutRecord(message),
@@ -72,7 +72,7 @@
     void failOffered(List<AcceptedMessage> offered) {
         for (AcceptedMessage message : offered) {
             metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
-            folder.journal().end(message, message.failed(), () -> notifyWhenDurable(message));
+            folder.journal().endWithNotice(message, message.failed(), () -> notifyWhenDurable(message));
         }
     }
 
@@ -120,7 +120,7 @@
             return;
         }
         reportIfLate(lateAcknowledgementReporter, message);
-        folder.journal().conclude(message);
+        folder.journal().complete(message);
         scheduler.submit(new Event.CompletionAcknowledged(message.number));
     }
 
--- a/sender/src/main/java/amberroute/sender/MessageRecovery.java
+++ b/sender/src/main/java/amberroute/sender/MessageRecovery.java
@@ -107,7 +107,7 @@
                 .healthRecords()
                 .forEach(healthRecord -> fleet.onHealthChanged(
                         healthRecord.destination(),
-                        healthRecord.health(),
+                        healthRecord.status(),
                         Math.max(
                                 0,
                                 SchedulerClock.micros()
@@ -118,7 +118,7 @@
                         new DeliveryScheduler.HealthCheckpoint(
                                 healthRecord.destination(),
                                 endpointNumber(healthRecord.uid()),
-                                healthRecord.health(),
+                                healthRecord.status(),
                                 0,
                                 healthRecord.callsPerSecond(),
                                 healthRecord.usualLatencyMicros()),
@@ -130,7 +130,7 @@
             message.classNumber = messages.classes().number(message.className);
         }
         if (message.pendingNotification == null && message.classNumber < 0) {
-            folder.journal().end(message, message.failed());
+            folder.journal().endWithNotice(message, message.failed());
             metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
         }
         if (message.pendingNotification != null) {
@@ -139,7 +139,7 @@
             boolean attemptInterrupted = message.attemptInFlight
                     && !transfers.transferredCallMessages().contains(message.number);
             if (attemptInterrupted) {
-                folder.journal().outcome(message, true);
+                folder.journal().recordOutcome(message, true);
             }
             messages.accepted().put(message.number, message);
             resume(message, attemptInterrupted);
@@ -173,7 +173,7 @@
         if (message.unknownOutcomeSinceMillis == 0) {
             return NO_UNKNOWN_OUTCOME;
         }
-        return folder.clock().interrupted(message.unknownOutcomeSinceMillis)
+        return folder.clock().isBeforeGap(message.unknownOutcomeSinceMillis)
                 ? SchedulerDriver.UNLIMITED_MICROS
                 : Math.max(0, (folder.steadyMillis() - message.unknownOutcomeSinceMillis) * MICROS_PER_MILLI);
     }
--- a/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
+++ b/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
@@ -49,7 +49,7 @@
     @Override
     public void beforeWrite() {
         if (!lifecycle.ownershipReleased()) {
-            folder.journal().checkFence();
+            folder.journal().checkFencingToken();
         }
     }
 
@@ -65,13 +65,13 @@
         if (result.messageCompleted()) {
             completeMessage(message, result.outcome());
         } else if (messages.accepted().containsKey(message.number)) {
-            folder.journal().outcome(message, result.outcome().mayHaveRun());
+            folder.journal().recordOutcome(message, result.outcome().mayHaveRun());
         }
         scheduler.submit(completedEvent(result));
     }
 
     private void completeMessage(AcceptedMessage message, AttemptOutcome outcome) {
-        folder.journal().conclude(message);
+        folder.journal().complete(message);
         if (messages.accepted().remove(message.number) != null && outcome == AttemptOutcome.OK) {
             metrics.completed(message.className, SenderMetrics.MessageResult.OK);
             fleet.onDelivery(message.destination);
--- a/sender/src/main/java/amberroute/sender/StatusReport.java
+++ b/sender/src/main/java/amberroute/sender/StatusReport.java
@@ -59,7 +59,7 @@
             status.addProperty("clients", clientServer.connections());
             status.addProperty("disk_used", folder.journal().usedBytes());
             status.addProperty("disk_live", folder.journal().liveBytes());
-            status.addProperty("disk_trouble", folder.journal().writeFailure());
+            status.addProperty("disk_trouble", folder.journal().writeFailureReason());
             status.addProperty("longest_turn_us", scheduler.takeLongestIterationMicros());
         }
         return status;
--- a/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
@@ -96,7 +96,7 @@
     }
 
     private Optional<SubmissionVerdict> checkKnownId(ClientServer.Submission submission) {
-        if (!folder.journal().knows(submission.id())) {
+        if (!folder.journal().containsId(submission.id())) {
             return Optional.empty();
         }
         return Optional.of(duplicateOf(folder.journal(), submission, SubmissionVerdict.RejectionReason.ID_REUSED));
@@ -119,7 +119,7 @@
                 submission.destination(),
                 submission.idempotencyKey(),
                 submission.body());
-        return journal.differs(submission.id(), contentHash)
+        return journal.hasDifferentContent(submission.id(), contentHash)
                 ? new SubmissionVerdict.Reject(reasonIfDifferent, 0)
                 : new SubmissionVerdict.Duplicate(journal);
     }
--- a/sender/src/main/java/amberroute/sender/journal/DataLossReport.java
+++ b/sender/src/main/java/amberroute/sender/journal/DataLossReport.java
@@ -19,18 +19,18 @@
 
     /** Returns one line for each unreadable part, damage before torn writes; empty where all was read. */
     List<String> lines() {
-        List<String> out = new ArrayList<>();
-        log.losses().forEach(loss -> out.add(line(loss)));
+        List<String> lines = new ArrayList<>();
+        log.losses().forEach(loss -> lines.add(describe(loss)));
         if (log.tornBytes() > 0) {
-            out.add(log.tornBytes() + " bytes of torn ends");
+            lines.add(log.tornBytes() + " bytes of torn ends");
         }
         if (legacyUnreadBytes > 0) {
-            out.add(legacyUnreadBytes + " bytes at the end of an earlier version's file");
+            lines.add(legacyUnreadBytes + " bytes at the end of an earlier version's file");
         }
-        return out;
+        return lines;
     }
 
-    private static String line(DataLoss loss) {
+    private static String describe(DataLoss loss) {
         return loss.missing()
                 ? "segment " + loss.segment() + " is missing"
                 : "segment " + loss.segment() + ": bytes " + loss.damage().from() + " to "
@@ -43,7 +43,7 @@
     }
 
     /** Logs torn writes, and each damaged or missing segment. */
-    void log() {
+    void logWarnings() {
         if (log.tornBytes() > 0) {
             LogEvent.of("journal_torn_write_skipped")
                     .with("bytes", log.tornBytes())
--- a/sender/src/main/java/amberroute/sender/journal/FencingToken.java
+++ b/sender/src/main/java/amberroute/sender/journal/FencingToken.java
@@ -22,11 +22,11 @@
  * @param completed whether nothing is left in the folder to take over
  */
 public record FencingToken(String successor, Path successorFolder, String handoffId, boolean completed) {
-    private static final String NAME = "fence";
-    private static final int MAX_SUCCESSORS = 10_000;
+    private static final String FILE_NAME = "fence";
+    private static final int MAX_CHAIN_LENGTH = 10_000;
 
     static File file(Path folder) {
-        return folder.resolve(NAME).toFile();
+        return folder.resolve(FILE_NAME).toFile();
     }
 
     /**
@@ -35,7 +35,7 @@
      * @throws IOException where there is a fence that cannot be read
      */
     public static FencingToken read(Path folder) throws IOException {
-        Path file = folder.resolve(NAME);
+        Path file = folder.resolve(FILE_NAME);
         if (!Files.exists(file)) {
             return null;
         }
@@ -57,29 +57,31 @@
      *
      * @throws IOException where another successor was first
      */
-    public static FencingToken raise(Path folder, String successor, Path successorFolder) throws IOException {
-        Path own = successorFolder.toAbsolutePath().normalize();
-        FencingToken fence = new FencingToken(successor, own, UUID.randomUUID().toString(), false);
-        Path temporary = folder.resolve(NAME + "." + fence.handoffId());
-        Files.writeString(temporary, fence.text());
+    public static FencingToken create(Path folder, String successor, Path successorFolder) throws IOException {
+        Path ownFolder = successorFolder.toAbsolutePath().normalize();
+        FencingToken token =
+                new FencingToken(successor, ownFolder, UUID.randomUUID().toString(), false);
+        Path temporaryFile = folder.resolve(FILE_NAME + "." + token.handoffId());
+        Files.writeString(temporaryFile, token.toJson());
         try {
-            Files.createLink(folder.resolve(NAME), temporary);
-            return fence;
+            Files.createLink(folder.resolve(FILE_NAME), temporaryFile);
+            return token;
         } catch (FileAlreadyExistsException e) {
-            return raisedBefore(folder, own);
+            return existingToken(folder, ownFolder);
         } finally {
-            Files.deleteIfExists(temporary);
+            Files.deleteIfExists(temporaryFile);
         }
     }
 
     /** Follows the folders that were taken over one after another, from the fence of the first one. */
-    private static FencingToken raisedBefore(Path folder, Path own) throws IOException {
+    private static FencingToken existingToken(Path folder, Path ownFolder) throws IOException {
         FencingToken first = read(folder);
-        int steps = 0;
-        for (FencingToken at = first; at != null && !at.successorFolder().equals(own); ) {
-            at = read(at.successorFolder());
+        int chainLength = 0;
+        for (FencingToken token = first;
+                token != null && !token.successorFolder().equals(ownFolder); ) {
+            token = read(token.successorFolder());
             // The bound ends a circle of folders that took each other over.
-            if (at == null || !at.completed() || ++steps > MAX_SUCCESSORS) {
+            if (token == null || !token.completed() || ++chainLength > MAX_CHAIN_LENGTH) {
                 throw new IOException("folder " + folder + " was taken over by " + first.successor() + " into "
                         + first.successorFolder());
             }
@@ -88,17 +90,17 @@
     }
 
     /** Records that nothing is left in the folder to take over. */
-    public void finish(Path folder) throws IOException {
-        Path temporary = folder.resolve(NAME + ".done");
+    public void markCompleted(Path folder) throws IOException {
+        Path temporaryFile = folder.resolve(FILE_NAME + ".done");
         Files.write(
-                temporary,
+                temporaryFile,
                 new FencingToken(successor, successorFolder, handoffId, true)
-                        .text()
+                        .toJson()
                         .getBytes(StandardCharsets.UTF_8));
-        Files.move(temporary, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporaryFile, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private String text() {
+    private String toJson() {
         JsonObject json = new JsonObject();
         json.addProperty("by", successor);
         json.addProperty("into", successorFolder.toString());
--- a/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
+++ b/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
@@ -17,22 +17,22 @@
     /** Bytes that one step of compaction copies; it bounds the time of one event loop iteration. */
     static final long COMPACTION_STEP_BYTES = 16 * 1_024;
 
-    private static final int MAX_FORCES = 5;
+    private static final int MAX_FORCE_ATTEMPTS = 5;
 
     /** An effect that may happen once all up to a sequence number is forced; {@code failed} is null to wait without bound. */
-    private record DeferredEffect(long sequence, Runnable effect, Runnable failed) {}
+    private record DeferredEffect(long sequence, Runnable effect, Runnable onFailure) {}
 
     private final SegmentLog log;
     private final Durability durability;
     private final BackgroundExecutor executor;
     private final WriteFailure failure;
     private final Deque<DeferredEffect> deferred = new ArrayDeque<>();
-    private PendingForce running;
-    private boolean requested;
+    private PendingForce runningForce;
+    private boolean startRequested;
     /** Counted down when the running force has run. */
-    private CountDownLatch finished;
+    private CountDownLatch runningForceDone;
     /** Takes the result of the running force, once. */
-    private Runnable completion;
+    private Runnable completeRunningForce;
 
     /** {@code executor} may be null where nothing is forced in the background. */
     ForceScheduler(SegmentLog log, Durability durability, BackgroundExecutor executor, WriteFailure failure) {
@@ -42,85 +42,85 @@
         this.failure = failure;
     }
 
-    boolean running() {
-        return running != null;
+    boolean isForceRunning() {
+        return runningForce != null;
     }
 
     /** Returns the number of effects that wait for a force. */
-    int deferredEffects() {
+    int deferredEffectCount() {
         return deferred.size();
     }
 
     /** Runs an effect when all records so far survive a loss of power, at once where that is not asked for. */
-    void whenForced(Runnable effect, Runnable failed) {
+    void whenForced(Runnable effect, Runnable onFailure) {
         if (durability == Durability.NONE || deferred.isEmpty() && allForced()) {
             effect.run();
             return;
         }
-        deferred.add(new DeferredEffect(log.sequence(), effect, failed));
-        if (!requested && executor != null) {
-            requested = true;
-            executor.runOnLoop(this::start);
+        deferred.add(new DeferredEffect(log.sequence(), effect, onFailure));
+        if (!startRequested && executor != null) {
+            startRequested = true;
+            executor.runOnLoop(this::startForce);
         }
     }
 
     /** Starts a force of all records so far, unless one is running. */
-    void start() {
-        requested = false;
-        if (running != null || durability == Durability.NONE) {
+    void startForce() {
+        startRequested = false;
+        if (runningForce != null || durability == Durability.NONE) {
             return;
         }
-        running = log.prepareForce();
-        if (running == null) {
+        runningForce = log.prepareForce();
+        if (runningForce == null) {
             runForcedEffects();
             return;
         }
-        PendingForce force = running;
+        PendingForce force = runningForce;
         IOException[] error = new IOException[1];
-        CountDownLatch ran = new CountDownLatch(1);
-        finished = ran;
-        Runnable complete = () -> {
+        CountDownLatch done = new CountDownLatch(1);
+        runningForceDone = done;
+        Runnable completion = () -> {
             // Once: forceAll() completes the running force ahead of the executor.
-            if (running == force) {
-                running = null;
-                completed(force, error[0]);
+            if (runningForce == force) {
+                runningForce = null;
+                onForceCompleted(force, error[0]);
             }
         };
-        completion = complete;
-        executor.runInBackground(() -> run(force, error, ran), () -> {
-            complete.run();
+        completeRunningForce = completion;
+        executor.runInBackground(() -> run(force, error, done), () -> {
+            completion.run();
             if (!deferred.isEmpty() && !log.needsRewrite()) {
-                start();
+                startForce();
             }
         });
     }
 
     /** On the executor's thread; the latch makes {@code error} visible to the event loop. */
-    private static void run(PendingForce force, IOException[] error, CountDownLatch ran) {
+    private static void run(PendingForce force, IOException[] error, CountDownLatch done) {
         try {
             force.run();
         } catch (IOException e) {
             error[0] = e;
         } finally {
-            ran.countDown();
+            done.countDown();
         }
     }
 
-    private void completed(PendingForce force, IOException error) {
+    private void onForceCompleted(PendingForce force, IOException error) {
         log.forceCompleted(force, error == null);
         if (error == null) {
             runForcedEffects();
             return;
         }
-        failure.failed(new IOException(
+        failure.report(new IOException(
                 "forcing failed, what was written since the last one is written anew: " + error.getMessage()));
-        List<DeferredEffect> all = List.copyOf(deferred);
+        List<DeferredEffect> waiting = List.copyOf(deferred);
         deferred.clear();
-        for (DeferredEffect one : all) {
-            if (one.failed() == null) {
-                deferred.add(one);
+        for (DeferredEffect waitingEffect : waiting) {
+            if (waitingEffect.onFailure() == null) {
+                deferred.add(waitingEffect);
             } else {
-                one.failed().run();
+                waitingEffect.onFailure().run();
             }
         }
     }
@@ -133,7 +133,7 @@
 
     /** Forces on this thread. Slow. Returns whether all records so far survive a loss of power. */
     boolean forceNow() {
-        PendingForce force = running == null ? log.prepareForce() : null;
+        PendingForce force = runningForce == null ? log.prepareForce() : null;
         if (force != null) {
             IOException error = null;
             try {
@@ -141,7 +141,7 @@
             } catch (IOException e) {
                 error = e;
             }
-            completed(force, error);
+            onForceCompleted(force, error);
         }
         return allForced();
     }
@@ -155,39 +155,39 @@
         if (durability == Durability.NONE) {
             return true;
         }
-        if (running != null && !awaitRunning()) {
+        if (runningForce != null && !awaitRunningForce()) {
             return false;
         }
-        for (int i = 0; i < MAX_FORCES; i++) {
+        for (int i = 0; i < MAX_FORCE_ATTEMPTS; i++) {
             if (forceNow()) {
                 return true;
             }
-            rewrite();
+            rewriteUnforcedRecords();
         }
         return false;
     }
 
     /** The executor's force comes first: its files must not be closed while it runs. */
-    private boolean awaitRunning() {
+    private boolean awaitRunningForce() {
         try {
-            finished.await();
+            runningForceDone.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
-        completion.run();
+        completeRunningForce.run();
         return true;
     }
 
     /** Copies what a failed force has left unknown, so that the next force covers it. */
-    void rewrite() {
+    void rewriteUnforcedRecords() {
         try {
-            boolean copied = true;
-            while (log.needsRewrite() && copied) {
-                copied = log.compact(COMPACTION_STEP_BYTES);
+            boolean progressed = true;
+            while (log.needsRewrite() && progressed) {
+                progressed = log.compact(COMPACTION_STEP_BYTES);
             }
         } catch (IOException e) {
-            failure.failed(e);
+            failure.report(e);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
@@ -18,7 +18,7 @@
     /** Batches that are recorded at most; none is offered or accepted beyond. */
     private static final int MAX_BATCHES = 4_096;
 
-    private static final int BUDGET_SHARE = 8;
+    private static final int BUDGET_DIVISOR = 8;
 
     private final SegmentLog log;
     private final JournalContents contents;
@@ -26,7 +26,7 @@
     private final KeyHoldJournal keyHolds;
     private final long maxBatches;
     /** Time at which expired batches were last looked for, in milliseconds of the caller's clock. */
-    private long lastExpiryMillis;
+    private long lastExpiryCheckMillis;
 
     HandoffJournal(SegmentLog log, JournalContents contents, JournalWriter writer, KeyHoldJournal keyHolds) {
         this.log = log;
@@ -34,7 +34,7 @@
         this.writer = writer;
         this.keyHolds = keyHolds;
         LogLimits limits = log.limits();
-        maxBatches = Math.min(MAX_BATCHES, limits.budgetBytes() / BUDGET_SHARE / RecordSizes.HANDOFF_BATCH_BYTES);
+        maxBatches = Math.min(MAX_BATCHES, limits.budgetBytes() / BUDGET_DIVISOR / RecordSizes.HANDOFF_BATCH_BYTES);
     }
 
     /** Writes a batch's state; the messages of one that was given away are completed here. */
@@ -42,32 +42,33 @@
         return write(name, record, new Batch());
     }
 
-    private boolean write(String name, HandoffBatchRecord record, Batch more) {
-        if (!fits(name) || !canChange(record)) {
+    private boolean write(String name, HandoffBatchRecord record, Batch additionalChanges) {
+        if (!hasRoomFor(name) || !flushPendingWrites(record)) {
             return false;
         }
-        Batch batch = new Batch().addAll(more);
-        put(batch, name, record);
-        List<AcceptedMessage> given = givenAway(record);
-        given.forEach(message -> MessageRecords.putCompleted(batch, message.number, contents.completedRecord(message)));
+        Batch batch = new Batch().addAll(additionalChanges);
+        putBatchState(batch, name, record);
+        List<AcceptedMessage> givenAway = messagesGivenAway(record);
+        givenAway.forEach(
+                message -> MessageRecords.putCompleted(batch, message.number, contents.completedRecord(message)));
         if (!writer.write(batch)) {
             return false;
         }
-        Batch forgotten = new Batch();
-        given.forEach(message ->
-                contents.complete(message, contents.completedRecord(message)).forEach(forgotten::delete));
+        Batch evictedIds = new Batch();
+        givenAway.forEach(message ->
+                contents.complete(message, contents.completedRecord(message)).forEach(evictedIds::delete));
         // Where the disk does not take this, their ids are remembered for longer.
-        writer.write(forgotten);
+        writer.write(evictedIds);
         contents.putHandoffBatch(name, record);
         return true;
     }
 
-    private void put(Batch batch, String name, HandoffBatchRecord record) {
-        long owner = contents.owners.of(OwnerNumbers.handoffBatch(name));
+    private void putBatchState(Batch batch, String name, HandoffBatchRecord record) {
+        long owner = contents.owners.getOrAllocate(OwnerNumbers.handoffBatch(name));
         batch.put(owner, RecordKind.HANDOFF_BATCH, JournalRecordCodec.encodeHandoffBatch(name, record));
     }
 
-    private List<AcceptedMessage> givenAway(HandoffBatchRecord record) {
+    private List<AcceptedMessage> messagesGivenAway(HandoffBatchRecord record) {
         if (record.ownership().status() != Ownership.Status.GIVEN) {
             return List.of();
         }
@@ -78,16 +79,16 @@
     }
 
     /** Pending writes of the batch's messages come first: they would undo what the batch changes. */
-    private boolean canChange(HandoffBatchRecord record) {
+    private boolean flushPendingWrites(HandoffBatchRecord record) {
         if (!writer.pendingWrites().isEmpty()) {
-            writer.retry();
+            writer.retryFailedWrites();
         }
         return record.messageNumbers().stream().noneMatch(writer.pendingWrites()::contains);
     }
 
     /** Writes an offer, and in the same batch the holds that make messages of its keys wait after a restart. */
     boolean offer(String name, HandoffBatchRecord record, String origin, List<Long> keys, long holdUntilMillis) {
-        if (!keys.isEmpty() && !keyHolds.fits(keys.size())) {
+        if (!keys.isEmpty() && !keyHolds.hasRoomFor(keys.size())) {
             return false;
         }
         Batch batch = new Batch();
@@ -115,35 +116,35 @@
             HandoffBatchRecord record,
             List<AcceptedMessage> messages,
             String origin,
-            List<AcceptedMessage> behind) {
+            List<AcceptedMessage> rankedAfter) {
         long bytes = messages.stream().mapToLong(RecordSizes::of).sum();
-        if (!fits(name)
+        if (!hasRoomFor(name)
                 || !contents.space.fits(bytes)
                 || !writer.pendingWrites().isEmpty()) {
             return false;
         }
-        List<Long> keys = heldKeys(messages, origin);
+        List<Long> keys = keysHeldBy(messages, origin);
         Batch batch = new Batch();
-        put(batch, name, record);
-        messages.forEach(message -> MessageRecords.putCurrent(batch, message));
+        putBatchState(batch, name, record);
+        messages.forEach(message -> MessageRecords.putCurrentState(batch, message));
         keys.forEach(key -> keyHolds.delete(batch, origin, key));
-        List<Long> ranks = behind.stream().map(message -> log.nextOwner()).toList();
+        List<Long> ranks = rankedAfter.stream().map(message -> log.nextOwner()).toList();
         for (int i = 0; i < ranks.size(); i++) {
-            MessageRecords.putRank(batch, behind.get(i).number, ranks.get(i));
+            MessageRecords.putRank(batch, rankedAfter.get(i).number, ranks.get(i));
         }
         if (!writer.write(batch)) {
             return false;
         }
-        messages.forEach(contents::add);
+        messages.forEach(contents::addPending);
         contents.releaseKeys(origin, keys);
         for (int i = 0; i < ranks.size(); i++) {
-            contents.moveBehind(behind.get(i), ranks.get(i));
+            contents.moveToEnd(rankedAfter.get(i), ranks.get(i));
         }
         contents.putHandoffBatch(name, record);
         return true;
     }
 
-    private List<Long> heldKeys(List<AcceptedMessage> messages, String origin) {
+    private List<Long> keysHeldBy(List<AcceptedMessage> messages, String origin) {
         return messages.stream()
                 .map(message -> message.key)
                 .filter(key -> contents.keyHolds.origins(key).contains(origin))
@@ -151,22 +152,22 @@
                 .toList();
     }
 
-    private boolean fits(String name) {
+    private boolean hasRoomFor(String name) {
         if (contents.handoffBatches.size() >= maxBatches) {
-            expire(lastExpiryMillis);
+            expire(lastExpiryCheckMillis);
         }
         return contents.handoffBatches.size() < maxBatches || contents.handoffBatches.containsKey(name);
     }
 
     /** Deletes batches whose time is over; a late offer of one is rejected, since its messages are past their deadline. */
     void expire(long nowMillis) {
-        lastExpiryMillis = nowMillis;
+        lastExpiryCheckMillis = nowMillis;
         List<String> expired = contents.handoffBatches.entrySet().stream()
                 .filter(entry -> isExpired(entry.getValue(), nowMillis))
                 .map(Map.Entry::getKey)
                 .toList();
         Batch batch = new Batch();
-        expired.forEach(name -> batch.delete(contents.owners.of(OwnerNumbers.handoffBatch(name))));
+        expired.forEach(name -> batch.delete(contents.owners.getOrAllocate(OwnerNumbers.handoffBatch(name))));
         if (writer.write(batch)) {
             expired.forEach(contents::removeHandoffBatch);
         }
@@ -174,6 +175,6 @@
 
     /** The answer to an offer is awaited whatever the time. */
     private static boolean isExpired(HandoffBatchRecord record, long nowMillis) {
-        return record.untilMillis() < nowMillis && record.ownership().status() != Ownership.Status.OFFERED;
+        return record.retainUntilMillis() < nowMillis && record.ownership().status() != Ownership.Status.OFFERED;
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/HealthJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/HealthJournal.java
@@ -8,7 +8,7 @@
  * first: the next process takes a forgotten upstream for healthy until its calls fail. Used on the event loop only.
  */
 final class HealthJournal {
-    private static final int BUDGET_SHARE = 16;
+    private static final int BUDGET_DIVISOR = 16;
     private static final int MIN_RECORDS = 128;
     private static final int MAX_RECORDS = 1 << 16;
 
@@ -19,22 +19,22 @@
     HealthJournal(JournalContents contents, JournalWriter writer) {
         this.contents = contents;
         this.writer = writer;
-        long fitting = contents.space.budgetBytes() / BUDGET_SHARE / RecordSizes.HEALTH_BYTES;
-        maxRecords = (int) Math.min(MAX_RECORDS, Math.max(MIN_RECORDS, fitting));
+        long fittingRecords = contents.space.budgetBytes() / BUDGET_DIVISOR / RecordSizes.HEALTH_BYTES;
+        maxRecords = (int) Math.min(MAX_RECORDS, Math.max(MIN_RECORDS, fittingRecords));
     }
 
     /** Writes a record as soon as the disk takes it; that of a healthy upstream only deletes an earlier one. */
     void record(HealthRecord record) {
         Batch batch = new Batch();
         remove(record.upstreamKey(), batch);
-        long owner = record.health() == DeliveryScheduler.UpstreamStatus.HEALTHY ? 0 : put(record, batch);
+        long owner = record.status() == DeliveryScheduler.UpstreamStatus.HEALTHY ? 0 : put(record, batch);
         if (!batch.isEmpty()) {
             writer.writeEventually(owner, batch, PendingWrites.NO_EFFECT);
         }
     }
 
     private long put(HealthRecord record, Batch batch) {
-        long owner = contents.owners.of(OwnerNumbers.upstream(record));
+        long owner = contents.owners.getOrAllocate(OwnerNumbers.upstream(record));
         contents.putHealth(record);
         batch.put(owner, RecordKind.HEALTH, JournalRecordCodec.encodeHealth(record));
         if (contents.health.size() > maxRecords) {
--- a/sender/src/main/java/amberroute/sender/journal/HealthRecord.java
+++ b/sender/src/main/java/amberroute/sender/journal/HealthRecord.java
@@ -7,7 +7,7 @@
  *
  * @param destination number of the destination
  * @param uid uid of the endpoint, empty for the destination as a whole
- * @param health last known status
+ * @param status last known status
  * @param sinceMillis when that status began, by the {@link SteadyClock}
  * @param callsPerSecond rate that was in force
  * @param usualLatencyMicros usual latency of a call
@@ -15,7 +15,7 @@
 public record HealthRecord(
         int destination,
         String uid,
-        DeliveryScheduler.UpstreamStatus health,
+        DeliveryScheduler.UpstreamStatus status,
         long sinceMillis,
         double callsPerSecond,
         double usualLatencyMicros) {
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -23,7 +23,7 @@
  *
  * <p>Messages, handoff batches, key holds, health records and classes are owners in a {@link SegmentLog}. Each message reserves
  * room for all its later records, so that an accepted one can always be completed. What the disk does not take is retried ({@link
- * #retry}): meanwhile no message is accepted, no recorded attempt is made, and the effect of an outcome waits for its record.
+ * #retryFailedWrites}): meanwhile no message is accepted, no recorded attempt is made, and the effect of an outcome waits for its record.
  *
  * <p>Used on the event loop only. The state is in {@link JournalContents}, the write path in {@link JournalWriter}, the byte
  * layout in {@link JournalRecordCodec}.
@@ -35,21 +35,21 @@
     private final SegmentLog log;
     private final JournalContents contents;
     private final JournalWriter writer;
-    private final HealthJournal health;
-    private final KeyHoldJournal keyHolds;
-    private final HandoffJournal handoff;
+    private final HealthJournal healthJournal;
+    private final KeyHoldJournal keyHoldJournal;
+    private final HandoffJournal handoffJournal;
     private final DataLossReport dataLoss;
     /** Whether the record of the last failed acceptance or attempt may be found after a restart. */
-    private boolean uncertain;
+    private boolean lastWriteUncertain;
 
     Journal(Path folder, SegmentLog log, Durability durability, BackgroundExecutor executor, long legacyUnreadBytes) {
         this.folder = folder;
         this.log = log;
         contents = new JournalContents(log);
         writer = new JournalWriter(log, durability, executor, contents);
-        health = new HealthJournal(contents, writer);
-        keyHolds = new KeyHoldJournal(contents, writer, log.limits());
-        handoff = new HandoffJournal(log, contents, writer, keyHolds);
+        healthJournal = new HealthJournal(contents, writer);
+        keyHoldJournal = new KeyHoldJournal(contents, writer, log.limits());
+        handoffJournal = new HandoffJournal(log, contents, writer, keyHoldJournal);
         dataLoss = new DataLossReport(log, legacyUnreadBytes);
     }
 
@@ -97,14 +97,14 @@
         new JournalRecovery(log, contents).run();
     }
 
-    void takeWithoutWriting(JournalImport records) {
+    void loadWithoutWriting(JournalImport records) {
         records.applyTo(contents, log);
     }
 
     /** Takes the records of another journal and writes them. */
     void importAll(JournalImport records) throws IOException {
         records.applyTo(contents, log);
-        for (Supplier<Batch> batch : JournalSnapshot.withoutCompleted(contents, keyHolds)) {
+        for (Supplier<Batch> batch : JournalSnapshot.withoutCompleted(contents, keyHoldJournal)) {
             log.write(batch.get());
         }
     }
@@ -156,12 +156,12 @@
     }
 
     /**
-     * From now on the {@link FencingToken} is checked behind each write, and by {@link #checkFence}.
+     * From now on the {@link FencingToken} is checked behind each write, and by {@link #checkFencingToken}.
      *
-     * @param fenced runs when the token is there; it has to end the process
+     * @param onFenced runs when the token is there; it has to end the process
      */
-    public void watchFence(Runnable fenced) {
-        writer.watchFence(folder, fenced);
+    public void watchFencingToken(Runnable onFenced) {
+        writer.watchFencingToken(folder, onFenced);
     }
 
     /**
@@ -169,18 +169,18 @@
      *
      * @throws IllegalStateException where the folder was taken over
      */
-    public void checkFence() {
-        writer.checkFence();
+    public void checkFencingToken() {
+        writer.checkFencingToken();
     }
 
     /**
      * Runs an effect when all that was written so far survives what it has to: a loss of power where that is forced, the loss of
      * the machine where the journal is replicated; at once where neither is.
      *
-     * @param failed runs in its place where that fails or takes too long; null to wait without bound
+     * @param onFailure runs in its place where that fails or takes too long; null to wait without bound
      */
-    public void whenDurable(Runnable effect, Runnable failed) {
-        writer.whenDurable(effect, failed);
+    public void whenDurable(Runnable effect, Runnable onFailure) {
+        writer.whenDurable(effect, onFailure);
     }
 
     /** Forces all that was written so far on this thread. Slow. Returns whether that succeeded. */
@@ -189,23 +189,23 @@
     }
 
     /** Returns the number of effects that wait for a force. */
-    public int deferredEffects() {
-        return writer.forces().deferredEffects();
+    public int deferredEffectCount() {
+        return writer.forces().deferredEffectCount();
     }
 
     /** Returns why the journal cannot be written just now, empty while it can. */
-    public String writeFailure() {
+    public String writeFailureReason() {
         return writer.failure().reason();
     }
 
     /** Returns when a client that is rejected for it should retry, in milliseconds; 0 while the journal can be written. */
     public long retryAfterMillis() {
-        return writer.failure().present() ? RETRY_AFTER_MILLIS : 0;
+        return writer.failure().isPresent() ? RETRY_AFTER_MILLIS : 0;
     }
 
     /** Returns whether the last rejected message may be found after a restart: then a retry is not known to be harmless. */
-    public boolean uncertain() {
-        return uncertain;
+    public boolean lastWriteUncertain() {
+        return lastWriteUncertain;
     }
 
     /** Returns the number of changes that are not on the disk yet. */
@@ -214,12 +214,12 @@
     }
 
     /** Tries again what the disk did not take; to be called from time to time. */
-    public void retry() {
-        writer.retry();
+    public void retryFailedWrites() {
+        writer.retryFailedWrites();
     }
 
     /** Does a step of compaction where that is needed, between other work; returns whether there is more to do. */
-    public boolean compactSlice() {
+    public boolean compactStep() {
         return writer.compactStep();
     }
 
@@ -242,24 +242,24 @@
     public Batch replicationPositionBatch() {
         return new Batch()
                 .put(
-                        contents.owners.of(OwnerNumbers.replication()),
+                        contents.owners.getOrAllocate(OwnerNumbers.replication()),
                         RecordKind.REPLICATION_POSITION,
                         contents.replicationPosition);
     }
 
     /** Writes the replica set; false where the disk does not take it. */
-    public boolean replicaSet(byte[] replicaSet) {
-        long owner = contents.owners.of(OwnerNumbers.replication());
-        if (!writer.write(new Batch().put(owner, RecordKind.REPLICA_SET, replicaSet))) {
+    public boolean writeReplicaSet(byte[] writeReplicaSet) {
+        long owner = contents.owners.getOrAllocate(OwnerNumbers.replication());
+        if (!writer.write(new Batch().put(owner, RecordKind.REPLICA_SET, writeReplicaSet))) {
             return false;
         }
-        contents.replicaSet = replicaSet;
+        contents.replicaSet = writeReplicaSet;
         return true;
     }
 
     /** Returns all live records as batches, each encoded when it is asked for; see {@link JournalSnapshot}. */
     public List<Supplier<Batch>> snapshotBatches() {
-        return JournalSnapshot.whole(contents, keyHolds);
+        return JournalSnapshot.allRecords(contents, keyHoldJournal);
     }
 
     /** Returns the messages that are not completed, in the order of acceptance. */
@@ -268,7 +268,7 @@
     }
 
     /** Returns those of these messages that are still to be delivered, in the order given. */
-    public List<AcceptedMessage> pendingMessages(List<Long> numbers) {
+    public List<AcceptedMessage> undeliveredMessages(List<Long> numbers) {
         return numbers.stream()
                 .map(contents.pending::get)
                 .filter(message -> message != null && message.pendingNotification == null)
@@ -281,26 +281,26 @@
     }
 
     /** Returns whether a message of this id is pending or was completed not long ago. */
-    public boolean knows(String id) {
-        return contents.knows(id);
+    public boolean containsId(String id) {
+        return contents.containsId(id);
     }
 
     /** Returns whether the message known under this id has another content hash, as far as that is known. */
-    public boolean differs(String id, int contentHash) {
-        return contents.differs(id, contentHash);
+    public boolean hasDifferentContent(String id, int contentHash) {
+        return contents.hasDifferentContent(id, contentHash);
     }
 
     /** Writes a new message; false where there is no room for it, or the disk does not take it. */
     public boolean accept(AcceptedMessage message) {
-        uncertain = false;
-        if (!contents.space.fits(RecordSizes.of(message)) || !writer.settled()) {
+        lastWriteUncertain = false;
+        if (!contents.space.fits(RecordSizes.of(message)) || !writer.allWritesResolved()) {
             return false;
         }
         if (!writer.write(MessageRecords.putPending(new Batch(), message))) {
-            uncertain = writer.uncertain();
+            lastWriteUncertain = writer.lastWriteUncertain();
             return false;
         }
-        contents.add(message);
+        contents.addPending(message);
         return true;
     }
 
@@ -309,13 +309,13 @@
      *
      * @return false where the disk does not take it; then the attempt must not be made, and the message is as before
      */
-    public boolean attempt(AcceptedMessage message, String uid, long wallMillis) {
-        AcceptedMessage.Attempts before = message.attempts();
-        message.attempt(uid, wallMillis);
+    public boolean recordAttempt(AcceptedMessage message, String uid, long nowMillis) {
+        AcceptedMessage.Attempts previous = message.attempts();
+        message.attempt(uid, nowMillis);
         if (writer.pendingWrites().hasEffect(message.number)
                 || !writer.write(MessageRecords.putAttempts(new Batch(), message))) {
-            message.restore(before);
-            uncertain = writer.uncertain();
+            message.restore(previous);
+            lastWriteUncertain = writer.lastWriteUncertain();
             return false;
         }
         // This record has the outcome of the attempt before, too.
@@ -327,8 +327,8 @@
      * Notes an attempt, of an idempotent message, that is made although the disk does not take its record now. A restart before it
      * does makes the attempt once more.
      */
-    public void attemptUnrecorded(AcceptedMessage message, String uid, long wallMillis) {
-        message.attempt(uid, wallMillis);
+    public void recordAttemptEventually(AcceptedMessage message, String uid, long nowMillis) {
+        message.attempt(uid, nowMillis);
         writeAttempts(message);
     }
 
@@ -343,7 +343,7 @@
     }
 
     /** Writes the outcome of an attempt, now or as soon as the disk takes it. */
-    public void outcome(AcceptedMessage message, boolean mayHaveRun) {
+    public void recordOutcome(AcceptedMessage message, boolean mayHaveRun) {
         message.outcome(mayHaveRun);
         if (contents.isPending(message) && message.pendingNotification == null) {
             writeAttempts(message);
@@ -351,18 +351,18 @@
     }
 
     /** Writes the end of a message and its notice; {@code written} runs when that is on the disk, and sends the notice. */
-    public void end(AcceptedMessage message, String notice, Runnable written) {
-        contents.end(message, notice);
-        writer.writeEventually(message.number, MessageRecords.putEnded(new Batch(), message), written);
+    public void endWithNotice(AcceptedMessage message, String notice, Runnable onWritten) {
+        contents.endWithNotice(message, notice);
+        writer.writeEventually(message.number, MessageRecords.putEnded(new Batch(), message), onWritten);
     }
 
     /** Writes the end of a message and its notice, now or as soon as the disk takes it. */
-    public void end(AcceptedMessage message, String notice) {
-        end(message, notice, PendingWrites.NO_EFFECT);
+    public void endWithNotice(AcceptedMessage message, String notice) {
+        endWithNotice(message, notice, PendingWrites.NO_EFFECT);
     }
 
     /** Completes a message: it was delivered, or its notice was answered. Its id is remembered for a while. */
-    public void conclude(AcceptedMessage message) {
+    public void complete(AcceptedMessage message) {
         if (contents.isPending(message)) {
             CompletedRecord record = contents.completedRecord(message);
             Batch batch = MessageRecords.putCompleted(new Batch(), message.number, record);
@@ -381,7 +381,7 @@
         if (version.equals(contents.classes.get(number))) {
             return true;
         }
-        long owner = contents.owners.of(OwnerNumbers.messageClass(number));
+        long owner = contents.owners.getOrAllocate(OwnerNumbers.messageClass(number));
         byte[] content = JournalRecordCodec.encodeClass(number, version);
         if (!writer.write(new Batch().put(owner, RecordKind.MESSAGE_CLASS, content))) {
             return false;
@@ -397,7 +397,7 @@
 
     /** Writes a health record, now or as soon as the disk takes it; that of a healthy upstream deletes an earlier one. */
     public void recordHealth(HealthRecord record) {
-        health.record(record);
+        healthJournal.record(record);
     }
 
     /** Returns all handoff batches by name. */
@@ -408,10 +408,11 @@
     /** Writes who owns a batch; false where there is no room or the disk does not take it. One given away has no message here. */
     public boolean writeHandoffBatch(
             String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
-        return handoff.write(name, record(ownership, untilMillis, messages));
+        return handoffJournal.write(name, handoffRecord(ownership, untilMillis, messages));
     }
 
-    private static HandoffBatchRecord record(Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
+    private static HandoffBatchRecord handoffRecord(
+            Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
         List<Long> numbers = messages.stream().map(message -> message.number).toList();
         return new HandoffBatchRecord(ownership, untilMillis, numbers);
     }
@@ -425,7 +426,8 @@
             String origin,
             List<Long> keys,
             long holdUntilMillis) {
-        return handoff.offer(name, record(ownership, untilMillis, messages), origin, keys, holdUntilMillis);
+        return handoffJournal.offer(
+                name, handoffRecord(ownership, untilMillis, messages), origin, keys, holdUntilMillis);
     }
 
     /** Writes that a batch and its keys are this daemon's again; returns the free keys, null where it was not written. */
@@ -436,14 +438,14 @@
             List<AcceptedMessage> messages,
             String origin,
             List<Long> keys) {
-        return handoff.reclaim(name, record(ownership, untilMillis, messages), origin, keys);
+        return handoffJournal.reclaim(name, handoffRecord(ownership, untilMillis, messages), origin, keys);
     }
 
     /**
      * Accepts the messages of another daemon's batch, in one write with who owns them, the end of the origin's holds on their
      * keys, and the new rank of the messages that waited for these keys.
      *
-     * @param behind messages that go behind the accepted ones
+     * @param rankedAfter messages that go behind the accepted ones
      * @return false where there is no room or the disk does not take it
      */
     public boolean acceptHandoffBatch(
@@ -452,8 +454,9 @@
             long untilMillis,
             List<AcceptedMessage> messages,
             String origin,
-            List<AcceptedMessage> behind) {
-        return handoff.accept(name, record(ownership, untilMillis, messages), messages, origin, behind);
+            List<AcceptedMessage> rankedAfter) {
+        return handoffJournal.accept(
+                name, handoffRecord(ownership, untilMillis, messages), messages, origin, rankedAfter);
     }
 
     /** As the other, without any key that another daemon may hold. */
@@ -464,7 +467,7 @@
 
     /** Deletes batches whose time is over, but for such as are offered. */
     public void expireHandoffBatches(long nowMillis) {
-        handoff.expire(nowMillis);
+        handoffJournal.expire(nowMillis);
     }
 
     /** Returns the holds of other daemons on keys. */
@@ -474,22 +477,22 @@
 
     /** For each held key the rank of its first hold: messages of a lower rank were accepted before it. */
     public Map<Long, Long> keyHoldRanks() {
-        return keyHolds.ranks();
+        return keyHoldJournal.ranks();
     }
 
     /** Writes that the origin holds these keys; false where there is no room for it, or for some of them. */
     public boolean holdKeys(String origin, List<Long> keys, long untilMillis) {
-        return keyHolds.hold(origin, keys, untilMillis);
+        return keyHoldJournal.hold(origin, keys, untilMillis);
     }
 
     /** Releases the origin's holds; returns the keys that nobody holds any more. */
     public List<Long> releaseKeys(String origin, List<Long> keys) {
-        return keyHolds.release(origin, keys);
+        return keyHoldJournal.release(origin, keys);
     }
 
     /** Ends holds whose time is over; returns the keys that nobody holds any more. */
-    public List<Long> expireKeyHolds(long wallMillis) {
-        return keyHolds.expire(wallMillis);
+    public List<Long> expireKeyHolds(long nowMillis) {
+        return keyHoldJournal.expire(nowMillis);
     }
 
     @Override
--- a/sender/src/main/java/amberroute/sender/journal/JournalChangeListener.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalChangeListener.java
@@ -13,7 +13,7 @@
     /**
      * Runs {@code effect} once all batches written so far are replicated.
      *
-     * @param failed runs in its place when that takes too long; null to wait without a bound
+     * @param onFailure runs in its place when that takes too long; null to wait without a bound
      */
-    void whenReplicated(Runnable effect, Runnable failed);
+    void whenReplicated(Runnable effect, Runnable onFailure);
 }
--- a/sender/src/main/java/amberroute/sender/journal/JournalContents.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalContents.java
@@ -19,7 +19,7 @@
  */
 final class JournalContents {
     /** The share of the budget that ids of completed messages may take, and a bound in bytes. */
-    private static final int COMPLETED_SHARE = 32;
+    private static final int COMPLETED_BUDGET_DIVISOR = 32;
 
     private static final long MAX_COMPLETED_BYTES = 4 << 20;
 
@@ -47,41 +47,41 @@
     JournalContents(SegmentLog log) {
         owners = new OwnerNumbers(log);
         space = new JournalSpace(log);
-        long completedBytes = Math.min(MAX_COMPLETED_BYTES, space.budgetBytes() / COMPLETED_SHARE);
+        long completedBytes = Math.min(MAX_COMPLETED_BYTES, space.budgetBytes() / COMPLETED_BUDGET_DIVISOR);
         completed = new DeduplicationCache(completedBytes);
         space.reserve(completedBytes);
     }
 
     /** Returns whether a message of this id is pending or was completed not long ago. */
-    boolean knows(String id) {
+    boolean containsId(String id) {
         return pendingIds.containsKey(id) || completed.knows(id);
     }
 
     /** Returns whether the message known under this id has other content, as far as that is known. */
-    boolean differs(String id, int contentHash) {
-        int known = pendingIds.containsKey(id) ? pendingIds.get(id) : completed.content(id);
-        return known != 0 && known != contentHash;
+    boolean hasDifferentContent(String id, int contentHash) {
+        int knownHash = pendingIds.containsKey(id) ? pendingIds.get(id) : completed.content(id);
+        return knownHash != 0 && knownHash != contentHash;
     }
 
     boolean isPending(AcceptedMessage message) {
         return pending.containsKey(message.number);
     }
 
-    void add(AcceptedMessage message) {
+    void addPending(AcceptedMessage message) {
         pending.put(message.number, message);
         pendingIds.put(message.id, message.contentHash);
         space.reserve(RecordSizes.of(message));
     }
 
     /** Changes what a pending message needs, such as its body for a notice. */
-    void end(AcceptedMessage message, String notice) {
+    void endWithNotice(AcceptedMessage message, String notice) {
         space.release(RecordSizes.of(message));
         message.end(notice);
         space.reserve(RecordSizes.of(message));
     }
 
     /** Moves a message behind all others. */
-    void moveBehind(AcceptedMessage message, long rank) {
+    void moveToEnd(AcceptedMessage message, long rank) {
         message.rank = rank;
         if (pending.remove(message.number) != null) {
             pending.put(message.number, message);
@@ -98,7 +98,7 @@
 
     /** Returns the numbers of completed messages that are forgotten for this one. */
     List<Long> addCompleted(long number, CompletedRecord record) {
-        return completed.add(record.id(), record.content(), record.idempotency(), number, nanoClock.getAsLong());
+        return completed.add(record.id(), record.contentHash(), record.idempotency(), number, nanoClock.getAsLong());
     }
 
     CompletedRecord completedRecord(AcceptedMessage message) {
@@ -112,8 +112,8 @@
     }
 
     void putClass(int number, MessageClassRegistry.Version version) {
-        MessageClassRegistry.Version before = classes.put(number, version);
-        space.reserve(RecordSizes.of(version) - (before == null ? 0 : RecordSizes.of(before)));
+        MessageClassRegistry.Version previous = classes.put(number, version);
+        space.reserve(RecordSizes.of(version) - (previous == null ? 0 : RecordSizes.of(previous)));
     }
 
     void putHealth(HealthRecord record) {
@@ -132,8 +132,8 @@
 
     /** Puts a batch's state; its pending messages are frozen while it is offered, since the peer may own them already. */
     void putHandoffBatch(String name, HandoffBatchRecord batch) {
-        HandoffBatchRecord before = handoffBatches.put(name, batch);
-        space.reserve(RecordSizes.of(batch) - (before == null ? 0 : RecordSizes.of(before)));
+        HandoffBatchRecord previous = handoffBatches.put(name, batch);
+        space.reserve(RecordSizes.of(batch) - (previous == null ? 0 : RecordSizes.of(previous)));
         Ownership.Status status = batch.ownership().status();
         for (long number : batch.messageNumbers()) {
             AcceptedMessage message = pending.get(number);
@@ -149,25 +149,25 @@
     }
 
     void holdKeys(String origin, List<Long> keys, long untilMillis) {
-        int before = keyHolds.size();
+        int sizeBefore = keyHolds.size();
         keyHolds.hold(origin, keys, untilMillis);
-        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - before));
+        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - sizeBefore));
     }
 
     /** Returns the keys that nobody holds any more. */
     List<Long> releaseKeys(String origin, List<Long> keys) {
-        int before = keyHolds.size();
-        List<Long> free = keyHolds.release(origin, keys);
+        int sizeBefore = keyHolds.size();
+        List<Long> freeKeys = keyHolds.release(origin, keys);
         keys.forEach(key -> owners.remove(OwnerNumbers.keyHold(origin, key)));
-        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - before));
-        return free;
+        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - sizeBefore));
+        return freeKeys;
     }
 
     /** Returns the keys that nobody holds any more. */
-    List<Long> expireKeyHolds(long wallMillis) {
-        int before = keyHolds.size();
-        List<Long> free = keyHolds.expire(wallMillis);
-        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - before));
-        return free;
+    List<Long> expireKeyHolds(long nowMillis) {
+        int sizeBefore = keyHolds.size();
+        List<Long> freeKeys = keyHolds.expire(nowMillis);
+        space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - sizeBefore));
+        return freeKeys;
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/JournalImport.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalImport.java
@@ -28,12 +28,12 @@
         long rank = firstFreeNumber;
         // Which messages came before a hold is not known, so all of its key wait.
         for (KeyHolds.KeyHold hold : keyHolds.allHolds()) {
-            contents.owners.recovered(OwnerNumbers.keyHold(hold.origin(), hold.key()), rank++);
+            contents.owners.restore(OwnerNumbers.keyHold(hold.origin(), hold.key()), rank++);
             contents.holdKeys(hold.origin(), List.of(hold.key()), hold.untilMillis());
         }
         for (AcceptedMessage message : messages) {
             message.rank = rank++;
-            contents.add(message);
+            contents.addPending(message);
         }
         // Later messages have higher ranks.
         log.reserveOwnersBelow(rank);
--- a/sender/src/main/java/amberroute/sender/journal/JournalOpener.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalOpener.java
@@ -20,7 +20,7 @@
     /** Room for the files of the folder that are not the log's. */
     private static final long OTHER_FILES_BYTES = 4_096;
 
-    private static final int READ_ONLY_ATTEMPTS = 5;
+    private static final int MAX_READ_ONLY_ATTEMPTS = 5;
 
     private final Path folder;
     private final Disk disk;
@@ -36,35 +36,35 @@
     }
 
     Journal open(long budgetBytes) throws IOException {
-        long logBudget = budgetBytes - OTHER_FILES_BYTES;
-        if (logBudget < LogLimits.MIN_BUDGET_BYTES) {
+        long logBudgetBytes = budgetBytes - OTHER_FILES_BYTES;
+        if (logBudgetBytes < LogLimits.MIN_BUDGET_BYTES) {
             throw new IOException("the journal needs " + (LogLimits.MIN_BUDGET_BYTES + OTHER_FILES_BYTES)
                     + " bytes of disk, and has " + budgetBytes);
         }
-        LogLimits limits = LogLimits.of(logBudget, durability != Durability.NONE);
+        LogLimits limits = LogLimits.of(logBudgetBytes, durability != Durability.NONE);
         LegacyJournalReader legacy = folder == null ? null : LegacyJournalReader.read(folder);
-        boolean migrates = legacy != null && !legacy.migrated;
-        if (migrates) {
+        boolean needsMigration = legacy != null && !legacy.migrated;
+        if (needsMigration) {
             deleteSegments();
         }
-        SegmentLog log = SegmentLog.open(disk, limits, JournalOpener::salt);
+        SegmentLog log = SegmentLog.open(disk, limits, JournalOpener::randomSalt);
         Journal journal = new Journal(folder, log, durability, executor, 0);
         try {
             journal.recover();
-            if (migrates) {
+            if (needsMigration) {
                 migrate(journal, legacy);
             }
             if (durability != Durability.NONE && !journal.forceNow()) {
                 throw new IOException("the journal in " + folder + " cannot be forced to the disk");
             }
-            if (folder != null && (legacy == null || migrates)) {
-                writeMigratedMark();
+            if (folder != null && (legacy == null || needsMigration)) {
+                writeMigrationMark();
             }
         } catch (IOException | RuntimeException e) {
             journal.close();
             throw e;
         }
-        journal.dataLoss().log();
+        journal.dataLoss().logWarnings();
         return journal;
     }
 
@@ -82,8 +82,8 @@
                 .with("messages", legacy.pending.size())
                 .warn();
         if (legacy.unreadBytes > 0) {
-            Path copy = folder.resolve(LegacyJournalReader.NAME + ".damaged");
-            Files.copy(folder.resolve(LegacyJournalReader.NAME), copy, StandardCopyOption.REPLACE_EXISTING);
+            Path copy = folder.resolve(LegacyJournalReader.FILE_NAME + ".damaged");
+            Files.copy(folder.resolve(LegacyJournalReader.FILE_NAME), copy, StandardCopyOption.REPLACE_EXISTING);
             LogEvent.of("journal_migration_file_damaged")
                     .with("unread_bytes", legacy.unreadBytes)
                     .with("copy", copy)
@@ -96,14 +96,14 @@
     }
 
     /** The one step that ends a migration: from then on the segments count, and earlier versions end on the mark. */
-    private void writeMigratedMark() throws IOException {
-        Path mark = folder.resolve(LegacyJournalReader.NAME + ".new");
-        Files.write(mark, LegacyJournalReader.mark());
-        Files.move(mark, folder.resolve(LegacyJournalReader.NAME), StandardCopyOption.ATOMIC_MOVE);
+    private void writeMigrationMark() throws IOException {
+        Path mark = folder.resolve(LegacyJournalReader.FILE_NAME + ".new");
+        Files.write(mark, LegacyJournalReader.migrationMark());
+        Files.move(mark, folder.resolve(LegacyJournalReader.FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Eight bytes that no client can know; the JDK's own source would load its security providers at each start. */
-    private static long salt() {
+    private static long randomSalt() {
         try (InputStream random = Files.newInputStream(Path.of("/dev/urandom"))) {
             return ByteBuffer.wrap(random.readNBytes(Long.BYTES)).getLong();
         } catch (IOException | RuntimeException e) {
@@ -116,14 +116,14 @@
         LegacyJournalReader legacy = LegacyJournalReader.read(folder);
         if (legacy == null) {
             throw new NoSuchFileException(
-                    folder.resolve(LegacyJournalReader.NAME).toString());
+                    folder.resolve(LegacyJournalReader.FILE_NAME).toString());
         }
         for (int attempt = 1; ; attempt++) {
             try {
                 return openReadOnly(folder, legacy);
             } catch (NoSuchFileException e) {
                 // A segment was retired after it was listed.
-                if (attempt == READ_ONLY_ATTEMPTS) {
+                if (attempt == MAX_READ_ONLY_ATTEMPTS) {
                     throw e;
                 }
             }
@@ -138,7 +138,7 @@
             return journal;
         }
         Journal journal = new Journal(folder, log, Durability.NONE, null, legacy.unreadBytes);
-        journal.takeWithoutWriting(legacy.contents());
+        journal.loadWithoutWriting(legacy.contents());
         return journal;
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
@@ -57,7 +57,7 @@
         });
     }
 
-    private static byte[] encodeMessage(AcceptedMessage message, int form, RecordBytes.Content rest) {
+    private static byte[] encodeMessage(AcceptedMessage message, int form, RecordBytes.FieldWriter remainingFields) {
         return RecordBytes.encode(out -> {
             out.writeByte(form);
             out.writeUTF(message.id);
@@ -69,7 +69,7 @@
             out.writeInt(message.classNumber);
             out.writeInt(message.contentHash);
             out.writeLong(message.rank);
-            rest.write(out);
+            remainingFields.write(out);
         });
     }
 
@@ -81,13 +81,13 @@
     /**
      * Decodes a pending or an ended message.
      *
-     * @param texts shares texts that many messages have in common
+     * @param stringCache shares texts that many messages have in common
      */
-    static AcceptedMessage decodeMessage(long number, ByteBuffer in, ModifiedUtf8 texts) throws IOException {
+    static AcceptedMessage decodeMessage(long number, ByteBuffer in, ModifiedUtf8 stringCache) throws IOException {
         int form = in.get();
         String id = ModifiedUtf8.read(in);
         String idempotencyKey = ModifiedUtf8.read(in);
-        String className = texts.shared(in);
+        String className = stringCache.shared(in);
         long key = in.getLong();
         int destination = in.getInt();
         long deadline = in.getLong();
@@ -123,7 +123,7 @@
         return RecordBytes.encode(out -> {
             out.writeByte(FORM_COMPLETED);
             out.writeUTF(completed.id());
-            out.writeInt(completed.content());
+            out.writeInt(completed.contentHash());
             out.writeByte(completed.idempotency().ordinal());
         });
     }
@@ -145,9 +145,9 @@
         });
     }
 
-    static AttemptHistory decodeAttempts(ByteBuffer in, ModifiedUtf8 texts) throws IOException {
+    static AttemptHistory decodeAttempts(ByteBuffer in, ModifiedUtf8 stringCache) throws IOException {
         return new AttemptHistory(
-                in.getInt(), in.getLong(), texts.shared(in), in.get() != 0, in.getLong(), texts.shared(in));
+                in.getInt(), in.getLong(), stringCache.shared(in), in.get() != 0, in.getLong(), stringCache.shared(in));
     }
 
     static byte[] encodeRank(long rank) {
@@ -160,7 +160,7 @@
             out.writeLong(batch.ownership().generation());
             out.writeUTF(batch.ownership().status().name());
             out.writeUTF(batch.ownership().peer());
-            out.writeLong(batch.untilMillis());
+            out.writeLong(batch.retainUntilMillis());
             out.writeInt(batch.messageNumbers().size());
             for (long number : batch.messageNumbers()) {
                 out.writeLong(number);
@@ -195,7 +195,7 @@
         return RecordBytes.encode(out -> {
             out.writeInt(health.destination());
             out.writeUTF(health.uid());
-            out.writeUTF(health.health().storedName());
+            out.writeUTF(health.status().storedName());
             out.writeLong(health.sinceMillis());
             out.writeDouble(health.callsPerSecond());
             out.writeDouble(health.usualLatencyMicros());
@@ -213,25 +213,25 @@
     }
 
     static byte[] encodeClass(int number, MessageClassRegistry.Version version) {
-        DeliveryScheduler.MessageClass type = version.type();
+        DeliveryScheduler.MessageClass messageClass = version.type();
         return RecordBytes.encode(out -> {
             out.writeInt(number);
             out.writeUTF(version.name());
-            out.writeDouble(type.priorityWeight());
-            out.writeDouble(type.lateValueShare());
-            out.writeLong(type.latencyObjectiveMicros());
-            out.writeLong(type.deadlineMicros());
-            out.writeByte(type.idempotency().ordinal());
-            out.writeByte(type.keyScope().ordinal());
-            out.writeLong(type.keyLifeMicros());
-            out.writeBoolean(type.ordered());
+            out.writeDouble(messageClass.priorityWeight());
+            out.writeDouble(messageClass.lateValueShare());
+            out.writeLong(messageClass.latencyObjectiveMicros());
+            out.writeLong(messageClass.deadlineMicros());
+            out.writeByte(messageClass.idempotency().ordinal());
+            out.writeByte(messageClass.keyScope().ordinal());
+            out.writeLong(messageClass.keyLifeMicros());
+            out.writeBoolean(messageClass.ordered());
         });
     }
 
     static NumberedClass decodeClass(DataInputStream in) throws IOException {
         int number = in.readInt();
         String name = in.readUTF();
-        DeliveryScheduler.MessageClass type = new DeliveryScheduler.MessageClass(
+        DeliveryScheduler.MessageClass messageClass = new DeliveryScheduler.MessageClass(
                 in.readDouble(),
                 in.readDouble(),
                 in.readLong(),
@@ -240,6 +240,6 @@
                 DeliveryScheduler.KeyScope.values()[in.readByte()],
                 in.readLong(),
                 in.readBoolean());
-        return new NumberedClass(number, new MessageClassRegistry.Version(name, type));
+        return new NumberedClass(number, new MessageClassRegistry.Version(name, messageClass));
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
@@ -42,9 +42,9 @@
     private final TreeMap<Long, NamedHandoffBatch> batches = new TreeMap<>();
     private final TreeMap<Long, HealthRecord> health = new TreeMap<>();
     private final TreeMap<Long, CompletedRecord> completed = new TreeMap<>();
-    private final ModifiedUtf8 texts = new ModifiedUtf8();
+    private final ModifiedUtf8 stringCache = new ModifiedUtf8();
     /** The message that was read last: the records of one message mostly follow one another. */
-    private RecoveredMessage last = new RecoveredMessage(0);
+    private RecoveredMessage lastMessage = new RecoveredMessage(0);
 
     JournalRecovery(SegmentLog log, JournalContents contents) {
         this.log = log;
@@ -59,24 +59,25 @@
      */
     Batch run() throws IOException {
         try {
-            log.read(this::read);
+            log.read(this::readRecord);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
             throw new IOException("a content of the journal cannot be read by this version", e);
         }
         health.values().forEach(contents::putHealth);
         Batch orphans = new Batch();
         recoverMessages(orphans);
-        batches.values().forEach(named -> contents.putHandoffBatch(named.name(), named.batch()));
+        batches.values().forEach(namedBatch -> contents.putHandoffBatch(namedBatch.name(), namedBatch.batch()));
         completed.forEach(
                 (number, record) -> contents.addCompleted(number, record).forEach(orphans::delete));
         return orphans;
     }
 
-    private void read(long owner, int kind, long version, ByteBuffer content) throws IOException {
+    private void readRecord(long owner, int kind, long version, ByteBuffer content) throws IOException {
         switch (kind) {
             case RecordKind.MESSAGE -> readMessage(owner, content);
-            case RecordKind.ATTEMPTS -> message(owner).attempts = JournalRecordCodec.decodeAttempts(content, texts);
-            case RecordKind.RANK -> message(owner).rank = content.getLong();
+            case RecordKind.ATTEMPTS -> recoveredMessage(owner).attempts =
+                    JournalRecordCodec.decodeAttempts(content, stringCache);
+            case RecordKind.RANK -> recoveredMessage(owner).rank = content.getLong();
             default -> readOther(owner, kind, version, content);
         }
     }
@@ -85,15 +86,15 @@
         if (JournalRecordCodec.isCompleted(content)) {
             completed.put(owner, JournalRecordCodec.decodeCompleted(content));
         } else {
-            message(owner).message = JournalRecordCodec.decodeMessage(owner, content, texts);
+            recoveredMessage(owner).message = JournalRecordCodec.decodeMessage(owner, content, stringCache);
         }
     }
 
-    private RecoveredMessage message(long owner) {
-        if (last.number != owner) {
-            last = messages.computeIfAbsent(owner, RecoveredMessage::new);
+    private RecoveredMessage recoveredMessage(long owner) {
+        if (lastMessage.number != owner) {
+            lastMessage = messages.computeIfAbsent(owner, RecoveredMessage::new);
         }
-        return last;
+        return lastMessage;
     }
 
     private void readOther(long owner, int kind, long version, ByteBuffer content) throws IOException {
@@ -101,31 +102,31 @@
                 content.array(), content.arrayOffset() + content.position(), content.remaining()));
         switch (kind) {
             case RecordKind.HANDOFF_BATCH -> {
-                NamedHandoffBatch named = JournalRecordCodec.decodeHandoffBatch(in);
-                contents.owners.recovered(OwnerNumbers.handoffBatch(named.name()), owner);
-                batches.put(version * BATCHES_PER_VERSION + batches.size() % BATCHES_PER_VERSION, named);
+                NamedHandoffBatch namedBatch = JournalRecordCodec.decodeHandoffBatch(in);
+                contents.owners.restore(OwnerNumbers.handoffBatch(namedBatch.name()), owner);
+                batches.put(version * BATCHES_PER_VERSION + batches.size() % BATCHES_PER_VERSION, namedBatch);
             }
             case RecordKind.KEY_HOLD -> {
                 var hold = JournalRecordCodec.decodeKeyHold(in);
-                contents.owners.recovered(OwnerNumbers.keyHold(hold.origin(), hold.key()), owner);
+                contents.owners.restore(OwnerNumbers.keyHold(hold.origin(), hold.key()), owner);
                 contents.holdKeys(hold.origin(), List.of(hold.key()), hold.untilMillis());
             }
             case RecordKind.HEALTH -> {
                 HealthRecord record = JournalRecordCodec.decodeHealth(in);
-                contents.owners.recovered(OwnerNumbers.upstream(record), owner);
+                contents.owners.restore(OwnerNumbers.upstream(record), owner);
                 health.put(owner, record);
             }
             case RecordKind.MESSAGE_CLASS -> {
-                NumberedClass numbered = JournalRecordCodec.decodeClass(in);
-                contents.owners.recovered(OwnerNumbers.messageClass(numbered.number()), owner);
-                contents.putClass(numbered.number(), numbered.version());
+                NumberedClass numberedClass = JournalRecordCodec.decodeClass(in);
+                contents.owners.restore(OwnerNumbers.messageClass(numberedClass.number()), owner);
+                contents.putClass(numberedClass.number(), numberedClass.version());
             }
             case RecordKind.REPLICATION_POSITION -> {
-                contents.owners.recovered(OwnerNumbers.replication(), owner);
+                contents.owners.restore(OwnerNumbers.replication(), owner);
                 contents.replicationPosition = in.readAllBytes();
             }
             case RecordKind.REPLICA_SET -> {
-                contents.owners.recovered(OwnerNumbers.replication(), owner);
+                contents.owners.restore(OwnerNumbers.replication(), owner);
                 contents.replicaSet = in.readAllBytes();
             }
             default -> throw new IOException("content of kind " + kind + ", which this version does not know");
@@ -147,6 +148,6 @@
             recovered.add(records.message);
         }
         recovered.sort(Comparator.comparingLong(message -> message.rank));
-        recovered.forEach(contents::add);
+        recovered.forEach(contents::addPending);
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/JournalRepair.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRepair.java
@@ -19,14 +19,14 @@
      *
      * @throws IOException where there is a journal in {@code into} already, or a folder cannot be read or written
      */
-    static void run(Path from, Path into) throws IOException {
-        Files.createDirectories(into);
-        if (Files.exists(into.resolve(LegacyJournalReader.NAME))
-                || SegmentLog.containsLog(new FolderDisk(into).list())) {
-            throw new IOException("there is a journal in " + into + " already");
+    static void run(Path sourceFolder, Path targetFolder) throws IOException {
+        Files.createDirectories(targetFolder);
+        if (Files.exists(targetFolder.resolve(LegacyJournalReader.FILE_NAME))
+                || SegmentLog.containsLog(new FolderDisk(targetFolder).list())) {
+            throw new IOException("there is a journal in " + targetFolder + " already");
         }
-        try (Journal source = Journal.openReadOnly(from);
-                Journal copy = Journal.open(into, budgetFor(source))) {
+        try (Journal source = Journal.openReadOnly(sourceFolder);
+                Journal copy = Journal.open(targetFolder, budgetFor(source))) {
             copy.importAll(source.exportAll());
             for (CompletedRecord completed : source.completedRecords()) {
                 copy.importCompletedWithoutCache(completed);
--- a/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the batches of all records. */
-    static List<Supplier<Batch>> whole(JournalContents contents, KeyHoldJournal keyHolds) {
+    static List<Supplier<Batch>> allRecords(JournalContents contents, KeyHoldJournal keyHolds) {
         List<Supplier<Batch>> batches = withoutCompleted(contents, keyHolds);
         for (DeduplicationCache.CompletedMessage message : contents.completed.all()) {
             batches.add(() -> contents.completed.knows(message.id())
@@ -46,7 +46,7 @@
                 ? new Batch()
                 : new Batch()
                         .put(
-                                contents.owners.of(OwnerNumbers.replication()),
+                                contents.owners.getOrAllocate(OwnerNumbers.replication()),
                                 RecordKind.REPLICA_SET,
                                 contents.replicaSet));
         return batches;
@@ -59,7 +59,7 @@
     private void addClass(int number) {
         batches.add(() -> new Batch()
                 .put(
-                        contents.owners.of(OwnerNumbers.messageClass(number)),
+                        contents.owners.getOrAllocate(OwnerNumbers.messageClass(number)),
                         RecordKind.MESSAGE_CLASS,
                         JournalRecordCodec.encodeClass(number, contents.classes.get(number))));
     }
@@ -71,7 +71,7 @@
                     ? new Batch()
                     : new Batch()
                             .put(
-                                    contents.owners.of(OwnerNumbers.upstream(record)),
+                                    contents.owners.getOrAllocate(OwnerNumbers.upstream(record)),
                                     RecordKind.HEALTH,
                                     JournalRecordCodec.encodeHealth(record));
         });
@@ -91,7 +91,7 @@
         batches.add(() -> {
             Batch batch = new Batch();
             if (contents.isPending(message)) {
-                MessageRecords.putCurrent(batch, message);
+                MessageRecords.putCurrentState(batch, message);
                 if (message.pendingNotification == null) {
                     MessageRecords.putRank(batch, message.number, message.rank);
                 }
@@ -107,7 +107,7 @@
                     ? new Batch()
                     : new Batch()
                             .put(
-                                    contents.owners.of(OwnerNumbers.handoffBatch(name)),
+                                    contents.owners.getOrAllocate(OwnerNumbers.handoffBatch(name)),
                                     RecordKind.HANDOFF_BATCH,
                                     JournalRecordCodec.encodeHandoffBatch(name, record));
         });
--- a/sender/src/main/java/amberroute/sender/journal/JournalView.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalView.java
@@ -32,7 +32,7 @@
      * @throws IOException where there is none, or a later version has written it
      */
     public static JournalView read(Path folder) throws IOException {
-        if (!Files.isRegularFile(folder.resolve(LegacyJournalReader.NAME))) {
+        if (!Files.isRegularFile(folder.resolve(LegacyJournalReader.FILE_NAME))) {
             throw new IOException("no journal in " + folder);
         }
         try (Journal journal = Journal.openReadOnly(folder)) {
@@ -45,24 +45,24 @@
      *
      * @throws IOException where there is a journal in {@code into} already, or a folder cannot be read or written
      */
-    public static JournalView repair(Path from, Path into) throws IOException {
-        JournalRepair.run(from, into);
-        return read(into);
+    public static JournalView repair(Path sourceFolder, Path targetFolder) throws IOException {
+        JournalRepair.run(sourceFolder, targetFolder);
+        return read(targetFolder);
     }
 
     /** Returns a line for each message, in the order of acceptance: id, class, destination, time left, attempts and state. */
     public List<String> lines(long wallMillis) {
-        List<String> out = new ArrayList<>();
+        List<String> lines = new ArrayList<>();
         for (AcceptedMessage message : pending) {
-            out.add(message.id + " " + message.className + " dest=" + message.destination
+            lines.add(message.id + " " + message.className + " dest=" + message.destination
                     + (message.key == 0 ? "" : " key=" + Long.toHexString(message.key))
                     + " left=" + (message.deadlineMillis - wallMillis) + "ms attempts=" + message.attempts
-                    + " (" + state(message) + ")");
+                    + " (" + describeState(message) + ")");
         }
-        return out;
+        return lines;
     }
 
-    private static String state(AcceptedMessage message) {
+    private static String describeState(AcceptedMessage message) {
         if (message.pendingNotification != null) {
             return "ended, its notice is not answered: " + message.pendingNotification;
         }
@@ -77,14 +77,15 @@
 
     /** Returns a line of counts. */
     public String summary() {
-        long notices = pending.stream()
+        long pendingNotices = pending.stream()
                 .filter(message -> message.pendingNotification != null)
                 .count();
-        long unknown = pending.stream()
+        long unknownOutcomes = pending.stream()
                 .filter(message -> message.pendingNotification == null
                         && (message.attemptInFlight || message.unknownOutcomeSinceMillis != 0))
                 .count();
-        return pending.size() - notices + " messages held, " + unknown + " of them in doubt; " + notices
+        return pending.size() - pendingNotices + " messages held, " + unknownOutcomes + " of them in doubt; "
+                + pendingNotices
                 + " notices not answered; " + liveBytes + " of " + usedBytes + " bytes are wanted"
                 + (unreadable.isEmpty() ? "" : "; COULD NOT BE READ: " + String.join(", ", unreadable));
     }
--- a/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
@@ -12,7 +12,7 @@
  * the fence behind each append, since nothing may have an effect out of a folder that was taken over. Used on the event loop only.
  */
 final class JournalWriter {
-    /** Pending writes that one call of {@link #retry} writes at most. */
+    /** Pending writes that one call of {@link #retryFailedWrites} writes at most. */
     private static final int MAX_RETRIED_WRITES = 64;
 
     private final SegmentLog log;
@@ -23,7 +23,7 @@
     private final PendingWrites pendingWrites = new PendingWrites();
     private final ForceScheduler forces;
     /** Null where nobody may take the folder over. */
-    private File fence;
+    private File fencingTokenFile;
 
     private Runnable onFenced = () -> {};
     /** Null where the journal is not replicated. */
@@ -49,13 +49,13 @@
         return forces;
     }
 
-    void replicateTo(JournalChangeListener to) {
-        listener = to;
+    void replicateTo(JournalChangeListener changeListener) {
+        listener = changeListener;
     }
 
-    void watchFence(Path folder, Runnable fenced) {
-        fence = FencingToken.file(folder);
-        onFenced = fenced;
+    void watchFencingToken(Path folder, Runnable whenFenced) {
+        fencingTokenFile = FencingToken.file(folder);
+        onFenced = whenFenced;
     }
 
     /**
@@ -63,51 +63,54 @@
      *
      * @throws IllegalStateException behind {@code onFenced}, so that no effect follows
      */
-    void checkFence() {
-        if (fence != null && fence.exists()) {
+    void checkFencingToken() {
+        if (fencingTokenFile != null && fencingTokenFile.exists()) {
             onFenced.run();
             throw new IllegalStateException("this folder was taken over");
         }
     }
 
     /** Returns whether nothing is left over of a write or a force that failed. */
-    boolean settled() {
+    boolean allWritesResolved() {
         return pendingWrites.isEmpty() && !log.uncertain() && !log.needsRewrite();
     }
 
     /** Returns whether a batch whose write failed may be found after a restart all the same. */
-    boolean uncertain() {
+    boolean lastWriteUncertain() {
         return log.uncertain();
     }
 
     /** Appends a batch; false where the disk or the budget does not take it. */
     boolean write(Batch batch) {
         byte[] position = listener == null || batch.isEmpty() ? null : listener.replicationPosition();
-        Batch whole = position == null ? batch : withPosition(batch, position);
+        Batch replicatedBatch = position == null ? batch : withPosition(batch, position);
         try {
-            log.write(whole);
+            log.write(replicatedBatch);
         } catch (IOException e) {
-            failure.failed(e);
+            failure.report(e);
             return false;
         }
         if (position != null) {
             contents.replicationPosition = position;
-            listener.batchWritten(whole);
+            listener.batchWritten(replicatedBatch);
         }
         if (durability == Durability.EACH) {
             forces.forceNow();
         }
-        if (failure.present() && settled()) {
-            failure.recovered();
+        if (failure.isPresent() && allWritesResolved()) {
+            failure.clear();
         }
-        checkFence();
+        checkFencingToken();
         return true;
     }
 
     private Batch withPosition(Batch batch, byte[] position) {
         return new Batch()
                 .addAll(batch)
-                .put(contents.owners.of(OwnerNumbers.replication()), RecordKind.REPLICATION_POSITION, position);
+                .put(
+                        contents.owners.getOrAllocate(OwnerNumbers.replication()),
+                        RecordKind.REPLICATION_POSITION,
+                        position);
     }
 
     /** Writes the last state of an owner, now or as soon as the disk takes it; then runs the effect. */
@@ -116,33 +119,33 @@
             effect.run();
         } else {
             pendingWrites.put(owner, batch, effect);
-            retry();
+            retryFailedWrites();
         }
     }
 
     /** Tries again what the disk did not take. */
-    void retry() {
-        if (log.needsRewrite() && !forces.running()) {
-            forces.rewrite();
-            forces.start();
+    void retryFailedWrites() {
+        if (log.needsRewrite() && !forces.isForceRunning()) {
+            forces.rewriteUnforcedRecords();
+            forces.startForce();
         }
-        if (!failure.present() && pendingWrites.isEmpty()) {
+        if (!failure.isPresent() && pendingWrites.isEmpty()) {
             return;
         }
         try {
             log.resolveUncertainWrite();
         } catch (IOException e) {
-            failure.failed(e);
+            failure.report(e);
             return;
         }
         for (int i = 0; i < MAX_RETRIED_WRITES && !pendingWrites.isEmpty(); i++) {
-            if (!pendingWrites.writeFirst(this::write)) {
+            if (!pendingWrites.writeOldest(this::write)) {
                 return;
             }
         }
         log.refillReserve();
-        if (settled() && log.hasReserve() && failure.present()) {
-            failure.recovered();
+        if (allWritesResolved() && log.hasReserve() && failure.isPresent()) {
+            failure.clear();
         }
     }
 
@@ -151,23 +154,23 @@
         if (!log.shouldCompact()) {
             return false;
         }
-        if (log.awaitsForce() && executor != null && !forces.running()) {
-            forces.start();
+        if (log.awaitsForce() && executor != null && !forces.isForceRunning()) {
+            forces.startForce();
         }
         try {
             return log.compact(ForceScheduler.COMPACTION_STEP_BYTES) && log.shouldCompact();
         } catch (IOException e) {
-            failure.failed(e);
+            failure.report(e);
             return false;
         }
     }
 
     /** Runs an effect when all records so far are as durable as configured; {@code failed} in its place, null to wait. */
-    void whenDurable(Runnable effect, Runnable failed) {
+    void whenDurable(Runnable effect, Runnable onFailure) {
         if (listener == null) {
-            forces.whenForced(effect, failed);
+            forces.whenForced(effect, onFailure);
         } else {
-            listener.whenReplicated(() -> forces.whenForced(effect, failed), failed);
+            listener.whenReplicated(() -> forces.whenForced(effect, onFailure), onFailure);
         }
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/KeyHoldJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/KeyHoldJournal.java
@@ -13,7 +13,7 @@
  * Holds may take a share of the budget only, so that messages retain their room. Used on the event loop only.
  */
 final class KeyHoldJournal {
-    private static final int BUDGET_SHARE = 8;
+    private static final int BUDGET_DIVISOR = 8;
     /** Room in a segment that a batch of holds leaves free. */
     private static final int SEGMENT_MARGIN_BYTES = 1_024;
 
@@ -29,33 +29,33 @@
 
     /** Writes holds; false where there is no room for all of them, or the disk does not take some. */
     boolean hold(String origin, List<Long> keys, long untilMillis) {
-        if (!fits(keys.size())) {
+        if (!hasRoomFor(keys.size())) {
             return false;
         }
         int holdsPerBatch =
                 (int) Math.max(1, (limits.segmentBytes() - SEGMENT_MARGIN_BYTES) / RecordSizes.KEY_HOLD_BYTES);
         for (int from = 0; from < keys.size(); from += holdsPerBatch) {
-            List<Long> some = keys.subList(from, Math.min(keys.size(), from + holdsPerBatch));
+            List<Long> chunk = keys.subList(from, Math.min(keys.size(), from + holdsPerBatch));
             Batch batch = new Batch();
-            some.stream().distinct().forEach(key -> put(batch, new KeyHolds.KeyHold(origin, key, untilMillis)));
+            chunk.stream().distinct().forEach(key -> put(batch, new KeyHolds.KeyHold(origin, key, untilMillis)));
             if (!writer.write(batch)) {
                 return false;
             }
-            contents.holdKeys(origin, some, untilMillis);
+            contents.holdKeys(origin, chunk, untilMillis);
         }
         return true;
     }
 
     /** Returns whether there is room for so many more holds. */
-    boolean fits(int more) {
+    boolean hasRoomFor(int additionalHolds) {
         KeyHolds holds = contents.keyHolds;
-        return holds.hasCapacity(more)
-                && RecordSizes.ofKeyHolds(holds.size() + more) <= limits.budgetBytes() / BUDGET_SHARE
-                && contents.space.fits(RecordSizes.ofKeyHolds(more));
+        return holds.hasCapacity(additionalHolds)
+                && RecordSizes.ofKeyHolds(holds.size() + additionalHolds) <= limits.budgetBytes() / BUDGET_DIVISOR
+                && contents.space.fits(RecordSizes.ofKeyHolds(additionalHolds));
     }
 
     void put(Batch batch, KeyHolds.KeyHold hold) {
-        long owner = contents.owners.of(OwnerNumbers.keyHold(hold.origin(), hold.key()));
+        long owner = contents.owners.getOrAllocate(OwnerNumbers.keyHold(hold.origin(), hold.key()));
         batch.put(owner, RecordKind.KEY_HOLD, JournalRecordCodec.encodeKeyHold(hold));
     }
 
@@ -88,9 +88,9 @@
     }
 
     /** Ends expired holds and returns the keys that nobody holds any more; a hold's expiry is on disk with it. */
-    List<Long> expire(long wallMillis) {
+    List<Long> expire(long nowMillis) {
         List<KeyHolds.KeyHold> expired = contents.keyHolds.allHolds().stream()
-                .filter(hold -> hold.untilMillis() <= wallMillis)
+                .filter(hold -> hold.untilMillis() <= nowMillis)
                 .toList();
         if (expired.isEmpty()) {
             return List.of();
@@ -101,6 +101,6 @@
             contents.owners.remove(OwnerNumbers.keyHold(hold.origin(), hold.key()));
         }
         writer.write(batch);
-        return contents.expireKeyHolds(wallMillis);
+        return contents.expireKeyHolds(nowMillis);
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -26,10 +26,10 @@
  */
 final class LegacyJournalReader {
     /** Name of the file, and of the mark. */
-    static final String NAME = "journal";
+    static final String FILE_NAME = "journal";
 
     /** Length and CRC32 of the payload. */
-    private static final int FRAME_BYTES = 8;
+    private static final int FRAME_HEADER_BYTES = 8;
 
     private static final int MAX_RECORD_BYTES = 1 << 18;
 
@@ -41,9 +41,9 @@
     private static final byte ATTEMPTS = 'S';
     private static final byte COMPLETED_ID = 'K';
     private static final byte HANDOFF_BATCH = 'H';
-    private static final byte HANDOFF_PARTS = 'P';
+    private static final byte HANDOFF_BATCH_WITH_RECORDS = 'P';
     private static final byte MESSAGE_CLASS = 'D';
-    private static final byte MOVED_BEHIND = 'R';
+    private static final byte MOVED_TO_END = 'R';
     private static final byte KEYS_HELD = 'W';
     private static final byte KEYS_RELEASED = 'F';
     private static final byte HEALTH = 'M';
@@ -69,7 +69,7 @@
 
     /** Reads the folder's file; null where there is none. */
     static LegacyJournalReader read(Path folder) throws IOException {
-        Path path = folder.resolve(NAME);
+        Path path = folder.resolve(FILE_NAME);
         if (!Files.isRegularFile(path)) {
             return null;
         }
@@ -94,7 +94,7 @@
     }
 
     /** Returns the bytes of the mark: a message, and a record of it of a type that earlier versions do not know. */
-    static byte[] mark() {
+    static byte[] migrationMark() {
         byte[] accepted = RecordBytes.encode(out -> {
             out.writeByte(ACCEPTED);
             out.writeLong(1);
@@ -111,7 +111,7 @@
             out.writeByte(MIGRATED);
             out.writeLong(1);
         });
-        ByteBuffer all = ByteBuffer.allocate(2 * FRAME_BYTES + accepted.length + mark.length);
+        ByteBuffer all = ByteBuffer.allocate(2 * FRAME_HEADER_BYTES + accepted.length + mark.length);
         for (byte[] payload : List.of(accepted, mark)) {
             all.putInt(payload.length).putInt(checksum(payload)).put(payload);
         }
@@ -126,24 +126,26 @@
 
     private void replayAll(FileChannel file) throws IOException {
         long length = file.size();
-        long read = 0;
-        ByteBuffer frame = ByteBuffer.allocate(FRAME_BYTES);
-        while (read + FRAME_BYTES <= length && !migrated) {
+        long readBytes = 0;
+        ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES);
+        while (readBytes + FRAME_HEADER_BYTES <= length && !migrated) {
             if (!fill(file, frame.clear())) {
                 break;
             }
-            int bytes = frame.getInt(0);
-            if (bytes <= 0 || bytes > MAX_RECORD_BYTES || read + FRAME_BYTES + bytes > length) {
+            int payloadBytes = frame.getInt(0);
+            if (payloadBytes <= 0
+                    || payloadBytes > MAX_RECORD_BYTES
+                    || readBytes + FRAME_HEADER_BYTES + payloadBytes > length) {
                 break;
             }
-            ByteBuffer payload = ByteBuffer.allocate(bytes);
+            ByteBuffer payload = ByteBuffer.allocate(payloadBytes);
             if (!fill(file, payload) || checksum(payload.array()) != frame.getInt(4)) {
                 break;
             }
             replay(payload.array());
-            read += FRAME_BYTES + bytes;
+            readBytes += FRAME_HEADER_BYTES + payloadBytes;
         }
-        unreadBytes = migrated ? 0 : length - read;
+        unreadBytes = migrated ? 0 : length - readBytes;
     }
 
     private static boolean fill(FileChannel file, ByteBuffer buffer) throws IOException {
@@ -161,9 +163,9 @@
         switch (type) {
             case MIGRATED -> migrated = true;
             case COMPLETED_ID -> completed.put(in.readUTF(), 0);
-            case HANDOFF_BATCH, HANDOFF_PARTS -> replayHandoffBatch(in);
+            case HANDOFF_BATCH, HANDOFF_BATCH_WITH_RECORDS -> replayHandoffBatch(in);
             case MESSAGE_CLASS -> replayClass(in);
-            case MOVED_BEHIND -> replayMovedBehind(in);
+            case MOVED_TO_END -> replayMovedToEnd(in);
             case KEYS_HELD -> replayKeysHeld(in);
             case KEYS_RELEASED -> replayKeysReleased(in);
             case HEALTH -> replayHealth(in);
@@ -173,11 +175,11 @@
 
     private void replayClass(DataInputStream in) throws IOException {
         in.readLong();
-        NumberedClass numbered = JournalRecordCodec.decodeClass(in);
-        classes.put(numbered.number(), numbered.version());
+        NumberedClass numberedClass = JournalRecordCodec.decodeClass(in);
+        classes.put(numberedClass.number(), numberedClass.version());
     }
 
-    private void replayMovedBehind(DataInputStream in) throws IOException {
+    private void replayMovedToEnd(DataInputStream in) throws IOException {
         in.readLong();
         AcceptedMessage message = pending.remove(in.readLong());
         if (message != null) {
@@ -188,7 +190,7 @@
     private void replayHealth(DataInputStream in) throws IOException {
         HealthRecord record = JournalRecordCodec.decodeHealth(in);
         health.remove(record.upstreamKey());
-        if (record.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
+        if (record.status() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
             health.put(record.upstreamKey(), record);
         }
     }
@@ -206,8 +208,8 @@
         }
         switch (type) {
             case ATTEMPT -> {
-                long wallMillis = in.readLong();
-                message.attempt(in.readUTF(), wallMillis);
+                long sentAtMillis = in.readLong();
+                message.attempt(in.readUTF(), sentAtMillis);
             }
             case OUTCOME -> message.outcome(in.readBoolean());
             case ENDED -> message.end(in.readUTF());
@@ -251,23 +253,23 @@
     }
 
     private static List<Long> readLongs(DataInputStream in) throws IOException {
-        List<Long> out = new ArrayList<>();
+        List<Long> values = new ArrayList<>();
         for (int i = in.readInt(); i > 0; i--) {
-            out.add(in.readLong());
+            values.add(in.readLong());
         }
-        return out;
+        return values;
     }
 
     private void replayHandoffBatch(DataInputStream in) throws IOException {
-        NamedHandoffBatch named = JournalRecordCodec.decodeHandoffBatch(in);
+        NamedHandoffBatch namedBatch = JournalRecordCodec.decodeHandoffBatch(in);
         // Records that came with the batch: so many where negative, two for each message where not.
         int count = in.readInt();
-        for (int records = count < 0 ? -count : 2 * count; records > 0; records--) {
+        for (int remainingRecords = count < 0 ? -count : 2 * count; remainingRecords > 0; remainingRecords--) {
             replay(in.readNBytes(in.readInt()));
         }
-        handoffBatches.put(named.name(), named.batch());
-        Ownership.Status status = named.batch().ownership().status();
-        for (long number : named.batch().messageNumbers()) {
+        handoffBatches.put(namedBatch.name(), namedBatch.batch());
+        Ownership.Status status = namedBatch.batch().ownership().status();
+        for (long number : namedBatch.batch().messageNumbers()) {
             AcceptedMessage message = pending.get(number);
             if (message != null && status == Ownership.Status.GIVEN) {
                 complete(message);
--- a/sender/src/main/java/amberroute/sender/journal/MessageRecords.java
+++ b/sender/src/main/java/amberroute/sender/journal/MessageRecords.java
@@ -28,7 +28,7 @@
     }
 
     /** Puts a message's state without its rank: it is pending, or ended with a notice. */
-    static Batch putCurrent(Batch batch, AcceptedMessage message) {
+    static Batch putCurrentState(Batch batch, AcceptedMessage message) {
         return message.pendingNotification == null
                 ? putAttempts(putPending(batch, message), message)
                 : putEnded(batch, message);
--- a/sender/src/main/java/amberroute/sender/journal/OwnerNumbers.java
+++ b/sender/src/main/java/amberroute/sender/journal/OwnerNumbers.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns the owner's number, a new one where it has none. */
-    long of(String owner) {
+    long getOrAllocate(String owner) {
         return numbers.computeIfAbsent(owner, name -> log.nextOwner());
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Takes a number that recovery has read. */
-    void recovered(String owner, long number) {
+    void restore(String owner, long number) {
         numbers.put(owner, number);
     }
 
--- a/sender/src/main/java/amberroute/sender/journal/PendingWrites.java
+++ b/sender/src/main/java/amberroute/sender/journal/PendingWrites.java
@@ -47,14 +47,14 @@
     }
 
     /** Writes the oldest change and runs its effect; returns whether it was written. */
-    boolean writeFirst(Predicate<Batch> write) {
-        Iterator<PendingWrite> first = byOwner.values().iterator();
-        PendingWrite next = first.next();
-        if (!write.test(next.batch())) {
+    boolean writeOldest(Predicate<Batch> write) {
+        Iterator<PendingWrite> iterator = byOwner.values().iterator();
+        PendingWrite oldest = iterator.next();
+        if (!write.test(oldest.batch())) {
             return false;
         }
-        first.remove();
-        next.effect().run();
+        iterator.remove();
+        oldest.effect().run();
         return true;
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/RecordBytes.java
+++ b/sender/src/main/java/amberroute/sender/journal/RecordBytes.java
@@ -11,7 +11,7 @@
     private RecordBytes() {}
 
     /** Writes the fields of one record. */
-    public interface Content {
+    public interface FieldWriter {
         /** Writes all fields in the order of the layout. */
         void write(DataOutputStream out) throws IOException;
     }
@@ -21,10 +21,10 @@
      *
      * @throws IllegalArgumentException where a text is longer than its length field can say
      */
-    public static byte[] encode(Content content) {
+    public static byte[] encode(FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            content.write(out);
+            fields.write(out);
         } catch (IOException e) {
             throw new IllegalArgumentException(e);
         }
--- a/sender/src/main/java/amberroute/sender/journal/RecordSizes.java
+++ b/sender/src/main/java/amberroute/sender/journal/RecordSizes.java
@@ -13,7 +13,7 @@
     static final int HANDOFF_BATCH_BYTES = 256;
 
     /** Bytes of an item beside its content. */
-    private static final int ITEM_BYTES = 24;
+    private static final int ITEM_HEADER_BYTES = 24;
     /** Items that one message can have at once. */
     private static final int MESSAGE_ITEMS = 5;
     /** Later records of a message: attempts with two uids of up to 128 characters, rank and notice. */
@@ -21,21 +21,24 @@
 
     private static final int CLASS_BYTES = 80;
     /** A character takes three bytes of modified UTF-8 at most. */
-    private static final long CHARACTER_BYTES = 3;
+    private static final long MAX_BYTES_PER_CHARACTER = 3;
 
     private RecordSizes() {}
 
     /** All records that a message can come to have: once accepted it can always be completed. */
     static long of(AcceptedMessage message) {
-        return MESSAGE_ITEMS * ITEM_BYTES
+        return MESSAGE_ITEMS * ITEM_HEADER_BYTES
                 + message.body.length
-                + CHARACTER_BYTES * (message.id.length() + message.idempotencyKey.length() + message.className.length())
+                + MAX_BYTES_PER_CHARACTER
+                        * (message.id.length() + message.idempotencyKey.length() + message.className.length())
                 + (message.pendingNotification == null ? 0 : message.pendingNotification.length())
                 + LATER_RECORD_BYTES;
     }
 
     static long of(MessageClassRegistry.Version version) {
-        return CLASS_BYTES + ITEM_BYTES + CHARACTER_BYTES * version.name().length();
+        return CLASS_BYTES
+                + ITEM_HEADER_BYTES
+                + MAX_BYTES_PER_CHARACTER * version.name().length();
     }
 
     static long of(HealthRecord health) {
--- a/sender/src/main/java/amberroute/sender/journal/StateLock.java
+++ b/sender/src/main/java/amberroute/sender/journal/StateLock.java
@@ -18,8 +18,8 @@
  * releases however it comes, SIGKILL too. On request the file has the process's id.
  */
 public final class StateLock implements Closeable {
-    private static final String NAME = "lock";
-    private static final String FENCE_WATCHED = "guarded";
+    private static final String FILE_NAME = "lock";
+    private static final String FENCING_CHECKED = "guarded";
 
     private final FileChannel file;
 
@@ -34,15 +34,15 @@
      * @throws InvalidSettingsException where another process has it, which the message names
      */
     public static StateLock acquire(Path folder, boolean recordPid) throws IOException {
-        StateLock lock = tryAcquireOwn(folder, recordPid);
+        StateLock lock = tryAcquireAndLog(folder, recordPid);
         if (lock != null) {
             return lock;
         }
-        throw new InvalidSettingsException("state folder " + folder + " is held by " + owner(folder));
+        throw new InvalidSettingsException("state folder " + folder + " is held by " + describeOwner(folder));
     }
 
     /** As {@link #tryAcquire}, and the log says so: the folder is this sender's own from then on. */
-    public static StateLock tryAcquireOwn(Path folder, boolean recordPid) throws IOException {
+    public static StateLock tryAcquireAndLog(Path folder, boolean recordPid) throws IOException {
         StateLock lock = tryAcquire(folder, recordPid);
         if (lock != null) {
             LogEvent.of("state_lock_acquired").with("folder", folder).warn();
@@ -54,7 +54,10 @@
     public static StateLock tryAcquire(Path folder, boolean recordPid) throws IOException {
         Files.createDirectories(folder);
         FileChannel file = FileChannel.open(
-                folder.resolve(NAME), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+                folder.resolve(FILE_NAME),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.READ,
+                StandardOpenOption.WRITE);
         try {
             FileLock lock = file.tryLock();
             if (lock != null) {
@@ -79,17 +82,18 @@
      * Records that the owner checks for a {@link FencingToken} behind each write, so that its folder may be taken over while it
      * cannot be asked.
      */
-    public void recordFenceWatched() throws IOException {
-        file.write(ByteBuffer.wrap((FENCE_WATCHED + "\n").getBytes(StandardCharsets.UTF_8)));
+    public void recordFencingChecked() throws IOException {
+        file.write(ByteBuffer.wrap((FENCING_CHECKED + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Returns whether the last owner recorded that it watches the fence. */
-    public static boolean fenceWatched(Path folder) throws IOException {
-        return Files.readString(folder.resolve(NAME)).contains(FENCE_WATCHED);
+    public static boolean isFencingChecked(Path folder) throws IOException {
+        return Files.readString(folder.resolve(FILE_NAME)).contains(FENCING_CHECKED);
     }
 
-    private static String owner(Path folder) throws IOException {
-        String pid = Files.readString(folder.resolve(NAME)).lines().findFirst().orElse("");
+    private static String describeOwner(Path folder) throws IOException {
+        String pid =
+                Files.readString(folder.resolve(FILE_NAME)).lines().findFirst().orElse("");
         return pid.matches("[0-9]{1,20}") ? "process " + pid : "another process";
     }
 
--- a/sender/src/main/java/amberroute/sender/journal/WriteFailure.java
+++ b/sender/src/main/java/amberroute/sender/journal/WriteFailure.java
@@ -6,7 +6,7 @@
 
 /** Why the journal cannot be written just now; logs when that begins, changes and ends. Used on the event loop only. */
 final class WriteFailure {
-    private static final String BUDGET_SPENT = "the disk budget is spent";
+    private static final String BUDGET_EXHAUSTED = "the disk budget is spent";
 
     private String reason = "";
 
@@ -15,19 +15,19 @@
         return reason;
     }
 
-    boolean present() {
+    boolean isPresent() {
         return !reason.isEmpty();
     }
 
-    void failed(IOException error) {
-        String now = error instanceof LogFullException ? BUDGET_SPENT : String.valueOf(error.getMessage());
-        if (!now.equals(reason)) {
+    void report(IOException error) {
+        String newReason = error instanceof LogFullException ? BUDGET_EXHAUSTED : String.valueOf(error.getMessage());
+        if (!newReason.equals(reason)) {
             LogEvent.of("journal_write_failed").cause(error).warn();
         }
-        reason = now;
+        reason = newReason;
     }
 
-    void recovered() {
+    void clear() {
         LogEvent.of("journal_write_recovered").warn();
         reason = "";
     }
--- a/sender/src/main/java/amberroute/sender/lifecycle/StateFolder.java
+++ b/sender/src/main/java/amberroute/sender/lifecycle/StateFolder.java
@@ -52,7 +52,7 @@
 
     /** Takes the lock and returns true, or returns false where another process has it. */
     public boolean tryLock() throws IOException {
-        lock = StateLock.tryAcquireOwn(config.state(), config.standalone() != null);
+        lock = StateLock.tryAcquireAndLog(config.state(), config.standalone() != null);
         return lock != null;
     }
 
@@ -111,12 +111,12 @@
     }
 
     private void guardWithFence(EventLoop loop) throws IOException {
-        lock.recordFenceWatched();
+        lock.recordFencingChecked();
         if (!fenceChecked) {
             fenceChecked = true;
             loop.scheduleWithFixedDelay(this::checkFence, FENCE_CHECK_MS, FENCE_CHECK_MS, TimeUnit.MILLISECONDS);
         }
-        journal.watchFence(() -> {
+        journal.watchFencingToken(() -> {
             // No orderly stop: all messages of this process belong to another one already.
             LogEvent.of("state_folder_fenced")
                     .with("folder", config.state())
@@ -128,7 +128,7 @@
 
     private void checkFence() {
         if (lock != null) {
-            journal.checkFence();
+            journal.checkFencingToken();
         }
     }
 
--- a/sender/src/main/java/amberroute/sender/peer/FailoverManager.java
+++ b/sender/src/main/java/amberroute/sender/peer/FailoverManager.java
@@ -90,7 +90,7 @@
     /** The journal of a failover that knows this id; null where none does. */
     Journal journalKnowing(String messageId) {
         return running.values().stream()
-                .filter(each -> each.failover != null && each.failover.journal().knows(messageId))
+                .filter(each -> each.failover != null && each.failover.journal().containsId(messageId))
                 .map(each -> each.failover.journal())
                 .findFirst()
                 .orElse(null);
--- a/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
+++ b/sender/src/main/java/amberroute/sender/peer/JournalReplicator.java
@@ -98,7 +98,7 @@
     /** The term is this daemon's; false where that cannot be written. */
     boolean startTerm(long term, LogPosition position, ReplicaSet replicaSet) {
         leaderTerm = new LeaderTerm(self, term, position.index(), replicaSet);
-        if (!journal.replicaSet(ReplicaRecords.encodeReplicaSet(journalId, replicaSet))) {
+        if (!journal.writeReplicaSet(ReplicaRecords.encodeReplicaSet(journalId, replicaSet))) {
             leaderTerm = null;
             return false;
         }
@@ -110,7 +110,7 @@
     boolean changeReplicaSet(ReplicaSet next) {
         if (leaderTerm == null
                 || !leaderTerm.isReplicaSetCommitted()
-                || !journal.replicaSet(ReplicaRecords.encodeReplicaSet(journalId, next))) {
+                || !journal.writeReplicaSet(ReplicaRecords.encodeReplicaSet(journalId, next))) {
             return false;
         }
         List<String> before = leaderTerm.replicaSet().members();
--- a/sender/src/main/java/amberroute/sender/peer/OutgoingOffers.java
+++ b/sender/src/main/java/amberroute/sender/peer/OutgoingOffers.java
@@ -90,7 +90,7 @@
     /** Takes up what an earlier process had offered: only the successor can tell whose it is. */
     void recover() {
         context.journal().handoffBatches().forEach((batchId, recorded) -> {
-            List<AcceptedMessage> messages = context.journal().pendingMessages(recorded.messageNumbers());
+            List<AcceptedMessage> messages = context.journal().undeliveredMessages(recorded.messageNumbers());
             if (recorded.ownership().status() == Ownership.Status.OFFERED && !messages.isEmpty()) {
                 HandoffPlacement.HandoffBatch batch = new HandoffPlacement.HandoffBatch(
                         recorded.ownership().peer(),
--- a/sender/src/test/java/amberroute/sender/FailoverTest.java
+++ b/sender/src/test/java/amberroute/sender/FailoverTest.java
@@ -343,7 +343,7 @@
             @Override
             public void whenReplicated(Runnable effect, Runnable failed) {}
         });
-        assertTrue(journal.replicaSet(
+        assertTrue(journal.writeReplicaSet(
                 ReplicaRecords.encodeReplicaSet("one.abc", new ReplicaSet(2, List.of("one", "two", "three")))));
         loop.submit(survival::close).sync();
         journal.close();
@@ -368,7 +368,7 @@
         assertTrue(store.persistState(store.findOrCreate("one.abc"), new ReplicaState(1, "one", LogPosition.NONE)));
         store.close();
         survival();
-        journal.replicaSet(
+        journal.writeReplicaSet(
                 ReplicaRecords.encodeReplicaSet("one.abc", new ReplicaSet(0, List.of("one", "two", "three"))));
         loop.submit(survival::close).sync();
         journal.close();
--- a/sender/src/test/java/amberroute/sender/HandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/HandoffTest.java
@@ -226,17 +226,17 @@
         }
         // A process that dies between the two records must find the message ended, not its own again.
         Path state = folder.resolve("leaver");
-        byte[] whole = SegmentFiles.first(state);
+        byte[] whole = SegmentFiles.firstSegment(state);
         boolean gaveUp = false;
         for (int end : SegmentFiles.recordEnds(whole)) {
-            SegmentFiles.truncate(state, whole, end);
+            SegmentFiles.replaceWithPrefix(state, whole, end);
             try (Journal journal = Journal.openReadOnly(state)) {
                 for (HandoffBatchRecord lot : journal.handoffBatches().values()) {
                     boolean ended = lot.ownership().status() == Ownership.Status.ENDED;
                     gaveUp |= ended;
                     assertTrue(
                             !ended
-                                    || journal.pendingMessages(lot.messageNumbers())
+                                    || journal.undeliveredMessages(lot.messageNumbers())
                                             .isEmpty(),
                             "a lot ended before its message");
                 }
@@ -557,8 +557,8 @@
                     ("body of " + id).getBytes());
             journal.accept(m);
             if (id.equals("k0") || id.equals("lost")) {
-                journal.attempt(m, "s-1", System.currentTimeMillis());
-                journal.outcome(m, true);
+                journal.recordAttempt(m, "s-1", System.currentTimeMillis());
+                journal.recordOutcome(m, true);
             }
         }
         journal.close();
@@ -654,7 +654,7 @@
                     "body".getBytes());
             journal.accept(m);
             if (i == 0) {
-                journal.end(m, m.failed());
+                journal.endWithNotice(m, m.failed());
             }
         }
         journal.close();
@@ -737,10 +737,10 @@
         leaver.stop();
         heir.stop();
         senders.clear();
-        byte[] theirs = SegmentFiles.first(folder.resolve("leaver"));
-        byte[] own = SegmentFiles.first(folder.resolve("heir"));
-        List<String> left = SegmentFiles.records(theirs);
-        List<String> took = SegmentFiles.records(own);
+        byte[] theirs = SegmentFiles.firstSegment(folder.resolve("leaver"));
+        byte[] own = SegmentFiles.firstSegment(folder.resolve("heir"));
+        List<String> left = SegmentFiles.recordContents(theirs);
+        List<String> took = SegmentFiles.recordContents(own);
         int offered = recordsWith(left, "OFFERED");
         int given = recordsWith(left, "GIVEN");
         int adopted = recordsWith(took, "OWNED");
@@ -754,11 +754,11 @@
                     continue;
                 }
                 pairs++;
-                SegmentFiles.truncate(
+                SegmentFiles.replaceWithPrefix(
                         folder.resolve("leaver"),
                         theirs,
                         SegmentFiles.recordEnds(theirs).get(l - 1));
-                SegmentFiles.truncate(
+                SegmentFiles.replaceWithPrefix(
                         folder.resolve("heir"),
                         own,
                         SegmentFiles.recordEnds(own).get(h - 1));
@@ -872,8 +872,8 @@
                 System.currentTimeMillis() + 15_000,
                 "body of k".getBytes());
         journal.accept(m);
-        journal.attempt(m, "s-1", System.currentTimeMillis() - 2_500);
-        journal.outcome(m, true);
+        journal.recordAttempt(m, "s-1", System.currentTimeMillis() - 2_500);
+        journal.recordOutcome(m, true);
         journal.close();
         world.receiver.answers = r -> ok(503, "", "Retry-After: 3");
         Sender leaver = start("leaver", peer("heir", heir));
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -133,15 +133,15 @@
     void everyMessageGoesOnAsItStood() throws Exception {
         try (Journal journal = Journal.open(orphan, 3_000_000)) {
             message(journal, "fresh", "unsafe", 0, 7);
-            journal.attempt(message(journal, "out", "unsafe", 0, 7), "s-1", System.currentTimeMillis());
+            journal.recordAttempt(message(journal, "out", "unsafe", 0, 7), "s-1", System.currentTimeMillis());
             AcceptedMessage refused = message(journal, "refused", "unsafe", 0, 7);
-            journal.attempt(refused, "s-1", System.currentTimeMillis());
-            journal.outcome(refused, false);
-            journal.attempt(message(journal, "k0", "keyed", KEY, 7), "s-1", System.currentTimeMillis());
+            journal.recordAttempt(refused, "s-1", System.currentTimeMillis());
+            journal.recordOutcome(refused, false);
+            journal.recordAttempt(message(journal, "k0", "keyed", KEY, 7), "s-1", System.currentTimeMillis());
             message(journal, "k1", "keyed", KEY, 7);
             message(journal, "k2", "keyed", KEY, 7);
             AcceptedMessage ended = message(journal, "ended", "safe", 0, 7);
-            journal.end(ended, ended.returned(0));
+            journal.endWithNotice(ended, ended.returned(0));
             AcceptedMessage offered = message(journal, "offered", "unsafe", 0, 7);
             assertTrue(journal.writeHandoffBatch("lot", Ownership.initial(), ended.deadlineMillis, List.of(offered)));
             assertTrue(journal.writeHandoffBatch(
@@ -374,12 +374,12 @@
     void theFenceIsSeenBehindTheRecord() throws IOException {
         try (Journal journal = Journal.open(orphan, 3_000_000)) {
             int[] seen = new int[1];
-            journal.watchFence(() -> seen[0]++);
+            journal.watchFencingToken(() -> seen[0]++);
             AcceptedMessage m = message(journal, "a", "unsafe", 0, 7);
-            journal.checkFence();
-            FencingToken.raise(orphan, "heir", folder.resolve("heir"));
-            assertThrows(IllegalStateException.class, () -> journal.attempt(m, "s-1", 1));
-            assertThrows(IllegalStateException.class, journal::checkFence);
+            journal.checkFencingToken();
+            FencingToken.create(orphan, "heir", folder.resolve("heir"));
+            assertThrows(IllegalStateException.class, () -> journal.recordAttempt(m, "s-1", 1));
+            assertThrows(IllegalStateException.class, journal::checkFencingToken);
             assertEquals(2, seen[0]);
         }
         try (Journal journal = Journal.openReadOnly(orphan)) {
--- a/sender/src/test/java/amberroute/sender/StandaloneTest.java
+++ b/sender/src/test/java/amberroute/sender/StandaloneTest.java
@@ -459,13 +459,13 @@
         client.submit("unsafe", A, NO_KEY);
         client.submit("keyed", B, KEY);
         await(() -> world.receiver.requests.size() == 2);
-        byte[] before = SegmentFiles.first(folder.resolve("s"));
+        byte[] before = SegmentFiles.firstSegment(folder.resolve("s"));
         JournalView view = JournalView.read(folder.resolve("s"));
         assertTrue(
                 view.summary().startsWith("2 messages held, 2 of them in doubt; 0 notices not answered; "),
                 view.summary());
         assertTrue(view.lines(System.currentTimeMillis()).get(0).startsWith(A + " unsafe dest=7"));
-        assertEquals(before.length, SegmentFiles.first(folder.resolve("s")).length);
+        assertEquals(before.length, SegmentFiles.firstSegment(folder.resolve("s")).length);
         assertThrows(IOException.class, () -> JournalView.read(folder));
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
+++ b/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
@@ -20,29 +20,29 @@
  * recorded with an earlier version: {@link JournalCompatibilityTest}.
  */
 final class CompatibilityScenario {
-    static final long BUDGET = 100_000;
-    private static final long DEADLINE = 4_000_000_000_000L;
-    private static final long WALL = 1_700_000_000_000L;
+    static final long BUDGET_BYTES = 100_000;
+    private static final long DEADLINE_MILLIS = 4_000_000_000_000L;
+    private static final long START_MILLIS = 1_700_000_000_000L;
     private static final int COMPACTION_STEPS = 8;
-    private static final int CHURNED_MESSAGES = 60;
+    private static final int SHORT_LIVED_MESSAGES = 60;
 
     private CompatibilityScenario() {}
 
     /** Numbers each change, and notes the changes as they would be replicated. */
-    private static final class Listener implements JournalChangeListener {
-        final List<String> batches = new ArrayList<>();
+    private static final class RecordingListener implements JournalChangeListener {
+        final List<String> batchChecksums = new ArrayList<>();
 
         @Override
         public byte[] replicationPosition() {
             return ByteBuffer.allocate(16)
                     .putLong(3)
-                    .putLong(batches.size() + 1)
+                    .putLong(batchChecksums.size() + 1)
                     .array();
         }
 
         @Override
         public void batchWritten(Batch batch) {
-            batches.add(checksum(batch.encode()));
+            batchChecksums.add(checksum(batch.encode()));
         }
 
         @Override
@@ -59,21 +59,21 @@
 
     /** Carries out all operations in a new folder; returns the changes as they were given to the listener. */
     static List<String> write(Path folder) throws IOException {
-        try (Journal journal = Journal.open(folder, BUDGET)) {
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             defineClasses(journal);
-            pendingMessages(journal);
-            health(journal);
-            churn(journal, "first", COMPACTION_STEPS);
+            writePendingMessages(journal);
+            recordHealth(journal);
+            acceptAndFinishMessages(journal, "first", COMPACTION_STEPS);
         }
-        try (Journal journal = Journal.open(folder, BUDGET)) {
-            Listener listener = new Listener();
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
+            RecordingListener listener = new RecordingListener();
             journal.replicateTo(listener);
-            journal.replicaSet(new byte[] {5, 4, 3});
-            handoff(journal);
-            holds(journal);
-            churn(journal, "second", 1);
-            moreHealth(journal);
-            return listener.batches;
+            journal.writeReplicaSet(new byte[] {5, 4, 3});
+            writeHandoffBatches(journal);
+            writeKeyHolds(journal);
+            acceptAndFinishMessages(journal, "second", 1);
+            recordMoreHealth(journal);
+            return listener.batchChecksums;
         }
     }
 
@@ -119,26 +119,26 @@
                                 true)));
     }
 
-    private static AcceptedMessage message(Journal journal, String id, int type, long key, int bytes) {
-        byte[] body = new byte[bytes];
-        for (int i = 0; i < bytes; i++) {
+    private static AcceptedMessage message(Journal journal, String id, int classNumber, long key, int bodyBytes) {
+        byte[] body = new byte[bodyBytes];
+        for (int i = 0; i < bodyBytes; i++) {
             body[i] = (byte) (i * 31 + id.hashCode());
         }
         AcceptedMessage message = new AcceptedMessage(
                 journal.nextNumber(),
                 id,
-                type == 0 ? "key-of-" + id : "",
-                type == 0 ? "orders" : "übung",
+                classNumber == 0 ? "key-of-" + id : "",
+                classNumber == 0 ? "orders" : "übung",
                 key,
-                type + 1,
-                DEADLINE + bytes,
+                classNumber + 1,
+                DEADLINE_MILLIS + bodyBytes,
                 body);
-        message.classNumber = type;
+        message.classNumber = classNumber;
         return message;
     }
 
-    private static AcceptedMessage accept(Journal journal, String id, int type, long key, int bytes) {
-        AcceptedMessage message = message(journal, id, type, key, bytes);
+    private static AcceptedMessage accept(Journal journal, String id, int classNumber, long key, int bodyBytes) {
+        AcceptedMessage message = message(journal, id, classNumber, key, bodyBytes);
         if (!journal.accept(message)) {
             throw new IllegalStateException("not accepted: " + id);
         }
@@ -146,65 +146,66 @@
     }
 
     /** A message in each state that a restart can find it in. */
-    private static void pendingMessages(Journal journal) {
+    private static void writePendingMessages(Journal journal) {
         accept(journal, "untried", 0, 7, 300);
         accept(journal, "empty", 3, 0, 0);
         AcceptedMessage inFlight = accept(journal, "in-flight", 0, 8, 500);
-        journal.attempt(inFlight, "endpoint-1", WALL);
+        journal.recordAttempt(inFlight, "endpoint-1", START_MILLIS);
         AcceptedMessage unknown = accept(journal, "unknown", 0, 9, 200);
-        journal.attempt(unknown, "endpoint-2", WALL + 1);
-        journal.outcome(unknown, true);
-        journal.attempt(unknown, "endpoint-3", WALL + 2);
-        journal.outcome(unknown, false);
+        journal.recordAttempt(unknown, "endpoint-2", START_MILLIS + 1);
+        journal.recordOutcome(unknown, true);
+        journal.recordAttempt(unknown, "endpoint-3", START_MILLIS + 2);
+        journal.recordOutcome(unknown, false);
         AcceptedMessage notRun = accept(journal, "not-run", 3, 0, 100);
-        journal.attempt(notRun, "endpoint-1", WALL + 3);
-        journal.outcome(notRun, false);
-        journal.attemptUnrecorded(notRun, "endpoint-4", WALL + 4);
+        journal.recordAttempt(notRun, "endpoint-1", START_MILLIS + 3);
+        journal.recordOutcome(notRun, false);
+        journal.recordAttemptEventually(notRun, "endpoint-4", START_MILLIS + 4);
         AcceptedMessage failed = accept(journal, "failed", 0, 9, 400);
-        journal.attempt(failed, "endpoint-1", WALL + 5);
-        journal.end(failed, failed.failed());
+        journal.recordAttempt(failed, "endpoint-1", START_MILLIS + 5);
+        journal.endWithNotice(failed, failed.failed());
         AcceptedMessage returned = accept(journal, "returned", 3, 0, 50);
-        journal.end(returned, returned.returned(2_500));
+        journal.endWithNotice(returned, returned.returned(2_500));
         AcceptedMessage completed = accept(journal, "completed", 0, 1, 800);
-        journal.attempt(completed, "endpoint-1", WALL + 6);
-        journal.conclude(completed);
-        journal.conclude(accept(journal, "completed-idempotent", 3, 0, 30));
+        journal.recordAttempt(completed, "endpoint-1", START_MILLIS + 6);
+        journal.complete(completed);
+        journal.complete(accept(journal, "completed-idempotent", 3, 0, 30));
         AcceptedMessage unclassified = message(journal, "unclassified", 3, 0, 20);
         unclassified.classNumber = -1;
         journal.accept(unclassified);
-        journal.conclude(unclassified);
+        journal.complete(unclassified);
     }
 
-    private static HealthRecord record(int destination, String uid, DeliveryScheduler.UpstreamStatus status, int step) {
-        return new HealthRecord(destination, uid, status, WALL + step, 12.5 + step, 800.25 * step);
+    private static HealthRecord healthRecord(
+            int destination, String uid, DeliveryScheduler.UpstreamStatus status, int step) {
+        return new HealthRecord(destination, uid, status, START_MILLIS + step, 12.5 + step, 800.25 * step);
     }
 
-    private static void health(Journal journal) {
-        journal.recordHealth(record(1, "", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 1));
-        journal.recordHealth(record(1, "endpoint-1", DeliveryScheduler.UpstreamStatus.SLOW_START, 2));
-        journal.recordHealth(record(2, "endpoint-9", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 3));
-        journal.recordHealth(record(1, "endpoint-1", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 4));
-        journal.recordHealth(record(2, "endpoint-9", DeliveryScheduler.UpstreamStatus.HEALTHY, 5));
+    private static void recordHealth(Journal journal) {
+        journal.recordHealth(healthRecord(1, "", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 1));
+        journal.recordHealth(healthRecord(1, "endpoint-1", DeliveryScheduler.UpstreamStatus.SLOW_START, 2));
+        journal.recordHealth(healthRecord(2, "endpoint-9", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 3));
+        journal.recordHealth(healthRecord(1, "endpoint-1", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 4));
+        journal.recordHealth(healthRecord(2, "endpoint-9", DeliveryScheduler.UpstreamStatus.HEALTHY, 5));
     }
 
-    private static void moreHealth(Journal journal) {
-        journal.recordHealth(record(1, "", DeliveryScheduler.UpstreamStatus.SLOW_START, 6));
-        journal.recordHealth(record(4, "endpoint-é", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 7));
+    private static void recordMoreHealth(Journal journal) {
+        journal.recordHealth(healthRecord(1, "", DeliveryScheduler.UpstreamStatus.SLOW_START, 6));
+        journal.recordHealth(healthRecord(4, "endpoint-é", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 7));
     }
 
     /** Messages that come and go, so that segments fill up, are compacted and retired. */
-    private static void churn(Journal journal, String name, int compactionSteps) {
-        for (int i = 0; i < CHURNED_MESSAGES; i++) {
-            AcceptedMessage message = accept(journal, name + "-" + i, i % 2 == 0 ? 0 : 3, i % 5, 300 + 13 * i);
-            journal.attempt(message, "endpoint-" + i % 4, WALL + 100 + i);
-            journal.outcome(message, i % 3 == 0);
+    private static void acceptAndFinishMessages(Journal journal, String idPrefix, int compactionSteps) {
+        for (int i = 0; i < SHORT_LIVED_MESSAGES; i++) {
+            AcceptedMessage message = accept(journal, idPrefix + "-" + i, i % 2 == 0 ? 0 : 3, i % 5, 300 + 13 * i);
+            journal.recordAttempt(message, "endpoint-" + i % 4, START_MILLIS + 100 + i);
+            journal.recordOutcome(message, i % 3 == 0);
             if (i % 10 == 9) {
-                journal.end(message, message.failed());
+                journal.endWithNotice(message, message.failed());
             } else {
-                journal.conclude(message);
+                journal.complete(message);
             }
             for (int step = 0; step < compactionSteps && i % 4 == 3; step++) {
-                journal.compactSlice();
+                journal.compactStep();
             }
         }
     }
@@ -213,87 +214,96 @@
         return new Ownership(generation, status, peer);
     }
 
-    private static void handoff(Journal journal) {
+    private static void writeHandoffBatches(Journal journal) {
         AcceptedMessage offered = accept(journal, "offered", 0, 21, 150);
         AcceptedMessage given = accept(journal, "given", 0, 22, 160);
         AcceptedMessage reclaimed = accept(journal, "reclaimed", 0, 23, 170);
         Ownership offer = ownership(2, Ownership.Status.OFFERED, "peer-a");
-        journal.offerHandoffBatch("batch-offered", offer, DEADLINE, List.of(offered), "self", List.of(21L), DEADLINE);
-        journal.writeHandoffBatch("batch-given", offer, DEADLINE, List.of(given));
+        journal.offerHandoffBatch(
+                "batch-offered", offer, DEADLINE_MILLIS, List.of(offered), "self", List.of(21L), DEADLINE_MILLIS);
+        journal.writeHandoffBatch("batch-given", offer, DEADLINE_MILLIS, List.of(given));
         Ownership handedOff = ownership(2, Ownership.Status.GIVEN, "peer-a");
-        journal.writeHandoffBatch("batch-given", handedOff, DEADLINE, List.of(given));
-        journal.offerHandoffBatch("batch-back", offer, DEADLINE, List.of(reclaimed), "self", List.of(23L), DEADLINE);
-        Ownership own = ownership(3, Ownership.Status.OWNED, "");
-        journal.reclaimHandoffBatch("batch-back", own, DEADLINE, List.of(reclaimed), "self", List.of(23L));
+        journal.writeHandoffBatch("batch-given", handedOff, DEADLINE_MILLIS, List.of(given));
+        journal.offerHandoffBatch(
+                "batch-back", offer, DEADLINE_MILLIS, List.of(reclaimed), "self", List.of(23L), DEADLINE_MILLIS);
+        Ownership ownedAgain = ownership(3, Ownership.Status.OWNED, "");
+        journal.reclaimHandoffBatch(
+                "batch-back", ownedAgain, DEADLINE_MILLIS, List.of(reclaimed), "self", List.of(23L));
         Ownership rejected = ownership(2, Ownership.Status.REFUSED, "");
-        journal.writeHandoffBatch("batch-rejected", rejected, DEADLINE, List.of());
-        journal.writeHandoffBatch("batch-expired", rejected, WALL, List.of());
-        journal.expireHandoffBatches(WALL + 1);
-        journal.holdKeys("peer-b", List.of(31L, 32L), DEADLINE);
-        AcceptedMessage behind = accept(journal, "behind", 0, 31, 140);
-        AcceptedMessage adopted = message(journal, "adopted", 0, 31, 210);
-        adopted.attempts = 2;
-        adopted.unknownOutcomeSinceMillis = WALL + 7;
-        adopted.unknownOutcomeEndpoint = "endpoint-5";
+        journal.writeHandoffBatch("batch-rejected", rejected, DEADLINE_MILLIS, List.of());
+        journal.writeHandoffBatch("batch-expired", rejected, START_MILLIS, List.of());
+        journal.expireHandoffBatches(START_MILLIS + 1);
+        journal.holdKeys("peer-b", List.of(31L, 32L), DEADLINE_MILLIS);
+        AcceptedMessage waiting = accept(journal, "behind", 0, 31, 140);
+        AcceptedMessage accepted = message(journal, "adopted", 0, 31, 210);
+        accepted.attempts = 2;
+        accepted.unknownOutcomeSinceMillis = START_MILLIS + 7;
+        accepted.unknownOutcomeEndpoint = "endpoint-5";
         AcceptedMessage notice = message(journal, "adopted-notice", 0, 33, 90);
         notice.end(notice.failed());
-        List<AcceptedMessage> taken = List.of(adopted, notice);
-        Ownership mine = ownership(4, Ownership.Status.OWNED, "");
-        journal.acceptHandoffBatch("batch-accepted", mine, DEADLINE, taken, "peer-b", List.of(behind));
+        List<AcceptedMessage> acceptedMessages = List.of(accepted, notice);
+        Ownership owned = ownership(4, Ownership.Status.OWNED, "");
+        journal.acceptHandoffBatch(
+                "batch-accepted", owned, DEADLINE_MILLIS, acceptedMessages, "peer-b", List.of(waiting));
     }
 
-    private static void holds(Journal journal) {
-        journal.holdKeys("peer-c", List.of(41L, 42L, 43L), DEADLINE);
-        journal.holdKeys("peer-d", List.of(42L), DEADLINE + 1);
-        journal.holdKeys("peer-e", List.of(44L), WALL);
+    private static void writeKeyHolds(Journal journal) {
+        journal.holdKeys("peer-c", List.of(41L, 42L, 43L), DEADLINE_MILLIS);
+        journal.holdKeys("peer-d", List.of(42L), DEADLINE_MILLIS + 1);
+        journal.holdKeys("peer-e", List.of(44L), START_MILLIS);
         journal.releaseKeys("peer-c", List.of(43L));
-        journal.expireKeyHolds(WALL + 1);
+        journal.expireKeyHolds(START_MILLIS + 1);
     }
 
     /** All that a journal holds, one line for each item. Allocates numbers, so nothing may be written behind it. */
     static List<String> describe(Journal journal) {
-        List<String> out = new ArrayList<>();
-        for (AcceptedMessage m : journal.pendingMessages()) {
-            out.add("message " + m.number + " " + m.id + " key=" + m.idempotencyKey + " class=" + m.className + " "
-                    + m.key + " " + m.destination + " " + m.deadlineMillis + " content=" + m.contentHash + " body="
-                    + checksum(m.body) + " type=" + m.classNumber + " attempts=" + m.attempts + " since="
-                    + m.unknownOutcomeSinceMillis
-                    + " at=" + m.unknownOutcomeEndpoint + " out=" + m.attemptInFlight + " frozen=" + m.offeredToPeer
-                    + " sent=" + m.attemptSentAtMillis + " to="
-                    + m.attemptEndpoint + " notice=" + m.pendingNotification + " rank=" + m.rank);
+        List<String> lines = new ArrayList<>();
+        for (AcceptedMessage message : journal.pendingMessages()) {
+            lines.add("message " + message.number + " " + message.id + " key=" + message.idempotencyKey + " class="
+                    + message.className + " "
+                    + message.key + " " + message.destination + " " + message.deadlineMillis + " content="
+                    + message.contentHash + " body="
+                    + checksum(message.body) + " type=" + message.classNumber + " attempts=" + message.attempts
+                    + " since="
+                    + message.unknownOutcomeSinceMillis
+                    + " at=" + message.unknownOutcomeEndpoint + " out=" + message.attemptInFlight + " frozen="
+                    + message.offeredToPeer
+                    + " sent=" + message.attemptSentAtMillis + " to="
+                    + message.attemptEndpoint + " notice=" + message.pendingNotification + " rank=" + message.rank);
         }
         for (String id :
                 List.of("completed", "completed-idempotent", "unclassified", "given", "first-1", "second-58")) {
-            out.add("completed " + id + " " + journal.knows(id) + " " + journal.differs(id, 1));
+            lines.add("completed " + id + " " + journal.containsId(id) + " " + journal.hasDifferentContent(id, 1));
         }
         journal.healthRecords()
-                .forEach(h -> out.add("health " + h.destination() + " " + h.uid() + " "
-                        + h.health().storedName() + " " + h.sinceMillis() + " " + h.callsPerSecond() + " "
-                        + h.usualLatencyMicros()));
+                .forEach(record -> lines.add("health " + record.destination() + " " + record.uid() + " "
+                        + record.status().storedName() + " " + record.sinceMillis() + " " + record.callsPerSecond()
+                        + " "
+                        + record.usualLatencyMicros()));
         journal.handoffBatches()
-                .forEach((name, batch) ->
-                        out.add("batch " + name + " " + batch.ownership().generation() + " "
-                                + batch.ownership().status().name() + " "
-                                + batch.ownership().peer() + " " + batch.untilMillis() + " " + batch.messageNumbers()));
+                .forEach((name, batch) -> lines.add("batch " + name + " "
+                        + batch.ownership().generation() + " "
+                        + batch.ownership().status().name() + " "
+                        + batch.ownership().peer() + " " + batch.retainUntilMillis() + " " + batch.messageNumbers()));
         for (KeyHolds.KeyHold hold : journal.keyHolds().allHolds()) {
-            out.add("hold " + hold.origin() + " " + hold.key() + " " + hold.untilMillis());
+            lines.add("hold " + hold.origin() + " " + hold.key() + " " + hold.untilMillis());
         }
         journal.classes()
-                .forEach((number, version) -> out.add("class " + number + " " + version.name() + " "
+                .forEach((number, version) -> lines.add("class " + number + " " + version.name() + " "
                         + version.type().priorityWeight() + " " + version.type().lateValueShare() + " "
                         + version.type().latencyObjectiveMicros() + " "
                         + version.type().deadlineMicros() + " "
                         + version.type().idempotency().ordinal() + " "
                         + version.type().keyScope().ordinal() + " "
                         + version.type().keyLifeMicros() + " " + version.type().ordered()));
-        out.add("replica set " + Arrays.toString(journal.replicaSet()));
-        out.add("position " + Arrays.toString(journal.replicationPosition()));
-        out.add("unreadable " + journal.dataLoss().lines());
-        out.add("live bytes " + journal.liveBytes());
-        out.add("next number " + journal.nextNumber());
-        for (Supplier<Batch> part : journal.snapshotBatches()) {
-            out.add("snapshot " + checksum(part.get().encode()));
+        lines.add("replica set " + Arrays.toString(journal.replicaSet()));
+        lines.add("position " + Arrays.toString(journal.replicationPosition()));
+        lines.add("unreadable " + journal.dataLoss().lines());
+        lines.add("live bytes " + journal.liveBytes());
+        lines.add("next number " + journal.nextNumber());
+        for (Supplier<Batch> batch : journal.snapshotBatches()) {
+            lines.add("snapshot " + checksum(batch.get().encode()));
         }
-        return out;
+        return lines;
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
@@ -21,7 +21,7 @@
  */
 class JournalCompatibilityTest {
     private static final int HEADER_BYTES = 48;
-    private static final int FRAME_BYTES = 20;
+    private static final int FRAME_HEADER_BYTES = 20;
     private static final int FRAME_CHECKSUM_OFFSET = 16;
 
     @TempDir
@@ -38,27 +38,29 @@
     }
 
     private static TreeMap<String, Path> files(Path state) throws IOException {
-        TreeMap<String, Path> all = new TreeMap<>();
+        TreeMap<String, Path> filesByName = new TreeMap<>();
         try (var files = Files.list(state)) {
-            files.forEach(file -> all.put(file.getFileName().toString(), file));
+            files.forEach(file -> filesByName.put(file.getFileName().toString(), file));
         }
-        return all;
+        return filesByName;
     }
 
     /** By segment number: its bytes without the checksums of records, which cover a random salt. */
     private static TreeMap<String, byte[]> segments(Path state) throws IOException {
-        TreeMap<String, byte[]> all = new TreeMap<>();
+        TreeMap<String, byte[]> bytesByNumber = new TreeMap<>();
         for (var entry : files(state).entrySet()) {
             if (SegmentLog.isSegment(entry.getKey())) {
                 byte[] bytes = Files.readAllBytes(entry.getValue());
                 ByteBuffer buffer = ByteBuffer.wrap(bytes);
-                for (int at = HEADER_BYTES; at < bytes.length; at += FRAME_BYTES + buffer.getInt(at + 4)) {
-                    buffer.putInt(at + FRAME_CHECKSUM_OFFSET, 0);
+                for (int offset = HEADER_BYTES;
+                        offset < bytes.length;
+                        offset += FRAME_HEADER_BYTES + buffer.getInt(offset + 4)) {
+                    buffer.putInt(offset + FRAME_CHECKSUM_OFFSET, 0);
                 }
-                all.put(entry.getKey().substring(0, 16), bytes);
+                bytesByNumber.put(entry.getKey().substring(0, 16), bytes);
             }
         }
-        return all;
+        return bytesByNumber;
     }
 
     private Path copyOfRecorded() throws IOException, URISyntaxException {
@@ -70,7 +72,7 @@
     }
 
     @Test
-    void readsARecordedJournalWithoutWriting() throws Exception {
+    void recordedJournalOpenedReadOnlyHasItsContentsAndIsUnchanged() throws Exception {
         Path copy = copyOfRecorded();
         try (Journal journal = Journal.openReadOnly(copy)) {
             assertEquals(lines("content.txt"), CompatibilityScenario.describe(journal));
@@ -81,17 +83,17 @@
     }
 
     @Test
-    void opensARecordedJournal() throws Exception {
+    void recordedJournalOpenedForWritingKeepsItsContents() throws Exception {
         Path copy = copyOfRecorded();
         for (int restart = 0; restart < 2; restart++) {
-            try (Journal journal = Journal.open(copy, CompatibilityScenario.BUDGET)) {
+            try (Journal journal = Journal.open(copy, CompatibilityScenario.BUDGET_BYTES)) {
                 assertEquals(lines("content.txt"), CompatibilityScenario.describe(journal));
             }
         }
     }
 
     @Test
-    void writesTheRecordedBytes() throws Exception {
+    void fixedOperationsOnNewJournalWriteRecordedBytes() throws Exception {
         Path state = folder.resolve("state");
         assertEquals(lines("replicated.txt"), CompatibilityScenario.write(state));
         TreeMap<String, byte[]> expected = segments(recorded("journal"));
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -20,7 +20,7 @@
 
 /** Handoff batches in the journal: wherever a process is killed, no message is lost or has two owners. */
 class JournalHandoffTest {
-    private static final long SOON = System.currentTimeMillis() + 60_000;
+    private static final long DEADLINE_MILLIS = System.currentTimeMillis() + 60_000;
     private static final Ownership OFFERED = new Ownership(2, Status.OFFERED, "heir");
 
     @TempDir
@@ -31,12 +31,13 @@
     }
 
     private static AcceptedMessage message(Journal journal, String id, int size) {
-        return new AcceptedMessage(journal.nextNumber(), id, "idem-" + id, "unsafe", 7, 3, SOON, new byte[size]);
+        return new AcceptedMessage(
+                journal.nextNumber(), id, "idem-" + id, "unsafe", 7, 3, DEADLINE_MILLIS, new byte[size]);
     }
 
     private static List<AcceptedMessage> acceptTwo(Journal journal) {
         List<AcceptedMessage> messages = List.of(message(journal, "a", 10), message(journal, "b", 2_000));
-        messages.forEach(m -> assertTrue(journal.accept(m)));
+        messages.forEach(message -> assertTrue(journal.accept(message)));
         return messages;
     }
 
@@ -47,45 +48,46 @@
     /** The one segment that a test has written so far. */
     private Path segment() throws IOException {
         try (var files = Files.list(folder)) {
-            return files.filter(f -> SegmentLog.isSegment(f.getFileName().toString()))
+            return files.filter(file -> SegmentLog.isSegment(file.getFileName().toString()))
                     .min(Comparator.naturalOrder())
                     .orElseThrow();
         }
     }
 
     /** Lengths of the segment at which a whole record ends; the first record is the segment list. */
-    private static List<Integer> boundaries(byte[] file) {
-        List<Integer> out = new ArrayList<>();
-        for (int at = 48; at < file.length; ) {
-            at += 20 + ByteBuffer.wrap(file).getInt(at + 4);
-            out.add(at);
+    private static List<Integer> recordEnds(byte[] segment) {
+        List<Integer> ends = new ArrayList<>();
+        for (int offset = 48; offset < segment.length; ) {
+            offset += 20 + ByteBuffer.wrap(segment).getInt(offset + 4);
+            ends.add(offset);
         }
-        return out;
+        return ends;
     }
 
-    private Journal openCutAt(byte[] whole, int length) throws IOException {
-        Files.write(segment(), java.util.Arrays.copyOf(whole, length));
+    private Journal openTruncated(byte[] segmentBytes, int length) throws IOException {
+        Files.write(segment(), java.util.Arrays.copyOf(segmentBytes, length));
         return open();
     }
 
     /** The sender of a batch, up to its acceptance: at each record a message is its own, frozen, or the peer's. */
     @Test
-    void aLeaverThatDiesAnywhereKnowsWhatItOffered() throws IOException {
+    void offeringJournalTruncatedAfterAnyRecordHasConsistentOwnership() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = acceptTwo(journal);
-            assertTrue(journal.writeHandoffBatch("lot", OFFERED, SOON, messages));
-            assertTrue(journal.writeHandoffBatch("lot", new Ownership(2, Status.GIVEN, "heir"), SOON, messages));
+            assertTrue(journal.writeHandoffBatch("lot", OFFERED, DEADLINE_MILLIS, messages));
+            assertTrue(journal.writeHandoffBatch(
+                    "lot", new Ownership(2, Status.GIVEN, "heir"), DEADLINE_MILLIS, messages));
         }
-        byte[] whole = segmentBytes();
-        List<Integer> ends = boundaries(whole);
-        int[][] liveAndFrozen = {{0, 0}, {1, 0}, {2, 0}, {2, 2}, {0, 0}};
+        byte[] segmentBytes = segmentBytes();
+        List<Integer> ends = recordEnds(segmentBytes);
+        int[][] pendingAndOffered = {{0, 0}, {1, 0}, {2, 0}, {2, 2}, {0, 0}};
         for (int i = 0; i < ends.size(); i++) {
-            try (Journal journal = openCutAt(whole, ends.get(i))) {
-                assertEquals(liveAndFrozen[i][0], journal.pendingMessages().size(), "after record " + i);
+            try (Journal journal = openTruncated(segmentBytes, ends.get(i))) {
+                assertEquals(pendingAndOffered[i][0], journal.pendingMessages().size(), "after record " + i);
                 assertEquals(
-                        liveAndFrozen[i][1],
+                        pendingAndOffered[i][1],
                         journal.pendingMessages().stream()
-                                .filter(m -> m.offeredToPeer)
+                                .filter(message -> message.offeredToPeer)
                                 .count(),
                         "after record " + i);
             }
@@ -94,20 +96,23 @@
 
     /** A rejection unfreezes the messages, with all their attempts; a second offer freezes them again. */
     @Test
-    void aRefusalGivesThemBack() throws IOException {
+    void offeredMessagesAfterRejectionAreOwnedAgain() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = acceptTwo(journal);
-            journal.writeHandoffBatch("lot", OFFERED, SOON, messages);
-            journal.writeHandoffBatch("lot", new Ownership(2, Status.OWNED, ""), SOON, messages);
+            journal.writeHandoffBatch("lot", OFFERED, DEADLINE_MILLIS, messages);
+            journal.writeHandoffBatch("lot", new Ownership(2, Status.OWNED, ""), DEADLINE_MILLIS, messages);
         }
         try (Journal journal = open()) {
             assertEquals(2, journal.pendingMessages().size());
-            assertTrue(journal.pendingMessages().stream().noneMatch(m -> m.offeredToPeer));
+            assertTrue(journal.pendingMessages().stream().noneMatch(message -> message.offeredToPeer));
             journal.writeHandoffBatch(
-                    "lot", new Ownership(3, Status.OFFERED, "other"), SOON, List.copyOf(journal.pendingMessages()));
+                    "lot",
+                    new Ownership(3, Status.OFFERED, "other"),
+                    DEADLINE_MILLIS,
+                    List.copyOf(journal.pendingMessages()));
         }
         try (Journal journal = open()) {
-            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.offeredToPeer));
+            assertTrue(journal.pendingMessages().stream().allMatch(message -> message.offeredToPeer));
             assertEquals(
                     "other", journal.handoffBatches().get("lot").ownership().peer());
         }
@@ -115,21 +120,22 @@
 
     /** Ended while offered: at no record is a message the sender's own again, as the peer may deliver it. */
     @Test
-    void whatWasGivenUpIsNeverItsOwnAgain() throws IOException {
+    void messagesEndedWhileOfferedAreNeverOwnedAgain() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = acceptTwo(journal);
-            journal.writeHandoffBatch("lot", OFFERED, SOON, messages);
-            messages.forEach(m -> journal.end(m, m.failed()));
-            journal.writeHandoffBatch("lot", new Ownership(2, Status.ENDED, ""), SOON, messages);
+            journal.writeHandoffBatch("lot", OFFERED, DEADLINE_MILLIS, messages);
+            messages.forEach(message -> journal.endWithNotice(message, message.failed()));
+            journal.writeHandoffBatch("lot", new Ownership(2, Status.ENDED, ""), DEADLINE_MILLIS, messages);
         }
-        byte[] whole = segmentBytes();
-        List<Integer> ends = boundaries(whole);
+        byte[] segmentBytes = segmentBytes();
+        List<Integer> ends = recordEnds(segmentBytes);
         for (int i = 3; i < ends.size(); i++) {
-            try (Journal journal = openCutAt(whole, ends.get(i))) {
+            try (Journal journal = openTruncated(segmentBytes, ends.get(i))) {
                 assertEquals(2, journal.pendingMessages().size());
-                for (AcceptedMessage m : journal.pendingMessages()) {
+                for (AcceptedMessage message : journal.pendingMessages()) {
                     assertTrue(
-                            m.offeredToPeer || m.pendingNotification != null, "after record " + i + " it owns " + m.id);
+                            message.offeredToPeer || message.pendingNotification != null,
+                            "after record " + i + " it owns " + message.id);
                 }
             }
         }
@@ -137,59 +143,63 @@
 
     /** The receiver of a batch: messages and ownership are in one record, so a torn one leaves neither, at whatever byte. */
     @Test
-    void aTornAdoptionLeavesNothing() throws IOException {
+    void tornBatchAcceptanceLeavesNeitherMessagesNorBatch() throws IOException {
         try (Journal journal = open()) {
-            AcceptedMessage doubt = message(journal, "doubt", 50);
-            doubt.attempts = 3;
-            doubt.unknownOutcomeSinceMillis = 12_345;
-            doubt.unknownOutcomeEndpoint = "s-1";
+            AcceptedMessage unknownOutcome = message(journal, "doubt", 50);
+            unknownOutcome.attempts = 3;
+            unknownOutcome.unknownOutcomeSinceMillis = 12_345;
+            unknownOutcome.unknownOutcomeEndpoint = "s-1";
             assertTrue(journal.acceptHandoffBatch(
-                    "lot", new Ownership(2, Status.OWNED, ""), SOON, List.of(doubt, message(journal, "other", 70))));
+                    "lot",
+                    new Ownership(2, Status.OWNED, ""),
+                    DEADLINE_MILLIS,
+                    List.of(unknownOutcome, message(journal, "other", 70))));
         }
-        byte[] whole = segmentBytes();
-        for (int length = 0; length < whole.length; length++) {
-            try (Journal journal = openCutAt(whole, length)) {
+        byte[] segmentBytes = segmentBytes();
+        for (int length = 0; length < segmentBytes.length; length++) {
+            try (Journal journal = openTruncated(segmentBytes, length)) {
                 assertTrue(
                         journal.pendingMessages().isEmpty()
                                 && journal.handoffBatches().isEmpty(),
                         "at byte " + length);
             }
         }
-        try (Journal journal = openCutAt(whole, whole.length)) {
+        try (Journal journal = openTruncated(segmentBytes, segmentBytes.length)) {
             assertEquals(2, journal.pendingMessages().size());
-            AcceptedMessage doubt = journal.pendingMessages().iterator().next();
-            assertEquals(3, doubt.attempts);
-            assertEquals(12_345, doubt.unknownOutcomeSinceMillis);
-            assertEquals("s-1", doubt.unknownOutcomeEndpoint);
-            assertEquals("idem-doubt", doubt.idempotencyKey);
+            AcceptedMessage unknownOutcome =
+                    journal.pendingMessages().iterator().next();
+            assertEquals(3, unknownOutcome.attempts);
+            assertEquals(12_345, unknownOutcome.unknownOutcomeSinceMillis);
+            assertEquals("s-1", unknownOutcome.unknownOutcomeEndpoint);
+            assertEquals("idem-doubt", unknownOutcome.idempotencyKey);
             assertTrue(journal.handoffBatches().get("lot").ownership().isOwned());
         }
     }
 
     /** Compaction retains handoff batches, and expired ones are deleted. */
     @Test
-    void survivesARewrite() throws IOException {
+    void handoffBatchesSurviveCompactionUntilTheyExpire() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = acceptTwo(journal);
-            journal.writeHandoffBatch("kept", OFFERED, SOON, messages);
-            journal.writeHandoffBatch("refused", new Ownership(2, Status.REFUSED, ""), SOON, List.of());
+            journal.writeHandoffBatch("kept", OFFERED, DEADLINE_MILLIS, messages);
+            journal.writeHandoffBatch("refused", new Ownership(2, Status.REFUSED, ""), DEADLINE_MILLIS, List.of());
             journal.writeHandoffBatch("old", new Ownership(2, Status.REFUSED, ""), 1, List.of());
-            long most = 0;
+            long maxUsedBytes = 0;
             for (int i = 0; i < 20_000; i++) {
-                AcceptedMessage m = message(journal, "x" + i, 100);
-                assertTrue(journal.accept(m));
-                journal.conclude(m);
-                journal.compactSlice();
-                most = Math.max(most, journal.usedBytes());
+                AcceptedMessage message = message(journal, "x" + i, 100);
+                assertTrue(journal.accept(message));
+                journal.complete(message);
+                journal.compactStep();
+                maxUsedBytes = Math.max(maxUsedBytes, journal.usedBytes());
             }
-            assertTrue(most < 1_600_000, "nothing was retired: " + most);
+            assertTrue(maxUsedBytes < 1_600_000, "nothing was retired: " + maxUsedBytes);
             journal.expireHandoffBatches(System.currentTimeMillis());
         }
         try (Journal journal = open()) {
             assertEquals(
                     2,
                     journal.pendingMessages().stream()
-                            .filter(m -> m.offeredToPeer)
+                            .filter(message -> message.offeredToPeer)
                             .count());
             assertEquals(OFFERED, journal.handoffBatches().get("kept").ownership());
             assertEquals(
@@ -201,15 +211,16 @@
 
     /** Peers that offer ever new batches leave the room for messages. */
     @Test
-    void lotsTakeOnlyTheirShare() throws IOException {
+    void handoffBatchesBeyondTheirBudgetShareAreRejected() throws IOException {
         try (Journal journal = open()) {
-            int lots = 0;
-            while (journal.writeHandoffBatch("lot" + lots, new Ownership(2, Status.REFUSED, ""), SOON, List.of())) {
-                lots++;
+            int batches = 0;
+            while (journal.writeHandoffBatch(
+                    "lot" + batches, new Ownership(2, Status.REFUSED, ""), DEADLINE_MILLIS, List.of())) {
+                batches++;
             }
-            assertTrue(lots > 1_000 && lots < 2_000, lots + " lots");
+            assertTrue(batches > 1_000 && batches < 2_000, batches + " lots");
             assertTrue(
-                    journal.writeHandoffBatch("lot0", new Ownership(3, Status.REFUSED, ""), SOON, List.of()),
+                    journal.writeHandoffBatch("lot0", new Ownership(3, Status.REFUSED, ""), DEADLINE_MILLIS, List.of()),
                     "a known one has its place");
             for (int i = 0; i < 400; i++) {
                 assertTrue(journal.accept(message(journal, "m" + i, 500)), "message " + i);
@@ -218,34 +229,34 @@
     }
 
     @Test
-    void aFullDiskRefusesLotsAndKeepsWhatIsOwed() throws IOException {
+    void fullJournalRejectsBatchesAndEndsAcceptedMessages() throws IOException {
         try (Journal journal = Journal.open(folder, 400_000)) {
-            int taken = 0;
+            int accepted = 0;
             while (journal.acceptHandoffBatch(
-                    "lot" + taken,
+                    "lot" + accepted,
                     new Ownership(2, Status.OWNED, ""),
-                    SOON,
-                    List.of(message(journal, "m" + taken, 20_000)))) {
-                taken++;
+                    DEADLINE_MILLIS,
+                    List.of(message(journal, "m" + accepted, 20_000)))) {
+                accepted++;
             }
-            assertTrue(taken > 2 && taken < 20, "took " + taken);
-            assertFalse(journal.knows("m" + taken));
-            for (AcceptedMessage m : List.copyOf(journal.pendingMessages())) {
-                journal.end(m, m.failed());
+            assertTrue(accepted > 2 && accepted < 20, "took " + accepted);
+            assertFalse(journal.containsId("m" + accepted));
+            for (AcceptedMessage message : List.copyOf(journal.pendingMessages())) {
+                journal.endWithNotice(message, message.failed());
             }
             assertTrue(journal.usedBytes() <= 400_000);
         }
         try (Journal journal = Journal.open(folder, 400_000)) {
-            assertTrue(journal.pendingMessages().stream().allMatch(m -> m.pendingNotification != null));
+            assertTrue(journal.pendingMessages().stream().allMatch(message -> message.pendingNotification != null));
         }
     }
 
     /** Guards against messages that overtake another daemon's: a repair writes holds anew, and must not put them last. */
     @Test
-    void aRepairedJournalHasHoldsAheadOfTheMessagesOfTheirKeys() throws IOException {
+    void keyHoldsInRepairedJournalRankBeforeMessagesOfTheirKeys() throws IOException {
         Path copy = folder.resolve("copy");
         try (Journal journal = open()) {
-            journal.holdKeys("leaver", List.of(7L), SOON);
+            journal.holdKeys("leaver", List.of(7L), DEADLINE_MILLIS);
             acceptTwo(journal);
         }
         JournalRepair.run(folder, copy);
--- a/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -18,59 +18,59 @@
  * docs/figures/journal.md}). Not a test: it asserts nothing.
  */
 final class JournalMeasurement {
-    private static final long SOON = 4_000_000_000_000L;
+    private static final long DEADLINE_MILLIS = 4_000_000_000_000L;
 
-    private interface Kind {
-        Object open(Path folder, long budget) throws IOException;
+    private interface JournalAdapter {
+        Object open(Path folder, long budgetBytes) throws IOException;
 
-        long number(Object journal);
+        long nextNumber(Object journal);
 
-        boolean accept(Object journal, AcceptedMessage m);
+        boolean accept(Object journal, AcceptedMessage message);
 
-        boolean attempt(Object journal, AcceptedMessage m);
+        boolean attempt(Object journal, AcceptedMessage message);
 
-        void conclude(Object journal, AcceptedMessage m);
+        void complete(Object journal, AcceptedMessage message);
 
-        void between(Object journal);
+        void compactStep(Object journal);
 
-        int live(Object journal);
+        int pendingCount(Object journal);
 
         void close(Object journal) throws IOException;
     }
 
-    private static final class Segments implements Kind {
+    private static final class SegmentedJournalAdapter implements JournalAdapter {
         @Override
-        public Object open(Path folder, long budget) throws IOException {
-            return Journal.open(folder, budget);
+        public Object open(Path folder, long budgetBytes) throws IOException {
+            return Journal.open(folder, budgetBytes);
         }
 
         @Override
-        public long number(Object journal) {
+        public long nextNumber(Object journal) {
             return ((Journal) journal).nextNumber();
         }
 
         @Override
-        public boolean accept(Object journal, AcceptedMessage m) {
-            return ((Journal) journal).accept(m);
+        public boolean accept(Object journal, AcceptedMessage message) {
+            return ((Journal) journal).accept(message);
         }
 
         @Override
-        public boolean attempt(Object journal, AcceptedMessage m) {
-            return ((Journal) journal).attempt(m, "uid-of-an-endpoint", 5);
+        public boolean attempt(Object journal, AcceptedMessage message) {
+            return ((Journal) journal).recordAttempt(message, "uid-of-an-endpoint", 5);
         }
 
         @Override
-        public void conclude(Object journal, AcceptedMessage m) {
-            ((Journal) journal).conclude(m);
+        public void complete(Object journal, AcceptedMessage message) {
+            ((Journal) journal).complete(message);
         }
 
         @Override
-        public void between(Object journal) {
-            ((Journal) journal).compactSlice();
+        public void compactStep(Object journal) {
+            ((Journal) journal).compactStep();
         }
 
         @Override
-        public int live(Object journal) {
+        public int pendingCount(Object journal) {
             return ((Journal) journal).pendingMessages().size();
         }
 
@@ -80,37 +80,37 @@
         }
     }
 
-    private static final class OneFile implements Kind {
+    private static final class SingleFileJournalAdapter implements JournalAdapter {
         @Override
-        public Object open(Path folder, long budget) throws IOException {
-            return SingleFileJournal.open(folder, budget);
+        public Object open(Path folder, long budgetBytes) throws IOException {
+            return SingleFileJournal.open(folder, budgetBytes);
         }
 
         @Override
-        public long number(Object journal) {
+        public long nextNumber(Object journal) {
             return ((SingleFileJournal) journal).nextNumber();
         }
 
         @Override
-        public boolean accept(Object journal, AcceptedMessage m) {
-            return ((SingleFileJournal) journal).accept(m);
+        public boolean accept(Object journal, AcceptedMessage message) {
+            return ((SingleFileJournal) journal).accept(message);
         }
 
         @Override
-        public boolean attempt(Object journal, AcceptedMessage m) {
-            return ((SingleFileJournal) journal).attempt(m, "uid-of-an-endpoint", 5);
+        public boolean attempt(Object journal, AcceptedMessage message) {
+            return ((SingleFileJournal) journal).attempt(message, "uid-of-an-endpoint", 5);
         }
 
         @Override
-        public void conclude(Object journal, AcceptedMessage m) {
-            ((SingleFileJournal) journal).conclude(m);
+        public void complete(Object journal, AcceptedMessage message) {
+            ((SingleFileJournal) journal).conclude(message);
         }
 
         @Override
-        public void between(Object journal) {}
+        public void compactStep(Object journal) {}
 
         @Override
-        public int live(Object journal) {
+        public int pendingCount(Object journal) {
             return ((SingleFileJournal) journal).live().size();
         }
 
@@ -120,20 +120,27 @@
         }
     }
 
-    private static AcceptedMessage message(Kind kind, Object journal, int body) {
-        long number = kind.number(journal);
+    private static AcceptedMessage message(JournalAdapter adapter, Object journal, int bodyBytes) {
+        long number = adapter.nextNumber(journal);
         return new AcceptedMessage(
-                number, Long.toHexString(number * 0x9e3779b97f4a7c15L), "", "quote-status", 0, 7, SOON, new byte[body]);
+                number,
+                Long.toHexString(number * 0x9e3779b97f4a7c15L),
+                "",
+                "quote-status",
+                0,
+                7,
+                DEADLINE_MILLIS,
+                new byte[bodyBytes]);
     }
 
-    private static long written() throws IOException {
+    private static long writtenBytes() throws IOException {
         return Files.readAllLines(Path.of("/proc/self/io")).stream()
                 .filter(line -> line.startsWith("wchar"))
                 .mapToLong(line -> Long.parseLong(line.substring(7)))
                 .sum();
     }
 
-    private static Path folder() throws IOException {
+    private static Path createFolder() throws IOException {
         return Files.createTempDirectory("amberroute-figures-");
     }
 
@@ -146,165 +153,175 @@
     }
 
     /** So many live messages, and others that are accepted, attempted and completed. */
-    private static void load(String name, Kind kind, int live, int body, int messages) throws IOException {
-        Path folder = folder();
-        Object journal = kind.open(folder, Math.max(3L << 20, 4L * live * (body + 700)));
-        Deque<AcceptedMessage> held = new ArrayDeque<>();
-        for (int i = 0; i < live; i++) {
-            AcceptedMessage m = message(kind, journal, body);
-            kind.accept(journal, m);
-            held.add(m);
+    private static void measureLoad(String name, JournalAdapter adapter, int pending, int bodyBytes, int messages)
+            throws IOException {
+        Path folder = createFolder();
+        Object journal = adapter.open(folder, Math.max(3L << 20, 4L * pending * (bodyBytes + 700)));
+        Deque<AcceptedMessage> pendingMessages = new ArrayDeque<>();
+        for (int i = 0; i < pending; i++) {
+            AcceptedMessage message = message(adapter, journal, bodyBytes);
+            adapter.accept(journal, message);
+            pendingMessages.add(message);
         }
-        long[] calls = new long[4 * messages];
-        int n = 0;
-        long before = written();
-        long from = System.nanoTime();
+        long[] callNanos = new long[4 * messages];
+        int next = 0;
+        long writtenBefore = writtenBytes();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < messages; i++) {
-            AcceptedMessage fresh = message(kind, journal, body);
-            long a = System.nanoTime();
-            kind.accept(journal, fresh);
-            long b = System.nanoTime();
-            kind.attempt(journal, fresh);
-            long c = System.nanoTime();
-            held.add(fresh);
+            AcceptedMessage newMessage = message(adapter, journal, bodyBytes);
+            long acceptStart = System.nanoTime();
+            adapter.accept(journal, newMessage);
+            long acceptEnd = System.nanoTime();
+            adapter.attempt(journal, newMessage);
+            long attemptEnd = System.nanoTime();
+            pendingMessages.add(newMessage);
             // One in ten outlives those that are completed at once.
-            AcceptedMessage done = i % 10 == 0 ? held.poll() : held.pollLast();
-            long d = System.nanoTime();
-            kind.conclude(journal, done);
-            long e = System.nanoTime();
-            kind.between(journal);
-            long f = System.nanoTime();
-            calls[n++] = b - a;
-            calls[n++] = c - b;
-            calls[n++] = e - d;
-            calls[n++] = f - e;
+            AcceptedMessage completed = i % 10 == 0 ? pendingMessages.poll() : pendingMessages.pollLast();
+            long completeStart = System.nanoTime();
+            adapter.complete(journal, completed);
+            long completeEnd = System.nanoTime();
+            adapter.compactStep(journal);
+            long compactEnd = System.nanoTime();
+            callNanos[next++] = acceptEnd - acceptStart;
+            callNanos[next++] = attemptEnd - acceptEnd;
+            callNanos[next++] = completeEnd - completeStart;
+            callNanos[next++] = compactEnd - completeEnd;
         }
-        long took = System.nanoTime() - from;
-        long bytes = written() - before;
-        Arrays.sort(calls);
+        long tookNanos = System.nanoTime() - startNanos;
+        long written = writtenBytes() - writtenBefore;
+        Arrays.sort(callNanos);
         System.out.printf(
                 Locale.ROOT,
                 "%-9s live %7d body %4d: %.1f us a message, calls 99.9%% %.0f us, longest %.1f ms, %.2f bytes written a byte%n",
                 name,
-                live,
-                body,
-                took / 1e3 / messages,
-                calls[(int) (calls.length * 0.999)] / 1e3,
-                calls[calls.length - 1] / 1e6,
-                bytes / (double) messages / (body + 60));
-        kind.close(journal);
+                pending,
+                bodyBytes,
+                tookNanos / 1e3 / messages,
+                callNanos[(int) (callNanos.length * 0.999)] / 1e3,
+                callNanos[callNanos.length - 1] / 1e6,
+                written / (double) messages / (bodyBytes + 60));
+        adapter.close(journal);
         delete(folder);
     }
 
     /** Iterations of so many messages, each accepted, attempted and completed, with the effects that wait for a force. */
-    private static void forced(Durability durability, int turn, int turns) throws IOException {
-        Path folder = folder();
-        Deque<Runnable> due = new ArrayDeque<>();
+    private static void measureForces(Durability durability, int messagesPerIteration, int iterations)
+            throws IOException {
+        Path folder = createFolder();
+        Deque<Runnable> dueWork = new ArrayDeque<>();
         Journal journal = Journal.open(
                 folder, new amberroute.storage.FolderDisk(folder), 64 << 20, durability, new BackgroundExecutor() {
                     @Override
-                    public void runInBackground(Runnable work, Runnable then) {
+                    public void runInBackground(Runnable work, Runnable completion) {
                         work.run();
-                        then.run();
+                        completion.run();
                     }
 
                     @Override
                     public void runOnLoop(Runnable work) {
-                        due.add(work);
+                        dueWork.add(work);
                     }
                 });
-        int[] told = new int[1];
-        long from = System.nanoTime();
-        for (int t = 0; t < turns; t++) {
-            for (int i = 0; i < turn; i++) {
+        int[] acknowledged = new int[1];
+        long startNanos = System.nanoTime();
+        for (int iteration = 0; iteration < iterations; iteration++) {
+            for (int i = 0; i < messagesPerIteration; i++) {
                 long number = journal.nextNumber();
-                AcceptedMessage m =
-                        new AcceptedMessage(number, "id" + number, "", "quote-status", 0, 7, SOON, new byte[200]);
-                journal.accept(m);
-                journal.whenDurable(() -> told[0]++, null);
-                journal.attempt(m, "uid", 5);
-                journal.whenDurable(() -> journal.conclude(m), null);
+                AcceptedMessage message = new AcceptedMessage(
+                        number, "id" + number, "", "quote-status", 0, 7, DEADLINE_MILLIS, new byte[200]);
+                journal.accept(message);
+                journal.whenDurable(() -> acknowledged[0]++, null);
+                journal.recordAttempt(message, "uid", 5);
+                journal.whenDurable(() -> journal.complete(message), null);
             }
-            while (!due.isEmpty()) {
-                due.poll().run();
+            while (!dueWork.isEmpty()) {
+                dueWork.poll().run();
             }
-            journal.compactSlice();
+            journal.compactStep();
         }
-        double took = (System.nanoTime() - from) / 1e9;
+        double tookSeconds = (System.nanoTime() - startNanos) / 1e9;
         System.out.printf(
                 Locale.ROOT,
                 "%-5s turns of %3d messages: %.0f messages a second (%d told)%n",
                 durability,
-                turn,
-                turn * turns / took,
-                told[0]);
+                messagesPerIteration,
+                messagesPerIteration * iterations / tookSeconds,
+                acknowledged[0]);
         journal.close();
         delete(folder);
     }
 
-    private static void usable(String name, Kind kind, int body) throws IOException {
-        Path folder = folder();
-        long budget = 3 << 20;
-        Object journal = kind.open(folder, budget);
-        int taken = 0;
-        while (kind.accept(journal, message(kind, journal, body))) {
-            taken++;
+    private static void measureUsableSpace(String name, JournalAdapter adapter, int bodyBytes) throws IOException {
+        Path folder = createFolder();
+        long budgetBytes = 3 << 20;
+        Object journal = adapter.open(folder, budgetBytes);
+        int accepted = 0;
+        while (adapter.accept(journal, message(adapter, journal, bodyBytes))) {
+            accepted++;
         }
         System.out.printf(
                 Locale.ROOT,
                 "%-9s 3 MB hold %5d messages with bodies of %5d: %.2f of the budget are bodies%n",
                 name,
-                taken,
-                body,
-                taken * (double) body / budget);
-        kind.close(journal);
+                accepted,
+                bodyBytes,
+                accepted * (double) bodyBytes / budgetBytes);
+        adapter.close(journal);
         delete(folder);
     }
 
-    private static void recovery(String name, Kind kind, int live) throws IOException {
-        Path folder = folder();
-        long budget = Math.max(3L << 20, 4L * live * 800);
-        Object journal = kind.open(folder, budget);
-        for (int i = 0; i < live; i++) {
-            kind.accept(journal, message(kind, journal, 100));
+    private static void measureRecovery(String name, JournalAdapter adapter, int pending) throws IOException {
+        Path folder = createFolder();
+        long budgetBytes = Math.max(3L << 20, 4L * pending * 800);
+        Object journal = adapter.open(folder, budgetBytes);
+        for (int i = 0; i < pending; i++) {
+            adapter.accept(journal, message(adapter, journal, 100));
         }
-        kind.close(journal);
-        long best = Long.MAX_VALUE;
+        adapter.close(journal);
+        long bestNanos = Long.MAX_VALUE;
         int found = 0;
-        for (int i = 0; i < (live > 100_000 ? 1 : 3); i++) {
+        for (int i = 0; i < (pending > 100_000 ? 1 : 3); i++) {
             System.gc();
-            long from = System.nanoTime();
-            Object again = kind.open(folder, budget);
-            best = Math.min(best, System.nanoTime() - from);
-            found = kind.live(again);
-            kind.close(again);
+            long startNanos = System.nanoTime();
+            Object reopened = adapter.open(folder, budgetBytes);
+            bestNanos = Math.min(bestNanos, System.nanoTime() - startNanos);
+            found = adapter.pendingCount(reopened);
+            adapter.close(reopened);
         }
         System.out.printf(
-                Locale.ROOT, "%-9s reopens %7d live messages (%d found) in %.1f ms%n", name, live, found, best / 1e6);
+                Locale.ROOT,
+                "%-9s reopens %7d live messages (%d found) in %.1f ms%n",
+                name,
+                pending,
+                found,
+                bestNanos / 1e6);
         delete(folder);
     }
 
     public static void main(String[] args) throws IOException {
-        List<Kind> kinds = List.of(new OneFile(), new Segments());
+        List<JournalAdapter> adapters = List.of(new SingleFileJournalAdapter(), new SegmentedJournalAdapter());
         for (int round = 0; round < 2; round++) {
-            for (Kind kind : kinds) {
-                String name = kind instanceof OneFile ? "one file" : "segments";
+            for (JournalAdapter adapter : adapters) {
+                String name = adapter instanceof SingleFileJournalAdapter ? "one file" : "segments";
                 System.out.println(round == 0 ? "warming up" : "measured");
-                for (int live : round == 0 ? new int[] {400} : new int[] {400, 10_000, 100_000}) {
-                    load(name, kind, live, 200, 30_000);
+                for (int pending : round == 0 ? new int[] {400} : new int[] {400, 10_000, 100_000}) {
+                    measureLoad(name, adapter, pending, 200, 30_000);
                 }
-                load(name, kind, 400, 2_000, 30_000);
-                for (int body : new int[] {200, 1_000, 8_000, 64_000}) {
-                    usable(name, kind, body);
+                measureLoad(name, adapter, 400, 2_000, 30_000);
+                for (int bodyBytes : new int[] {200, 1_000, 8_000, 64_000}) {
+                    measureUsableSpace(name, adapter, bodyBytes);
                 }
-                for (int live : round == 0 ? new int[] {1_000} : new int[] {1_000, 100_000, 1_000_000}) {
-                    recovery(name, kind, live);
+                for (int pending : round == 0 ? new int[] {1_000} : new int[] {1_000, 100_000, 1_000_000}) {
+                    measureRecovery(name, adapter, pending);
                 }
             }
         }
         for (Durability durability : Durability.values()) {
-            for (int turn : new int[] {1, 10, 100}) {
-                forced(durability, turn, durability == Durability.NONE ? 20_000 / turn : 1_000 / turn);
+            for (int messagesPerIteration : new int[] {1, 10, 100}) {
+                measureForces(
+                        durability,
+                        messagesPerIteration,
+                        durability == Durability.NONE ? 20_000 / messagesPerIteration : 1_000 / messagesPerIteration);
             }
         }
     }
