--- a/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -21,30 +21,30 @@
 
 /** Acceptances, attempts and notices that were reported survive a loss of power, where that is configured. */
 class JournalPowerLossTest {
-    private static final long BUDGET = 600_000;
+    private static final long BUDGET_BYTES = 600_000;
 
     /** Runs what is due when a test says so, as a force takes its time. */
     private static final class ManualExecutor implements BackgroundExecutor {
-        final Deque<Runnable> due = new ArrayDeque<>();
+        final Deque<Runnable> dueWork = new ArrayDeque<>();
         int forces;
 
         @Override
-        public void runInBackground(Runnable work, Runnable then) {
+        public void runInBackground(Runnable work, Runnable completion) {
             forces++;
-            due.add(() -> {
+            dueWork.add(() -> {
                 work.run();
-                due.add(then);
+                dueWork.add(completion);
             });
         }
 
         @Override
         public void runOnLoop(Runnable work) {
-            due.add(work);
+            dueWork.add(work);
         }
 
         void runAll() {
-            while (!due.isEmpty()) {
-                due.poll().run();
+            while (!dueWork.isEmpty()) {
+                dueWork.poll().run();
             }
         }
     }
@@ -54,99 +54,103 @@
     }
 
     @Test
-    void oneForceServesAllThatComesTogetherAndEffectsWaitForIt() throws IOException {
+    void effectsOfOneIterationWaitForOneForce() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
-        ManualExecutor steps = new ManualExecutor();
-        Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, steps);
-        List<String> told = new ArrayList<>();
+        ManualExecutor executor = new ManualExecutor();
+        Journal journal = Journal.open(null, disk, BUDGET_BYTES, Durability.BATCH, executor);
+        List<String> effects = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             String id = "m" + i;
             assertTrue(journal.accept(newMessage(journal, id)));
-            journal.whenDurable(() -> told.add(id), null);
+            journal.whenDurable(() -> effects.add(id), null);
         }
-        assertEquals(List.of(), told);
-        assertEquals(20, journal.deferredEffects());
-        steps.runAll();
-        assertEquals(20, told.size());
-        assertEquals(1, steps.forces);
+        assertEquals(List.of(), effects);
+        assertEquals(20, journal.deferredEffectCount());
+        executor.runAll();
+        assertEquals(20, effects.size());
+        assertEquals(1, executor.forces);
         // Nothing new was written: no force is needed.
-        journal.whenDurable(() -> told.add("at once"), null);
-        assertEquals(21, told.size());
-        assertEquals(1, steps.forces);
+        journal.whenDurable(() -> effects.add("at once"), null);
+        assertEquals(21, effects.size());
+        assertEquals(1, executor.forces);
     }
 
     /** Random operations, slow forces, and power that fails at any operation: all that was reported is found. */
     @Test
-    void whatWasToldOutlastsALossOfPower() throws IOException {
+    void reportedChangesSurvivePowerLoss() throws IOException {
         int checked = 0;
         for (long seed = 1; seed <= 400; seed++) {
             for (Durability durability : List.of(Durability.BATCH, Durability.EACH)) {
                 SimulatedDisk disk = new SimulatedDisk();
                 SplittableRandom random = new SplittableRandom(seed);
-                ManualExecutor steps = new ManualExecutor();
-                Set<String> taken = new HashSet<>();
-                Map<String, Integer> attempts = new HashMap<>();
-                Map<String, String> ended = new HashMap<>();
-                Set<String> concluded = new HashSet<>();
+                ManualExecutor executor = new ManualExecutor();
+                Set<String> reportedAccepted = new HashSet<>();
+                Map<String, Integer> reportedAttempts = new HashMap<>();
+                Map<String, String> reportedNotices = new HashMap<>();
+                Set<String> completed = new HashSet<>();
                 disk.restart(seed, SimulatedDisk.Fault.KILL, 20 + seed * 3 % 900);
                 try {
-                    Journal journal = Journal.open(null, disk, BUDGET, durability, steps);
+                    Journal journal = Journal.open(null, disk, BUDGET_BYTES, durability, executor);
                     for (int i = 0; i < 400; i++) {
-                        List<AcceptedMessage> all = List.copyOf(journal.pendingMessages());
-                        AcceptedMessage any = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
-                        switch (any == null ? 0 : random.nextInt(5)) {
+                        List<AcceptedMessage> pending = List.copyOf(journal.pendingMessages());
+                        AcceptedMessage message =
+                                pending.isEmpty() ? null : pending.get(random.nextInt(pending.size()));
+                        switch (message == null ? 0 : random.nextInt(5)) {
                             case 0, 1 -> {
-                                AcceptedMessage m = newMessage(journal, "m" + i);
-                                assertTrue(journal.accept(m));
-                                journal.whenDurable(() -> taken.add(m.id), null);
+                                AcceptedMessage accepted = newMessage(journal, "m" + i);
+                                assertTrue(journal.accept(accepted));
+                                journal.whenDurable(() -> reportedAccepted.add(accepted.id), null);
                             }
                             case 2 -> {
-                                if (any.pendingNotification == null
-                                        && !any.attemptInFlight
-                                        && journal.attempt(any, "uid", 5)) {
-                                    int n = any.attempts;
-                                    journal.whenDurable(() -> attempts.put(any.id, n), null);
+                                if (message.pendingNotification == null
+                                        && !message.attemptInFlight
+                                        && journal.recordAttempt(message, "uid", 5)) {
+                                    int attemptCount = message.attempts;
+                                    journal.whenDurable(() -> reportedAttempts.put(message.id, attemptCount), null);
                                 }
                             }
                             case 3 -> {
-                                if (any.pendingNotification == null) {
-                                    journal.end(
-                                            any,
-                                            any.failed(),
+                                if (message.pendingNotification == null) {
+                                    journal.endWithNotice(
+                                            message,
+                                            message.failed(),
                                             () -> journal.whenDurable(
-                                                    () -> ended.put(any.id, any.pendingNotification), null));
+                                                    () -> reportedNotices.put(message.id, message.pendingNotification),
+                                                    null));
                                 }
                             }
                             default -> {
-                                concluded.add(any.id);
-                                journal.conclude(any);
+                                completed.add(message.id);
+                                journal.complete(message);
                             }
                         }
-                        if (random.nextInt(3) == 0 && !steps.due.isEmpty()) {
-                            steps.due.poll().run();
+                        if (random.nextInt(3) == 0 && !executor.dueWork.isEmpty()) {
+                            executor.dueWork.poll().run();
                         }
-                        journal.compactSlice();
+                        journal.compactStep();
                     }
                 } catch (SimulatedDisk.ProcessKilledError e) {
                     // Power has failed.
                 }
                 disk.failPower(seed);
                 disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-                Map<String, AcceptedMessage> found = new HashMap<>();
-                Journal.open(null, disk, BUDGET).pendingMessages().forEach(m -> found.put(m.id, m));
-                String at = durability + ", seed " + seed;
-                for (String id : taken) {
-                    assertTrue(found.containsKey(id) || concluded.contains(id), at + ": " + id + " is lost");
+                Map<String, AcceptedMessage> foundById = new HashMap<>();
+                Journal.open(null, disk, BUDGET_BYTES)
+                        .pendingMessages()
+                        .forEach(found -> foundById.put(found.id, found));
+                String context = durability + ", seed " + seed;
+                for (String id : reportedAccepted) {
+                    assertTrue(foundById.containsKey(id) || completed.contains(id), context + ": " + id + " is lost");
                 }
-                attempts.forEach((id, n) -> assertTrue(
-                        !found.containsKey(id)
-                                || found.get(id).pendingNotification != null
-                                || found.get(id).attempts >= n,
-                        at + ": attempt " + n + " of " + id));
-                ended.forEach((id, notice) -> assertTrue(
-                        !found.containsKey(id) || notice.equals(found.get(id).pendingNotification),
-                        at + ": the end of " + id));
-                checked += taken.size();
+                reportedAttempts.forEach((id, attemptCount) -> assertTrue(
+                        !foundById.containsKey(id)
+                                || foundById.get(id).pendingNotification != null
+                                || foundById.get(id).attempts >= attemptCount,
+                        context + ": attempt " + attemptCount + " of " + id));
+                reportedNotices.forEach((id, notice) -> assertTrue(
+                        !foundById.containsKey(id) || notice.equals(foundById.get(id).pendingNotification),
+                        context + ": the end of " + id));
+                checked += reportedAccepted.size();
             }
         }
         assertTrue(checked > 5_000, "only " + checked);
@@ -154,62 +158,63 @@
 
     /** After a failed force nothing is accepted until all of what it covered is on the disk in another way. */
     @Test
-    void afterAFailedForceNothingIsTakenOnUntilAllIsSafeAgain() throws IOException {
+    void messagesAfterFailedForceAreRejectedUntilRecordsAreRewritten() throws IOException {
         for (long seed = 0; seed < 100; seed++) {
             SimulatedDisk disk = new SimulatedDisk();
-            ManualExecutor steps = new ManualExecutor();
-            Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, steps);
-            List<String> told = new ArrayList<>();
+            ManualExecutor executor = new ManualExecutor();
+            Journal journal = Journal.open(null, disk, BUDGET_BYTES, Durability.BATCH, executor);
+            List<String> effects = new ArrayList<>();
             for (String id : List.of("a", "b")) {
                 assertTrue(journal.accept(newMessage(journal, id)));
-                journal.whenDurable(() -> told.add(id), () -> told.add("not " + id));
+                journal.whenDurable(() -> effects.add(id), () -> effects.add("not " + id));
             }
-            AcceptedMessage b = List.copyOf(journal.pendingMessages()).get(1);
-            journal.end(b, b.failed(), () -> journal.whenDurable(() -> told.add("end of b"), null));
+            AcceptedMessage second = List.copyOf(journal.pendingMessages()).get(1);
+            journal.endWithNotice(
+                    second, second.failed(), () -> journal.whenDurable(() -> effects.add("end of b"), null));
             disk.restart(seed, SimulatedDisk.Fault.FAIL_FORCES, 1);
-            steps.runAll();
-            assertEquals(List.of("not a", "not b"), told);
+            executor.runAll();
+            assertEquals(List.of("not a", "not b"), effects);
             assertFalse(journal.accept(newMessage(journal, "c")));
-            assertFalse(journal.uncertain(), "c was never written");
+            assertFalse(journal.lastWriteUncertain(), "c was never written");
             assertTrue(journal.retryAfterMillis() > 0);
             for (int i = 0; i < 3; i++) {
-                journal.retry();
-                steps.runAll();
+                journal.retryFailedWrites();
+                executor.runAll();
             }
-            assertEquals(2, told.size());
+            assertEquals(2, effects.size());
             disk.restart(seed, SimulatedDisk.Fault.NONE, 0);
             for (int i = 0; i < 4; i++) {
-                journal.retry();
-                steps.runAll();
+                journal.retryFailedWrites();
+                executor.runAll();
             }
-            assertEquals("end of b", told.get(2));
-            assertEquals("", journal.writeFailure());
+            assertEquals("end of b", effects.get(2));
+            assertEquals("", journal.writeFailureReason());
             assertTrue(journal.accept(newMessage(journal, "d")));
-            journal.whenDurable(() -> told.add("d"), null);
-            steps.runAll();
-            assertEquals("d", told.get(3));
+            journal.whenDurable(() -> effects.add("d"), null);
+            executor.runAll();
+            assertEquals("d", effects.get(3));
             disk.failPower(seed);
             disk.restart(1, SimulatedDisk.Fault.NONE, 0);
             assertEquals(
                     List.of("a", "b", "d"),
-                    Journal.open(null, disk, BUDGET).pendingMessages().stream()
-                            .map(m -> m.id)
+                    Journal.open(null, disk, BUDGET_BYTES).pendingMessages().stream()
+                            .map(message -> message.id)
                             .toList());
         }
     }
 
     /** A force on the event loop, while one runs in the background: both are done when it returns. */
     @Test
-    void makingSafeWaitsForTheForceThatIsUnderWay() throws IOException {
+    void forceAllDuringBackgroundForceCompletesBoth() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
         List<Thread> threads = new ArrayList<>();
-        List<Runnable> then = new ArrayList<>();
-        Journal journal = Journal.open(null, disk, BUDGET, Durability.BATCH, new BackgroundExecutor() {
+        List<Runnable> completions = new ArrayList<>();
+        Journal journal = Journal.open(null, disk, BUDGET_BYTES, Durability.BATCH, new BackgroundExecutor() {
             @Override
-            public void runInBackground(Runnable work, Runnable after) {
+            public void runInBackground(Runnable work, Runnable completion) {
                 Thread thread = new Thread(work);
                 threads.add(thread);
-                then.add(after);
+                completions.add(completion);
                 thread.start();
             }
 
@@ -218,17 +223,17 @@
                 work.run();
             }
         });
-        List<String> told = new ArrayList<>();
+        List<String> effects = new ArrayList<>();
         assertTrue(journal.accept(newMessage(journal, "a")));
-        journal.whenDurable(() -> told.add("a"), null);
+        journal.whenDurable(() -> effects.add("a"), null);
         assertEquals(1, threads.size());
         assertTrue(journal.accept(newMessage(journal, "b")));
         assertTrue(journal.forceAll());
-        assertEquals(List.of("a"), told);
-        then.forEach(Runnable::run);
-        assertEquals(List.of("a"), told);
+        assertEquals(List.of("a"), effects);
+        completions.forEach(Runnable::run);
+        assertEquals(List.of("a"), effects);
         disk.failPower(3);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
-        assertEquals(2, Journal.open(null, disk, BUDGET).pendingMessages().size());
+        assertEquals(2, Journal.open(null, disk, BUDGET_BYTES).pendingMessages().size());
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
@@ -26,10 +26,10 @@
  * nobody was answered. The same seed repeats the same run.
  */
 public final class JournalTrial {
-    private static final long BUDGET = 420_000;
-    private static final int LIVES = 3;
-    private static final int STEPS = 260;
-    private static final long WALL = 1_700_000_000_000L;
+    private static final long BUDGET_BYTES = 420_000;
+    private static final int PROCESSES_PER_ROUND = 3;
+    private static final int OPERATIONS_PER_PROCESS = 260;
+    private static final long NOW_MILLIS = 1_700_000_000_000L;
 
     /** The results of some rounds. */
     public static final class Counts {
@@ -64,13 +64,13 @@
         /** Whether its client was answered that it is accepted. */
         boolean accepted;
         /** Rejected while the journal was uncertain: it may be found. */
-        boolean uncertain;
+        boolean mayBeFound;
 
         int attempts;
         boolean inFlight;
         boolean mayHaveRun;
         /** The notice that was asked for. */
-        String notice;
+        String requestedNotice;
 
         boolean noticeSent;
         boolean completed;
@@ -84,25 +84,25 @@
     }
 
     private final SimulatedDisk disk = new SimulatedDisk();
-    private final Disk seen;
+    private final Disk journalDisk;
     private final SplittableRandom random;
     private final Counts counts;
-    private final String name;
-    private Map<String, ModelMessage> model = new LinkedHashMap<>();
+    private final String roundName;
+    private Map<String, ModelMessage> modelById = new LinkedHashMap<>();
     private Journal journal;
-    private int ids;
+    private int nextId;
 
-    private JournalTrial(long seed, String name, Counts counts, UnaryOperator<Disk> broken) {
+    private JournalTrial(long seed, String roundName, Counts counts, UnaryOperator<Disk> defect) {
         random = new SplittableRandom(seed);
-        this.name = name;
+        this.roundName = roundName;
         this.counts = counts;
-        seen = broken.apply(disk);
+        journalDisk = defect.apply(disk);
     }
 
     /** Runs rounds {@code from} to {@code to}; {@code broken} puts a defect between journal and disk, to test the trial itself. */
-    public static Counts run(long seed, int from, int to, UnaryOperator<Disk> broken) {
+    public static Counts run(long seed, int firstRound, int endRound, UnaryOperator<Disk> defect) {
         Counts counts = new Counts();
-        for (int round = from; round < to; round++) {
+        for (int round = firstRound; round < endRound; round++) {
             SimulatedDisk.Fault[] faults = {
                 SimulatedDisk.Fault.KILL,
                 SimulatedDisk.Fault.KILL,
@@ -115,21 +115,21 @@
                             seed * 1_000_003 + round,
                             "seed " + seed + ", round " + round + ", " + fault,
                             counts,
-                            broken)
+                            defect)
                     .runRound(fault, 2 + round / faults.length % 400);
             counts.rounds++;
         }
         return counts;
     }
 
-    private void runRound(SimulatedDisk.Fault fault, int at) {
-        for (int life = 0; life < LIVES; life++) {
-            disk.restart(random.nextLong(), fault, at + random.nextInt(3));
-            if (fault == SimulatedDisk.Fault.FULL && life < LIVES - 1) {
-                disk.endFaultBefore(at + 40 + random.nextInt(200));
+    private void runRound(SimulatedDisk.Fault fault, int faultOperation) {
+        for (int process = 0; process < PROCESSES_PER_ROUND; process++) {
+            disk.restart(random.nextLong(), fault, faultOperation + random.nextInt(3));
+            if (fault == SimulatedDisk.Fault.FULL && process < PROCESSES_PER_ROUND - 1) {
+                disk.endFaultBefore(faultOperation + 40 + random.nextInt(200));
             }
             try {
-                open(", life " + life);
+                open(", life " + process);
                 runOperations();
             } catch (SimulatedDisk.ProcessKilledError e) {
                 counts.kills++;
@@ -141,7 +141,7 @@
             if (fault == SimulatedDisk.Fault.KILL && random.nextBoolean()) {
                 disk.restart(random.nextLong(), SimulatedDisk.Fault.KILL, 1 + random.nextInt(30));
                 try {
-                    Journal.open(null, seen, BUDGET).retry();
+                    Journal.open(null, journalDisk, BUDGET_BYTES).retryFailedWrites();
                 } catch (SimulatedDisk.ProcessKilledError | IOException e) {
                     counts.kills++;
                 }
@@ -155,7 +155,7 @@
         }
     }
 
-    private void recordViolation(Violation kind, String what) {
+    private void recordViolation(Violation kind, String description) {
         switch (kind) {
             case LOST -> counts.lost++;
             case DUPLICATED -> counts.duplicated++;
@@ -163,90 +163,95 @@
             default -> throw new IllegalArgumentException(kind.name());
         }
         if (counts.firstViolation.isEmpty()) {
-            counts.firstViolation = name + ": " + what;
+            counts.firstViolation = roundName + ": " + description;
         }
     }
 
     /** Opens the journal and compares; from then on the model is what was found, as in the sender. */
-    private void open(String when) throws IOException {
-        journal = Journal.open(null, seen, BUDGET);
-        Map<String, ModelMessage> next = new LinkedHashMap<>();
-        Set<String> live = new HashSet<>();
-        List<String> order = new ArrayList<>();
-        for (AcceptedMessage m : journal.pendingMessages()) {
-            live.add(m.id);
-            order.add(m.id);
-            ModelMessage known = model.get(m.id);
-            if (known == null) {
-                recordViolation(Violation.DUPLICATED, m.id + " came from nowhere" + when);
+    private void open(String context) throws IOException {
+        journal = Journal.open(null, journalDisk, BUDGET_BYTES);
+        Map<String, ModelMessage> nextModel = new LinkedHashMap<>();
+        Set<String> foundIds = new HashSet<>();
+        List<String> foundOrder = new ArrayList<>();
+        for (AcceptedMessage message : journal.pendingMessages()) {
+            foundIds.add(message.id);
+            foundOrder.add(message.id);
+            ModelMessage expected = modelById.get(message.id);
+            if (expected == null) {
+                recordViolation(Violation.DUPLICATED, message.id + " came from nowhere" + context);
             } else {
-                compare(known, m, when);
-                next.put(m.id, modelOf(m));
+                compareWithModel(expected, message, context);
+                nextModel.put(message.id, modelOf(message));
             }
         }
-        for (ModelMessage known : model.values()) {
-            if (!live.contains(known.id) && known.accepted && !known.completed) {
-                recordViolation(Violation.LOST, known.id + " is lost" + when);
+        for (ModelMessage expected : modelById.values()) {
+            if (!foundIds.contains(expected.id) && expected.accepted && !expected.completed) {
+                recordViolation(Violation.LOST, expected.id + " is lost" + context);
             }
         }
-        if (!order.equals(model.keySet().stream().filter(live::contains).toList())) {
-            recordViolation(Violation.WRONG_STATE, "the order changed" + when);
+        if (!foundOrder.equals(
+                modelById.keySet().stream().filter(foundIds::contains).toList())) {
+            recordViolation(Violation.WRONG_STATE, "the order changed" + context);
         }
-        model = next;
+        modelById = nextModel;
     }
 
-    private void compare(ModelMessage known, AcceptedMessage m, String when) {
-        if (!known.accepted && !known.uncertain && !known.callInterrupted) {
-            recordViolation(Violation.DUPLICATED, m.id + " was refused and is there" + when);
+    private void compareWithModel(ModelMessage expected, AcceptedMessage found, String context) {
+        if (!expected.accepted && !expected.mayBeFound && !expected.callInterrupted) {
+            recordViolation(Violation.DUPLICATED, found.id + " was refused and is there" + context);
         }
-        if (known.completedDurably) {
-            recordViolation(Violation.DUPLICATED, m.id + " was over and is back" + when);
+        if (expected.completedDurably) {
+            recordViolation(Violation.DUPLICATED, found.id + " was over and is back" + context);
         }
-        if (known.noticeSent && !known.notice.equals(m.pendingNotification)) {
-            recordViolation(Violation.DUPLICATED, m.id + " was told as ended and has " + m.pendingNotification + when);
+        if (expected.noticeSent && !expected.requestedNotice.equals(found.pendingNotification)) {
+            recordViolation(
+                    Violation.DUPLICATED,
+                    found.id + " was told as ended and has " + found.pendingNotification + context);
         }
-        if (m.pendingNotification != null && !m.pendingNotification.equals(known.notice)) {
-            recordViolation(Violation.WRONG_STATE, m.id + " ended as nobody asked: " + m.pendingNotification + when);
+        if (found.pendingNotification != null && !found.pendingNotification.equals(expected.requestedNotice)) {
+            recordViolation(
+                    Violation.WRONG_STATE, found.id + " ended as nobody asked: " + found.pendingNotification + context);
         }
-        if (m.pendingNotification == null) {
-            boolean counted = m.attempts == known.attempts || known.callInterrupted && m.attempts == known.attempts + 1;
-            if (!counted) {
+        if (found.pendingNotification == null) {
+            boolean attemptsMatch = found.attempts == expected.attempts
+                    || expected.callInterrupted && found.attempts == expected.attempts + 1;
+            if (!attemptsMatch) {
                 recordViolation(
                         Violation.DUPLICATED,
-                        m.id + " had " + known.attempts + " attempts and has " + m.attempts + when);
+                        found.id + " had " + expected.attempts + " attempts and has " + found.attempts + context);
             }
-            if (known.inFlight && !m.attemptInFlight && m.unknownOutcomeSinceMillis == 0) {
-                recordViolation(Violation.DUPLICATED, m.id + " was out and is not" + when);
+            if (expected.inFlight && !found.attemptInFlight && found.unknownOutcomeSinceMillis == 0) {
+                recordViolation(Violation.DUPLICATED, found.id + " was out and is not" + context);
             }
-            if (known.mayHaveRun && m.unknownOutcomeSinceMillis == 0 && !m.attemptInFlight) {
-                recordViolation(Violation.DUPLICATED, m.id + " may have run and is in no doubt" + when);
+            if (expected.mayHaveRun && found.unknownOutcomeSinceMillis == 0 && !found.attemptInFlight) {
+                recordViolation(Violation.DUPLICATED, found.id + " may have run and is in no doubt" + context);
             }
-            if (m.body.length != 40 + m.id.hashCode() % 40 + 40 || m.key != 7) {
-                recordViolation(Violation.WRONG_STATE, m.id + " is not what it was" + when);
+            if (found.body.length != 40 + found.id.hashCode() % 40 + 40 || found.key != 7) {
+                recordViolation(Violation.WRONG_STATE, found.id + " is not what it was" + context);
             }
         }
     }
 
     /** The model of a message that the journal has found. */
-    private ModelMessage modelOf(AcceptedMessage m) {
-        ModelMessage known = new ModelMessage(m.id);
-        known.message = m;
-        known.accepted = true;
-        known.attempts = m.attempts;
-        known.inFlight = m.attemptInFlight;
-        known.mayHaveRun = m.unknownOutcomeSinceMillis != 0;
-        known.notice = m.pendingNotification;
-        return known;
+    private ModelMessage modelOf(AcceptedMessage message) {
+        ModelMessage modelMessage = new ModelMessage(message.id);
+        modelMessage.message = message;
+        modelMessage.accepted = true;
+        modelMessage.attempts = message.attempts;
+        modelMessage.inFlight = message.attemptInFlight;
+        modelMessage.mayHaveRun = message.unknownOutcomeSinceMillis != 0;
+        modelMessage.requestedNotice = message.pendingNotification;
+        return modelMessage;
     }
 
     private void runOperations() {
-        for (int i = 0; i < STEPS; i++) {
+        for (int i = 0; i < OPERATIONS_PER_PROCESS; i++) {
             runOperation();
             if (random.nextInt(4) == 0) {
-                journal.compactSlice();
+                journal.compactStep();
             }
             if (random.nextInt(6) == 0) {
-                journal.retry();
+                journal.retryFailedWrites();
                 markDurableCompletions();
             }
         }
@@ -255,75 +260,76 @@
     /** Without pending writes, all completions are on the disk. */
     private void markDurableCompletions() {
         if (journal.pendingWriteCount() == 0) {
-            model.values().forEach(k -> k.completedDurably |= k.completed);
+            modelById.values().forEach(message -> message.completedDurably |= message.completed);
         }
     }
 
     private ModelMessage randomMessage() {
-        List<ModelMessage> all =
-                model.values().stream().filter(k -> k.accepted && !k.completed).toList();
-        return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
+        List<ModelMessage> candidates = modelById.values().stream()
+                .filter(message -> message.accepted && !message.completed)
+                .toList();
+        return candidates.isEmpty() ? null : candidates.get(random.nextInt(candidates.size()));
     }
 
     private void runOperation() {
-        ModelMessage known = randomMessage();
-        int what = random.nextInt(10);
-        if (known == null || what < 4) {
+        ModelMessage target = randomMessage();
+        int choice = random.nextInt(10);
+        if (target == null || choice < 4) {
             accept();
-        } else if (known.notice != null) {
-            if (known.noticeSent) {
-                conclude(known);
-            } else if (known.message.pendingNotification != null && random.nextBoolean()) {
+        } else if (target.requestedNotice != null) {
+            if (target.noticeSent) {
+                complete(target);
+            } else if (target.message.pendingNotification != null && random.nextBoolean()) {
                 // A process that found it ended sends its notice again.
-                known.noticeSent |= journal.pendingWriteCount() == 0;
+                target.noticeSent |= journal.pendingWriteCount() == 0;
             }
-        } else if (known.inFlight) {
-            known.callInterrupted = true;
+        } else if (target.inFlight) {
+            target.callInterrupted = true;
             boolean mayHaveRun = random.nextBoolean();
-            if (what < 6) {
-                known.inFlight = false;
-                conclude(known);
+            if (choice < 6) {
+                target.inFlight = false;
+                complete(target);
             } else {
-                known.inFlight = false;
-                known.mayHaveRun |= mayHaveRun;
-                journal.outcome(known.message, mayHaveRun);
+                target.inFlight = false;
+                target.mayHaveRun |= mayHaveRun;
+                journal.recordOutcome(target.message, mayHaveRun);
             }
-            known.callInterrupted = false;
-        } else if (what < 8) {
-            known.callInterrupted = true;
-            boolean may = journal.attempt(known.message, "uid-" + what, WALL);
-            known.callInterrupted = false;
-            counts.failedWrites += may ? 0 : 1;
+            target.callInterrupted = false;
+        } else if (choice < 8) {
+            target.callInterrupted = true;
+            boolean recorded = journal.recordAttempt(target.message, "uid-" + choice, NOW_MILLIS);
+            target.callInterrupted = false;
+            counts.failedWrites += recorded ? 0 : 1;
             // Not made, but perhaps recorded all the same.
-            known.callInterrupted |= !may && journal.uncertain();
-            if (may) {
-                known.attempts++;
-                known.inFlight = true;
+            target.callInterrupted |= !recorded && journal.lastWriteUncertain();
+            if (recorded) {
+                target.attempts++;
+                target.inFlight = true;
             }
         } else {
-            String notice = known.message.failed();
-            known.notice = notice;
-            journal.end(known.message, notice, () -> known.noticeSent = true);
+            String notice = target.message.failed();
+            target.requestedNotice = notice;
+            journal.endWithNotice(target.message, notice, () -> target.noticeSent = true);
         }
         markDurableCompletions();
     }
 
-    private void conclude(ModelMessage known) {
-        known.completed = true;
-        journal.conclude(known.message);
+    private void complete(ModelMessage target) {
+        target.completed = true;
+        journal.complete(target.message);
     }
 
     private void accept() {
-        ModelMessage known = new ModelMessage("m" + ids++);
-        byte[] body = new byte[40 + known.id.hashCode() % 40 + 40];
-        known.message = new AcceptedMessage(journal.nextNumber(), known.id, "", "unsafe", 7, 3, WALL, body);
-        known.callInterrupted = true;
-        model.put(known.id, known);
-        known.accepted = journal.accept(known.message);
-        known.callInterrupted = false;
-        known.uncertain = !known.accepted && journal.uncertain();
-        counts.accepted += known.accepted ? 1 : 0;
-        counts.rejected += known.accepted ? 0 : 1;
+        ModelMessage target = new ModelMessage("m" + nextId++);
+        byte[] body = new byte[40 + target.id.hashCode() % 40 + 40];
+        target.message = new AcceptedMessage(journal.nextNumber(), target.id, "", "unsafe", 7, 3, NOW_MILLIS, body);
+        target.callInterrupted = true;
+        modelById.put(target.id, target);
+        target.accepted = journal.accept(target.message);
+        target.callInterrupted = false;
+        target.mayBeFound = !target.accepted && journal.lastWriteUncertain();
+        counts.accepted += target.accepted ? 1 : 0;
+        counts.rejected += target.accepted ? 0 : 1;
     }
 
     // ---- The same with real processes. ----
@@ -335,38 +341,38 @@
      */
     public static void main(String[] args) throws IOException {
         SplittableRandom random = new SplittableRandom(Long.parseLong(args[1]));
-        Journal own = Journal.open(Path.of(args[0]), 3 << 20);
+        Journal journal = Journal.open(Path.of(args[0]), 3 << 20);
         PrintStream out = new PrintStream(new FileOutputStream(FileDescriptor.out), true, StandardCharsets.US_ASCII);
         out.println("R");
         for (int i = 0; ; i++) {
-            List<AcceptedMessage> all = List.copyOf(own.pendingMessages());
-            AcceptedMessage m = all.isEmpty() ? null : all.get(random.nextInt(all.size()));
-            if (m == null || all.size() < 200 && random.nextInt(3) > 0) {
+            List<AcceptedMessage> pending = List.copyOf(journal.pendingMessages());
+            AcceptedMessage message = pending.isEmpty() ? null : pending.get(random.nextInt(pending.size()));
+            if (message == null || pending.size() < 200 && random.nextInt(3) > 0) {
                 String id = "m" + args[1] + "-" + i;
-                AcceptedMessage fresh = new AcceptedMessage(
-                        own.nextNumber(), id, "", "unsafe", 7, 3, WALL, new byte[random.nextInt(2_000)]);
+                AcceptedMessage newMessage = new AcceptedMessage(
+                        journal.nextNumber(), id, "", "unsafe", 7, 3, NOW_MILLIS, new byte[random.nextInt(2_000)]);
                 out.println("? " + id);
-                if (own.accept(fresh)) {
+                if (journal.accept(newMessage)) {
                     out.println("A " + id);
                 }
-            } else if (m.pendingNotification != null) {
-                out.println("? " + m.id);
-                own.conclude(m);
-                out.println("C " + m.id);
-            } else if (m.attemptInFlight) {
-                out.println("? " + m.id);
-                own.outcome(m, true);
+            } else if (message.pendingNotification != null) {
+                out.println("? " + message.id);
+                journal.complete(message);
+                out.println("C " + message.id);
+            } else if (message.attemptInFlight) {
+                out.println("? " + message.id);
+                journal.recordOutcome(message, true);
             } else if (random.nextInt(3) > 0) {
-                out.println("? " + m.id);
-                if (own.attempt(m, "uid", WALL)) {
-                    out.println("T " + m.id + " " + m.attempts);
+                out.println("? " + message.id);
+                if (journal.recordAttempt(message, "uid", NOW_MILLIS)) {
+                    out.println("T " + message.id + " " + message.attempts);
                 }
             } else {
-                out.println("? " + m.id);
-                own.end(m, m.failed());
-                out.println("E " + m.id);
+                out.println("? " + message.id);
+                journal.endWithNotice(message, message.failed());
+                out.println("E " + message.id);
             }
-            own.compactSlice();
+            journal.compactStep();
         }
     }
 
@@ -378,25 +384,25 @@
     public static Counts runProcesses(List<String> command, Path folder, long seed, int rounds) throws IOException {
         Counts counts = new Counts();
         SplittableRandom random = new SplittableRandom(seed);
-        Map<String, ReportedMessage> told = new LinkedHashMap<>();
+        Map<String, ReportedMessage> reported = new LinkedHashMap<>();
         for (int round = 0; round < rounds; round++) {
-            List<String> line = new ArrayList<>(command);
-            line.add(folder.toString());
-            line.add(Long.toString(seed * 1_000 + round));
-            Process process = new ProcessBuilder(line)
+            List<String> commandLine = new ArrayList<>(command);
+            commandLine.add(folder.toString());
+            commandLine.add(Long.toString(seed * 1_000 + round));
+            Process process = new ProcessBuilder(commandLine)
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start();
-            int after = 50 + random.nextInt(1_500);
+            int linesBeforeKill = 50 + random.nextInt(1_500);
             try (BufferedReader in = process.inputReader(StandardCharsets.US_ASCII)) {
                 if (in.readLine() == null) {
                     throw new IOException("the process of round " + round + " did not start");
                 }
                 // The pipe has all that the process wrote, also behind its end; a line that is cut off was not
                 // reported.
-                int lines = 0;
-                for (String said = in.readLine(); said != null; said = in.readLine()) {
-                    recordLine(told, said);
-                    if (++lines == after) {
+                int lineCount = 0;
+                for (String line = in.readLine(); line != null; line = in.readLine()) {
+                    recordLine(reported, line);
+                    if (++lineCount == linesBeforeKill) {
                         // Not Process.destroyForcibly(): it closes the pipe with what is still in it.
                         process.toHandle().destroyForcibly();
                     }
@@ -404,7 +410,7 @@
             }
             counts.kills++;
             counts.rounds++;
-            compare(told, folder, counts, "round " + round);
+            compareWithReports(reported, folder, counts, "round " + round);
         }
         return counts;
     }
@@ -417,54 +423,62 @@
         boolean callInterrupted;
     }
 
-    private static void recordLine(Map<String, ReportedMessage> told, String line) {
+    private static void recordLine(Map<String, ReportedMessage> reported, String line) {
         String[] words = line.split(" ");
         if (words.length < 2) {
             return;
         }
-        ReportedMessage of = told.computeIfAbsent(words[1], id -> new ReportedMessage());
+        ReportedMessage message = reported.computeIfAbsent(words[1], id -> new ReportedMessage());
         switch (words[0]) {
             case "?" -> {
-                told.values().forEach(t -> t.callInterrupted = false);
-                of.callInterrupted = true;
+                reported.values().forEach(other -> other.callInterrupted = false);
+                message.callInterrupted = true;
             }
-            case "A" -> of.accepted = true;
-            case "T" -> of.attempts = words.length > 2 ? Integer.parseInt(words[2]) : of.attempts;
-            case "E" -> of.ended = true;
-            case "C" -> of.completed = true;
+            case "A" -> message.accepted = true;
+            case "T" -> message.attempts = words.length > 2 ? Integer.parseInt(words[2]) : message.attempts;
+            case "E" -> message.ended = true;
+            case "C" -> message.completed = true;
             default -> throw new IllegalArgumentException(line);
         }
     }
 
-    private static void compare(Map<String, ReportedMessage> told, Path folder, Counts counts, String when)
-            throws IOException {
-        Map<String, AcceptedMessage> live = new LinkedHashMap<>();
+    private static void compareWithReports(
+            Map<String, ReportedMessage> reported, Path folder, Counts counts, String context) throws IOException {
+        Map<String, AcceptedMessage> pendingById = new LinkedHashMap<>();
         try (Journal journal = Journal.openReadOnly(folder)) {
-            journal.pendingMessages().forEach(m -> live.put(m.id, m));
+            journal.pendingMessages().forEach(message -> pendingById.put(message.id, message));
             counts.wrongState += journal.dataLoss().lines().stream()
-                    .filter(what -> what.contains("segment"))
+                    .filter(line -> line.contains("segment"))
                     .count();
         }
-        told.forEach((id, of) -> {
-            AcceptedMessage m = live.get(id);
-            counts.lost += m == null && of.accepted && !of.completed && !of.callInterrupted ? 1 : 0;
-            counts.duplicated += m != null && of.completed ? 1 : 0;
-            counts.wrongState += m != null && of.ended && m.pendingNotification == null ? 1 : 0;
-            counts.wrongState += m != null && m.pendingNotification == null && m.attempts < of.attempts ? 1 : 0;
-            counts.accepted += of.accepted ? 1 : 0;
+        reported.forEach((id, reportedMessage) -> {
+            AcceptedMessage found = pendingById.get(id);
+            counts.lost += found == null
+                            && reportedMessage.accepted
+                            && !reportedMessage.completed
+                            && !reportedMessage.callInterrupted
+                    ? 1
+                    : 0;
+            counts.duplicated += found != null && reportedMessage.completed ? 1 : 0;
+            counts.wrongState += found != null && reportedMessage.ended && found.pendingNotification == null ? 1 : 0;
+            counts.wrongState +=
+                    found != null && found.pendingNotification == null && found.attempts < reportedMessage.attempts
+                            ? 1
+                            : 0;
+            counts.accepted += reportedMessage.accepted ? 1 : 0;
             if (!counts.ok() && counts.firstViolation.isEmpty()) {
-                counts.firstViolation = when + ": " + id;
+                counts.firstViolation = context + ": " + id;
             }
         });
         // From now on each message is as it was found.
-        told.values().removeIf(of -> of.completed);
-        told.entrySet().removeIf(entry -> !live.containsKey(entry.getKey()));
-        live.forEach((id, m) -> {
-            ReportedMessage of = told.computeIfAbsent(id, i -> new ReportedMessage());
-            of.accepted = true;
-            of.attempts = m.attempts;
-            of.ended = m.pendingNotification != null;
-            of.callInterrupted = false;
+        reported.values().removeIf(reportedMessage -> reportedMessage.completed);
+        reported.entrySet().removeIf(entry -> !pendingById.containsKey(entry.getKey()));
+        pendingById.forEach((id, found) -> {
+            ReportedMessage reportedMessage = reported.computeIfAbsent(id, i -> new ReportedMessage());
+            reportedMessage.accepted = true;
+            reportedMessage.attempts = found.attempts;
+            reportedMessage.ended = found.pendingNotification != null;
+            reportedMessage.callInterrupted = false;
         });
     }
 }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
@@ -17,7 +17,7 @@
 /** The experiment journal-crash in its short form, and that it would find a broken journal. */
 class JournalTrialTest {
     @Test
-    void nothingIsLostDoubledOrWrongWhereverItIsKilledFailsOrFillsUp() {
+    void faultsAtAnyOperationNeitherLoseNorDuplicateMessages() {
         JournalTrial.Counts counts = JournalTrial.run(11, 0, 500, UnaryOperator.identity());
         assertTrue(counts.ok(), counts.firstViolation);
         assertTrue(
@@ -28,34 +28,34 @@
 
     /** Skips a write once in a while, and reports it as done. */
     @Test
-    void aSkippedWriteIsFound() {
+    void skippedWriteIsDetected() {
         assertDefectFound(disk -> new DefectiveDisk(disk) {
             private int writes;
 
             @Override
-            int append(Disk.Handle to, ByteBuffer bytes) throws IOException {
+            int append(Disk.Handle file, ByteBuffer bytes) throws IOException {
                 if (++writes % 97 == 0) {
-                    int said = bytes.remaining();
+                    int reportedBytes = bytes.remaining();
                     bytes.position(bytes.limit());
-                    return said;
+                    return reportedBytes;
                 }
-                return to.append(bytes);
+                return file.append(bytes);
             }
         });
     }
 
     /** Reports a failed write as done. */
     @Test
-    void anIgnoredErrorIsFound() {
+    void ignoredWriteErrorIsDetected() {
         assertDefectFound(disk -> new DefectiveDisk(disk) {
             @Override
-            int append(Disk.Handle to, ByteBuffer bytes) {
-                int said = bytes.remaining();
+            int append(Disk.Handle file, ByteBuffer bytes) {
+                int reportedBytes = bytes.remaining();
                 try {
-                    return to.append(bytes);
+                    return file.append(bytes);
                 } catch (IOException e) {
                     bytes.position(bytes.limit());
-                    return said;
+                    return reportedBytes;
                 }
             }
         });
@@ -63,22 +63,22 @@
 
     /** Deletes a segment before the last copies from it, and the record of its retirement, are written. */
     @Test
-    void aSwappedRetiringIsFound() {
+    void segmentDeletedBeforeItsCopiesAreWrittenIsDetected() {
         assertDefectFound(disk -> new DefectiveDisk(disk) {
-            private final List<Runnable> late = new ArrayList<>();
+            private final List<Runnable> delayedWrites = new ArrayList<>();
 
             @Override
-            int append(Disk.Handle to, ByteBuffer bytes) throws IOException {
+            int append(Disk.Handle file, ByteBuffer bytes) throws IOException {
                 byte[] copy = new byte[bytes.remaining()];
                 bytes.get(copy);
-                if (late.size() == 2) {
-                    late.remove(0).run();
+                if (delayedWrites.size() == 2) {
+                    delayedWrites.remove(0).run();
                 }
-                late.add(() -> {
-                    ByteBuffer left = ByteBuffer.wrap(copy);
+                delayedWrites.add(() -> {
+                    ByteBuffer remaining = ByteBuffer.wrap(copy);
                     try {
-                        while (left.hasRemaining()) {
-                            to.append(left);
+                        while (remaining.hasRemaining()) {
+                            file.append(remaining);
                         }
                     } catch (IOException e) {
                         // Ignored, as is part of the defect.
@@ -95,20 +95,20 @@
 
             @Override
             void flush() {
-                late.forEach(Runnable::run);
-                late.clear();
+                delayedWrites.forEach(Runnable::run);
+                delayedWrites.clear();
             }
         });
     }
 
-    private static void assertDefectFound(UnaryOperator<Disk> broken) {
-        JournalTrial.Counts counts = JournalTrial.run(11, 0, 500, broken);
+    private static void assertDefectFound(UnaryOperator<Disk> defect) {
+        JournalTrial.Counts counts = JournalTrial.run(11, 0, 500, defect);
         assertFalse(counts.ok(), "the broken engine was not found");
     }
 
     /** Real processes on a real folder, killed at any moment; the experiment does more of it. */
     @Test
-    void realProcessesThatAreKilledLoseNothing(@TempDir Path folder) throws Exception {
+    void killedProcessesLoseNoMessage(@TempDir Path folder) throws Exception {
         JournalTrial.Counts counts = JournalTrial.runProcesses(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -127,14 +127,14 @@
 
     /** A disk with a defect between it and the journal. */
     private static class DefectiveDisk implements Disk {
-        private final Disk inner;
+        private final Disk delegate;
 
-        DefectiveDisk(Disk inner) {
-            this.inner = inner;
+        DefectiveDisk(Disk delegate) {
+            this.delegate = delegate;
         }
 
-        int append(Handle to, ByteBuffer bytes) throws IOException {
-            return to.append(bytes);
+        int append(Handle file, ByteBuffer bytes) throws IOException {
+            return file.append(bytes);
         }
 
         /** Runs ahead of whatever reads. */
@@ -142,39 +142,39 @@
 
         @Override
         public List<String> list() throws IOException {
-            return inner.list();
+            return delegate.list();
         }
 
         @Override
         public Handle open(String name) throws IOException {
-            return new File(inner.open(name));
+            return new DefectiveFile(delegate.open(name));
         }
 
         @Override
         public Handle read(String name) throws IOException {
             flush();
-            return inner.read(name);
+            return delegate.read(name);
         }
 
         @Override
         public void rename(String from, String to) throws IOException {
-            inner.rename(from, to);
+            delegate.rename(from, to);
         }
 
         @Override
         public void delete(String name) throws IOException {
-            inner.delete(name);
+            delegate.delete(name);
         }
 
         @Override
         public void forceFolder() throws IOException {
-            inner.forceFolder();
+            delegate.forceFolder();
         }
 
-        private final class File implements Handle {
+        private final class DefectiveFile implements Handle {
             private final Handle file;
 
-            File(Handle file) {
+            DefectiveFile(Handle file) {
                 this.file = file;
             }
 
@@ -184,13 +184,13 @@
             }
 
             @Override
-            public int read(long at, ByteBuffer into) throws IOException {
-                return file.read(at, into);
+            public int read(long position, ByteBuffer target) throws IOException {
+                return file.read(position, target);
             }
 
             @Override
-            public int append(ByteBuffer from) throws IOException {
-                return DefectiveDisk.this.append(file, from);
+            public int append(ByteBuffer source) throws IOException {
+                return DefectiveDisk.this.append(file, source);
             }
 
             @Override
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -23,8 +23,8 @@
 
 /** Upgrade from, and downgrade to, the version that kept one file; {@code journal-0.2.bin} was written by it. */
 class LegacyJournalReaderTest {
-    private static final long BUDGET = 3_000_000;
-    private static final long SOON = 4_000_000_000_000L;
+    private static final long BUDGET_BYTES = 3_000_000;
+    private static final long DEADLINE_MILLIS = 4_000_000_000_000L;
 
     @TempDir
     Path folder;
@@ -37,21 +37,21 @@
 
     private List<Path> segments() throws IOException {
         try (var files = Files.list(folder)) {
-            return files.filter(f -> SegmentLog.isSegment(f.getFileName().toString()))
+            return files.filter(file -> SegmentLog.isSegment(file.getFileName().toString()))
                     .sorted()
                     .toList();
         }
     }
 
-    /** Compares with what {@link #write} wrote. */
+    /** Compares with what {@link #writeRecordedFile} wrote. */
     private static void assertRecordedContents(Journal journal) {
-        List<AcceptedMessage> live = List.copyOf(journal.pendingMessages());
+        List<AcceptedMessage> pending = List.copyOf(journal.pendingMessages());
         assertEquals(
                 List.of("first", "doubt", "ended", "offered", "behind"),
-                live.stream().map(m -> m.id).toList());
-        AcceptedMessage first = live.get(0);
+                pending.stream().map(message -> message.id).toList());
+        AcceptedMessage first = pending.get(0);
         assertEquals(
-                List.of(1, 120, 7L, 3, "idem-first", SOON),
+                List.of(1, 120, 7L, 3, "idem-first", DEADLINE_MILLIS),
                 List.of(
                         first.classNumber,
                         first.body.length,
@@ -59,62 +59,63 @@
                         first.destination,
                         first.idempotencyKey,
                         first.deadlineMillis));
-        AcceptedMessage doubt = live.get(1);
+        AcceptedMessage unknownOutcome = pending.get(1);
         assertEquals(
                 List.of(2, 77L, "uid-a", true, 99L, "uid-b"),
                 List.of(
-                        doubt.attempts,
-                        doubt.unknownOutcomeSinceMillis,
-                        doubt.unknownOutcomeEndpoint,
-                        doubt.attemptInFlight,
-                        doubt.attemptSentAtMillis,
-                        doubt.attemptEndpoint));
-        assertEquals(live.get(2).failed(), live.get(2).pendingNotification);
-        assertTrue(live.get(3).offeredToPeer);
+                        unknownOutcome.attempts,
+                        unknownOutcome.unknownOutcomeSinceMillis,
+                        unknownOutcome.unknownOutcomeEndpoint,
+                        unknownOutcome.attemptInFlight,
+                        unknownOutcome.attemptSentAtMillis,
+                        unknownOutcome.attemptEndpoint));
+        assertEquals(pending.get(2).failed(), pending.get(2).pendingNotification);
+        assertTrue(pending.get(3).offeredToPeer);
         assertEquals("heir", journal.handoffBatches().get("lot").ownership().peer());
-        assertTrue(journal.knows("over") && journal.differs("over", 5));
+        assertTrue(journal.containsId("over") && journal.hasDifferentContent("over", 5));
         assertEquals(1, journal.healthRecords().size());
         assertEquals(
                 DeliveryScheduler.UpstreamStatus.UNAVAILABLE,
-                journal.healthRecords().iterator().next().health());
+                journal.healthRecords().iterator().next().status());
         assertEquals("policy-order", journal.classes().get(1).name());
         assertTrue(journal.keyHolds().isHeld(31) && !journal.keyHolds().isHeld(32));
         assertTrue(journal.nextNumber()
-                > live.stream().mapToLong(m -> m.number).max().orElse(0));
+                > pending.stream().mapToLong(message -> message.number).max().orElse(0));
     }
 
     @Test
-    void anEarlierVersionsFileIsMovedWhole() throws IOException {
+    void legacyFileOpenedForWritingIsMigratedCompletely() throws IOException {
         Files.write(folder.resolve("journal"), recordedFile());
         assertEquals(5, JournalView.read(folder).pendingCount(), "looking does not move it");
         assertArrayEquals(recordedFile(), Files.readAllBytes(folder.resolve("journal")));
-        try (Journal journal = Journal.open(folder, BUDGET)) {
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             assertRecordedContents(journal);
         }
         for (int i = 0; i < 2; i++) {
             assertEquals(5, JournalView.read(folder).pendingCount());
-            try (Journal journal = Journal.open(folder, BUDGET)) {
+            try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
                 assertRecordedContents(journal);
             }
         }
-        assertArrayEquals(LegacyJournalReader.mark(), Files.readAllBytes(folder.resolve("journal")));
+        assertArrayEquals(LegacyJournalReader.migrationMark(), Files.readAllBytes(folder.resolve("journal")));
     }
 
     /** An interrupted migration is repeated: the old file is whole until one step replaces it. */
     @Test
-    void aMoveThatWasCutShortIsDoneAnew() throws IOException {
+    void interruptedMigrationIsRepeated() throws IOException {
         Files.write(folder.resolve("journal"), recordedFile());
-        try (Journal journal = Journal.open(folder, BUDGET)) {
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             assertRecordedContents(journal);
         }
         byte[] segment = Files.readAllBytes(segments().get(0));
-        for (int cut = 0; cut < segment.length; cut += 37) {
+        for (int length = 0; length < segment.length; length += 37) {
             Files.write(folder.resolve("journal"), recordedFile());
             for (Path file : segments()) {
                 Files.delete(file);
             }
-            Files.write(folder.resolve("0000000000000001-0000000000000002.seg"), java.util.Arrays.copyOf(segment, cut));
-            try (Journal journal = Journal.open(folder, BUDGET)) {
+            Files.write(
+                    folder.resolve("0000000000000001-0000000000000002.seg"), java.util.Arrays.copyOf(segment, length));
+            try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
                 assertRecordedContents(journal);
             }
         }
@@ -122,45 +123,45 @@
 
     /** The earlier version ends with an error, and changes nothing, instead of beginning an empty journal. */
     @Test
-    void theEarlierVersionRefusesWhatIsInSegments() throws IOException {
-        try (Journal journal = Journal.open(folder, BUDGET)) {
-            assertTrue(
-                    journal.accept(new AcceptedMessage(journal.nextNumber(), "a", "", "c", 0, 1, SOON, new byte[9])));
+    void earlierVersionOpeningMigratedJournalFails() throws IOException {
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
+            assertTrue(journal.accept(
+                    new AcceptedMessage(journal.nextNumber(), "a", "", "c", 0, 1, DEADLINE_MILLIS, new byte[9])));
         }
-        assertTrue(assertThrows(IOException.class, () -> SingleFileJournal.open(folder, BUDGET))
+        assertTrue(assertThrows(IOException.class, () -> SingleFileJournal.open(folder, BUDGET_BYTES))
                 .getMessage()
                 .contains("unknown record"));
-        try (Journal journal = Journal.open(folder, BUDGET)) {
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             assertEquals("a", journal.pendingMessages().iterator().next().id);
         }
     }
 
     @Test
-    void aDamagedOldFileIsKeptAside() throws IOException {
-        byte[] bad = recordedFile();
-        bad[bad.length - 3] ^= 1;
-        Files.write(folder.resolve("journal"), bad);
-        try (Journal journal = Journal.open(folder, BUDGET)) {
+    void damagedLegacyFileIsCopiedBeforeMigration() throws IOException {
+        byte[] damaged = recordedFile();
+        damaged[damaged.length - 3] ^= 1;
+        Files.write(folder.resolve("journal"), damaged);
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             assertFalse(journal.pendingMessages().isEmpty());
         }
-        assertArrayEquals(bad, Files.readAllBytes(folder.resolve("journal.damaged")));
+        assertArrayEquals(damaged, Files.readAllBytes(folder.resolve("journal.damaged")));
     }
 
     /** A segment of a later version: nothing is changed, and the error says so. */
     @Test
-    void aLaterVersionsSegmentIsRefused() throws IOException {
-        try (Journal journal = Journal.open(folder, BUDGET)) {
-            assertTrue(
-                    journal.accept(new AcceptedMessage(journal.nextNumber(), "a", "", "c", 0, 1, SOON, new byte[9])));
+    void segmentOfLaterVersionIsRejectedUnchanged() throws IOException {
+        try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
+            assertTrue(journal.accept(
+                    new AcceptedMessage(journal.nextNumber(), "a", "", "c", 0, 1, DEADLINE_MILLIS, new byte[9])));
         }
         Path segment = segments().get(0);
         byte[] bytes = Files.readAllBytes(segment);
-        ByteBuffer later = ByteBuffer.wrap(bytes).putShort(8, (short) 9);
+        ByteBuffer header = ByteBuffer.wrap(bytes).putShort(8, (short) 9);
         CRC32C crc = new CRC32C();
         crc.update(bytes, 0, 44);
-        later.putInt(44, (int) crc.getValue());
+        header.putInt(44, (int) crc.getValue());
         Files.write(segment, bytes);
-        assertTrue(assertThrows(IOException.class, () -> Journal.open(folder, BUDGET))
+        assertTrue(assertThrows(IOException.class, () -> Journal.open(folder, BUDGET_BYTES))
                 .getMessage()
                 .contains("newer"));
         assertArrayEquals(bytes, Files.readAllBytes(segment));
@@ -168,8 +169,8 @@
     }
 
     /** How the resource was made, with the earlier version's own code: run once, kept as a file since. */
-    static void write(Path folder) throws IOException {
-        try (SingleFileJournal journal = SingleFileJournal.open(folder, BUDGET)) {
+    static void writeRecordedFile(Path folder) throws IOException {
+        try (SingleFileJournal journal = SingleFileJournal.open(folder, BUDGET_BYTES)) {
             journal.define(
                     1,
                     new MessageClassRegistry.Version(
@@ -184,31 +185,40 @@
                                     60_000_000,
                                     true)));
             String[] ids = {"first", "doubt", "behind", "ended", "over", "offered", "given"};
-            AcceptedMessage[] all = new AcceptedMessage[ids.length];
+            AcceptedMessage[] messages = new AcceptedMessage[ids.length];
             for (int i = 0; i < ids.length; i++) {
-                all[i] = new AcceptedMessage(
-                        journal.nextNumber(), ids[i], "idem-" + ids[i], "policy-order", 7, 3, SOON, new byte[120]);
-                all[i].classNumber = 1;
-                journal.accept(all[i]);
+                messages[i] = new AcceptedMessage(
+                        journal.nextNumber(),
+                        ids[i],
+                        "idem-" + ids[i],
+                        "policy-order",
+                        7,
+                        3,
+                        DEADLINE_MILLIS,
+                        new byte[120]);
+                messages[i].classNumber = 1;
+                journal.accept(messages[i]);
             }
-            journal.attempt(all[1], "uid-a", 77);
-            journal.outcome(all[1], true);
-            journal.attempt(all[1], "uid-b", 99);
-            journal.end(all[3], all[3].failed());
-            journal.conclude(all[4]);
-            journal.hold("peer", List.of(31L, 32L), SOON);
-            journal.lot("lot", new Ownership(1, Ownership.Status.OFFERED, "heir"), SOON, List.of(all[5]));
-            journal.lot("gone", new Ownership(2, Ownership.Status.GIVEN, "heir"), SOON, List.of(all[6]));
-            AcceptedMessage came =
-                    new AcceptedMessage(journal.nextNumber(), "ended2", "", "policy-order", 7, 3, SOON, new byte[1]);
+            journal.attempt(messages[1], "uid-a", 77);
+            journal.outcome(messages[1], true);
+            journal.attempt(messages[1], "uid-b", 99);
+            journal.end(messages[3], messages[3].failed());
+            journal.conclude(messages[4]);
+            journal.hold("peer", List.of(31L, 32L), DEADLINE_MILLIS);
+            journal.lot(
+                    "lot", new Ownership(1, Ownership.Status.OFFERED, "heir"), DEADLINE_MILLIS, List.of(messages[5]));
+            journal.lot(
+                    "gone", new Ownership(2, Ownership.Status.GIVEN, "heir"), DEADLINE_MILLIS, List.of(messages[6]));
+            AcceptedMessage accepted = new AcceptedMessage(
+                    journal.nextNumber(), "ended2", "", "policy-order", 7, 3, DEADLINE_MILLIS, new byte[1]);
             journal.adopt(
                     "adopted",
                     new Ownership(1, Ownership.Status.OWNED, ""),
-                    SOON,
-                    List.of(came),
+                    DEADLINE_MILLIS,
+                    List.of(accepted),
                     "peer",
-                    List.of(all[2]));
-            journal.conclude(came);
+                    List.of(messages[2]));
+            journal.conclude(accepted);
             journal.release("peer", List.of(32L));
             journal.remember(new SingleFileJournal.Memory(
                     3, "uid-a", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 5, 1.5, 2.5));
--- a/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
+++ b/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
@@ -12,50 +12,54 @@
 
 /** Segments of a state folder as bytes, for tests that truncate them. */
 public final class SegmentFiles {
-    private static final int HEAD = 48;
-    private static final int FRAME = 20;
+    private static final int HEADER_BYTES = 48;
+    private static final int FRAME_HEADER_BYTES = 20;
 
     private SegmentFiles() {}
 
-    static List<Path> of(Path state) throws IOException {
+    static List<Path> segments(Path state) throws IOException {
         try (var files = Files.list(state)) {
-            return files.filter(f -> SegmentLog.isSegment(f.getFileName().toString()))
+            return files.filter(file -> SegmentLog.isSegment(file.getFileName().toString()))
                     .sorted()
                     .toList();
         }
     }
 
     /** The bytes of the first segment, which has all that one process of a test has written. */
-    public static byte[] first(Path state) throws IOException {
-        return Files.readAllBytes(of(state).get(0));
+    public static byte[] firstSegment(Path state) throws IOException {
+        return Files.readAllBytes(segments(state).get(0));
     }
 
     /** Lengths of a segment at which a whole record ends; the first record is the one that begins it. */
     public static List<Integer> recordEnds(byte[] segment) {
-        List<Integer> out = new ArrayList<>();
-        for (int at = HEAD; at < segment.length; ) {
-            at += FRAME + ByteBuffer.wrap(segment).getInt(at + 4);
-            out.add(at);
+        List<Integer> ends = new ArrayList<>();
+        for (int offset = HEADER_BYTES; offset < segment.length; ) {
+            offset += FRAME_HEADER_BYTES + ByteBuffer.wrap(segment).getInt(offset + 4);
+            ends.add(offset);
         }
-        return out;
+        return ends;
     }
 
     /** Each record's content as text. */
-    public static List<String> records(byte[] segment) {
-        List<String> out = new ArrayList<>();
-        int at = HEAD;
+    public static List<String> recordContents(byte[] segment) {
+        List<String> contents = new ArrayList<>();
+        int offset = HEADER_BYTES;
         for (int end : recordEnds(segment)) {
-            out.add(new String(segment, at + FRAME, end - at - FRAME, StandardCharsets.ISO_8859_1));
-            at = end;
+            contents.add(new String(
+                    segment,
+                    offset + FRAME_HEADER_BYTES,
+                    end - offset - FRAME_HEADER_BYTES,
+                    StandardCharsets.ISO_8859_1));
+            offset = end;
         }
-        return out;
+        return contents;
     }
 
     /** Replaces all segments of the folder by the first bytes of one. */
-    public static void truncate(Path state, byte[] segment, int length) throws IOException {
-        List<Path> there = of(state);
-        Path first = there.isEmpty() ? state.resolve("0000000000000001-0000000000000001.seg") : there.get(0);
-        for (Path file : there) {
+    public static void replaceWithPrefix(Path state, byte[] segment, int length) throws IOException {
+        List<Path> segments = segments(state);
+        Path first = segments.isEmpty() ? state.resolve("0000000000000001-0000000000000001.seg") : segments.get(0);
+        for (Path file : segments) {
             Files.delete(file);
         }
         Files.write(first, Arrays.copyOf(segment, length));
--- a/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
+++ b/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
@@ -38,36 +38,36 @@
  * file that has grown is rewritten with what is still owed; both copies count towards the budget.
  */
 public final class SingleFileJournal implements Closeable {
-    private static final int HEAD = 8;
-    private static final int LARGEST = 1 << 18;
+    private static final int FRAME_HEADER_BYTES = 8;
+    private static final int MAX_RECORD_BYTES = 1 << 18;
     /**
      * Room for all that can stand of one message behind its acceptance: a rewrite keeps one record of its attempts,
      * however many there were, with two uids of up to 128 characters, and its notice.
      */
-    private static final int LATER = 640;
+    private static final int LATER_RECORD_BYTES = 640;
     /** Ids of ended messages are remembered, as a client may hand one in twice when its connection closes. */
-    private static final int REMEMBERED = 512;
+    private static final int MAX_COMPLETED_IDS = 512;
 
-    private static final int REMEMBERED_BYTES = REMEMBERED * 96;
+    private static final int COMPLETED_IDS_BYTES = MAX_COMPLETED_IDS * 96;
     /** What is remembered of destinations, the longest unchanged forgotten first. */
-    private static final int MEMORIES = 128;
+    private static final int MAX_HEALTH_RECORDS = 128;
 
-    private static final int MEMORY_BYTES = 64;
+    private static final int HEALTH_BYTES = 64;
     /** Lots of which something is known; with more, none is offered or taken. */
-    private static final int MOST_LOTS = 4_096;
+    private static final int MAX_HANDOFF_BATCHES = 4_096;
     /** Room for a lot's record, but for the numbers of its messages: names have 128 and 64 characters at most. */
-    private static final int LOT_BYTES = 256;
+    private static final int HANDOFF_BATCH_BYTES = 256;
     /** Room for one origin's hold on one key, with its share of a record. */
-    private static final int HOLD_BYTES = 112;
+    private static final int KEY_HOLD_BYTES = 112;
     /** Part of the budget that holds on keys may take. */
-    private static final int HOLDS_SHARE = 8;
+    private static final int KEY_HOLDS_BUDGET_DIVISOR = 8;
     /** Keys in one record of holds. */
-    private static final int HOLDS_IN_RECORD = 4_096;
+    private static final int KEYS_PER_RECORD = 4_096;
     /** Part of the budget that lots may take, so that peers that ask for ever new ones leave room for messages. */
-    private static final int LOTS_SHARE = 8;
+    private static final int HANDOFF_BATCHES_BUDGET_DIVISOR = 8;
 
-    private static final long REWRITE_LEAST = 256 * 1024;
-    private static final int REWRITE_BUFFER = 16 * 1024;
+    private static final long MIN_REWRITE_BYTES = 256 * 1024;
+    private static final int REWRITE_BUFFER_BYTES = 16 * 1024;
 
     /** What the module wants to know of a place again, {@code uid} empty for a whole destination; wall time. */
     record Memory(
@@ -85,39 +85,42 @@
     record Lot(Ownership ownership, long until, List<Long> numbers) {}
 
     private final Path folder;
-    private final long budget;
-    private final Map<Long, AcceptedMessage> live = new LinkedHashMap<>();
+    private final long budgetBytes;
+    private final Map<Long, AcceptedMessage> pending = new LinkedHashMap<>();
     /** What ended under each id, 0 where that is no longer known. */
-    private final Map<String, Integer> ended = new LinkedHashMap<>();
+    private final Map<String, Integer> completedIds = new LinkedHashMap<>();
 
-    private final Map<String, Integer> liveIds = new HashMap<>();
-    private final Map<String, Memory> memories = new LinkedHashMap<>();
-    private final Map<String, Lot> lots = new LinkedHashMap<>();
+    private final Map<String, Integer> pendingIds = new HashMap<>();
+    private final Map<String, Memory> healthRecords = new LinkedHashMap<>();
+    private final Map<String, Lot> handoffBatches = new LinkedHashMap<>();
     /** Versions of classes that were taken on in, by number: at most {@link MessageClassRegistry#MOST}. */
     private final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
 
-    private final KeyHolds holds = new KeyHolds();
+    private final KeyHolds keyHolds = new KeyHolds();
     private FileChannel file;
     /** Looked for behind each record, null where nobody may take the folder over. */
-    private File fence;
+    private File fencingTokenFile;
 
     private Runnable onFenced = () -> {};
-    private long size;
-    private long reserved = REMEMBERED_BYTES;
-    private long next = 1;
+    private long validBytes;
+    private long reservedBytes = COMPLETED_IDS_BYTES;
+    private long nextNumber = 1;
 
-    private SingleFileJournal(Path folder, long budget) {
+    private SingleFileJournal(Path folder, long budgetBytes) {
         this.folder = folder;
-        this.budget = budget - 4_096;
+        this.budgetBytes = budgetBytes - 4_096;
     }
 
     /** Opens or begins the journal; a tail that was torn by the process's end is cut off. */
-    public static SingleFileJournal open(Path folder, long budget) throws IOException {
-        SingleFileJournal journal = new SingleFileJournal(folder, budget);
+    public static SingleFileJournal open(Path folder, long budgetBytes) throws IOException {
+        SingleFileJournal journal = new SingleFileJournal(folder, budgetBytes);
         Files.createDirectories(folder);
-        Files.deleteIfExists(journal.path("journal.new"));
+        Files.deleteIfExists(journal.pathOf("journal.new"));
         journal.file = FileChannel.open(
-                journal.path("journal"), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+                journal.pathOf("journal"),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.READ,
+                StandardOpenOption.WRITE);
         journal.recover();
         return journal;
     }
@@ -125,28 +128,28 @@
     /** Reads a folder's journal and leaves it as it is; for looking only. */
     static SingleFileJournal peek(Path folder) throws IOException {
         SingleFileJournal journal = new SingleFileJournal(folder, Long.MAX_VALUE);
-        journal.file = FileChannel.open(journal.path("journal"), StandardOpenOption.READ);
+        journal.file = FileChannel.open(journal.pathOf("journal"), StandardOpenOption.READ);
         journal.replayAll();
         return journal;
     }
 
     /** Bytes of the file behind the last record that could be read. */
     long unread() throws IOException {
-        return file.size() - size;
+        return file.size() - validBytes;
     }
 
     /**
      * From now on a raised {@link FencingToken} is noticed behind each record and before any effect that it allows; then this is
      * run, which has to end the process.
      */
-    void guard(Runnable fenced) {
-        fence = FencingToken.file(folder);
-        onFenced = fenced;
+    void guard(Runnable whenFenced) {
+        fencingTokenFile = FencingToken.file(folder);
+        onFenced = whenFenced;
     }
 
     /** To be called right before an effect that comes later than its record. */
     void checkFence() {
-        if (fence != null && fence.exists()) {
+        if (fencingTokenFile != null && fencingTokenFile.exists()) {
             onFenced.run();
             throw new IllegalStateException("this folder was taken over");
         }
@@ -154,22 +157,22 @@
 
     /** Messages that have not been concluded, in the order of acceptance. */
     Collection<AcceptedMessage> live() {
-        return live.values();
+        return pending.values();
     }
 
     public long nextNumber() {
-        return next++;
+        return nextNumber++;
     }
 
     /** Whether this id was taken on, now or not long ago. */
     boolean knows(String id) {
-        return liveIds.containsKey(id) || ended.containsKey(id);
+        return pendingIds.containsKey(id) || completedIds.containsKey(id);
     }
 
     /** Whether what is known under this id is another message, as far as can be told. */
-    boolean differs(String id, int content) {
-        int known = liveIds.getOrDefault(id, ended.getOrDefault(id, 0));
-        return known != 0 && known != content;
+    boolean differs(String id, int contentHash) {
+        int knownHash = pendingIds.getOrDefault(id, completedIds.getOrDefault(id, 0));
+        return knownHash != 0 && knownHash != contentHash;
     }
 
     /** The versions of classes that were defined, by number. */
@@ -182,95 +185,102 @@
         if (version.equals(classes.get(number))) {
             return true;
         }
-        if (!append(defined(number, version))) {
+        if (!appendRecord(encodeClass(number, version))) {
             return false;
         }
-        keep(number, version);
+        putClass(number, version);
         return true;
     }
 
-    private void keep(int number, MessageClassRegistry.Version version) {
-        MessageClassRegistry.Version before = classes.put(number, version);
-        reserved += reserve(version) - (before == null ? 0 : reserve(before));
+    private void putClass(int number, MessageClassRegistry.Version version) {
+        MessageClassRegistry.Version previous = classes.put(number, version);
+        reservedBytes += requiredBytes(version) - (previous == null ? 0 : requiredBytes(previous));
     }
 
-    private static long reserve(MessageClassRegistry.Version version) {
+    private static long requiredBytes(MessageClassRegistry.Version version) {
         return 80 + 3L * version.name().length();
     }
 
     /** Takes a message on; false where the budget or the disk has no room for it. */
-    public boolean accept(AcceptedMessage m) {
-        if (2 * (reserved + reserve(m)) + REWRITE_LEAST / 4 > budget) {
+    public boolean accept(AcceptedMessage message) {
+        if (2 * (reservedBytes + requiredBytes(message)) + MIN_REWRITE_BYTES / 4 > budgetBytes) {
             return false;
         }
-        if (!append(accepted(m))) {
+        if (!appendRecord(encodeAccepted(message))) {
             return false;
         }
-        add(m);
+        addPending(message);
         return true;
     }
 
     /** To be called before the attempt's first byte; false where it could not be written. */
-    boolean attempt(AcceptedMessage m, String uid, long wall) {
-        byte[] record = record('T', out -> {
-            out.writeLong(m.number);
-            out.writeLong(wall);
+    boolean attempt(AcceptedMessage message, String uid, long wallMillis) {
+        byte[] record = encodeRecord('T', out -> {
+            out.writeLong(message.number);
+            out.writeLong(wallMillis);
             out.writeUTF(uid);
         });
-        if (!append(record)) {
+        if (!appendRecord(record)) {
             return false;
         }
-        m.attempt(uid, wall);
+        message.attempt(uid, wallMillis);
         return true;
     }
 
-    void outcome(AcceptedMessage m, boolean mayHaveRun) {
-        m.outcome(mayHaveRun);
-        append(record('O', out -> {
-            out.writeLong(m.number);
+    void outcome(AcceptedMessage message, boolean mayHaveRun) {
+        message.outcome(mayHaveRun);
+        appendRecord(encodeRecord('O', out -> {
+            out.writeLong(message.number);
             out.writeBoolean(mayHaveRun);
         }));
     }
 
     /** The end is decided and its notice owed. */
-    void end(AcceptedMessage m, String notice) {
-        reserved -= reserve(m);
-        m.end(notice);
-        reserved += reserve(m);
-        append(ending(m));
+    void end(AcceptedMessage message, String notice) {
+        reservedBytes -= requiredBytes(message);
+        message.end(notice);
+        reservedBytes += requiredBytes(message);
+        appendRecord(encodeEnded(message));
     }
 
     /** Nothing more is owed: it was delivered, or its notice has been answered. */
-    public void conclude(AcceptedMessage m) {
-        append(record('N', out -> out.writeLong(m.number)));
-        drop(m);
+    public void conclude(AcceptedMessage message) {
+        appendRecord(encodeRecord('N', out -> out.writeLong(message.number)));
+        complete(message);
     }
 
     /** All lots of which something is known. */
     Map<String, Lot> lots() {
-        return lots;
+        return handoffBatches;
     }
 
     /** Those of these messages that are still owed here, in the order given. */
     List<AcceptedMessage> messages(List<Long> numbers) {
         return numbers.stream()
-                .map(live::get)
-                .filter(m -> m != null && m.pendingNotification == null)
+                .map(pending::get)
+                .filter(message -> message != null && message.pendingNotification == null)
                 .toList();
     }
 
     /** Writes whose a lot is. One that is given drops its messages, as they are another's now. */
-    boolean lot(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return lot(name, ownership, until, messages, List.of());
+    boolean lot(String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
+        return writeBatch(name, ownership, untilMillis, messages, List.of());
     }
 
-    private boolean lot(
-            String name, Ownership ownership, long until, List<AcceptedMessage> messages, List<byte[]> parts) {
-        Lot lot = new Lot(ownership, until, messages.stream().map(m -> m.number).toList());
-        if (!roomForLot(name) || !append(lotRecord('H', name, lot, List.of(), parts))) {
+    private boolean writeBatch(
+            String name,
+            Ownership ownership,
+            long untilMillis,
+            List<AcceptedMessage> messages,
+            List<byte[]> additionalRecords) {
+        Lot batch = new Lot(
+                ownership,
+                untilMillis,
+                messages.stream().map(message -> message.number).toList());
+        if (!hasRoomForBatch(name) || !appendRecord(encodeBatch('H', name, batch, List.of(), additionalRecords))) {
             return false;
         }
-        apply(name, lot);
+        putBatch(name, batch);
         return true;
     }
 
@@ -281,23 +291,23 @@
     boolean offer(
             String name,
             Ownership ownership,
-            long until,
+            long untilMillis,
             List<AcceptedMessage> messages,
             String origin,
             List<Long> keys,
-            long holdUntil) {
-        if (!keys.isEmpty() && !roomForHolds(keys.size())) {
+            long holdUntilMillis) {
+        if (!keys.isEmpty() && !hasRoomForKeyHolds(keys.size())) {
             return false;
         }
-        if (!lot(
+        if (!writeBatch(
                 name,
                 ownership,
-                until,
+                untilMillis,
                 messages,
-                keys.isEmpty() ? List.of() : List.of(held(origin, keys, holdUntil)))) {
+                keys.isEmpty() ? List.of() : List.of(encodeKeysHeld(origin, keys, holdUntilMillis)))) {
             return false;
         }
-        keepHolds(origin, keys, holdUntil);
+        addKeyHolds(origin, keys, holdUntilMillis);
         return true;
     }
 
@@ -305,12 +315,17 @@
     List<Long> takeBack(
             String name,
             Ownership ownership,
-            long until,
+            long untilMillis,
             List<AcceptedMessage> messages,
             String origin,
             List<Long> keys) {
-        return lot(name, ownership, until, messages, keys.isEmpty() ? List.of() : List.of(released(origin, keys)))
-                ? dropHolds(origin, keys)
+        return writeBatch(
+                        name,
+                        ownership,
+                        untilMillis,
+                        messages,
+                        keys.isEmpty() ? List.of() : List.of(encodeKeysReleased(origin, keys)))
+                ? removeKeyHolds(origin, keys)
                 : null;
     }
 
@@ -321,119 +336,124 @@
     boolean adopt(
             String name,
             Ownership ownership,
-            long until,
+            long untilMillis,
             List<AcceptedMessage> messages,
             String origin,
-            List<AcceptedMessage> behind) {
-        long more = messages.stream().mapToLong(SingleFileJournal::reserve).sum();
-        Lot lot = new Lot(ownership, until, messages.stream().map(m -> m.number).toList());
+            List<AcceptedMessage> rankedAfter) {
+        long additionalBytes =
+                messages.stream().mapToLong(SingleFileJournal::requiredBytes).sum();
+        Lot batch = new Lot(
+                ownership,
+                untilMillis,
+                messages.stream().map(message -> message.number).toList());
         List<Long> keys = messages.stream()
-                .map(m -> m.key)
-                .filter(key -> holds.origins(key).contains(origin))
+                .map(message -> message.key)
+                .filter(key -> keyHolds.origins(key).contains(origin))
                 .distinct()
                 .toList();
-        List<byte[]> parts = new ArrayList<>();
+        List<byte[]> additionalRecords = new ArrayList<>();
         if (!keys.isEmpty()) {
-            parts.add(released(origin, keys));
-        }
-        behind.forEach(m -> parts.add(moved(m)));
-        byte[] record = lotRecord('P', name, lot, messages, parts);
-        if (!roomForLot(name)
-                || record.length > LARGEST
-                || 2 * (reserved + more) + REWRITE_LEAST / 4 > budget
-                || !append(record)) {
+            additionalRecords.add(encodeKeysReleased(origin, keys));
+        }
+        rankedAfter.forEach(message -> additionalRecords.add(encodeMovedToEnd(message)));
+        byte[] record = encodeBatch('P', name, batch, messages, additionalRecords);
+        if (!hasRoomForBatch(name)
+                || record.length > MAX_RECORD_BYTES
+                || 2 * (reservedBytes + additionalBytes) + MIN_REWRITE_BYTES / 4 > budgetBytes
+                || !appendRecord(record)) {
             return false;
         }
-        messages.forEach(this::add);
-        dropHolds(origin, keys);
-        behind.forEach(this::moveBehind);
-        apply(name, lot);
+        messages.forEach(this::addPending);
+        removeKeyHolds(origin, keys);
+        rankedAfter.forEach(this::moveToEnd);
+        putBatch(name, batch);
         return true;
     }
 
     /** Without any key that another daemon may have. */
-    boolean adopt(String name, Ownership ownership, long until, List<AcceptedMessage> messages) {
-        return adopt(name, ownership, until, messages, "", List.of());
+    boolean adopt(String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
+        return adopt(name, ownership, untilMillis, messages, "", List.of());
     }
 
-    private void moveBehind(AcceptedMessage m) {
-        if (live.remove(m.number) != null) {
-            live.put(m.number, m);
+    private void moveToEnd(AcceptedMessage message) {
+        if (pending.remove(message.number) != null) {
+            pending.put(message.number, message);
         }
     }
 
-    private static byte[] moved(AcceptedMessage m) {
-        return record('R', out -> {
+    private static byte[] encodeMovedToEnd(AcceptedMessage message) {
+        return encodeRecord('R', out -> {
             out.writeLong(0);
-            out.writeLong(m.number);
+            out.writeLong(message.number);
         });
     }
 
     // ---- Keys of which another daemon still has messages. ----
 
     KeyHolds holds() {
-        return holds;
+        return keyHolds;
     }
 
     /** Writes that these keys are held for the origin; false where there is no room for it. */
-    boolean hold(String origin, List<Long> keys, long until) {
-        if (!roomForHolds(keys.size())) {
+    boolean hold(String origin, List<Long> keys, long untilMillis) {
+        if (!hasRoomForKeyHolds(keys.size())) {
             return false;
         }
-        for (int from = 0; from < keys.size(); from += HOLDS_IN_RECORD) {
-            if (!append(held(origin, keys.subList(from, Math.min(keys.size(), from + HOLDS_IN_RECORD)), until))) {
+        for (int from = 0; from < keys.size(); from += KEYS_PER_RECORD) {
+            if (!appendRecord(encodeKeysHeld(
+                    origin, keys.subList(from, Math.min(keys.size(), from + KEYS_PER_RECORD)), untilMillis))) {
                 return false;
             }
         }
-        keepHolds(origin, keys, until);
+        addKeyHolds(origin, keys, untilMillis);
         return true;
     }
 
-    private boolean roomForHolds(int more) {
-        return holds.hasCapacity(more)
-                && (holds.size() + more) * (long) HOLD_BYTES <= budget / HOLDS_SHARE
-                && 2 * (reserved + more * (long) HOLD_BYTES) + REWRITE_LEAST / 4 <= budget;
+    private boolean hasRoomForKeyHolds(int additionalHolds) {
+        return keyHolds.hasCapacity(additionalHolds)
+                && (keyHolds.size() + additionalHolds) * (long) KEY_HOLD_BYTES <= budgetBytes / KEY_HOLDS_BUDGET_DIVISOR
+                && 2 * (reservedBytes + additionalHolds * (long) KEY_HOLD_BYTES) + MIN_REWRITE_BYTES / 4 <= budgetBytes;
     }
 
     /** The origin has nothing of these keys any more. If that cannot be written the hold only lasts longer. */
     List<Long> release(String origin, List<Long> keys) {
-        append(released(origin, keys));
-        return dropHolds(origin, keys);
+        appendRecord(encodeKeysReleased(origin, keys));
+        return removeKeyHolds(origin, keys);
     }
 
-    private void keepHolds(String origin, List<Long> keys, long until) {
-        int before = holds.size();
-        holds.hold(origin, keys, until);
-        reserved += (holds.size() - before) * (long) HOLD_BYTES;
+    private void addKeyHolds(String origin, List<Long> keys, long untilMillis) {
+        int sizeBefore = keyHolds.size();
+        keyHolds.hold(origin, keys, untilMillis);
+        reservedBytes += (keyHolds.size() - sizeBefore) * (long) KEY_HOLD_BYTES;
     }
 
-    private List<Long> dropHolds(String origin, List<Long> keys) {
-        int before = holds.size();
-        List<Long> free = holds.release(origin, keys);
-        reserved += (holds.size() - before) * (long) HOLD_BYTES;
-        return free;
+    private List<Long> removeKeyHolds(String origin, List<Long> keys) {
+        int sizeBefore = keyHolds.size();
+        List<Long> freeKeys = keyHolds.release(origin, keys);
+        reservedBytes += (keyHolds.size() - sizeBefore) * (long) KEY_HOLD_BYTES;
+        return freeKeys;
     }
 
     /** Ends holds whose time is up; nothing is written, as their time stands in their record. */
-    List<Long> expireHolds(long wall) {
-        int before = holds.size();
-        List<Long> free = holds.expire(wall);
-        reserved += (holds.size() - before) * (long) HOLD_BYTES;
-        return free;
+    List<Long> expireHolds(long wallMillis) {
+        int sizeBefore = keyHolds.size();
+        List<Long> freeKeys = keyHolds.expire(wallMillis);
+        reservedBytes += (keyHolds.size() - sizeBefore) * (long) KEY_HOLD_BYTES;
+        return freeKeys;
     }
 
     /** The 0 stands where other records have a message's number, so that older programs pass over it. */
-    private static byte[] held(String origin, List<Long> keys, long until) {
-        return record('W', out -> {
+    private static byte[] encodeKeysHeld(String origin, List<Long> keys, long untilMillis) {
+        return encodeRecord('W', out -> {
             out.writeLong(0);
             out.writeUTF(origin);
-            out.writeLong(until);
+            out.writeLong(untilMillis);
             writeKeys(out, keys);
         });
     }
 
-    private static byte[] released(String origin, List<Long> keys) {
-        return record('F', out -> {
+    private static byte[] encodeKeysReleased(String origin, List<Long> keys) {
+        return encodeRecord('F', out -> {
             out.writeLong(0);
             out.writeUTF(origin);
             writeKeys(out, keys);
@@ -455,106 +475,107 @@
         return keys;
     }
 
-    private void replayHold(DataInputStream in, boolean held) throws IOException {
+    private void replayKeyHolds(DataInputStream in, boolean held) throws IOException {
         in.readLong();
         String origin = in.readUTF();
         if (held) {
-            long until = in.readLong();
-            keepHolds(origin, readKeys(in), until);
+            long untilMillis = in.readLong();
+            addKeyHolds(origin, readKeys(in), untilMillis);
         } else {
-            dropHolds(origin, readKeys(in));
+            removeKeyHolds(origin, readKeys(in));
         }
     }
 
-    private boolean roomForLot(String name) {
-        long most = Math.min(MOST_LOTS, budget / LOTS_SHARE / LOT_BYTES);
-        if (lots.size() >= most) {
-            dropOldLots();
+    private boolean hasRoomForBatch(String name) {
+        long maxBatches =
+                Math.min(MAX_HANDOFF_BATCHES, budgetBytes / HANDOFF_BATCHES_BUDGET_DIVISOR / HANDOFF_BATCH_BYTES);
+        if (handoffBatches.size() >= maxBatches) {
+            deleteExpiredBatches();
         }
-        return lots.size() < most || lots.containsKey(name);
+        return handoffBatches.size() < maxBatches || handoffBatches.containsKey(name);
     }
 
     /** What nobody can ask for any more: a late offer of messages whose time is up is refused for that. */
-    private void dropOldLots() {
-        long now = System.currentTimeMillis();
-        List.copyOf(lots.keySet()).forEach(name -> {
-            Lot lot = lots.get(name);
-            if (lot.until() < now && lot.ownership().status() != Ownership.Status.OFFERED) {
-                reserved -= reserve(lots.remove(name));
+    private void deleteExpiredBatches() {
+        long nowMillis = System.currentTimeMillis();
+        List.copyOf(handoffBatches.keySet()).forEach(name -> {
+            Lot batch = handoffBatches.get(name);
+            if (batch.until() < nowMillis && batch.ownership().status() != Ownership.Status.OFFERED) {
+                reservedBytes -= requiredBytes(handoffBatches.remove(name));
             }
         });
     }
 
-    private static long reserve(Lot lot) {
-        return LOT_BYTES + 8L * lot.numbers().size();
+    private static long requiredBytes(Lot batch) {
+        return HANDOFF_BATCH_BYTES + 8L * batch.numbers().size();
     }
 
-    private void apply(String name, Lot lot) {
-        Lot before = lots.put(name, lot);
-        reserved += reserve(lot) - (before == null ? 0 : reserve(before));
-        for (long number : lot.numbers()) {
-            AcceptedMessage m = live.get(number);
-            if (m != null && lot.ownership().status() == Ownership.Status.GIVEN) {
-                drop(m);
-            } else if (m != null && lot.ownership().status() != Ownership.Status.ENDED) {
-                m.offeredToPeer = lot.ownership().status() == Ownership.Status.OFFERED;
+    private void putBatch(String name, Lot batch) {
+        Lot previous = handoffBatches.put(name, batch);
+        reservedBytes += requiredBytes(batch) - (previous == null ? 0 : requiredBytes(previous));
+        for (long number : batch.numbers()) {
+            AcceptedMessage message = pending.get(number);
+            if (message != null && batch.ownership().status() == Ownership.Status.GIVEN) {
+                complete(message);
+            } else if (message != null && batch.ownership().status() != Ownership.Status.ENDED) {
+                message.offeredToPeer = batch.ownership().status() == Ownership.Status.OFFERED;
             }
         }
     }
 
-    private static byte[] lotRecord(
-            char type, String name, Lot lot, List<AcceptedMessage> messages, List<byte[]> more) {
-        return record(type, out -> {
+    private static byte[] encodeBatch(
+            char type, String name, Lot batch, List<AcceptedMessage> messages, List<byte[]> additionalRecords) {
+        return encodeRecord(type, out -> {
             out.writeUTF(name);
-            out.writeLong(lot.ownership().generation());
-            out.writeUTF(lot.ownership().status().name());
-            out.writeUTF(lot.ownership().peer());
-            out.writeLong(lot.until());
-            out.writeInt(lot.numbers().size());
-            for (long number : lot.numbers()) {
+            out.writeLong(batch.ownership().generation());
+            out.writeUTF(batch.ownership().status().name());
+            out.writeUTF(batch.ownership().peer());
+            out.writeLong(batch.until());
+            out.writeInt(batch.numbers().size());
+            for (long number : batch.numbers()) {
                 out.writeLong(number);
             }
-            List<byte[]> parts = new ArrayList<>();
-            for (AcceptedMessage m : messages) {
-                parts.add(accepted(m));
-                parts.add(standing(m));
-                if (m.pendingNotification != null) {
-                    parts.add(ending(m));
+            List<byte[]> records = new ArrayList<>();
+            for (AcceptedMessage message : messages) {
+                records.add(encodeAccepted(message));
+                records.add(encodeAttempts(message));
+                if (message.pendingNotification != null) {
+                    records.add(encodeEnded(message));
                 }
             }
-            parts.addAll(more);
+            records.addAll(additionalRecords);
             // Below 0 it counts parts; older journals have the number of messages there, each with two.
-            out.writeInt(-parts.size());
-            for (byte[] part : parts) {
-                out.writeInt(part.length - HEAD);
-                out.write(part, HEAD, part.length - HEAD);
+            out.writeInt(-records.size());
+            for (byte[] record : records) {
+                out.writeInt(record.length - FRAME_HEADER_BYTES);
+                out.write(record, FRAME_HEADER_BYTES, record.length - FRAME_HEADER_BYTES);
             }
         });
     }
 
-    private void replayLot(DataInputStream in) throws IOException {
+    private void replayBatch(DataInputStream in) throws IOException {
         String name = in.readUTF();
         Ownership ownership = new Ownership(in.readLong(), Ownership.Status.valueOf(in.readUTF()), in.readUTF());
-        long until = in.readLong();
+        long untilMillis = in.readLong();
         List<Long> numbers = new ArrayList<>();
         for (int i = in.readInt(); i > 0; i--) {
             numbers.add(in.readLong());
         }
-        int told = in.readInt();
-        for (int parts = told < 0 ? -told : 2 * told; parts > 0; parts--) {
+        int count = in.readInt();
+        for (int remainingRecords = count < 0 ? -count : 2 * count; remainingRecords > 0; remainingRecords--) {
             replay(in.readNBytes(in.readInt()));
         }
-        apply(name, new Lot(ownership, until, numbers));
+        putBatch(name, new Lot(ownership, untilMillis, numbers));
     }
 
     /** What was remembered of places, one for each. */
     Collection<Memory> memories() {
-        return memories.values();
+        return healthRecords.values();
     }
 
-    void remember(Memory memory) {
-        keep(memory);
-        append(remembered(memory));
+    void remember(Memory record) {
+        putHealth(record);
+        appendRecord(encodeHealth(record));
     }
 
     @Override
@@ -564,20 +585,20 @@
 
     // ---- Records. ----
 
-    private interface Content {
+    private interface FieldWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] record(char type, Content content) {
+    private static byte[] encodeRecord(char type, FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(type);
-            content.write(out);
+            fields.write(out);
         } catch (IOException e) {
             throw new IllegalArgumentException(e);
         }
         byte[] payload = bytes.toByteArray();
-        return ByteBuffer.allocate(HEAD + payload.length)
+        return ByteBuffer.allocate(FRAME_HEADER_BYTES + payload.length)
                 .putInt(payload.length)
                 .putInt(checksum(payload))
                 .put(payload)
@@ -590,36 +611,36 @@
         return (int) crc.getValue();
     }
 
-    private static byte[] accepted(AcceptedMessage m) {
-        return record('A', out -> {
-            out.writeLong(m.number);
-            out.writeUTF(m.id);
-            out.writeUTF(m.idempotencyKey);
-            out.writeUTF(m.className);
-            out.writeLong(m.key);
-            out.writeInt(m.destination);
-            out.writeLong(m.deadlineMillis);
-            out.writeInt(m.body.length);
-            out.write(m.body);
-            out.writeInt(m.classNumber);
+    private static byte[] encodeAccepted(AcceptedMessage message) {
+        return encodeRecord('A', out -> {
+            out.writeLong(message.number);
+            out.writeUTF(message.id);
+            out.writeUTF(message.idempotencyKey);
+            out.writeUTF(message.className);
+            out.writeLong(message.key);
+            out.writeInt(message.destination);
+            out.writeLong(message.deadlineMillis);
+            out.writeInt(message.body.length);
+            out.write(message.body);
+            out.writeInt(message.classNumber);
         });
     }
 
     /** The 0 stands where other records have a message's number, so that older programs pass over it. */
-    private static byte[] defined(int number, MessageClassRegistry.Version version) {
-        DeliveryScheduler.MessageClass c = version.type();
-        return record('D', out -> {
+    private static byte[] encodeClass(int number, MessageClassRegistry.Version version) {
+        DeliveryScheduler.MessageClass messageClass = version.type();
+        return encodeRecord('D', out -> {
             out.writeLong(0);
             out.writeInt(number);
             out.writeUTF(version.name());
-            out.writeDouble(c.priorityWeight());
-            out.writeDouble(c.lateValueShare());
-            out.writeLong(c.latencyObjectiveMicros());
-            out.writeLong(c.deadlineMicros());
-            out.writeByte(c.idempotency().ordinal());
-            out.writeByte(c.keyScope().ordinal());
-            out.writeLong(c.keyLifeMicros());
-            out.writeBoolean(c.ordered());
+            out.writeDouble(messageClass.priorityWeight());
+            out.writeDouble(messageClass.lateValueShare());
+            out.writeLong(messageClass.latencyObjectiveMicros());
+            out.writeLong(messageClass.deadlineMicros());
+            out.writeByte(messageClass.idempotency().ordinal());
+            out.writeByte(messageClass.keyScope().ordinal());
+            out.writeLong(messageClass.keyLifeMicros());
+            out.writeBoolean(messageClass.ordered());
         });
     }
 
@@ -627,7 +648,7 @@
         in.readLong();
         int number = in.readInt();
         String name = in.readUTF();
-        keep(
+        putClass(
                 number,
                 new MessageClassRegistry.Version(
                         name,
@@ -642,34 +663,34 @@
                                 in.readBoolean())));
     }
 
-    private static byte[] ending(AcceptedMessage m) {
-        return record('E', out -> {
-            out.writeLong(m.number);
-            out.writeUTF(m.pendingNotification);
+    private static byte[] encodeEnded(AcceptedMessage message) {
+        return encodeRecord('E', out -> {
+            out.writeLong(message.number);
+            out.writeUTF(message.pendingNotification);
         });
     }
 
-    private static byte[] remembered(Memory memory) {
-        return record('M', out -> {
-            out.writeInt(memory.destination());
-            out.writeUTF(memory.uid());
-            out.writeUTF(memory.health().storedName());
-            out.writeLong(memory.since());
-            out.writeDouble(memory.pace());
-            out.writeDouble(memory.usual());
+    private static byte[] encodeHealth(Memory record) {
+        return encodeRecord('M', out -> {
+            out.writeInt(record.destination());
+            out.writeUTF(record.uid());
+            out.writeUTF(record.health().storedName());
+            out.writeLong(record.since());
+            out.writeDouble(record.pace());
+            out.writeDouble(record.usual());
         });
     }
 
     /** All that attempts have left behind, for a rewritten file. */
-    private static byte[] standing(AcceptedMessage m) {
-        return record('S', out -> {
-            out.writeLong(m.number);
-            out.writeInt(m.attempts);
-            out.writeLong(m.unknownOutcomeSinceMillis);
-            out.writeUTF(m.unknownOutcomeEndpoint);
-            out.writeBoolean(m.attemptInFlight);
-            out.writeLong(m.attemptSentAtMillis);
-            out.writeUTF(m.attemptEndpoint);
+    private static byte[] encodeAttempts(AcceptedMessage message) {
+        return encodeRecord('S', out -> {
+            out.writeLong(message.number);
+            out.writeInt(message.attempts);
+            out.writeLong(message.unknownOutcomeSinceMillis);
+            out.writeUTF(message.unknownOutcomeEndpoint);
+            out.writeBoolean(message.attemptInFlight);
+            out.writeLong(message.attemptSentAtMillis);
+            out.writeUTF(message.attemptEndpoint);
         });
     }
 
@@ -677,11 +698,11 @@
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload));
         int type = in.readByte();
         if (type == 'K') {
-            remember(in.readUTF(), 0);
+            addCompletedId(in.readUTF(), 0);
             return;
         }
         if (type == 'H' || type == 'P') {
-            replayLot(in);
+            replayBatch(in);
             return;
         }
         if (type == 'D') {
@@ -690,18 +711,18 @@
         }
         if (type == 'R') {
             in.readLong();
-            AcceptedMessage m = live.get(in.readLong());
-            if (m != null) {
-                moveBehind(m);
+            AcceptedMessage message = pending.get(in.readLong());
+            if (message != null) {
+                moveToEnd(message);
             }
             return;
         }
         if (type == 'W' || type == 'F') {
-            replayHold(in, type == 'W');
+            replayKeyHolds(in, type == 'W');
             return;
         }
         if (type == 'M') {
-            keep(new Memory(
+            putHealth(new Memory(
                     in.readInt(),
                     in.readUTF(),
                     DeliveryScheduler.UpstreamStatus.ofStoredName(in.readUTF()),
@@ -711,9 +732,9 @@
             return;
         }
         long number = in.readLong();
-        next = Math.max(next, number + 1);
+        nextNumber = Math.max(nextNumber, number + 1);
         if (type == 'A') {
-            AcceptedMessage m = new AcceptedMessage(
+            AcceptedMessage message = new AcceptedMessage(
                     number,
                     in.readUTF(),
                     in.readUTF(),
@@ -722,33 +743,33 @@
                     in.readInt(),
                     in.readLong(),
                     in.readNBytes(in.readInt()));
-            m.classNumber = in.available() < Integer.BYTES ? -1 : in.readInt();
-            add(m);
+            message.classNumber = in.available() < Integer.BYTES ? -1 : in.readInt();
+            addPending(message);
             return;
         }
-        AcceptedMessage m = live.get(number);
-        if (m == null) {
+        AcceptedMessage message = pending.get(number);
+        if (message == null) {
             return;
         }
         switch (type) {
             case 'T' -> {
-                long wall = in.readLong();
-                m.attempt(in.readUTF(), wall);
+                long wallMillis = in.readLong();
+                message.attempt(in.readUTF(), wallMillis);
             }
-            case 'O' -> m.outcome(in.readBoolean());
+            case 'O' -> message.outcome(in.readBoolean());
             case 'E' -> {
-                reserved -= reserve(m);
-                m.end(in.readUTF());
-                reserved += reserve(m);
+                reservedBytes -= requiredBytes(message);
+                message.end(in.readUTF());
+                reservedBytes += requiredBytes(message);
             }
-            case 'N' -> drop(m);
+            case 'N' -> complete(message);
             case 'S' -> {
-                m.attempts = in.readInt();
-                m.unknownOutcomeSinceMillis = in.readLong();
-                m.unknownOutcomeEndpoint = in.readUTF();
-                m.attemptInFlight = in.readBoolean();
-                m.attemptSentAtMillis = in.readLong();
-                m.attemptEndpoint = in.readUTF();
+                message.attempts = in.readInt();
+                message.unknownOutcomeSinceMillis = in.readLong();
+                message.unknownOutcomeEndpoint = in.readUTF();
+                message.attemptInFlight = in.readBoolean();
+                message.attemptSentAtMillis = in.readLong();
+                message.attemptEndpoint = in.readUTF();
             }
             default -> throw new IOException("unknown record " + type);
         }
@@ -757,30 +778,32 @@
     private void recover() throws IOException {
         replayAll();
         long length = file.size();
-        if (size < length) {
-            Log.warn("journal: cut off a torn tail of " + (length - size) + " bytes");
-            file.truncate(size);
+        if (validBytes < length) {
+            Log.warn("journal: cut off a torn tail of " + (length - validBytes) + " bytes");
+            file.truncate(validBytes);
         }
-        file.position(size);
+        file.position(validBytes);
     }
 
     private void replayAll() throws IOException {
         long length = file.size();
-        ByteBuffer head = ByteBuffer.allocate(HEAD);
-        while (size + HEAD <= length) {
-            if (!fill(head.clear())) {
+        ByteBuffer frameHeader = ByteBuffer.allocate(FRAME_HEADER_BYTES);
+        while (validBytes + FRAME_HEADER_BYTES <= length) {
+            if (!fill(frameHeader.clear())) {
                 break;
             }
-            int bytes = head.getInt(0);
-            if (bytes <= 0 || bytes > LARGEST || size + HEAD + bytes > length) {
+            int payloadBytes = frameHeader.getInt(0);
+            if (payloadBytes <= 0
+                    || payloadBytes > MAX_RECORD_BYTES
+                    || validBytes + FRAME_HEADER_BYTES + payloadBytes > length) {
                 break;
             }
-            ByteBuffer payload = ByteBuffer.allocate(bytes);
-            if (!fill(payload) || checksum(payload.array()) != head.getInt(4)) {
+            ByteBuffer payload = ByteBuffer.allocate(payloadBytes);
+            if (!fill(payload) || checksum(payload.array()) != frameHeader.getInt(4)) {
                 break;
             }
             replay(payload.array());
-            size += HEAD + bytes;
+            validBytes += FRAME_HEADER_BYTES + payloadBytes;
         }
     }
 
@@ -795,138 +818,143 @@
 
     // ---- Room. ----
 
-    private static long reserve(AcceptedMessage m) {
-        return 160 + m.body.length + 3L * (m.id.length() + m.idempotencyKey.length()) + LATER;
+    private static long requiredBytes(AcceptedMessage message) {
+        return 160
+                + message.body.length
+                + 3L * (message.id.length() + message.idempotencyKey.length())
+                + LATER_RECORD_BYTES;
     }
 
-    private void add(AcceptedMessage m) {
-        live.put(m.number, m);
-        liveIds.put(m.id, m.contentHash);
-        reserved += reserve(m);
+    private void addPending(AcceptedMessage message) {
+        pending.put(message.number, message);
+        pendingIds.put(message.id, message.contentHash);
+        reservedBytes += requiredBytes(message);
     }
 
-    private void drop(AcceptedMessage m) {
-        live.remove(m.number);
-        liveIds.remove(m.id);
-        remember(m.id, m.contentHash);
-        reserved -= reserve(m);
+    private void complete(AcceptedMessage message) {
+        pending.remove(message.number);
+        pendingIds.remove(message.id);
+        addCompletedId(message.id, message.contentHash);
+        reservedBytes -= requiredBytes(message);
     }
 
     /** That a place is well need not be kept. */
-    private void keep(Memory memory) {
-        String place = memory.destination() + " " + memory.uid();
-        forget(place);
-        if (memory.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
-            memories.put(place, memory);
-            reserved += MEMORY_BYTES + memory.uid().length();
+    private void putHealth(Memory record) {
+        String upstreamKey = record.destination() + " " + record.uid();
+        removeHealth(upstreamKey);
+        if (record.health() != DeliveryScheduler.UpstreamStatus.HEALTHY) {
+            healthRecords.put(upstreamKey, record);
+            reservedBytes += HEALTH_BYTES + record.uid().length();
         }
-        if (memories.size() > MEMORIES) {
-            forget(memories.keySet().iterator().next());
+        if (healthRecords.size() > MAX_HEALTH_RECORDS) {
+            removeHealth(healthRecords.keySet().iterator().next());
         }
     }
 
-    private void forget(String place) {
-        Memory old = memories.remove(place);
-        if (old != null) {
-            reserved -= MEMORY_BYTES + old.uid().length();
+    private void removeHealth(String upstreamKey) {
+        Memory removed = healthRecords.remove(upstreamKey);
+        if (removed != null) {
+            reservedBytes -= HEALTH_BYTES + removed.uid().length();
         }
     }
 
-    private void remember(String id, int content) {
-        ended.put(id, content);
-        if (ended.size() > REMEMBERED) {
-            ended.remove(ended.keySet().iterator().next());
+    private void addCompletedId(String id, int contentHash) {
+        completedIds.put(id, contentHash);
+        if (completedIds.size() > MAX_COMPLETED_IDS) {
+            completedIds.remove(completedIds.keySet().iterator().next());
         }
     }
 
-    private boolean append(byte[] record) {
+    private boolean appendRecord(byte[] record) {
         try {
-            if (size + record.length + reserved > budget || size > REWRITE_LEAST && size > 4 * reserved) {
-                rewrite();
+            if (validBytes + record.length + reservedBytes > budgetBytes
+                    || validBytes > MIN_REWRITE_BYTES && validBytes > 4 * reservedBytes) {
+                rewriteFile();
             }
             ByteBuffer bytes = ByteBuffer.wrap(record);
             while (bytes.hasRemaining()) {
                 file.write(bytes);
             }
-            size += record.length;
+            validBytes += record.length;
             checkFence();
             return true;
         } catch (IOException e) {
             Log.warn("journal: " + e);
-            undo();
+            truncateFailedAppend();
             return false;
         }
     }
 
     /** Half a record would hide every later one from the next start. */
-    private void undo() {
+    private void truncateFailedAppend() {
         try {
-            file.truncate(size);
-            file.position(size);
+            file.truncate(validBytes);
+            file.position(validBytes);
         } catch (IOException e) {
             Log.warn("journal: cannot cut off half a record: " + e);
         }
     }
 
     /** Written through a small buffer: the heap has no room for a second copy of all that is owed. */
-    private void rewrite() throws IOException {
-        dropOldLots();
-        Path path = path("journal.new");
-        FileChannel fresh = FileChannel.open(
-                path, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
-        long length;
+    private void rewriteFile() throws IOException {
+        deleteExpiredBatches();
+        Path newPath = pathOf("journal.new");
+        FileChannel newFile = FileChannel.open(
+                newPath, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+        long newLength;
         try {
-            OutputStream out = new BufferedOutputStream(Channels.newOutputStream(fresh), REWRITE_BUFFER);
-            for (String id : ended.keySet()) {
-                out.write(record('K', record -> record.writeUTF(id)));
+            OutputStream out = new BufferedOutputStream(Channels.newOutputStream(newFile), REWRITE_BUFFER_BYTES);
+            for (String id : completedIds.keySet()) {
+                out.write(encodeRecord('K', record -> record.writeUTF(id)));
             }
-            for (Memory memory : memories.values()) {
-                out.write(remembered(memory));
+            for (Memory record : healthRecords.values()) {
+                out.write(encodeHealth(record));
             }
             for (Map.Entry<Integer, MessageClassRegistry.Version> version : classes.entrySet()) {
-                out.write(defined(version.getKey(), version.getValue()));
+                out.write(encodeClass(version.getKey(), version.getValue()));
             }
-            Map<String, Map<Long, List<Long>>> kept = new LinkedHashMap<>();
-            holds.allHolds().forEach(h -> kept.computeIfAbsent(h.origin(), o -> new LinkedHashMap<>())
-                    .computeIfAbsent(h.untilMillis(), u -> new ArrayList<>())
-                    .add(h.key()));
-            for (Map.Entry<String, Map<Long, List<Long>>> origin : kept.entrySet()) {
+            Map<String, Map<Long, List<Long>>> keysByUntilByOrigin = new LinkedHashMap<>();
+            keyHolds.allHolds().forEach(hold -> keysByUntilByOrigin
+                    .computeIfAbsent(hold.origin(), o -> new LinkedHashMap<>())
+                    .computeIfAbsent(hold.untilMillis(), u -> new ArrayList<>())
+                    .add(hold.key()));
+            for (Map.Entry<String, Map<Long, List<Long>>> origin : keysByUntilByOrigin.entrySet()) {
                 for (Map.Entry<Long, List<Long>> until : origin.getValue().entrySet()) {
                     List<Long> keys = until.getValue();
-                    for (int from = 0; from < keys.size(); from += HOLDS_IN_RECORD) {
-                        out.write(held(
+                    for (int from = 0; from < keys.size(); from += KEYS_PER_RECORD) {
+                        out.write(encodeKeysHeld(
                                 origin.getKey(),
-                                keys.subList(from, Math.min(keys.size(), from + HOLDS_IN_RECORD)),
+                                keys.subList(from, Math.min(keys.size(), from + KEYS_PER_RECORD)),
                                 until.getKey()));
                     }
                 }
             }
-            for (AcceptedMessage m : live.values()) {
-                out.write(accepted(m));
-                if (m.attempts > 0) {
-                    out.write(standing(m));
+            for (AcceptedMessage message : pending.values()) {
+                out.write(encodeAccepted(message));
+                if (message.attempts > 0) {
+                    out.write(encodeAttempts(message));
                 }
-                if (m.pendingNotification != null) {
-                    out.write(ending(m));
+                if (message.pendingNotification != null) {
+                    out.write(encodeEnded(message));
                 }
             }
-            for (Map.Entry<String, Lot> lot : lots.entrySet()) {
-                out.write(lotRecord('H', lot.getKey(), lot.getValue(), List.of(), List.of()));
+            for (Map.Entry<String, Lot> batch : handoffBatches.entrySet()) {
+                out.write(encodeBatch('H', batch.getKey(), batch.getValue(), List.of(), List.of()));
             }
             out.flush();
-            length = fresh.position();
-            Files.move(path, path("journal"), StandardCopyOption.ATOMIC_MOVE);
+            newLength = newFile.position();
+            Files.move(newPath, pathOf("journal"), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            fresh.close();
-            Files.deleteIfExists(path);
+            newFile.close();
+            Files.deleteIfExists(newPath);
             throw e;
         }
         file.close();
-        file = fresh;
-        size = length;
+        file = newFile;
+        validBytes = newLength;
     }
 
-    private Path path(String name) {
+    private Path pathOf(String name) {
         return folder.resolve(name);
     }
 }
--- a/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
+++ b/sender/src/test/java/amberroute/sender/peer/ReplicaStoreTest.java
@@ -37,7 +37,8 @@
         Owner() throws IOException {
             journal = Journal.open(folder.resolve("owner"), BUDGET);
             journal.replicateTo(this);
-            journal.replicaSet(ReplicaRecords.encodeReplicaSet(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
+            journal.writeReplicaSet(
+                    ReplicaRecords.encodeReplicaSet(ESTATE, new ReplicaSet(1, List.of("s1", "s2", "s3"))));
         }
 
         @Override
@@ -97,12 +98,12 @@
         try (Owner owner = new Owner()) {
             AcceptedMessage first = owner.accept("first");
             AcceptedMessage over = owner.accept("over");
-            owner.journal.conclude(over);
+            owner.journal.complete(over);
             ReplicaStore store = store();
             ReplicaStore.StoredReplica kept = whole(store, owner, this);
             long had = owner.number;
             owner.changes.clear();
-            assertTrue(owner.journal.attempt(first, "p1", 5));
+            assertTrue(owner.journal.recordAttempt(first, "p1", 5));
             owner.accept("second");
             assertTrue(store.append(kept, kept.state.onAppend(1, "s1", had, owner.number), owner.changes));
             store.close();
@@ -116,7 +117,7 @@
                         List.of("first", "second"),
                         copy.pendingMessages().stream().map(m -> m.id).toList());
                 assertTrue(copy.pendingMessages().iterator().next().attemptInFlight);
-                assertTrue(copy.knows("over"));
+                assertTrue(copy.containsId("over"));
                 assertEquals(
                         new LogPosition(1, owner.number), ReplicaRecords.decodePosition(copy.replicationPosition()));
             }
