--- a/sender/src/main/java/amberroute/sender/journal/DataLossReport.java
+++ b/sender/src/main/java/amberroute/sender/journal/DataLossReport.java
@@ -33,8 +33,8 @@
     private static String describe(DataLoss loss) {
         return loss.missing()
                 ? "segment " + loss.segment() + " is missing"
-                : "segment " + loss.segment() + ": bytes " + loss.damage().from() + " to "
-                        + loss.damage().to();
+                : "segment " + loss.segment() + ": bytes " + loss.damage().startOffset() + " to "
+                        + loss.damage().endOffset();
     }
 
     /** Returns whether more than a torn write could not be read. */
@@ -57,8 +57,8 @@
             } else {
                 LogEvent.of("journal_segment_damaged")
                         .with("segment", loss.segment())
-                        .with("from", loss.damage().from())
-                        .with("to", loss.damage().to())
+                        .with("from", loss.damage().startOffset())
+                        .with("to", loss.damage().endOffset())
                         .warn();
             }
         }
--- a/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
+++ b/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
@@ -57,7 +57,7 @@
             effect.run();
             return;
         }
-        deferred.add(new DeferredEffect(log.sequence(), effect, onFailure));
+        deferred.add(new DeferredEffect(log.lastSequence(), effect, onFailure));
         if (!startRequested && executor != null) {
             startRequested = true;
             executor.runOnLoop(this::startForce);
@@ -147,7 +147,7 @@
     }
 
     private boolean allForced() {
-        return !log.needsRewrite() && log.forcedSequence() >= log.sequence();
+        return !log.needsRewrite() && log.forcedSequence() >= log.lastSequence();
     }
 
     /** Forces on this thread, several times where a force fails. Slow. Returns whether that succeeded. */
--- a/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
@@ -128,7 +128,8 @@
         putBatchState(batch, name, record);
         messages.forEach(message -> MessageRecords.putCurrentState(batch, message));
         keys.forEach(key -> keyHolds.delete(batch, origin, key));
-        List<Long> ranks = rankedAfter.stream().map(message -> log.nextOwner()).toList();
+        List<Long> ranks =
+                rankedAfter.stream().map(message -> log.nextOwnerId()).toList();
         for (int i = 0; i < ranks.size(); i++) {
             MessageRecords.putRank(batch, rankedAfter.get(i).number, ranks.get(i));
         }
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -110,7 +110,7 @@
     }
 
     void importCompleted(CompletedRecord completed) throws IOException {
-        long number = log.nextOwner();
+        long number = log.nextOwnerId();
         Batch batch = MessageRecords.putCompleted(new Batch(), number, completed);
         contents.addCompleted(number, completed).forEach(batch::delete);
         log.write(batch);
@@ -118,7 +118,7 @@
 
     /** Writes a completed message that this process itself need not know. */
     void importCompletedWithoutCache(CompletedRecord completed) throws IOException {
-        log.write(MessageRecords.putCompleted(new Batch(), log.nextOwner(), completed));
+        log.write(MessageRecords.putCompleted(new Batch(), log.nextOwnerId(), completed));
     }
 
     JournalImport exportAll() {
@@ -128,7 +128,7 @@
                 contents.health.values(),
                 contents.keyHolds,
                 contents.handoffBatches,
-                log.nextOwner());
+                log.nextOwnerId());
     }
 
     List<CompletedRecord> completedRecords() {
@@ -277,7 +277,7 @@
 
     /** Returns a number for a new message. */
     public long nextNumber() {
-        return log.nextOwner();
+        return log.nextOwnerId();
     }
 
     /** Returns whether a message of this id is pending or was completed not long ago. */
--- a/sender/src/main/java/amberroute/sender/journal/JournalImport.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalImport.java
@@ -36,7 +36,7 @@
             contents.addPending(message);
         }
         // Later messages have higher ranks.
-        log.reserveOwnersBelow(rank);
+        log.reserveOwnerIdsBelow(rank);
         handoffBatches.forEach(contents::putHandoffBatch);
     }
 }
--- a/sender/src/main/java/amberroute/sender/journal/JournalOpener.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalOpener.java
@@ -41,7 +41,7 @@
             throw new IOException("the journal needs " + (LogLimits.MIN_BUDGET_BYTES + OTHER_FILES_BYTES)
                     + " bytes of disk, and has " + budgetBytes);
         }
-        LogLimits limits = LogLimits.of(logBudgetBytes, durability != Durability.NONE);
+        LogLimits limits = LogLimits.forBudget(logBudgetBytes, durability != Durability.NONE);
         LegacyJournalReader legacy = folder == null ? null : LegacyJournalReader.read(folder);
         boolean needsMigration = legacy != null && !legacy.migrated;
         if (needsMigration) {
@@ -71,7 +71,7 @@
     /** What a migration that did not finish has left: the earlier version's file still has all of it. */
     private void deleteSegments() throws IOException {
         for (String name : disk.list()) {
-            if (SegmentLog.isSegment(name)) {
+            if (SegmentLog.isSegmentFileName(name)) {
                 disk.delete(name);
             }
         }
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
@@ -59,7 +59,7 @@
      */
     Batch run() throws IOException {
         try {
-            log.read(this::readRecord);
+            log.readLiveContents(this::readRecord);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
             throw new IOException("a content of the journal cannot be read by this version", e);
         }
--- a/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
@@ -72,12 +72,12 @@
 
     /** Returns whether nothing is left over of a write or a force that failed. */
     boolean allWritesResolved() {
-        return pendingWrites.isEmpty() && !log.uncertain() && !log.needsRewrite();
+        return pendingWrites.isEmpty() && !log.hasUncertainWrite() && !log.needsRewrite();
     }
 
     /** Returns whether a batch whose write failed may be found after a restart all the same. */
     boolean lastWriteUncertain() {
-        return log.uncertain();
+        return log.hasUncertainWrite();
     }
 
     /** Appends a batch; false where the disk or the budget does not take it. */
--- a/sender/src/main/java/amberroute/sender/journal/OwnerNumbers.java
+++ b/sender/src/main/java/amberroute/sender/journal/OwnerNumbers.java
@@ -42,7 +42,7 @@
 
     /** Returns the owner's number, a new one where it has none. */
     long getOrAllocate(String owner) {
-        return numbers.computeIfAbsent(owner, name -> log.nextOwner());
+        return numbers.computeIfAbsent(owner, name -> log.nextOwnerId());
     }
 
     /** Returns the owner's number, or null. */
--- a/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
+++ b/sender/src/main/java/amberroute/sender/peer/ReplicaStore.java
@@ -152,7 +152,7 @@
         try {
             replica.log = SegmentLog.open(new FolderDisk(replica.copyFolder()), limits(), ReplicaStore::salt);
             byte[][] positionAndSet = new byte[2][];
-            replica.log.read((owner, kind, version, content) -> {
+            replica.log.readLiveContents((owner, kind, version, content) -> {
                 if (kind == RecordKind.REPLICATION_POSITION) {
                     positionAndSet[0] = bytes(content);
                 } else if (kind == RecordKind.REPLICA_SET) {
@@ -177,7 +177,7 @@
     }
 
     private LogLimits limits() {
-        return LogLimits.of(budgetBytes - RESERVED_BYTES, false);
+        return LogLimits.forBudget(budgetBytes - RESERVED_BYTES, false);
     }
 
     private static long salt() {
--- a/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
+++ b/sender/src/test/java/amberroute/sender/OrphanedJournalRecoveryTest.java
@@ -411,7 +411,7 @@
 
     private static List<Path> segments(Path state) throws IOException {
         try (var files = Files.list(state)) {
-            return files.filter(f -> amberroute.storage.SegmentLog.isSegment(
+            return files.filter(f -> amberroute.storage.SegmentLog.isSegmentFileName(
                             f.getFileName().toString()))
                     .sorted()
                     .toList();
--- a/sender/src/test/java/amberroute/sender/SenderTest.java
+++ b/sender/src/test/java/amberroute/sender/SenderTest.java
@@ -557,7 +557,7 @@
         sender.stop();
         Path newest;
         try (var files = Files.list(folder.resolve("state"))) {
-            newest = files.filter(f -> amberroute.storage.SegmentLog.isSegment(
+            newest = files.filter(f -> amberroute.storage.SegmentLog.isSegmentFileName(
                             f.getFileName().toString()))
                     .max(java.util.Comparator.naturalOrder())
                     .orElseThrow();
--- a/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
@@ -49,7 +49,7 @@
     private static TreeMap<String, byte[]> segments(Path state) throws IOException {
         TreeMap<String, byte[]> bytesByNumber = new TreeMap<>();
         for (var entry : files(state).entrySet()) {
-            if (SegmentLog.isSegment(entry.getKey())) {
+            if (SegmentLog.isSegmentFileName(entry.getKey())) {
                 byte[] bytes = Files.readAllBytes(entry.getValue());
                 ByteBuffer buffer = ByteBuffer.wrap(bytes);
                 for (int offset = HEADER_BYTES;
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -48,7 +48,8 @@
     /** The one segment that a test has written so far. */
     private Path segment() throws IOException {
         try (var files = Files.list(folder)) {
-            return files.filter(file -> SegmentLog.isSegment(file.getFileName().toString()))
+            return files.filter(file ->
+                            SegmentLog.isSegmentFileName(file.getFileName().toString()))
                     .min(Comparator.naturalOrder())
                     .orElseThrow();
         }
--- a/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -132,7 +132,7 @@
                 } catch (SimulatedDisk.ProcessKilledError e) {
                     // Power has failed.
                 }
-                disk.failPower(seed);
+                disk.simulatePowerLoss(seed);
                 disk.restart(1, SimulatedDisk.Fault.NONE, 0);
                 Map<String, AcceptedMessage> foundById = new HashMap<>();
                 Journal.open(null, disk, BUDGET_BYTES)
@@ -193,7 +193,7 @@
             journal.whenDurable(() -> effects.add("d"), null);
             executor.runAll();
             assertEquals("d", effects.get(3));
-            disk.failPower(seed);
+            disk.simulatePowerLoss(seed);
             disk.restart(1, SimulatedDisk.Fault.NONE, 0);
             assertEquals(
                     List.of("a", "b", "d"),
@@ -232,7 +232,7 @@
         assertEquals(List.of("a"), effects);
         completions.forEach(Runnable::run);
         assertEquals(List.of("a"), effects);
-        disk.failPower(3);
+        disk.simulatePowerLoss(3);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
         assertEquals(2, Journal.open(null, disk, BUDGET_BYTES).pendingMessages().size());
     }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -145,7 +145,7 @@
             }
             assertEquals(List.of(), effects);
             assertEquals(3, journal.pendingWriteCount());
-            assertTrue(disk.names().size() < 6, disk.names().toString());
+            assertTrue(disk.fileNames().size() < 6, disk.fileNames().toString());
             disk.restart(4, SimulatedDisk.Fault.NONE, 0);
             journal.retryFailedWrites();
             assertEquals(List.of("ends"), effects);
@@ -173,8 +173,8 @@
             messages.add(newMessage(journal, "m" + i));
             assertTrue(journal.accept(messages.get(i)));
         }
-        disk.capacity(disk.names().stream()
-                .mapToLong(name -> (disk.bytes(name).length + 511) / 512 * 512)
+        disk.setCapacity(disk.fileNames().stream()
+                .mapToLong(name -> (disk.fileBytes(name).length + 511) / 512 * 512)
                 .sum());
         int noticesSent = 0;
         for (AcceptedMessage message : messages.subList(0, 20)) {
@@ -187,7 +187,7 @@
         assertEquals(0, journal.pendingWriteCount());
         Journal reopened = openOn(disk);
         assertEquals(20, reopened.pendingMessages().size());
-        disk.capacity(Long.MAX_VALUE);
+        disk.setCapacity(Long.MAX_VALUE);
         reopened.retryFailedWrites();
         assertTrue(reopened.accept(newMessage(reopened, "new")));
     }
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
@@ -146,14 +146,14 @@
         }
 
         @Override
-        public Handle open(String name) throws IOException {
-            return new DefectiveFile(delegate.open(name));
+        public Handle openForWriting(String name) throws IOException {
+            return new DefectiveFile(delegate.openForWriting(name));
         }
 
         @Override
-        public Handle read(String name) throws IOException {
+        public Handle openForReading(String name) throws IOException {
             flush();
-            return delegate.read(name);
+            return delegate.openForReading(name);
         }
 
         @Override
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -37,7 +37,8 @@
 
     private List<Path> segments() throws IOException {
         try (var files = Files.list(folder)) {
-            return files.filter(file -> SegmentLog.isSegment(file.getFileName().toString()))
+            return files.filter(file ->
+                            SegmentLog.isSegmentFileName(file.getFileName().toString()))
                     .sorted()
                     .toList();
         }
--- a/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
+++ b/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
@@ -19,7 +19,8 @@
 
     static List<Path> segments(Path state) throws IOException {
         try (var files = Files.list(state)) {
-            return files.filter(file -> SegmentLog.isSegment(file.getFileName().toString()))
+            return files.filter(file ->
+                            SegmentLog.isSegmentFileName(file.getFileName().toString()))
                     .sorted()
                     .toList();
         }
--- a/storage/src/main/java/amberroute/storage/Batch.java
+++ b/storage/src/main/java/amberroute/storage/Batch.java
@@ -11,13 +11,13 @@
  */
 public final class Batch {
     /** Owner, kind, whether exclusive, and length. */
-    private static final int PUT_BYTES = 14;
+    private static final int PUT_HEADER_BYTES = 14;
 
     /** One content of an owner; an exclusive one replaces all others of the owner. */
-    record Put(long owner, int kind, byte[] content, boolean exclusive) {}
+    record Put(long ownerId, int kind, byte[] content, boolean exclusive) {}
 
     final List<Put> puts = new ArrayList<>();
-    final List<Long> deletedOwners = new ArrayList<>();
+    final List<Long> deletedOwnerIds = new ArrayList<>();
 
     /**
      * Puts a content.
@@ -25,39 +25,39 @@
      * @param kind 1 to {@value SegmentFormat#MAX_KIND}; an owner may have each kind once in a batch
      * @throws IllegalArgumentException where the kind or the owner's number is out of its range
      */
-    public Batch put(long owner, int kind, byte[] content) {
-        return put(owner, kind, content, false);
+    public Batch put(long ownerId, int kind, byte[] content) {
+        return put(ownerId, kind, content, false);
     }
 
     /** Puts a content that replaces all of the owner's; whatever is put for the owner later has to be exclusive too. */
-    public Batch putExclusive(long owner, int kind, byte[] content) {
-        return put(owner, kind, content, true);
+    public Batch putExclusive(long ownerId, int kind, byte[] content) {
+        return put(ownerId, kind, content, true);
     }
 
-    private Batch put(long owner, int kind, byte[] content, boolean exclusive) {
-        if (kind < 1 || kind > SegmentFormat.MAX_KIND || owner < 1) {
-            throw new IllegalArgumentException("kind " + kind + " of owner " + owner);
+    private Batch put(long ownerId, int kind, byte[] content, boolean exclusive) {
+        if (kind < 1 || kind > SegmentFormat.MAX_KIND || ownerId < 1) {
+            throw new IllegalArgumentException("kind " + kind + " of owner " + ownerId);
         }
-        puts.add(new Put(owner, kind, content, exclusive));
+        puts.add(new Put(ownerId, kind, content, exclusive));
         return this;
     }
 
     /** Adds all changes of another batch. */
     public Batch addAll(Batch other) {
         puts.addAll(other.puts);
-        deletedOwners.addAll(other.deletedOwners);
+        deletedOwnerIds.addAll(other.deletedOwnerIds);
         return this;
     }
 
     /** Deletes all contents of an owner, also those that this batch puts. */
-    public Batch delete(long owner) {
-        deletedOwners.add(owner);
+    public Batch delete(long ownerId) {
+        deletedOwnerIds.add(ownerId);
         return this;
     }
 
     /** Returns whether the batch changes nothing. */
     public boolean isEmpty() {
-        return puts.isEmpty() && deletedOwners.isEmpty();
+        return puts.isEmpty() && deletedOwnerIds.isEmpty();
     }
 
     /**
@@ -65,20 +65,20 @@
      * deletions:int owner:long...}.
      */
     public byte[] encode() {
-        int size = 2 * Integer.BYTES + Long.BYTES * deletedOwners.size();
+        int size = 2 * Integer.BYTES + Long.BYTES * deletedOwnerIds.size();
         for (Put put : puts) {
-            size += PUT_BYTES + put.content().length;
+            size += PUT_HEADER_BYTES + put.content().length;
         }
         ByteBuffer out = ByteBuffer.allocate(size).putInt(puts.size());
         for (Put put : puts) {
-            out.putLong(put.owner())
+            out.putLong(put.ownerId())
                     .put((byte) put.kind())
                     .put((byte) (put.exclusive() ? 1 : 0))
                     .putInt(put.content().length)
                     .put(put.content());
         }
-        out.putInt(deletedOwners.size());
-        deletedOwners.forEach(out::putLong);
+        out.putInt(deletedOwnerIds.size());
+        deletedOwnerIds.forEach(out::putLong);
         return out.array();
     }
 
@@ -107,7 +107,7 @@
     }
 
     private static void decodePut(ByteBuffer in, Batch batch) {
-        long owner = in.getLong();
+        long ownerId = in.getLong();
         int kind = in.get();
         boolean exclusive = in.get() == 1;
         int length = in.getInt();
@@ -116,6 +116,6 @@
         }
         byte[] content = new byte[length];
         in.get(content);
-        batch.put(owner, kind, content, exclusive);
+        batch.put(ownerId, kind, content, exclusive);
     }
 }
--- a/storage/src/main/java/amberroute/storage/Compactor.java
+++ b/storage/src/main/java/amberroute/storage/Compactor.java
@@ -23,25 +23,25 @@
     static final double MAX_LIVE_RATIO = 0.99;
 
     private static final int MAX_DELETIONS_PER_RECORD = 4_096;
-    private static final int LIVE_FACTOR = 3;
-    private static final int SPARE_SEGMENTS = 8;
-    private static final int FREE_SEGMENTS = 6;
-    private static final int EXTRA_SEGMENTS = 16;
+    private static final int MAX_USED_TO_LIVE_RATIO = 3;
+    private static final int DEAD_SPACE_ALLOWANCE_SEGMENTS = 8;
+    private static final int MIN_FREE_SEGMENTS = 6;
+    private static final int MAX_EXTRA_SEGMENTS = 16;
 
     private final LogFiles files;
     private final LogIndex index;
     private final SegmentWriter writer;
     private final ForceTracker forces;
     /** The segment that is being retired, null for none, and its bytes. */
-    private SegmentFile victim;
+    private SegmentFile sourceSegment;
 
-    private byte[] victimBytes;
+    private byte[] sourceBytes;
     /** The next entry of the victim's owners to be copied. */
-    private int cursor;
+    private int nextCopyIndex;
 
-    private boolean copied;
+    private boolean copyComplete;
     /** Last sequence number when nothing was left to copy. */
-    private long copiedSequence;
+    private long copyCompleteSequence;
 
     private long copiedBytes;
     private long retiredSegments;
@@ -65,20 +65,24 @@
 
     /** Returns whether there is more dead space than is worth retaining, or a suspect segment. */
     boolean shouldRun() {
-        if (victim != null || files.totals.suspects > 0) {
+        if (sourceSegment != null || files.totals.suspectSegments > 0) {
             return true;
         }
         LogLimits limits = files.limits;
         long maxBytes = Math.min(
-                limits.budgetBytes() - limits.reserveBytes() - FREE_SEGMENTS * limits.segmentBytes(),
-                LIVE_FACTOR * files.totals.liveBytes + SPARE_SEGMENTS * limits.segmentBytes());
-        return files.usedBytes() - SegmentTotals.roundUp(files.reserve.bytes()) > maxBytes
-                || files.segments.size() > EXTRA_SEGMENTS + limits.budgetBytes() / limits.segmentBytes();
+                limits.budgetBytes() - limits.reserveBytes() - MIN_FREE_SEGMENTS * limits.segmentBytes(),
+                MAX_USED_TO_LIVE_RATIO * files.totals.liveBytes
+                        + DEAD_SPACE_ALLOWANCE_SEGMENTS * limits.segmentBytes());
+        return files.usedBytes() - SegmentTotals.roundUpToBlocks(files.reserve.sizeBytes()) > maxBytes
+                || files.segments.size() > MAX_EXTRA_SEGMENTS + limits.budgetBytes() / limits.segmentBytes();
     }
 
     /** Returns whether a segment is deleted as soon as a force has covered what was copied from it. */
     boolean awaitsForce() {
-        return files.limits.forceRequired() && victim != null && copied && copiedSequence > forces.forcedSequence();
+        return files.limits.forceRequired()
+                && sourceSegment != null
+                && copyComplete
+                && copyCompleteSequence > forces.forcedSequence();
     }
 
     /**
@@ -88,38 +92,38 @@
      * @throws IOException where a segment cannot be read or the disk does not take the copy; the step can be repeated
      */
     boolean step(long maxBytes) throws IOException {
-        if (victim == null && !begin()) {
+        if (sourceSegment == null && !selectSourceSegment()) {
             return false;
         }
-        if (!copied) {
+        if (!copyComplete) {
             copySlice(maxBytes);
             return true;
         }
         if (awaitsForce()) {
             return false;
         }
-        retireVictim();
+        retireSourceSegment();
         return true;
     }
 
-    private boolean begin() throws IOException {
-        SegmentFile chosen = choose();
+    private boolean selectSourceSegment() throws IOException {
+        SegmentFile chosen = chooseSegment();
         if (chosen == null) {
             return false;
         }
-        victimBytes = bytesOf(chosen);
-        victim = chosen;
-        cursor = 0;
-        copied = false;
+        sourceBytes = readSegment(chosen);
+        sourceSegment = chosen;
+        nextCopyIndex = 0;
+        copyComplete = false;
         return true;
     }
 
     /** Reads a sealed segment once, not for each content that is copied. */
-    private byte[] bytesOf(SegmentFile segment) throws IOException {
-        byte[] bytes = new byte[(int) segment.bytes()];
-        ByteBuffer into = ByteBuffer.wrap(bytes);
-        try (Disk.Handle handle = files.disk.read(segment.name)) {
-            while (into.hasRemaining() && handle.read(into.position(), into) >= 0) {
+    private byte[] readSegment(SegmentFile segment) throws IOException {
+        byte[] bytes = new byte[(int) segment.sizeBytes()];
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        try (Disk.Handle handle = files.disk.openForReading(segment.name)) {
+            while (buffer.hasRemaining() && handle.read(buffer.position(), buffer) >= 0) {
                 // A read may return fewer bytes than asked for.
             }
         }
@@ -127,14 +131,16 @@
     }
 
     /** Returns a suspect segment, else the one with the smallest live share; null where none is worth it. */
-    private SegmentFile choose() {
-        Set<SegmentFile> endRecorders = endRecorders();
+    private SegmentFile chooseSegment() {
+        Set<SegmentFile> segmentsWithNeededHeader = segmentsWithNeededHeader();
         SegmentFile best = null;
         for (SegmentFile segment : files.segments.values()) {
-            if (writer.writesTo(segment) || endRecorders.contains(segment) || forces.awaitsForce(segment)) {
+            if (writer.isOpenForAppend(segment)
+                    || segmentsWithNeededHeader.contains(segment)
+                    || forces.awaitsForce(segment)) {
                 continue;
             }
-            if (segment.suspect()) {
+            if (segment.isSuspect()) {
                 return segment;
             }
             if (segment.liveRatio() < MAX_LIVE_RATIO && (best == null || segment.liveRatio() < best.liveRatio())) {
@@ -145,26 +151,32 @@
     }
 
     /** Segments that record the end of another one have to outlast it, or a failed record would count. */
-    private Set<SegmentFile> endRecorders() {
-        Set<SegmentFile> recorders = new LinkedHashSet<>();
+    private Set<SegmentFile> segmentsWithNeededHeader() {
+        Set<SegmentFile> neededSegments = new LinkedHashSet<>();
         for (SegmentFile segment : files.segments.values()) {
-            if (segment.endRecordedHere != null && files.segments.containsKey(segment.endRecordedHere.number)) {
-                recorders.add(segment);
+            if (segment.segmentWithEndRecordedHere != null
+                    && files.segments.containsKey(segment.segmentWithEndRecordedHere.number)) {
+                neededSegments.add(segment);
             }
         }
-        return recorders;
+        return neededSegments;
     }
 
     /** Copies live contents; where none is left, tombstones; where none of those is left, the segment can be deleted. */
     private void copySlice(long maxBytes) throws IOException {
         Slice slice = new Slice();
-        long limit = Math.min(
-                maxBytes, files.limits.segmentBytes() - 4 * SegmentFormat.HEADER_BYTES - SegmentFormat.FRAME_BYTES);
-        int next = cursor;
-        for (boolean full = false; next < victim.copies && !full; next += full ? 0 : 1) {
-            OwnerContents owner = index.find(victim.owners[next]);
+        long limitBytes = Math.min(
+                maxBytes,
+                files.limits.segmentBytes()
+                        - 4 * SegmentFormat.SEGMENT_HEADER_BYTES
+                        - SegmentFormat.RECORD_HEADER_BYTES);
+        int nextIndex = nextCopyIndex;
+        for (boolean sliceFull = false;
+                nextIndex < sourceSegment.copyCount && !sliceFull;
+                nextIndex += sliceFull ? 0 : 1) {
+            OwnerContents owner = index.find(sourceSegment.copyOwnerIds[nextIndex]);
             if (owner != null && !owner.deleted && !slice.owners.contains(owner)) {
-                full = !slice.add(owner, limit);
+                sliceFull = !slice.add(owner, limitBytes);
             }
         }
         if (slice.contents.isEmpty()) {
@@ -172,7 +184,7 @@
         } else {
             slice.append();
         }
-        cursor = next;
+        nextCopyIndex = nextIndex;
     }
 
     /** Live contents of the victim that are copied with one record. */
@@ -185,15 +197,15 @@
 
         /** Adds all contents of an owner in the victim; false where the slice has no room for them. */
         boolean add(OwnerContents owner, long limitBytes) throws IOException {
-            int bytes = Arrays.stream(owner.contents)
-                    .filter(content -> content.segment == victim)
+            int ownerBytes = Arrays.stream(owner.contents)
+                    .filter(content -> content.segment == sourceSegment)
                     .mapToInt(content -> content.itemBytes)
                     .sum();
-            if (!contents.isEmpty() && items.size() + bytes > limitBytes) {
+            if (!contents.isEmpty() && items.sizeBytes() + ownerBytes > limitBytes) {
                 return false;
             }
             for (ContentLocation content : owner.contents) {
-                if (content.segment == victim) {
+                if (content.segment == sourceSegment) {
                     copy(owner, content);
                 }
             }
@@ -202,13 +214,18 @@
 
         private void copy(OwnerContents owner, ContentLocation content) throws IOException {
             byte[] bytes = SegmentReader.findContent(
-                    victimBytes, victim.salt, content.recordOffset, content.offset, owner.owner, content.version);
+                    sourceBytes,
+                    sourceSegment.salt,
+                    content.recordOffset,
+                    content.offset,
+                    owner.ownerId,
+                    content.version);
             if (bytes == null) {
-                throw new IOException(
-                        "content of owner " + owner.owner + " in segment " + victim.name + " can no longer be read");
+                throw new IOException("content of owner " + owner.ownerId + " in segment " + sourceSegment.name
+                        + " can no longer be read");
             }
-            int itemBytes = items.addContent(owner.owner, content.kind, content.exclusive, content.version, bytes);
-            positions.add(new ItemPosition(items.size() - bytes.length, itemBytes));
+            int itemBytes = items.addContent(owner.ownerId, content.kind, content.exclusive, content.version, bytes);
+            positions.add(new ItemPosition(items.sizeBytes() - bytes.length, itemBytes));
             contents.add(content);
             contentOwners.add(owner);
             owners.add(owner);
@@ -220,69 +237,69 @@
                 ContentLocation content = contents.get(i);
                 index.addContent(
                         writer.active(),
-                        contentOwners.get(i).owner,
+                        contentOwners.get(i).ownerId,
                         content.kind,
                         content.exclusive,
                         content.version,
                         recordOffset,
                         recordOffset
-                                + SegmentFormat.FRAME_BYTES
-                                + positions.get(i).offset(),
+                                + SegmentFormat.RECORD_HEADER_BYTES
+                                + positions.get(i).contentOffset(),
                         content.lengthBytes,
                         positions.get(i).itemBytes());
             }
-            copiedBytes += items.size();
+            copiedBytes += items.sizeBytes();
         }
     }
 
     /** Writes tombstones anew whose owners have copies in other segments; without any, nothing is left to copy. */
     private void copyTombstones() throws IOException {
-        List<Long> needed = deletionsNeededElsewhere();
-        if (needed.isEmpty()) {
-            copied = true;
-            copiedSequence = writer.sequence();
+        List<Long> neededOwnerIds = deletedOwnerIdsWithOtherCopies();
+        if (neededOwnerIds.isEmpty()) {
+            copyComplete = true;
+            copyCompleteSequence = writer.lastSequence();
             return;
         }
         RecordBuilder items = new RecordBuilder();
-        int itemBytes = items.addTombstone(needed);
+        int itemBytes = items.addTombstone(neededOwnerIds);
         writer.append(items);
-        index.addTombstone(writer.active(), needed, itemBytes);
-        copiedBytes += items.size();
+        index.addTombstone(writer.active(), neededOwnerIds, itemBytes);
+        copiedBytes += items.sizeBytes();
     }
 
-    private List<Long> deletionsNeededElsewhere() {
-        if (victim.tombstones.isEmpty()) {
+    private List<Long> deletedOwnerIdsWithOtherCopies() {
+        if (sourceSegment.tombstones.isEmpty()) {
             return List.of();
         }
-        Map<Long, Integer> copiesHere = new HashMap<>();
-        for (int i = 0; i < victim.copies; i++) {
-            copiesHere.merge(victim.owners[i], 1, Integer::sum);
+        Map<Long, Integer> copiesInSource = new HashMap<>();
+        for (int i = 0; i < sourceSegment.copyCount; i++) {
+            copiesInSource.merge(sourceSegment.copyOwnerIds[i], 1, Integer::sum);
         }
-        List<Long> needed = new ArrayList<>();
-        for (Tombstone tombstone : victim.tombstones) {
+        List<Long> neededOwnerIds = new ArrayList<>();
+        for (Tombstone tombstone : sourceSegment.tombstones) {
             for (OwnerContents owner : tombstone.owners) {
-                if (owner.copies > copiesHere.getOrDefault(owner.owner, 0)
-                        && needed.size() < MAX_DELETIONS_PER_RECORD) {
-                    needed.add(owner.owner);
+                if (owner.copyCount > copiesInSource.getOrDefault(owner.ownerId, 0)
+                        && neededOwnerIds.size() < MAX_DELETIONS_PER_RECORD) {
+                    neededOwnerIds.add(owner.ownerId);
                 }
             }
         }
-        return needed;
+        return neededOwnerIds;
     }
 
     /** The retirement is recorded before the file is deleted, so that a file that vanishes without it is known to be lost. */
-    private void retireVictim() throws IOException {
+    private void retireSourceSegment() throws IOException {
         RecordBuilder items = new RecordBuilder();
-        items.addSegmentRetired(victim.number);
+        items.addSegmentRetired(sourceSegment.number);
         writer.append(items);
-        files.remove(victim);
-        SegmentFile retired = victim;
-        files.segments.remove(retired.number);
-        retired.markDeleted();
-        victim = null;
-        victimBytes = null;
-        forces.namesChanged();
+        files.remove(sourceSegment);
+        SegmentFile retiredSegment = sourceSegment;
+        files.segments.remove(retiredSegment.number);
+        retiredSegment.markDeleted();
+        sourceSegment = null;
+        sourceBytes = null;
+        forces.folderChanged();
         retiredSegments++;
-        index.removeSegment(retired);
+        index.removeCopies(retiredSegment);
     }
 }
--- a/storage/src/main/java/amberroute/storage/ContentLocation.java
+++ b/storage/src/main/java/amberroute/storage/ContentLocation.java
@@ -18,7 +18,7 @@
     /** Its length with the item's head: what it counts as live. */
     int itemBytes;
     /** Whether the reading that is under way has given it to the reader. */
-    boolean delivered;
+    boolean visited;
 
     ContentLocation(int kind) {
         this.kind = kind;
--- a/storage/src/main/java/amberroute/storage/ContentReader.java
+++ b/storage/src/main/java/amberroute/storage/ContentVisitor.java
@@ -4,12 +4,12 @@
 import java.nio.ByteBuffer;
 
 /** Takes the live contents of a log, in no particular order. */
-public interface ContentReader {
+public interface ContentVisitor {
     /**
      * Takes one content.
      *
-     * @param content a view of the log's own bytes, valid during the call only
+     * @param visit a view of the log's own bytes, valid during the call only
      * @throws IOException where the content cannot be decoded; reading ends with it
      */
-    void content(long owner, int kind, long version, ByteBuffer content) throws IOException;
+    void visit(long ownerId, int kind, long version, ByteBuffer visit) throws IOException;
 }
--- a/storage/src/main/java/amberroute/storage/DamagedFiles.java
+++ b/storage/src/main/java/amberroute/storage/DamagedFiles.java
@@ -14,38 +14,38 @@
 
     private final Disk disk;
     private final TreeSet<String> names = new TreeSet<>();
-    private long bytes;
+    private long totalBytes;
 
     DamagedFiles(Disk disk) {
         this.disk = disk;
     }
 
     /** Takes a file that recovery found. */
-    void recovered(String name, long fileBytes) {
+    void addRecovered(String name, long fileBytes) {
         names.add(name);
-        bytes += fileBytes;
+        totalBytes += fileBytes;
     }
 
     /** Returns the bytes that the files count for in the budget. */
     long usedBytes() {
-        return SegmentTotals.roundUp(bytes) + names.size() * (long) SegmentTotals.BLOCK_BYTES;
+        return SegmentTotals.roundUpToBlocks(totalBytes) + names.size() * (long) SegmentTotals.BLOCK_BYTES;
     }
 
     /** Returns whether the files together stay within a bound with so many bytes more. */
-    boolean fits(long moreBytes, long limitBytes) {
-        return bytes + moreBytes <= limitBytes;
+    boolean fits(long additionalBytes, long limitBytes) {
+        return totalBytes + additionalBytes <= limitBytes;
     }
 
     /** Renames a segment's file in place of deleting it. */
     void add(SegmentFile segment) throws IOException {
         while (names.size() >= MAX_FILES) {
             String oldest = names.first();
-            bytes -= LogFiles.sizeOf(disk, oldest);
+            totalBytes -= LogFiles.sizeOf(disk, oldest);
             disk.delete(oldest);
             names.remove(oldest);
         }
         disk.rename(segment.name, segment.name + SUFFIX);
         names.add(segment.name + SUFFIX);
-        bytes += segment.bytes();
+        totalBytes += segment.sizeBytes();
     }
 }
--- a/storage/src/main/java/amberroute/storage/DataLoss.java
+++ b/storage/src/main/java/amberroute/storage/DataLoss.java
@@ -7,12 +7,12 @@
  * @param damage the unreadable bytes; its {@code to} is 0 for a missing file
  */
 public record DataLoss(String segment, DamagedRange damage) {
-    static DataLoss missingSegment(long number) {
-        return new DataLoss(String.format("%016x", number), new DamagedRange(0, 0));
+    static DataLoss missingSegment(long segmentNumber) {
+        return new DataLoss(String.format("%016x", segmentNumber), new DamagedRange(0, 0));
     }
 
     /** Returns whether the whole segment is missing. */
     public boolean missing() {
-        return damage.to() == 0;
+        return damage.endOffset() == 0;
     }
 }
--- a/storage/src/main/java/amberroute/storage/Disk.java
+++ b/storage/src/main/java/amberroute/storage/Disk.java
@@ -14,13 +14,13 @@
     List<String> list() throws IOException;
 
     /** Opens a file for writing, a new and empty one where there is none. The caller closes it. */
-    Handle open(String name) throws IOException;
+    Handle openForWriting(String name) throws IOException;
 
     /** Opens an existing file for reading only. The caller closes it. */
-    Handle read(String name) throws IOException;
+    Handle openForReading(String name) throws IOException;
 
     /** Renames a file, and replaces {@code to} in one step. */
-    void rename(String from, String to) throws IOException;
+    void rename(String oldName, String newName) throws IOException;
 
     /** Deletes a file; does nothing where there is none. */
     void delete(String name) throws IOException;
@@ -34,10 +34,10 @@
         long size() throws IOException;
 
         /** Reads up to the buffer's room from an offset; returns the bytes read, -1 at the end. */
-        int read(long at, ByteBuffer into) throws IOException;
+        int read(long offset, ByteBuffer buffer) throws IOException;
 
         /** Appends to the file and returns the bytes written: fewer than asked for, or an error behind some of them, may come. */
-        int append(ByteBuffer from) throws IOException;
+        int append(ByteBuffer buffer) throws IOException;
 
         /** Cuts the file to a size in bytes. */
         void truncate(long size) throws IOException;
--- a/storage/src/main/java/amberroute/storage/FolderDisk.java
+++ b/storage/src/main/java/amberroute/storage/FolderDisk.java
@@ -34,19 +34,19 @@
     }
 
     @Override
-    public Handle open(String name) throws IOException {
-        return new File(FileChannel.open(
+    public Handle openForWriting(String name) throws IOException {
+        return new OpenFile(FileChannel.open(
                 folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE));
     }
 
     @Override
-    public Handle read(String name) throws IOException {
-        return new File(FileChannel.open(folder.resolve(name), StandardOpenOption.READ));
+    public Handle openForReading(String name) throws IOException {
+        return new OpenFile(FileChannel.open(folder.resolve(name), StandardOpenOption.READ));
     }
 
     @Override
-    public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    public void rename(String oldName, String newName) throws IOException {
+        Files.move(folder.resolve(oldName), folder.resolve(newName), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
@@ -62,13 +62,13 @@
     }
 
     /** Remembers the end of the file, so that an append is one system call. */
-    private static final class File implements Handle {
+    private static final class OpenFile implements Handle {
         private final FileChannel channel;
-        private long end;
+        private long appendOffset;
 
-        File(FileChannel channel) throws IOException {
+        OpenFile(FileChannel channel) throws IOException {
             this.channel = channel;
-            end = channel.size();
+            appendOffset = channel.size();
         }
 
         @Override
@@ -77,21 +77,21 @@
         }
 
         @Override
-        public int read(long at, ByteBuffer into) throws IOException {
-            return channel.read(into, at);
+        public int read(long offset, ByteBuffer buffer) throws IOException {
+            return channel.read(buffer, offset);
         }
 
         @Override
-        public int append(ByteBuffer from) throws IOException {
-            int written = channel.write(from, end);
-            end += written;
+        public int append(ByteBuffer buffer) throws IOException {
+            int written = channel.write(buffer, appendOffset);
+            appendOffset += written;
             return written;
         }
 
         @Override
         public void truncate(long size) throws IOException {
             channel.truncate(size);
-            end = Math.min(end, size);
+            appendOffset = Math.min(appendOffset, size);
         }
 
         @Override
--- a/storage/src/main/java/amberroute/storage/ForceTracker.java
+++ b/storage/src/main/java/amberroute/storage/ForceTracker.java
@@ -14,7 +14,7 @@
     /** Sealed segments that are not forced yet, with their open files. */
     private final Map<SegmentFile, Disk.Handle> sealedUnforced = new HashMap<>();
 
-    private boolean namesUnforced;
+    private boolean folderForceNeeded;
     private long forcedSequence;
 
     ForceTracker(LogFiles files) {
@@ -22,7 +22,7 @@
     }
 
     /** What recovery has found is taken for forced: nothing is known of it beyond that it was read. */
-    void recovered(long sequence) {
+    void setRecoveredSequence(long sequence) {
         forcedSequence = sequence;
     }
 
@@ -32,12 +32,12 @@
     }
 
     /** A file was created, renamed or deleted. */
-    void namesChanged() {
-        namesUnforced = true;
+    void folderChanged() {
+        folderForceNeeded = true;
     }
 
     /** Takes a segment to which nothing is appended any more; owns its file until it is forced. */
-    void sealed(SegmentFile segment, Disk.Handle handle) {
+    void addSealed(SegmentFile segment, Disk.Handle handle) {
         sealedUnforced.put(segment, handle);
     }
 
@@ -50,26 +50,26 @@
      *
      * @param activeHandle file of the active segment, null where it has none
      */
-    PendingForce prepare(long sequence, SegmentFile active, Disk.Handle activeHandle) {
-        if (forcedSequence >= sequence && sealedUnforced.isEmpty() && !namesUnforced) {
+    PendingForce prepare(long sequence, SegmentFile activeSegment, Disk.Handle activeHandle) {
+        if (forcedSequence >= sequence && sealedUnforced.isEmpty() && !folderForceNeeded) {
             return null;
         }
         List<Disk.Handle> handles = new ArrayList<>(sealedUnforced.values());
         List<SegmentFile> segments = new ArrayList<>(sealedUnforced.keySet());
         if (activeHandle != null) {
             handles.add(activeHandle);
-            segments.add(active);
+            segments.add(activeSegment);
         }
-        boolean names = namesUnforced;
-        namesUnforced = false;
-        return new PendingForce(files.disk, handles, segments, sequence, names);
+        boolean forceFolder = folderForceNeeded;
+        folderForceNeeded = false;
+        return new PendingForce(files.disk, handles, segments, sequence, forceFolder);
     }
 
-    void completed(PendingForce force, boolean succeeded) {
+    void forceCompleted(PendingForce force, boolean succeeded) {
         for (SegmentFile segment : force.segments()) {
-            Disk.Handle sealed = sealedUnforced.remove(segment);
-            if (sealed != null) {
-                LogFiles.closeQuietly(sealed);
+            Disk.Handle sealedHandle = sealedUnforced.remove(segment);
+            if (sealedHandle != null) {
+                LogFiles.closeQuietly(sealedHandle);
             }
             if (!succeeded) {
                 segment.markSuspect();
@@ -78,7 +78,7 @@
         if (succeeded) {
             forcedSequence = Math.max(forcedSequence, force.sequence());
         } else {
-            namesUnforced = true;
+            folderForceNeeded = true;
         }
     }
 
--- a/storage/src/main/java/amberroute/storage/ItemPosition.java
+++ b/storage/src/main/java/amberroute/storage/ItemPosition.java
@@ -3,7 +3,7 @@
 /**
  * Where a content is in the items of a record that is being built.
  *
- * @param offset of the content's first byte behind the record's frame, in bytes
+ * @param contentOffset of the content's first byte behind the record's frame, in bytes
  * @param itemBytes length with the item's own head
  */
-record ItemPosition(int offset, int itemBytes) {}
+record ItemPosition(int contentOffset, int itemBytes) {}
--- a/storage/src/main/java/amberroute/storage/LiveContentReading.java
+++ b/storage/src/main/java/amberroute/storage/LiveContentScan.java
@@ -10,17 +10,17 @@
 /**
  * One reading of all live contents of a log. Segments whose bytes recovery has retained are not read and checked a second time.
  */
-final class LiveContentReading {
+final class LiveContentScan {
     private final LogFiles files;
     private final LogIndex index;
-    private final ContentReader reader;
+    private final ContentVisitor visitor;
     /** Owners with live contents in a segment whose bytes are in memory; an owner may stand in it twice. */
     private final Map<SegmentFile, List<OwnerContents>> cachedOwners = new HashMap<>();
 
-    LiveContentReading(LogFiles files, LogIndex index, ContentReader reader) {
+    LiveContentScan(LogFiles files, LogIndex index, ContentVisitor visitor) {
         this.files = files;
         this.index = index;
-        this.reader = reader;
+        this.visitor = visitor;
     }
 
     /**
@@ -31,90 +31,90 @@
     void run() throws IOException {
         for (SegmentFile segment : files.segments.values()) {
             if (files.cache.get(segment) == null) {
-                readFile(segment);
+                visitFile(segment);
             } else {
-                cachedOwners.put(segment, new ArrayList<>(segment.copies));
+                cachedOwners.put(segment, new ArrayList<>(segment.copyCount));
             }
         }
-        groupOwners();
+        collectCachedOwners();
         for (Map.Entry<SegmentFile, List<OwnerContents>> entry : cachedOwners.entrySet()) {
-            readCached(entry.getKey(), entry.getValue());
+            visitCached(entry.getKey(), entry.getValue());
         }
-        resetDelivered();
+        resetVisited();
         files.cache.clear();
     }
 
-    private void groupOwners() {
+    private void collectCachedOwners() {
         for (OwnerContents owner : index.owners()) {
-            SegmentFile last = null;
+            SegmentFile previousSegment = null;
             for (ContentLocation content : owner.contents) {
                 // Most owners have all live contents in one segment: this saves the look-up.
-                if (content.segment != last && cachedOwners.containsKey(content.segment)) {
+                if (content.segment != previousSegment && cachedOwners.containsKey(content.segment)) {
                     cachedOwners.get(content.segment).add(owner);
                 }
-                last = content.segment;
+                previousSegment = content.segment;
             }
         }
     }
 
-    private void readCached(SegmentFile segment, List<OwnerContents> owners) throws IOException {
-        ByteBuffer bytes = ByteBuffer.wrap(files.cache.get(segment));
+    private void visitCached(SegmentFile segment, List<OwnerContents> owners) throws IOException {
+        ByteBuffer segmentBytes = ByteBuffer.wrap(files.cache.get(segment));
         for (OwnerContents owner : owners) {
             for (ContentLocation content : owner.contents) {
-                if (content.segment == segment && !content.delivered) {
-                    content.delivered = true;
-                    reader.content(
-                            owner.owner,
+                if (content.segment == segment && !content.visited) {
+                    content.visited = true;
+                    visitor.visit(
+                            owner.ownerId,
                             content.kind,
                             content.version,
-                            bytes.slice((int) content.offset, content.lengthBytes));
+                            segmentBytes.slice((int) content.offset, content.lengthBytes));
                 }
             }
         }
     }
 
-    private void resetDelivered() {
+    private void resetVisited() {
         for (List<OwnerContents> owners : cachedOwners.values()) {
             for (OwnerContents owner : owners) {
                 for (ContentLocation content : owner.contents) {
-                    content.delivered = false;
+                    content.visited = false;
                 }
             }
         }
     }
 
-    private void readFile(SegmentFile segment) throws IOException {
+    private void visitFile(SegmentFile segment) throws IOException {
         SegmentReader.read(files.load(segment, Long.MAX_VALUE), segment.salt, new SegmentVisitor() {
             private long recordOffset;
 
             @Override
-            public void record(long offset, long sequence) {
+            public void visitRecord(long offset, long sequence) {
                 recordOffset = offset;
             }
 
             @Override
-            public void content(
-                    long owner,
+            public void visitContent(
+                    long ownerId,
                     int kind,
                     boolean exclusive,
                     long version,
-                    byte[] bytes,
+                    byte[] segmentBytes,
                     int offset,
                     int lengthBytes,
                     int itemBytes)
                     throws IOException {
-                if (isLive(segment, owner, kind, recordOffset, offset)) {
+                if (isLive(segment, ownerId, kind, recordOffset, offset)) {
                     ByteBuffer content =
-                            ByteBuffer.wrap(bytes, offset, lengthBytes).slice();
-                    reader.content(owner, kind, version, content);
+                            ByteBuffer.wrap(segmentBytes, offset, lengthBytes).slice();
+                    visitor.visit(ownerId, kind, version, content);
                 }
             }
         });
     }
 
-    private boolean isLive(SegmentFile segment, long owner, int kind, long recordOffset, long offset) {
-        OwnerContents known = index.find(owner);
-        ContentLocation content = known == null || known.deleted ? null : known.find(kind);
+    private boolean isLive(SegmentFile segment, long ownerId, int kind, long recordOffset, long offset) {
+        OwnerContents ownerContents = index.find(ownerId);
+        ContentLocation content = ownerContents == null || ownerContents.deleted ? null : ownerContents.find(kind);
         return content != null
                 && content.segment == segment
                 && content.recordOffset == recordOffset
--- a/storage/src/main/java/amberroute/storage/LogFiles.java
+++ b/storage/src/main/java/amberroute/storage/LogFiles.java
@@ -24,21 +24,21 @@
 
     /** Returns the bytes of all files, each in whole blocks. */
     long usedBytes() {
-        return SegmentTotals.roundUp(reserve.bytes()) + damagedFiles.usedBytes() + totals.blockBytes;
+        return SegmentTotals.roundUpToBlocks(reserve.sizeBytes()) + damagedFiles.usedBytes() + totals.blockBytes;
     }
 
     /** Writes the reserve's file anew where it is missing and the budget has room; returns whether it is there. */
     boolean refillReserve() {
-        long reserveBytes = SegmentTotals.roundUp(limits.reserveBytes());
-        if (reserve.full() || usedBytes() + reserveBytes + limits.segmentBytes() > limits.budgetBytes()) {
-            return reserve.full();
+        long reserveBytes = SegmentTotals.roundUpToBlocks(limits.reserveBytes());
+        if (reserve.isAllocated() || usedBytes() + reserveBytes + limits.segmentBytes() > limits.budgetBytes()) {
+            return reserve.isAllocated();
         }
         return reserve.refill();
     }
 
     /** Deletes a segment's file, or renames it where it is damaged and the damaged files have room. */
     void remove(SegmentFile segment) throws IOException {
-        if (segment.damaged && damagedFiles.fits(segment.bytes(), limits.segmentBytes())) {
+        if (segment.damaged && damagedFiles.fits(segment.sizeBytes(), limits.segmentBytes())) {
             damagedFiles.add(segment);
         } else {
             disk.delete(segment.name);
@@ -47,13 +47,13 @@
 
     /** Reads a segment's file, at most so many bytes. */
     byte[] load(SegmentFile segment, long maxBytes) throws IOException {
-        try (Disk.Handle handle = disk.read(segment.name)) {
+        try (Disk.Handle handle = disk.openForReading(segment.name)) {
             return SegmentReader.load(handle, maxBytes);
         }
     }
 
     static long sizeOf(Disk disk, String name) throws IOException {
-        try (Disk.Handle handle = disk.read(name)) {
+        try (Disk.Handle handle = disk.openForReading(name)) {
             return handle.size();
         }
     }
--- a/storage/src/main/java/amberroute/storage/LogFullException.java
+++ b/storage/src/main/java/amberroute/storage/LogFullException.java
@@ -14,7 +14,7 @@
         return new LogFullException("a batch of " + batchBytes + " bytes exceeds the segment limit of " + segmentBytes);
     }
 
-    static LogFullException budgetSpent(long usedBytes, long budgetBytes, long liveBytes) {
+    static LogFullException budgetExhausted(long usedBytes, long budgetBytes, long liveBytes) {
         return new LogFullException(
                 usedBytes + " of " + budgetBytes + " bytes are used, " + liveBytes + " of them live");
     }
--- a/storage/src/main/java/amberroute/storage/LogIndex.java
+++ b/storage/src/main/java/amberroute/storage/LogIndex.java
@@ -11,25 +11,25 @@
  */
 final class LogIndex {
     private final Map<Long, OwnerContents> owners = new HashMap<>();
-    private long nextOwner = 1;
+    private long nextOwnerId = 1;
 
     /** Returns a number that no owner had, also not in an earlier process. */
-    long nextOwner() {
-        return nextOwner++;
+    long nextOwnerId() {
+        return nextOwnerId++;
     }
 
-    /** Returns the number that {@link #nextOwner} will return next. */
-    long firstFreeOwner() {
-        return nextOwner;
+    /** Returns the number that {@link #nextOwnerId} will return next. */
+    long firstFreeOwnerId() {
+        return nextOwnerId;
     }
 
-    void reserveOwnersBelow(long next) {
-        nextOwner = Math.max(nextOwner, next);
+    void reserveOwnerIdsBelow(long firstFreeId) {
+        nextOwnerId = Math.max(nextOwnerId, firstFreeId);
     }
 
     /** Returns what is known of an owner, or null. */
-    OwnerContents find(long owner) {
-        return owners.get(owner);
+    OwnerContents find(long ownerId) {
+        return owners.get(ownerId);
     }
 
     Collection<OwnerContents> owners() {
@@ -39,7 +39,7 @@
     /** Records that a content is stored there; it counts unless a newer one is known. */
     void addContent(
             SegmentFile segment,
-            long owner,
+            long ownerId,
             int kind,
             boolean exclusive,
             long version,
@@ -47,11 +47,11 @@
             long offset,
             int lengthBytes,
             int itemBytes) {
-        reserveOwnersBelow(owner + 1);
-        OwnerContents known = owners.computeIfAbsent(owner, OwnerContents::new);
-        known.copies++;
-        segment.addCopy(owner);
-        ContentLocation content = replace(known, kind, exclusive, version);
+        reserveOwnerIdsBelow(ownerId + 1);
+        OwnerContents ownerContents = owners.computeIfAbsent(ownerId, OwnerContents::new);
+        ownerContents.copyCount++;
+        segment.addCopy(ownerId);
+        ContentLocation content = replaceOlderContents(ownerContents, kind, exclusive, version);
         if (content == null) {
             return;
         }
@@ -62,93 +62,94 @@
         content.offset = offset;
         content.lengthBytes = lengthBytes;
         content.itemBytes = itemBytes;
-        segment.addLive(known.deleted ? 0 : itemBytes);
+        segment.addLiveBytes(ownerContents.deleted ? 0 : itemBytes);
     }
 
     /** Takes what the new content replaces out of the live bytes; null where the new one is itself replaced already. */
-    private static ContentLocation replace(OwnerContents known, int kind, boolean exclusive, long version) {
-        if (version < known.exclusiveVersion) {
+    private static ContentLocation replaceOlderContents(
+            OwnerContents ownerContents, int kind, boolean exclusive, long version) {
+        if (version < ownerContents.exclusiveVersion) {
             return null;
         }
-        if (exclusive && version > known.exclusiveVersion) {
+        if (exclusive && version > ownerContents.exclusiveVersion) {
             // Lower versions of all kinds count no more, whether their segments are read before this one or after it.
-            known.exclusiveVersion = version;
-            known.clear();
+            ownerContents.exclusiveVersion = version;
+            ownerContents.clear();
         }
-        ContentLocation content = known.find(kind);
+        ContentLocation content = ownerContents.find(kind);
         if (content == null) {
-            return known.add(kind);
+            return ownerContents.add(kind);
         }
         if (content.version > version) {
             return null;
         }
-        content.segment.addLive(known.deleted ? 0 : -content.itemBytes);
+        content.segment.addLiveBytes(ownerContents.deleted ? 0 : -content.itemBytes);
         return content;
     }
 
     /** Records a tombstone of owners of which the index knows contents. */
-    void addTombstone(SegmentFile segment, Collection<Long> deleted, int itemBytes) {
+    void addTombstone(SegmentFile segment, Collection<Long> deletedOwnerIds, int itemBytes) {
         Tombstone tombstone = new Tombstone(segment, itemBytes);
-        for (long owner : deleted) {
-            OwnerContents known = owners.get(owner);
-            if (known != null) {
-                attach(tombstone, known);
+        for (long ownerId : deletedOwnerIds) {
+            OwnerContents ownerContents = owners.get(ownerId);
+            if (ownerContents != null) {
+                attachTombstone(tombstone, ownerContents);
             }
         }
-        addLive(tombstone);
+        addIfLive(tombstone);
     }
 
     /**
      * Records a tombstone that recovery has read. Owners that are unknown yet may follow in a later segment, as compaction moves
      * copies there.
      */
-    void recoverTombstone(SegmentFile segment, Collection<Long> deleted, int itemBytes) {
+    void recoverTombstone(SegmentFile segment, Collection<Long> deletedOwnerIds, int itemBytes) {
         Tombstone tombstone = new Tombstone(segment, itemBytes);
-        for (long owner : deleted) {
-            attach(tombstone, owners.computeIfAbsent(owner, OwnerContents::new));
+        for (long ownerId : deletedOwnerIds) {
+            attachTombstone(tombstone, owners.computeIfAbsent(ownerId, OwnerContents::new));
         }
-        addLive(tombstone);
+        addIfLive(tombstone);
     }
 
-    private void attach(Tombstone tombstone, OwnerContents known) {
-        known.delete();
-        if (known.tombstone != null) {
-            known.detachTombstone();
+    private void attachTombstone(Tombstone tombstone, OwnerContents ownerContents) {
+        ownerContents.markDeleted();
+        if (ownerContents.tombstone != null) {
+            ownerContents.detachTombstone();
         }
-        known.tombstone = tombstone;
-        tombstone.owners.add(known);
-        reserveOwnersBelow(known.owner + 1);
+        ownerContents.tombstone = tombstone;
+        tombstone.owners.add(ownerContents);
+        reserveOwnerIdsBelow(ownerContents.ownerId + 1);
     }
 
-    private static void addLive(Tombstone tombstone) {
+    private static void addIfLive(Tombstone tombstone) {
         if (!tombstone.owners.isEmpty()) {
             tombstone.segment.tombstones.add(tombstone);
-            tombstone.segment.addLive(tombstone.itemBytes);
+            tombstone.segment.addLiveBytes(tombstone.itemBytes);
         }
     }
 
     /** Forgets all copies in a segment whose file is deleted. */
-    void removeSegment(SegmentFile segment) {
-        for (int i = 0; i < segment.copies; i++) {
-            OwnerContents known = owners.get(segment.owners[i]);
-            if (known != null) {
-                known.copies--;
-                forgetWithoutCopies(known);
+    void removeCopies(SegmentFile segment) {
+        for (int i = 0; i < segment.copyCount; i++) {
+            OwnerContents ownerContents = owners.get(segment.copyOwnerIds[i]);
+            if (ownerContents != null) {
+                ownerContents.copyCount--;
+                removeIfWithoutCopies(ownerContents);
             }
         }
     }
 
     /** Forgets all owners without copies, when recovery has read all segments. */
-    void forgetOwnersWithoutCopies() {
-        List.copyOf(owners.values()).forEach(this::forgetWithoutCopies);
+    void removeOwnersWithoutCopies() {
+        List.copyOf(owners.values()).forEach(this::removeIfWithoutCopies);
     }
 
     /** A tombstone has to outlast the last copy of its owners, or a restart would find the copy without it. */
-    private void forgetWithoutCopies(OwnerContents known) {
-        if (known.copies == 0) {
-            owners.remove(known.owner);
-            if (known.tombstone != null) {
-                known.detachTombstone();
+    private void removeIfWithoutCopies(OwnerContents ownerContents) {
+        if (ownerContents.copyCount == 0) {
+            owners.remove(ownerContents.ownerId);
+            if (ownerContents.tombstone != null) {
+                ownerContents.detachTombstone();
             }
         }
     }
--- a/storage/src/main/java/amberroute/storage/LogLimits.java
+++ b/storage/src/main/java/amberroute/storage/LogLimits.java
@@ -10,7 +10,7 @@
  *     it has been forced
  */
 public record LogLimits(long budgetBytes, long segmentBytes, long reserveBytes, boolean forceRequired) {
-    /** The smallest budget that {@link #of} accepts. */
+    /** The smallest budget that {@link #forBudget} accepts. */
     public static final long MIN_BUDGET_BYTES = 64 << 10;
 
     private static final long MIN_SEGMENT_BYTES = 4_096;
@@ -19,7 +19,7 @@
     private static final long LARGEST_MESSAGE_SEGMENT_BYTES = 68 << 10;
     private static final int DEFAULT_SEGMENTS = 32;
     private static final int MIN_DEFAULT_SEGMENTS = 6;
-    private static final int RESERVES_PER_SEGMENT = 4;
+    private static final int SEGMENT_TO_RESERVE_RATIO = 4;
 
     /**
      * Checks the bounds.
@@ -38,10 +38,10 @@
      * Returns bounds for a budget in bytes: {@value #DEFAULT_SEGMENTS} segments, or fewer where each would be too small for the
      * largest message, but at least {@value #MIN_DEFAULT_SEGMENTS}.
      */
-    public static LogLimits of(long budgetBytes, boolean forceRequired) {
+    public static LogLimits forBudget(long budgetBytes, boolean forceRequired) {
         long segmentBytes = Math.min(
                 Math.min(MAX_DEFAULT_SEGMENT_BYTES, budgetBytes / MIN_DEFAULT_SEGMENTS),
                 Math.max(LARGEST_MESSAGE_SEGMENT_BYTES, budgetBytes / DEFAULT_SEGMENTS));
-        return new LogLimits(budgetBytes, segmentBytes, segmentBytes / RESERVES_PER_SEGMENT, forceRequired);
+        return new LogLimits(budgetBytes, segmentBytes, segmentBytes / SEGMENT_TO_RESERVE_RATIO, forceRequired);
     }
 }
--- a/storage/src/main/java/amberroute/storage/LogRecovery.java
+++ b/storage/src/main/java/amberroute/storage/LogRecovery.java
@@ -15,15 +15,15 @@
  * end are of a record whose write was reported as failed, and must not count.
  */
 final class LogRecovery {
-    private static final long NO_LIMIT = Long.MAX_VALUE;
+    private static final long UNLIMITED_BYTES = Long.MAX_VALUE;
 
     private final LogFiles files;
     private final LogIndex index;
     private final List<DataLoss> losses = new ArrayList<>();
     /** The segments that there should be, as the last segment list and the retirements behind it say. */
-    private final Set<Long> listed = new TreeSet<>();
+    private final Set<Long> expectedSegments = new TreeSet<>();
     /** By the number of the segment whose end is recorded: the segment that records it, and the end. */
-    private final Map<Long, SegmentFile> endRecorders = new HashMap<>();
+    private final Map<Long, SegmentFile> endRecordingSegments = new HashMap<>();
 
     private final Map<Long, Long> recordedEnds = new HashMap<>();
     private long tornBytes;
@@ -47,9 +47,9 @@
         for (SegmentFile segment : files.segments.values()) {
             readRecords(segment);
         }
-        listed.removeAll(files.segments.keySet());
-        listed.forEach(missing -> losses.add(DataLoss.missingSegment(missing)));
-        index.forgetOwnersWithoutCopies();
+        expectedSegments.removeAll(files.segments.keySet());
+        expectedSegments.forEach(missing -> losses.add(DataLoss.missingSegment(missing)));
+        index.removeOwnersWithoutCopies();
     }
 
     /** Returns the unreadable parts that have readable records behind them, and the missing segments. */
@@ -68,48 +68,48 @@
 
     private void listFiles() throws IOException {
         for (String name : files.disk.list()) {
-            if (SegmentFile.isName(name)) {
+            if (SegmentFile.isSegmentFileName(name)) {
                 SegmentFile segment = new SegmentFile(files.totals, name);
                 files.segments.put(segment.number, segment);
             } else if (name.endsWith(DamagedFiles.SUFFIX)) {
-                files.damagedFiles.recovered(name, LogFiles.sizeOf(files.disk, name));
+                files.damagedFiles.addRecovered(name, LogFiles.sizeOf(files.disk, name));
             } else if (name.equals(SpaceReserve.NAME)) {
-                files.reserve.recovered(LogFiles.sizeOf(files.disk, name));
+                files.reserve.setRecoveredSize(LogFiles.sizeOf(files.disk, name));
             }
         }
     }
 
     private void readHeader(SegmentFile segment) throws IOException {
-        try (Disk.Handle handle = files.disk.read(segment.name)) {
-            segment.setBytes(handle.size());
+        try (Disk.Handle handle = files.disk.openForReading(segment.name)) {
+            segment.setSizeBytes(handle.size());
             SegmentHeader header = SegmentReader.read(
-                            SegmentReader.load(handle, SegmentFormat.HEADER_BYTES),
+                            SegmentReader.load(handle, SegmentFormat.SEGMENT_HEADER_BYTES),
                             segment.salt,
-                            SegmentVisitor.IGNORE_ITEMS)
+                            SegmentVisitor.NO_OP)
                     .header();
-            if (header.whole() && header.previousNumber() >= 0) {
-                endRecorders.put(header.previousNumber(), segment);
+            if (header.valid() && header.previousNumber() >= 0) {
+                endRecordingSegments.put(header.previousNumber(), segment);
                 recordedEnds.put(header.previousNumber(), header.previousEnd());
             }
-            index.reserveOwnersBelow(header.firstFreeOwner());
+            index.reserveOwnerIdsBelow(header.firstFreeOwnerId());
         }
     }
 
     private void readRecords(SegmentFile segment) throws IOException {
-        long end = recordedEnds.getOrDefault(segment.number, NO_LIMIT);
-        if (end < segment.bytes()) {
-            endRecorders.get(segment.number).endRecordedHere = segment;
+        long endOffset = recordedEnds.getOrDefault(segment.number, UNLIMITED_BYTES);
+        if (endOffset < segment.sizeBytes()) {
+            endRecordingSegments.get(segment.number).segmentWithEndRecordedHere = segment;
         }
-        byte[] all = files.load(segment, end);
-        SegmentSummary summary = SegmentReader.read(all, segment.salt, new IndexingVisitor(segment));
-        summary.damages().forEach(damage -> losses.add(new DataLoss(segment.name, damage)));
-        boolean headerDamaged = !summary.header().whole() && summary.records() > 0;
-        segment.damaged = !summary.damages().isEmpty() || headerDamaged;
+        byte[] segmentBytes = files.load(segment, endOffset);
+        SegmentSummary summary = SegmentReader.read(segmentBytes, segment.salt, new IndexingVisitor(segment));
+        summary.damagedRanges().forEach(damage -> losses.add(new DataLoss(segment.name, damage)));
+        boolean headerDamaged = !summary.header().valid() && summary.recordCount() > 0;
+        segment.damaged = !summary.damagedRanges().isEmpty() || headerDamaged;
         if (headerDamaged) {
-            losses.add(new DataLoss(segment.name, new DamagedRange(0, SegmentFormat.HEADER_BYTES)));
+            losses.add(new DataLoss(segment.name, new DamagedRange(0, SegmentFormat.SEGMENT_HEADER_BYTES)));
         }
-        tornBytes += summary.neverBegun() ? segment.bytes() : summary.tornBytes();
-        files.cache.add(segment, all);
+        tornBytes += summary.headerNeverWritten() ? segment.sizeBytes() : summary.tornBytes();
+        files.cache.add(segment, segmentBytes);
     }
 
     /** Adds the items of one segment to the index. */
@@ -122,38 +122,38 @@
         }
 
         @Override
-        public void record(long offset, long sequence) {
+        public void visitRecord(long offset, long sequence) {
             recordOffset = offset;
             lastSequence = Math.max(lastSequence, sequence);
         }
 
         @Override
-        public void content(
-                long owner,
+        public void visitContent(
+                long ownerId,
                 int kind,
                 boolean exclusive,
                 long version,
-                byte[] bytes,
+                byte[] segmentBytes,
                 int offset,
                 int lengthBytes,
                 int itemBytes) {
-            index.addContent(segment, owner, kind, exclusive, version, recordOffset, offset, lengthBytes, itemBytes);
+            index.addContent(segment, ownerId, kind, exclusive, version, recordOffset, offset, lengthBytes, itemBytes);
         }
 
         @Override
-        public void tombstone(List<Long> deleted, int itemBytes) {
-            index.recoverTombstone(segment, deleted, itemBytes);
+        public void visitTombstone(List<Long> deletedOwnerIds, int itemBytes) {
+            index.recoverTombstone(segment, deletedOwnerIds, itemBytes);
         }
 
         @Override
-        public void segmentList(List<Long> numbers) {
-            listed.clear();
-            listed.addAll(numbers);
+        public void visitSegmentList(List<Long> segmentNumbers) {
+            expectedSegments.clear();
+            expectedSegments.addAll(segmentNumbers);
         }
 
         @Override
-        public void segmentRetired(long number) {
-            listed.remove(number);
+        public void visitSegmentRetired(long segmentNumber) {
+            expectedSegments.remove(segmentNumber);
         }
     }
 }
--- a/storage/src/main/java/amberroute/storage/OwnerContents.java
+++ b/storage/src/main/java/amberroute/storage/OwnerContents.java
@@ -4,21 +4,21 @@
 
 /** What the log knows of one owner. */
 final class OwnerContents {
-    private static final ContentLocation[] NONE = new ContentLocation[0];
+    private static final ContentLocation[] NO_CONTENTS = new ContentLocation[0];
 
-    final long owner;
-    ContentLocation[] contents = NONE;
+    final long ownerId;
+    ContentLocation[] contents = NO_CONTENTS;
     /** Version of the last exclusive content, 0 without one; contents of lower versions do not count. */
     long exclusiveVersion;
     /** Contents of the owner in all segments, replaced ones and copies included. */
-    int copies;
+    int copyCount;
 
     boolean deleted;
     /** The item that records the deletion, null while none is on the disk. */
     Tombstone tombstone;
 
-    OwnerContents(long owner) {
-        this.owner = owner;
+    OwnerContents(long ownerId) {
+        this.ownerId = ownerId;
     }
 
     /** Returns the content of this kind, or null. */
@@ -41,13 +41,13 @@
     /** Drops all contents; those of a deleted owner are not live already. */
     void clear() {
         for (ContentLocation content : contents) {
-            content.segment.addLive(deleted ? 0 : -content.itemBytes);
+            content.segment.addLiveBytes(deleted ? 0 : -content.itemBytes);
         }
-        contents = NONE;
+        contents = NO_CONTENTS;
     }
 
     /** Marks the owner as deleted. */
-    void delete() {
+    void markDeleted() {
         if (!deleted) {
             clear();
             deleted = true;
@@ -60,7 +60,7 @@
         tombstone = null;
         detached.owners.remove(this);
         if (detached.owners.isEmpty() && detached.segment.tombstones.remove(detached)) {
-            detached.segment.addLive(-detached.itemBytes);
+            detached.segment.addLiveBytes(-detached.itemBytes);
         }
     }
 }
--- a/storage/src/main/java/amberroute/storage/PendingForce.java
+++ b/storage/src/main/java/amberroute/storage/PendingForce.java
@@ -12,14 +12,14 @@
     private final List<Disk.Handle> handles;
     private final List<SegmentFile> segments;
     private final long sequence;
-    private final boolean folder;
+    private final boolean forceFolder;
 
-    PendingForce(Disk disk, List<Disk.Handle> handles, List<SegmentFile> segments, long sequence, boolean folder) {
+    PendingForce(Disk disk, List<Disk.Handle> handles, List<SegmentFile> segments, long sequence, boolean forceFolder) {
         this.disk = disk;
         this.handles = handles;
         this.segments = segments;
         this.sequence = sequence;
-        this.folder = folder;
+        this.forceFolder = forceFolder;
     }
 
     /**
@@ -31,7 +31,7 @@
         for (Disk.Handle handle : handles) {
             handle.force();
         }
-        if (folder) {
+        if (forceFolder) {
             disk.forceFolder();
         }
     }
--- a/storage/src/main/java/amberroute/storage/RecordBuilder.java
+++ b/storage/src/main/java/amberroute/storage/RecordBuilder.java
@@ -10,71 +10,71 @@
     /** Owner, version and length. */
     private static final int CONTENT_VARINTS = 3;
 
-    private byte[] bytes = new byte[SegmentFormat.FRAME_BYTES + INITIAL_BYTES];
-    private int end = SegmentFormat.FRAME_BYTES;
+    private byte[] bytes = new byte[SegmentFormat.RECORD_HEADER_BYTES + INITIAL_BYTES];
+    private int endOffset = SegmentFormat.RECORD_HEADER_BYTES;
 
-    int addContent(long owner, int kind, boolean exclusive, long version, byte[] content) {
-        int before = end;
+    int addContent(long ownerId, int kind, boolean exclusive, long version, byte[] content) {
+        int itemOffset = endOffset;
         ensureRoom(1 + CONTENT_VARINTS * SegmentFormat.MAX_VARINT_BYTES + content.length);
-        bytes[end++] = (byte) (kind | (exclusive ? SegmentFormat.EXCLUSIVE_FLAG : 0));
-        appendVarint(owner);
+        bytes[endOffset++] = (byte) (kind | (exclusive ? SegmentFormat.EXCLUSIVE_FLAG : 0));
+        appendVarint(ownerId);
         appendVarint(version);
         appendVarint(content.length);
-        System.arraycopy(content, 0, bytes, end, content.length);
-        end += content.length;
-        return end - before;
+        System.arraycopy(content, 0, bytes, endOffset, content.length);
+        endOffset += content.length;
+        return endOffset - itemOffset;
     }
 
-    int addTombstone(List<Long> owners) {
-        return addList(SegmentFormat.TOMBSTONE_ITEM, owners);
+    int addTombstone(List<Long> ownerIds) {
+        return addList(SegmentFormat.TOMBSTONE_ITEM, ownerIds);
     }
 
-    void addSegmentList(List<Long> numbers) {
-        addList(SegmentFormat.SEGMENT_LIST_ITEM, numbers);
+    void addSegmentList(List<Long> segmentNumbers) {
+        addList(SegmentFormat.SEGMENT_LIST_ITEM, segmentNumbers);
     }
 
-    void addSegmentRetired(long number) {
-        addList(SegmentFormat.SEGMENT_RETIRED_ITEM, List.of(number));
+    void addSegmentRetired(long segmentNumber) {
+        addList(SegmentFormat.SEGMENT_RETIRED_ITEM, List.of(segmentNumber));
     }
 
-    private int addList(int kind, List<Long> numbers) {
-        int before = end;
-        ensureRoom(1 + (numbers.size() + 1) * SegmentFormat.MAX_VARINT_BYTES);
-        bytes[end++] = (byte) kind;
-        appendVarint(numbers.size());
-        numbers.forEach(this::appendVarint);
-        return end - before;
+    private int addList(int kind, List<Long> values) {
+        int itemOffset = endOffset;
+        ensureRoom(1 + (values.size() + 1) * SegmentFormat.MAX_VARINT_BYTES);
+        bytes[endOffset++] = (byte) kind;
+        appendVarint(values.size());
+        values.forEach(this::appendVarint);
+        return endOffset - itemOffset;
     }
 
     /** Returns the bytes of all items so far. */
-    int size() {
-        return end - SegmentFormat.FRAME_BYTES;
+    int sizeBytes() {
+        return endOffset - SegmentFormat.RECORD_HEADER_BYTES;
     }
 
-    private void ensureRoom(int more) {
-        if (end + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, end + more));
+    private void ensureRoom(int additionalBytes) {
+        if (endOffset + additionalBytes > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, endOffset + additionalBytes));
         }
     }
 
     private void appendVarint(long value) {
-        end = SegmentFormat.writeVarint(value, bytes, end);
+        endOffset = SegmentFormat.writeVarint(value, bytes, endOffset);
     }
 
     /**
      * Returns the whole record; a view of this builder's bytes, valid until the next call.
      *
-     * @throws IllegalArgumentException where the items exceed {@link SegmentFormat#MAX_CONTENT_BYTES}
+     * @throws IllegalArgumentException where the items exceed {@link SegmentFormat#MAX_ITEMS_BYTES}
      */
-    ByteBuffer frame(long salt, long sequence) {
-        if (size() > SegmentFormat.MAX_CONTENT_BYTES) {
+    ByteBuffer encodeRecord(long salt, long sequence) {
+        if (sizeBytes() > SegmentFormat.MAX_ITEMS_BYTES) {
             throw new IllegalArgumentException(
-                    "a record of " + size() + " bytes exceeds " + SegmentFormat.MAX_CONTENT_BYTES);
+                    "a record of " + sizeBytes() + " bytes exceeds " + SegmentFormat.MAX_ITEMS_BYTES);
         }
-        ByteBuffer out = ByteBuffer.wrap(bytes, 0, end);
+        ByteBuffer out = ByteBuffer.wrap(bytes, 0, endOffset);
         out.putInt(0, SegmentFormat.RECORD_MARKER)
-                .putInt(SegmentFormat.LENGTH_OFFSET, size())
-                .putLong(SegmentFormat.SEQUENCE_OFFSET, sequence);
-        return out.putInt(SegmentFormat.CHECKSUM_OFFSET, SegmentFormat.checksum(salt, bytes, 0, size()));
+                .putInt(SegmentFormat.RECORD_LENGTH_OFFSET, sizeBytes())
+                .putLong(SegmentFormat.RECORD_SEQUENCE_OFFSET, sequence);
+        return out.putInt(SegmentFormat.RECORD_CHECKSUM_OFFSET, SegmentFormat.checksum(salt, bytes, 0, sizeBytes()));
     }
 }
--- a/storage/src/main/java/amberroute/storage/SegmentCache.java
+++ b/storage/src/main/java/amberroute/storage/SegmentCache.java
@@ -8,26 +8,26 @@
  * share of the heap. Not thread-safe.
  */
 final class SegmentCache {
-    private static final int HEAP_SHARE = 8;
+    private static final int HEAP_DIVISOR = 8;
 
-    private final Map<SegmentFile, byte[]> bytes = new HashMap<>();
+    private final Map<SegmentFile, byte[]> bytesBySegment = new HashMap<>();
     private long totalBytes;
 
     /** Retains the segment's bytes where the bound has room for them. */
-    void add(SegmentFile segment, byte[] all) {
-        if (totalBytes + all.length <= Runtime.getRuntime().maxMemory() / HEAP_SHARE) {
-            bytes.put(segment, all);
-            totalBytes += all.length;
+    void add(SegmentFile segment, byte[] segmentBytes) {
+        if (totalBytes + segmentBytes.length <= Runtime.getRuntime().maxMemory() / HEAP_DIVISOR) {
+            bytesBySegment.put(segment, segmentBytes);
+            totalBytes += segmentBytes.length;
         }
     }
 
     /** Returns the segment's bytes, or null. */
     byte[] get(SegmentFile segment) {
-        return bytes.get(segment);
+        return bytesBySegment.get(segment);
     }
 
     void clear() {
-        bytes.clear();
+        bytesBySegment.clear();
         totalBytes = 0;
     }
 }
--- a/storage/src/main/java/amberroute/storage/SegmentFile.java
+++ b/storage/src/main/java/amberroute/storage/SegmentFile.java
@@ -12,24 +12,24 @@
     private static final String SUFFIX = ".seg";
     private static final int NUMBER_DIGITS = 16;
     private static final int SALT_INDEX = NUMBER_DIGITS + 1;
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     private final SegmentTotals totals;
     final String name;
     final long number;
     final long salt;
     /** The owner of each content in it, one entry for each copy. */
-    long[] owners = new long[8];
+    long[] copyOwnerIds = new long[8];
 
-    int copies;
+    int copyCount;
     final Set<Tombstone> tombstones = new LinkedHashSet<>();
     private long liveBytes;
-    private long bytes;
+    private long sizeBytes;
     /**
      * The segment whose end only this one's head records, null for none. That one has bytes behind its end, which would count if
      * this segment were deleted first.
      */
-    SegmentFile endRecordedHere;
+    SegmentFile segmentWithEndRecordedHere;
 
     private boolean suspect;
     private boolean deleted;
@@ -39,63 +39,63 @@
     SegmentFile(SegmentTotals totals, String name) {
         this.totals = totals;
         this.name = name;
-        number = Long.parseUnsignedLong(name.substring(0, NUMBER_DIGITS), HEXADECIMAL);
-        salt = Long.parseUnsignedLong(name.substring(SALT_INDEX, SALT_INDEX + NUMBER_DIGITS), HEXADECIMAL);
+        number = Long.parseUnsignedLong(name.substring(0, NUMBER_DIGITS), HEX_RADIX);
+        salt = Long.parseUnsignedLong(name.substring(SALT_INDEX, SALT_INDEX + NUMBER_DIGITS), HEX_RADIX);
     }
 
-    static String nameOf(long number, long salt) {
+    static String fileNameOf(long number, long salt) {
         return String.format("%016x-%016x%s", number, salt, SUFFIX);
     }
 
     /** Returns whether this is the name of a segment's file. */
-    static boolean isName(String name) {
+    static boolean isSegmentFileName(String name) {
         return name.matches("[0-9a-f]{16}-[0-9a-f]{16}\\" + SUFFIX);
     }
 
-    long bytes() {
-        return bytes;
+    long sizeBytes() {
+        return sizeBytes;
     }
 
-    void setBytes(long now) {
-        totals.blockBytes += SegmentTotals.roundUp(now) - SegmentTotals.roundUp(bytes);
-        bytes = now;
+    void setSizeBytes(long newSizeBytes) {
+        totals.blockBytes += SegmentTotals.roundUpToBlocks(newSizeBytes) - SegmentTotals.roundUpToBlocks(sizeBytes);
+        sizeBytes = newSizeBytes;
     }
 
-    void addLive(long more) {
+    void addLiveBytes(long deltaBytes) {
         if (!deleted) {
-            totals.liveBytes += more;
-            liveBytes += more;
+            totals.liveBytes += deltaBytes;
+            liveBytes += deltaBytes;
         }
     }
 
     /** Returns live bytes as a share of all bytes. */
     double liveRatio() {
-        return liveBytes / (double) Math.max(1, bytes);
+        return liveBytes / (double) Math.max(1, sizeBytes);
     }
 
     /** Returns whether a force of it has failed, so that what was in memory only may be lost. */
-    boolean suspect() {
+    boolean isSuspect() {
         return suspect;
     }
 
     void markSuspect() {
-        totals.suspects += suspect ? 0 : 1;
+        totals.suspectSegments += suspect ? 0 : 1;
         suspect = true;
     }
 
     /** Takes it out of all totals, as its file is deleted; later changes of its live bytes do not count. */
     void markDeleted() {
-        setBytes(0);
-        addLive(-liveBytes);
-        totals.suspects -= suspect ? 1 : 0;
+        setSizeBytes(0);
+        addLiveBytes(-liveBytes);
+        totals.suspectSegments -= suspect ? 1 : 0;
         suspect = false;
         deleted = true;
     }
 
-    void addCopy(long owner) {
-        if (copies == owners.length) {
-            owners = Arrays.copyOf(owners, 2 * copies);
+    void addCopy(long ownerId) {
+        if (copyCount == copyOwnerIds.length) {
+            copyOwnerIds = Arrays.copyOf(copyOwnerIds, 2 * copyCount);
         }
-        owners[copies++] = owner;
+        copyOwnerIds[copyCount++] = ownerId;
     }
 }
--- a/storage/src/main/java/amberroute/storage/SegmentFormat.java
+++ b/storage/src/main/java/amberroute/storage/SegmentFormat.java
@@ -20,18 +20,18 @@
  * <p>The salt is in the file's name. Content from outside could otherwise imitate a record where one is searched behind damage.
  */
 final class SegmentFormat {
-    static final int HEADER_BYTES = 48;
+    static final int SEGMENT_HEADER_BYTES = 48;
     /** Bytes of a record before its items. */
-    static final int FRAME_BYTES = 20;
+    static final int RECORD_HEADER_BYTES = 20;
     /** Bound of a record's items. */
-    static final int MAX_CONTENT_BYTES = 1 << 18;
+    static final int MAX_ITEMS_BYTES = 1 << 18;
 
     static final long MAGIC = 0x414d4252_5345474dL;
     static final short FORMAT_VERSION = 1;
     static final int RECORD_MARKER = 0x5245_4331;
-    static final int LENGTH_OFFSET = 4;
-    static final int SEQUENCE_OFFSET = 8;
-    static final int CHECKSUM_OFFSET = FRAME_BYTES - Integer.BYTES;
+    static final int RECORD_LENGTH_OFFSET = 4;
+    static final int RECORD_SEQUENCE_OFFSET = 8;
+    static final int RECORD_CHECKSUM_OFFSET = RECORD_HEADER_BYTES - Integer.BYTES;
 
     /** The highest kind of a content. */
     static final int MAX_KIND = 63;
@@ -43,27 +43,27 @@
     static final int MAX_VARINT_BYTES = 10;
     private static final int VARINT_BITS = 7;
     private static final int VARINT_MASK = 0x7f;
-    private static final int VARINT_CONTINUES = 0x80;
+    private static final int VARINT_CONTINUATION_BIT = 0x80;
 
     private SegmentFormat() {}
 
     /** Returns the checksum of the record at this offset, over the frame without its checksum and the items. */
-    static int checksum(long salt, byte[] bytes, int offset, int contentBytes) {
+    static int checksum(long salt, byte[] bytes, int offset, int itemsBytes) {
         CRC32C crc = new CRC32C();
         byte[] saltBytes = new byte[Long.BYTES];
         ByteBuffer.wrap(saltBytes).putLong(salt);
         crc.update(saltBytes, 0, Long.BYTES);
-        crc.update(bytes, offset, CHECKSUM_OFFSET);
-        crc.update(bytes, offset + FRAME_BYTES, contentBytes);
+        crc.update(bytes, offset, RECORD_CHECKSUM_OFFSET);
+        crc.update(bytes, offset + RECORD_HEADER_BYTES, itemsBytes);
         return (int) crc.getValue();
     }
 
     static long readVarint(ByteBuffer in) {
         long value = 0;
         for (int shift = 0; shift < Long.SIZE; shift += VARINT_BITS) {
-            byte next = in.get();
-            value |= (long) (next & VARINT_MASK) << shift;
-            if (next >= 0) {
+            byte nextByte = in.get();
+            value |= (long) (nextByte & VARINT_MASK) << shift;
+            if (nextByte >= 0) {
                 break;
             }
         }
@@ -73,12 +73,12 @@
     /** Writes a number at an offset, which has {@link #MAX_VARINT_BYTES} of room; returns the offset behind it. */
     static int writeVarint(long value, byte[] bytes, int offset) {
         int end = offset;
-        long rest = value;
-        while ((rest & ~(long) VARINT_MASK) != 0) {
-            bytes[end++] = (byte) (rest & VARINT_MASK | VARINT_CONTINUES);
-            rest >>>= VARINT_BITS;
+        long remaining = value;
+        while ((remaining & ~(long) VARINT_MASK) != 0) {
+            bytes[end++] = (byte) (remaining & VARINT_MASK | VARINT_CONTINUATION_BIT);
+            remaining >>>= VARINT_BITS;
         }
-        bytes[end++] = (byte) rest;
+        bytes[end++] = (byte) remaining;
         return end;
     }
 }
--- a/storage/src/main/java/amberroute/storage/SegmentHeader.java
+++ b/storage/src/main/java/amberroute/storage/SegmentHeader.java
@@ -7,30 +7,30 @@
 /**
  * The header of a segment; see {@link SegmentFormat} for its layout.
  *
- * @param whole whether it could be read; if not, the other fields say nothing
+ * @param valid whether it could be read; if not, the other fields say nothing
  * @param number of the segment
  * @param previousNumber number of the segment before it, -1 for none
  * @param previousEnd where that one ends, in bytes
- * @param firstFreeOwner lowest owner number that was free when the segment was begun
+ * @param firstFreeOwnerId lowest owner number that was free when the segment was begun
  */
-record SegmentHeader(boolean whole, long number, long previousNumber, long previousEnd, long firstFreeOwner) {
-    private static final SegmentHeader UNREADABLE = new SegmentHeader(false, -1, -1, -1, 0);
+record SegmentHeader(boolean valid, long number, long previousNumber, long previousEnd, long firstFreeOwnerId) {
+    private static final SegmentHeader INVALID = new SegmentHeader(false, -1, -1, -1, 0);
     private static final int VERSION_OFFSET = 8;
     private static final int NUMBER_OFFSET = 12;
     private static final int PREVIOUS_NUMBER_OFFSET = 20;
     private static final int PREVIOUS_END_OFFSET = 28;
-    private static final int FIRST_FREE_OWNER_OFFSET = 36;
-    private static final int CHECKSUM_OFFSET = SegmentFormat.HEADER_BYTES - Integer.BYTES;
+    private static final int FIRST_FREE_OWNER_ID_OFFSET = 36;
+    private static final int CHECKSUM_OFFSET = SegmentFormat.SEGMENT_HEADER_BYTES - Integer.BYTES;
 
-    static ByteBuffer encode(long number, long previousNumber, long previousEnd, long firstFreeOwner) {
-        ByteBuffer out = ByteBuffer.allocate(SegmentFormat.HEADER_BYTES);
+    static ByteBuffer encode(long number, long previousNumber, long previousEnd, long firstFreeOwnerId) {
+        ByteBuffer out = ByteBuffer.allocate(SegmentFormat.SEGMENT_HEADER_BYTES);
         out.putLong(SegmentFormat.MAGIC)
                 .putShort(SegmentFormat.FORMAT_VERSION)
                 .putShort((short) 0)
                 .putLong(number)
                 .putLong(previousNumber)
                 .putLong(previousEnd)
-                .putLong(firstFreeOwner);
+                .putLong(firstFreeOwnerId);
         return out.putInt(checksum(out.array())).flip();
     }
 
@@ -40,12 +40,12 @@
      * @throws UnsupportedFormatException where a later version has written it
      */
     static SegmentHeader decode(byte[] segment) throws IOException {
-        if (segment.length < SegmentFormat.HEADER_BYTES) {
-            return UNREADABLE;
+        if (segment.length < SegmentFormat.SEGMENT_HEADER_BYTES) {
+            return INVALID;
         }
         ByteBuffer in = ByteBuffer.wrap(segment);
         if (in.getLong(0) != SegmentFormat.MAGIC || in.getInt(CHECKSUM_OFFSET) != checksum(segment)) {
-            return UNREADABLE;
+            return INVALID;
         }
         if (in.getShort(VERSION_OFFSET) > SegmentFormat.FORMAT_VERSION) {
             throw new UnsupportedFormatException(in.getShort(VERSION_OFFSET));
@@ -55,7 +55,7 @@
                 in.getLong(NUMBER_OFFSET),
                 in.getLong(PREVIOUS_NUMBER_OFFSET),
                 in.getLong(PREVIOUS_END_OFFSET),
-                in.getLong(FIRST_FREE_OWNER_OFFSET));
+                in.getLong(FIRST_FREE_OWNER_ID_OFFSET));
     }
 
     private static int checksum(byte[] header) {
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -12,7 +12,7 @@
  * batch whose {@link #write} has returned is found by every later opening, unless its bytes are damaged on the disk; one whose
  * write has failed is not, and nothing else is lost by it.
  *
- * <p>Where it cannot be made sure that a failed batch is not found, the log is {@link #uncertain} until that is resolved: nobody
+ * <p>Where it cannot be made sure that a failed batch is not found, the log is {@link #hasUncertainWrite} until that is resolved: nobody
  * may rely on the batch's absence meanwhile.
  *
  * <p>Room is won back by {@link #compact}. A deletion stays recorded until no copy of the owner's contents is left on the disk,
@@ -20,7 +20,7 @@
  * PendingForce#run}.
  */
 public final class SegmentLog implements Closeable {
-    private static final long NO_BUDGET = Long.MAX_VALUE;
+    private static final long UNLIMITED_BYTES = Long.MAX_VALUE;
     private static final long READ_ONLY_SEGMENT_BYTES = 1 << 20;
     /** Blocks that a write may take beside its own bytes: rounding of the active segment and of the next one. */
     private static final int ROUNDING_BLOCKS = 2;
@@ -35,22 +35,22 @@
     private List<DataLoss> losses = List.of();
     private long tornBytes;
 
-    private SegmentLog(Disk disk, LogLimits limits, LongSupplier salts) {
+    private SegmentLog(Disk disk, LogLimits limits, LongSupplier saltSupplier) {
         files = new LogFiles(disk, limits);
         forces = new ForceTracker(files);
-        writer = new SegmentWriter(files, index, forces, salts);
+        writer = new SegmentWriter(files, index, forces, saltSupplier);
         compactor = new Compactor(files, index, writer, forces);
     }
 
     /**
      * Opens or begins a log; only the space reserve is written.
      *
-     * @param salts gives a number that no client can know, for each segment: content from outside could otherwise imitate a
+     * @param saltSupplier gives a number that no client can know, for each segment: content from outside could otherwise imitate a
      *     record where recovery searches behind damaged bytes
      * @throws Segment.UnsupportedFormatException where a segment was written by a newer version; then nothing is changed
      */
-    public static SegmentLog open(Disk disk, LogLimits limits, LongSupplier salts) throws IOException {
-        SegmentLog log = new SegmentLog(disk, limits, salts);
+    public static SegmentLog open(Disk disk, LogLimits limits, LongSupplier saltSupplier) throws IOException {
+        SegmentLog log = new SegmentLog(disk, limits, saltSupplier);
         log.recover();
         log.refillReserve();
         return log;
@@ -58,7 +58,8 @@
 
     /** Opens a log, of which a process may be writing, for reading only. */
     public static SegmentLog openReadOnly(Disk disk) throws IOException {
-        SegmentLog log = new SegmentLog(disk, new LogLimits(NO_BUDGET, READ_ONLY_SEGMENT_BYTES, 0, false), () -> 0);
+        SegmentLog log =
+                new SegmentLog(disk, new LogLimits(UNLIMITED_BYTES, READ_ONLY_SEGMENT_BYTES, 0, false), () -> 0);
         log.writer.makeReadOnly();
         log.recover();
         return log;
@@ -69,18 +70,18 @@
         recovery.run();
         losses = List.copyOf(recovery.losses());
         tornBytes = recovery.tornBytes();
-        writer.recovered(recovery.lastSequence());
-        forces.recovered(recovery.lastSequence());
+        writer.resumeAfter(recovery.lastSequence());
+        forces.setRecoveredSequence(recovery.lastSequence());
     }
 
     /** Returns whether a folder with files of these names has a log. */
     public static boolean containsLog(Collection<String> names) {
-        return names.stream().anyMatch(SegmentLog::isSegment);
+        return names.stream().anyMatch(SegmentLog::isSegmentFileName);
     }
 
     /** Returns whether this is the name of a segment. */
-    public static boolean isSegment(String name) {
-        return SegmentFile.isName(name);
+    public static boolean isSegmentFileName(String name) {
+        return SegmentFile.isSegmentFileName(name);
     }
 
     /**
@@ -88,8 +89,8 @@
      *
      * @throws IOException where a segment cannot be read, or of the reader
      */
-    public void read(ContentReader reader) throws IOException {
-        new LiveContentReading(files, index, reader).run();
+    public void readLiveContents(ContentVisitor visitor) throws IOException {
+        new LiveContentScan(files, index, visitor).run();
     }
 
     /**
@@ -97,58 +98,58 @@
      *
      * @return the sequence number of its record
      * @throws LogFullException where the budget has no room for it
-     * @throws IOException where the disk does not take it; then the log is as before, unless it is {@link #uncertain}
+     * @throws IOException where the disk does not take it; then the log is as before, unless it is {@link #hasUncertainWrite}
      * @throws IllegalArgumentException where an owner that has an exclusive content is given another one
      */
     public long write(Batch batch) throws IOException {
         if (batch.isEmpty()) {
-            return writer.sequence();
+            return writer.lastSequence();
         }
         RecordBuilder items = new RecordBuilder();
         // A segment that is begun for this batch takes a sequence number too: the contents keep the version in the
         // items.
-        long version = writer.sequence() + 1;
-        List<ItemPosition> positions = putItems(items, batch, version);
-        List<Long> deleted = deletionsToRecord(batch);
-        int tombstoneBytes = deleted.isEmpty() ? 0 : items.addTombstone(deleted);
-        if (items.size() == 0) {
-            return writer.sequence();
+        long version = writer.lastSequence() + 1;
+        List<ItemPosition> positions = addContentItems(items, batch, version);
+        List<Long> deletedOwnerIds = deletionsToRecord(batch);
+        int tombstoneBytes = deletedOwnerIds.isEmpty() ? 0 : items.addTombstone(deletedOwnerIds);
+        if (items.sizeBytes() == 0) {
+            return writer.lastSequence();
         }
-        makeRoom(items.size() + SegmentFormat.FRAME_BYTES);
+        makeRoom(items.sizeBytes() + SegmentFormat.RECORD_HEADER_BYTES);
         long recordOffset = writer.append(items);
         indexContents(batch, positions, version, recordOffset);
-        if (!deleted.isEmpty()) {
-            index.addTombstone(writer.active(), deleted, tombstoneBytes);
+        if (!deletedOwnerIds.isEmpty()) {
+            index.addTombstone(writer.active(), deletedOwnerIds, tombstoneBytes);
         }
-        return writer.sequence();
+        return writer.lastSequence();
     }
 
-    private List<ItemPosition> putItems(RecordBuilder items, Batch batch, long version) {
+    private List<ItemPosition> addContentItems(RecordBuilder items, Batch batch, long version) {
         List<ItemPosition> positions = new ArrayList<>();
         for (Batch.Put put : batch.puts) {
-            OwnerContents known = index.find(put.owner());
-            if (!put.exclusive() && known != null && known.exclusiveVersion > 0) {
-                throw new IllegalArgumentException("owner " + put.owner() + " has an exclusive content");
+            OwnerContents ownerContents = index.find(put.ownerId());
+            if (!put.exclusive() && ownerContents != null && ownerContents.exclusiveVersion > 0) {
+                throw new IllegalArgumentException("owner " + put.ownerId() + " has an exclusive content");
             }
-            int itemBytes = items.addContent(put.owner(), put.kind(), put.exclusive(), version, put.content());
-            positions.add(new ItemPosition(items.size() - put.content().length, itemBytes));
+            int itemBytes = items.addContent(put.ownerId(), put.kind(), put.exclusive(), version, put.content());
+            positions.add(new ItemPosition(items.sizeBytes() - put.content().length, itemBytes));
         }
         return positions;
     }
 
     /** Returns the deleted owners of which there is anything to delete. */
     private List<Long> deletionsToRecord(Batch batch) {
-        if (batch.deletedOwners.isEmpty()) {
+        if (batch.deletedOwnerIds.isEmpty()) {
             return List.of();
         }
-        return batch.deletedOwners.stream()
-                .filter(owner -> isStored(owner) || batch.puts.stream().anyMatch(put -> put.owner() == owner))
+        return batch.deletedOwnerIds.stream()
+                .filter(ownerId -> isStored(ownerId) || batch.puts.stream().anyMatch(put -> put.ownerId() == ownerId))
                 .toList();
     }
 
-    private boolean isStored(long owner) {
-        OwnerContents known = index.find(owner);
-        return known != null && !known.deleted;
+    private boolean isStored(long ownerId) {
+        OwnerContents ownerContents = index.find(ownerId);
+        return ownerContents != null && !ownerContents.deleted;
     }
 
     private void indexContents(Batch batch, List<ItemPosition> positions, long version, long recordOffset) {
@@ -156,28 +157,31 @@
             Batch.Put put = batch.puts.get(i);
             index.addContent(
                     writer.active(),
-                    put.owner(),
+                    put.ownerId(),
                     put.kind(),
                     put.exclusive(),
                     version,
                     recordOffset,
-                    recordOffset + SegmentFormat.FRAME_BYTES + positions.get(i).offset(),
+                    recordOffset
+                            + SegmentFormat.RECORD_HEADER_BYTES
+                            + positions.get(i).contentOffset(),
                     put.content().length,
                     positions.get(i).itemBytes());
         }
     }
 
     /** Compacts until so many bytes fit beside the segment that compaction itself needs. */
-    private void makeRoom(long bytes) throws IOException {
+    private void makeRoom(long recordBytes) throws IOException {
         LogLimits limits = files.limits;
-        if (bytes + 2 * SegmentFormat.HEADER_BYTES > limits.segmentBytes()) {
-            throw LogFullException.batchExceedsSegment(bytes, limits.segmentBytes());
+        if (recordBytes + 2 * SegmentFormat.SEGMENT_HEADER_BYTES > limits.segmentBytes()) {
+            throw LogFullException.batchExceedsSegment(recordBytes, limits.segmentBytes());
         }
-        long needed =
-                SegmentTotals.roundUp(bytes) + ROUNDING_BLOCKS * SegmentTotals.BLOCK_BYTES + limits.segmentBytes();
-        while (usedBytes() + needed > limits.budgetBytes()) {
+        long neededBytes = SegmentTotals.roundUpToBlocks(recordBytes)
+                + ROUNDING_BLOCKS * SegmentTotals.BLOCK_BYTES
+                + limits.segmentBytes();
+        while (usedBytes() + neededBytes > limits.budgetBytes()) {
             if (!compact(limits.segmentBytes())) {
-                throw LogFullException.budgetSpent(usedBytes(), limits.budgetBytes(), liveBytes());
+                throw LogFullException.budgetExhausted(usedBytes(), limits.budgetBytes(), liveBytes());
             }
         }
     }
@@ -198,7 +202,7 @@
         return WORKING_SEGMENTS * limits.segmentBytes()
                 + limits.reserveBytes()
                 + (limits.budgetBytes() / limits.segmentBytes() + 2)
-                        * (SegmentTotals.BLOCK_BYTES + 2 * SegmentFormat.HEADER_BYTES)
+                        * (SegmentTotals.BLOCK_BYTES + 2 * SegmentFormat.SEGMENT_HEADER_BYTES)
                 + DamagedFiles.MAX_FILES * (long) SegmentTotals.BLOCK_BYTES
                 + (long) (limits.budgetBytes() * (1 - Compactor.MAX_LIVE_RATIO));
     }
@@ -219,38 +223,38 @@
     }
 
     /** Returns the sequence number of the last record. */
-    public long sequence() {
-        return writer.sequence();
+    public long lastSequence() {
+        return writer.lastSequence();
     }
 
     /** Returns an owner's number that none had, also not in an earlier process. */
-    public long nextOwner() {
-        return index.nextOwner();
+    public long nextOwnerId() {
+        return index.nextOwnerId();
     }
 
-    /** Makes {@link #nextOwner} return numbers from here on only. */
-    public void reserveOwnersBelow(long next) {
-        index.reserveOwnersBelow(next);
+    /** Makes {@link #nextOwnerId} return numbers from here on only. */
+    public void reserveOwnerIdsBelow(long firstFreeId) {
+        index.reserveOwnerIdsBelow(firstFreeId);
     }
 
     /** Returns whether a batch whose write has failed may be found all the same if the process ends now. */
-    public boolean uncertain() {
-        return writer.uncertain();
+    public boolean hasUncertainWrite() {
+        return writer.hasUncertainWrite();
     }
 
-    /** Tries to end being {@link #uncertain}. */
+    /** Tries to end being {@link #hasUncertainWrite}. */
     public void resolveUncertainWrite() throws IOException {
         writer.resolveUncertainWrite();
     }
 
     /** Returns whether records from before a failed force have to be copied and forced anew. */
     public boolean needsRewrite() {
-        return files.totals.suspects > 0;
+        return files.totals.suspectSegments > 0;
     }
 
     /** Returns whether the file that gives room on a full disk is there. */
     public boolean hasReserve() {
-        return files.reserve.full();
+        return files.reserve.isAllocated();
     }
 
     /** Writes the reserve anew where it was released and there is room; to be called from time to time. */
@@ -259,7 +263,7 @@
     }
 
     /** Returns the number of segments. */
-    public int segments() {
+    public int segmentCount() {
         return files.segments.size();
     }
 
@@ -269,7 +273,7 @@
     }
 
     /** Returns the segments that were retired since the log was opened. */
-    public long retired() {
+    public long retiredSegments() {
         return compactor.retiredSegments();
     }
 
--- a/storage/src/main/java/amberroute/storage/SegmentReader.java
+++ b/storage/src/main/java/amberroute/storage/SegmentReader.java
@@ -23,12 +23,12 @@
         if (length > MAX_ARRAY_BYTES) {
             throw new IOException("a segment of " + length + " bytes");
         }
-        byte[] all = new byte[(int) length];
-        ByteBuffer into = ByteBuffer.wrap(all);
-        while (into.hasRemaining() && file.read(into.position(), into) >= 0) {
+        byte[] bytes = new byte[(int) length];
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        while (buffer.hasRemaining() && file.read(buffer.position(), buffer) >= 0) {
             // A read may return fewer bytes than asked for.
         }
-        return into.hasRemaining() ? Arrays.copyOf(all, into.position()) : all;
+        return buffer.hasRemaining() ? Arrays.copyOf(bytes, buffer.position()) : bytes;
     }
 
     /**
@@ -39,48 +39,49 @@
      */
     static SegmentSummary read(byte[] segment, long salt, SegmentVisitor visitor) throws IOException {
         SegmentHeader header = SegmentHeader.decode(segment);
-        List<DamagedRange> damages = new ArrayList<>();
-        int offset = header.whole() ? SegmentFormat.HEADER_BYTES : 0;
-        int end = offset;
+        List<DamagedRange> damagedRanges = new ArrayList<>();
+        int offset = header.valid() ? SegmentFormat.SEGMENT_HEADER_BYTES : 0;
+        int lastRecordEnd = offset;
         int records = 0;
         ByteBuffer in = ByteBuffer.wrap(segment);
         while (offset < segment.length) {
-            if (!isWholeRecord(in, salt, offset)) {
+            if (!isValidRecord(in, salt, offset)) {
                 offset = findMarker(in, offset + 1);
                 continue;
             }
-            if (offset > end) {
-                damages.add(new DamagedRange(end, offset));
+            if (offset > lastRecordEnd) {
+                damagedRanges.add(new DamagedRange(lastRecordEnd, offset));
             }
             records++;
             readItems(in, offset, visitor);
-            offset += SegmentFormat.FRAME_BYTES + contentBytes(in, offset);
-            end = offset;
+            offset += SegmentFormat.RECORD_HEADER_BYTES + itemsBytes(in, offset);
+            lastRecordEnd = offset;
         }
-        return new SegmentSummary(header, damages, records, end, segment.length);
+        return new SegmentSummary(header, damagedRanges, records, lastRecordEnd, segment.length);
     }
 
-    private static int contentBytes(ByteBuffer in, int offset) {
-        return in.getInt(offset + SegmentFormat.LENGTH_OFFSET);
+    private static int itemsBytes(ByteBuffer in, int offset) {
+        return in.getInt(offset + SegmentFormat.RECORD_LENGTH_OFFSET);
     }
 
-    private static boolean isWholeRecord(ByteBuffer in, long salt, int offset) {
-        if (offset + SegmentFormat.FRAME_BYTES > in.limit() || in.getInt(offset) != SegmentFormat.RECORD_MARKER) {
+    private static boolean isValidRecord(ByteBuffer in, long salt, int offset) {
+        if (offset + SegmentFormat.RECORD_HEADER_BYTES > in.limit()
+                || in.getInt(offset) != SegmentFormat.RECORD_MARKER) {
             return false;
         }
-        int length = contentBytes(in, offset);
-        return length >= 0
-                && length <= SegmentFormat.MAX_CONTENT_BYTES
-                && offset + SegmentFormat.FRAME_BYTES + length <= in.limit()
-                && in.getInt(offset + SegmentFormat.CHECKSUM_OFFSET)
-                        == SegmentFormat.checksum(salt, in.array(), offset, length);
+        int itemsBytes = itemsBytes(in, offset);
+        return itemsBytes >= 0
+                && itemsBytes <= SegmentFormat.MAX_ITEMS_BYTES
+                && offset + SegmentFormat.RECORD_HEADER_BYTES + itemsBytes <= in.limit()
+                && in.getInt(offset + SegmentFormat.RECORD_CHECKSUM_OFFSET)
+                        == SegmentFormat.checksum(salt, in.array(), offset, itemsBytes);
     }
 
     /** Returns the next offset at which a record may begin, or the end. */
-    private static int findMarker(ByteBuffer in, int from) {
-        byte first = (byte) (SegmentFormat.RECORD_MARKER >> 24);
-        for (int offset = from; offset + SegmentFormat.FRAME_BYTES <= in.limit(); offset++) {
-            if (in.get(offset) == first && in.getInt(offset) == SegmentFormat.RECORD_MARKER) {
+    private static int findMarker(ByteBuffer in, int startOffset) {
+        byte firstMarkerByte = (byte) (SegmentFormat.RECORD_MARKER >> 24);
+        for (int offset = startOffset; offset + SegmentFormat.RECORD_HEADER_BYTES <= in.limit(); offset++) {
+            if (in.get(offset) == firstMarkerByte && in.getInt(offset) == SegmentFormat.RECORD_MARKER) {
                 return offset;
             }
         }
@@ -88,10 +89,10 @@
     }
 
     private static void readItems(ByteBuffer in, int offset, SegmentVisitor visitor) throws IOException {
-        visitor.record(offset, in.getLong(offset + SegmentFormat.SEQUENCE_OFFSET));
-        int begin = offset + SegmentFormat.FRAME_BYTES;
+        visitor.visitRecord(offset, in.getLong(offset + SegmentFormat.RECORD_SEQUENCE_OFFSET));
+        int itemsOffset = offset + SegmentFormat.RECORD_HEADER_BYTES;
         ByteBuffer items = in.duplicate();
-        items.position(begin).limit(begin + contentBytes(in, offset));
+        items.position(itemsOffset).limit(itemsOffset + itemsBytes(in, offset));
         while (items.hasRemaining()) {
             int itemOffset = items.position();
             int kind = items.get();
@@ -106,25 +107,25 @@
     private static void readList(ByteBuffer items, int itemOffset, int kind, SegmentVisitor visitor)
             throws IOException {
         int count = (int) SegmentFormat.readVarint(items);
-        List<Long> numbers = new ArrayList<>(Math.min(count, items.remaining()));
+        List<Long> values = new ArrayList<>(Math.min(count, items.remaining()));
         for (int i = 0; i < count; i++) {
-            numbers.add(SegmentFormat.readVarint(items));
+            values.add(SegmentFormat.readVarint(items));
         }
         switch (kind) {
-            case SegmentFormat.TOMBSTONE_ITEM -> visitor.tombstone(numbers, items.position() - itemOffset);
-            case SegmentFormat.SEGMENT_LIST_ITEM -> visitor.segmentList(numbers);
-            case SegmentFormat.SEGMENT_RETIRED_ITEM -> visitor.segmentRetired(numbers.get(0));
+            case SegmentFormat.TOMBSTONE_ITEM -> visitor.visitTombstone(values, items.position() - itemOffset);
+            case SegmentFormat.SEGMENT_LIST_ITEM -> visitor.visitSegmentList(values);
+            case SegmentFormat.SEGMENT_RETIRED_ITEM -> visitor.visitSegmentRetired(values.get(0));
             default -> throw new IOException("an item of kind " + kind);
         }
     }
 
     private static void readContent(ByteBuffer items, int itemOffset, int kind, SegmentVisitor visitor)
             throws IOException {
-        long owner = SegmentFormat.readVarint(items);
+        long ownerId = SegmentFormat.readVarint(items);
         long version = SegmentFormat.readVarint(items);
         int length = (int) SegmentFormat.readVarint(items);
-        visitor.content(
-                owner,
+        visitor.visitContent(
+                ownerId,
                 kind & ~SegmentFormat.EXCLUSIVE_FLAG,
                 (kind & SegmentFormat.EXCLUSIVE_FLAG) != 0,
                 version,
@@ -136,28 +137,28 @@
     }
 
     /** Returns an owner's content that is stored at this offset, null where the record there is not whole or has another. */
-    static byte[] findContent(byte[] segment, long salt, long recordOffset, long offset, long owner, long version)
+    static byte[] findContent(byte[] segment, long salt, long recordOffset, long offset, long ownerId, long version)
             throws IOException {
         ByteBuffer in = ByteBuffer.wrap(segment);
         if (recordOffset < 0
-                || recordOffset + SegmentFormat.FRAME_BYTES > segment.length
-                || !isWholeRecord(in, salt, (int) recordOffset)) {
+                || recordOffset + SegmentFormat.RECORD_HEADER_BYTES > segment.length
+                || !isValidRecord(in, salt, (int) recordOffset)) {
             return null;
         }
         byte[][] found = new byte[1][];
         readItems(in, (int) recordOffset, new SegmentVisitor() {
             @Override
-            public void content(
-                    long itemOwner,
+            public void visitContent(
+                    long itemOwnerId,
                     int kind,
                     boolean exclusive,
                     long itemVersion,
-                    byte[] bytes,
-                    int itemOffset,
+                    byte[] segmentBytes,
+                    int contentOffset,
                     int lengthBytes,
                     int itemBytes) {
-                if (itemOffset == offset && itemOwner == owner && itemVersion == version) {
-                    found[0] = Arrays.copyOfRange(bytes, itemOffset, itemOffset + lengthBytes);
+                if (contentOffset == offset && itemOwnerId == ownerId && itemVersion == version) {
+                    found[0] = Arrays.copyOfRange(segmentBytes, contentOffset, contentOffset + lengthBytes);
                 }
             }
         });
--- a/storage/src/main/java/amberroute/storage/SegmentTotals.java
+++ b/storage/src/main/java/amberroute/storage/SegmentTotals.java
@@ -10,10 +10,10 @@
     /** Bytes of live contents and tombstones. */
     long liveBytes;
     /** Segments of which a force has failed. */
-    int suspects;
+    int suspectSegments;
 
     /** Returns the bytes of whole blocks that a file of this size takes. */
-    static long roundUp(long bytes) {
+    static long roundUpToBlocks(long bytes) {
         return (bytes + BLOCK_BYTES - 1) / BLOCK_BYTES * BLOCK_BYTES;
     }
 }
--- a/storage/src/main/java/amberroute/storage/SegmentWriter.java
+++ b/storage/src/main/java/amberroute/storage/SegmentWriter.java
@@ -11,40 +11,40 @@
  *
  * <p>After a failed append the torn part is truncated. Where that fails too another segment is begun, whose header records where
  * the one before ends, since the record may be on the disk although its write was reported as failed. Until that header is
- * written the writer is {@link #uncertain}. Not thread-safe.
+ * written the writer is {@link #hasUncertainWrite}. Not thread-safe.
  */
 final class SegmentWriter {
     private final LogFiles files;
     private final LogIndex index;
     private final ForceTracker forces;
-    private final LongSupplier salts;
+    private final LongSupplier saltSupplier;
     private SegmentFile active;
     /** File of the active segment; null before the first append and behind a failed force. */
-    private Disk.Handle handle;
+    private Disk.Handle activeHandle;
 
-    private long sequence;
-    private long lastNumber;
+    private long lastSequence;
+    private long lastSegmentNumber;
     /** The last segment before the active one, and where it ends; -1 without one. */
-    private long previousNumber = -1;
+    private long previousSegmentNumber = -1;
 
-    private long previousEnd = -1;
-    private boolean uncertain;
+    private long previousSegmentEnd = -1;
+    private boolean hasUncertainWrite;
     /** File of a segment whose header may be on the disk although its write failed; null for none. */
-    private String abandonedName;
+    private String abandonedFileName;
 
     private boolean readOnly;
 
-    SegmentWriter(LogFiles files, LogIndex index, ForceTracker forces, LongSupplier salts) {
+    SegmentWriter(LogFiles files, LogIndex index, ForceTracker forces, LongSupplier saltSupplier) {
         this.files = files;
         this.index = index;
         this.forces = forces;
-        this.salts = salts;
+        this.saltSupplier = saltSupplier;
     }
 
     /** Continues behind what recovery found. */
-    void recovered(long lastSequence) {
-        sequence = lastSequence;
-        lastNumber = files.segments.isEmpty() ? 0 : files.segments.lastKey();
+    void resumeAfter(long recoveredSequence) {
+        lastSequence = recoveredSequence;
+        lastSegmentNumber = files.segments.isEmpty() ? 0 : files.segments.lastKey();
     }
 
     void makeReadOnly() {
@@ -57,17 +57,17 @@
     }
 
     /** Returns whether records may still be appended to this segment. */
-    boolean writesTo(SegmentFile segment) {
-        return segment == active && handle != null;
+    boolean isOpenForAppend(SegmentFile segment) {
+        return segment == active && activeHandle != null;
     }
 
     /** Returns the sequence number of the last record. */
-    long sequence() {
-        return sequence;
+    long lastSequence() {
+        return lastSequence;
     }
 
-    boolean uncertain() {
-        return uncertain;
+    boolean hasUncertainWrite() {
+        return hasUncertainWrite;
     }
 
     /**
@@ -90,24 +90,25 @@
     }
 
     private long appendOnce(RecordBuilder items) throws IOException {
-        int bytes = SegmentFormat.FRAME_BYTES + items.size();
-        if (handle == null || uncertain || exceedsSegment(bytes)) {
-            beginSegment();
+        int bytes = SegmentFormat.RECORD_HEADER_BYTES + items.sizeBytes();
+        if (activeHandle == null || hasUncertainWrite || exceedsSegment(bytes)) {
+            rollSegment();
         }
-        long offset = active.bytes();
+        long offset = active.sizeBytes();
         try {
-            writeFully(handle, items.frame(active.salt, sequence + 1));
+            writeFully(activeHandle, items.encodeRecord(active.salt, lastSequence + 1));
         } catch (IOException e) {
             truncateTornWrite();
             throw e;
         }
-        active.setBytes(offset + bytes);
-        sequence++;
+        active.setSizeBytes(offset + bytes);
+        lastSequence++;
         return offset;
     }
 
     private boolean exceedsSegment(int bytes) {
-        return active.bytes() + bytes > files.limits.segmentBytes() && active.bytes() > 2 * SegmentFormat.HEADER_BYTES;
+        return active.sizeBytes() + bytes > files.limits.segmentBytes()
+                && active.sizeBytes() > 2 * SegmentFormat.SEGMENT_HEADER_BYTES;
     }
 
     /** Writes all of a buffer; a write of nothing is an error, or this would never end. */
@@ -121,12 +122,12 @@
 
     private void truncateTornWrite() {
         try {
-            handle.truncate(active.bytes());
+            activeHandle.truncate(active.sizeBytes());
         } catch (IOException e) {
-            uncertain = true;
+            hasUncertainWrite = true;
             try {
-                beginSegment();
-            } catch (IOException again) {
+                rollSegment();
+            } catch (IOException retryFailure) {
                 // Tried again before the next record, and by resolveUncertainWrite().
             }
         }
@@ -134,108 +135,112 @@
 
     /** Tries again to make sure that no later opening finds a record whose append failed. */
     void resolveUncertainWrite() throws IOException {
-        if (uncertain) {
+        if (hasUncertainWrite) {
             try {
-                beginSegment();
+                rollSegment();
             } catch (IOException e) {
                 if (!files.reserve.release()) {
                     throw e;
                 }
-                beginSegment();
+                rollSegment();
             }
         }
     }
 
     /** Begins the next segment; the one before ends with its last good record, and nothing is appended to it any more. */
-    private void beginSegment() throws IOException {
+    private void rollSegment() throws IOException {
         files.cache.clear();
-        if (abandonedName != null) {
-            files.disk.delete(abandonedName);
-            abandonedName = null;
+        if (abandonedFileName != null) {
+            files.disk.delete(abandonedFileName);
+            abandonedFileName = null;
         }
-        SegmentFile before = active;
-        if (handle != null) {
-            previousNumber = active.number;
-            previousEnd = active.bytes();
-            seal();
+        SegmentFile previousSegment = active;
+        if (activeHandle != null) {
+            previousSegmentNumber = active.number;
+            previousSegmentEnd = active.sizeBytes();
+            sealActiveSegment();
         }
-        SegmentFile next = new SegmentFile(files.totals, SegmentFile.nameOf(++lastNumber, salts.getAsLong()));
-        abandonedName = next.name;
-        Disk.Handle nextHandle = files.disk.open(next.name);
-        forces.namesChanged();
+        SegmentFile newSegment =
+                new SegmentFile(files.totals, SegmentFile.fileNameOf(++lastSegmentNumber, saltSupplier.getAsLong()));
+        abandonedFileName = newSegment.name;
+        Disk.Handle newHandle = files.disk.openForWriting(newSegment.name);
+        forces.folderChanged();
         try {
-            writeStart(next, nextHandle);
+            writeHeaderAndSegmentList(newSegment, newHandle);
         } catch (IOException e) {
-            abandon(next, nextHandle);
+            abandonSegment(newSegment, newHandle);
             throw e;
         }
-        abandonedName = null;
-        sequence++;
-        if (uncertain && before != null) {
-            next.endRecordedHere = before;
+        abandonedFileName = null;
+        lastSequence++;
+        if (hasUncertainWrite && previousSegment != null) {
+            newSegment.segmentWithEndRecordedHere = previousSegment;
         }
-        uncertain = false;
-        files.segments.put(next.number, next);
-        active = next;
-        handle = nextHandle;
+        hasUncertainWrite = false;
+        files.segments.put(newSegment.number, newSegment);
+        active = newSegment;
+        activeHandle = newHandle;
     }
 
     /** Writes the header and the list of segments, so that recovery finds out about a missing one. */
-    private void writeStart(SegmentFile next, Disk.Handle nextHandle) throws IOException {
-        writeFully(nextHandle, SegmentHeader.encode(next.number, previousNumber, previousEnd, index.firstFreeOwner()));
-        next.setBytes(SegmentFormat.HEADER_BYTES);
-        RecordBuilder list = new RecordBuilder();
-        List<Long> numbers = new ArrayList<>(files.segments.keySet());
-        numbers.add(next.number);
-        list.addSegmentList(numbers);
-        ByteBuffer frame = list.frame(next.salt, sequence + 1);
-        next.setBytes(next.bytes() + frame.remaining());
-        writeFully(nextHandle, frame);
-    }
-
-    private void abandon(SegmentFile next, Disk.Handle nextHandle) {
-        LogFiles.closeQuietly(nextHandle);
-        next.markDeleted();
+    private void writeHeaderAndSegmentList(SegmentFile newSegment, Disk.Handle newHandle) throws IOException {
+        writeFully(
+                newHandle,
+                SegmentHeader.encode(
+                        newSegment.number, previousSegmentNumber, previousSegmentEnd, index.firstFreeOwnerId()));
+        newSegment.setSizeBytes(SegmentFormat.SEGMENT_HEADER_BYTES);
+        RecordBuilder segmentList = new RecordBuilder();
+        List<Long> segmentNumbers = new ArrayList<>(files.segments.keySet());
+        segmentNumbers.add(newSegment.number);
+        segmentList.addSegmentList(segmentNumbers);
+        ByteBuffer record = segmentList.encodeRecord(newSegment.salt, lastSequence + 1);
+        newSegment.setSizeBytes(newSegment.sizeBytes() + record.remaining());
+        writeFully(newHandle, record);
+    }
+
+    private void abandonSegment(SegmentFile newSegment, Disk.Handle newHandle) {
+        LogFiles.closeQuietly(newHandle);
+        newSegment.markDeleted();
         try {
-            files.disk.delete(next.name);
-            abandonedName = null;
+            files.disk.delete(newSegment.name);
+            abandonedFileName = null;
         } catch (IOException e) {
             // Deleted before the next segment is begun: there is at most one such file.
         }
     }
 
-    private void seal() {
-        Disk.Handle sealed = handle;
-        handle = null;
+    private void sealActiveSegment() {
+        Disk.Handle sealedHandle = activeHandle;
+        activeHandle = null;
         if (files.limits.forceRequired()) {
-            forces.sealed(active, sealed);
+            forces.addSealed(active, sealedHandle);
         } else {
-            LogFiles.closeQuietly(sealed);
+            LogFiles.closeQuietly(sealedHandle);
         }
     }
 
     /** Returns what has to be forced for all records so far; null where nothing has to. */
     PendingForce prepareForce() {
-        return forces.prepare(sequence, active, handle);
+        return forces.prepare(lastSequence, active, activeHandle);
     }
 
     /** Takes the result of a force; behind a failed one nothing more is appended to its segments. */
     void forceCompleted(PendingForce force, boolean succeeded) {
-        forces.completed(force, succeeded);
-        if (!succeeded && handle != null && force.segments().contains(active)) {
-            previousNumber = active.number;
-            previousEnd = active.bytes();
-            LogFiles.closeQuietly(handle);
-            handle = null;
+        forces.forceCompleted(force, succeeded);
+        if (!succeeded && activeHandle != null && force.segments().contains(active)) {
+            previousSegmentNumber = active.number;
+            previousSegmentEnd = active.sizeBytes();
+            LogFiles.closeQuietly(activeHandle);
+            activeHandle = null;
         }
     }
 
     /** Closes the active segment's file. */
     void close() throws IOException {
-        if (handle != null) {
-            Disk.Handle closing = handle;
-            handle = null;
-            closing.close();
+        if (activeHandle != null) {
+            Disk.Handle closingHandle = activeHandle;
+            activeHandle = null;
+            closingHandle.close();
         }
     }
 }
--- a/storage/src/main/java/amberroute/storage/SimulatedDisk.java
+++ b/storage/src/main/java/amberroute/storage/SimulatedDisk.java
@@ -13,7 +13,7 @@
 /**
  * A disk in memory, for tests and experiments. It kills the process, fails or fills up at an operation chosen by its number. How
  * much of a write lands is drawn from a seed, so a run can be repeated exactly. It records what was forced, and {@link
- * #failPower} loses the rest, each name and each file's end on its own. Not thread-safe.
+ * #simulatePowerLoss} loses the rest, each name and each file's end on its own. Not thread-safe.
  */
 public final class SimulatedDisk implements Disk {
     /** The simulated process was killed: it must not do anything more. */
@@ -40,17 +40,17 @@
     }
 
     /** One file's bytes; a name that is deleted and created again is another file. */
-    private static final class Content {
+    private static final class FileData {
         byte[] bytes = {};
-        byte[] forced = {};
+        byte[] forcedBytes = {};
     }
 
-    private TreeMap<String, Content> files = new TreeMap<>();
-    private Map<String, Content> forcedNames = new HashMap<>();
+    private TreeMap<String, FileData> files = new TreeMap<>();
+    private Map<String, FileData> forcedFiles = new HashMap<>();
     private SplittableRandom random = new SplittableRandom(1);
     private Fault fault = Fault.NONE;
-    private long faultAt;
-    private long until = Long.MAX_VALUE;
+    private long faultOperation;
+    private long faultEndOperation = Long.MAX_VALUE;
     private long operations;
     private boolean killed;
     /** Room for all files together, in bytes. */
@@ -59,22 +59,22 @@
     private long maxUsedBytes;
 
     /** Begins the next process on this disk. The fault comes at the operation with this number, the first one being 1. */
-    public void restart(long seed, Fault next, long at) {
+    public void restart(long seed, Fault nextFault, long operationNumber) {
         random = new SplittableRandom(seed);
-        fault = next;
-        faultAt = at;
-        until = Long.MAX_VALUE;
+        fault = nextFault;
+        faultOperation = operationNumber;
+        faultEndOperation = Long.MAX_VALUE;
         operations = 0;
         killed = false;
     }
 
     /** Ends a fault that lasts before the operation with this number. */
-    public void endFaultBefore(long operation) {
-        until = operation;
+    public void endFaultBefore(long operationNumber) {
+        faultEndOperation = operationNumber;
     }
 
     /** Bounds all files together, in bytes, each counted in whole blocks. */
-    public void capacity(long bytes) {
+    public void setCapacity(long bytes) {
         capacityBytes = bytes;
     }
 
@@ -89,22 +89,22 @@
     }
 
     /** Returns a file's bytes as they are now. */
-    public byte[] bytes(String name) {
+    public byte[] fileBytes(String name) {
         return files.get(name).bytes;
     }
 
     /** Creates or replaces a file without the process. */
-    public void put(String name, byte[] bytes) {
-        files.computeIfAbsent(name, n -> new Content()).bytes = bytes;
+    public void putFile(String name, byte[] bytes) {
+        files.computeIfAbsent(name, n -> new FileData()).bytes = bytes;
     }
 
     /** Deletes a file without the process. */
-    public void remove(String name) {
+    public void removeFile(String name) {
         files.remove(name);
     }
 
     /** Returns the names of all files; not counted as an operation. */
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(files.keySet());
     }
 
@@ -112,189 +112,193 @@
      * Loses some of what was not forced, drawn from the seed: a name that was created may be missing, one that was deleted may be
      * there again, and a file has at least what was forced of it.
      */
-    public void failPower(long seed) {
-        SplittableRandom draw = new SplittableRandom(seed);
-        TreeMap<String, Content> after = new TreeMap<>();
-        for (Map.Entry<String, Content> file : files.entrySet()) {
-            if (file.getValue() == forcedNames.get(file.getKey()) || draw.nextBoolean()) {
-                after.put(file.getKey(), file.getValue());
+    public void simulatePowerLoss(long seed) {
+        SplittableRandom powerLossRandom = new SplittableRandom(seed);
+        TreeMap<String, FileData> remainingFiles = new TreeMap<>();
+        for (Map.Entry<String, FileData> file : files.entrySet()) {
+            if (file.getValue() == forcedFiles.get(file.getKey()) || powerLossRandom.nextBoolean()) {
+                remainingFiles.put(file.getKey(), file.getValue());
             }
         }
-        forcedNames.forEach((name, content) -> {
-            if (!after.containsKey(name) && draw.nextBoolean()) {
-                after.put(name, content);
+        forcedFiles.forEach((name, fileData) -> {
+            if (!remainingFiles.containsKey(name) && powerLossRandom.nextBoolean()) {
+                remainingFiles.put(name, fileData);
             }
         });
-        for (Content content : after.values()) {
-            int forced = Math.min(content.forced.length, content.bytes.length);
-            int length = forced + draw.nextInt(content.bytes.length - forced + 1);
-            byte[] bytes = Arrays.copyOf(content.bytes, length);
-            System.arraycopy(content.forced, 0, bytes, 0, forced);
-            if (length > forced && draw.nextBoolean()) {
+        for (FileData fileData : remainingFiles.values()) {
+            int forcedLength = Math.min(fileData.forcedBytes.length, fileData.bytes.length);
+            int length = forcedLength + powerLossRandom.nextInt(fileData.bytes.length - forcedLength + 1);
+            byte[] bytes = Arrays.copyOf(fileData.bytes, length);
+            System.arraycopy(fileData.forcedBytes, 0, bytes, 0, forcedLength);
+            if (length > forcedLength && powerLossRandom.nextBoolean()) {
                 // A block that was never written behind one that was.
-                Arrays.fill(bytes, forced, forced + draw.nextInt(length - forced + 1), (byte) 0);
+                Arrays.fill(
+                        bytes, forcedLength, forcedLength + powerLossRandom.nextInt(length - forcedLength + 1), (byte)
+                                0);
             }
-            content.bytes = bytes;
-            content.forced = bytes;
+            fileData.bytes = bytes;
+            fileData.forcedBytes = bytes;
         }
-        files = after;
-        forcedNames = new HashMap<>(after);
+        files = remainingFiles;
+        forcedFiles = new HashMap<>(remainingFiles);
     }
 
-    private boolean faultLasts() {
+    private boolean isPersistentFault() {
         return fault == Fault.FULL || fault == Fault.READ_ONLY || fault == Fault.FAIL_FORCES;
     }
 
     /** Whether the fault strikes now. */
-    private boolean strikes() {
+    private boolean nextOperationIsFaulty() {
         if (killed) {
             throw new ProcessKilledError();
         }
         operations++;
         return fault != Fault.NONE
-                && (faultLasts() ? operations >= faultAt && operations < until : operations == faultAt);
+                && (isPersistentFault()
+                        ? operations >= faultOperation && operations < faultEndOperation
+                        : operations == faultOperation);
     }
 
-    private void operate(boolean changes) throws IOException {
-        boolean struck = strikes();
-        if (struck && (fault == Fault.READ_ONLY ? changes : fault != Fault.FULL && fault != Fault.FAIL_FORCES)) {
-            killIfAsked();
+    private void runOperation(boolean modifiesDisk) throws IOException {
+        boolean faulty = nextOperationIsFaulty();
+        if (faulty && (fault == Fault.READ_ONLY ? modifiesDisk : fault != Fault.FULL && fault != Fault.FAIL_FORCES)) {
+            killIfConfigured();
             throw new IOException(fault == Fault.READ_ONLY ? "read-only file system" : "input/output error");
         }
     }
 
-    private void killIfAsked() {
+    private void killIfConfigured() {
         if (fault == Fault.KILL) {
             killed = true;
             throw new ProcessKilledError();
         }
     }
 
-    private Content contentOf(String name) throws IOException {
-        Content content = files.get(name);
-        if (content == null) {
+    private FileData dataOf(String name) throws IOException {
+        FileData fileData = files.get(name);
+        if (fileData == null) {
             throw new IOException("no such file: " + name);
         }
-        return content;
+        return fileData;
     }
 
     private long usedBytes() {
         return files.values().stream()
-                .mapToLong(f -> SegmentTotals.roundUp(f.bytes.length))
+                .mapToLong(fileData -> SegmentTotals.roundUpToBlocks(fileData.bytes.length))
                 .sum();
     }
 
     @Override
     public List<String> list() throws IOException {
-        operate(false);
+        runOperation(false);
         return new ArrayList<>(files.keySet());
     }
 
     @Override
-    public Handle open(String name) throws IOException {
-        operate(true);
-        return new File(files.computeIfAbsent(name, n -> new Content()));
+    public Handle openForWriting(String name) throws IOException {
+        runOperation(true);
+        return new OpenFile(files.computeIfAbsent(name, n -> new FileData()));
     }
 
     @Override
-    public Handle read(String name) throws IOException {
-        operate(false);
-        return new File(contentOf(name));
+    public Handle openForReading(String name) throws IOException {
+        runOperation(false);
+        return new OpenFile(dataOf(name));
     }
 
     @Override
-    public void rename(String from, String to) throws IOException {
-        operate(true);
-        files.put(to, contentOf(from));
-        files.remove(from);
+    public void rename(String oldName, String newName) throws IOException {
+        runOperation(true);
+        files.put(newName, dataOf(oldName));
+        files.remove(oldName);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        operate(true);
+        runOperation(true);
         files.remove(name);
     }
 
     @Override
     public void forceFolder() throws IOException {
-        force(() -> forcedNames = new HashMap<>(files));
+        force(() -> forcedFiles = new HashMap<>(files));
     }
 
-    private void force(Runnable done) throws IOException {
-        if (strikes() && fault != Fault.FULL && fault != Fault.READ_ONLY) {
-            killIfAsked();
+    private void force(Runnable onSuccess) throws IOException {
+        if (nextOperationIsFaulty() && fault != Fault.FULL && fault != Fault.READ_ONLY) {
+            killIfConfigured();
             throw new IOException("input/output error");
         }
-        done.run();
+        onSuccess.run();
     }
 
-    private final class File implements Handle {
-        private final Content content;
+    private final class OpenFile implements Handle {
+        private final FileData fileData;
 
-        File(Content content) {
-            this.content = content;
+        OpenFile(FileData fileData) {
+            this.fileData = fileData;
         }
 
         @Override
         public long size() {
-            return content.bytes.length;
+            return fileData.bytes.length;
         }
 
         @Override
-        public int read(long at, ByteBuffer into) {
-            byte[] bytes = content.bytes;
-            if (at >= bytes.length) {
+        public int read(long offset, ByteBuffer buffer) {
+            byte[] bytes = fileData.bytes;
+            if (offset >= bytes.length) {
                 return -1;
             }
-            int n = (int) Math.min(into.remaining(), bytes.length - at);
-            into.put(bytes, (int) at, n);
-            return n;
+            int readBytes = (int) Math.min(buffer.remaining(), bytes.length - offset);
+            buffer.put(bytes, (int) offset, readBytes);
+            return readBytes;
         }
 
         @Override
-        public int append(ByteBuffer from) throws IOException {
-            boolean struck = strikes() && fault != Fault.FAIL_FORCES;
-            long room = capacityBytes - SimulatedDisk.this.usedBytes() - (SegmentTotals.BLOCK_BYTES - 1);
-            boolean full = from.remaining() > room;
-            int n = landedBytes(from.remaining(), struck, full, room);
-            byte[] before = content.bytes;
-            byte[] after = Arrays.copyOf(before, before.length + n);
-            from.get(after, before.length, n);
-            content.bytes = after;
+        public int append(ByteBuffer buffer) throws IOException {
+            boolean faulty = nextOperationIsFaulty() && fault != Fault.FAIL_FORCES;
+            long roomBytes = capacityBytes - SimulatedDisk.this.usedBytes() - (SegmentTotals.BLOCK_BYTES - 1);
+            boolean diskFull = buffer.remaining() > roomBytes;
+            int writtenBytes = chooseWrittenBytes(buffer.remaining(), faulty, diskFull, roomBytes);
+            byte[] oldBytes = fileData.bytes;
+            byte[] newBytes = Arrays.copyOf(oldBytes, oldBytes.length + writtenBytes);
+            buffer.get(newBytes, oldBytes.length, writtenBytes);
+            fileData.bytes = newBytes;
             maxUsedBytes = Math.max(maxUsedBytes, SimulatedDisk.this.usedBytes());
-            if (struck) {
-                killIfAsked();
+            if (faulty) {
+                killIfConfigured();
                 throw new IOException(fault == Fault.FULL ? "no space left on device" : "input/output error");
             }
-            if (full && n == 0) {
+            if (diskFull && writtenBytes == 0) {
                 throw new IOException("no space left on device");
             }
-            return n;
+            return writtenBytes;
         }
 
-        private int landedBytes(int asked, boolean struck, boolean full, long room) {
-            if (struck) {
-                return fault == Fault.READ_ONLY ? 0 : random.nextInt(asked + 1);
+        private int chooseWrittenBytes(int requestedBytes, boolean faulty, boolean diskFull, long roomBytes) {
+            if (faulty) {
+                return fault == Fault.READ_ONLY ? 0 : random.nextInt(requestedBytes + 1);
             }
-            if (full) {
-                return (int) Math.max(0, Math.min(asked, room));
+            if (diskFull) {
+                return (int) Math.max(0, Math.min(requestedBytes, roomBytes));
             }
             // A write may take a part of the bytes without an error.
-            return random.nextInt(4) == 0 ? 1 + random.nextInt(asked) : asked;
+            return random.nextInt(4) == 0 ? 1 + random.nextInt(requestedBytes) : requestedBytes;
         }
 
         @Override
         public void truncate(long size) throws IOException {
-            operate(true);
-            if (fault == Fault.FAIL_AND_TRUNCATE_FAILS && operations > faultAt) {
+            runOperation(true);
+            if (fault == Fault.FAIL_AND_TRUNCATE_FAILS && operations > faultOperation) {
                 throw new IOException("input/output error");
             }
-            content.bytes = Arrays.copyOf(content.bytes, (int) size);
+            fileData.bytes = Arrays.copyOf(fileData.bytes, (int) size);
         }
 
         @Override
         public void force() throws IOException {
-            SimulatedDisk.this.force(() -> content.forced = content.bytes);
+            SimulatedDisk.this.force(() -> fileData.forcedBytes = fileData.bytes);
         }
 
         @Override
--- a/storage/src/main/java/amberroute/storage/SpaceReserve.java
+++ b/storage/src/main/java/amberroute/storage/SpaceReserve.java
@@ -13,7 +13,7 @@
 
     private final Disk disk;
     private final long targetBytes;
-    private long bytes;
+    private long sizeBytes;
 
     SpaceReserve(Disk disk, long targetBytes) {
         this.disk = disk;
@@ -21,26 +21,26 @@
     }
 
     /** Takes the size of the file as recovery found it. */
-    void recovered(long foundBytes) {
-        bytes = foundBytes;
+    void setRecoveredSize(long foundBytes) {
+        sizeBytes = foundBytes;
     }
 
-    long bytes() {
-        return bytes;
+    long sizeBytes() {
+        return sizeBytes;
     }
 
-    boolean full() {
-        return bytes >= targetBytes;
+    boolean isAllocated() {
+        return sizeBytes >= targetBytes;
     }
 
     /** Truncates the file; returns false where it has nothing to give, or cannot. */
     boolean release() {
-        if (bytes == 0) {
+        if (sizeBytes == 0) {
             return false;
         }
-        try (Disk.Handle handle = disk.open(NAME)) {
+        try (Disk.Handle handle = disk.openForWriting(NAME)) {
             handle.truncate(0);
-            bytes = 0;
+            sizeBytes = 0;
             return true;
         } catch (IOException e) {
             return false;
@@ -49,22 +49,22 @@
 
     /** Writes the file anew; returns whether all of it was written. */
     boolean refill() {
-        try (Disk.Handle handle = disk.open(NAME)) {
+        try (Disk.Handle handle = disk.openForWriting(NAME)) {
             try {
                 handle.truncate(0);
-                fill(handle);
-                bytes = targetBytes;
+                writeZeros(handle);
+                sizeBytes = targetBytes;
             } catch (IOException e) {
                 handle.truncate(0);
-                bytes = 0;
+                sizeBytes = 0;
             }
         } catch (IOException e) {
             return false;
         }
-        return full();
+        return isAllocated();
     }
 
-    private void fill(Disk.Handle handle) throws IOException {
+    private void writeZeros(Disk.Handle handle) throws IOException {
         ByteBuffer zeros = ByteBuffer.allocate(CHUNK_BYTES);
         while (handle.size() < targetBytes) {
             zeros.clear().limit((int) Math.min(zeros.capacity(), targetBytes - handle.size()));
--- a/storage/src/test/java/amberroute/storage/StorageScenario.java
+++ b/storage/src/test/java/amberroute/storage/StorageScenario.java
@@ -19,14 +19,14 @@
  */
 final class StorageScenario {
     /** Opens the log of each process. */
-    interface Opener {
+    interface LogOpener {
         SegmentLog open(Disk disk, LogLimits limits, long seed) throws IOException;
     }
 
     final SimulatedDisk disk = new SimulatedDisk();
     final LogLimits limits;
     private final SplittableRandom random;
-    private final Opener opener;
+    private final LogOpener opener;
     /** What each owner has, by kind, as text; a deleted owner has no entry. */
     private TreeMap<Long, TreeMap<Integer, String>> model = new TreeMap<>();
     /** The model as of the last force that succeeded, and each one since, which may count after a loss of power. */
@@ -34,14 +34,14 @@
 
     private TreeMap<Long, TreeMap<Integer, String>> pending;
     /** Owners that were given an exclusive content, perhaps by a batch that failed. */
-    private final Set<Long> sole = new HashSet<>();
+    private final Set<Long> exclusiveOwnerIds = new HashSet<>();
 
     SegmentLog log;
     long failedOperations;
     long writtenBatches;
     long retiredSegments;
 
-    StorageScenario(LogLimits limits, long seed, Opener opener) {
+    StorageScenario(LogLimits limits, long seed, LogOpener opener) {
         this.limits = limits;
         this.opener = opener;
         random = new SplittableRandom(seed);
@@ -52,18 +52,18 @@
         return SegmentLog.open(disk, limits, new SplittableRandom(seed)::nextLong);
     }
 
-    void open(String at) throws IOException {
+    void openAndCheck(String context) throws IOException {
         log = opener.open(disk, limits, random.nextLong());
-        assertContents(model, at);
+        assertContents(model, context);
     }
 
-    private static TreeMap<Long, TreeMap<Integer, String>> copy(TreeMap<Long, TreeMap<Integer, String>> of) {
+    private static TreeMap<Long, TreeMap<Integer, String>> copyOf(TreeMap<Long, TreeMap<Integer, String>> original) {
         TreeMap<Long, TreeMap<Integer, String>> copy = new TreeMap<>();
-        of.forEach((owner, kinds) -> copy.put(owner, new TreeMap<>(kinds)));
+        original.forEach((ownerId, kinds) -> copy.put(ownerId, new TreeMap<>(kinds)));
         return copy;
     }
 
-    static byte[] bytes(ByteBuffer content) {
+    static byte[] toBytes(ByteBuffer content) {
         byte[] bytes = new byte[content.remaining()];
         content.get(bytes);
         return bytes;
@@ -75,67 +75,67 @@
         return content;
     }
 
-    private void put(Batch batch, long owner, int kind) {
+    private void put(Batch batch, long ownerId, int kind) {
         byte[] content = randomContent();
-        batch.put(owner, kind, content);
-        pending.computeIfAbsent(owner, o -> new TreeMap<>())
+        batch.put(ownerId, kind, content);
+        pending.computeIfAbsent(ownerId, o -> new TreeMap<>())
                 .put(kind, HexFormat.of().formatHex(content));
     }
 
-    private long randomOwner() {
-        List<Long> all = List.copyOf(model.keySet());
-        return all.get(random.nextInt(all.size()));
+    private long randomOwnerId() {
+        List<Long> ownerIds = List.copyOf(model.keySet());
+        return ownerIds.get(random.nextInt(ownerIds.size()));
     }
 
     /** Puts an exclusive content, over an earlier exclusive one at times. */
-    private void putSole(Batch batch, long owner) {
+    private void putExclusive(Batch batch, long ownerId) {
         byte[] content = randomContent();
-        batch.putExclusive(owner, 1, content);
-        TreeMap<Integer, String> alone = new TreeMap<>();
-        alone.put(1, HexFormat.of().formatHex(content));
-        pending.put(owner, alone);
-        sole.add(owner);
+        batch.putExclusive(ownerId, 1, content);
+        TreeMap<Integer, String> exclusiveContent = new TreeMap<>();
+        exclusiveContent.put(1, HexFormat.of().formatHex(content));
+        pending.put(ownerId, exclusiveContent);
+        exclusiveOwnerIds.add(ownerId);
     }
 
     /** Writes one batch; returns whether it was written. */
-    boolean writeRandomBatch(int most) {
-        pending = copy(model);
+    boolean writeRandomBatch(int maxOwners) {
+        pending = copyOf(model);
         Batch batch = new Batch();
-        int what = random.nextInt(10);
-        if (model.size() >= most || what < 3 && !model.isEmpty()) {
+        int action = random.nextInt(10);
+        if (model.size() >= maxOwners || action < 3 && !model.isEmpty()) {
             for (int i = random.nextInt(3); i >= 0; i--) {
-                long owner = randomOwner();
-                batch.delete(owner);
-                pending.remove(owner);
+                long ownerId = randomOwnerId();
+                batch.delete(ownerId);
+                pending.remove(ownerId);
             }
-        } else if (what < 6 && !model.isEmpty()) {
-            long owner = randomOwner();
-            if (what == 5 || sole.contains(owner)) {
-                putSole(batch, owner);
+        } else if (action < 6 && !model.isEmpty()) {
+            long ownerId = randomOwnerId();
+            if (action == 5 || exclusiveOwnerIds.contains(ownerId)) {
+                putExclusive(batch, ownerId);
             } else {
-                put(batch, owner, 1 + random.nextInt(3));
+                put(batch, ownerId, 1 + random.nextInt(3));
             }
         } else {
             for (int i = random.nextInt(3); i >= 0; i--) {
-                long owner = log.nextOwner();
-                put(batch, owner, 1);
+                long ownerId = log.nextOwnerId();
+                put(batch, ownerId, 1);
                 if (random.nextBoolean()) {
-                    put(batch, owner, 2);
+                    put(batch, ownerId, 2);
                 }
             }
         }
-        if (what == 0 && !model.isEmpty()) {
+        if (action == 0 && !model.isEmpty()) {
             // A batch that deletes one owner and puts another: never one alone.
-            long owner = randomOwner();
-            batch.delete(owner);
-            put(batch, log.nextOwner(), 1);
-            pending.remove(owner);
+            long ownerId = randomOwnerId();
+            batch.delete(ownerId);
+            put(batch, log.nextOwnerId(), 1);
+            pending.remove(ownerId);
         }
         try {
             log.write(batch);
         } catch (IOException e) {
             failedOperations++;
-            if (!log.uncertain()) {
+            if (!log.hasUncertainWrite()) {
                 pending = null;
             }
             return false;
@@ -147,12 +147,12 @@
         return true;
     }
 
-    boolean compact(long most) {
-        long before = log.retired();
+    boolean compact(long maxBytes) {
+        long retiredBefore = log.retiredSegments();
         try {
-            boolean did = log.compact(most);
-            retiredSegments += log.retired() - before;
-            return did;
+            boolean progressed = log.compact(maxBytes);
+            retiredSegments += log.retiredSegments() - retiredBefore;
+            return progressed;
         } catch (IOException e) {
             failedOperations++;
             return false;
@@ -181,11 +181,11 @@
     }
 
     /** Runs a process until it is killed or its steps are done. */
-    void runProcess(int steps, int most, String at) {
+    void runProcess(int steps, int maxOwners, String context) {
         try {
-            open(at);
+            openAndCheck(context);
             for (int i = 0; i < steps; i++) {
-                writeRandomBatch(most);
+                writeRandomBatch(maxOwners);
                 if (random.nextInt(3) == 0) {
                     compact(100 + random.nextInt(300));
                 }
@@ -201,7 +201,7 @@
     }
 
     /** Reads the disk as the next process will find it, without changing it, and resolves a batch that was interrupted. */
-    void resolvePending(String at) throws IOException {
+    void resolvePendingBatch(String context) throws IOException {
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
         TreeMap<Long, TreeMap<Integer, String>> found = readContents(SegmentLog.openReadOnly(disk));
         if (pending != null && found.equals(pending)) {
@@ -209,31 +209,31 @@
             modelsSinceForce.add(model);
         }
         pending = null;
-        assertEquals(model, found, at);
-        assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses(), at);
+        assertEquals(model, found, context);
+        assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses(), context);
     }
 
     /** Power fails: forced contents are there, and each batch since is whole or absent. */
-    void failPower(long seed, String at) throws IOException {
-        disk.failPower(seed);
+    void simulatePowerLoss(long seed, String context) throws IOException {
+        disk.simulatePowerLoss(seed);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
         TreeMap<Long, TreeMap<Integer, String>> found = readContents(SegmentLog.openReadOnly(disk));
         TreeMap<Long, TreeMap<Integer, String>> forced = modelsSinceForce.get(0);
         // Batches since then may be there or not, in any selection; an owner that none of them changed has to be as it
         // was.
-        for (long owner : forced.keySet()) {
-            boolean touched =
-                    modelsSinceForce.stream().anyMatch(m -> !forced.get(owner).equals(m.get(owner)))
-                            || pending != null && !forced.get(owner).equals(pending.get(owner));
+        for (long ownerId : forced.keySet()) {
+            boolean changedSinceForce =
+                    modelsSinceForce.stream().anyMatch(m -> !forced.get(ownerId).equals(m.get(ownerId)))
+                            || pending != null && !forced.get(ownerId).equals(pending.get(ownerId));
             assertTrue(
-                    touched || forced.get(owner).equals(found.get(owner)),
-                    at + ": owner " + owner + " had " + forced.get(owner) + " and has " + found.get(owner));
+                    changedSinceForce || forced.get(ownerId).equals(found.get(ownerId)),
+                    context + ": owner " + ownerId + " had " + forced.get(ownerId) + " and has " + found.get(ownerId));
         }
-        for (long owner : found.keySet()) {
+        for (long ownerId : found.keySet()) {
             assertTrue(
-                    modelsSinceForce.stream().anyMatch(m -> m.containsKey(owner))
-                            || pending != null && pending.containsKey(owner),
-                    at + ": owner " + owner + " is back");
+                    modelsSinceForce.stream().anyMatch(m -> m.containsKey(ownerId))
+                            || pending != null && pending.containsKey(ownerId),
+                    context + ": owner " + ownerId + " is back");
         }
         model = found;
         pending = null;
@@ -243,24 +243,24 @@
 
     private static TreeMap<Long, TreeMap<Integer, String>> readContents(SegmentLog log) throws IOException {
         TreeMap<Long, TreeMap<Integer, String>> found = new TreeMap<>();
-        log.read((owner, kind, version, content) -> {
-            String before = found.computeIfAbsent(owner, o -> new TreeMap<>())
-                    .put(kind, HexFormat.of().formatHex(bytes(content)));
-            assertEquals(null, before, "owner " + owner + " has two of kind " + kind);
+        log.readLiveContents((ownerId, kind, version, content) -> {
+            String previous = found.computeIfAbsent(ownerId, o -> new TreeMap<>())
+                    .put(kind, HexFormat.of().formatHex(toBytes(content)));
+            assertEquals(null, previous, "owner " + ownerId + " has two of kind " + kind);
         });
         return found;
     }
 
-    void assertContents(TreeMap<Long, TreeMap<Integer, String>> expected, String at) throws IOException {
-        assertEquals(expected, readContents(log), at);
+    void assertContents(TreeMap<Long, TreeMap<Integer, String>> expected, String context) throws IOException {
+        assertEquals(expected, readContents(log), context);
     }
 
     /** Compares the model with what a new reading of the disk finds. */
-    void assertStoredContents(String at) throws IOException {
-        assertEquals(model, readContents(SegmentLog.openReadOnly(disk)), at);
+    void assertStoredContents(String context) throws IOException {
+        assertEquals(model, readContents(SegmentLog.openReadOnly(disk)), context);
     }
 
-    int owners() {
+    int ownerCount() {
         return model.size();
     }
 }
