--- a/storage/src/main/java/amberroute/storage/Batch.java
+++ b/storage/src/main/java/amberroute/storage/Batch.java
@@ -6,37 +6,39 @@
 import java.util.List;
 
 /**
- * What one write changes, all of it or nothing: contents of owners, each under a kind, and deleted owners. A content replaces the
- * one that the owner had under that kind. Not thread-safe.
+ * The changes of one atomic write: contents to store and owners to delete. A content replaces the previous one of the same owner
+ * and kind. Not thread-safe.
  */
 public final class Batch {
-    /** Owner, kind, whether exclusive, and length. */
+    /** Encoded size of a content's owner ID, kind, exclusive flag and length. */
     private static final int PUT_HEADER_BYTES = 14;
 
-    /** One content of an owner; an exclusive one replaces all others of the owner. */
+    /** A content to store. An exclusive content replaces all other contents of its owner. */
     record Put(long ownerId, int kind, byte[] content, boolean exclusive) {}
 
     final List<Put> puts = new ArrayList<>();
     final List<Long> deletedOwnerIds = new ArrayList<>();
 
     /**
-     * Puts a content.
+     * Adds a content to store.
      *
-     * @param kind 1 to {@value SegmentFormat#MAX_KIND}; an owner may have each kind once in a batch
-     * @throws IllegalArgumentException where the kind or the owner's number is out of its range
+     * @param ownerId at least 1
+     * @param kind 1 to {@value SegmentFormat#MAX_KIND}; a batch may contain each kind of an owner once
+     * @throws IllegalArgumentException if the kind or the owner ID is out of range
      */
     public Batch put(long ownerId, int kind, byte[] content) {
         return put(ownerId, kind, content, false);
     }
 
-    /** Puts a content that replaces all of the owner's; whatever is put for the owner later has to be exclusive too. */
+    /** Adds a content that replaces all contents of its owner. All later contents of this owner must be exclusive too. */
     public Batch putExclusive(long ownerId, int kind, byte[] content) {
         return put(ownerId, kind, content, true);
     }
 
     private Batch put(long ownerId, int kind, byte[] content, boolean exclusive) {
         if (kind < 1 || kind > SegmentFormat.MAX_KIND || ownerId < 1) {
-            throw new IllegalArgumentException("kind " + kind + " of owner " + ownerId);
+            throw new IllegalArgumentException("kind " + kind + " or owner ID " + ownerId
+                    + " is out of range: kind must be 1 to " + SegmentFormat.MAX_KIND + ", owner ID at least 1");
         }
         puts.add(new Put(ownerId, kind, content, exclusive));
         return this;
@@ -49,7 +51,7 @@
         return this;
     }
 
-    /** Deletes all contents of an owner, also those that this batch puts. */
+    /** Deletes all contents of an owner, including those that this batch stores. */
     public Batch delete(long ownerId) {
         deletedOwnerIds.add(ownerId);
         return this;
@@ -61,8 +63,8 @@
     }
 
     /**
-     * Returns the batch as bytes, for replication: {@code puts:int (owner:long kind:byte exclusive:byte length:int content)...
-     * deletions:int owner:long...}.
+     * Encodes the batch for replication: {@code puts:int (ownerId:long kind:byte exclusive:byte length:int content)...
+     * deletions:int ownerId:long...}.
      */
     public byte[] encode() {
         int size = 2 * Integer.BYTES + Long.BYTES * deletedOwnerIds.size();
@@ -83,9 +85,9 @@
     }
 
     /**
-     * Decodes what {@link #encode} has returned.
+     * Decodes a batch that {@link #encode} has encoded.
      *
-     * @throws IllegalArgumentException where the bytes are anything else
+     * @throws IllegalArgumentException if the bytes are not one encoded batch
      */
     public static Batch decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -98,11 +100,11 @@
                 batch.delete(in.getLong());
             }
             if (in.hasRemaining()) {
-                throw new IllegalArgumentException("more than a batch");
+                throw new IllegalArgumentException("unexpected bytes after the end of the encoded batch");
             }
             return batch;
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("less than a batch", e);
+            throw new IllegalArgumentException("encoded batch is truncated", e);
         }
     }
 
@@ -112,7 +114,8 @@
         boolean exclusive = in.get() == 1;
         int length = in.getInt();
         if (length < 0 || length > in.remaining()) {
-            throw new IllegalArgumentException("a content of " + length + " bytes");
+            throw new IllegalArgumentException(
+                    "content length of " + length + " bytes is negative or exceeds the encoded batch");
         }
         byte[] content = new byte[length];
         in.get(content);
--- a/storage/src/main/java/amberroute/storage/Compactor.java
+++ b/storage/src/main/java/amberroute/storage/Compactor.java
@@ -12,35 +12,39 @@
 import java.util.Set;
 
 /**
- * Retires segments: copies their live contents to the active segment in slices, under the versions under which they were first
- * written, then deletes the file.
+ * Reclaims disk space by retiring segments: copies the live contents of a segment to the active segment in slices, with the
+ * versions under which they were first written, and then deletes the segment's file.
  *
- * <p>The deletion is the only step that takes effect. Before it each content is stored in the old place and perhaps in a new one
- * under the same version, which counts once; after it each live content is stored in the new place. Not thread-safe.
+ * <p>Only the deletion changes what the log contains. Before it, a content may be stored in both places under the same version,
+ * which counts as one content; after it, each live content is stored in its new place. Not thread-safe.
  */
 final class Compactor {
-    /** A segment with a larger live share is not retired: it would win back next to nothing. */
+    /** Segments with a larger live share are not retired, since that would free almost no space. */
     static final double MAX_LIVE_RATIO = 0.99;
 
     private static final int MAX_DELETIONS_PER_RECORD = 4_096;
+    /** Compaction runs if the files take more than this multiple of the live bytes plus the allowance below. */
     private static final int MAX_USED_TO_LIVE_RATIO = 3;
+
     private static final int DEAD_SPACE_ALLOWANCE_SEGMENTS = 8;
+    /** Compaction runs if fewer segments than this fit the free part of the budget. */
     private static final int MIN_FREE_SEGMENTS = 6;
+    /** Compaction runs if the number of segments exceeds the number of full ones that fit the budget by more than this. */
     private static final int MAX_EXTRA_SEGMENTS = 16;
 
     private final LogFiles files;
     private final LogIndex index;
     private final SegmentWriter writer;
     private final ForceTracker forces;
-    /** The segment that is being retired, null for none, and its bytes. */
+    /** The segment that is being retired; null if there is none. */
     private SegmentFile sourceSegment;
-
+    /** The bytes of the source segment. */
     private byte[] sourceBytes;
-    /** The next entry of the victim's owners to be copied. */
+    /** Index in {@link SegmentFile#copyOwnerIds} of the source segment at which copying continues. */
     private int nextCopyIndex;
 
     private boolean copyComplete;
-    /** Last sequence number when nothing was left to copy. */
+    /** Sequence number of the last record when the copy was complete; the segment is deleted after a force has covered it. */
     private long copyCompleteSequence;
 
     private long copiedBytes;
@@ -53,17 +57,17 @@
         this.forces = forces;
     }
 
-    /** Returns the bytes that were copied since the log was opened. */
+    /** Returns the number of bytes copied since the log was opened. */
     long copiedBytes() {
         return copiedBytes;
     }
 
-    /** Returns the segments that were retired since the log was opened. */
+    /** Returns the number of segments retired since the log was opened. */
     long retiredSegments() {
         return retiredSegments;
     }
 
-    /** Returns whether there is more dead space than is worth retaining, or a suspect segment. */
+    /** Returns whether a segment is being retired or is suspect, or dead space or the number of segments exceeds its limit. */
     boolean shouldRun() {
         if (sourceSegment != null || files.totals.suspectSegments > 0) {
             return true;
@@ -77,7 +81,7 @@
                 || files.segments.size() > MAX_EXTRA_SEGMENTS + limits.budgetBytes() / limits.segmentBytes();
     }
 
-    /** Returns whether a segment is deleted as soon as a force has covered what was copied from it. */
+    /** Returns whether a fully copied segment waits for a force that covers the copies, before it is deleted. */
     boolean awaitsForce() {
         return files.limits.forceRequired()
                 && sourceSegment != null
@@ -86,10 +90,11 @@
     }
 
     /**
-     * Does one step: copies about so many bytes (one content at least), or deletes a segment of which all is copied.
+     * Performs one step: copies a slice of a segment, or deletes a segment that is fully copied.
      *
+     * @param maxBytes approximate bound of the slice; at least the contents of one owner are copied
      * @return whether anything was done
-     * @throws IOException where a segment cannot be read or the disk does not take the copy; the step can be repeated
+     * @throws IOException if a segment cannot be read or a copy cannot be written; the step can be retried
      */
     boolean step(long maxBytes) throws IOException {
         if (sourceSegment == null && !selectSourceSegment()) {
@@ -118,19 +123,19 @@
         return true;
     }
 
-    /** Reads a sealed segment once, not for each content that is copied. */
+    /** Reads a whole sealed segment, so that its file is read once and not for each copied content. */
     private byte[] readSegment(SegmentFile segment) throws IOException {
         byte[] bytes = new byte[(int) segment.sizeBytes()];
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         try (Disk.Handle handle = files.disk.openForReading(segment.name)) {
             while (buffer.hasRemaining() && handle.read(buffer.position(), buffer) >= 0) {
-                // A read may return fewer bytes than asked for.
+                // A read may return fewer bytes than requested.
             }
         }
         return bytes;
     }
 
-    /** Returns a suspect segment, else the one with the smallest live share; null where none is worth it. */
+    /** Returns a suspect segment, or else the segment with the smallest live share; null if none is worth retiring. */
     private SegmentFile chooseSegment() {
         Set<SegmentFile> segmentsWithNeededHeader = segmentsWithNeededHeader();
         SegmentFile best = null;
@@ -150,7 +155,10 @@
         return best;
     }
 
-    /** Segments that record the end of another one have to outlast it, or a failed record would count. */
+    /**
+     * Returns the segments whose headers record the end of another segment that still exists. They must not be deleted before that
+     * segment, or a record after its end, whose write was reported as failed, would be recovered.
+     */
     private Set<SegmentFile> segmentsWithNeededHeader() {
         Set<SegmentFile> neededSegments = new LinkedHashSet<>();
         for (SegmentFile segment : files.segments.values()) {
@@ -162,7 +170,7 @@
         return neededSegments;
     }
 
-    /** Copies live contents; where none is left, tombstones; where none of those is left, the segment can be deleted. */
+    /** Copies live contents, or the needed tombstones if no live content is left to copy. */
     private void copySlice(long maxBytes) throws IOException {
         Slice slice = new Slice();
         long limitBytes = Math.min(
@@ -187,7 +195,7 @@
         nextCopyIndex = nextIndex;
     }
 
-    /** Live contents of the victim that are copied with one record. */
+    /** Live contents of the source segment that are copied in one record. */
     private final class Slice {
         final RecordBuilder items = new RecordBuilder();
         final List<ContentLocation> contents = new ArrayList<>();
@@ -195,7 +203,7 @@
         final Set<OwnerContents> owners = new HashSet<>();
         final List<ItemPosition> positions = new ArrayList<>();
 
-        /** Adds all contents of an owner in the victim; false where the slice has no room for them. */
+        /** Adds all contents that an owner has in the source segment; returns false if the slice has no room for them. */
         boolean add(OwnerContents owner, long limitBytes) throws IOException {
             int ownerBytes = Arrays.stream(owner.contents)
                     .filter(content -> content.segment == sourceSegment)
@@ -222,7 +230,7 @@
                     content.version);
             if (bytes == null) {
                 throw new IOException("content of owner " + owner.ownerId + " in segment " + sourceSegment.name
-                        + " can no longer be read");
+                        + " cannot be read: its record is damaged or does not contain it");
             }
             int itemBytes = items.addContent(owner.ownerId, content.kind, content.exclusive, content.version, bytes);
             positions.add(new ItemPosition(items.sizeBytes() - bytes.length, itemBytes));
@@ -252,7 +260,7 @@
         }
     }
 
-    /** Writes tombstones anew whose owners have copies in other segments; without any, nothing is left to copy. */
+    /** Copies the tombstones of owners that have copies in other segments; if there are none, the copy is complete. */
     private void copyTombstones() throws IOException {
         List<Long> neededOwnerIds = deletedOwnerIdsWithOtherCopies();
         if (neededOwnerIds.isEmpty()) {
@@ -287,7 +295,7 @@
         return neededOwnerIds;
     }
 
-    /** The retirement is recorded before the file is deleted, so that a file that vanishes without it is known to be lost. */
+    /** Records the retirement before it deletes the file, so that recovery can tell a lost file from a retired one. */
     private void retireSourceSegment() throws IOException {
         RecordBuilder items = new RecordBuilder();
         items.addSegmentRetired(sourceSegment.number);
--- a/storage/src/main/java/amberroute/storage/ContentLocation.java
+++ b/storage/src/main/java/amberroute/storage/ContentLocation.java
@@ -1,23 +1,23 @@
 package amberroute.storage;
 
-/** Where the last content of one kind of an owner is stored. */
+/** The place where the latest content of one owner and kind is stored. */
 final class ContentLocation {
     final int kind;
-    /** Whether it replaced all contents of its owner. */
+    /** Whether the content replaced all other contents of its owner. */
     boolean exclusive;
-    /** Sequence number under which it was first written; copies retain it. */
+    /** Sequence number with which the content was first written; copies keep it. */
     long version;
 
     SegmentFile segment;
-    /** Offset of its record in the segment, in bytes. */
+    /** Offset of the content's record in the segment, in bytes. */
     long recordOffset;
-    /** Offset of its first byte in the segment, in bytes. */
+    /** Offset of the content's first byte in the segment, in bytes. */
     long offset;
 
     int lengthBytes;
-    /** Its length with the item's head: what it counts as live. */
+    /** Length of the whole item, which counts as live. */
     int itemBytes;
-    /** Whether the reading that is under way has given it to the reader. */
+    /** Whether the running {@link LiveContentScan} has passed the content to its visitor. */
     boolean visited;
 
     ContentLocation(int kind) {
--- a/storage/src/main/java/amberroute/storage/ContentVisitor.java
+++ b/storage/src/main/java/amberroute/storage/ContentVisitor.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Takes the live contents of a log, in no particular order. */
+/** Receives the live contents of a log, in no particular order. */
 public interface ContentVisitor {
     /**
-     * Takes one content.
+     * Receives one content.
      *
-     * @param visit a view of the log's own bytes, valid during the call only
-     * @throws IOException where the content cannot be decoded; reading ends with it
+     * @param content a view of the log's own bytes, valid only during the call
+     * @throws IOException if the content cannot be decoded; this aborts the scan
      */
-    void visit(long ownerId, int kind, long version, ByteBuffer visit) throws IOException;
+    void visit(long ownerId, int kind, long version, ByteBuffer content) throws IOException;
 }
--- a/storage/src/main/java/amberroute/storage/DamagedFiles.java
+++ b/storage/src/main/java/amberroute/storage/DamagedFiles.java
@@ -4,12 +4,12 @@
 import java.util.TreeSet;
 
 /**
- * Segments with unreadable bytes that were renamed when they were retired, for an operator to look at. The oldest is deleted
- * when there are too many. Not thread-safe.
+ * Files of retired segments that contain unreadable bytes. They are renamed, not deleted, so that an operator can inspect them. The
+ * oldest is deleted if there are more than {@link #MAX_FILES}. Not thread-safe.
  */
 final class DamagedFiles {
     static final String SUFFIX = ".damaged";
-    /** Files that are retained at most. */
+    /** Maximum number of files kept. */
     static final int MAX_FILES = 2;
 
     private final Disk disk;
@@ -20,23 +20,23 @@
         this.disk = disk;
     }
 
-    /** Takes a file that recovery found. */
+    /** Adds a file that recovery has found. */
     void addRecovered(String name, long fileBytes) {
         names.add(name);
         totalBytes += fileBytes;
     }
 
-    /** Returns the bytes that the files count for in the budget. */
+    /** Returns the bytes that the files take of the budget. */
     long usedBytes() {
         return SegmentTotals.roundUpToBlocks(totalBytes) + names.size() * (long) SegmentTotals.BLOCK_BYTES;
     }
 
-    /** Returns whether the files together stay within a bound with so many bytes more. */
+    /** Returns whether the total size stays within the limit if {@code additionalBytes} are added. */
     boolean fits(long additionalBytes, long limitBytes) {
         return totalBytes + additionalBytes <= limitBytes;
     }
 
-    /** Renames a segment's file in place of deleting it. */
+    /** Renames a segment's file instead of deleting it, and deletes the oldest files beyond the limit. */
     void add(SegmentFile segment) throws IOException {
         while (names.size() >= MAX_FILES) {
             String oldest = names.first();
--- a/storage/src/main/java/amberroute/storage/DamagedRange.java
+++ b/storage/src/main/java/amberroute/storage/DamagedRange.java
@@ -1,9 +1,9 @@
 package amberroute.storage;
 
 /**
- * Bytes of a segment that could not be read.
+ * A range of unreadable bytes in a segment.
  *
- * @param startOffset offset of the first one
- * @param endOffset offset behind the last one
+ * @param startOffset offset of the first byte
+ * @param endOffset offset after the last byte
  */
 public record DamagedRange(long startOffset, long endOffset) {}
--- a/storage/src/main/java/amberroute/storage/DataLoss.java
+++ b/storage/src/main/java/amberroute/storage/DataLoss.java
@@ -3,8 +3,8 @@
 /**
  * A part of the log that could not be read.
  *
- * @param segment file name of the segment; its number in hexadecimal where the file is missing
- * @param damage the unreadable bytes; its {@code to} is 0 for a missing file
+ * @param segment file name of the segment; its number in hexadecimal if the file is missing
+ * @param damage the unreadable bytes; its {@code endOffset} is 0 if the file is missing
  */
 public record DataLoss(String segment, DamagedRange damage) {
     static DataLoss missingSegment(long segmentNumber) {
--- a/storage/src/main/java/amberroute/storage/Disk.java
+++ b/storage/src/main/java/amberroute/storage/Disk.java
@@ -6,46 +6,52 @@
 import java.util.List;
 
 /**
- * The operations that a log needs of a folder. What was written but not forced may be lost, in any order, when power fails; it
- * survives the end of the process. A name survives a loss of power after {@link #forceFolder()}.
+ * The operations that a log needs on a folder. Data that is written but not forced survives the end of the process, but a power
+ * loss may lose any part of it. Created, renamed and deleted files survive a power loss after {@link #forceFolder()}.
  */
 public interface Disk {
-    /** Returns the names of the files in the folder, in no order. */
+    /** Returns the names of the files in the folder, in no particular order. */
     List<String> list() throws IOException;
 
-    /** Opens a file for writing, a new and empty one where there is none. The caller closes it. */
+    /** Opens a file for writing and creates it if it does not exist. The caller closes it. */
     Handle openForWriting(String name) throws IOException;
 
-    /** Opens an existing file for reading only. The caller closes it. */
+    /** Opens an existing file for reading. The caller closes it. */
     Handle openForReading(String name) throws IOException;
 
-    /** Renames a file, and replaces {@code to} in one step. */
+    /** Renames a file, atomically replacing an existing file of the new name. */
     void rename(String oldName, String newName) throws IOException;
 
-    /** Deletes a file; does nothing where there is none. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Makes the names that were created, replaced or deleted survive a loss of power. Slow; may be called on any thread. */
+    /** Makes created, renamed and deleted files survive a power loss. Slow; may be called on any thread. */
     void forceFolder() throws IOException;
 
-    /** One open file. */
+    /** An open file. */
     interface Handle extends Closeable {
         /** Returns the size in bytes. */
         long size() throws IOException;
 
-        /** Reads up to the buffer's room from an offset; returns the bytes read, -1 at the end. */
+        /** Reads into the buffer's remaining space from an offset; returns the number of bytes read, -1 at the end of the file. */
         int read(long offset, ByteBuffer buffer) throws IOException;
 
-        /** Appends to the file and returns the bytes written: fewer than asked for, or an error behind some of them, may come. */
+        /**
+         * Appends to the file.
+         *
+         * @return the number of bytes written, which may be fewer than the buffer has
+         * @throws IOException if the write failed; a part of the bytes may have been written
+         */
         int append(ByteBuffer buffer) throws IOException;
 
-        /** Cuts the file to a size in bytes. */
+        /** Truncates the file to a size in bytes. */
         void truncate(long size) throws IOException;
 
         /**
-         * Makes what was written survive a loss of power. Slow; may be called on any thread.
+         * Makes all written data survive a power loss. Slow; may be called on any thread.
          *
-         * @throws IOException where that failed: what the disk has is unknown from then on, a second call does not tell
+         * @throws IOException if the force failed; which data is on the disk is then unknown, and a later successful call does not
+         *     mean that all of it is
          */
         void force() throws IOException;
     }
--- a/storage/src/main/java/amberroute/storage/FolderDisk.java
+++ b/storage/src/main/java/amberroute/storage/FolderDisk.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. Each operation is one or two system calls. */
+/** A folder in the file system. Each operation takes one or two system calls. */
 public final class FolderDisk implements Disk {
     private final Path folder;
 
     /**
-     * Creates the folder where there is none.
+     * Creates the folder if it does not exist.
      *
-     * @throws IOException where that fails
+     * @throws IOException if the folder cannot be created
      */
     public FolderDisk(Path folder) throws IOException {
         this.folder = folder;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Remembers the end of the file, so that an append is one system call. */
+    /** An open file. Tracks the end of the file, so that an append takes one system call. */
     private static final class OpenFile implements Handle {
         private final FileChannel channel;
         private long appendOffset;
--- a/storage/src/main/java/amberroute/storage/ForceTracker.java
+++ b/storage/src/main/java/amberroute/storage/ForceTracker.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * What of the log has been forced to the disk, and what has to be. After a failed force nobody knows what of its segments is on
- * the disk: they are suspect until their live contents are copied and forced elsewhere. Not thread-safe.
+ * Tracks which parts of the log have been forced to the disk and which have not. After a failed force it is unknown which data of
+ * its segments is on the disk: they are suspect until their live contents have been copied to other segments and forced there. Not
+ * thread-safe.
  */
 final class ForceTracker {
     private final LogFiles files;
-    /** Sealed segments that are not forced yet, with their open files. */
+    /** Sealed segments that have not been forced yet, with their open files. */
     private final Map<SegmentFile, Disk.Handle> sealedUnforced = new HashMap<>();
 
     private boolean folderForceNeeded;
@@ -21,22 +22,22 @@
         this.files = files;
     }
 
-    /** What recovery has found is taken for forced: nothing is known of it beyond that it was read. */
+    /** Treats the records found by recovery as forced: all that is known of them is that they could be read. */
     void setRecoveredSequence(long sequence) {
         forcedSequence = sequence;
     }
 
-    /** Returns the sequence number up to which records survive a loss of power, where no segment is suspect. */
+    /** Returns the sequence number up to which records survive a power loss, provided that no segment is suspect. */
     long forcedSequence() {
         return forcedSequence;
     }
 
-    /** A file was created, renamed or deleted. */
+    /** Notes that a file was created, renamed or deleted. */
     void folderChanged() {
         folderForceNeeded = true;
     }
 
-    /** Takes a segment to which nothing is appended any more; owns its file until it is forced. */
+    /** Adds a segment that is no longer appended to. Takes over its open file and closes it after the force. */
     void addSealed(SegmentFile segment, Disk.Handle handle) {
         sealedUnforced.put(segment, handle);
     }
@@ -46,9 +47,9 @@
     }
 
     /**
-     * Returns what has to be forced for all records up to a sequence number; null where all of it has been.
+     * Returns the files that have to be forced for all records up to a sequence number; null if there are none.
      *
-     * @param activeHandle file of the active segment, null where it has none
+     * @param activeHandle open file of the active segment; null if it is not open
      */
     PendingForce prepare(long sequence, SegmentFile activeSegment, Disk.Handle activeHandle) {
         if (forcedSequence >= sequence && sealedUnforced.isEmpty() && !folderForceNeeded) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /** Closes all files; nothing is forced. */
+    /** Closes all files without forcing them. */
     void close() {
         sealedUnforced.values().forEach(LogFiles::closeQuietly);
         sealedUnforced.clear();
--- a/storage/src/main/java/amberroute/storage/ItemPosition.java
+++ b/storage/src/main/java/amberroute/storage/ItemPosition.java
@@ -1,9 +1,9 @@
 package amberroute.storage;
 
 /**
- * Where a content is in the items of a record that is being built.
+ * Position of a content in a record that is being built.
  *
- * @param contentOffset of the content's first byte behind the record's frame, in bytes
- * @param itemBytes length with the item's own head
+ * @param contentOffset offset of the content's first byte after the record header, in bytes
+ * @param itemBytes length of the whole item
  */
 record ItemPosition(int contentOffset, int itemBytes) {}
--- a/storage/src/main/java/amberroute/storage/LiveContentScan.java
+++ b/storage/src/main/java/amberroute/storage/LiveContentScan.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 
 /**
- * One reading of all live contents of a log. Segments whose bytes recovery has retained are not read and checked a second time.
+ * One pass over all live contents of a log. Segments whose bytes recovery has cached are not read and verified again.
  */
 final class LiveContentScan {
     private final LogFiles files;
     private final LogIndex index;
     private final ContentVisitor visitor;
-    /** Owners with live contents in a segment whose bytes are in memory; an owner may stand in it twice. */
+    /** By cached segment, the owners with live contents in it; a list may contain an owner twice. */
     private final Map<SegmentFile, List<OwnerContents>> cachedOwners = new HashMap<>();
 
     LiveContentScan(LogFiles files, LogIndex index, ContentVisitor visitor) {
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Gives each live content to the reader once and frees the retained bytes.
+     * Passes each live content to the visitor once, then clears the cache.
      *
-     * @throws IOException where a segment cannot be read, or of the reader
+     * @throws IOException if a segment cannot be read or the visitor throws it
      */
     void run() throws IOException {
         for (SegmentFile segment : files.segments.values()) {
@@ -48,7 +48,7 @@
         for (OwnerContents owner : index.owners()) {
             SegmentFile previousSegment = null;
             for (ContentLocation content : owner.contents) {
-                // Most owners have all live contents in one segment: this saves the look-up.
+                // Most owners have all live contents in one segment: comparing with the previous one saves the lookup.
                 if (content.segment != previousSegment && cachedOwners.containsKey(content.segment)) {
                     cachedOwners.get(content.segment).add(owner);
                 }
--- a/storage/src/main/java/amberroute/storage/LogFiles.java
+++ b/storage/src/main/java/amberroute/storage/LogFiles.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.util.TreeMap;
 
-/** The files of a log and what they take of its budget. Shared by the classes that read, write and delete them. */
+/** The files of a log and their share of its budget. Shared by the classes that read, write and delete them. */
 final class LogFiles {
     final Disk disk;
     final LogLimits limits;
     final SegmentTotals totals = new SegmentTotals();
-    /** By segment number, in the order in which they were begun. */
+    /** By segment number, in the order of creation. */
     final TreeMap<Long, SegmentFile> segments = new TreeMap<>();
 
     final SegmentCache cache = new SegmentCache();
@@ -22,12 +22,12 @@
         damagedFiles = new DamagedFiles(disk);
     }
 
-    /** Returns the bytes of all files, each in whole blocks. */
+    /** Returns the bytes of all files, each rounded up to whole blocks. */
     long usedBytes() {
         return SegmentTotals.roundUpToBlocks(reserve.sizeBytes()) + damagedFiles.usedBytes() + totals.blockBytes;
     }
 
-    /** Writes the reserve's file anew where it is missing and the budget has room; returns whether it is there. */
+    /** Rewrites the reserve file if it was released and the budget has room for it; returns whether the reserve is complete. */
     boolean refillReserve() {
         long reserveBytes = SegmentTotals.roundUpToBlocks(limits.reserveBytes());
         if (reserve.isAllocated() || usedBytes() + reserveBytes + limits.segmentBytes() > limits.budgetBytes()) {
@@ -36,7 +36,7 @@
         return reserve.refill();
     }
 
-    /** Deletes a segment's file, or renames it where it is damaged and the damaged files have room. */
+    /** Deletes a segment's file, or keeps it as a damaged file if it is damaged and the limit of those files has room. */
     void remove(SegmentFile segment) throws IOException {
         if (segment.damaged && damagedFiles.fits(segment.sizeBytes(), limits.segmentBytes())) {
             damagedFiles.add(segment);
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Reads a segment's file, at most so many bytes. */
+    /** Reads at most {@code maxBytes} of a segment's file. */
     byte[] load(SegmentFile segment, long maxBytes) throws IOException {
         try (Disk.Handle handle = disk.openForReading(segment.name)) {
             return SegmentReader.load(handle, maxBytes);
@@ -58,12 +58,12 @@
         }
     }
 
-    /** Closes a file to which nothing is written any more. */
+    /** Closes a file that is no longer written to, ignoring errors. */
     static void closeQuietly(Disk.Handle handle) {
         try {
             handle.close();
         } catch (IOException e) {
-            // All that was written to it has been reported by its writes and forces.
+            // Errors that affect written data have been reported by the writes and forces.
         }
     }
 }
--- a/storage/src/main/java/amberroute/storage/LogFullException.java
+++ b/storage/src/main/java/amberroute/storage/LogFullException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The log's budget, or the bound of one segment, has no room for a batch, also after all possible compaction. */
+/** Thrown if a batch does not fit the log's budget, even after all possible compaction, or is larger than a segment. */
 public final class LogFullException extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -11,11 +11,12 @@
     }
 
     static LogFullException batchExceedsSegment(long batchBytes, long segmentBytes) {
-        return new LogFullException("a batch of " + batchBytes + " bytes exceeds the segment limit of " + segmentBytes);
+        return new LogFullException(
+                "batch of " + batchBytes + " bytes exceeds the segment limit of " + segmentBytes + " bytes");
     }
 
     static LogFullException budgetExhausted(long usedBytes, long budgetBytes, long liveBytes) {
-        return new LogFullException(
-                usedBytes + " of " + budgetBytes + " bytes are used, " + liveBytes + " of them live");
+        return new LogFullException("log budget exhausted: " + usedBytes + " of " + budgetBytes + " bytes used, "
+                + liveBytes + " of them live");
     }
 }
--- a/storage/src/main/java/amberroute/storage/LogIndex.java
+++ b/storage/src/main/java/amberroute/storage/LogIndex.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * Where the last content of each kind of each owner is stored, which owners are deleted and what records that. Updates the live
- * bytes of the segments with each change. Reads and writes no file. Not thread-safe.
+ * In-memory index of a log: where the latest content of each owner and kind is stored, which owners are deleted, and the tombstones
+ * that record the deletions. Each change updates the live bytes of the segments. Not thread-safe.
  */
 final class LogIndex {
     private final Map<Long, OwnerContents> owners = new HashMap<>();
     private long nextOwnerId = 1;
 
-    /** Returns a number that no owner had, also not in an earlier process. */
+    /** Returns an ID that no owner has had, including in earlier processes. */
     long nextOwnerId() {
         return nextOwnerId++;
     }
 
-    /** Returns the number that {@link #nextOwnerId} will return next. */
+    /** Returns the ID that {@link #nextOwnerId} will return next. */
     long firstFreeOwnerId() {
         return nextOwnerId;
     }
@@ -27,7 +27,7 @@
         nextOwnerId = Math.max(nextOwnerId, firstFreeId);
     }
 
-    /** Returns what is known of an owner, or null. */
+    /** Returns the index entry of an owner, or null. */
     OwnerContents find(long ownerId) {
         return owners.get(ownerId);
     }
@@ -36,7 +36,7 @@
         return owners.values();
     }
 
-    /** Records that a content is stored there; it counts unless a newer one is known. */
+    /** Adds a stored content. It becomes the live one unless the index has a newer one. */
     void addContent(
             SegmentFile segment,
             long ownerId,
@@ -65,14 +65,18 @@
         segment.addLiveBytes(ownerContents.deleted ? 0 : itemBytes);
     }
 
-    /** Takes what the new content replaces out of the live bytes; null where the new one is itself replaced already. */
+    /**
+     * Subtracts the contents that the new one replaces from the live bytes.
+     *
+     * @return the location to update; null if the new content itself is already replaced
+     */
     private static ContentLocation replaceOlderContents(
             OwnerContents ownerContents, int kind, boolean exclusive, long version) {
         if (version < ownerContents.exclusiveVersion) {
             return null;
         }
         if (exclusive && version > ownerContents.exclusiveVersion) {
-            // Lower versions of all kinds count no more, whether their segments are read before this one or after it.
+            // Lower versions of all kinds are replaced, whether their segments are read before this one or after it.
             ownerContents.exclusiveVersion = version;
             ownerContents.clear();
         }
@@ -87,7 +91,7 @@
         return content;
     }
 
-    /** Records a tombstone of owners of which the index knows contents. */
+    /** Adds a tombstone. Owners that are not in the index are ignored. */
     void addTombstone(SegmentFile segment, Collection<Long> deletedOwnerIds, int itemBytes) {
         Tombstone tombstone = new Tombstone(segment, itemBytes);
         for (long ownerId : deletedOwnerIds) {
@@ -100,8 +104,8 @@
     }
 
     /**
-     * Records a tombstone that recovery has read. Owners that are unknown yet may follow in a later segment, as compaction moves
-     * copies there.
+     * Adds a tombstone that recovery has read. Contents of owners that are not in the index yet may follow in a later segment,
+     * since compaction copies them there.
      */
     void recoverTombstone(SegmentFile segment, Collection<Long> deletedOwnerIds, int itemBytes) {
         Tombstone tombstone = new Tombstone(segment, itemBytes);
@@ -128,7 +132,7 @@
         }
     }
 
-    /** Forgets all copies in a segment whose file is deleted. */
+    /** Removes all copies in a segment whose file is deleted. */
     void removeCopies(SegmentFile segment) {
         for (int i = 0; i < segment.copyCount; i++) {
             OwnerContents ownerContents = owners.get(segment.copyOwnerIds[i]);
@@ -139,12 +143,12 @@
         }
     }
 
-    /** Forgets all owners without copies, when recovery has read all segments. */
+    /** Removes all owners without copies, after recovery has read all segments. */
     void removeOwnersWithoutCopies() {
         List.copyOf(owners.values()).forEach(this::removeIfWithoutCopies);
     }
 
-    /** A tombstone has to outlast the last copy of its owners, or a restart would find the copy without it. */
+    /** Keeps a tombstone until the last copy of its owner is removed, or a restart would recover the deleted contents. */
     private void removeIfWithoutCopies(OwnerContents ownerContents) {
         if (ownerContents.copyCount == 0) {
             owners.remove(ownerContents.ownerId);
--- a/storage/src/main/java/amberroute/storage/LogLimits.java
+++ b/storage/src/main/java/amberroute/storage/LogLimits.java
@@ -1,16 +1,16 @@
 package amberroute.storage;
 
 /**
- * Bounds of a log's files, in bytes.
+ * Size limits of a log's files, in bytes.
  *
- * @param budgetBytes bound of all files together, each counted in whole disk blocks
- * @param segmentBytes bound of one segment
- * @param reserveBytes part of the budget that is held by a file of zeros, which is truncated when the disk itself is full
- * @param forceRequired whether the log has to survive a loss of power: then a segment is deleted only when what was copied from
- *     it has been forced
+ * @param budgetBytes limit of all files together, each counted in whole disk blocks
+ * @param segmentBytes limit of one segment
+ * @param reserveBytes part of the budget taken by a file of zeros, which is truncated if the disk is full
+ * @param forceRequired whether the log has to survive a power loss: a segment is then deleted only after the contents copied from
+ *     it have been forced
  */
 public record LogLimits(long budgetBytes, long segmentBytes, long reserveBytes, boolean forceRequired) {
-    /** The smallest budget that {@link #forBudget} accepts. */
+    /** The smallest budget supported by {@link #forBudget}. */
     public static final long MIN_BUDGET_BYTES = 64 << 10;
 
     private static final long MIN_SEGMENT_BYTES = 4_096;
@@ -22,21 +22,25 @@
     private static final int SEGMENT_TO_RESERVE_RATIO = 4;
 
     /**
-     * Checks the bounds.
+     * Validates the limits.
      *
-     * @throws IllegalArgumentException where a segment is too small or the budget has no room for enough of them
+     * @throws IllegalArgumentException if a segment is too small, the budget has no room for enough segments and the reserve, or the
+     *     reserve is negative
      */
     public LogLimits {
         if (segmentBytes < MIN_SEGMENT_BYTES
                 || budgetBytes < MIN_SEGMENTS * segmentBytes + reserveBytes
                 || reserveBytes < 0) {
-            throw new IllegalArgumentException("segments of " + segmentBytes + " bytes in " + budgetBytes);
+            throw new IllegalArgumentException(
+                    "segment limit of " + segmentBytes + " bytes does not suit a budget of " + budgetBytes
+                            + " bytes: at least " + MIN_SEGMENTS + " segments of " + MIN_SEGMENT_BYTES
+                            + " bytes or more and a reserve of 0 bytes or more must fit");
         }
     }
 
     /**
-     * Returns bounds for a budget in bytes: {@value #DEFAULT_SEGMENTS} segments, or fewer where each would be too small for the
-     * largest message, but at least {@value #MIN_DEFAULT_SEGMENTS}.
+     * Returns the limits for a budget in bytes: {@value #DEFAULT_SEGMENTS} segments, or fewer if the segments would be too small for
+     * the largest message, but at least {@value #MIN_DEFAULT_SEGMENTS}.
      */
     public static LogLimits forBudget(long budgetBytes, boolean forceRequired) {
         long segmentBytes = Math.min(
--- a/storage/src/main/java/amberroute/storage/LogRecovery.java
+++ b/storage/src/main/java/amberroute/storage/LogRecovery.java
@@ -9,10 +9,10 @@
 import java.util.TreeSet;
 
 /**
- * Reads all segments when a log is opened: fills the index, and notes what could not be read. Writes nothing.
+ * Reads all segments when a log is opened, fills the index and collects what could not be read. Writes nothing.
  *
- * <p>Headers are read before records, since the end of a segment may be recorded in the header of a later one: bytes behind that
- * end are of a record whose write was reported as failed, and must not count.
+ * <p>All headers are read before any record, since the header of a later segment may record the end of an earlier one. Bytes after
+ * that end belong to a record whose write was reported as failed, and must be ignored.
  */
 final class LogRecovery {
     private static final long UNLIMITED_BYTES = Long.MAX_VALUE;
@@ -20,12 +20,13 @@
     private final LogFiles files;
     private final LogIndex index;
     private final List<DataLoss> losses = new ArrayList<>();
-    /** The segments that there should be, as the last segment list and the retirements behind it say. */
+    /** Numbers of the segments that should exist, according to the last segment list and the retirements after it. */
     private final Set<Long> expectedSegments = new TreeSet<>();
-    /** By the number of the segment whose end is recorded: the segment that records it, and the end. */
+    /** By segment number, the segment whose header records the end of that one. */
     private final Map<Long, SegmentFile> endRecordingSegments = new HashMap<>();
-
+    /** By segment number, its recorded end offset. */
     private final Map<Long, Long> recordedEnds = new HashMap<>();
+
     private long tornBytes;
     private long lastSequence;
 
@@ -35,9 +36,9 @@
     }
 
     /**
-     * Reads the files.
+     * Reads all files.
      *
-     * @throws Segment.UnsupportedFormatException where a segment was written by a newer version
+     * @throws UnsupportedFormatException if a segment was written by a newer version
      */
     void run() throws IOException {
         listFiles();
@@ -52,12 +53,12 @@
         index.removeOwnersWithoutCopies();
     }
 
-    /** Returns the unreadable parts that have readable records behind them, and the missing segments. */
+    /** Returns the unreadable ranges that are followed by readable records, damaged headers and missing segments. */
     List<DataLoss> losses() {
         return losses;
     }
 
-    /** Returns the bytes behind the last whole record of each segment, where a write was torn. */
+    /** Returns the total bytes after the last valid record of each segment, which are torn writes. */
     long tornBytes() {
         return tornBytes;
     }
--- a/storage/src/main/java/amberroute/storage/OwnerContents.java
+++ b/storage/src/main/java/amberroute/storage/OwnerContents.java
@@ -2,26 +2,26 @@
 
 import java.util.Arrays;
 
-/** What the log knows of one owner. */
+/** The index entry of one owner. */
 final class OwnerContents {
     private static final ContentLocation[] NO_CONTENTS = new ContentLocation[0];
 
     final long ownerId;
     ContentLocation[] contents = NO_CONTENTS;
-    /** Version of the last exclusive content, 0 without one; contents of lower versions do not count. */
+    /** Version of the latest exclusive content, 0 if there is none; contents of lower versions are replaced. */
     long exclusiveVersion;
-    /** Contents of the owner in all segments, replaced ones and copies included. */
+    /** Number of the owner's contents in all segments, including replaced contents and copies. */
     int copyCount;
 
     boolean deleted;
-    /** The item that records the deletion, null while none is on the disk. */
+    /** The item that records the deletion; null if none is on the disk. */
     Tombstone tombstone;
 
     OwnerContents(long ownerId) {
         this.ownerId = ownerId;
     }
 
-    /** Returns the content of this kind, or null. */
+    /** Returns the location of the content of a kind, or null. */
     ContentLocation find(int kind) {
         for (ContentLocation content : contents) {
             if (content.kind == kind) {
@@ -38,7 +38,7 @@
         return content;
     }
 
-    /** Drops all contents; those of a deleted owner are not live already. */
+    /** Removes all contents. Those of a deleted owner no longer count as live. */
     void clear() {
         for (ContentLocation content : contents) {
             content.segment.addLiveBytes(deleted ? 0 : -content.itemBytes);
@@ -46,7 +46,7 @@
         contents = NO_CONTENTS;
     }
 
-    /** Marks the owner as deleted. */
+    /** Marks the owner as deleted and removes its contents. */
     void markDeleted() {
         if (!deleted) {
             clear();
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Drops the tombstone's duty to this owner, since another one took it on or no copy of the owner is left. */
+    /** Detaches the tombstone, since a later one replaces it or no copy of the owner is left. */
     void detachTombstone() {
         Tombstone detached = tombstone;
         tombstone = null;
--- a/storage/src/main/java/amberroute/storage/PendingForce.java
+++ b/storage/src/main/java/amberroute/storage/PendingForce.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The files that have to be forced so that all records up to {@link #sequence} survive a loss of power. Made by {@link
- * SegmentLog#prepareForce}; the log closes its files only in {@link SegmentLog#forceCompleted}.
+ * The files that have to be forced so that all records up to {@link #sequence} survive a power loss. Created by {@link
+ * SegmentLog#prepareForce}. The log does not close these files before {@link SegmentLog#forceCompleted}.
  */
 public final class PendingForce {
     private final Disk disk;
@@ -25,7 +25,7 @@
     /**
      * Forces the files. Slow; may be called on any thread.
      *
-     * @throws IOException where a force failed: what the disk has of these segments is unknown from then on
+     * @throws IOException if a force failed; which data of these segments is on the disk is then unknown
      */
     public void run() throws IOException {
         for (Disk.Handle handle : handles) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Returns the sequence number of the last record that this covers. */
+    /** Returns the sequence number of the last record that this force covers. */
     public long sequence() {
         return sequence;
     }
--- a/storage/src/main/java/amberroute/storage/RecordBuilder.java
+++ b/storage/src/main/java/amberroute/storage/RecordBuilder.java
@@ -4,10 +4,13 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Encodes the items of one record, behind room for its frame. Each method returns the bytes that its item takes. */
+/**
+ * Encodes the items of one record. The buffer starts with space for the record header. Methods that add an item and return a number
+ * return the size of the item in bytes.
+ */
 final class RecordBuilder {
     private static final int INITIAL_BYTES = 256;
-    /** Owner, version and length. */
+    /** The owner ID, the version and the length. */
     private static final int CONTENT_VARINTS = 3;
 
     private byte[] bytes = new byte[SegmentFormat.RECORD_HEADER_BYTES + INITIAL_BYTES];
@@ -46,7 +49,7 @@
         return endOffset - itemOffset;
     }
 
-    /** Returns the bytes of all items so far. */
+    /** Returns the size of all items added so far, in bytes. */
     int sizeBytes() {
         return endOffset - SegmentFormat.RECORD_HEADER_BYTES;
     }
@@ -62,14 +65,14 @@
     }
 
     /**
-     * Returns the whole record; a view of this builder's bytes, valid until the next call.
+     * Returns the complete record as a view of this builder's buffer, valid until the next call.
      *
-     * @throws IllegalArgumentException where the items exceed {@link SegmentFormat#MAX_ITEMS_BYTES}
+     * @throws IllegalArgumentException if the items exceed {@link SegmentFormat#MAX_ITEMS_BYTES}
      */
     ByteBuffer encodeRecord(long salt, long sequence) {
         if (sizeBytes() > SegmentFormat.MAX_ITEMS_BYTES) {
-            throw new IllegalArgumentException(
-                    "a record of " + sizeBytes() + " bytes exceeds " + SegmentFormat.MAX_ITEMS_BYTES);
+            throw new IllegalArgumentException("record items of " + sizeBytes() + " bytes exceed the limit of "
+                    + SegmentFormat.MAX_ITEMS_BYTES + " bytes");
         }
         ByteBuffer out = ByteBuffer.wrap(bytes, 0, endOffset);
         out.putInt(0, SegmentFormat.RECORD_MARKER)
--- a/storage/src/main/java/amberroute/storage/SegmentCache.java
+++ b/storage/src/main/java/amberroute/storage/SegmentCache.java
@@ -4,16 +4,17 @@
 import java.util.Map;
 
 /**
- * Bytes of segments between recovery and the one reading that follows it, so that they are read and checked once. Bounded by a
- * share of the heap. Not thread-safe.
+ * Keeps the bytes of segments between recovery and the first scan, so that they are read and verified only once. Limited to a share
+ * of the heap. Not thread-safe.
  */
 final class SegmentCache {
+    /** The cache takes at most 1/8 of the maximum heap. */
     private static final int HEAP_DIVISOR = 8;
 
     private final Map<SegmentFile, byte[]> bytesBySegment = new HashMap<>();
     private long totalBytes;
 
-    /** Retains the segment's bytes where the bound has room for them. */
+    /** Caches a segment's bytes if they fit the limit. */
     void add(SegmentFile segment, byte[] segmentBytes) {
         if (totalBytes + segmentBytes.length <= Runtime.getRuntime().maxMemory() / HEAP_DIVISOR) {
             bytesBySegment.put(segment, segmentBytes);
@@ -21,7 +22,7 @@
         }
     }
 
-    /** Returns the segment's bytes, or null. */
+    /** Returns a segment's bytes, or null if they are not cached. */
     byte[] get(SegmentFile segment) {
         return bytesBySegment.get(segment);
     }
--- a/storage/src/main/java/amberroute/storage/SegmentFile.java
+++ b/storage/src/main/java/amberroute/storage/SegmentFile.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * One segment's file as the log knows it: its name, its sizes and the owners with contents in it. Its name is the segment's
- * number and its salt, in hexadecimal of 16 digits each. Not thread-safe.
+ * State of one segment's file: its name, its sizes and the owners with contents in it. The file name consists of the segment's
+ * number and salt, each as 16 hexadecimal digits. Not thread-safe.
  */
 final class SegmentFile {
     private static final String SUFFIX = ".seg";
@@ -18,7 +18,7 @@
     final String name;
     final long number;
     final long salt;
-    /** The owner of each content in it, one entry for each copy. */
+    /** The owner ID of each content in the segment, one entry for each copy. */
     long[] copyOwnerIds = new long[8];
 
     int copyCount;
@@ -26,14 +26,14 @@
     private long liveBytes;
     private long sizeBytes;
     /**
-     * The segment whose end only this one's head records, null for none. That one has bytes behind its end, which would count if
-     * this segment were deleted first.
+     * The segment whose end is recorded only in this segment's header; null if there is none. That segment has bytes after its end,
+     * which would be recovered if this segment were deleted first.
      */
     SegmentFile segmentWithEndRecordedHere;
 
     private boolean suspect;
     private boolean deleted;
-    /** Whether it has unreadable bytes: then it is renamed, not deleted, when it is retired. */
+    /** Whether the segment has unreadable bytes; its file is then kept when the segment is retired. */
     boolean damaged;
 
     SegmentFile(SegmentTotals totals, String name) {
@@ -47,7 +47,7 @@
         return String.format("%016x-%016x%s", number, salt, SUFFIX);
     }
 
-    /** Returns whether this is the name of a segment's file. */
+    /** Returns whether this is the file name of a segment. */
     static boolean isSegmentFileName(String name) {
         return name.matches("[0-9a-f]{16}-[0-9a-f]{16}\\" + SUFFIX);
     }
@@ -68,12 +68,12 @@
         }
     }
 
-    /** Returns live bytes as a share of all bytes. */
+    /** Returns the live bytes as a share of all bytes. */
     double liveRatio() {
         return liveBytes / (double) Math.max(1, sizeBytes);
     }
 
-    /** Returns whether a force of it has failed, so that what was in memory only may be lost. */
+    /** Returns whether a force of this segment has failed, so that data which was only in memory may be lost. */
     boolean isSuspect() {
         return suspect;
     }
@@ -83,7 +83,7 @@
         suspect = true;
     }
 
-    /** Takes it out of all totals, as its file is deleted; later changes of its live bytes do not count. */
+    /** Removes a segment whose file is deleted from all totals; later changes of its live bytes are ignored. */
     void markDeleted() {
         setSizeBytes(0);
         addLiveBytes(-liveBytes);
--- a/storage/src/main/java/amberroute/storage/SegmentFormat.java
+++ b/storage/src/main/java/amberroute/storage/SegmentFormat.java
@@ -4,26 +4,27 @@
 import java.util.zip.CRC32C;
 
 /**
- * The byte layout of a segment: a header and records of items. Numbers are big-endian; a varint has seven bits a byte, the lowest
- * first.
+ * The byte layout of a segment: a header, followed by records that consist of items. Numbers are big-endian; a varint has seven bits
+ * per byte, the lowest first.
  *
  * <pre>
- * header   magic:long formatVersion:short 0:short number:long previousNumber:long previousEnd:long firstFreeOwner:long
- *          checksum:int (CRC32C of all before it)
- * record   marker:int contentBytes:int sequence:long checksum:int (CRC32C of the salt, the frame before it and the items) item...
- * item     kind:byte (1 to 63, plus 64 where exclusive) owner:varint version:varint length:varint content
- *          0:byte  count:varint owner:varint...     tombstone of deleted owners
- *          -1:byte count:varint segment:varint...   all segments, in the first record
- *          -2:byte 1:varint segment:varint          a segment that is about to be deleted
+ * header   magic:long formatVersion:short 0:short number:long previousNumber:long previousEnd:long firstFreeOwnerId:long
+ *          checksum:int (CRC32C of all fields before it)
+ * record   marker:int itemsBytes:int sequence:long checksum:int (CRC32C of the salt, the fields before it and the items) item...
+ * item     kind:byte (1 to 63, plus 64 if exclusive) ownerId:varint version:varint length:varint content
+ *          0:byte  count:varint ownerId:varint...   tombstone of deleted owners
+ *          -1:byte count:varint segment:varint...   list of all segments, in the first record
+ *          -2:byte 1:varint segment:varint          segment that is about to be deleted
  * </pre>
  *
- * <p>The salt is in the file's name. Content from outside could otherwise imitate a record where one is searched behind damage.
+ * <p>The salt is part of the file name. Without it, stored content from a client could imitate a record when recovery searches for
+ * the next record after damaged bytes.
  */
 final class SegmentFormat {
     static final int SEGMENT_HEADER_BYTES = 48;
-    /** Bytes of a record before its items. */
+    /** Size of a record before its items. */
     static final int RECORD_HEADER_BYTES = 20;
-    /** Bound of a record's items. */
+    /** Maximum size of a record's items. */
     static final int MAX_ITEMS_BYTES = 1 << 18;
 
     static final long MAGIC = 0x414d4252_5345474dL;
@@ -47,7 +48,7 @@
 
     private SegmentFormat() {}
 
-    /** Returns the checksum of the record at this offset, over the frame without its checksum and the items. */
+    /** Returns the checksum of the record at an offset: over the salt, the record header before its checksum, and the items. */
     static int checksum(long salt, byte[] bytes, int offset, int itemsBytes) {
         CRC32C crc = new CRC32C();
         byte[] saltBytes = new byte[Long.BYTES];
@@ -70,7 +71,7 @@
         return value;
     }
 
-    /** Writes a number at an offset, which has {@link #MAX_VARINT_BYTES} of room; returns the offset behind it. */
+    /** Writes a number at an offset, where {@link #MAX_VARINT_BYTES} must fit; returns the offset after it. */
     static int writeVarint(long value, byte[] bytes, int offset) {
         int end = offset;
         long remaining = value;
--- a/storage/src/main/java/amberroute/storage/SegmentHeader.java
+++ b/storage/src/main/java/amberroute/storage/SegmentHeader.java
@@ -7,11 +7,11 @@
 /**
  * The header of a segment; see {@link SegmentFormat} for its layout.
  *
- * @param valid whether it could be read; if not, the other fields say nothing
- * @param number of the segment
- * @param previousNumber number of the segment before it, -1 for none
- * @param previousEnd where that one ends, in bytes
- * @param firstFreeOwnerId lowest owner number that was free when the segment was begun
+ * @param valid whether the header could be read; otherwise the other fields have no meaning
+ * @param number number of the segment
+ * @param previousNumber number of the previous segment, -1 if there is none
+ * @param previousEnd end offset of the previous segment, in bytes
+ * @param firstFreeOwnerId lowest owner ID that was free when the segment was created
  */
 record SegmentHeader(boolean valid, long number, long previousNumber, long previousEnd, long firstFreeOwnerId) {
     private static final SegmentHeader INVALID = new SegmentHeader(false, -1, -1, -1, 0);
@@ -37,7 +37,7 @@
     /**
      * Decodes the first bytes of a segment.
      *
-     * @throws UnsupportedFormatException where a later version has written it
+     * @throws UnsupportedFormatException if the segment was written by a newer version
      */
     static SegmentHeader decode(byte[] segment) throws IOException {
         if (segment.length < SegmentFormat.SEGMENT_HEADER_BYTES) {
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -8,23 +8,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stores contents of owners in segments: each owner has one content of each kind, the last that was put, until it is deleted. A
- * batch whose {@link #write} has returned is found by every later opening, unless its bytes are damaged on the disk; one whose
- * write has failed is not, and nothing else is lost by it.
+ * Stores contents of owners in segments. An owner has at most one content of each kind, the one written last, until the owner is
+ * deleted. A batch whose {@link #write} has returned is recovered each time the log is opened, unless its bytes are damaged on the
+ * disk. A batch whose write has failed is not recovered, and does not affect other batches.
  *
- * <p>Where it cannot be made sure that a failed batch is not found, the log is {@link #hasUncertainWrite} until that is resolved: nobody
- * may rely on the batch's absence meanwhile.
+ * <p>If the log cannot ensure that a failed batch will not be recovered, {@link #hasUncertainWrite} returns true until this is
+ * resolved. Until then, callers must not rely on the absence of the batch.
  *
- * <p>Room is won back by {@link #compact}. A deletion stays recorded until no copy of the owner's contents is left on the disk,
- * or a restart would bring them back. The proof is in {@code docs/journal.md}. Not thread-safe, but for {@link
- * PendingForce#run}.
+ * <p>{@link #compact} reclaims disk space. A deletion remains recorded until no copy of the owner's contents is left on the disk, or
+ * a restart would restore them; {@code docs/journal.md} has the proof. Not thread-safe, except for {@link PendingForce#run}.
  */
 public final class SegmentLog implements Closeable {
     private static final long UNLIMITED_BYTES = Long.MAX_VALUE;
     private static final long READ_ONLY_SEGMENT_BYTES = 1 << 20;
-    /** Blocks that a write may take beside its own bytes: rounding of the active segment and of the next one. */
+    /** Blocks that a write may take in addition to its bytes, since the active and the next segment are rounded up. */
     private static final int ROUNDING_BLOCKS = 2;
-    /** Segments that live contents may not use: the one that is filled, and one to copy into. */
+    /** Segments that live contents must not use: the active one and one to copy into. */
     private static final int WORKING_SEGMENTS = 2;
 
     private final LogFiles files;
@@ -43,11 +42,11 @@
     }
 
     /**
-     * Opens or begins a log; only the space reserve is written.
+     * Opens a log, or creates an empty one. Writes only the space reserve.
      *
-     * @param saltSupplier gives a number that no client can know, for each segment: content from outside could otherwise imitate a
-     *     record where recovery searches behind damaged bytes
-     * @throws Segment.UnsupportedFormatException where a segment was written by a newer version; then nothing is changed
+     * @param saltSupplier returns a number for each segment that no client can guess; with a known salt, stored content could imitate
+     *     a record when recovery searches after damaged bytes
+     * @throws UnsupportedFormatException if a segment was written by a newer version; nothing is changed then
      */
     public static SegmentLog open(Disk disk, LogLimits limits, LongSupplier saltSupplier) throws IOException {
         SegmentLog log = new SegmentLog(disk, limits, saltSupplier);
@@ -56,7 +55,7 @@
         return log;
     }
 
-    /** Opens a log, of which a process may be writing, for reading only. */
+    /** Opens a log for reading only; another process may be writing to it. */
     public static SegmentLog openReadOnly(Disk disk) throws IOException {
         SegmentLog log =
                 new SegmentLog(disk, new LogLimits(UNLIMITED_BYTES, READ_ONLY_SEGMENT_BYTES, 0, false), () -> 0);
@@ -74,40 +73,40 @@
         forces.setRecoveredSequence(recovery.lastSequence());
     }
 
-    /** Returns whether a folder with files of these names has a log. */
+    /** Returns whether a folder with files of these names contains a log. */
     public static boolean containsLog(Collection<String> names) {
         return names.stream().anyMatch(SegmentLog::isSegmentFileName);
     }
 
-    /** Returns whether this is the name of a segment. */
+    /** Returns whether this is the file name of a segment. */
     public static boolean isSegmentFileName(String name) {
         return SegmentFile.isSegmentFileName(name);
     }
 
     /**
-     * Gives all live contents to the reader. The first reading after the opening frees the bytes that recovery has retained.
+     * Passes all live contents to the visitor. The first call frees the segments that recovery has cached.
      *
-     * @throws IOException where a segment cannot be read, or of the reader
+     * @throws IOException if a segment cannot be read or the visitor throws it
      */
     public void readLiveContents(ContentVisitor visitor) throws IOException {
         new LiveContentScan(files, index, visitor).run();
     }
 
     /**
-     * Writes a batch, all of it or nothing.
+     * Writes a batch atomically.
      *
-     * @return the sequence number of its record
-     * @throws LogFullException where the budget has no room for it
-     * @throws IOException where the disk does not take it; then the log is as before, unless it is {@link #hasUncertainWrite}
-     * @throws IllegalArgumentException where an owner that has an exclusive content is given another one
+     * @return the sequence number of the last record
+     * @throws LogFullException if the budget has no room for the batch
+     * @throws IOException if the write failed; the log is then unchanged, unless {@link #hasUncertainWrite} returns true
+     * @throws IllegalArgumentException if the batch has a non-exclusive content of an owner that has an exclusive one
      */
     public long write(Batch batch) throws IOException {
         if (batch.isEmpty()) {
             return writer.lastSequence();
         }
         RecordBuilder items = new RecordBuilder();
-        // A segment that is begun for this batch takes a sequence number too: the contents keep the version in the
-        // items.
+        // If this batch starts a segment, the segment list takes this sequence number and the record the next one; the
+        // version in the items is this one in either case.
         long version = writer.lastSequence() + 1;
         List<ItemPosition> positions = addContentItems(items, batch, version);
         List<Long> deletedOwnerIds = deletionsToRecord(batch);
@@ -129,7 +128,8 @@
         for (Batch.Put put : batch.puts) {
             OwnerContents ownerContents = index.find(put.ownerId());
             if (!put.exclusive() && ownerContents != null && ownerContents.exclusiveVersion > 0) {
-                throw new IllegalArgumentException("owner " + put.ownerId() + " has an exclusive content");
+                throw new IllegalArgumentException(
+                        "owner " + put.ownerId() + " has an exclusive content: a new content must be exclusive too");
             }
             int itemBytes = items.addContent(put.ownerId(), put.kind(), put.exclusive(), version, put.content());
             positions.add(new ItemPosition(items.sizeBytes() - put.content().length, itemBytes));
@@ -137,7 +137,7 @@
         return positions;
     }
 
-    /** Returns the deleted owners of which there is anything to delete. */
+    /** Returns the deleted owners that have contents in the log or in the batch. */
     private List<Long> deletionsToRecord(Batch batch) {
         if (batch.deletedOwnerIds.isEmpty()) {
             return List.of();
@@ -170,7 +170,7 @@
         }
     }
 
-    /** Compacts until so many bytes fit beside the segment that compaction itself needs. */
+    /** Compacts until the record fits the budget together with a segment that compaction itself needs. */
     private void makeRoom(long recordBytes) throws IOException {
         LogLimits limits = files.limits;
         if (recordBytes + 2 * SegmentFormat.SEGMENT_HEADER_BYTES > limits.segmentBytes()) {
@@ -186,17 +186,17 @@
         }
     }
 
-    /** Returns the bytes of all files, each in whole blocks of {@value SegmentTotals#BLOCK_BYTES}. */
+    /** Returns the bytes of all files, each rounded up to whole blocks of {@value SegmentTotals#BLOCK_BYTES} bytes. */
     public long usedBytes() {
         return files.usedBytes();
     }
 
-    /** Returns the bytes of all live contents and tombstones, with the heads of their items. */
+    /** Returns the bytes of all live contents and tombstones, including the other fields of their items. */
     public long liveBytes() {
         return files.totals.liveBytes;
     }
 
-    /** Returns the part of the budget that live contents may not use: for compaction, headers, rounding and the reserve. */
+    /** Returns the part of the budget that is not available to live contents: for compaction, headers, rounding and the reserve. */
     public long reservedBytes() {
         LogLimits limits = files.limits;
         return WORKING_SEGMENTS * limits.segmentBytes()
@@ -207,17 +207,17 @@
                 + (long) (limits.budgetBytes() * (1 - Compactor.MAX_LIVE_RATIO));
     }
 
-    /** Returns the bounds that the log was opened with. */
+    /** Returns the limits that the log was opened with. */
     public LogLimits limits() {
         return files.limits;
     }
 
-    /** Returns what recovery could not read although it could read records behind it, and missing segments. */
+    /** Returns the unreadable ranges that are followed by readable records, damaged headers and missing segments. */
     public List<DataLoss> losses() {
         return losses;
     }
 
-    /** Returns the bytes of torn writes at the ends of segments, which recovery has skipped. */
+    /** Returns the bytes of torn writes at the ends of segments, which recovery has ignored. */
     public long tornBytes() {
         return tornBytes;
     }
@@ -227,37 +227,41 @@
         return writer.lastSequence();
     }
 
-    /** Returns an owner's number that none had, also not in an earlier process. */
+    /** Returns an ID that no owner has had, including in earlier processes. */
     public long nextOwnerId() {
         return index.nextOwnerId();
     }
 
-    /** Makes {@link #nextOwnerId} return numbers from here on only. */
+    /** Makes {@link #nextOwnerId} return only IDs of at least {@code firstFreeId}. */
     public void reserveOwnerIdsBelow(long firstFreeId) {
         index.reserveOwnerIdsBelow(firstFreeId);
     }
 
-    /** Returns whether a batch whose write has failed may be found all the same if the process ends now. */
+    /** Returns whether a batch whose write has failed may be recovered if the process ends now. */
     public boolean hasUncertainWrite() {
         return writer.hasUncertainWrite();
     }
 
-    /** Tries to end being {@link #hasUncertainWrite}. */
+    /**
+     * Tries to ensure that a batch whose write has failed will not be recovered; does nothing unless {@link #hasUncertainWrite}.
+     *
+     * @throws IOException if that failed; the call can be retried
+     */
     public void resolveUncertainWrite() throws IOException {
         writer.resolveUncertainWrite();
     }
 
-    /** Returns whether records from before a failed force have to be copied and forced anew. */
+    /** Returns whether contents of segments whose force failed still have to be copied and forced. */
     public boolean needsRewrite() {
         return files.totals.suspectSegments > 0;
     }
 
-    /** Returns whether the file that gives room on a full disk is there. */
+    /** Returns whether the space reserve for a full disk is complete. */
     public boolean hasReserve() {
         return files.reserve.isAllocated();
     }
 
-    /** Writes the reserve anew where it was released and there is room; to be called from time to time. */
+    /** Rewrites the space reserve if it was released and there is room; returns whether it is complete. Call periodically. */
     public boolean refillReserve() {
         return files.refillReserve();
     }
@@ -267,52 +271,56 @@
         return files.segments.size();
     }
 
-    /** Returns the bytes that compaction has copied since the log was opened. */
+    /** Returns the number of bytes that compaction has copied since the log was opened. */
     public long copiedBytes() {
         return compactor.copiedBytes();
     }
 
-    /** Returns the segments that were retired since the log was opened. */
+    /** Returns the number of segments retired since the log was opened. */
     public long retiredSegments() {
         return compactor.retiredSegments();
     }
 
-    /** Returns whether {@link #compact} should be called, between other work. */
+    /** Returns whether {@link #compact} should be called between other work. */
     public boolean shouldCompact() {
         return compactor.shouldRun();
     }
 
     /**
-     * Does one step of compaction: copies about so many bytes, one content at least, or deletes a segment.
+     * Performs one step of compaction: copies a slice of a segment, or deletes a segment that is fully copied.
      *
+     * @param maxBytes approximate bound of the slice; at least the contents of one owner are copied
      * @return whether anything was done
-     * @throws IOException where a segment cannot be read or the disk does not take the copy; the step can be repeated
+     * @throws IOException if a segment cannot be read or a copy cannot be written; the step can be retried
      */
     public boolean compact(long maxBytes) throws IOException {
         return compactor.step(maxBytes);
     }
 
-    /** Returns whether compaction waits for a force. */
+    /** Returns whether compaction cannot continue before a force. */
     public boolean awaitsForce() {
         return compactor.awaitsForce();
     }
 
-    /** Returns what has to be forced for all records so far, null where nothing has to. One at a time. */
+    /**
+     * Returns the files that have to be forced for all records so far; null if there are none. The result must be passed to {@link
+     * #forceCompleted} before the next call.
+     */
     public PendingForce prepareForce() {
         return writer.prepareForce();
     }
 
-    /** Takes the result of a force, before the next one is prepared; after a failed one the log {@link #needsRewrite}. */
+    /** Processes the result of a force; after a failed one {@link #needsRewrite} returns true. */
     public void forceCompleted(PendingForce force, boolean succeeded) {
         writer.forceCompleted(force, succeeded);
     }
 
-    /** Returns the sequence number up to which records survive a loss of power, unless the log {@link #needsRewrite}. */
+    /** Returns the sequence number up to which records survive a power loss, unless {@link #needsRewrite} returns true. */
     public long forcedSequence() {
         return forces.forcedSequence();
     }
 
-    /** Closes all files; nothing is forced. */
+    /** Closes all files without forcing them. */
     @Override
     public void close() throws IOException {
         forces.close();
--- a/storage/src/main/java/amberroute/storage/SegmentReader.java
+++ b/storage/src/main/java/amberroute/storage/SegmentReader.java
@@ -7,35 +7,35 @@
 import java.util.List;
 
 /**
- * Reads the bytes of a segment.
+ * Parses the bytes of a segment.
  *
- * <p>Reading never stops at a record that cannot be read: it searches the next whole one behind it. Unreadable bytes with nothing
- * whole behind them are a torn write of a process that died; with a whole record behind them they are damage.
+ * <p>Reading does not stop at an unreadable record, but searches for the next valid one after it. Unreadable bytes that are followed
+ * by a valid record are damage; those at the end of the segment are a torn write of a process that ended.
  */
 final class SegmentReader {
     private static final int MAX_ARRAY_BYTES = Integer.MAX_VALUE - 64;
 
     private SegmentReader() {}
 
-    /** Returns a file's bytes, at most so many. */
+    /** Reads a file from its start, at most {@code maxBytes}. */
     static byte[] load(Disk.Handle file, long maxBytes) throws IOException {
         long length = Math.min(file.size(), maxBytes);
         if (length > MAX_ARRAY_BYTES) {
-            throw new IOException("a segment of " + length + " bytes");
+            throw new IOException("segment of " + length + " bytes exceeds the limit of " + MAX_ARRAY_BYTES + " bytes");
         }
         byte[] bytes = new byte[(int) length];
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         while (buffer.hasRemaining() && file.read(buffer.position(), buffer) >= 0) {
-            // A read may return fewer bytes than asked for.
+            // A read may return fewer bytes than requested.
         }
         return buffer.hasRemaining() ? Arrays.copyOf(bytes, buffer.position()) : bytes;
     }
 
     /**
-     * Gives all whole records of a segment's bytes to the visitor.
+     * Passes the items of all valid records of a segment to the visitor.
      *
-     * @throws UnsupportedFormatException where a later version has written the segment
-     * @throws IOException of the visitor, or for an item of an unknown kind
+     * @throws UnsupportedFormatException if the segment was written by a newer version
+     * @throws IOException if an item is of an unknown kind or the visitor throws it
      */
     static SegmentSummary read(byte[] segment, long salt, SegmentVisitor visitor) throws IOException {
         SegmentHeader header = SegmentHeader.decode(segment);
@@ -77,7 +77,7 @@
                         == SegmentFormat.checksum(salt, in.array(), offset, itemsBytes);
     }
 
-    /** Returns the next offset at which a record may begin, or the end. */
+    /** Returns the next offset at which a record may start, or the end of the segment. */
     private static int findMarker(ByteBuffer in, int startOffset) {
         byte firstMarkerByte = (byte) (SegmentFormat.RECORD_MARKER >> 24);
         for (int offset = startOffset; offset + SegmentFormat.RECORD_HEADER_BYTES <= in.limit(); offset++) {
@@ -115,7 +115,7 @@
             case SegmentFormat.TOMBSTONE_ITEM -> visitor.visitTombstone(values, items.position() - itemOffset);
             case SegmentFormat.SEGMENT_LIST_ITEM -> visitor.visitSegmentList(values);
             case SegmentFormat.SEGMENT_RETIRED_ITEM -> visitor.visitSegmentRetired(values.get(0));
-            default -> throw new IOException("an item of kind " + kind);
+            default -> throw new IOException("unknown item kind " + kind);
         }
     }
 
@@ -136,7 +136,7 @@
         items.position(items.position() + length);
     }
 
-    /** Returns an owner's content that is stored at this offset, null where the record there is not whole or has another. */
+    /** Returns the owner's content of this version at an offset; null if its record is invalid or has no such content there. */
     static byte[] findContent(byte[] segment, long salt, long recordOffset, long offset, long ownerId, long version)
             throws IOException {
         ByteBuffer in = ByteBuffer.wrap(segment);
--- a/storage/src/main/java/amberroute/storage/SegmentSummary.java
+++ b/storage/src/main/java/amberroute/storage/SegmentSummary.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What was found when a segment was read.
+ * The result of reading a segment.
  *
- * @param header the header, or a stand-in where it is not whole
- * @param damagedRanges unreadable bytes that have whole records behind them
- * @param recordCount number of whole records
- * @param endOffset offset behind the last whole record
- * @param lengthBytes bytes of the segment
+ * @param header the header; {@link SegmentHeader#valid} is false if it could not be read
+ * @param damagedRanges unreadable ranges that are followed by valid records
+ * @param recordCount number of valid records
+ * @param endOffset offset after the last valid record
+ * @param lengthBytes size of the segment
  */
 record SegmentSummary(
         SegmentHeader header, List<DamagedRange> damagedRanges, int recordCount, long endOffset, long lengthBytes) {
-    /** Returns the bytes behind the last whole record. */
+    /** Returns the number of bytes after the last valid record. */
     long tornBytes() {
         return lengthBytes - endOffset;
     }
 
-    /** Returns whether not even the header was written, which comes before any record. */
+    /** Returns whether the segment has neither a valid header nor a valid record; the header is written before any record. */
     boolean headerNeverWritten() {
         return !header.valid() && recordCount == 0;
     }
--- a/storage/src/main/java/amberroute/storage/SegmentTotals.java
+++ b/storage/src/main/java/amberroute/storage/SegmentTotals.java
@@ -1,18 +1,18 @@
 package amberroute.storage;
 
-/** Sums over all segments, updated with each change, as each write asks for them. */
+/** Sums over all segments. They are updated with each change, since each write reads them. */
 final class SegmentTotals {
-    /** Size of a disk block, the unit in which files are counted. */
+    /** Size of a disk block, the unit in which the size of files is counted. */
     static final int BLOCK_BYTES = 512;
 
-    /** Bytes of the segments' files, each in whole blocks. */
+    /** Bytes of the segment files, each rounded up to whole blocks. */
     long blockBytes;
     /** Bytes of live contents and tombstones. */
     long liveBytes;
-    /** Segments of which a force has failed. */
+    /** Number of segments whose force has failed. */
     int suspectSegments;
 
-    /** Returns the bytes of whole blocks that a file of this size takes. */
+    /** Returns the size of a file, rounded up to whole blocks. */
     static long roundUpToBlocks(long bytes) {
         return (bytes + BLOCK_BYTES - 1) / BLOCK_BYTES * BLOCK_BYTES;
     }
--- a/storage/src/main/java/amberroute/storage/SegmentVisitor.java
+++ b/storage/src/main/java/amberroute/storage/SegmentVisitor.java
@@ -3,21 +3,21 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Takes what a segment contains, in its order. Errors end the reading. */
+/** Receives the items of a segment in the order in which they are stored. An exception aborts the reading. */
 interface SegmentVisitor {
-    /** Ignores everything. */
+    /** Ignores all items. */
     SegmentVisitor NO_OP = new SegmentVisitor() {};
 
-    /** Takes the offset and the sequence number of a record; its items follow. */
+    /** Receives the offset and the sequence number of a record, before its items. */
     default void visitRecord(long offset, long sequence) throws IOException {}
 
     /**
-     * Takes a content.
+     * Receives a content.
      *
      * @param segmentBytes bytes of the segment
-     * @param offset of the content in them
+     * @param offset offset of the content in the segment
      * @param lengthBytes length of the content
-     * @param itemBytes length with the item's own head
+     * @param itemBytes length of the whole item
      */
     default void visitContent(
             long ownerId,
@@ -30,12 +30,12 @@
             int itemBytes)
             throws IOException {}
 
-    /** Takes a list of deleted owners. */
+    /** Receives a tombstone of deleted owners. */
     default void visitTombstone(List<Long> ownerIds, int itemBytes) throws IOException {}
 
-    /** Takes the numbers of all segments as of when this one was begun. */
+    /** Receives the numbers of all segments that existed when this one was created, including this one. */
     default void visitSegmentList(List<Long> segmentNumbers) throws IOException {}
 
-    /** Takes the number of a segment that was about to be deleted. */
+    /** Receives the number of a segment that was about to be deleted. */
     default void visitSegmentRetired(long segmentNumber) throws IOException {}
 }
--- a/storage/src/main/java/amberroute/storage/SegmentWriter.java
+++ b/storage/src/main/java/amberroute/storage/SegmentWriter.java
@@ -7,11 +7,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Appends records to the active segment and begins the next one.
+ * Appends records to the active segment and rolls to a new segment.
  *
- * <p>After a failed append the torn part is truncated. Where that fails too another segment is begun, whose header records where
- * the one before ends, since the record may be on the disk although its write was reported as failed. Until that header is
- * written the writer is {@link #hasUncertainWrite}. Not thread-safe.
+ * <p>After a failed append, the torn write is truncated. If that fails too, the record may be on the disk although its write was
+ * reported as failed: the writer rolls to a new segment, whose header records the end of the previous one. {@link
+ * #hasUncertainWrite} returns true until that header is written. Not thread-safe.
  */
 final class SegmentWriter {
     private final LogFiles files;
@@ -19,17 +19,18 @@
     private final ForceTracker forces;
     private final LongSupplier saltSupplier;
     private SegmentFile active;
-    /** File of the active segment; null before the first append and behind a failed force. */
+    /** Open file of the active segment; null before the first append and after a failed force. */
     private Disk.Handle activeHandle;
 
     private long lastSequence;
     private long lastSegmentNumber;
-    /** The last segment before the active one, and where it ends; -1 without one. */
+    /** Number of the segment before the active one; -1 if there is none. */
     private long previousSegmentNumber = -1;
-
+    /** End offset of the segment before the active one, in bytes; -1 if there is none. */
     private long previousSegmentEnd = -1;
+
     private boolean hasUncertainWrite;
-    /** File of a segment whose header may be on the disk although its write failed; null for none. */
+    /** File name of a segment whose header may be on the disk although its write failed; null if there is none. */
     private String abandonedFileName;
 
     private boolean readOnly;
@@ -41,7 +42,7 @@
         this.saltSupplier = saltSupplier;
     }
 
-    /** Continues behind what recovery found. */
+    /** Continues after the last record that recovery found. */
     void resumeAfter(long recoveredSequence) {
         lastSequence = recoveredSequence;
         lastSegmentNumber = files.segments.isEmpty() ? 0 : files.segments.lastKey();
@@ -51,7 +52,7 @@
         readOnly = true;
     }
 
-    /** Returns the segment that the last record was appended to. */
+    /** Returns the segment to which the last record was appended. */
     SegmentFile active() {
         return active;
     }
@@ -73,11 +74,11 @@
     /**
      * Appends one record and returns its offset in {@link #active}, in bytes.
      *
-     * @throws IOException where the disk does not take it; then nothing has changed but perhaps the active segment
+     * @throws IOException if the write failed; then nothing has changed, except that another segment may be active
      */
     long append(RecordBuilder items) throws IOException {
         if (readOnly) {
-            throw new IOException("opened for looking only");
+            throw new IOException("log was opened for reading only");
         }
         try {
             return appendOnce(items);
@@ -111,11 +112,11 @@
                 && active.sizeBytes() > 2 * SegmentFormat.SEGMENT_HEADER_BYTES;
     }
 
-    /** Writes all of a buffer; a write of nothing is an error, or this would never end. */
+    /** Writes a whole buffer. A write of 0 bytes is an error, or the loop would not end. */
     static void writeFully(Disk.Handle handle, ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
             if (handle.append(bytes) == 0) {
-                throw new IOException("nothing could be written");
+                throw new IOException("write of 0 bytes");
             }
         }
     }
@@ -128,12 +129,12 @@
             try {
                 rollSegment();
             } catch (IOException retryFailure) {
-                // Tried again before the next record, and by resolveUncertainWrite().
+                // Retried before the next record, and by resolveUncertainWrite().
             }
         }
     }
 
-    /** Tries again to make sure that no later opening finds a record whose append failed. */
+    /** Retries to ensure that recovery will not find a record whose append failed. */
     void resolveUncertainWrite() throws IOException {
         if (hasUncertainWrite) {
             try {
@@ -147,7 +148,7 @@
         }
     }
 
-    /** Begins the next segment; the one before ends with its last good record, and nothing is appended to it any more. */
+    /** Starts a new segment. The previous one ends after its last complete record and is no longer appended to. */
     private void rollSegment() throws IOException {
         files.cache.clear();
         if (abandonedFileName != null) {
@@ -182,7 +183,7 @@
         activeHandle = newHandle;
     }
 
-    /** Writes the header and the list of segments, so that recovery finds out about a missing one. */
+    /** Writes the header and the list of all segments, by which recovery detects missing ones. */
     private void writeHeaderAndSegmentList(SegmentFile newSegment, Disk.Handle newHandle) throws IOException {
         writeFully(
                 newHandle,
@@ -205,7 +206,7 @@
             files.disk.delete(newSegment.name);
             abandonedFileName = null;
         } catch (IOException e) {
-            // Deleted before the next segment is begun: there is at most one such file.
+            // Deleted before the next segment is created, so there is at most one such file.
         }
     }
 
@@ -219,12 +220,12 @@
         }
     }
 
-    /** Returns what has to be forced for all records so far; null where nothing has to. */
+    /** Returns the files that have to be forced for all records so far; null if there are none. */
     PendingForce prepareForce() {
         return forces.prepare(lastSequence, active, activeHandle);
     }
 
-    /** Takes the result of a force; behind a failed one nothing more is appended to its segments. */
+    /** Processes the result of a force; after a failed one its segments are no longer appended to. */
     void forceCompleted(PendingForce force, boolean succeeded) {
         forces.forceCompleted(force, succeeded);
         if (!succeeded && activeHandle != null && force.segments().contains(active)) {
--- a/storage/src/main/java/amberroute/storage/SimulatedDisk.java
+++ b/storage/src/main/java/amberroute/storage/SimulatedDisk.java
@@ -11,35 +11,35 @@
 import java.util.TreeMap;
 
 /**
- * A disk in memory, for tests and experiments. It kills the process, fails or fills up at an operation chosen by its number. How
- * much of a write lands is drawn from a seed, so a run can be repeated exactly. It records what was forced, and {@link
- * #simulatePowerLoss} loses the rest, each name and each file's end on its own. Not thread-safe.
+ * An in-memory disk for tests and experiments. It kills the process, fails or fills up at an operation that is chosen by its number.
+ * How much of a faulty write is stored depends on a seed, so a run can be repeated exactly. The disk tracks what was forced; {@link
+ * #simulatePowerLoss} loses parts of the rest, independently for each file name and each file's end. Not thread-safe.
  */
 public final class SimulatedDisk implements Disk {
-    /** The simulated process was killed: it must not do anything more. */
+    /** Thrown when the simulated process is killed, and by each later operation of that process. */
     public static final class ProcessKilledError extends Error {
         private static final long serialVersionUID = 1;
     }
 
-    /** What happens at the chosen operation. */
+    /** The fault at the chosen operation. */
     public enum Fault {
-        /** Nothing. */
+        /** No fault. */
         NONE,
-        /** The process dies; a write lands in part. */
+        /** The process is killed; a part of a write may be stored. */
         KILL,
         /** One operation fails. */
         FAIL,
-        /** One operation fails, and truncating does too from then on. */
+        /** One operation fails, and all later truncations fail. */
         FAIL_AND_TRUNCATE_FAILS,
-        /** Writes fail from then on for want of room. */
+        /** This and later writes fail since the disk is full. */
         FULL,
-        /** All changes fail from then on. */
+        /** This and later changes fail. */
         READ_ONLY,
-        /** Forces fail from then on. */
+        /** This and later forces fail. */
         FAIL_FORCES
     }
 
-    /** One file's bytes; a name that is deleted and created again is another file. */
+    /** The bytes of a file. A file that is deleted and created again is another one. */
     private static final class FileData {
         byte[] bytes = {};
         byte[] forcedBytes = {};
@@ -53,12 +53,12 @@
     private long faultEndOperation = Long.MAX_VALUE;
     private long operations;
     private boolean killed;
-    /** Room for all files together, in bytes. */
+    /** Capacity for all files together, in bytes. */
     private long capacityBytes = Long.MAX_VALUE;
 
     private long maxUsedBytes;
 
-    /** Begins the next process on this disk. The fault comes at the operation with this number, the first one being 1. */
+    /** Starts the next process on this disk, with a fault at an operation; the first operation has number 1. */
     public void restart(long seed, Fault nextFault, long operationNumber) {
         random = new SplittableRandom(seed);
         fault = nextFault;
@@ -68,37 +68,37 @@
         killed = false;
     }
 
-    /** Ends a fault that lasts before the operation with this number. */
+    /** Ends a persistent fault before the operation with this number. */
     public void endFaultBefore(long operationNumber) {
         faultEndOperation = operationNumber;
     }
 
-    /** Bounds all files together, in bytes, each counted in whole blocks. */
+    /** Limits the size of all files together, in bytes, each counted in whole blocks. */
     public void setCapacity(long bytes) {
         capacityBytes = bytes;
     }
 
-    /** Returns the largest sum of all files so far, in bytes of whole blocks. */
+    /** Returns the largest total size of all files so far, in bytes, each counted in whole blocks. */
     public long maxUsedBytes() {
         return maxUsedBytes;
     }
 
-    /** Returns the operations of this process so far. */
+    /** Returns the number of operations of this process so far. */
     public long operations() {
         return operations;
     }
 
-    /** Returns a file's bytes as they are now. */
+    /** Returns the current bytes of a file; not counted as an operation. */
     public byte[] fileBytes(String name) {
         return files.get(name).bytes;
     }
 
-    /** Creates or replaces a file without the process. */
+    /** Creates or replaces a file; not counted as an operation. */
     public void putFile(String name, byte[] bytes) {
         files.computeIfAbsent(name, n -> new FileData()).bytes = bytes;
     }
 
-    /** Deletes a file without the process. */
+    /** Deletes a file; not counted as an operation. */
     public void removeFile(String name) {
         files.remove(name);
     }
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Loses some of what was not forced, drawn from the seed: a name that was created may be missing, one that was deleted may be
-     * there again, and a file has at least what was forced of it.
+     * Loses a part of the data that was not forced, chosen by the seed: created files may be missing, deleted files may exist again,
+     * and a file has at least its forced bytes.
      */
     public void simulatePowerLoss(long seed) {
         SplittableRandom powerLossRandom = new SplittableRandom(seed);
@@ -131,7 +131,7 @@
             byte[] bytes = Arrays.copyOf(fileData.bytes, length);
             System.arraycopy(fileData.forcedBytes, 0, bytes, 0, forcedLength);
             if (length > forcedLength && powerLossRandom.nextBoolean()) {
-                // A block that was never written behind one that was.
+                // Zeros in place of a block that was not written, while a later block was.
                 Arrays.fill(
                         bytes, forcedLength, forcedLength + powerLossRandom.nextInt(length - forcedLength + 1), (byte)
                                 0);
@@ -147,7 +147,7 @@
         return fault == Fault.FULL || fault == Fault.READ_ONLY || fault == Fault.FAIL_FORCES;
     }
 
-    /** Whether the fault strikes now. */
+    /** Counts an operation and returns whether the fault applies to it. */
     private boolean nextOperationIsFaulty() {
         if (killed) {
             throw new ProcessKilledError();
@@ -283,7 +283,7 @@
             if (diskFull) {
                 return (int) Math.max(0, Math.min(requestedBytes, roomBytes));
             }
-            // A write may take a part of the bytes without an error.
+            // A write may store only a part of the bytes without an error.
             return random.nextInt(4) == 0 ? 1 + random.nextInt(requestedBytes) : requestedBytes;
         }
 
--- a/storage/src/main/java/amberroute/storage/SpaceReserve.java
+++ b/storage/src/main/java/amberroute/storage/SpaceReserve.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * A file of zeros that is truncated when the disk itself is full, so that the outcomes of pending messages can still be written.
+ * A file of zeros that is truncated when the disk is full, so that the outcomes of pending messages can still be written.
  * Not thread-safe.
  */
 final class SpaceReserve {
@@ -20,7 +20,7 @@
         this.targetBytes = targetBytes;
     }
 
-    /** Takes the size of the file as recovery found it. */
+    /** Sets the size of the file found by recovery. */
     void setRecoveredSize(long foundBytes) {
         sizeBytes = foundBytes;
     }
@@ -33,7 +33,7 @@
         return sizeBytes >= targetBytes;
     }
 
-    /** Truncates the file; returns false where it has nothing to give, or cannot. */
+    /** Truncates the file; returns false if it is already empty or the operation fails. */
     boolean release() {
         if (sizeBytes == 0) {
             return false;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Writes the file anew; returns whether all of it was written. */
+    /** Rewrites the file; returns whether it was written completely. */
     boolean refill() {
         try (Disk.Handle handle = disk.openForWriting(NAME)) {
             try {
--- a/storage/src/main/java/amberroute/storage/Tombstone.java
+++ b/storage/src/main/java/amberroute/storage/Tombstone.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** An item that records the deletion of owners. It is live while any of them still has a copy in a segment. */
+/** An item that records the deletion of owners. It is live as long as any of them has a copy in a segment. */
 final class Tombstone {
     /** The deleted owners that still have copies. */
     final Set<OwnerContents> owners = new LinkedHashSet<>();
--- a/storage/src/main/java/amberroute/storage/UnsupportedFormatException.java
+++ b/storage/src/main/java/amberroute/storage/UnsupportedFormatException.java
@@ -2,11 +2,12 @@
 
 import java.io.IOException;
 
-/** A segment was written by a later version, in a format that this one does not know. Not retriable. */
+/** Thrown if a segment was written by a newer version in a format that this version cannot read. Not retriable. */
 public final class UnsupportedFormatException extends IOException {
     private static final long serialVersionUID = 1;
 
     UnsupportedFormatException(int version) {
-        super("format " + version + " is newer than this program's " + SegmentFormat.FORMAT_VERSION);
+        super("segment format " + version + " is not supported: the newest supported format is "
+                + SegmentFormat.FORMAT_VERSION);
     }
 }
--- a/storage/src/test/java/amberroute/storage/SegmentLogTest.java
+++ b/storage/src/test/java/amberroute/storage/SegmentLogTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The log on disks that kill the process, fail, fill up or lose power at any operation, and on damaged segments. */
+/** Tests the log with process kills, disk faults, full disks and power losses at any operation, and with damaged segments. */
 class SegmentLogTest {
     private static final LogLimits LIMITS = new LogLimits(80 * 4_096, 4_096, 0, false);
     private static final LogLimits FORCED_LIMITS = new LogLimits(80 * 4_096, 4_096, 0, true);
@@ -37,7 +37,7 @@
         return StorageScenario.openLog(disk, LIMITS, seed);
     }
 
-    /** Processes on one disk, each killed at another operation, while contents are put, replaced, deleted and compacted. */
+    /** Kills successive processes on one disk at various operations while they write, replace, delete and compact contents. */
     @Test
     void processKilledAtAnyOperationLosesAndRestoresNothing() throws Exception {
         long retired = 0;
@@ -45,10 +45,10 @@
         for (long run = 1; run <= 1_500; run++) {
             StorageScenario scenario = new StorageScenario(LIMITS, run, StorageScenario::openLog);
             for (int processNumber = 0; processNumber < 4; processNumber++) {
-                String context = "run " + run + ", life " + processNumber;
+                String context = "run " + run + ", process " + processNumber;
                 scenario.disk.restart(run * 7 + processNumber, SimulatedDisk.Fault.KILL, 4 + run % 300);
                 scenario.runProcess(120, 8, context);
-                scenario.resolvePendingBatch(context + ", behind it");
+                scenario.resolvePendingBatch(context + ", after the kill");
             }
             retired += scenario.retiredSegments;
             written += scenario.writtenBatches;
@@ -56,7 +56,7 @@
         assertTrue(retired > 1_000 && written > 50_000, retired + " retired, " + written + " written");
     }
 
-    /** A failed write leaves the log as it was, also where its torn part cannot be truncated. */
+    /** A failed write leaves the log unchanged, even if the torn write cannot be truncated. */
     @Test
     void failedWriteLeavesLogUnchangedAndWritable() throws Exception {
         for (SimulatedDisk.Fault fault :
@@ -72,13 +72,13 @@
                 assertTrue(scenario.failedOperations <= 2, context + " failed " + scenario.failedOperations + " times");
                 assertFalse(scenario.log.hasUncertainWrite(), context);
                 scenario.resolvePendingBatch(context);
-                scenario.runProcess(30, 6, context + ", next life");
-                scenario.resolvePendingBatch(context + ", next life");
+                scenario.runProcess(30, 6, context + ", next process");
+                scenario.resolvePendingBatch(context + ", next process");
             }
         }
     }
 
-    /** A disk fills up and stays full over a restart, then has room again. */
+    /** The disk is full or read-only, remains so across a restart, and then recovers. */
     @Test
     void fullOrReadOnlyDiskRejectsWritesUntilItRecoversAndLosesNothing() throws Exception {
         for (SimulatedDisk.Fault fault : List.of(SimulatedDisk.Fault.FULL, SimulatedDisk.Fault.READ_ONLY)) {
@@ -87,20 +87,20 @@
                 String context = fault + ", run " + run;
                 scenario.disk.restart(run, fault, 3 + run % 120);
                 scenario.runProcess(90, 10, context);
-                assertTrue(scenario.failedOperations > 0, "never refused, " + context);
+                assertTrue(scenario.failedOperations > 0, "no write failed, " + context);
                 scenario.resolvePendingBatch(context);
                 scenario.disk.restart(run, fault, 1);
-                scenario.runProcess(5, 10, context + ", still");
+                scenario.runProcess(5, 10, context + ", fault persists");
                 long writtenBefore = scenario.writtenBatches;
-                scenario.resolvePendingBatch(context + ", still");
-                scenario.runProcess(40, 10, context + ", room again");
+                scenario.resolvePendingBatch(context + ", fault persists");
+                scenario.runProcess(40, 10, context + ", disk recovered");
                 assertTrue(scenario.writtenBatches > writtenBefore + 30, context);
                 scenario.resolvePendingBatch(context + ", at the end");
             }
         }
     }
 
-    /** The fault ends while the process runs: writes succeed again without a restart, and nothing was lost. */
+    /** The fault ends while the process runs: writes succeed again without a restart, and no content is lost. */
     @Test
     void recoveredDiskIsWrittenWithoutRestart() throws Exception {
         for (long run = 0; run < 500; run++) {
@@ -118,14 +118,14 @@
         }
     }
 
-    /** Power fails at any operation: forced contents are there, a batch is whole or absent, no deleted owner is back. */
+    /** Power is lost at various operations: forced contents are recovered, and no deleted owner is restored. */
     @Test
     void forcedContentsSurvivePowerLoss() throws Exception {
         long retired = 0;
         for (long run = 1; run <= 2_000; run++) {
             StorageScenario scenario = new StorageScenario(FORCED_LIMITS, run, StorageScenario::openLog);
             for (int processNumber = 0; processNumber < 3; processNumber++) {
-                String context = "run " + run + ", life " + processNumber;
+                String context = "run " + run + ", process " + processNumber;
                 scenario.disk.restart(run * 3 + processNumber, SimulatedDisk.Fault.KILL, 10 + run % 400);
                 scenario.runProcess(150, 8, context);
                 scenario.simulatePowerLoss(run * 5 + processNumber, context);
@@ -135,7 +135,7 @@
         assertTrue(retired > 500, retired + " retired");
     }
 
-    /** After a failed force nothing more is appended to those segments, and their live contents are copied and forced anew. */
+    /** After a failed force, the live contents of its segments are copied to other segments and forced there. */
     @Test
     void failedForceIsRepairedByCopyingLiveContents() throws Exception {
         for (long run = 0; run < 600; run++) {
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Batches at the last free bytes: the log compacts what it has to, and the budget holds at every operation. */
+    /** Writes until the budget is almost full: the log compacts as needed, and never exceeds the budget. */
     @Test
     void budgetIsNotExceededWithEightyPercentLive() throws Exception {
         for (long run = 0; run < 12; run++) {
@@ -165,7 +165,7 @@
             SplittableRandom random = new SplittableRandom(run);
             SegmentLog log = SegmentLog.open(disk, limits, random::nextLong);
             List<Long> liveOwnerIds = new ArrayList<>();
-            // As the journal does: contents are accepted as long as they leave what compaction needs.
+            // Like the journal, accepts contents only as long as the space that compaction needs remains free.
             for (int i = 0; i < 12_000; i++) {
                 byte[] content = new byte
                         [run % 3 == 0
@@ -184,14 +184,14 @@
             }
             assertTrue(
                     disk.maxUsedBytes() <= limits.budgetBytes(),
-                    "used " + disk.maxUsedBytes() + " of " + limits.budgetBytes());
+                    "used " + disk.maxUsedBytes() + " of " + limits.budgetBytes() + " bytes");
             assertTrue(
                     log.liveBytes() > 0.8 * limits.budgetBytes(), log.liveBytes() + " live of " + limits.budgetBytes());
             assertEquals(liveOwnerIds.size(), readContents(disk).size());
         }
     }
 
-    /** A long-lived owner among many short-lived ones is copied again and again, and the folder stays small. */
+    /** One long-lived owner among many short-lived ones is copied repeatedly, and disk use remains bounded. */
     @Test
     void compactionBoundsDiskUseWithOneLongLivedOwner() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
@@ -203,10 +203,10 @@
             log.write(new Batch().put(ownerId, 1, new byte[100]));
             log.write(new Batch().delete(ownerId));
             while (log.shouldCompact() && log.compact(1_000)) {
-                // A slice between writes.
+                // Compacts one slice at a time between writes.
             }
         }
-        assertTrue(disk.maxUsedBytes() < 16 * 4_096, "it grew to " + disk.maxUsedBytes());
+        assertTrue(disk.maxUsedBytes() < 16 * 4_096, "used up to " + disk.maxUsedBytes() + " bytes");
         assertEquals(List.of(longLivedOwnerId), List.copyOf(readContents(disk).keySet()));
     }
 
@@ -222,13 +222,15 @@
         }
         while (log.retiredSegments() < 3) {
             long copiedBefore = log.copiedBytes();
-            assertTrue(log.compact(8_192), "nothing to retire");
-            assertTrue(log.copiedBytes() - copiedBefore <= 8_192, (log.copiedBytes() - copiedBefore) + " in a slice");
+            assertTrue(log.compact(8_192), "no segment to retire");
+            assertTrue(
+                    log.copiedBytes() - copiedBefore <= 8_192,
+                    (log.copiedBytes() - copiedBefore) + " bytes copied in one step");
         }
-        assertTrue(log.copiedBytes() > 3 * 40_000, "nothing was live in what was retired");
+        assertTrue(log.copiedBytes() > 3 * 40_000, "too few live bytes copied from the retired segments");
     }
 
-    /** One damaged byte costs the record that it is in and no other, and is reported; the file is retained as it was. */
+    /** A damaged byte loses only the record that contains it and is reported; the damaged file is kept unchanged. */
     @Test
     void damagedByteLosesOnlyItsRecordAndIsReported() throws Exception {
         SplittableRandom random = new SplittableRandom(3);
@@ -250,13 +252,15 @@
             disk.putFile(name, damagedBytes);
             SegmentLog reopened = SegmentLog.openReadOnly(disk);
             TreeMap<Long, byte[]> contentByOwnerId = readContents(disk);
-            assertTrue(contentByOwnerId.size() >= 199, "byte " + damagedOffset + ": only " + contentByOwnerId.size());
+            assertTrue(
+                    contentByOwnerId.size() >= 199,
+                    "byte " + damagedOffset + ": only " + contentByOwnerId.size() + " contents");
             boolean lastRecordLost = contentByOwnerId.size() == 199 && !contentByOwnerId.containsKey(200L);
             assertEquals(
                     !lastRecordLost, !reopened.losses().isEmpty(), "byte " + damagedOffset + " " + reopened.losses());
             reportedLosses += reopened.losses().size();
         }
-        assertTrue(reportedLosses > 300, "only " + reportedLosses + " were told");
+        assertTrue(reportedLosses > 300, "only " + reportedLosses + " losses were reported");
         disk.putFile(name, intactBytes);
         byte[] damagedBytes = intactBytes.clone();
         damagedBytes[intactBytes.length / 2] ^= 1;
@@ -264,13 +268,13 @@
         SegmentLog reopened = StorageScenario.openLog(disk, singleSegmentLimits, 2);
         reopened.write(new Batch().delete(1));
         while (reopened.segmentCount() > 1 && reopened.compact(1 << 20)) {
-            // Until the damaged segment has been retired.
+            // Compacts until the damaged segment is retired.
         }
         assertArrayEquals(damagedBytes, disk.fileBytes(name + ".damaged"));
         assertEquals(198, readContents(disk).size());
     }
 
-    /** Content that is itself a whole record, of another salt, is not taken for a record behind damage. */
+    /** A content that is itself a valid record with another salt is not read as a record after damaged bytes. */
     @Test
     void contentThatImitatesRecordIsNotReadAsRecord() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
@@ -309,7 +313,7 @@
         assertEquals(List.of(name), disk.fileNames());
     }
 
-    /** Other files are left alone; a segment missing in the middle is reported, and costs only its own contents. */
+    /** Other files are ignored and left unchanged; a missing segment is reported, and only its own contents are lost. */
     @Test
     void folderWithForeignFilesAndMissingSegmentIsRead(@TempDir Path folder) throws Exception {
         SplittableRandom random = new SplittableRandom(1);
@@ -331,7 +335,7 @@
         assertEquals(400, readContents(new FolderDisk(folder)).size());
         Files.delete(folder.resolve(names.get(2)));
         int readableContents = readContents(new FolderDisk(folder)).size();
-        assertTrue(readableContents > 250 && readableContents < 400, readableContents + " left");
+        assertTrue(readableContents > 250 && readableContents < 400, readableContents + " contents are readable");
         try (SegmentLog reopened = SegmentLog.open(new FolderDisk(folder), FORCED_LIMITS, random::nextLong)) {
             assertEquals(1, reopened.losses().size());
             assertEquals(names.get(2).substring(0, 16), reopened.losses().get(0).segment());
@@ -342,7 +346,7 @@
         assertEquals(readableContents + 1, readContents(new FolderDisk(folder)).size());
     }
 
-    /** A retired segment is not reported as missing; numbers of owners that were deleted are not given again. */
+    /** A retired segment is not reported as missing, and the IDs of deleted owners are not reused after a restart. */
     @Test
     void retiredSegmentsAreNotReportedMissingAndOwnerIdsIncreaseAcrossRestarts() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
@@ -354,7 +358,7 @@
             log.write(new Batch().delete(lastOwnerId));
         }
         for (int i = 0; i < 1_000 && log.compact(1_000); i++) {
-            // Until nothing is left to compact.
+            // Compacts until nothing is left to do.
         }
         assertTrue(log.retiredSegments() > 5);
         assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses());
@@ -362,7 +366,7 @@
         assertTrue(reopened.nextOwnerId() > lastOwnerId);
     }
 
-    /** The folder is deleted while the process runs: writes fail, the process does not. */
+    /** The folder is deleted while the log is open: writes throw an IOException, and nothing else fails. */
     @Test
     void deletedFolderFailsWritesWithoutEndingTheProcess(@TempDir Path parent) throws Exception {
         Path folder = parent.resolve("state");
@@ -380,11 +384,11 @@
                 failedWrites++;
             }
         }
-        assertTrue(failedWrites > 100, failedWrites + " failed");
+        assertTrue(failedWrites > 100, failedWrites + " writes failed");
         log.close();
     }
 
-    /** Bytes retained by recovery are freed with the first write: from then on segments are read and checked again. */
+    /** The first write after recovery frees the cached segments; later scans read and verify the files and find the same. */
     @Test
     void cachedAndUncachedSegmentsReadTheSame() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
@@ -411,7 +415,7 @@
         log.readLiveContents((ownerId, kind, version, content) -> assertEquals(
                 null,
                 contentsByOwnerAndKind.put(ownerId + "/" + kind, Arrays.toString(StorageScenario.toBytes(content))),
-                "two of " + ownerId + "/" + kind));
+                "two contents of " + ownerId + "/" + kind));
         return contentsByOwnerAndKind;
     }
 }
--- a/storage/src/test/java/amberroute/storage/StorageScenario.java
+++ b/storage/src/test/java/amberroute/storage/StorageScenario.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 
 /**
- * Random batches on a log on a disk that fails, compared with a model that never saw the disk. An interrupted batch is found whole
- * or not at all.
+ * Writes random batches to a log on a faulty disk and compares the contents with an in-memory model. An interrupted batch must be
+ * recovered completely or not at all.
  */
 final class StorageScenario {
     /** Opens the log of each process. */
@@ -27,13 +27,13 @@
     final LogLimits limits;
     private final SplittableRandom random;
     private final LogOpener opener;
-    /** What each owner has, by kind, as text; a deleted owner has no entry. */
+    /** The contents of each owner by kind, in hexadecimal; a deleted owner has no entry. */
     private TreeMap<Long, TreeMap<Integer, String>> model = new TreeMap<>();
-    /** The model as of the last force that succeeded, and each one since, which may count after a loss of power. */
+    /** The model at the last successful force, and each later one, whose changes may survive a power loss. */
     private final List<TreeMap<Long, TreeMap<Integer, String>>> modelsSinceForce = new ArrayList<>();
-
+    /** The model after a batch whose outcome is unknown; null if there is none. */
     private TreeMap<Long, TreeMap<Integer, String>> pending;
-    /** Owners that were given an exclusive content, perhaps by a batch that failed. */
+    /** Owners for which an exclusive content was written, including by a failed batch. */
     private final Set<Long> exclusiveOwnerIds = new HashSet<>();
 
     SegmentLog log;
@@ -87,7 +87,7 @@
         return ownerIds.get(random.nextInt(ownerIds.size()));
     }
 
-    /** Puts an exclusive content, over an earlier exclusive one at times. */
+    /** Adds an exclusive content; the owner may already have an exclusive one. */
     private void putExclusive(Batch batch, long ownerId) {
         byte[] content = randomContent();
         batch.putExclusive(ownerId, 1, content);
@@ -97,7 +97,7 @@
         exclusiveOwnerIds.add(ownerId);
     }
 
-    /** Writes one batch; returns whether it was written. */
+    /** Writes one batch; returns whether the write succeeded. */
     boolean writeRandomBatch(int maxOwners) {
         pending = copyOf(model);
         Batch batch = new Batch();
@@ -125,7 +125,7 @@
             }
         }
         if (action == 0 && !model.isEmpty()) {
-            // A batch that deletes one owner and puts another: never one alone.
+            // Deletes one owner and adds another in the same batch, which must not be applied in part.
             long ownerId = randomOwnerId();
             batch.delete(ownerId);
             put(batch, log.nextOwnerId(), 1);
@@ -180,7 +180,7 @@
         return succeeded;
     }
 
-    /** Runs a process until it is killed or its steps are done. */
+    /** Runs a process until it is killed or all steps are done. */
     void runProcess(int steps, int maxOwners, String context) {
         try {
             openAndCheck(context);
@@ -194,13 +194,13 @@
                 }
             }
         } catch (SimulatedDisk.ProcessKilledError e) {
-            // Expected: the next process recovers.
+            // Expected: the next process recovers the log.
         } catch (IOException e) {
             failedOperations++;
         }
     }
 
-    /** Reads the disk as the next process will find it, without changing it, and resolves a batch that was interrupted. */
+    /** Reads the disk without changing it, as the next process will, and decides whether an interrupted batch was written. */
     void resolvePendingBatch(String context) throws IOException {
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
         TreeMap<Long, TreeMap<Integer, String>> found = readContents(SegmentLog.openReadOnly(disk));
@@ -213,14 +213,13 @@
         assertEquals(List.of(), SegmentLog.openReadOnly(disk).losses(), context);
     }
 
-    /** Power fails: forced contents are there, and each batch since is whole or absent. */
+    /** Simulates a power loss: forced contents must be recovered, and no deleted or unknown owner may appear. */
     void simulatePowerLoss(long seed, String context) throws IOException {
         disk.simulatePowerLoss(seed);
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
         TreeMap<Long, TreeMap<Integer, String>> found = readContents(SegmentLog.openReadOnly(disk));
         TreeMap<Long, TreeMap<Integer, String>> forced = modelsSinceForce.get(0);
-        // Batches since then may be there or not, in any selection; an owner that none of them changed has to be as it
-        // was.
+        // Any selection of the batches since then may be present; an owner that none of them changed must be unchanged.
         for (long ownerId : forced.keySet()) {
             boolean changedSinceForce =
                     modelsSinceForce.stream().anyMatch(m -> !forced.get(ownerId).equals(m.get(ownerId)))
@@ -233,7 +232,7 @@
             assertTrue(
                     modelsSinceForce.stream().anyMatch(m -> m.containsKey(ownerId))
                             || pending != null && pending.containsKey(ownerId),
-                    context + ": owner " + ownerId + " is back");
+                    context + ": owner " + ownerId + " is present but not in any model since the last force");
         }
         model = found;
         pending = null;
@@ -246,7 +245,7 @@
         log.readLiveContents((ownerId, kind, version, content) -> {
             String previous = found.computeIfAbsent(ownerId, o -> new TreeMap<>())
                     .put(kind, HexFormat.of().formatHex(toBytes(content)));
-            assertEquals(null, previous, "owner " + ownerId + " has two of kind " + kind);
+            assertEquals(null, previous, "owner " + ownerId + " has two contents of kind " + kind);
         });
         return found;
     }
@@ -255,7 +254,7 @@
         assertEquals(expected, readContents(log), context);
     }
 
-    /** Compares the model with what a new reading of the disk finds. */
+    /** Compares the model with the contents of a newly opened log. */
     void assertStoredContents(String context) throws IOException {
         assertEquals(model, readContents(SegmentLog.openReadOnly(disk)), context);
     }
