--- a/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
+++ b/sender/src/main/java/amberroute/sender/AttemptDispatcher.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 
 /**
- * Starts the calls that the scheduler decides on: journals each attempt, and makes the call once the record is durable. An attempt
+ * Starts the calls that the scheduler decides on: journals each attempt, and makes the call after the record is durable. An attempt
  * that is not made is reported to the scheduler as {@link AttemptOutcome#MOOT}. Event loop only.
  */
 final class AttemptDispatcher {
@@ -28,7 +28,7 @@
     private final EndpointWatch endpoints;
     private final UpstreamClient upstream;
     private final PeerServices peers;
-    /** Attempts cancelled while their record was forced; at most one for each message. */
+    /** Attempts cancelled while their record is being forced to disk; at most one for each message. */
     private final Set<UpstreamClient.CallMessage> cancelled = new HashSet<>();
 
     AttemptDispatcher(
@@ -46,7 +46,7 @@
         this.peers = peers;
     }
 
-    /** Starts the calls of one iteration, batched as {@link CallBatching} says. */
+    /** Starts the calls of one event loop iteration, batched by {@link CallBatching}. */
     void startCalls(List<SchedulerAction> actions) {
         List<Send> sends = new ArrayList<>();
         for (SchedulerAction action : actions) {
@@ -86,7 +86,10 @@
         }
     }
 
-    /** An idempotent message is attempted also while the disk takes no record, unless records are replicated. */
+    /**
+     * Journals an attempt. Returns whether it may be made: an attempt of an idempotent message may, even if the disk takes no
+     * record, unless the journal is replicated.
+     */
     private boolean recordAttempt(AcceptedMessage message, String endpointUid) {
         if (folder.journal().recordAttempt(message, endpointUid, folder.steadyMillis())) {
             return true;
@@ -99,7 +102,7 @@
         return true;
     }
 
-    /** Makes the call without the attempts that were cancelled, or whose message completed, while the record was forced. */
+    /** Makes the call without attempts that were cancelled, or whose message completed, while the record was being forced. */
     private void startUncancelled(
             UpstreamClient.Route route,
             List<UpstreamClient.CallMessage> callMessages,
@@ -125,7 +128,7 @@
         }
     }
 
-    /** Ends attempts that were recorded and not made. */
+    /** Ends attempts that were journaled but not made. */
     private void abortAttempts(UpstreamClient.Route route, List<UpstreamClient.CallMessage> callMessages) {
         for (UpstreamClient.CallMessage callMessage : callMessages) {
             AcceptedMessage message = callMessage.message();
@@ -143,21 +146,24 @@
                 messageNumber, attempt, endpoint, AttemptOutcome.MOOT, 0, messageCompleted, 0, List.of()));
     }
 
-    /** Cancels an attempt, in flight or while its record is forced. */
+    /** Cancels an attempt that is in flight, or whose record is being forced. */
     void cancel(AcceptedMessage message, int attempt) {
         if (!upstream.cancel(message, attempt) && folder.journal().deferredEffectCount() > 0) {
             cancelled.add(new UpstreamClient.CallMessage(message, attempt));
         }
     }
 
-    /** To be called at the end of an iteration: nothing can still be cancelled once all records are durable. */
+    /**
+     * Forgets cancelled attempts if all records are durable, since no call is waiting for a record then. To be called at the end
+     * of an iteration.
+     */
     void clearCancelledOnceDurable() {
         if (folder.journal().deferredEffectCount() == 0) {
             cancelled.clear();
         }
     }
 
-    /** Forgets cancelled attempts, as all messages are read from the journal again. */
+    /** Forgets all cancelled attempts, before the messages are read from the journal again. */
     void clear() {
         cancelled.clear();
     }
--- a/sender/src/main/java/amberroute/sender/CallsInFlight.java
+++ b/sender/src/main/java/amberroute/sender/CallsInFlight.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The calls in flight of this process in the form that a transfer of ownership needs. Event loop only. */
+/** Lists the calls in flight of this process for a transfer of ownership. Event loop only. */
 final class CallsInFlight {
     private final UpstreamClient upstream;
     private final EndpointWatch endpoints;
@@ -17,7 +17,7 @@
         this.endpoints = endpoints;
     }
 
-    /** All calls with the numbers of their messages. */
+    /** All calls in flight, with the numbers of their messages. */
     List<TransferredState.CallInFlight> list() {
         return upstream.callsInFlight().stream()
                 .map(call -> new TransferredState.CallInFlight(
@@ -29,7 +29,7 @@
                 .toList();
     }
 
-    /** The numbers of the endpoints that are called. */
+    /** The numbers of the endpoints with calls in flight. */
     Set<Long> endpointNumbers() {
         Set<Long> calledEndpoints = new HashSet<>();
         upstream.callsInFlight().forEach(call -> calledEndpoints.add(call.route.endpoint()));
--- a/sender/src/main/java/amberroute/sender/DeliveryComponents.java
+++ b/sender/src/main/java/amberroute/sender/DeliveryComponents.java
@@ -13,8 +13,8 @@
 import java.util.List;
 
 /**
- * Wires the parts of a sender that deliver messages: from submission over the scheduler's decision to calls, outcomes and
- * notifications. Created before the event loop runs; the parts are used on it.
+ * Creates and connects the components of a sender that deliver messages: submission, scheduling, calls, outcomes and
+ * notifications. Created before the event loop runs; the components are used on it.
  */
 final class DeliveryComponents {
     final EndpointWatch endpoints;
@@ -34,7 +34,7 @@
     final MessageRecovery recovery;
     private final EndpointListUpdates endpointListUpdates;
 
-    /** {@code handler} carries out the actions of an event loop iteration. */
+    /** {@code actionHandler} carries out the actions of an event loop iteration. */
     DeliveryComponents(
             SenderState state,
             EventLoopStallDetector stallDetector,
--- a/sender/src/main/java/amberroute/sender/EndpointFileFollower.java
+++ b/sender/src/main/java/amberroute/sender/EndpointFileFollower.java
@@ -5,7 +5,7 @@
 import amberroute.sender.discovery.EndpointWatch;
 import io.netty.channel.EventLoop;
 
-/** Applies the file of endpoints, where one is configured, whenever it changes. Event loop only, but for {@link #close}. */
+/** Applies the endpoint file, if one is configured, whenever it changes. Event loop only, except {@link #close}. */
 final class EndpointFileFollower {
     private final SenderConfig config;
     private final EventLoop loop;
@@ -18,7 +18,7 @@
         this.endpoints = endpoints;
     }
 
-    /** Starts to follow the file. */
+    /** Starts to watch the file. */
     void start() {
         if (config.standalone() != null && config.standalone().endpoints() != null) {
             endpointFile = new EndpointFile(
@@ -28,12 +28,15 @@
         }
     }
 
-    /** Reads the file again though it has not changed; the follower does it so that no older content is applied later. */
+    /**
+     * Rereads the file even if it has not changed. The file's polling thread reads it, so that no older content is applied
+     * afterwards.
+     */
     void reload() {
         endpointFile.ask();
     }
 
-    /** Stops to follow the file. */
+    /** Stops watching the file. */
     void close() {
         if (endpointFile != null) {
             endpointFile.close();
--- a/sender/src/main/java/amberroute/sender/EndpointListUpdates.java
+++ b/sender/src/main/java/amberroute/sender/EndpointListUpdates.java
@@ -24,7 +24,7 @@
     @Override
     public void listed(DeliveryScheduler.EndpointListKind kind, List<DeliveryScheduler.EndpointEntry> entries) {
         upstream.preventWrites(route -> !endpoints.isReady(route.endpoint()));
-        // A new endpoint at the address of a removed one must not inherit its connections.
+        // A new endpoint at the address of a removed one must not reuse its connections.
         upstream.closeIdle(endpoints::hasLeft);
         fleet.applyKnownRateLimits(entries);
         scheduler.submit(new Event.EndpointListUpdated(kind, entries));
--- a/sender/src/main/java/amberroute/sender/FailoverSender.java
+++ b/sender/src/main/java/amberroute/sender/FailoverSender.java
@@ -9,8 +9,8 @@
 import java.io.IOException;
 
 /**
- * A sender that continues the replicated journal of a failed daemon in this process, as though that daemon's process had been started
- * again; it accepts no clients. Created off the event loop, used on it.
+ * A sender that continues the replicated journal of a failed sender in this process, as a restart of that sender would. It
+ * accepts no clients. Created off the event loop, used on it.
  */
 final class FailoverSender implements ReplicationCoordinator.Failover {
     private final SenderState state;
@@ -21,7 +21,7 @@
     /**
      * Starts the sender, which owns the journal in this leader term.
      *
-     * @throws IOException if it cannot start; it is stopped then
+     * @throws IOException if the sender cannot start, in which case it has been stopped
      */
     FailoverSender(
             EventLoop loop,
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Tells peers for which ordered keys this sender has messages, and offers them what can move. */
+    /** Tells peers for which ordered keys this sender has messages, and offers them the messages that can be handed over. */
     private void announceOrderedKeys() {
         HandoffCoordinator handoff = peers.handoff();
         if (handoff != null && !state.lifecycle().ownershipReleased()) {
--- a/sender/src/main/java/amberroute/sender/FleetCoordination.java
+++ b/sender/src/main/java/amberroute/sender/FleetCoordination.java
@@ -28,11 +28,12 @@
 import java.util.function.Consumer;
 
 /**
- * What the daemons of a fleet agree on for endpoints: rate limits of a slow start, which heartbeats carry, and the load that each
- * reports. Either part is absent where it is not configured. Event loop only, but for {@link #listen} and {@link #close}.
+ * Coordinates the senders of a fleet with regard to endpoints: heartbeats carry the rate limits of a slow start, and each sender
+ * reports its load. Either part is absent if it is not configured. Event loop only, except {@link #listen},
+ * {@link #datagramSocket} and {@link #close}.
  */
 final class FleetCoordination {
-    /** How long the counts of pending messages by destination stay valid. */
+    /** Age at which the counts of pending messages by destination are recomputed. */
     private static final long PENDING_COUNTS_MAX_AGE_MICROS = 100_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -44,11 +45,11 @@
     private final ActiveSettings activeSettings;
     private final SchedulerDriver scheduler;
     private final LifecycleState lifecycle;
-    /** Null without a lease for slow starts; the limits with it. */
+    /** Null if no lease for slow starts is configured; so are the limits. */
     private HeartbeatTransport heartbeats;
 
     private SlowStartLimits slowStartLimits;
-    /** Null unless daemons report their load. */
+    /** Null if load reports are not configured. */
     private LoadReportTransport loadReports;
 
     private Map<Integer, Integer> pendingCountByDestination = Map.of();
@@ -64,7 +65,10 @@
         this.scheduler = scheduler;
     }
 
-    /** To be called before the first endpoint list is applied, as no endpoint may be called before its rate limit is known. */
+    /**
+     * Starts the configured parts. To be called before the first endpoint list is applied, as no endpoint may be called before
+     * its rate limit is known.
+     */
     void start() {
         StandaloneConfig.Standalone standalone = config.standalone();
         if (standalone == null) {
@@ -128,64 +132,66 @@
         return others;
     }
 
-    /** Listens for heartbeats; {@code address} is where the handoff listens, as both use one port. Not on the event loop. */
+    /** Listens for heartbeats on {@code address}, the handoff address, as both use the same port. Not on the event loop. */
     void listen(InetSocketAddress address) throws InterruptedException {
         if (heartbeats != null) {
             heartbeats.listen(address);
         }
     }
 
-    /** The socket for datagrams other than heartbeats, shared with the heartbeats where there are any. Not on the event loop. */
+    /**
+     * The socket for datagrams other than heartbeats; shared with the heartbeats if they are configured. Not on the event loop.
+     */
     Channel datagramSocket(InetSocketAddress address, Consumer<DatagramPacket> receiver) throws InterruptedException {
         return heartbeats != null ? heartbeats.shareSocket(receiver) : PeerSocket.bind(loop, address, receiver);
     }
 
-    /** Whether daemons report their load. */
+    /** Whether load reports are configured. */
     boolean reportsLoad() {
         return loadReports != null;
     }
 
-    /** Begins to report load on a socket. */
+    /** Starts to send load reports on a socket. */
     void startLoadReporting(Channel socket) {
         if (loadReports != null) {
             loadReports.start(socket);
         }
     }
 
-    /** A datagram that is no heartbeat. */
+    /** Processes a datagram that is not a heartbeat. */
     void onDatagram(DatagramPacket packet) {
         if (loadReports != null) {
             loadReports.heard(packet);
         }
     }
 
-    /** The load reports for operators, null where there are none. */
+    /** The load reports for operators, null if they are not configured. */
     JsonObject describeLoad() {
         return loadReports == null ? null : loadReports.describe();
     }
 
-    /** A message of this priority weight was submitted for a destination. */
+    /** Records that a message of this priority weight was submitted for a destination. */
     void onSubmission(int destination, double priorityWeight) {
         if (loadReports != null) {
             loadReports.onDemand(destination, priorityWeight);
         }
     }
 
-    /** An attempt at a destination has completed. */
+    /** Records that an attempt at a destination has completed. */
     void onAttemptCompleted(int destination, AttemptOutcome outcome) {
         if (loadReports != null) {
             loadReports.onAttemptEnded(destination, outcome);
         }
     }
 
-    /** A message was delivered: other daemons hear of it soon if its destination had been unavailable. */
+    /** Records a delivery. If the destination had been unavailable, the other senders are notified soon. */
     void onDelivery(int destination) {
         if (slowStartLimits != null && slowStartLimits.onSuccess(SchedulerClock.micros(), destination)) {
             heartbeats.announceSoon();
         }
     }
 
-    /** The state of a destination became known; {@code sinceMicros} is as {@link SlowStartLimits#onHealthChanged} takes it. */
+    /** Records the health of a destination; {@code sinceMicros} is as in {@link SlowStartLimits#onHealthChanged}. */
     void onHealthChanged(int destination, DeliveryScheduler.UpstreamStatus status, long sinceMicros) {
         if (slowStartLimits != null) {
             slowStartLimits.onHealthChanged(
@@ -194,7 +200,7 @@
         }
     }
 
-    /** Applies the rate limits that are known for the destinations of listed endpoints. */
+    /** Applies the known rate limits of the destinations of listed endpoints. */
     void applyKnownRateLimits(List<DeliveryScheduler.EndpointEntry> entries) {
         if (slowStartLimits == null) {
             return;
--- a/sender/src/main/java/amberroute/sender/FolderAdoption.java
+++ b/sender/src/main/java/amberroute/sender/FolderAdoption.java
@@ -21,11 +21,11 @@
 import java.util.Map;
 
 /**
- * Takes over the messages of an orphaned state folder, whose process is gone or fenced. Reads that folder on the calling thread, which
- * must not be the event loop, and hands its messages to the event loop batch by batch.
+ * Takes over the messages of an orphaned state folder, whose process has ended or is fenced. Reads that folder on the calling
+ * thread, which must not be the event loop, and passes its messages to the event loop in batches.
  */
 final class FolderAdoption {
-    /** How many messages are this sender's now, and how many an earlier, interrupted adoption had taken over. */
+    /** The numbers of messages adopted now, and adopted before by an interrupted adoption. */
     record Result(int adopted, int adoptedBefore) {}
 
     private final SenderConfig config;
@@ -49,7 +49,8 @@
     /**
      * Takes over all messages of an orphaned folder.
      *
-     * @param fenced whether the folder's process, should it hold the lock, is stopped or cut off, so that a fencing token ends it
+     * @param fenced whether the process that may still hold the folder's lock is known to be stopped or partitioned, so that a
+     *     fencing token may end it
      * @throws InvalidSettingsException if the folder cannot be taken over
      * @throws IOException if a folder cannot be read or written
      */
@@ -75,12 +76,12 @@
     }
 
     /**
-     * Takes over a folder before this process serves, so that no message of a key comes ahead of those that it takes over. Does
-     * nothing where that is done already.
+     * Takes over a folder before this process serves, so that no new message of an ordered key overtakes the adopted ones. Does
+     * nothing if the folder has been adopted already.
      */
     void adoptBeforeServing(Path orphanedFolder) throws IOException {
         if (!hasJournal(orphanedFolder)) {
-            // Its process died before it opened a journal, so it accepted nothing.
+            // The process died before it opened a journal, so it accepted no message.
             LogEvent.of("orphaned_folder_empty").with("folder", orphanedFolder).warn();
             return;
         }
@@ -115,7 +116,7 @@
         }
     }
 
-    /** The fencing token is raised: what the journal has now is all that it ever will. */
+    /** Adopts the messages after the fencing token is raised: from then on nothing is added to the orphaned journal. */
     private Result adoptFenced(FencingToken token, Path orphanedFolder) throws IOException {
         int adopted = 0;
         int adoptedBefore = 0;
@@ -150,7 +151,10 @@
         return adopted;
     }
 
-    /** What that process had taken over itself, and not finished, goes on here. */
+    /**
+     * Copies the records of batches that the orphaned process adopted itself, so that an adoption that it left unfinished can be
+     * continued here without adopting a batch twice.
+     */
     private void copyAdoptionRecords(Journal orphanedJournal) {
         orphanedJournal.handoffBatches().forEach((batchId, handoffBatch) -> {
             if (batchId.startsWith(OrphanedJournalRecovery.PREFIX)) {
@@ -166,7 +170,10 @@
         });
     }
 
-    /** Returns how many messages are this process's now, 0 where the batch had been taken before, -1 where there is no room. */
+    /**
+     * Returns the number of adopted messages, 0 if the batch was adopted before, or -1 if the journal has no capacity for it or
+     * this process has released its ownership.
+     */
     private int adoptBatch(String batchId, List<AcceptedMessage> orphanedMessages) {
         if (folder.journal().handoffBatches().containsKey(batchId)) {
             return 0;
@@ -175,7 +182,7 @@
                 .map(orphan -> OrphanedJournalRecovery.copy(orphan, folder.journal()::nextNumber))
                 .toList();
         copies.forEach(copy -> copy.classNumber = messages.classes().number(copy.className));
-        // Whether a message of an unknown class may be repeated is unknown as well.
+        // It is unknown whether a message of an unknown class may be retried, so it has failed.
         copies.stream()
                 .filter(copy -> copy.classNumber < 0 && copy.pendingNotification == null)
                 .forEach(copy -> copy.end(copy.failed()));
--- a/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/HandoffHostAdapter.java
@@ -22,7 +22,7 @@
 import java.util.Set;
 
 /**
- * What the handoff to and from peers does with the messages of this sender. What a peer is told next is forced to the disk before.
+ * Applies the handoff to and from peers to the messages of this sender. Whatever is reported to a peer is forced to disk first.
  * Event loop only; times are milliseconds of the folder's {@code SteadyClock}.
  */
 final class HandoffHostAdapter implements HandoffCoordinator.Host {
@@ -67,11 +67,11 @@
         }
         Map<Long, List<AcceptedMessage>> messagesByKey = new LinkedHashMap<>();
         Set<Long> blockedKeys = new HashSet<>(keyHolds.blockedKeys());
-        // The journal has the order of acceptance, which is that of each key.
+        // The journal lists messages in the order of acceptance, which is also the order within each key.
         for (AcceptedMessage message : folder.journal().pendingMessages()) {
             boolean ordered = messages.isOrdered(message);
             if (message.pendingNotification != null || message.offeredToPeer || message.attemptInFlight) {
-                // Nothing of an ordered key moves before this message completes.
+                // No other message of the ordered key may be handed over before this one completes.
                 if (ordered) {
                     blockedKeys.add(message.key);
                 }
@@ -145,7 +145,7 @@
         return written;
     }
 
-    /** No peer took the messages: they go on here, ahead of what has come of their keys since. */
+    /** Reclaims messages that no peer accepted. They are resumed ahead of messages of the same keys that arrived later. */
     private boolean reclaimBatch(String batchId, Ownership ownership, List<AcceptedMessage> offered) {
         List<Long> keys = orderedKeys(offered);
         List<AcceptedMessage> laterMessages = keyHolds.blockedMessages(keys);
@@ -192,7 +192,7 @@
                 && !isRetryEndpointUnknown(message, messages.classes().type(classNumber));
     }
 
-    /** Whether only the endpoint where the message may have run could take it again, and that endpoint is unknown here. */
+    /** Whether the message may be retried only at the endpoint where it may have run, and that endpoint is unknown here. */
     private boolean isRetryEndpointUnknown(AcceptedMessage message, DeliveryScheduler.MessageClass messageClass) {
         return message.unknownOutcomeSinceMillis != 0
                 && messageClass.idempotency() == DeliveryScheduler.Idempotency.KEYED
@@ -200,7 +200,10 @@
                 && !endpoints.listed(message.unknownOutcomeEndpoint);
     }
 
-    /** What may be done with a message of a class: where two daemons differ in it, neither takes the other's messages. */
+    /**
+     * Describes how messages of a class may be retried and ordered. Senders that differ in it do not accept each other's messages
+     * of the class.
+     */
     private String classMeaning(int classNumber) {
         DeliveryScheduler.MessageClass messageClass = messages.classes().type(classNumber);
         return messageClass.idempotency().wireName() + " " + messageClass.keyScope() + " "
--- a/sender/src/main/java/amberroute/sender/JournalMaintenance.java
+++ b/sender/src/main/java/amberroute/sender/JournalMaintenance.java
@@ -8,11 +8,14 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Repeated work on the journal: retries of failed writes, compaction, expiry of key holds and handoff batches. Event loop only. */
+/**
+ * Runs periodic work on the journal: retries of failed writes, compaction, and expiry of key holds and handoff batches. Event
+ * loop only.
+ */
 final class JournalMaintenance {
-    /** Interval of retries of failed writes and of compaction. */
+    /** Also the interval at which the steady clock is recorded. */
     private static final long RETRY_AND_COMPACTION_INTERVAL_MS = 100;
-    /** Interval of the expiry of key holds. */
+    /** Interval of the expiry of key holds and handoff batches. */
     private static final long EXPIRY_INTERVAL_MS = 100;
 
     private final EventLoop loop;
@@ -28,7 +31,7 @@
         this.keyHolds = keyHolds;
     }
 
-    /** Starts retries and compaction. */
+    /** Starts retries of failed writes, compaction and the recording of the steady clock. */
     void start() {
         scheduleWhileOwner(RETRY_AND_COMPACTION_INTERVAL_MS, () -> {
             folder.journal().retryFailedWrites();
@@ -37,7 +40,7 @@
         });
     }
 
-    /** Starts the expiry of key holds, for senders with a handoff. */
+    /** Starts the expiry of key holds and handoff batches, for senders with a handoff. */
     void startExpiry() {
         scheduleWhileOwner(EXPIRY_INTERVAL_MS, () -> {
             folder.journal().expireHandoffBatches(folder.steadyMillis());
@@ -55,7 +58,7 @@
                 loop.scheduleWithFixedDelay(taskWhileOwner, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS));
     }
 
-    /** Ends all repeated work. */
+    /** Cancels all periodic work. */
     void stop() {
         scheduledTasks.forEach(task -> task.cancel(false));
     }
--- a/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
+++ b/sender/src/main/java/amberroute/sender/KeyHoldTracker.java
@@ -10,11 +10,12 @@
 import java.util.Set;
 
 /**
- * Ordered keys of which another daemon still has messages: to the scheduler a placeholder message of each is not completed, so that
- * later messages of the key wait. Event loop only; times are milliseconds of the folder's {@code SteadyClock}.
+ * Tracks ordered keys for which another sender still has messages. For each of them the scheduler has a placeholder message that
+ * is not completed, so that later messages of the key wait. Event loop only; times are milliseconds of the folder's
+ * {@code SteadyClock}.
  */
 final class KeyHoldTracker {
-    /** The time until the notification of a completed message is surely acknowledged. */
+    /** Time after which the notification of a completed message is assumed to be acknowledged. */
     private static final long MAX_NOTIFICATION_TIME_MS = 5_000;
 
     private final String senderName;
@@ -22,7 +23,7 @@
     private final MessageTable messages;
     private final SchedulerDriver scheduler;
     private final PeerServices peers;
-    /** The number of the placeholder message by key. */
+    /** Numbers of the placeholder messages by key. */
     private final Map<Long, Long> placeholderNumbers = new HashMap<>();
 
     KeyHoldTracker(
@@ -38,17 +39,17 @@
         this.peers = peers;
     }
 
-    /** The keys that are blocked now. */
+    /** The keys that are currently blocked. */
     Set<Long> blockedKeys() {
         return placeholderNumbers.keySet();
     }
 
-    /** Forgets all keys, for a recovery that blocks them again. */
+    /** Forgets all keys, before a recovery blocks them again. */
     void clear() {
         placeholderNumbers.clear();
     }
 
-    /** Blocks keys: other daemons have messages of them. */
+    /** Blocks keys for which other senders have messages. */
     void block(Iterable<Long> keys) {
         for (long key : keys) {
             if (!placeholderNumbers.containsKey(key)) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /** Unblocks keys: no other daemon has messages of them any more. */
+    /** Unblocks keys for which no other sender has messages any more. */
     void release(List<Long> keys) {
         for (long key : keys) {
             Long number = placeholderNumbers.remove(key);
@@ -72,10 +73,14 @@
         }
     }
 
-    /** Messages that came while their key was blocked and were not attempted: they go behind what the other daemon had. */
+    /**
+     * Messages that arrived while their key was blocked and have not been attempted. In the order of the key they come after the
+     * messages of the other sender.
+     */
     List<AcceptedMessage> blockedMessages(List<Long> keys) {
         if (!messages.pendingAcceptances().isEmpty()) {
-            // Messages that are not accepted yet would otherwise go ahead.
+            // Accepts pending submissions, which would otherwise be missing here and overtake the other sender's
+            // messages.
             scheduler.runIteration();
         }
         Set<Long> blockedKeys = new HashSet<>(keys);
@@ -95,7 +100,7 @@
                 && message.attempts == 0;
     }
 
-    /** For each ordered key with a message here: when the last of them is surely completed. */
+    /** For each ordered key with a message here, the time by which its last message is certainly completed. */
     Map<Long, Long> latestCompletionByKey() {
         Map<Long, Long> latestCompletion = new HashMap<>();
         for (AcceptedMessage message : folder.journal().pendingMessages()) {
@@ -116,7 +121,7 @@
                 : Math.max(message.deadlineMillis, folder.steadyMillis() + MAX_NOTIFICATION_TIME_MS);
     }
 
-    /** As {@link #latestCompletionByKey}, with the keys of which other daemons have messages from here. */
+    /** As {@link #latestCompletionByKey}, including keys for which other senders hold messages from this one. */
     Map<Long, Long> latestCompletionByKeyWithHolds() {
         Map<Long, Long> latestCompletion = latestCompletionByKey();
         folder.journal().keyHolds().allHolds().stream()
--- a/sender/src/main/java/amberroute/sender/LifecycleComponents.java
+++ b/sender/src/main/java/amberroute/sender/LifecycleComponents.java
@@ -12,8 +12,8 @@
 import java.util.function.Supplier;
 
 /**
- * Wires the parts of a sender that start, reload, transfer and stop it, and its control commands. Created before the event loop runs;
- * the parts are used on it.
+ * Creates and connects the components that start, reload, transfer and stop a sender, and its control commands. Created before
+ * the event loop runs; the components are used on it.
  */
 final class LifecycleComponents {
     final EndpointFileFollower endpointFile;
@@ -27,12 +27,12 @@
     final ControlCommands controlCommands;
 
     /**
-     * Wires the parts.
+     * Creates the components.
      *
-     * @param serviceManager is told of readiness and of a stop
-     * @param configSource the configuration's source, for reloads
-     * @param exitCode completed when a stop is done
-     * @param clientAddress where clients connect to, known once the sender serves
+     * @param serviceManager is notified when the sender is ready and when it stops
+     * @param configSource the source from which reloads read the configuration
+     * @param exitCode completed after a stop
+     * @param clientAddress the address that clients connect to, known after the sender starts to serve
      */
     LifecycleComponents(
             SenderState state,
--- a/sender/src/main/java/amberroute/sender/Main.java
+++ b/sender/src/main/java/amberroute/sender/Main.java
@@ -8,13 +8,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The daemon's own command line, kept lean: the one that people use is in the module {@code cli}. */
+/** Entry point of the sender process, with a minimal command line. The operators' command line is in the module {@code cli}. */
 public final class Main {
     private Main() {}
 
     /**
-     * {@code serve} runs the sender until it is told to end; {@code --config FILE} stands for {@code GW_CONFIG}. Exit
-     * code 0: stopped as asked; 1: cannot start; 2: wrong usage; 3: stopped for good with something left in the journal.
+     * Runs the sender for {@code serve} until it is told to stop; {@code --config FILE} takes the place of {@code GW_CONFIG}.
+     * Exit codes: 0 after a requested stop; 1 if the sender cannot start; 2 for wrong usage; 3 after a final stop that left
+     * something in the journal.
      */
     public static void main(String[] args) {
         boolean hasConfigOption = args.length == 3 && args[1].equals("--config");
@@ -22,7 +23,7 @@
             System.err.println("usage: java -jar amberroute.jar serve [--config FILE]");
             System.exit(2);
         }
-        // First of all: without a handler the signal would end the process.
+        // Installed first: without a handler, SIGHUP would end the process.
         SignalHandlers hangupSignal = SignalHandlers.install();
         Map<String, String> environment = new HashMap<>(System.getenv());
         if (hasConfigOption) {
@@ -32,7 +33,7 @@
             Sender.run(environment, hangupSignal);
         } catch (InvalidSettingsException | ConfigException | IOException e) {
             System.err.println("amberroute: " + String.valueOf(e.getMessage()).replaceAll("\\p{Cntrl}", " "));
-            // The event loop may run already, on a thread that keeps the process.
+            // The event loop may already run, on a thread that would keep the process alive.
             System.exit(1);
         }
     }
--- a/sender/src/main/java/amberroute/sender/MessageAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/MessageAcceptance.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * Carries out what the scheduler decides on messages in the iteration of their arrival: rejects them, or journals them and answers the
- * client once the record is durable. Event loop only; to be called before any other action, as nothing may leave for a message that
- * the journal does not have.
+ * Carries out the scheduler's decisions on submitted messages: rejects them, or journals them and answers the client after the
+ * record is durable. Event loop only. To be called before any other action of an iteration, as no call may be made for a message
+ * that is not in the journal.
  */
 final class MessageAcceptance {
     private final StateFolder folder;
@@ -63,8 +63,8 @@
         AcceptedMessage message = pendingAcceptance.message();
         if (pendingAcceptance.reply().isClientConnected() && folder.journal().accept(message)) {
             messages.accepted().put(message.number, message);
-            // Without replication the message is delivered even if the force fails. With it the client has no answer
-            // until the record is replicated, since another daemon may deliver the message, or none.
+            // Without replication, the message is delivered even if the force fails. With replication, the client is
+            // not answered until the record is replicated, since another sender may deliver the message, or none may.
             folder.journal()
                     .whenDurable(
                             () -> pendingAcceptance.reply().ok(),
@@ -74,7 +74,7 @@
                                             .reply()
                                             .error("the message could not be forced to the disk"));
         } else if (folder.journal().lastWriteUncertain()) {
-            // The next process may find the record: a rejection would promise that nobody delivers the message.
+            // The next process may find the record, but a rejection would promise that the message is not delivered.
             metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
             pendingAcceptance.reply().error("the message could not be recorded, or may have been");
             scheduler.submit(new Event.MessageCancelled(message.number));
--- a/sender/src/main/java/amberroute/sender/MessageCompletion.java
+++ b/sender/src/main/java/amberroute/sender/MessageCompletion.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Completes messages that were not delivered: journals the outcome, then notifies the client. A message is complete to the scheduler
- * once its notification is acknowledged. Event loop only; times are milliseconds of the folder's {@code SteadyClock}.
+ * Completes messages that were not delivered: journals the outcome, then notifies the platform. For the scheduler, a message is
+ * complete after its notification is acknowledged. Event loop only; times are milliseconds of the folder's {@code SteadyClock}.
  */
 final class MessageCompletion {
     private final EventLoop loop;
@@ -42,7 +42,7 @@
         this.peers = peers;
     }
 
-    /** Completes an accepted message as rejected; {@code retryAfterMillis} is the advice to its client, 0 for none. */
+    /** Completes an accepted message as rejected; {@code retryAfterMillis} is the retry advice to its client, 0 for none. */
     void reject(long messageNumber, long retryAfterMillis) {
         complete(
                 messageNumber,
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Fails messages that were offered to another daemon, which may have them: they are no longer accepted here. */
+    /** Fails messages that were offered to another sender, which may have accepted them; they are no longer in delivery here. */
     void failOffered(List<AcceptedMessage> offered) {
         for (AcceptedMessage message : offered) {
             metrics.completed(message.className, SenderMetrics.MessageResult.ERRORS);
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Notifies the client at the deadline even if the outcome could not be journaled: recovery drops expired messages. */
+    /** Notifies the platform at the deadline even if the outcome could not be journaled, as recovery drops expired messages. */
     private void notifyWithoutRecord(AcceptedMessage message) {
         if (!lifecycle.ownershipReleased() && folder.journal().hasPendingWrite(message)) {
             notifier.send(message);
@@ -89,15 +89,18 @@
                         () -> notifier.send(message), peers.isReplicated() ? () -> notifyUnreplicated(message) : null);
     }
 
-    /** The outcome was not replicated in time, so another daemon may deliver the message: only a failure promises nothing. */
+    /**
+     * Notifies the platform of a failure if the outcome was not replicated in time: another sender may deliver the message, and a
+     * rejection would promise that none does.
+     */
     private void notifyUnreplicated(AcceptedMessage message) {
         message.end(message.failed());
         notifier.send(message);
     }
 
     /**
-     * Completes a message without a call in flight for a process that ends: as rejected where it surely has not run or may be
-     * repeated, else as failed.
+     * Completes a message that has no call in flight, before the process ends: as rejected if the message certainly has not run
+     * or may be repeated, otherwise as failed.
      */
     void completeUndelivered(AcceptedMessage message) {
         DeliveryScheduler.MessageClass messageClass = messages.classes().type(message.classNumber);
@@ -114,7 +117,7 @@
         }
     }
 
-    /** The platform has acknowledged the notification of a message, which is over with it. */
+    /** Removes a message after the platform has acknowledged its notification. */
     void onNotificationAcknowledged(AcceptedMessage message) {
         if (lifecycle.ownershipReleased()) {
             return;
--- a/sender/src/main/java/amberroute/sender/MessageRecovery.java
+++ b/sender/src/main/java/amberroute/sender/MessageRecovery.java
@@ -17,12 +17,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings what the journal has, and what a predecessor process has transferred, to the scheduler: at the start of a process, after a
- * reclaim, and for messages of other daemons. Event loop only.
+ * Restores the state of the scheduler from the journal and from what a predecessor process transferred: at the start of a
+ * process, after a reclaim, and for messages taken over from other senders. Event loop only.
  */
 final class MessageRecovery {
     private static final long MICROS_PER_MILLI = 1_000;
-    /** Of an uncertain attempt that never was. */
+    /** In place of the age of an unknown outcome, for a message without one. */
     private static final long NO_UNKNOWN_OUTCOME = -1;
 
     private final StateFolder folder;
@@ -53,7 +53,9 @@
         this.keyHolds = keyHolds;
     }
 
-    /** Applies the transferred endpoint list, where there is one. Returns its endpoints that are about to leave. */
+    /**
+     * Applies the transferred endpoint list, if there is one. Returns endpoints that are listed only for calls still in flight.
+     */
     JsonArray applyTransferredEndpoints() {
         if (transfers.transferredState() == null) {
             return new JsonArray();
@@ -66,7 +68,7 @@
             if (endpoints.listed(call.uid())) {
                 transfers.transferredCallMessages().addAll(call.numbers());
             } else {
-                // The scheduler cannot know of a call to an unknown endpoint, and would make it a second time.
+                // The scheduler cannot track a call to an unknown endpoint, and would make it a second time.
                 call.numbers().forEach(transfers.incoming()::cancel);
             }
         }
@@ -74,8 +76,8 @@
     }
 
     /**
-     * Brings health, classes, key holds and messages to the scheduler. {@code leaving} is the result of
-     * {@link #applyTransferredEndpoints}; {@code settings} puts the settings in force once the journal's classes are known.
+     * Restores health, classes, key holds and messages. {@code leavingEndpoints} is the result of
+     * {@link #applyTransferredEndpoints}; {@code applySettings} activates the settings after the classes in the journal are known.
      */
     void restore(JsonArray leavingEndpoints, Runnable applySettings) {
         restoreHealth();
@@ -89,7 +91,10 @@
         }
     }
 
-    /** A hold stands in its key's order where it came: messages accepted before it do not wait for it. */
+    /**
+     * Restores messages and key holds in the order in which they were journaled: messages accepted before a hold do not wait for
+     * it.
+     */
     private void restoreMessages() {
         Map<Long, Long> holdRanks = folder.journal().keyHoldRanks();
         for (AcceptedMessage message : List.copyOf(folder.journal().pendingMessages())) {
@@ -146,7 +151,7 @@
         }
     }
 
-    /** Notifies the client of a completed message again; the next message of its key waits until that is acknowledged. */
+    /** Sends the notification of a completed message again; the next message of its key waits until it is acknowledged. */
     void resumeNotification(AcceptedMessage message) {
         if (messages.isOrdered(message)) {
             scheduler.submit(new Event.CompletedMessageRecovered(message.number, message.key));
@@ -154,7 +159,9 @@
         notifier.send(message);
     }
 
-    /** Brings an accepted message to the scheduler; {@code interrupted} says that an attempt may still run unobserved. */
+    /**
+     * Passes an accepted message to the scheduler; {@code attemptInterrupted} states that an attempt may still run unobserved.
+     */
     void resume(AcceptedMessage message, boolean attemptInterrupted) {
         boolean callInFlight = transfers.transferredCallMessages().contains(message.number);
         scheduler.submit(new Event.MessageRecovered(
--- a/sender/src/main/java/amberroute/sender/MessageTable.java
+++ b/sender/src/main/java/amberroute/sender/MessageTable.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The messages that this sender delivers, those about to be accepted, and the versions of their classes. Event loop only. */
+/** The messages that this sender delivers, those pending acceptance, and the versions of their classes. Event loop only. */
 final class MessageTable {
     private final Map<Long, AcceptedMessage> accepted = new HashMap<>();
     private final Map<Long, PendingAcceptance> pendingAcceptances = new LinkedHashMap<>();
     private final Set<String> pendingAcceptanceIds = new HashSet<>();
     private MessageClassRegistry classes = new MessageClassRegistry();
 
-    /** Messages in delivery by their number. */
+    /** Messages in delivery, by number. */
     Map<Long, AcceptedMessage> accepted() {
         return accepted;
     }
 
-    /** Messages submitted since the last event loop iteration by their number, in the order of submission. */
+    /** Messages submitted since the last event loop iteration, by number and in the order of submission. */
     Map<Long, PendingAcceptance> pendingAcceptances() {
         return pendingAcceptances;
     }
@@ -35,7 +35,7 @@
         return classes;
     }
 
-    /** The number of messages that count against the bound on pending messages. */
+    /** The number of messages that count toward the limit on pending messages. */
     int pendingCount() {
         return accepted.size() + pendingAcceptances.size();
     }
@@ -47,12 +47,12 @@
                 && classes.type(message.classNumber).ordered();
     }
 
-    /** Whether an attempt may be repeated without harm, with an idempotency key or without. */
+    /** Whether attempts may be repeated without a second effect, with or without an idempotency key. */
     boolean isRetrySafe(AcceptedMessage message) {
         return classes.type(message.classNumber).idempotency() != DeliveryScheduler.Idempotency.NON_IDEMPOTENT;
     }
 
-    /** Drops all messages and classes; the journal is read again next. */
+    /** Drops all messages and classes, before the journal is read again. */
     void clear() {
         classes = new MessageClassRegistry();
         accepted.clear();
--- a/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
+++ b/sender/src/main/java/amberroute/sender/OutcomeProcessor.java
@@ -10,8 +10,8 @@
 import amberroute.sender.upstream.UpstreamClient;
 
 /**
- * Processes the outcomes of attempts: what each means for the journal, the metrics, the fleet and the scheduler. While another process
- * owns the messages, outcomes go to that process instead. Event loop only.
+ * Applies the outcomes of attempts to the journal, the metrics, the fleet coordination and the scheduler. While another process
+ * owns the messages, forwards outcomes to that process instead. Event loop only.
  */
 final class OutcomeProcessor implements UpstreamClient.Listener {
     private final StateFolder folder;
@@ -39,11 +39,12 @@
         if (!lifecycle.ownershipReleased()) {
             process(result);
         } else if (transfers.outgoing() != null) {
-            // The endpoint's state, Retry-After above all, counts again if this process reclaims the ownership.
+            // Keeps the endpoint's state, Retry-After above all, up to date in case this process reclaims the
+            // ownership.
             scheduler.stepWithoutActions(completedEvent(result));
             transfers.outgoing().forwardOutcome(result, endpoints.uid(result.endpoint()));
         }
-        // Else another daemon owns the replicated journal, and takes the attempt for one that may have run.
+        // Otherwise another sender owns the replicated journal, and treats the attempt as one that may have run.
     }
 
     @Override
--- a/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipAcquisition.java
@@ -19,15 +19,15 @@
 import java.io.IOException;
 
 /**
- * Acquires the state folder from a process that still runs. All that can be prepared is prepared before, as nobody serves between the
- * transfer and the readiness of this process. Runs on the thread that starts the sender, which blocks meanwhile.
+ * Acquires the state folder from a process that still runs. Prepares as much as possible before the transfer, as no process
+ * serves between the transfer and the readiness of this one. Blocks the thread that starts the sender.
  */
 final class OwnershipAcquisition {
     private static final long TRANSFER_TIMEOUT_MS = 20_000;
     private static final long RETRY_INTERVAL_MS = 20;
-    /** How long the endpoint list may take to come before the transfer is requested. */
+    /** How long to wait for the endpoint list before the transfer is requested without it. */
     private static final long ENDPOINT_LIST_TIMEOUT_MS = 700;
-    /** The time left of a message in the rehearsal. */
+    /** Time left of each message in the warm-up run. */
     private static final long WARM_UP_TIME_LEFT_MICROS = 1_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -51,14 +51,14 @@
         this.host = host;
     }
 
-    /** Opens the state folder once its lock is held. */
+    /** Opens the state folder after its lock is acquired. */
     interface FolderOpener {
         void open() throws IOException;
     }
 
     /**
-     * Asks the owner of the folder for a transfer, again and again, as it may be starting or ending itself, until this process has
-     * the folder.
+     * Requests a transfer from the owner of the folder until this process has locked the folder. Repeats the request, as the
+     * owner may itself be starting or stopping.
      *
      * @throws InvalidSettingsException if the owner does not transfer the folder in time
      */
@@ -100,8 +100,8 @@
                 return transferredJson;
             }
             if (System.nanoTime() - startNanos > TRANSFER_TIMEOUT_MS * NANOS_PER_MILLI) {
-                throw new InvalidSettingsException(
-                        "state folder " + config.state() + " is held by a process that does not give it");
+                throw new InvalidSettingsException("state folder " + config.state()
+                        + " is locked by a process that did not transfer it within " + TRANSFER_TIMEOUT_MS + " ms");
             }
             Thread.sleep(RETRY_INTERVAL_MS);
         }
@@ -111,7 +111,10 @@
         return (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 
-    /** A state that cannot be read counts as a crash of the other process: its calls in flight are uncertain. */
+    /**
+     * Reads the transferred state. If it cannot be read, the other process counts as crashed: the outcomes of its calls in flight
+     * are unknown.
+     */
     private void readTransferredState(JsonObject transferredJson) {
         try {
             transfers.setTransferredState(TransferredState.read(transferredJson, endpoints::number));
@@ -122,7 +125,9 @@
         }
     }
 
-    /** Runs the code of the recovery once without effect, so that its classes are loaded when it has to be quick. */
+    /**
+     * Runs the recovery once without effect, so that its classes are loaded before the transfer, after which it has to be fast.
+     */
     private void warmUpRecovery() {
         try (Journal journal = Journal.openReadOnly(config.state())) {
             DeliveryScheduler warmUpScheduler = SchedulerDriver.newCheckedScheduler(config.settings());
--- a/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipReclaim.java
@@ -21,25 +21,25 @@
 import java.util.Objects;
 
 /**
- * Resumes the ownership after the successor process has gone: the journal is read again, and the calls and clients that this process
- * still has are matched with it. Event loop only, but for {@link #tryAcquire}.
+ * Resumes the ownership after the successor process is gone: rereads the journal, and matches it with the calls and clients that
+ * this process still has. Event loop only, except {@link #tryAcquire}.
  */
 final class OwnershipReclaim implements FolderReclaim.Host {
-    /** Exit code of a process that cannot go on. */
+    /** Exit code if the ownership cannot be resumed. */
     private static final int EXIT_CODE_FAILED = 1;
 
-    /** What the reclaim asks of the sender. */
+    /** The parts of a reclaim that the sender carries out. */
     interface Owner {
-        /** Opens the state folder, whose lock is held, and listens for the next successor. Not on the event loop. */
+        /** Opens the state folder, whose lock this process has, and listens for the next successor. Not on the event loop. */
         void openFolder() throws IOException;
 
-        /** Forgets all messages, as the journal says which are pending. */
+        /** Drops all messages in memory, as the journal states which are pending. */
         void clearMessages();
 
-        /** Restores all messages from the journal, with {@code leaving} as the endpoint watch returned it. */
+        /** Restores all messages from the journal, with {@code leavingEndpoints} as the endpoint watch returned them. */
         void restore(JsonArray leavingEndpoints);
 
-        /** Serves again, with the stop that was requested meanwhile, if any. */
+        /** Resumes serving, and begins the stop that was requested in the meantime, if any. */
         void resumeServing();
     }
 
@@ -132,7 +132,7 @@
         transfers.clearTransferredState();
     }
 
-    /** The attempt as the journal has it, null where the successor has gone on with the message, or completed it. */
+    /** The attempt as the journal has it, null if the successor has attempted the message again or completed it. */
     private static UpstreamClient.CallMessage unfinishedAttempt(
             Map<Long, AcceptedMessage> pendingByNumber, AcceptedMessage previous) {
         AcceptedMessage current = pendingByNumber.get(previous.number);
@@ -144,7 +144,7 @@
         return unfinished ? new UpstreamClient.CallMessage(current, current.attempts - 1) : null;
     }
 
-    /** An outcome that the successor was sent and has not journaled, null where it has. */
+    /** The outcome that was sent to the successor, null if the successor has journaled it. */
     private static UpstreamClient.Result unjournaledOutcome(
             Map<Long, AcceptedMessage> pendingByNumber, UpstreamClient.Result result) {
         UpstreamClient.CallMessage attempt = unfinishedAttempt(pendingByNumber, result.message());
--- a/sender/src/main/java/amberroute/sender/OwnershipRelease.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipRelease.java
@@ -14,11 +14,11 @@
 import com.google.gson.JsonObject;
 import java.util.List;
 
-/** Transfers the ownership of the messages to a successor process that asks for it. Event loop only. */
+/** Transfers the ownership of the messages to a successor process that requests it. Event loop only. */
 final class OwnershipRelease implements OutgoingTransfer.Host {
-    /** A message with less time left completes before the transfer: the successor's first iteration may come so late. */
+    /** A message with less time left completes before the transfer, as the successor's first iteration may come this late. */
     private static final long MIN_TIME_LEFT_MS = 700;
-    /** Idle client connections close in so many steps. */
+    /** Number of steps in which idle client connections are closed. */
     private static final int CONNECTION_RETIREMENT_STEPS = 100;
 
     private final LifecycleState lifecycle;
@@ -36,7 +36,7 @@
     private final OwnershipTransfers transfers;
     private final Runnable startReclaim;
 
-    /** {@code reclaimer} starts the reclaim of the state folder. */
+    /** {@code startReclaim} starts the reclaim of the state folder. */
     OwnershipRelease(
             SenderState state,
             DeliveryComponents delivery,
@@ -68,7 +68,7 @@
         if (peers.handoff() != null) {
             return "hands over to peers, which excludes this";
         }
-        // The successor could not know of these calls, and would make them a second time.
+        // The successor would not know of these calls, and would make them a second time.
         return transfers.incoming() != null && transfers.incoming().hasCallsInFlight()
                 ? "calls of the process before this one are still out"
                 : null;
@@ -76,16 +76,16 @@
 
     @Override
     public JsonObject releaseOwnership() {
-        // Submissions that wait for the iteration are answered first, as neither process would own them.
+        // Answers submissions that wait for the iteration, as neither process would own them afterwards.
         scheduler.runIteration();
         completeMessagesDueSoon();
-        // Up to the end of this statement nothing has changed: if it fails, this process goes on.
+        // No ownership is released yet: if this statement fails, this process goes on.
         JsonObject state = stateToTransfer();
         lifecycle.releaseOwnership();
         lifecycle.enter(LifecyclePhase.TRANSFERRED);
         scheduler.halt();
         endpoints.stop();
-        // Notifications in flight go on here: the successor repeats them, which does no harm, but later.
+        // Notifications in flight continue here. The successor sends them again, which is harmless but later.
         clientServer.retire();
         upstream.closeIdle(endpoint -> true);
         endpointFile.close();
--- a/sender/src/main/java/amberroute/sender/OwnershipTransfers.java
+++ b/sender/src/main/java/amberroute/sender/OwnershipTransfers.java
@@ -9,17 +9,17 @@
 
 /**
  * The transfers of ownership that this process takes part in: the one by which it became the owner, and the one by which another
- * process may become it. Event loop only once the process serves.
+ * process may become the owner. Event loop only after the process starts to serve.
  */
 final class OwnershipTransfers {
     private final Set<Long> transferredCallMessages = new HashSet<>();
-    /** Null where this process can give its ownership to no other. */
+    /** Null if this process cannot transfer its ownership. */
     private OutgoingTransfer outgoing;
-    /** Null for a usual start. */
+    /** Null unless this process acquires its ownership from another one. */
     private IncomingTransfer incoming;
-    /** Null once all that was transferred is in place. */
+    /** Null if nothing was transferred, or after all of it is applied. */
     private TransferredState transferredState;
-    /** Null until the successor process has gone for the first time. */
+    /** Null until a successor process is gone for the first time. */
     private FolderReclaim reclaim;
 
     OutgoingTransfer outgoing() {
@@ -38,7 +38,7 @@
         incoming = transfer;
     }
 
-    /** The state that was transferred and is not in place yet, null where there is none. */
+    /** The transferred state that is not yet applied, null if there is none. */
     TransferredState transferredState() {
         return transferredState;
     }
@@ -47,12 +47,12 @@
         transferredState = transferred;
     }
 
-    /** The numbers of messages whose call another process has in flight, while {@link #transferredState} is set. */
+    /** The numbers of messages in calls that another process has in flight, while {@link #transferredState} is set. */
     Set<Long> transferredCallMessages() {
         return transferredCallMessages;
     }
 
-    /** The transferred state is in place. */
+    /** Forgets the transferred state after it is applied. */
     void clearTransferredState() {
         transferredState = null;
         transferredCallMessages.clear();
@@ -66,7 +66,7 @@
         reclaim = started;
     }
 
-    /** Whether a reclaim may make this process the owner again within a moment. */
+    /** Whether a reclaim may soon make this process the owner again. */
     boolean reclaimPossible() {
         return reclaim != null && reclaim.possible();
     }
--- a/sender/src/main/java/amberroute/sender/PeerServices.java
+++ b/sender/src/main/java/amberroute/sender/PeerServices.java
@@ -19,8 +19,8 @@
 import java.util.Map;
 
 /**
- * The services by which this sender works with other daemons: handoff, replication and the membership protocol behind it. Each is
- * null where it is not configured. Started once, before the sender serves; then event loop only.
+ * The services by which this sender works with other senders: handoff, replication and the membership protocol of the
+ * replication. Each is null if it is not configured. Started once, before the sender serves; event loop only afterwards.
  */
 final class PeerServices {
     private final SenderConfig config;
@@ -30,7 +30,7 @@
     private HandoffCoordinator handoff;
     private ReplicationCoordinator replication;
     private SwimTransport membership;
-    /** Set in a sender that continues the replicated journal of another daemon. */
+    /** Null except in a sender that continues the replicated journal of another sender. */
     private JournalReplicator failoverReplicator;
 
     private InetSocketAddress handoffAddress;
@@ -58,22 +58,22 @@
         failoverReplicator = replicator;
     }
 
-    /** Where peers hand over to this sender, null where they may not. */
+    /** The address on which peers hand messages over to this sender, null if they cannot. */
     InetSocketAddress handoffAddress() {
         return handoffAddress;
     }
 
-    /** Whether each change of the journal goes to other daemons before it counts. */
+    /** Whether each change of the journal has to be replicated to other senders before it takes effect. */
     boolean isReplicated() {
         return replication != null || failoverReplicator != null;
     }
 
-    /** The number of messages that are offered to peers and not adopted yet. */
+    /** The number of messages that are offered to peers and not yet answered. */
     int offeredMessageCount() {
         return handoff == null ? 0 : handoff.unansweredMessages();
     }
 
-    /** Starts the replication of the journal where it is configured and enough daemons are. */
+    /** Starts the replication of the journal if it is configured and there are enough senders. */
     void startReplication(ReplicationCoordinator.Host host) throws IOException {
         StandaloneConfig.Standalone standalone = config.standalone();
         if (standalone == null || standalone.survive() == null) {
@@ -99,7 +99,10 @@
         replication = new ReplicationCoordinator(loop, config, folder.journal(), membership, host);
     }
 
-    /** Starts the handoff where peers are configured, or the journal has something of an earlier one. Returns whether it did. */
+    /**
+     * Starts the handoff if peers are configured or the journal has records of an earlier handoff. Returns whether it was
+     * started.
+     */
     boolean startHandoff(HandoffCoordinator.Host host) {
         StandaloneConfig.Standalone standalone = config.standalone();
         if (standalone == null || !isHandoffNeeded(standalone)) {
@@ -118,7 +121,7 @@
                 || folder.journal().keyHolds().size() > 0;
     }
 
-    /** Listens for peers and begins to talk to them. Not on the event loop. */
+    /** Listens for peers and starts to communicate with them. Not on the event loop. */
     void listen(FleetCoordination fleet) throws InterruptedException {
         if (replication != null) {
             handoff.handleReplicationWith(replication);
--- a/sender/src/main/java/amberroute/sender/PendingAcceptance.java
+++ b/sender/src/main/java/amberroute/sender/PendingAcceptance.java
@@ -3,5 +3,5 @@
 import amberroute.sender.client.ClientServer;
 import amberroute.sender.message.AcceptedMessage;
 
-/** A message whose acceptance the next event loop iteration decides, and the answer that its client waits for. */
+/** A message that the next event loop iteration accepts or rejects, and the reply that its client waits for. */
 record PendingAcceptance(AcceptedMessage message, ClientServer.Answer reply) {}
--- a/sender/src/main/java/amberroute/sender/PredecessorEvents.java
+++ b/sender/src/main/java/amberroute/sender/PredecessorEvents.java
@@ -12,7 +12,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the predecessor process reports after it has transferred the ownership to this one. Event loop only. */
+/**
+ * Processes what the predecessor process reports after it transferred the ownership to this one: outcomes of its calls, and
+ * submissions of its clients. Event loop only.
+ */
 final class PredecessorEvents implements IncomingTransfer.Host {
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long IDLE_TIME_UNKNOWN = -1;
@@ -44,7 +47,7 @@
         }
     }
 
-    /** The predecessor is gone, and with it the outcome of its call. */
+    /** The result of a call whose outcome was lost with the predecessor process. */
     private UpstreamClient.Result lostResult(AcceptedMessage message, AttemptOutcome attemptOutcome) {
         return new UpstreamClient.Result(
                 message,
@@ -87,7 +90,7 @@
 
     @Override
     public void predecessorGone() {
-        // The memory limit holds for both processes together: only now there is room for the whole heap.
+        // Both processes share one memory limit, so only now is there room for the whole heap.
         new Thread(HeapReserve::commit, "heap").start();
     }
 }
--- a/sender/src/main/java/amberroute/sender/ReclaimOwner.java
+++ b/sender/src/main/java/amberroute/sender/ReclaimOwner.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** What a reclaim of the state folder does with the sender. Event loop only, but for {@link #openFolder}. */
+/** Resumes this sender after a reclaim of the state folder. Event loop only, except {@link #openFolder}. */
 final class ReclaimOwner implements OwnershipReclaim.Owner {
     private final SenderState state;
     private final DeliveryComponents delivery;
@@ -15,7 +15,10 @@
     private final OwnershipAcquisition.FolderOpener folderOpener;
     private final ConfigSource configSource;
 
-    /** {@code opener} opens the state folder; {@code source} is read again, as the successor may have been told to. */
+    /**
+     * {@code folderOpener} opens the state folder; {@code configSource} is read again, as the successor may have been told to
+     * reload.
+     */
     ReclaimOwner(
             SenderState state,
             DeliveryComponents delivery,
--- a/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
+++ b/sender/src/main/java/amberroute/sender/ReplicationHostAdapter.java
@@ -14,14 +14,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What the replication asks of this sender: to end when its journal goes on elsewhere, and to continue a failed daemon's journal. */
+/**
+ * What this sender does for the replication: ends when another sender continues its journal, and continues the journal of a
+ * failed sender.
+ */
 final class ReplicationHostAdapter implements ReplicationCoordinator.Host {
-    /** Exit code of a process whose journal goes on elsewhere; it may be started again, and begins a new journal. */
+    /** Exit code of a process whose journal another sender continues; the process may be restarted, and begins a new journal. */
     private static final int EXIT_CODE_SUPERSEDED = 7;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Creates a sender on this one's event loop. */
+    /** Creates a sender on the event loop of this one. */
     interface SenderFactory {
         Sender create(SenderConfig config) throws IOException;
     }
@@ -61,7 +64,7 @@
         Map<String, InetSocketAddress> failoverPeers =
                 new LinkedHashMap<>(config.standalone().peers());
         failoverPeers.put(config.name(), peers.handoffAddress());
-        // Under the failed daemon's name: that daemon may come back, and has to hold these keys like any peer.
+        // Uses the name of the failed sender, which may come back and has to hold these keys as any peer does.
         SenderConfig failoverConfig = config.forFailover(
                 replica.journalId, folder, config.standalone().forFailover(failoverPeers));
         return new FailoverSender(loop, peers.replication(), senderFactory.create(failoverConfig), replica, term);
--- a/sender/src/main/java/amberroute/sender/SchedulerActions.java
+++ b/sender/src/main/java/amberroute/sender/SchedulerActions.java
@@ -16,7 +16,7 @@
 import amberroute.sender.upstream.UpstreamClient;
 import amberroute.sender.util.LogEvent;
 
-/** Carries out the scheduler's actions other than acceptances and calls. Event loop only. */
+/** Carries out the scheduler's actions other than the acceptance of messages and the start of calls. Event loop only. */
 final class SchedulerActions {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -49,7 +49,7 @@
         this.fleet = fleet;
     }
 
-    /** Completes an accepted message where the action rejects or fails one. */
+    /** Completes an accepted message if the action rejects or fails it. */
     void complete(SchedulerAction action) {
         if (action instanceof Reject reject && messages.accepted().containsKey(reject.id())) {
             completion.reject(reject.id(), millisRoundedUp(reject.retryAfter()));
@@ -97,7 +97,7 @@
                         checkpoint.usualLatencyMicros()));
     }
 
-    /** Microseconds in milliseconds, rounded up so that a client never comes too early. */
+    /** Converts microseconds to milliseconds, rounded up so that a client does not retry too early. */
     static long millisRoundedUp(long micros) {
         return (micros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
     }
--- a/sender/src/main/java/amberroute/sender/SchedulerDriver.java
+++ b/sender/src/main/java/amberroute/sender/SchedulerDriver.java
@@ -20,20 +20,20 @@
 import java.util.function.LongPredicate;
 
 /**
- * The event loop iteration: collects what happens as events, steps the delivery scheduler through them, and passes the actions it
- * decides on to an {@link ActionHandler}. Event loop only. Times are microseconds of {@link SchedulerClock}.
+ * Runs event loop iterations: queues events, steps the delivery scheduler through them, and passes the actions it decides on to
+ * an {@link ActionHandler}. Event loop only. Times are microseconds of {@link SchedulerClock}.
  */
 final class SchedulerDriver {
-    /** Time without a limit, in microseconds; small enough for a sum in nanoseconds. */
+    /** Unlimited time in microseconds, small enough to be added to other times in nanoseconds without overflow. */
     static final long UNLIMITED_MICROS = 1L << 50;
-    /** The pause between two iterations, as a multiple of the duration of the first one. */
+    /** The pause after an iteration, as a multiple of its duration. */
     private static final int PAUSE_TO_ITERATION_RATIO = 4;
-    /** Interval of the check whether the first iteration may run. */
+    /** Interval of the check whether the endpoint list is complete enough for the first iteration. */
     private static final long ENDPOINTS_CHECK_INTERVAL_MS = 2;
 
     /** Carries out the actions of one iteration. */
     interface ActionHandler {
-        /** Called once in each iteration, with the actions in the order of the decisions. */
+        /** Called once per iteration, with the actions in the order of the decisions. */
         void carryOut(List<SchedulerAction> actions);
     }
 
@@ -54,7 +54,7 @@
     private long lastIterationDurationMicros;
     private long longestIterationMicros;
 
-    /** {@code endpointsSettled} tells for a time in nanoseconds whether the endpoint list is complete enough to decide with. */
+    /** {@code endpointsSettled} tests at a time in nanoseconds whether the endpoint list is complete enough to decide with. */
     SchedulerDriver(
             DeliveryScheduler scheduler,
             SenderState state,
@@ -71,9 +71,9 @@
     }
 
     /**
-     * A scheduler with these settings, which it checks.
+     * Creates a scheduler, which validates the settings.
      *
-     * @throws InvalidSettingsException if it cannot work with them
+     * @throws InvalidSettingsException if the scheduler cannot work with the settings
      */
     static DeliveryScheduler newCheckedScheduler(DeliveryScheduler.Settings settings) {
         try {
@@ -83,13 +83,13 @@
         }
     }
 
-    /** A traced scheduler with the settings in force, which it checks as {@link #newCheckedScheduler} does. */
+    /** Creates a scheduler with the active settings and a decision trace; validates as {@link #newCheckedScheduler} does. */
     static DeliveryScheduler newTracedScheduler(ActiveSettings activeSettings) {
         return DecisionTrace.around(newCheckedScheduler(activeSettings.settings()), activeSettings.settings());
     }
 
     /**
-     * Queues an event for the next iteration. Times in it count from now, as the iteration may come much later, above all the
+     * Queues an event for the next iteration. Durations in it count from now, as the iteration may run much later, above all the
      * first one.
      */
     void submit(Event event) {
@@ -100,13 +100,13 @@
         requestIteration();
     }
 
-    /** Steps the scheduler through one event at once and drops the actions, for what it learns of it. */
+    /** Steps the scheduler through one event immediately and drops the actions, to update the scheduler's state only. */
     void stepWithoutActions(Event event) {
         step(SchedulerClock.micros(), event);
         recorder.drain();
     }
 
-    /** Drops queued events and the timer: the messages belong to another process. */
+    /** Drops queued events and the timer, as another process owns the messages. */
     void halt() {
         if (timer != null) {
             timer.cancel(false);
@@ -114,14 +114,14 @@
         events.clear();
     }
 
-    /** Starts over with a scheduler that knows no messages. */
+    /** Replaces the scheduler by a new one without messages. */
     void reset() {
         scheduler = newTracedScheduler(activeSettings);
         recorder.drain();
         events.clear();
     }
 
-    /** Replaces the timer: the scheduler keeps one, and a new one is due earlier. */
+    /** Replaces the timer: the scheduler has only one, and a new one is due earlier. */
     void setTimer(long token, long delayMicros) {
         if (timer != null) {
             timer.cancel(false);
@@ -141,17 +141,17 @@
         return scheduler.avoidedEndpointCount();
     }
 
-    /** The longest idle time in microseconds after which a connection still carries a call that must not run twice. */
+    /** The longest idle time in microseconds after which a connection may still carry a call that must not run twice. */
     long longestTrustedIdleMicros() {
         return recorder.longestTrustedIdle();
     }
 
-    /** Counts a pause of the event loop outside an iteration as one. */
+    /** Records a pause of the event loop outside an iteration as if it were an iteration. */
     void recordEventLoopPause(long pauseMicros) {
         longestIterationMicros = Math.max(longestIterationMicros, pauseMicros);
     }
 
-    /** The longest iteration in microseconds since the last call. */
+    /** Returns and resets the duration of the longest iteration in microseconds. */
     long takeLongestIterationMicros() {
         long longest = longestIterationMicros;
         longestIterationMicros = 0;
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Requests an iteration, at once while iterations are short. Under load events are gathered for a while, one tick at most: an
-     * iteration looks at all pending messages and must leave the loop time for I/O.
+     * Requests an iteration, which runs immediately while iterations are short. Under load, events are collected for up to one
+     * tick, as an iteration examines all pending messages and has to leave the event loop time for I/O.
      */
     void requestIteration() {
         if (iterationRequested) {
@@ -180,7 +180,7 @@
 
     private void iterate() {
         if (!lifecycle.ownershipReleased() && stallDetector.stale(System.nanoTime())) {
-            // Unread input may say that an endpoint drains or asks for a pause.
+            // Unread input may state that an endpoint is draining or asks for a pause.
             stallDetector.behind(loop, this::iterate);
             return;
         }
@@ -191,7 +191,7 @@
         runIteration();
     }
 
-    /** Runs an iteration at once, so that the scheduler knows all events when this returns. */
+    /** Runs an iteration immediately, so that the scheduler has processed all events when this method returns. */
     void runIteration() {
         iterationRequested = false;
         if (lifecycle.ownershipReleased()) {
@@ -208,7 +208,10 @@
         recordEventLoopPause(lastIterationDurationMicros);
     }
 
-    /** A defect that one event brings to light must not end the process with the messages of others. */
+    /**
+     * Steps the scheduler. A failure is logged only, as a defect that one event triggers must not end the process and affect
+     * other messages.
+     */
     private void step(long atMicros, Event event) {
         try {
             scheduler.step(atMicros, event, recorder);
--- a/sender/src/main/java/amberroute/sender/Sender.java
+++ b/sender/src/main/java/amberroute/sender/Sender.java
@@ -42,12 +42,12 @@
 import java.util.logging.Logger;
 
 /**
- * A sender: wires the parts together and runs the event loop iteration. One event loop owns the delivery scheduler and all state.
- * What happens between two iterations is collected; then the scheduler is stepped once and its actions are carried out, acceptances
- * first, as nothing may leave for a message that the journal does not have.
+ * A sender: connects the components and carries out the actions of the event loop iterations. One event loop owns the delivery
+ * scheduler and all state. Events between two iterations are queued; an iteration then steps the scheduler through them and
+ * carries out its actions, acceptances first, as no call may be made for a message that is not in the journal.
  */
 public final class Sender {
-    /** How long another process may take to free the address that this one listens on. */
+    /** How long to wait for another process to free the listen address. */
     private static final long LISTEN_TIMEOUT_MS = 20_000;
 
     private static final long LISTEN_RETRY_MS = 20;
@@ -55,8 +55,8 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /**
-     * Netty's own log is off: it is not bounded, and with no descriptor left the first line of the JDK's logger cannot
-     * load its time zones and ends the event loop with an error.
+     * Netty's own log is off. Its size has no limit, and when no file descriptor is left, the JDK's logger cannot load its time
+     * zones for the first line and ends the event loop with an error.
      */
     private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
@@ -65,9 +65,9 @@
     }
 
     private final SenderConfig config;
-    /** The listening socket that the process was started with, null where it opens its own. */
+    /** The listening socket that the process was started with, null if it opens its own. */
     private final ServerSocketChannel inheritedSocket;
-    /** Null but in a sender that continues another daemon's journal, on the event loop of this one. */
+    /** Null except in a failover sender, which continues another sender's journal on the event loop of its parent. */
     private final Sender parent;
 
     private final ConfigSource configSource;
@@ -82,21 +82,21 @@
     private final ControlSocket controlSocket;
     private final DeliveryComponents delivery;
     private final LifecycleComponents lifecycleComponents;
-    /** Completed with the exit code when a stop is done; its sockets and files are then closed by {@link #stop}. */
+    /** Completed with the exit code after a stop; {@link #stop} then closes sockets and files. */
     private final CompletableFuture<Integer> exitCode = new CompletableFuture<>();
-    /** Published for the admin server, which has a thread of its own. */
+    /** Read by the admin server, which has a thread of its own. */
     private volatile SenderMetrics.Snapshot publishedMetrics;
-    /** Null where no address is configured. */
+    /** Null if no address is configured for it. */
     private AdminServer adminServer;
 
     private InetSocketAddress address;
 
     /**
-     * Takes the lock on the state folder and opens it, unless another process has it that may transfer it.
+     * Locks the state folder and opens it, unless another process that may transfer it has the lock.
      *
-     * @param inheritedSocket the socket that clients connect to, null if this process is to open one
+     * @param inheritedSocket the socket that clients connect to, null if this process opens one
      * @param parent the sender on whose event loop this one runs, null for an event loop of its own
-     * @param configSource where the configuration comes from
+     * @param configSource the source of the configuration
      * @throws IOException if the state folder cannot be used
      */
     Sender(SenderConfig config, ServerSocketChannel inheritedSocket, Sender parent, ConfigSource configSource)
@@ -135,12 +135,12 @@
             state.transfers().setOutgoing(new OutgoingTransfer(loop, newOwnershipRelease()));
         }
         if (hasControlSocket()) {
-            // Commands may come as soon as the folder is locked and while the journal opens: all parts have to exist.
+            // Commands may arrive after the folder is locked, while the journal is opened, so all components have to
+            // exist.
             openFolderIfLocked();
         }
     }
 
-    /** Whether this sender has a control socket. */
     private boolean hasControlSocket() {
         return config.standalone() != null && parent == null;
     }
@@ -218,17 +218,17 @@
         lifecycleComponents.controlCommands.handle(request, answer);
     }
 
-    /** Serves until the process is told to end; {@code hangup} says when to read the configuration again. */
+    /** Serves until the process is told to stop; {@code hangupSignal} requests a reload of the configuration. */
     public static void run(Map<String, String> environment, SignalHandlers hangupSignal) throws IOException {
         SenderDaemon.run(environment, hangupSignal);
     }
 
-    /** Starts on an event loop of its own; tests use it too. */
+    /** Starts a sender on an event loop of its own, for tests. */
     static Sender start(SenderConfig config) throws IOException {
         return start(config, null);
     }
 
-    /** Starts with a socket that listens already, from which other processes may accept as well. */
+    /** Starts a sender with a listening socket from which other processes may accept connections as well, for tests. */
     static Sender start(SenderConfig config, ServerSocketChannel inheritedSocket) throws IOException {
         Sender sender = new Sender(config, inheritedSocket, null, ConfigSource.NOT_RELOADABLE);
         sender.start();
@@ -348,7 +348,10 @@
         address = inheritedSocket == null ? listenOnceAddressIsFree() : delivery.clientServer.listen(inheritedSocket);
     }
 
-    /** Where this process replaces one that was fenced, that one's address is free only once it has found the fencing token. */
+    /**
+     * Listens, and retries if this process replaces a fenced one, which frees the address only after it has found the fencing
+     * token.
+     */
     private InetSocketAddress listenOnceAddressIsFree() throws Exception {
         boolean replacesFencedProcess =
                 config.standalone() != null && !config.standalone().adopt().isEmpty();
@@ -378,7 +381,7 @@
         lifecycleComponents.endpointFile.start();
     }
 
-    /** Carries out the actions of an event loop iteration. A failure of one action does not drop the others. */
+    /** Carries out the actions of an event loop iteration. A failure of one action does not prevent the others. */
     private void carryOut(List<SchedulerAction> actions) {
         Log.guarded("accept", () -> delivery.acceptance.answerSubmissions(actions));
         actions.forEach(action -> Log.guarded("complete", () -> delivery.schedulerActions.complete(action)));
@@ -390,12 +393,12 @@
         delivery.attemptDispatcher.clearCancelledOnceDurable();
     }
 
-    /** Reads the configuration again. Returns null, or why it is not taken. Not on the event loop. */
+    /** Rereads the configuration. Returns null, or the reason why it is rejected. Not on the event loop. */
     String reload(Map<String, String> newEnvironment) {
         return lifecycleComponents.settingsReload.reload(newEnvironment);
     }
 
-    /** Ends at once, as a kill would but for the journal's file being closed. Not on the event loop. */
+    /** Stops immediately, as a kill would, except that sockets and the journal's files are closed. Not on the event loop. */
     void stop() {
         OwnershipTransfers transfers = state.transfers();
         if (transfers.outgoing() != null && !eventLoopGroup.isShuttingDown()) {
@@ -412,7 +415,7 @@
         delivery.fleet.close();
         lifecycleComponents.endpointFile.close();
         if (parent != null) {
-            // The event loop is the parent's, and the failover sender closes the rest on it.
+            // The event loop is the parent's, on which the failover sender closes the rest.
             return;
         }
         eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
@@ -442,41 +445,39 @@
         lifecycleComponents.shutdown.begin(mode, withinMillis);
     }
 
-    /** Completed with the exit code when a stop is done. */
+    /** Completed with the exit code after a stop. */
     CompletableFuture<Integer> stopped() {
         return exitCode;
     }
 
-    /** Where clients connect to. */
+    /** The address that clients connect to. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Where the admin server listens, null where it is not configured. */
+    /** The address of the admin server, null if it is not configured. */
     InetSocketAddress adminAddress() {
         return adminServer == null ? null : adminServer.address();
     }
 
-    /** Where peers hand over to this sender, null where they may not. */
+    /** The address on which peers hand messages over to this sender, null if they cannot. */
     InetSocketAddress handoffAddress() {
         return delivery.peers.handoffAddress();
     }
 
-    /** The number of messages that are not over yet, with those whose notification is not acknowledged. */
+    /** The number of messages in the journal, including those whose notification is not acknowledged. */
     int pendingMessageCount() {
         return loop.submit(() -> folder.journal().pendingMessages().size())
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** The number of idle connections to upstreams. */
     int idleUpstreamConnectionCount() {
         return loop.submit(delivery.upstream::idleConnections)
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** The number of open client connections. */
     int clientConnectionCount() {
         return loop.submit(delivery.clientServer::connections)
                 .syncUninterruptibly()
@@ -490,7 +491,7 @@
                 .getNow();
     }
 
-    /** Blocks the event loop with other work, as a starved machine would. */
+    /** Blocks the event loop, as CPU starvation of the machine would. */
     void blockEventLoop(Runnable work) {
         loop.submit(work).syncUninterruptibly();
     }
--- a/sender/src/main/java/amberroute/sender/SenderCommands.java
+++ b/sender/src/main/java/amberroute/sender/SenderCommands.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the commands of the control socket do with this sender. Event loop only, but where the interface says otherwise. */
+/** Carries out the commands of the control socket. Event loop only, except where the interface states otherwise. */
 final class SenderCommands implements ControlCommands.Host {
     private final SenderConfig config;
-    /** What the configuration is read from again, null where it cannot be. */
+    /** The environment from which the configuration is reread, null if it cannot be reread. */
     private final Map<String, String> environment;
 
     private final LifecycleState lifecycle;
--- a/sender/src/main/java/amberroute/sender/SenderDaemon.java
+++ b/sender/src/main/java/amberroute/sender/SenderDaemon.java
@@ -14,9 +14,9 @@
 
 /** Runs a sender as a process: signals, shutdown hook and exit code. Not on the event loop. */
 final class SenderDaemon {
-    /** Microseconds from SIGTERM to SIGKILL at least, less a margin. */
+    /** Minimum time from SIGTERM to SIGKILL, less a margin. */
     private static final long SIGKILL_DELAY_MICROS = 3_600_000;
-    /** The earliest SIGKILL behind SIGTERM that the draining of connections reckons with, in milliseconds. */
+    /** Earliest SIGKILL after SIGTERM that the draining of connections allows for. */
     private static final long EARLIEST_SIGKILL_MS = 3_450;
 
     private final Sender sender;
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Serves until the process is told to end; {@code hangup} says when to read the configuration again.
+     * Serves until the process is told to stop; {@code hangupSignal} requests a reload of the configuration.
      *
      * @throws IOException if the sender cannot start
      */
@@ -55,7 +55,7 @@
         if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
             return socket;
         }
-        throw new InvalidSettingsException("GW_ACCEPT_FD: descriptor 0 is no listening socket");
+        throw new InvalidSettingsException("GW_ACCEPT_FD: file descriptor 0 is not a listening socket");
     }
 
     private void handleStandaloneSignals() {
@@ -82,16 +82,16 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
     }
 
-    /** Logs the end, so that nobody has to guess from a missing process whether it ended by itself. */
+    /** Logs the exit, so that an operator can tell whether a missing process ended by itself. */
     private static void exit(int code) {
         LogEvent.of("process_exited").with("cause", "self").with("status", code).warn();
         System.exit(code);
     }
 
     /**
-     * Runs in the shutdown hook, at whose return the process ends. The sender goes on for most of the time until it is killed, then
-     * closes its client connections; what is pending then is in the journal. A process that has transferred its ownership ends as
-     * soon as it has nothing left to do.
+     * Runs in the shutdown hook; the process ends when this method returns. The sender goes on for most of the time until
+     * SIGKILL, then closes its client connections; messages that are still pending are in the journal. A process that has
+     * transferred its ownership ends as soon as it has no work left.
      */
     private void terminate() {
         LogEvent.of("process_terminating")
--- a/sender/src/main/java/amberroute/sender/SenderState.java
+++ b/sender/src/main/java/amberroute/sender/SenderState.java
@@ -8,7 +8,7 @@
 import io.netty.channel.EventLoop;
 
 /**
- * What all parts of one sender work on.
+ * The state that all components of one sender share.
  *
  * @param config the configuration that the sender was started with
  * @param loop the event loop that owns the rest
--- a/sender/src/main/java/amberroute/sender/SettingsActivation.java
+++ b/sender/src/main/java/amberroute/sender/SettingsActivation.java
@@ -14,7 +14,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Puts checked settings in force: from the next event on they count, and accepted messages keep their class. Event loop only. */
+/** Activates validated settings: they apply from the next event on, and accepted messages keep their class. Event loop only. */
 final class SettingsActivation {
     private final StateFolder folder;
     private final MessageTable messages;
@@ -41,7 +41,7 @@
         this.clientServer = clientServer;
     }
 
-    /** Puts settings in force. Returns null, or why they cannot be; then nothing has changed. */
+    /** Activates settings. Returns null, or the reason why they cannot be activated, in which case nothing has changed. */
     String apply(SenderConfig config) {
         DeliveryScheduler.Settings settings = config.settings();
         Set<Integer> classesInUse = new HashSet<>();
@@ -69,7 +69,7 @@
         for (int i = 0; i < messages.classes().size(); i++) {
             MessageClassRegistry classes = messages.classes();
             if (classes.version(i) != null && !folder.journal().defineClass(i, classes.version(i))) {
-                // After a restart its messages would be known by the name of their class only.
+                // After a restart, only the class name of its messages would be known.
                 LogEvent.of("message_class_not_recorded")
                         .with("class", classes.version(i).name())
                         .warn();
--- a/sender/src/main/java/amberroute/sender/SettingsReload.java
+++ b/sender/src/main/java/amberroute/sender/SettingsReload.java
@@ -14,9 +14,10 @@
 import java.util.Map;
 
 /**
- * Reads the configuration again while the sender serves. From then on the file's settings count (classes, attempts and the scheduler's
- * other figures), its address of discovery, whatever the environment says, and its list of endpoints; listen addresses and sizes of
- * tables wait for the next start. A configuration is taken whole or not at all. Not on the event loop, as it reads files.
+ * Rereads the configuration while the sender serves. A reload applies the settings of the file (classes, attempts and the
+ * scheduler's other parameters), its discovery address, even if the environment has another one, and its endpoint list. Listen
+ * addresses and table sizes change at the next start. A configuration is applied as a whole or not at all. Not on the event loop,
+ * as it reads files.
  */
 final class SettingsReload {
     private final SenderConfig startConfig;
@@ -30,7 +31,7 @@
     /** Fingerprint of the configuration that was read last. */
     private volatile long fingerprint;
 
-    /** {@code fingerprint} is the one of {@code startConfig}, 0 where it is not known. */
+    /** {@code fingerprint} is that of the configuration at the start, 0 if it is unknown. */
     SettingsReload(
             SenderState state,
             long fingerprint,
@@ -54,7 +55,7 @@
         return SenderConfig.fingerprint(environment) != fingerprint;
     }
 
-    /** Reads the configuration. Returns null, or why it is not taken; then the one in force stays. */
+    /** Rereads the configuration. Returns null, or the reason why it is rejected, in which case the active one stays. */
     String reload(Map<String, String> environment) {
         try {
             long newFingerprint = SenderConfig.fingerprint(environment);
--- a/sender/src/main/java/amberroute/sender/ShutdownWork.java
+++ b/sender/src/main/java/amberroute/sender/ShutdownWork.java
@@ -7,7 +7,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What a stop does with the messages of this sender. Event loop only. */
+/** Handles the messages of this sender during a stop. Event loop only. */
 final class ShutdownWork implements ShutdownCoordinator.Host {
     private final SenderConfig config;
     private final MessageTable messages;
--- a/sender/src/main/java/amberroute/sender/StatusReport.java
+++ b/sender/src/main/java/amberroute/sender/StatusReport.java
@@ -24,7 +24,7 @@
     private final ClientServer clientServer;
     private final Supplier<InetSocketAddress> listenAddress;
 
-    /** {@code listenAddress} is where clients connect to, known once the sender serves. */
+    /** {@code listenAddress} is the address that clients connect to, known after the sender starts to serve. */
     StatusReport(
             SenderState state,
             SchedulerDriver scheduler,
@@ -43,7 +43,7 @@
         this.listenAddress = listenAddress;
     }
 
-    /** The state as JSON. Each call starts the measurement of the longest event loop iteration anew. */
+    /** The state as JSON. Each call restarts the measurement of the longest event loop iteration. */
     JsonObject describe() {
         JsonObject status = ControlSocket.answer(true, null);
         status.addProperty("name", config.name());
--- a/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
@@ -15,16 +15,16 @@
 import java.util.function.IntSupplier;
 
 /**
- * Decides what becomes of a submission by a fixed order of checks; the first that applies decides. Event loop only. The verdict is
- * carried out by {@link SubmissionHandler}.
+ * Decides on submissions by a fixed sequence of checks, of which the first that applies decides. {@link SubmissionHandler}
+ * carries out the verdict. Event loop only.
  */
 final class SubmissionAdmission {
-    /** When a client is to come again that found too few replicas; new ones are searched for all the time. */
+    /** Retry advice to clients while there are too few replicas; new ones are searched for continuously. */
     private static final long TOO_FEW_REPLICAS_RETRY_MS = 500;
 
     private static final int MAX_DEFERRED_SUBMISSIONS = 4_096;
 
-    /** One check; empty where it does not apply. */
+    /** One check; returns empty if it does not apply. */
     private interface Check {
         Optional<SubmissionVerdict> check(ClientServer.Submission submission);
     }
@@ -38,7 +38,7 @@
     private final FleetCoordination fleet;
     private final ShutdownCoordinator shutdown;
     private final IntSupplier deferredCount;
-    /** Spreads the return of rejected clients; nothing that has to be reproducible depends on it. */
+    /** Spreads the retries of rejected clients; nothing that has to be reproducible depends on it. */
     private final SplittableRandom retryJitter = new SplittableRandom();
     /** Checks that come before a submission counts as demand for its destination, in this order. */
     private final List<Check> checksBeforeDemand = List.of(
@@ -49,7 +49,7 @@
             this::checkStopping,
             this::checkClass,
             this::checkDestination);
-    /** What postpones or rejects a valid submission, in this order. */
+    /** Checks that defer or reject a valid submission, in this order. */
     private final List<Check> checksAfterDemand = List.of(this::checkPendingId, this::checkCapacity);
 
     /** {@code deferredCount} is the number of submissions deferred for a key whose owner is unknown. */
@@ -71,7 +71,7 @@
         this.deferredCount = deferredCount;
     }
 
-    /** Decides on a submission. A valid one counts as demand for its destination, whatever is decided then. */
+    /** Decides on a submission. A valid one counts as demand for its destination, whatever the verdict. */
     SubmissionVerdict decide(ClientServer.Submission submission) {
         Optional<SubmissionVerdict> verdict = firstVerdict(checksBeforeDemand, submission);
         if (verdict.isPresent()) {
@@ -124,7 +124,7 @@
                 : new SubmissionVerdict.Duplicate(journal);
     }
 
-    /** A message that is not accepted may be submitted again without harm. */
+    /** Rejects submissions while there are too few replicas; a rejected message may safely be submitted again. */
     private Optional<SubmissionVerdict> checkReplicas(ClientServer.Submission submission) {
         if (peers.replication() == null || peers.replication().isReady() || shutdown.stopping()) {
             return Optional.empty();
@@ -138,7 +138,7 @@
         return shutdown.stopping() ? Optional.of(decideWhileStopping(submission)) : Optional.empty();
     }
 
-    /** Decides on a submission during a stop: its client must not overtake what is still here of an ordered key. */
+    /** Decides on a submission during a stop: the message must not overtake those of its ordered key that are still here. */
     SubmissionVerdict decideWhileStopping(ClientServer.Submission submission) {
         long orderedKey = messages.classes().number(submission.className()) >= 0
                         && messageClass(submission).ordered()
--- a/sender/src/main/java/amberroute/sender/SubmissionHandler.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionHandler.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * Carries out what {@link SubmissionAdmission} decides: answers the client, or passes the message on to the scheduler, which decides
- * in the next event loop iteration. Event loop only.
+ * Carries out the verdicts of {@link SubmissionAdmission}: answers the client, or passes the message to the scheduler, which
+ * decides in the next event loop iteration. Event loop only.
  */
 final class SubmissionHandler implements ClientServer.Acceptor {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -41,7 +41,7 @@
         this.peers = peers;
     }
 
-    /** Sets what decides; to be called once, before the first submission. */
+    /** To be called once, before the first submission. */
     void setAdmission(SubmissionAdmission submissionAdmission) {
         admission = submissionAdmission;
     }
@@ -56,7 +56,7 @@
         return deferred.size();
     }
 
-    /** Decides again on submissions that wait for the owner of their key; false where none do. */
+    /** Decides again on submissions that wait for the owner of their key; false if there are none. */
     boolean retryDeferred() {
         if (deferred.isEmpty()) {
             return false;
@@ -70,7 +70,7 @@
         return true;
     }
 
-    /** How often submissions were rejected for this reason since the start of the process. */
+    /** The number of submissions rejected for this reason since the start of the process. */
     long rejectionCount(SubmissionVerdict.RejectionReason reason) {
         return rejectionCounts.getOrDefault(reason, 0L);
     }
@@ -131,7 +131,7 @@
         shed(submission.className(), reply, rejection.retryAfterMillis());
     }
 
-    /** Rejects a message of this class; {@code retryAfterMillis} is the advice when to come again, 0 for none. */
+    /** Rejects a message of this class; {@code retryAfterMillis} is the retry advice, 0 for none. */
     void shed(String className, ClientServer.Answer reply, long retryAfterMillis) {
         metrics.completed(className, SenderMetrics.MessageResult.SHED);
         reply.busy(retryAfterMillis);
--- a/sender/src/main/java/amberroute/sender/SubmissionVerdict.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionVerdict.java
@@ -2,25 +2,25 @@
 
 import amberroute.sender.journal.Journal;
 
-/** What {@link SubmissionAdmission} decides for a submission; {@link SubmissionHandler} carries it out. */
+/** The decision of {@link SubmissionAdmission} on a submission, carried out by {@link SubmissionHandler}. */
 sealed interface SubmissionVerdict {
-    /** Why a submission is answered {@code -BUSY}; for the reused ids a retry is rejected again while the id is known. */
+    /** Why a submission is answered {@code -BUSY}. For reused ids, a retry is rejected again as long as the id is known. */
     enum RejectionReason {
         /** The id belongs to another message: an id identifies one message for its lifetime. */
         ID_REUSED,
-        /** The id belongs to another message, whose journal this sender continues for another daemon. */
+        /** The id belongs to another message, in a journal that this sender continues for another sender. */
         ID_REUSED_IN_FAILOVER,
-        /** The journal cannot be replicated to enough daemons now. */
+        /** The journal cannot be replicated to enough senders now. */
         TOO_FEW_REPLICAS,
-        /** The sender stops. */
+        /** The sender is stopping. */
         STOPPING,
-        /** The bound on pending messages is reached. */
+        /** The limit on pending messages is reached. */
         CAPACITY
     }
 
     /** Why a submission cannot be accepted by any sender. */
     enum InvalidReason {
-        /** The class vanished since the request was read, or a process with older settings read it. */
+        /** The class was removed after the request was read, or a process with older settings read it. */
         UNKNOWN_CLASS("unknown class"),
         UNKNOWN_DESTINATION("unknown destination");
 
@@ -30,7 +30,7 @@
             this.wireText = wireText;
         }
 
-        /** The error as the client is sent it. */
+        /** The error text that is sent to the client. */
         String wireText() {
             return wireText;
         }
@@ -50,13 +50,13 @@
     /** Another process owns the messages, and decides. */
     record Forward() implements SubmissionVerdict {}
 
-    /** The message was accepted before, into this journal; the client has its answer once the record is durable. */
+    /** The message was accepted before, into this journal; the client is answered after the record is durable. */
     record Duplicate(Journal journal) implements SubmissionVerdict {}
 
-    /** Answered {@code -BUSY}; {@code retryAfterMillis} is the advice when to retry, 0 for none. */
+    /** Answered {@code -BUSY}; {@code retryAfterMillis} is the retry advice, 0 for none. */
     record Reject(RejectionReason reason, long retryAfterMillis) implements SubmissionVerdict {}
 
-    /** The client is in error. */
+    /** The submission cannot be accepted by any sender; the client is sent an error. */
     record Invalid(InvalidReason reason) implements SubmissionVerdict {}
 
     /** The submission is decided later. */
--- a/sender/src/main/java/amberroute/sender/package-info.java
+++ b/sender/src/main/java/amberroute/sender/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The daemon: carries out on sockets what the decisions decide, and keeps in a journal what it owes. One event loop owns
- * the module and all state; nothing slow runs on it and there are no locks. It knows no fleet, no command line and no
- * simulator.
+ * The sender process: carries out the decisions of the delivery scheduler on sockets, and journals the messages that are pending.
+ * One event loop owns the scheduler and all state; nothing that blocks runs on it, and there are no locks. The module depends on
+ * no fleet, command line or simulator.
  */
 package amberroute.sender;
