--- a/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
@@ -5,15 +5,15 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one sender: it dispatches events to the rules and fixes the order of one decision. Messages leave in the
- * order of the apparent-tardiness-cost (ATC) index of Ye et al., see {@link DispatchIndex}; each other rule is a class of this
- * package. One thread at a time may call it. Times are microseconds on the caller's clock.
+ * Passes each event to the class that handles it and runs the steps of a decision in a fixed order. Messages are sent in the
+ * order of the apparent tardiness cost (ATC) index of Ye et al., see {@link DispatchIndex}; each other rule is a class of this
+ * package. Only one thread at a time may use a scheduler. Times are microseconds on the caller's clock.
  */
 public final class AtcDeliveryScheduler implements DeliveryScheduler {
     private final CurrentSettings settings;
     private final WakeupTimer timer = new WakeupTimer();
 
-    // What waits.
+    // Pending messages.
     private final ServiceTimes serviceTimes = new ServiceTimes();
     private final DispatchCandidates candidates = new DispatchCandidates(serviceTimes);
     private final ExpirySchedule expiry;
@@ -21,7 +21,7 @@
     private final KeyOrdering keyOrdering;
     private final MessageLifecycle messages;
 
-    // What is known of upstreams.
+    // State of the upstreams.
     private final EndpointRegistry registry;
     private final HealthTransfer healthTransfer;
     private final CircuitBreaker breaker;
@@ -38,7 +38,7 @@
     private final AttemptOutcomeHandler outcomeHandler;
 
     /**
-     * A sender with nothing but its settings, whose final answers need no acknowledgement.
+     * Creates a scheduler without messages that expects no acknowledgements of final answers.
      *
      * @throws IllegalArgumentException if a setting is out of range
      */
@@ -47,10 +47,10 @@
     }
 
     /**
-     * A sender with nothing but its settings.
+     * Creates a scheduler without messages.
      *
-     * @param awaitAcknowledgements whether the caller passes {@link Event.CompletionAcknowledged} once a final answer has been
-     *     received; until then the next message of its key is held back
+     * @param awaitAcknowledgements whether the caller passes {@link Event.CompletionAcknowledged} once a client has received a
+     *     final answer; until then the next message of the same key is held back
      * @throws IllegalArgumentException if a setting is out of range
      */
     public AtcDeliveryScheduler(Settings settings, boolean awaitAcknowledgements) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Handles an event of the sender's clients; false for others. */
+    /** Handles an event that a client caused; returns false for other events. */
     private boolean onMessageEvent(long now, Event event) {
         if (event instanceof Event.MessageSubmitted submitted) {
             onSubmitted(now, submitted);
@@ -134,7 +134,7 @@
         return true;
     }
 
-    /** Handles an event of the endpoint list or of the fleet; false for others. */
+    /** Handles an event of the endpoint list or of the fleet; returns false for other events. */
     private boolean onUpstreamEvent(long now, Event event) {
         if (event instanceof Event.EndpointListUpdated updated) {
             registry.update(now, updated);
@@ -148,7 +148,7 @@
         return true;
     }
 
-    /** Handles an event of this process or of the one before it; ignores others. */
+    /** Handles an event of this process or of the previous one; ignores other events. */
     private void onProcessEvent(long now, Event event, Actions actions) {
         if (event instanceof Event.MessageRecovered recovered) {
             onRecovered(now, recovered);
@@ -183,9 +183,9 @@
     }
 
     /**
-     * The message passed the arrival test in an earlier process; an attempt that was in flight when that ended may still run. One
-     * that was not tried yet and is not idempotent gets the highest weight: it got no call while idempotent ones were used as
-     * trials of an outage, and would else go last until its time is up.
+     * Recovers a message that an earlier process admitted; an attempt that was in flight when that process ended may still run.
+     * A message that is not idempotent and was never tried gets the highest priority weight: during an outage only idempotent
+     * messages are sent as trials, so it got no call, and it would otherwise be sent last and expire.
      */
     private void onRecovered(long now, Event.MessageRecovered event) {
         if (messages.get(event.id()) != null) {
@@ -229,7 +229,10 @@
         messages.all().forEach(expiry::checkAttempts);
     }
 
-    /** That another sender has seen the destination answer is worth a trial now: this one's may be many seconds away. */
+    /**
+     * Applies a rate limit of the fleet. If another sender has seen the destination answer, a trial is made at once, because
+     * this sender's next trial may be many seconds away.
+     */
     private void onFleetRateLimit(long now, Event.FleetRateLimitChanged event) {
         Destination destination = registry.destination(event.destination());
         destination.fleetRateLimit.set(now, event.perSecond(), event.initialCredit());
@@ -239,7 +242,7 @@
         candidates.wake(destination);
     }
 
-    // ---- A decision. ----
+    // ---- Decisions. ----
 
     private void decide(long now, Actions actions) {
         timer.beginDecision();
@@ -262,7 +265,7 @@
         timer.request(expiry.nextExpiryAt(now));
     }
 
-    // ---- What others may ask. ----
+    // ---- Queries. ----
 
     @Override
     public int avoidedEndpointCount() {
--- a/decisions/src/main/java/amberroute/decisions/CallsInFlight.java
+++ b/decisions/src/main/java/amberroute/decisions/CallsInFlight.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * The calls in flight and the slots that they use: starts calls, adds messages to them and ends them. Times are microseconds on
+ * The calls in flight and the slots that they use. Starts calls, adds messages to them and ends them. Times are microseconds on
  * the caller's clock.
  */
 final class CallsInFlight {
@@ -17,7 +17,7 @@
     private final UpstreamGate gate;
     private final ConnectionReusePolicy connections;
     private final EndpointRegistry registry;
-    /** Upstreams with calls in flight: a decision visits these, however long the endpoint list is. */
+    /** Upstreams with calls in flight; a decision visits only these, however long the endpoint list is. */
     private final Set<UpstreamHealth> busyUpstreams = new LinkedHashSet<>();
 
     private int slotsUsed;
@@ -39,17 +39,17 @@
         this.registry = registry;
     }
 
-    /** Slots without a call; negative where the limit has been lowered below the calls in flight. */
+    /** Returns the number of free slots; negative if the limit was lowered below the number of calls in flight. */
     int freeSlots() {
         return settings.limits().maxConcurrentCalls() - slotsUsed;
     }
 
-    /** Upstreams with calls in flight, in the order of their first calls; not to be changed. */
+    /** Returns the upstreams with calls in flight, in the order of their first calls; the caller must not change the set. */
     Set<UpstreamHealth> busyUpstreams() {
         return busyUpstreams;
     }
 
-    /** Starts a call; {@link #add} has to follow. */
+    /** Starts a call; the caller must call {@link #add} afterwards. */
     UpstreamCall start(long now, Endpoint endpoint, Actions actions) {
         UpstreamCall call = new UpstreamCall(endpoint, now);
         slotsUsed++;
@@ -76,7 +76,7 @@
         pending.updateEstimates(now, message.destination);
     }
 
-    /** One message of a call has its outcome; ends the call with the last of them. */
+    /** Records that one message of a call has its outcome; ends the call with the last of them. */
     void recordOutcome(long now, UpstreamCall call, Actions actions) {
         if (--call.outstandingMessages > 0) {
             return;
--- a/decisions/src/main/java/amberroute/decisions/CurrentSettings.java
+++ b/decisions/src/main/java/amberroute/decisions/CurrentSettings.java
@@ -5,25 +5,25 @@
 import amberroute.decisions.DeliveryScheduler.Rules;
 import amberroute.decisions.DeliveryScheduler.Settings;
 
-/** The settings that count now, shared by all rules of one scheduler. */
+/** The current settings, shared by all rules of one scheduler. */
 final class CurrentSettings {
     private Settings settings;
     private long longestDeadlineMicros;
     private double highestPriorityWeight;
 
     /**
-     * Settings to begin with.
+     * Creates an instance with the initial settings.
      *
-     * @throws IllegalArgumentException if one is out of range
+     * @throws IllegalArgumentException if a setting is out of range
      */
     CurrentSettings(Settings settings) {
         replace(settings);
     }
 
     /**
-     * Replaces them; settings that are out of range change nothing.
+     * Replaces the settings; settings that are out of range change nothing.
      *
-     * @throws IllegalArgumentException if one is out of range
+     * @throws IllegalArgumentException if a setting is out of range
      */
     void replace(Settings replacement) {
         validate(replacement);
@@ -59,12 +59,12 @@
         return settings;
     }
 
-    /** The deadline of the class that has the longest. */
+    /** Returns the longest deadline of all message classes. */
     long longestDeadlineMicros() {
         return longestDeadlineMicros;
     }
 
-    /** The priority weight of the class that has the highest. */
+    /** Returns the highest priority weight of all message classes. */
     double highestPriorityWeight() {
         return highestPriorityWeight;
     }
--- a/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -3,40 +3,41 @@
 import java.util.List;
 
 /**
- * The decisions of one sender: it accepts messages and delivers each to an endpoint of its destination before the deadline. This
- * file is the whole interface of the module; {@link AtcDeliveryScheduler} implements it.
+ * Decides when each accepted message of one sender is sent and to which endpoint, so that it is delivered before its deadline.
+ * This interface is the whole API of the module; {@link AtcDeliveryScheduler} implements it.
  *
- * <p>Times are microseconds on the caller's clock, which must not go back; spans are microseconds and names end in {@code Micros}.
- * Ids and keys are opaque numbers, a key of 0 is none. A caller passes everything that happened at one moment, then
- * {@link Event.Decide}; actions are given during that call and take effect at the same moment. One thread at a time.
+ * <p>Times are microseconds on the caller's clock, which must not go backwards; durations are microseconds, and their names end
+ * in {@code Micros}. Ids and keys are opaque numbers; a key of 0 means no key. The caller passes all events of one moment and
+ * then {@link Event.Decide}, which calls the actions; they take effect at the same moment. Only one thread at a time may use a
+ * scheduler.
  */
 public interface DeliveryScheduler {
 
-    /** Takes note of one event; {@link Event.Decide} makes the decisions. Events that name unknown messages are ignored. */
+    /** Processes one event; {@link Event.Decide} makes the decisions. Events that name unknown messages are ignored. */
     void step(long now, Event event, Actions actions);
 
-    /** How many of the endpoints that are listed as ready get no ordinary messages now, because of what was seen of them. */
+    /** Returns how many ready endpoints get no ordinary messages now, because of failures that this sender has seen. */
     default int avoidedEndpointCount() {
         return 0;
     }
 
-    /** What a process needs to know that takes over now: one snapshot for each upstream, a destination or an endpoint. */
+    /** Returns the state that a process needs to take over now: a snapshot of each upstream (a destination or an endpoint). */
     default List<UpstreamSnapshot> snapshots(long now) {
         return List.of();
     }
 
-    /** The keys that are paused now. */
+    /** Returns the keys that are paused now. */
     default List<KeyPause> pausedKeys(long now) {
         return List.of();
     }
 
-    /** How often the effect of a message may happen. */
+    /** Whether a message may be executed more than once. */
     enum Idempotency {
-        /** Any number of executions does no harm. */
+        /** Repeated executions do no harm. */
         IDEMPOTENT("SAFE"),
-        /** The destination discards a repeated idempotency key for as long as it remembers the key. */
+        /** The destination discards repetitions of an idempotency key for as long as it remembers the key. */
         KEYED("KEYED"),
-        /** At most one execution, so an attempt that may have run is never repeated. */
+        /** At most one execution is allowed, so an attempt that may have run is never retried. */
         NON_IDEMPOTENT("UNSAFE");
 
         private final String wireName;
@@ -45,28 +46,28 @@
             this.wireName = wireName;
         }
 
-        /** The name in messages between daemons; it never changes. */
+        /** Returns the name in messages between senders; it must never change. */
         public String wireName() {
             return wireName;
         }
     }
 
-    /** Who knows an idempotency key that an endpoint has seen: all endpoints of the destination, those of its zone, or itself. */
+    /** Which endpoints know an idempotency key that one has seen: all of the destination, those in its zone, or only itself. */
     enum KeyScope {
         DESTINATION,
         ZONE,
         ENDPOINT
     }
 
-    /** How the value of a message falls behind its latency objective: evenly until the deadline, or by half each objective. */
+    /** How the value of a message decays after its latency objective: linearly to the deadline, or by half per objective. */
     enum LateValueDecay {
         LINEAR,
         HALVING
     }
 
     /**
-     * How an attempt ended: with success, with an error, rejected for the receiver's load, timed out, without a connection, by a
-     * reset of the connection, cancelled by this sender, not executed as the message was no longer wanted, or unknown.
+     * How an attempt ended: success, error, rejected for the receiver's load, timed out, not connected, connection reset,
+     * cancelled by this sender, not executed because the message was no longer wanted, or unknown.
      */
     enum AttemptOutcome {
         OK,
@@ -79,20 +80,20 @@
         MOOT,
         UNKNOWN;
 
-        /** Whether an attempt that ended so may have had its effect. */
+        /** Returns whether an attempt with this outcome may have been executed. */
         public boolean mayHaveRun() {
             return this != FULL && this != CONNECT_FAILED && this != MOOT;
         }
     }
 
-    /** State of a listed endpoint; it says nothing of its health. Calls go to ready ones only. */
+    /** The state of a listed endpoint, which is independent of its health. Only ready endpoints get calls. */
     enum EndpointState {
         READY,
         DRAINING,
         GONE
     }
 
-    /** Which list an event brings: changes, the whole list, a whole list that may be outdated, or none as the watch failed. */
+    /** The kind of a list update: changes, a complete list, one that may be outdated, or none because the watch failed. */
     enum EndpointListKind {
         DELTA,
         FULL,
@@ -100,7 +101,7 @@
         FAILED
     }
 
-    /** What a listed weight is: not given, the calls a second that an endpoint is meant to take, or an estimate of them. */
+    /** The meaning of a listed weight: none, the nominal capacity of an endpoint in calls a second, or an estimate of it. */
     enum WeightKind {
         NONE,
         NOMINAL,
@@ -111,10 +112,10 @@
      * A class of messages.
      *
      * @param priorityWeight value of a delivery in time, at least 0
-     * @param lateValueShare share of it that is left at the deadline, 0 to 1
-     * @param latencyObjectiveMicros span from submission in which a delivery has its full value, above 0
-     * @param deadlineMicros span from submission after which a delivery has no value, above 0
-     * @param keyLifeMicros for how long a destination remembers an idempotency key; 0 where there is none
+     * @param lateValueShare share of that value that is left at the deadline, 0 to 1
+     * @param latencyObjectiveMicros time from submission within which a delivery has its full value, above 0
+     * @param deadlineMicros time from submission after which a delivery has no value, above 0
+     * @param keyLifeMicros how long a destination remembers an idempotency key; 0 if there are no keys
      * @param ordered whether the messages of a key are delivered one after another
      */
     record MessageClass(
@@ -127,13 +128,13 @@
             long keyLifeMicros,
             boolean ordered) {}
 
-    /** A tenant and its quota, in messages a second from all senders together. */
+    /** A tenant and its quota, in messages a second over all senders. */
     record Tenant(double quotaPerSecond) {}
 
-    /** A kind of destination: whether its endpoints share no limits and faults, and how many messages one call may take. */
+    /** A kind of destination: whether its endpoints have separate limits and faults, and how many messages a call may carry. */
     record DestinationKind(boolean independentEndpoints, int messagesPerCall) {}
 
-    /** What the deployment permits this sender; counts are above 0, {@code maxAttempts} are those of one message. */
+    /** What the deployment permits this sender. Counts are above 0; {@code maxAttempts} applies to each message. */
     record Limits(
             int maxConcurrentCalls,
             int maxPendingMessages,
@@ -149,12 +150,12 @@
     /**
      * The platform's rules.
      *
-     * @param discoveryDeadlineMicros time in which a change of the endpoint list has to be known
+     * @param discoveryDeadlineMicros time within which a change of the endpoint list must be known
      * @param slowStartCapacity share of its capacity that a recovered destination has at once, above 0
-     * @param slowStartMicros time until it has all of it
+     * @param slowStartMicros time until it has its full capacity
      * @param overloadMultiple multiple of its capacity at which a destination breaks down, above 0
-     * @param overloadWindowMicros time over which that is measured
-     * @param settlePeriodMicros how long a key is paused behind an attempt whose outcome is unknown
+     * @param overloadWindowMicros time over which that load is measured
+     * @param settlePeriodMicros how long a key is paused after an attempt whose outcome is unknown
      */
     record Rules(
             long answerSlackMicros,
@@ -165,12 +166,12 @@
             long overloadWindowMicros,
             long settlePeriodMicros) {}
 
-    /** Prices of a handshake, of a call to another zone, and of a call by zone, which may be empty; 0 for nothing. */
+    /** Prices of a handshake, of a call to another zone, and of a call by its zone (may be empty); 0 means free. */
     record Prices(double handshake, double crossZone, List<Double> zoneTolls) {}
 
-    /** Positions of the share of an allowance left (0 to 1) and of a limit (calls a second) in a load report; -1 for none. */
+    /** Positions in a load report of the allowance's share left (0 to 1) and of the limit (calls a second); -1 for none. */
     record ReportFields(int allowanceLeft, int limit) {
-        /** Whether a report has both. */
+        /** Returns whether a load report has both fields. */
         boolean presentIn(List<Double> report) {
             return allowanceLeft >= 0 && limit >= 0 && Math.max(allowanceLeft, limit) < report.size();
         }
@@ -179,12 +180,12 @@
     /**
      * The settings of a sender.
      *
-     * @param seed of all random choices
-     * @param senderCount senders that share the destinations, this one included, above 0
-     * @param tickMicros the period of the caller's clock
-     * @param endpointListPolled whether the list comes by {@link Actions#subscribe} only
-     * @param overQuotaWeightFactor factor on the weight of a message beyond its tenant's quota
-     * @param classes by the index that events name, at least one
+     * @param seed seed of all random choices
+     * @param senderCount number of senders that share the destinations, this one included, above 0
+     * @param tickMicros period of the caller's clock
+     * @param endpointListPolled whether the endpoint list arrives only after {@link Actions#subscribe}
+     * @param overQuotaWeightFactor factor on the priority weight of a message beyond its tenant's quota
+     * @param classes message classes, at least one; events name a class by its index
      */
     record Settings(
             long seed,
@@ -203,7 +204,7 @@
             Prices prices,
             ReportFields reportFields) {
 
-        /** The same with other classes. */
+        /** Returns a copy of these settings with other message classes. */
         public Settings withClasses(List<MessageClass> newClasses) {
             return new Settings(
                     seed,
@@ -224,16 +225,16 @@
         }
     }
 
-    /** A line of the endpoint list; {@code weight} as {@link WeightKind} says, {@code kind} an index into the settings' kinds. */
+    /** An entry of the endpoint list; {@link WeightKind} explains {@code weight}, {@code kind} is an index into the kinds. */
     record EndpointEntry(long endpoint, int destination, EndpointState state, double weight, int zone, int kind) {}
 
     /**
-     * What has to outlast the process of one upstream.
+     * The state of one upstream that must survive the end of the process.
      *
      * @param endpoint 0 for a whole destination
-     * @param sinceMicros for how long it has been unavailable or in its slow start
-     * @param callsPerSecond rate of answers before the outage
-     * @param usualLatencyMicros latency in normal operation, 0 where none was measured
+     * @param sinceMicros how long the upstream has been unavailable or in its slow start
+     * @param callsPerSecond rate of answered calls before the outage
+     * @param usualLatencyMicros latency in normal operation, 0 if it was not measured
      */
     record HealthCheckpoint(
             int destination,
@@ -244,10 +245,10 @@
             double usualLatencyMicros) {}
 
     /**
-     * What a process needs of one upstream that goes on at once: beside the checkpoint, waits that bind, limits and measurements.
+     * The state of an upstream for a process that takes over at once: checkpoint, waits that still apply, limits, measurements.
      *
      * @param pacePerSecond calls a second, infinite for no limit
-     * @param expectedServiceMicros 0 where none was measured
+     * @param expectedServiceMicros 0 if it was not measured
      * @param successProbability share of recent calls that succeeded
      * @param failureRatio share of recent calls that may have run and did not succeed
      */
@@ -266,10 +267,10 @@
             double reportedLimit,
             double failureRatio) {}
 
-    /** The messages of a key wait for so long, apart from the one with the id {@code exemptMessage}, 0 for none. */
+    /** A paused key: its messages wait for {@code remainingMicros}, except the message {@code exemptMessage} (0 for none). */
     record KeyPause(long key, long remainingMicros, long exemptMessage) {}
 
-    /** Whether an upstream takes calls, as far as a sender has seen. */
+    /** Whether an upstream accepts calls, as far as this sender has seen. */
     enum UpstreamStatus {
         HEALTHY("WELL"),
         UNAVAILABLE("OUT"),
@@ -281,13 +282,13 @@
             this.storedName = storedName;
         }
 
-        /** The name in journals, in ownership transfers and in decision traces; it never changes. */
+        /** Returns the name in journals, ownership transfers and decision traces; it must never change. */
         public String storedName() {
             return storedName;
         }
 
         /**
-         * The status with this stored name.
+         * Returns the status with this stored name.
          *
          * @throws IllegalArgumentException if there is none
          */
@@ -303,17 +304,17 @@
 
     /** Something that happened. Messages and destinations are named by ids, classes by their index in the settings. */
     sealed interface Event {
-        /** A new message, which may be delivered for {@code timeLeftMicros}; a tenant of -1 is none. */
+        /** A new message, which may be delivered within {@code timeLeftMicros}; a tenant of -1 means none. */
         record MessageSubmitted(long id, int messageClass, int tenant, long key, long timeLeftMicros, int destination)
                 implements Event {}
 
         /**
-         * A message that an earlier process of this sender had accepted, in the order of acceptance.
+         * A message that an earlier process of this sender accepted; passed in the order of acceptance.
          *
-         * @param attempts attempts that were started
-         * @param unknownOutcomeAgeMicros time since the first attempt that may have run was sent, -1 where none may have
+         * @param attempts number of attempts that were started
+         * @param unknownOutcomeAgeMicros time since the first attempt that may have run was sent, -1 for none
          * @param unknownOutcomeEndpoint the endpoint of that attempt
-         * @param attemptInterrupted whether the last attempt was in flight when that process ended
+         * @param attemptInterrupted whether the last attempt was in flight when the earlier process ended
          */
         record MessageRecovered(
                 long id,
@@ -328,45 +329,45 @@
                 implements Event {}
 
         /**
-         * A call that the process before this one still has in flight, after its messages were recovered with one attempt less;
-         * its outcome is passed like any other's.
+         * A call that the previous process still has in flight. Its messages are recovered first, with one attempt less; its
+         * outcome is passed like any other.
          */
         record CallInFlight(List<Long> ids, long endpoint, long sentAgoMicros) implements Event {}
 
-        /** A message of an ordered class that an earlier process answered; its {@link CompletionAcknowledged} is still to come. */
+        /** A message of an ordered class that an earlier process answered; {@link CompletionAcknowledged} is still to come. */
         record CompletedMessageRecovered(long id, long key) implements Event {}
 
-        /** What the process before this one knows of an upstream; passed after the endpoint list. */
+        /** What the previous process knows about an upstream; passed after the endpoint list. */
         record UpstreamStateTransferred(UpstreamSnapshot snapshot) implements Event {}
 
-        /** A key is paused, as the process before this one saw it; passed after the messages that are recovered. */
+        /** A key that the previous process has paused; passed after the recovered messages. */
         record KeyPaused(KeyPause pause) implements Event {}
 
-        /** A checkpoint that an earlier process saved {@code ageMicros} ago; passed before the messages that are recovered. */
+        /** A checkpoint that an earlier process saved {@code ageMicros} ago; passed before the recovered messages. */
         record HealthRestored(HealthCheckpoint checkpoint, long ageMicros) implements Event {}
 
         /**
-         * Other settings count from now on; messages that are pending keep their class. Settings that are out of range change
-         * nothing, and {@link #step} throws an IllegalArgumentException.
+         * New settings apply from now on; pending messages keep their message class. Settings that are out of range change
+         * nothing, and {@link DeliveryScheduler#step} throws an IllegalArgumentException.
          */
         record SettingsChanged(Settings settings) implements Event {}
 
         /**
-         * This sender's share of what all may send to a destination from now on.
+         * This sender's share of the fleet's rate limit for a destination, from now on.
          *
          * @param perSecond messages a second; infinite for no limit, 0 for none at all
-         * @param initialCredit share of the first message that is saved up already, where there was no limit before
+         * @param initialCredit share of the first message that counts as saved up if there was no limit before
          * @param recovered whether another sender has just seen the destination answer after an outage
          */
         record FleetRateLimitChanged(int destination, double perSecond, double initialCredit, boolean recovered)
                 implements Event {}
 
         /**
-         * What a call to a destination costs all senders together from now on, as priority weight that is lost elsewhere.
+         * The price of a call to a destination from now on: the priority weight that all senders together lose elsewhere by it.
          *
-         * @param rejectedBelowWeight arrivals with less weight are rejected
-         * @param sharedUpToWeight of arrivals with less weight than this a share is admitted, {@code admittedShare}, 0 to 1
-         * @param retryAfterMicros when a rejected message may have a chance
+         * @param rejectedBelowWeight arriving messages with less weight are rejected
+         * @param sharedUpToWeight of arriving messages with less weight only {@code admittedShare} (0 to 1) is admitted
+         * @param retryAfterMicros time after which a rejected message may be admitted
          */
         record AdmissionPriceChanged(
                 int destination,
@@ -375,24 +376,24 @@
                 double admittedShare,
                 long retryAfterMicros)
                 implements Event {
-            /** A call costs nothing. */
+            /** The price of a call that costs nothing. */
             public static final AdmissionPriceChanged NONE = new AdmissionPriceChanged(0, 0, 0, 1, 0);
         }
 
-        /** The process will be ended after {@code timeLeftMicros}; messages that are pending then are recovered by the next. */
+        /** The process ends after {@code timeLeftMicros}; the next process recovers the messages that are pending then. */
         record ShutdownStarted(long timeLeftMicros) implements Event {}
 
-        /** The final answer of a message has reached its client: the next message of its key may go. */
+        /** The client has received the final answer of a message, so the next message of its key may be sent. */
         record CompletionAcknowledged(long id) implements Event {}
 
         /**
-         * An attempt ended. Other attempts than the one in flight are ignored.
+         * An attempt ended. Ignored unless it is the attempt in flight.
          *
          * @param attempt the number of the attempt, from 0
-         * @param messageCompleted whether the destination said that the message has its end there
+         * @param messageCompleted whether the destination said that the message is completed
          * @param retryAfterMicros Retry-After of the receiver, 0 for none
-         * @param loadReport values as {@link ReportFields} says, may be empty
-         * @param connectionIdleMicros idle time of its connection before, 0 for a fresh one, -1 where it is not known
+         * @param loadReport values at the positions of {@link ReportFields}, may be empty
+         * @param connectionIdleMicros how long the connection was idle before; 0 for a new one, -1 if unknown
          */
         record AttemptCompleted(
                 long id,
@@ -406,7 +407,7 @@
                 long connectionIdleMicros)
                 implements Event {
 
-            /** An attempt over a connection whose idle time is not known. */
+            /** An attempt on a connection whose idle time is unknown. */
             public AttemptCompleted(
                     long id,
                     int attempt,
@@ -429,8 +430,9 @@
             }
 
             /**
-             * Whether the receiver had no place for the connection, rather than for the call: it rejected a fresh one without a
-             * load report, though answers have one. Places come free with each answer, and idle connections occupy them.
+             * Returns whether the receiver rejected the connection rather than the call: it rejected a new connection without a
+             * load report, although its answers carry one. Each answer makes room for a connection, whereas idle connections
+             * take up room.
              */
             public boolean connectionLimitReached(ReportFields fields) {
                 return outcome == AttemptOutcome.FULL
@@ -441,16 +443,16 @@
             }
         }
 
-        /** A streamed answer began: the attempt now belongs to the client. Ignored. */
+        /** A streamed answer began; the attempt now belongs to the client. Ignored. */
         record StreamStarted(long id, int attempt) implements Event {}
 
-        /** The client does not want this message any more. */
+        /** The client no longer wants this message. */
         record MessageCancelled(long id) implements Event {}
 
-        /** The endpoint list, or a change of it. */
+        /** An endpoint list, or changes of it. */
         record EndpointListUpdated(EndpointListKind kind, List<EndpointEntry> entries) implements Event {}
 
-        /** A timer is due. */
+        /** A timer has expired that {@link Actions#scheduleTimer} requested. */
         record TimerExpired(long token) implements Event {}
 
         /** A health check ended. Ignored. */
@@ -459,40 +461,40 @@
         /** Another sender sent a message. Ignored. */
         record PeerMessageReceived(long from, byte[] data) implements Event {}
 
-        /** All events of this moment have been passed: decide. */
+        /** All events of this moment have been passed; the scheduler decides now. */
         record Decide() implements Event {}
     }
 
-    /** What a sender can do; called during {@link #step} only, and must not call it. */
+    /** The actions of a scheduler. They are called only during {@link DeliveryScheduler#step} and must not call it. */
     interface Actions {
-        /** Starts an attempt that times out at {@code timeoutAt}. Sends of one decision to one endpoint may travel as one call. */
+        /** Starts an attempt that times out at {@code timeoutAt}. One decision's sends to one endpoint may share a call. */
         void send(long id, long endpoint, long timeoutAt);
 
-        /** Final answer: to submit the message again does no harm; {@code retryAfterMicros} is advice, 0 for none. */
+        /** Gives the final answer that a new submission is safe; {@code retryAfterMicros} advises when, 0 for no advice. */
         void reject(long id, long retryAfterMicros);
 
-        /** Final answer: nothing is said of the effect. */
+        /** Gives the final answer that the message failed, which does not say whether it was executed. */
         void fail(long id);
 
-        /** Stops waiting for an attempt; all messages of its call are cancelled together. */
+        /** Cancels an attempt; all messages of its call are cancelled together. */
         void cancel(long id, int attempt);
 
-        /** Closes the idle connections to an endpoint; calls in flight are not touched. */
+        /** Closes the idle connections to an endpoint; calls in flight are not affected. */
         void closeIdle(long endpoint);
 
-        /** Non-idempotent messages must not use connections that were idle for longer; callers without a pool ignore it. */
+        /** Forbids non-idempotent messages on connections that were idle for longer; callers without a pool ignore it. */
         default void limitIdleReuse(long maxIdleMicros) {}
 
-        /** Replaces the checkpoint of the same upstream; callers without a lasting store ignore it. */
+        /** Replaces the stored checkpoint of the same upstream; callers without durable storage ignore it. */
         default void saveCheckpoint(HealthCheckpoint checkpoint) {}
 
-        /** Requests {@link Event.TimerExpired} after {@code delayMicros}, above 0. */
+        /** Requests {@link Event.TimerExpired} after {@code delayMicros}, which is above 0. */
         void scheduleTimer(long delayMicros, long token);
 
         /** Subscribes to changes of the endpoint list. */
         void subscribe();
 
-        /** Adds a line to the operators' log. */
+        /** Writes a line to the operators' log. */
         void log(String text);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/Destination.java
+++ b/decisions/src/main/java/amberroute/decisions/Destination.java
@@ -5,12 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A destination: its endpoints, its dispatch queues and what was measured of it. */
+/** A destination: its endpoints, its dispatch queues and its measurements. */
 final class Destination {
     final List<Endpoint> endpoints = new ArrayList<>(2);
     final List<DispatchQueue> queues = new ArrayList<>(2);
     final FleetRateLimit fleetRateLimit = new FleetRateLimit();
-    /** What a call costs the fleet; nothing until a price is set. */
+    /** Price of a call for the whole fleet; zero until a price is set. */
     AdmissionPriceChanged admissionPrice = AdmissionPriceChanged.NONE;
     /** Health of all endpoints that are not independent. */
     final UpstreamHealth sharedHealth;
@@ -22,21 +22,21 @@
     long serviceUpdatedAt;
     /** Share of recent calls that succeeded. */
     double successProbability = 1;
-    /** The least cost class of a failed call among its messages, as of {@link #leastRiskRound}. */
+    /** The lowest risk class of its messages, as of {@link #leastRiskRound}. */
     int leastRisk;
 
     long leastRiskRound;
-    /** Messages for it that are not completed. */
+    /** Number of messages for this destination that are not completed. */
     int pendingMessages;
 
     int callsInFlight;
-    /** The call of {@link #openCallRound} that takes more messages. */
+    /** The call of {@link #openCallRound} that accepts more messages. */
     UpstreamCall openCall;
 
     long openCallRound;
-    /** The selection round in which nothing more could be sent to it. */
+    /** The last selection round in which nothing more could be sent to this destination. */
     long blockedRound;
-    /** Nothing can be sent until {@link #wakeTimer}, or until something happens at it. */
+    /** Whether nothing can be sent until {@link #wakeTimer} expires or something is learned about the destination. */
     boolean asleep;
 
     final IndexedTimerHeap.Entry<Destination> wakeTimer = new IndexedTimerHeap.Entry<>(this);
--- a/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchCandidates.java
@@ -5,21 +5,23 @@
 import java.util.Arrays;
 
 /**
- * The dispatch queues that may have something to send, given out for a selection round by a bound on their best index, the
- * highest first. Its cost is one multiplication for each of them. Queues of a destination that takes no calls sleep until that
- * may have changed. Times are microseconds on the caller's clock.
+ * The dispatch queues that may have something to send. A selection round gets them in the order of an upper bound of their
+ * highest index, at the cost of one multiplication for each queue. The queues of a destination that accepts no calls are left
+ * out until that may have changed: the destination sleeps. Times are microseconds on the caller's clock.
  *
- * <p>Logarithms of the gains, service times and due dates stand in arrays, so that a round goes over numbers that lie side by
- * side in memory.
+ * <p>Logarithms of gains, service times and due dates are kept in parallel arrays, so that a round reads contiguous memory.
  */
 final class DispatchCandidates {
-    /** Queues beyond the number of free slots that a round puts in order at first. */
+    /** Number of queues beyond the free slots that a round orders at first. */
     private static final int EXTRA_ORDERED_QUEUES = 16;
-    /** The reference time of decaying values moves on after so many spans: doubles reach some 700. */
+    /**
+     * Decay spans after which the reference time of decaying values moves forward; exp() leaves the range of a double at about
+     * 700.
+     */
     private static final int MAX_REFERENCE_AGE_DECAY_SPANS = 50;
-    /** Added to the logarithm of a bound, so that rounding never makes it too low. */
+    /** Added to the logarithm of a bound, so that rounding never makes the bound too low. */
     private static final double BOUND_MARGIN = 1e-9;
-    /** Times worked out from rates are rounded: a sleep ends so much earlier than it has to. */
+    /** A sleep ends this much early, because times that are computed from rates are rounded. */
     private static final long WAKE_MARGIN_MICROS = 10;
 
     private static final double LN_2 = Math.log(2);
@@ -28,9 +30,9 @@
     private final ServiceTimes serviceTimes;
     private final IndexedTimerHeap<Destination> wakeTimers = new IndexedTimerHeap<>();
     private DispatchQueue[] queues = new DispatchQueue[INITIAL_CAPACITY];
-    /** NaN for queues whose service time is not measured. */
+    /** Logarithm of each queue's gain; NaN if its service time is not measured. */
     private double[] logGains = new double[INITIAL_CAPACITY];
-    /** The decaying part of the service time over the steady one, as of {@link #decayReference}. */
+    /** Ratio of the decaying part of the service time to the steady part, as of {@link #decayReference}. */
     private double[] decayingRatios = new double[INITIAL_CAPACITY];
 
     private long[] earliestDues = new long[INITIAL_CAPACITY];
@@ -41,16 +43,18 @@
     private int[] highestPositions = new int[INITIAL_CAPACITY];
     private final MaxHeap<DispatchQueue> heap = new MaxHeap<>();
     private long round;
-    /** The highest bound of those that this round has left out so far. */
+    /** The highest bound of the queues that this round has left out so far. */
     private double highestOmittedBound;
 
     DispatchCandidates(ServiceTimes serviceTimes) {
         this.serviceTimes = serviceTimes;
     }
 
-    // ---- Members. ----
+    // ---- Candidate queues. ----
 
-    /** Adds or removes a queue, as it has ready messages for a destination that is awake, and takes note of its values. */
+    /**
+     * Adds or removes a queue, depending on whether it has ready messages and its destination is awake, and updates its values.
+     */
     void update(DispatchQueue queue) {
         boolean candidate = queue.messages.readyCount() > 0 && !queue.destination.asleep;
         if (candidate && queue.candidatePosition < 0) {
@@ -86,7 +90,7 @@
         queue.candidatePosition = -1;
     }
 
-    /** Takes note of a queue's gain, service time and earliest due date, if it is one of the candidates. */
+    /** Updates the gain, service time and earliest due date of a queue, if it is a candidate. */
     void refresh(DispatchQueue queue) {
         int position = queue.candidatePosition;
         if (position < 0) {
@@ -102,7 +106,7 @@
         earliestDues[position] = queue.earliestReadyDue;
     }
 
-    /** Leaves out a destination until this time, NEVER for no time, or until {@link #wake}. */
+    /** Leaves out the queues of a destination until this time or until {@link #wake}; with NEVER only until {@link #wake}. */
     void sleep(long now, Destination destination, long until) {
         if (until <= now) {
             return;
@@ -137,19 +141,19 @@
         }
     }
 
-    /** When the next sleep is over, NEVER for none. */
+    /** Returns when the next timed sleep ends, NEVER if there is none. */
     long nextWakeAt() {
         IndexedTimerHeap.Entry<Destination> timer = wakeTimers.peek();
         return timer == null ? Micros.NEVER : timer.dueAt() + WAKE_MARGIN_MICROS;
     }
 
-    // ---- A selection round. ----
+    // ---- Selection rounds. ----
 
     /**
-     * Begins a round; {@link #next} gives its queues. Where few slots are free most queues need not be put in order: only some
-     * with the highest bounds are, and the others once those do not suffice.
+     * Begins a round, whose queues {@link #next} returns. If few slots are free, most queues need no order: at first only those
+     * with the highest bounds are ordered, and the others once these do not suffice.
      *
-     * @param lookaheadMicros the span of the index by which urgency grows
+     * @param lookaheadMicros see {@link DispatchIndex#lookaheadMicros}
      */
     void beginRound(long now, double lookaheadMicros, int freeSlots) {
         round++;
@@ -211,7 +215,10 @@
         }
     }
 
-    /** The next queue of the round, null for none; the first time by its bound alone, then by its iterator. */
+    /**
+     * Returns the next queue of the round, null if there is none. A queue is ranked by its bound at first, and after {@link
+     * #putBack} by its iterator.
+     */
     DispatchQueue next(long now, double lookaheadMicros) {
         if (highestOmittedBound > Double.NEGATIVE_INFINITY && (heap.isEmpty() || heap.key() <= highestOmittedBound)) {
             offerAll(now, lookaheadMicros);
@@ -219,14 +226,14 @@
         return heap.isEmpty() ? null : heap.pop();
     }
 
-    /** Puts a queue back by the message that its iterator is at. */
+    /** Puts a queue back, ranked by the message that its iterator is at. */
     void putBack(DispatchQueue queue) {
         heap.push(queue, queue.iterator.index(), queue.iterator.current().sequenceNumber);
     }
 
     // ---- Bounds of the index, as logarithms. ----
 
-    /** No message of the queue that is due then or later has a higher index. */
+    /** Returns an upper bound of the index of all messages of the queue that are due at {@code due} or later. */
     double bound(long now, DispatchQueue queue, long due, double lookaheadMicros) {
         double logGain = queue.destination.serviceMeasured
                 ? queue.logGain
@@ -236,7 +243,7 @@
         return logGain - Math.max(due - now, 0) / lookaheadMicros + BOUND_MARGIN;
     }
 
-    /** No waiting message of the queue has a lower index. */
+    /** Returns a lower bound of the index of all messages of the queue. */
     double lowerBound(long now, DispatchQueue queue, double lookaheadMicros) {
         Destination destination = queue.destination;
         double maxServiceMicros = Math.max(destination.serviceMicros, serviceTimes.expectedMicros(now, queue));
@@ -248,7 +255,10 @@
                 - Math.max(queue.latestDue - now, 0) / lookaheadMicros;
     }
 
-    /** As {@link #bound(long, DispatchQueue, long, double)} but closer: by the service time that it has now. */
+    /**
+     * Like {@link #bound(long, DispatchQueue, long, double)} but closer, as it includes the part of the service time that is
+     * still decaying.
+     */
     private double bound(int position, long now, double lookaheadMicros, double decayFactor) {
         double logGain = logGains[position];
         long due = earliestDues[position];
@@ -261,7 +271,10 @@
                 + BOUND_MARGIN;
     }
 
-    /** What is left now of what there was at the reference time, which moves on before doubles underflow. */
+    /**
+     * Returns the share of a decaying value at the reference time that is left now. Moves the reference time forward before
+     * doubles underflow.
+     */
     private double decaySinceReference(long now) {
         double decayFactor = Math.exp((decayReference - now) / ServiceTimes.DECAY_TIME_CONSTANT_MICROS);
         if (now - decayReference > MAX_REFERENCE_AGE_DECAY_SPANS * ServiceTimes.DECAY_TIME_CONSTANT_MICROS) {
@@ -274,7 +287,10 @@
         return decayFactor;
     }
 
-    /** A lower bound on the logarithm of a number of at least 1, too low by 0.0009 at most, at a fraction of its cost. */
+    /**
+     * Returns a lower bound of the logarithm of a number of at least 1. It is too low by 0.0009 at most and costs a fraction of
+     * {@link Math#log}.
+     */
     static double logLowerBound(double value) {
         long bits = Double.doubleToRawLongBits(value);
         double mantissa = Double.longBitsToDouble(bits & 0xfffffffffffffL | 0x3ff0000000000000L);
--- a/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchIndex.java
@@ -4,14 +4,15 @@
 import amberroute.decisions.collections.AtcIndex;
 
 /**
- * The apparent-tardiness-cost (ATC) index of Ye et al. that orders messages: I = w · p(success) / s · exp(−max(d − t, 0) / (k
- * s')), with priority weight w, expected service time s, due date d, and the mean service time s' of all that waits. Weight that
- * is lost by lateness is taken off w. Indexes are given as logarithms, times as microseconds on the caller's clock.
+ * Computes the apparent tardiness cost (ATC) index of Ye et al., which orders messages: I = w · p(success) / s · exp(−max(d −
+ * t, 0) / (k · s')), with priority weight w, expected service time s, due date d, current time t, look-ahead parameter k, and
+ * the mean service time s' of all waiting messages. The weight w is reduced by what lateness costs. Indexes are returned as
+ * logarithms; times are microseconds on the caller's clock.
  */
 final class DispatchIndex {
-    /** k of the index: how many mean service times ahead of its due date a message becomes urgent. */
+    /** Look-ahead parameter k: how many mean service times ahead of its due date a message becomes urgent. */
     private static final double LOOKAHEAD_SERVICE_TIMES = 25;
-    /** Least mean service time, so that the index is defined while nothing waits. */
+    /** Lower bound of the mean service time, so that the index is defined while no message waits. */
     private static final double MIN_MEAN_SERVICE_MICROS = 1;
 
     private final CurrentSettings settings;
@@ -38,20 +39,20 @@
         this.pending = pending;
     }
 
-    /** Takes the mean service time of what waits now: the same for a whole decision. */
+    /** Updates the mean service time of the waiting messages, which stays the same during a decision. */
     void updateMeanServiceTime(long now) {
         double totalMicros = backlog.waitingMicros(now, Double.NEGATIVE_INFINITY);
         meanServiceMicros = Math.max(MIN_MEAN_SERVICE_MICROS, totalMicros / Math.max(1, pending.waitingCount()));
     }
 
-    /** The span by which a message's pressure grows as its due date comes nearer. */
+    /** Returns the look-ahead time: the index grows by a factor of e when the due date comes closer by this time. */
     double lookaheadMicros() {
         return LOOKAHEAD_SERVICE_TIMES * meanServiceMicros;
     }
 
     /**
-     * Prepares the index of a queue's messages, cut into stretches of due dates in which it only rises or only falls and whose
-     * messages fail for the same reasons.
+     * Sets up the index of a queue's messages. Their due dates are divided into intervals in which the index only rises or only
+     * falls, and whose messages cannot be sent for the same reasons.
      */
     AtcIndex prepare(long now, DispatchQueue queue, AtcIndex target) {
         target.set(
@@ -71,19 +72,19 @@
         return target;
     }
 
-    /** The index of a message that waits. */
+    /** Returns the index of a waiting message. */
     double indexFor(long now, PendingMessage message) {
         return prepare(now, message.queue, scratch).index(message.due);
     }
 
-    /** How many messages of a queue have an index that is no less. */
+    /** Returns how many messages of a queue have an index of at least {@code index}. */
     int countAtLeast(long now, DispatchQueue queue, double index) {
         return queue.isEmpty() || candidates.bound(now, queue, queue.earliestDue, lookaheadMicros()) < index
                 ? 0
                 : prepare(now, queue, scratch).countAtLeast(queue.messages, index);
     }
 
-    /** The service times of all messages with less priority weight whose index is no less. */
+    /** Returns the total service time of the messages with less priority weight and an index of at least {@code index}. */
     double serviceMicrosAhead(long now, double weight, double index) {
         double totalMicros = 0;
         if (backlog.anyWithLowerWeight(weight)) {
@@ -95,7 +96,10 @@
         return totalMicros;
     }
 
-    /** The waiting message with the least index, null for none; queues whose bound excludes it are not searched. */
+    /**
+     * Returns the waiting message with the lowest index, null if no message waits. Queues whose bound excludes them are not
+     * searched.
+     */
     PendingMessage lowestIndexMessage(long now) {
         PendingMessage lowest = null;
         double lowestIndex = 0;
--- a/decisions/src/main/java/amberroute/decisions/DispatchQueue.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchQueue.java
@@ -6,8 +6,8 @@
 import amberroute.decisions.collections.IndexedTimerHeap;
 
 /**
- * The waiting messages of one destination, class and priority weight. They differ in nothing but their due dates as far as the
- * index is concerned. Fields are kept by {@link PendingMessages}, {@link DispatchCandidates} and {@link BacklogEstimate}.
+ * The waiting messages of one destination, message class and priority weight; for the index they differ only in their due
+ * dates. The fields are maintained by {@link PendingMessages}, {@link DispatchCandidates} and {@link BacklogEstimate}.
  */
 final class DispatchQueue {
     final Destination destination;
@@ -15,32 +15,35 @@
     final double priorityWeight;
     final DueDateTreap<PendingMessage> messages = new DueDateTreap<>();
     final IndexOrderIterator<PendingMessage> iterator = new IndexOrderIterator<>(messages);
-    /** When its first message gets its final answer: never later than it really has to be. */
+    /** Expires when the first message must get its final answer, or earlier. */
     final IndexedTimerHeap.Entry<DispatchQueue> expiryTimer = new IndexedTimerHeap.Entry<>(this);
-    /** The earliest due date of those that are ready. */
+    /** The earliest due date of the ready messages. */
     long earliestReadyDue;
 
     long earliestDue;
     long latestDue;
 
-    /** How many of its messages the backlog's sums contain. */
+    /** Number of its messages that the sums of {@link BacklogEstimate} contain. */
     int backlogMessages;
-    /** Service time that each is counted with: the part that stays, negative while none was measured. */
+    /** Steady part of the service time of each of these messages, negative while it is not measured. */
     double backlogSteadyMicros;
-    /** Service time that each is counted with: the part that decays, as of {@link #backlogUpdatedAt}. */
+    /** Decaying part of the service time of each of these messages, as of {@link #backlogUpdatedAt}. */
     double backlogDecayingMicros;
 
     long backlogUpdatedAt;
-    /** Logarithm of weight times success probability over the least service time; no message has a higher index. */
+    /**
+     * Logarithm of the gain: priority weight times success probability over the shortest service time. No message has a higher
+     * index.
+     */
     double logGain;
 
-    /** Position in the list of queues that are not empty; -1 for none. */
+    /** Position in the list of non-empty queues; -1 while it is empty. */
     int nonEmptyPosition = -1;
-    /** Position among the queues that may have something to send; -1 for none. */
+    /** Position among the {@link DispatchCandidates}; -1 if it is not one of them. */
     int candidatePosition = -1;
-    /** The last selection round that considered it. */
+    /** The last selection round that considered this queue. */
     long lastSelectionRound;
-    /** Whether its iterator has been started in that round. */
+    /** Whether the iterator has been started in that round. */
     boolean iteratorStarted;
 
     DispatchQueue(Destination destination, MessageClass messageClass, double priorityWeight) {
--- a/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
@@ -4,21 +4,24 @@
 import amberroute.decisions.DeliveryScheduler.MessageClass;
 
 /**
- * Which messages may be risked while it is in doubt whether calls to an upstream succeed: those whose failure costs least. An
- * idempotent one is just sent again, one with an idempotency key uses up the life of its key, a non-idempotent one is lost; and
- * rather those with time to wait for a slow answer, as an early time-out proves nothing. This covers trials in any outage, partial
- * failures, slow starts and what a new process finds. Times are microseconds on the caller's clock.
+ * Decides which messages may be sent while it is in doubt whether calls to an upstream succeed: those whose failure costs
+ * least. After a failed call an idempotent message is sent again, a keyed message has used up part of its key life, and a
+ * non-idempotent message is lost. Messages with enough time to wait for a slow answer are preferred, as an early time-out
+ * proves nothing. This covers trials in an outage, partial failures, slow starts and the first calls of a new process. Times
+ * are microseconds on the caller's clock.
  *
- * <p>Cost of a false positive: where most calls go on failing, non-idempotent messages wait for the last part of their time.
+ * <p>Cost of a false positive: while most calls keep failing, non-idempotent messages wait until little of their time is left.
  */
 final class DispatchRisk {
-    /** Share of recent calls that ran and failed from which an upstream is in doubt: two in a row. */
+    /**
+     * Share of failed calls among the recent ones that ran, from which an upstream is in doubt. Two failures in a row reach it.
+     */
     private static final double DOUBTFUL_FAILURE_RATIO = 0.25;
-    /** A message takes the risk of a closed breaker once less than this share of its deadline is left. */
+    /** Share of its deadline: with less time left, a message is sent to an upstream in doubt unless its breaker is open. */
     private static final double RISK_ACCEPTED_DEADLINE_RATIO = 0.25;
-    /** Cost class of a non-idempotent message; others have the ordinal of their idempotency. */
+    /** Risk class of a non-idempotent message; other messages have the ordinal of their idempotency. */
     private static final int NON_IDEMPOTENT_RISK = 4;
-    /** Added for a message that is short of time. */
+    /** Added to the risk class of a message that is short of time. */
     private static final int SHORT_OF_TIME_RISK = 2;
 
     private final AttemptTimeout attemptTimeout;
@@ -27,7 +30,7 @@
         this.attemptTimeout = attemptTimeout;
     }
 
-    /** Whether a message may be sent to an upstream in a selection round. */
+    /** Returns whether a message may be sent to an upstream in a selection round. */
     boolean permits(long now, long round, PendingMessage message, UpstreamHealth health) {
         boolean nearDeadline = message.due - now < RISK_ACCEPTED_DEADLINE_RATIO * message.messageClass.deadlineMicros();
         return !health.isUnproven() && (health.failureRatio < DOUBTFUL_FAILURE_RATIO || nearDeadline)
@@ -35,12 +38,12 @@
                         <= leastRisk(now, round, message.destination);
     }
 
-    /** Messages of the class that are due before then take the risk of an upstream in doubt. */
+    /** Returns the due date before which messages of the class are sent to an upstream in doubt. */
     static long riskAcceptedDue(long now, MessageClass messageClass) {
         return now + (long) (RISK_ACCEPTED_DEADLINE_RATIO * messageClass.deadlineMicros());
     }
 
-    /** The least cost of a failed call among the messages that may go to a destination or are in flight there. */
+    /** Returns the lowest risk class of the messages that may be sent to a destination or are in flight there. */
     private int leastRisk(long now, long round, Destination destination) {
         if (destination.leastRiskRound != round) {
             destination.leastRiskRound = round;
--- a/decisions/src/main/java/amberroute/decisions/DispatchSelector.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchSelector.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * Decides which messages go next: free slots go to the highest index first, of all dispatch queues whose destination takes a
- * call. A message that cannot go for a reason that its stretch of due dates shares stands for all of the stretch. Times are
- * microseconds on the caller's clock.
+ * Decides which messages are sent next: free slots go to the highest index among all dispatch queues whose destination accepts
+ * a call. If a message cannot be sent for a reason that holds for its whole interval of due dates, the interval is skipped.
+ * Times are microseconds on the caller's clock.
  */
 final class DispatchSelector {
     private final PendingMessages pending;
@@ -19,12 +19,12 @@
     private final DispatchRisk risk;
     private final ShutdownPolicy shutdownPolicy;
     private final AttemptTimeout attemptTimeout;
-    /** Rounds are numbered, as some results are valid for one round. */
+    /** Number of the current selection round; some results are valid for one round. */
     private long round;
 
-    /** Calls that this round has started. */
+    /** Calls that the current round has started. */
     private final List<UpstreamCall> startedCalls = new ArrayList<>();
-    /** Calls of this round that have room for more messages. */
+    /** Number of calls of the current round that have room for more messages. */
     private int openCalls;
 
     DispatchSelector(
@@ -46,7 +46,7 @@
         this.attemptTimeout = attemptTimeout;
     }
 
-    /** Sends what may go now, and requests a wake-up for what may go later. */
+    /** Sends the messages that may be sent now, and requests a wake-up for those that may be sent later. */
     void dispatch(long now, WakeupTimer timer, Actions actions) {
         pending.resumeDue(now);
         round++;
@@ -86,12 +86,15 @@
         return openCall(destination) != null || calls.freeSlots() > 0 && destination.blockedRound != round;
     }
 
-    /** The call of this round to a destination that has room for more messages, null for none. */
+    /** Returns the call that this round started to a destination if it has room for more messages, otherwise null. */
     private UpstreamCall openCall(Destination destination) {
         return destination.openCallRound == round && destination.openCall.hasRoom() ? destination.openCall : null;
     }
 
-    /** Begins a queue's iterator, or sends its message and goes on; false where nothing more of the queue may go. */
+    /**
+     * Starts the iterator of a queue, or sends its current message and moves on. Returns false if no more messages of the queue
+     * may be sent.
+     */
     private boolean advance(long now, DispatchQueue queue, Actions actions) {
         if (!queue.iteratorStarted) {
             queue.iteratorStarted = true;
@@ -105,7 +108,7 @@
                 : queue.iterator.skipInterval();
     }
 
-    /** Adds a message to the open call of its destination, or starts a call with it; false where neither is possible. */
+    /** Adds a message to the open call of its destination, or starts a call with it. Returns false if neither is possible. */
     private boolean dispatch(long now, PendingMessage message, Actions actions) {
         Destination destination = message.destination;
         UpstreamCall existingCall = openCall(destination);
@@ -127,7 +130,10 @@
         return true;
     }
 
-    /** Messages with and without ample time do not share a call, as it times out with the first of its messages. */
+    /**
+     * Returns whether a message may join a call. Messages with and without ample time do not share a call, because it times out
+     * with the first of its messages.
+     */
     private boolean mayJoin(long now, PendingMessage message, UpstreamCall call) {
         UpstreamHealth health = call.endpoint.health;
         return call.shortOfTime == attemptTimeout.isShortOfTime(now, message)
--- a/decisions/src/main/java/amberroute/decisions/EndpointRegistry.java
+++ b/decisions/src/main/java/amberroute/decisions/EndpointRegistry.java
@@ -17,17 +17,17 @@
 import java.util.TreeMap;
 
 /**
- * Destinations and their endpoints, as the endpoint list names them, and the subscription to that list. An endpoint that is gone
+ * The destinations and endpoints of the endpoint list, and the subscription to that list. An endpoint that is no longer listed
  * is kept until its last call has ended. Times are microseconds on the caller's clock.
  */
 final class EndpointRegistry {
-    /** First delay before a failed subscription is renewed; it doubles with each failure. */
+    /** First delay before a failed subscription is renewed; it doubles with each further failure. */
     private static final long RESUBSCRIBE_DELAY_MICROS = 300_000;
 
     private static final int MAX_RESUBSCRIBE_DOUBLINGS = 6;
-    /** A subscription is renewed within this part of the time in which changes have to be discovered. */
+    /** A failed subscription is renewed at least this many times within the discovery deadline. */
     private static final int RESUBSCRIBES_PER_DISCOVERY_DEADLINE = 4;
-    /** So many destinations are kept before unused ones are looked for. */
+    /** Unused destinations are evicted only if there are more destinations than this. */
     private static final int MIN_DESTINATIONS_BEFORE_EVICTION = 1_024;
 
     private static final DestinationKind DEFAULT_KIND = new DestinationKind(false, 1);
@@ -57,7 +57,7 @@
         subscribeAt = settings.get().endpointListPolled() ? 0 : Micros.NEVER;
     }
 
-    /** The destination with this number, which need not be listed. */
+    /** Returns the destination with this id and creates it if necessary; it need not be listed. */
     Destination destination(int id) {
         Destination destination = destinations.get(id);
         if (destination == null) {
@@ -67,22 +67,22 @@
         return destination;
     }
 
-    /** All destinations by their numbers. */
+    /** Returns all destinations in the order of their ids. */
     Collection<Destination> destinations() {
         return destinations.values();
     }
 
-    /** The endpoint with this id, null for none. */
+    /** Returns the endpoint with this id, null if there is none. */
     Endpoint endpoint(long id) {
         return endpoints.get(id);
     }
 
-    /** All endpoints by their ids, also those that are gone and have calls in flight. */
+    /** Returns all endpoints in the order of their ids, including those that are gone and still have calls in flight. */
     Collection<Endpoint> endpoints() {
         return endpoints.values();
     }
 
-    /** The health of all known endpoints, each once. */
+    /** Returns the health of all known endpoints, each only once. */
     Set<UpstreamHealth> upstreams() {
         Set<UpstreamHealth> upstreams = new LinkedHashSet<>();
         for (Endpoint endpoint : endpoints.values()) {
@@ -91,7 +91,7 @@
         return upstreams;
     }
 
-    /** Drops destinations that are not listed and have no messages, once there are many. */
+    /** Removes destinations that have no listed endpoints and no messages, once there are many destinations. */
     void evictUnused() {
         if (destinations.size() > destinationsBeforeEviction) {
             destinations
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Subscribes to the list if that is due, and requests to be asked again when it is. */
+    /** Subscribes to the list if that is due, and otherwise requests a wake-up for when it is. */
     void subscribeIfDue(long now, WakeupTimer timer, Actions actions) {
         if (subscribeAt <= now) {
             actions.subscribe();
@@ -110,7 +110,7 @@
         timer.request(subscribeAt);
     }
 
-    /** Takes note of a list, of its changes, or of a failed subscription. */
+    /** Applies an endpoint list, changes of it, or a failed subscription. */
     void update(long now, EndpointListUpdated event) {
         if (event.kind() == EndpointListKind.FAILED) {
             long delayMicros = RESUBSCRIBE_DELAY_MICROS << Math.min(failedSubscriptions++, MAX_RESUBSCRIBE_DOUBLINGS);
@@ -132,7 +132,7 @@
         changed.forEach(destination -> pending.updateEstimatesAndWake(now, destination));
     }
 
-    /** Removes an endpoint that is not listed any more and has no call in flight. */
+    /** Removes an endpoint that is no longer listed and has no call in flight. */
     void removeIfGone(Endpoint endpoint) {
         if (endpoint.state == EndpointState.GONE && endpoint.callsInFlight == 0) {
             endpoints.remove(endpoint.id, endpoint);
@@ -149,13 +149,13 @@
         endpoint.zone = entry.zone();
         endpoint.state = entry.state();
         if (settings.get().weightKind() != WeightKind.NONE) {
-            // Without listed weights a limit that was reported has to outlast a change of the list.
+            // If the list has no weights, a reported limit must survive a change of the list.
             endpoint.health.reportedLimit = entry.weight();
         }
         return endpoint;
     }
 
-    /** Adds an endpoint at a random place among its siblings, as equal costs are decided by the order. */
+    /** Adds an endpoint at a random position among its siblings, because the order decides between endpoints of equal cost. */
     private Endpoint add(EndpointEntry entry) {
         Destination destination = destination(entry.destination());
         List<DestinationKind> kinds = settings.get().kinds();
--- a/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
@@ -4,17 +4,18 @@
 import java.util.List;
 
 /**
- * Which endpoint a message goes to: the one with the least cost of those that may take it now. Costs are in calls in flight: a
- * disadvantage is worth so many calls that the endpoint has more than another. Times are microseconds on the caller's clock.
+ * Selects the endpoint that a message is sent to: the one with the lowest cost among those that accept it now. The unit of
+ * costs is a call in flight: a disadvantage weighs as much as this many more calls in flight. Times are microseconds on the
+ * caller's clock.
  */
 final class EndpointSelector {
     private static final double FRESH_CONNECTION_COST_CALLS = 0.6;
     private static final double CROSS_ZONE_COST_CALLS = 0.8;
-    /** For a share of 1 of failed calls, and for each silent call. */
+    /** Cost of a failure ratio of 1, and of each silent call. */
     private static final double FAILURE_COST_CALLS = 4;
-    /** For a zone toll of 1. */
+    /** Cost of a zone toll of 1. */
     private static final double ZONE_TOLL_COST_CALLS = 20;
-    /** For the endpoint that failed the message last. */
+    /** Cost of the endpoint at which the message failed last. */
     private static final double LAST_FAILED_COST_CALLS = 2;
 
     private final CurrentSettings settings;
@@ -42,7 +43,10 @@
         this.timer = timer;
     }
 
-    /** The endpoint to send a message to now, null for none; then a wake-up is requested for when one may open. */
+    /**
+     * Returns the endpoint to send a message to now. If there is none, returns null and requests a wake-up for when one may
+     * accept it.
+     */
     Endpoint select(long now, long round, PendingMessage message) {
         Endpoint best = null;
         double bestCost = Double.POSITIVE_INFINITY;
@@ -69,7 +73,7 @@
         return best;
     }
 
-    /** Whether a message may go to an endpoint, apart from the endpoint's state and limits. */
+    /** Returns whether a message may be sent to an endpoint, apart from the endpoint's state and limits. */
     private boolean isSuitable(long now, long round, PendingMessage message, Endpoint endpoint) {
         return RetryPolicy.retryableAt(message, endpoint)
                 && risk.permits(now, round, message, endpoint.health)
@@ -80,7 +84,7 @@
         return Math.max(gate.nextCallAt(now, endpoint.health), endpoint.destination.fleetRateLimit.nextMessageAt(now));
     }
 
-    /** Where no endpoint takes calls now, the destination is left out until that may change. */
+    /** Blocks a destination whose endpoints all accept no calls now, until that may change. */
     private void blockIfUnavailable(long now, long round, Destination destination) {
         long sleepUntil = Micros.NEVER;
         for (Endpoint endpoint : destination.endpoints) {
--- a/decisions/src/main/java/amberroute/decisions/ExpirySchedule.java
+++ b/decisions/src/main/java/amberroute/decisions/ExpirySchedule.java
@@ -6,25 +6,25 @@
 import java.util.List;
 
 /**
- * When waiting messages get their final answer undelivered: before their deadline, when they may not be repeated any more, or
- * after their last attempt. Times are microseconds on the caller's clock.
+ * Determines when waiting messages get their final answer without being delivered: ahead of their deadline, when they may no
+ * longer be retried, or after their last attempt. Times are microseconds on the caller's clock.
  *
- * <p>An answer is given one expected service time ahead of the deadline, as no attempt could succeed after that. Cost of an
- * expected time that is too long: a message is rejected that a fast call might still have delivered.
+ * <p>A message is answered one expected service time ahead of its deadline, because no attempt could succeed after that. Cost
+ * of an expected time that is too long: a message is rejected that a fast call might still have delivered.
  */
 final class ExpirySchedule {
-    /** The least time ahead of the deadline: the answer waits for timers and event loops. */
+    /** Shortest time ahead of the deadline; it allows for the delay of timers and event loops. */
     private static final long ANSWER_MARGIN_MICROS = 40_000;
 
     private final ServiceTimes serviceTimes;
     private final BacklogEstimate backlog;
     private final IndexedTimerHeap<DispatchQueue> queueTimers = new IndexedTimerHeap<>();
     private final IndexedTimerHeap<PendingMessage> retryLimits = new IndexedTimerHeap<>();
-    /** Messages that may have had all their attempts. */
+    /** Messages that may have reached the attempt limit. */
     private final List<PendingMessage> attemptsToCheck = new ArrayList<>();
 
     private final List<PendingMessage> expired = new ArrayList<>();
-    /** The usual latency that timers of queues without a measured service time were set with. */
+    /** The usual latency that the timers of queues without a measured service time were set with. */
     private double scheduledUsualLatencyMicros;
 
     ExpirySchedule(ServiceTimes serviceTimes, BacklogEstimate backlog) {
@@ -32,7 +32,7 @@
         this.backlog = backlog;
     }
 
-    /** Sets how long a message may be sent again, NEVER for no limit but its deadline. */
+    /** Limits how long a message may be sent again; NEVER if only its deadline limits that. */
     void limitRetries(PendingMessage message, long until) {
         if (until != Micros.NEVER) {
             if (message.retryLimitTimer == null) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Has the next decision compare the message's attempts with the most that are allowed. */
+    /** Makes the next decision compare the attempts of a message with the attempt limit. */
     void checkAttempts(PendingMessage message) {
         attemptsToCheck.add(message);
     }
@@ -57,7 +57,10 @@
         queueTimers.remove(queue.expiryTimer);
     }
 
-    /** Sets a queue's timer for the soonest that its first message expires: expected times rise only with new outcomes. */
+    /**
+     * Sets the timer of a queue to the earliest time at which its first message can expire; expected times rise only with new
+     * outcomes.
+     */
     void schedule(long now, DispatchQueue queue) {
         if (!queue.isEmpty()) {
             long expiry = expiryAt(now, queue, queue.earliestDue);
@@ -71,7 +74,7 @@
         return due - Math.max(ANSWER_MARGIN_MICROS, (long) serviceTimes.expectedMicros(now, queue));
     }
 
-    /** When the next message expires, NEVER for none. */
+    /** Returns when the next message expires, NEVER if there is none. */
     long nextExpiryAt(long now) {
         IndexedTimerHeap.Entry<DispatchQueue> timer = queueTimers.peek();
         while (timer != null && expiryAt(now, timer.item(), timer.item().earliestDue) > timer.dueAt()) {
@@ -83,7 +86,7 @@
                 timer == null ? Micros.NEVER : timer.dueAt(), retryLimit == null ? Micros.NEVER : retryLimit.dueAt());
     }
 
-    /** The messages that expire now, in the order of arrival; the list is valid until the next call. */
+    /** Returns the messages that expire now, in the order of arrival; the list is valid until the next call. */
     List<PendingMessage> expired(long now, int maxAttempts, List<DispatchQueue> nonEmptyQueues) {
         expired.clear();
         for (PendingMessage message : attemptsToCheck) {
@@ -108,7 +111,10 @@
         return expired;
     }
 
-    /** Queues without a measured service time expire earlier when the usual latency has risen. */
+    /**
+     * Reschedules queues without a measured service time if the usual latency has risen, because their messages expire earlier
+     * then.
+     */
     private void rescheduleUnmeasured(long now, List<DispatchQueue> nonEmptyQueues) {
         double usualLatencyMicros = serviceTimes.usualLatencyMicros();
         if (usualLatencyMicros > scheduledUsualLatencyMicros && backlog.anyUnmeasured()) {
--- a/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * The messages of a key go one at a time in the order of acceptance. Behind an attempt whose outcome is unknown the key is paused
- * for the settle period, as the attempt may still run; only the message itself may be repeated meanwhile. Times are microseconds
- * on the caller's clock.
+ * Keeps messages in the order of their keys: the messages of a key are sent one at a time, in the order of acceptance. After an
+ * attempt whose outcome is unknown the key is paused for the settle period, because the attempt may still run; meanwhile only
+ * the message itself may be retried. Times are microseconds on the caller's clock.
  *
- * <p>Cost of a pause that was not needed: the messages of one key wait for the settle period.
+ * <p>Cost of an unnecessary pause: the messages of one key wait for the settle period.
  */
 final class KeyOrdering {
     private final CurrentSettings settings;
@@ -26,7 +26,7 @@
     private final Deque<KeyQueue> emptyQueues = new ArrayDeque<>();
 
     /**
-     * An order without messages.
+     * Creates an ordering without messages.
      *
      * @param awaitAcknowledgements whether {@link #acknowledge} will be called for each message that this sender answers
      */
@@ -36,7 +36,7 @@
         this.awaitAcknowledgements = awaitAcknowledgements;
     }
 
-    /** Puts a message last of its key. */
+    /** Appends a message to the queue of its key. */
     void append(long key, PendingMessage message) {
         queueOf(key).add(message);
     }
@@ -45,14 +45,16 @@
         return queues.computeIfAbsent(key, KeyQueue::new);
     }
 
-    /** Puts a message last of its key that an earlier process has answered: its acknowledgement is still to come. */
+    /** Appends a message that an earlier process answered and whose acknowledgement is still to come. */
     void appendAnswered(long key, long id) {
         PendingMessage message = new PendingMessage();
         append(key, message);
         unacknowledged.put(id, message);
     }
 
-    /** Pauses a key for the settle period but for this message; does nothing where it keeps no order. */
+    /**
+     * Pauses the key of a message for the settle period, except for the message itself; does nothing if it has no ordered key.
+     */
     void pauseAfter(long now, PendingMessage message) {
         KeyQueue queue = message.keyQueue;
         if (queue != null) {
@@ -63,9 +65,9 @@
     }
 
     /**
-     * Goes on with a pause of an earlier process.
+     * Restores the pause of a key from an earlier process.
      *
-     * @param exempt the message that may be sent meanwhile, null for none
+     * @param exempt the message that may be sent during the pause, null for none
      */
     void restorePause(long now, KeyPause pause, PendingMessage exempt) {
         KeyQueue queue = queueOf(pause.key());
@@ -77,7 +79,7 @@
         }
     }
 
-    /** The keys that are paused now. */
+    /** Returns the keys that are paused now. */
     List<KeyPause> pausedKeys(long now) {
         List<KeyPause> paused = new ArrayList<>();
         for (KeyQueue queue : queues.values()) {
@@ -89,7 +91,7 @@
         return List.copyOf(paused);
     }
 
-    /** Lets the next of the key go behind a message that is completed, or behind the acknowledgement of its answer. */
+    /** Lets the next message of a key be sent after a message is completed, or after its answer is acknowledged. */
     void complete(long now, PendingMessage message) {
         if (message.keyQueue != null && message.answeredBySender && awaitAcknowledgements) {
             unacknowledged.put(message.id, message);
@@ -98,7 +100,7 @@
         }
     }
 
-    /** The answer of a message has reached its client; ignores what is not known. */
+    /** Records that the answer of a message has reached its client; ignores unknown messages. */
     void acknowledge(long now, long id) {
         dequeue(now, unacknowledged.remove(id));
     }
--- a/decisions/src/main/java/amberroute/decisions/KeyQueue.java
+++ b/decisions/src/main/java/amberroute/decisions/KeyQueue.java
@@ -1,13 +1,13 @@
 package amberroute.decisions;
 
-/** The messages of one key in their order, linked through the messages themselves. */
+/** The messages of one key in their order, as a list that is linked through the messages themselves. */
 final class KeyQueue {
     final long key;
-    /** The only one that may be sent; null for none. */
+    /** The only message that may be sent, null if there is none. */
     PendingMessage first;
 
     private PendingMessage last;
-    /** Settle period: until then none but {@link #exemptFromPause} is sent. */
+    /** End of the settle period; until then only {@link #exemptFromPause} may be sent. */
     long pausedUntil;
 
     PendingMessage exemptFromPause;
@@ -27,7 +27,7 @@
         last = message;
     }
 
-    /** Does nothing for a message that was removed before. */
+    /** Removes a message; does nothing if it was removed before. */
     void remove(PendingMessage message) {
         if (message.previousOfKey == null && first != message) {
             return;
--- a/decisions/src/main/java/amberroute/decisions/MessageLifecycle.java
+++ b/decisions/src/main/java/amberroute/decisions/MessageLifecycle.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The messages of this sender from acceptance to their completion, and the final answers that it gives by itself. Times are
- * microseconds on the caller's clock.
+ * Keeps the messages of this sender from acceptance to completion, and gives the final answers that the sender itself decides.
+ * Times are microseconds on the caller's clock.
  */
 final class MessageLifecycle {
     private final CurrentSettings settings;
@@ -28,12 +28,12 @@
         this.pending = pending;
     }
 
-    /** The message with this id, null for none. */
+    /** Returns the message with this id, null if there is none. */
     PendingMessage get(long id) {
         return messages.get(id);
     }
 
-    /** All messages in the order of arrival. */
+    /** Returns all messages in the order of arrival. */
     Collection<PendingMessage> all() {
         return messages.values();
     }
@@ -42,7 +42,7 @@
         return messages.size();
     }
 
-    /** A new message; {@link #enqueue} has to follow. */
+    /** Creates a message; the caller must call {@link #enqueue} afterwards. */
     PendingMessage accept(long now, long id, int messageClass, long key, long timeLeftMicros, int destination) {
         List<MessageClass> classes = settings.get().classes();
         PendingMessage message = new PendingMessage();
@@ -60,12 +60,12 @@
         return message;
     }
 
-    /** Has a message wait to be sent unless it is completed. */
+    /** Enqueues a message to be sent, unless it is completed. */
     void enqueue(long now, PendingMessage message) {
         pending.enqueue(now, message, RetryPolicy.retryableUntil(message));
     }
 
-    /** The client cancelled a message; ignores what is not known. */
+    /** Records that the client cancelled a message; ignores unknown messages. */
     void cancel(long now, long id) {
         PendingMessage message = messages.get(id);
         if (message != null) {
@@ -75,9 +75,10 @@
     }
 
     /**
-     * Gives the final answer: a rejection wherever that is harmless, since the client may then submit the message again.
+     * Gives the final answer to a message: a rejection if that is harmless, because the client may then submit the message
+     * again, and a failure otherwise.
      *
-     * @param retryAfterMicros advice when to do so, given within the limits that the deployment sets
+     * @param retryAfterMicros advice when to submit it again; the deployment's limits apply
      */
     void answer(long now, PendingMessage message, long retryAfterMicros, Actions actions) {
         if (RetryPolicy.mayReject(message)) {
@@ -95,7 +96,7 @@
         return limits.retryAdviceAllowed() ? Math.max(0, Math.min(retryAfterMicros, limits.maxRetryAdviceMicros())) : 0;
     }
 
-    /** Forgets a message that is completed and not in flight any more. */
+    /** Removes a message that is completed and no longer in flight. */
     void removeIfCompleted(long now, PendingMessage message) {
         if (!message.completed || message.call != null) {
             return;
--- a/decisions/src/main/java/amberroute/decisions/Micros.java
+++ b/decisions/src/main/java/amberroute/decisions/Micros.java
@@ -1,9 +1,9 @@
 package amberroute.decisions;
 
-/** Constants of the module's unit of time. */
+/** Constants for times in microseconds. */
 final class Micros {
     static final double PER_SECOND = 1e6;
-    /** A time that does not come. */
+    /** A time that is never reached. */
     static final long NEVER = Long.MAX_VALUE;
 
     private Micros() {}
--- a/decisions/src/main/java/amberroute/decisions/PendingMessages.java
+++ b/decisions/src/main/java/amberroute/decisions/PendingMessages.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * The messages that wait to be sent: which dispatch queue each is in and which are ready, that is without a backoff and first of
- * their key. It keeps {@link DispatchCandidates}, {@link BacklogEstimate} and {@link ExpirySchedule} up to date and decides
- * nothing. Times are microseconds on the caller's clock.
+ * The messages that wait to be sent: which dispatch queue each is in, and which are ready, that is, without a backoff and first
+ * of their key. It keeps {@link DispatchCandidates}, {@link BacklogEstimate} and {@link ExpirySchedule} up to date and makes no
+ * decisions. Times are microseconds on the caller's clock.
  */
 final class PendingMessages {
-    /** Empty queues of a destination are dropped beyond so many, as classes may come and go. */
+    /** Empty queues of a destination are removed once it has this many queues, because message classes may come and go. */
     private static final int QUEUES_KEPT_PER_DESTINATION = 8;
 
     private final ServiceTimes serviceTimes;
@@ -29,12 +29,12 @@
         this.expiry = expiry;
     }
 
-    /** How many messages wait to be sent. */
+    /** Returns the number of messages that wait to be sent. */
     int waitingCount() {
         return waitingCount;
     }
 
-    /** The queues with waiting messages, in no particular order; not to be changed. */
+    /** Returns the queues with waiting messages, in no particular order; the caller must not change the list. */
     List<DispatchQueue> nonEmptyQueues() {
         return nonEmptyQueues;
     }
@@ -42,7 +42,7 @@
     /**
      * Enqueues a message unless it is completed.
      *
-     * @param retryableUntil until when it may be sent, NEVER for no limit but its deadline
+     * @param retryableUntil until when it may be sent, NEVER if only its deadline limits that
      */
     void enqueue(long now, PendingMessage message, long retryableUntil) {
         if (message.completed) {
@@ -89,7 +89,10 @@
         return queue;
     }
 
-    /** Takes a message out, if it waits: it goes in flight or is completed. {@link #updateEstimates} has to follow. */
+    /**
+     * Removes a message that waits, because it is sent or completed; ignores other messages. The caller must call {@link
+     * #updateEstimates} afterwards.
+     */
     void remove(PendingMessage message) {
         if (!message.waiting) {
             return;
@@ -126,7 +129,10 @@
         expiry.remove(queue);
     }
 
-    /** Works out whether a message is first of its key and ready, else when it may be; ignores null and what does not wait. */
+    /**
+     * Determines whether a message is first of its key and ready, and otherwise when it may be; ignores null and messages that
+     * do not wait.
+     */
     void updateReadiness(long now, PendingMessage message) {
         if (message == null || !message.waiting) {
             return;
@@ -173,7 +179,7 @@
         candidates.update(queue);
     }
 
-    /** Readies what has waited out its backoff or its key's pause, and wakes destinations. */
+    /** Marks messages as ready whose backoff or key pause is over, and wakes destinations whose sleep is over. */
     void resumeDue(long now) {
         for (IndexedTimerHeap.Entry<PendingMessage> timer = resumeTimers.poll(now);
                 timer != null;
@@ -183,18 +189,18 @@
         candidates.wakeDue(now);
     }
 
-    /** When a backoff, a pause or a sleep ends next, NEVER for none. */
+    /** Returns when the next backoff, pause or sleep ends, NEVER if there is none. */
     long nextResumeAt() {
         IndexedTimerHeap.Entry<PendingMessage> timer = resumeTimers.peek();
         return Math.min(timer == null ? Micros.NEVER : timer.dueAt(), candidates.nextWakeAt());
     }
 
-    /** The messages that expire now, in the order of arrival; the list is valid until the next call. */
+    /** Returns the messages that expire now, in the order of arrival; the list is valid until the next call. */
     List<PendingMessage> expired(long now, int maxAttempts) {
         return expiry.expired(now, maxAttempts, nonEmptyQueues);
     }
 
-    /** Brings sums, bounds and expiry up to date: a destination's waiting messages or service time have changed. */
+    /** Updates backlog, bounds and expiry times after a destination's waiting messages or service time have changed. */
     void updateEstimates(long now, Destination destination) {
         serviceTimes.decay(now, destination);
         double steadyMicros =
@@ -210,7 +216,9 @@
         }
     }
 
-    /** Recounts a destination that may take calls again, as something has become known of it. */
+    /**
+     * Updates the estimates of a destination and wakes it, because it may accept calls again after what was learned about it.
+     */
     void updateEstimatesAndWake(long now, Destination destination) {
         updateEstimates(now, destination);
         candidates.wake(destination);
--- a/decisions/src/main/java/amberroute/decisions/WakeupTimer.java
+++ b/decisions/src/main/java/amberroute/decisions/WakeupTimer.java
@@ -3,8 +3,9 @@
 import amberroute.decisions.DeliveryScheduler.Actions;
 
 /**
- * The one timer of a scheduler: during a decision each rule requests when it has to be asked again, and behind it the timer is
- * set for the earliest of these times unless it is due no later already. Times are microseconds on the caller's clock.
+ * The only timer of a scheduler. During a decision each rule requests the time at which it must be evaluated again; after the
+ * decision the timer is set to the earliest of these times, unless it already expires by then. Times are microseconds on the
+ * caller's clock.
  */
 final class WakeupTimer {
     /** The token of all timers. */
@@ -13,7 +14,7 @@
     private long requestedAt = Micros.NEVER;
     private long scheduledAt = Micros.NEVER;
 
-    /** Forgets the requests of the decision before. */
+    /** Discards the requests of the previous decision. */
     void beginDecision() {
         requestedAt = Micros.NEVER;
     }
@@ -22,7 +23,7 @@
         requestedAt = Math.min(requestedAt, at);
     }
 
-    /** Schedules a timer for the earliest request where none is due by then. */
+    /** Schedules a timer for the earliest request, unless one already expires by then. */
     void schedule(long now, Actions actions) {
         if (requestedAt != Micros.NEVER && (scheduledAt <= now || scheduledAt > requestedAt)) {
             scheduledAt = Math.max(requestedAt, now + 1);
--- a/decisions/src/main/java/amberroute/decisions/collections/AtcIndex.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/AtcIndex.java
@@ -3,18 +3,25 @@
 import java.util.Arrays;
 
 /**
- * The index of the messages of one dispatch queue as a function of their due dates alone, and the stretches of due dates in which
- * it only falls or only rises. Priority weight, success probability and service time are common to them, and the latency objective
- * of a message is its due date less a constant. All spans are microseconds. Not thread-safe.
+ * The index of the messages of one dispatch queue as a function of their due dates alone, and the intervals of due dates in
+ * which it only falls or only rises. The messages of a queue have priority weight, success probability and service time in
+ * common, and the latency objective of each lies a constant time before its due date. All times are microseconds. Not
+ * thread-safe.
  *
- * <p>The index I = w · left(t + s) · p / s · exp(−max(d − t, 0) / K), with weight w, success probability p, service time s, due date
- * d and pressure span K, is kept as its logarithm: it falls below the least double where due dates are some 700 K away, and messages
- * would tie there. An index of 0 is −infinity. From the latest due date to the earliest: what will be on time has all of its value
- * left, so the index falls with the due date. Where the value falls linearly it is (a + b·d)·exp(−d / K), which has one peak, K −
- * a/b. Where it halves it is a staircase that falls on each step. What cannot be answered before it is due has the late share left.
+ * <p>The index I = w · v(t + s) · p / s · exp(−max(d − t, 0) / K) has priority weight w, share v of the value that is left when
+ * the call ends, current time t, service time s, success probability p, due date d and look-ahead time K. It is kept as its
+ * logarithm, because doubles underflow for due dates some 700 K ahead, where messages would tie. An index of 0 is −infinity.
+ *
+ * <p>From the latest due dates to the earliest: messages that will be on time have their full value left, so a later due date
+ * means a lower index. Where the value falls linearly, the index is (a + b·d) · exp(−d / K), which has one peak at K − a/b.
+ * Where the value halves, it is a step function, and the index falls within each step. Messages that cannot be answered before
+ * they are due have the late share of their value left.
  */
 public final class AtcIndex {
-    /** Steps of a staircase; what lies below the last has less than 2^−60 of its value left, and counts as one step. */
+    /**
+     * Halvings of the value that are distinguished; messages with more halvings have less than 2^−60 of their value left and
+     * count as one step.
+     */
     private static final int MAX_HALVINGS = 60;
 
     private static final int INITIAL_INTERVALS = 8;
@@ -23,7 +30,7 @@
     private double serviceMicros;
     private double lookaheadMicros;
     private long now;
-    /** Span from the latency objective to the due date. */
+    /** Time from the latency objective to the due date. */
     private long slackMicros;
 
     private long objectiveMicros;
@@ -35,12 +42,12 @@
     private boolean[] rising = new boolean[INITIAL_INTERVALS];
 
     /**
-     * Sets what the messages have in common; spans are above 0.
+     * Sets what the messages have in common; all times are above 0.
      *
      * @param successProbability share of calls that succeed
-     * @param lookaheadSpanMicros the span by which urgency grows
-     * @param latencyObjectiveMicros span from the submission of a message to its latency objective
-     * @param deadlineMicros span from the submission of a message to its deadline
+     * @param lookaheadSpanMicros time over which the index grows by a factor of e
+     * @param latencyObjectiveMicros time from the submission of a message to its latency objective
+     * @param deadlineMicros time from the submission of a message to its deadline
      * @param lateValueShare share of the value that is left at the deadline
      * @param valueHalves whether the value halves with each latency objective, rather than falling linearly
      */
@@ -64,12 +71,12 @@
         halving = valueHalves;
     }
 
-    /** The logarithm of the index of a message that is due then. */
+    /** Returns the logarithm of the index of a message with this due date. */
     public double index(long due) {
         return Math.log(valueLeft(due) * gain) - Math.max(due - now, 0) / lookaheadMicros;
     }
 
-    /** Share of the value that is left when the message has been served. */
+    /** Returns the share of the value that is left when the message has been served. */
     private double valueLeft(long due) {
         double lateMicros = now + serviceMicros - (due - slackMicros);
         if (lateMicros <= 0) {
@@ -81,9 +88,9 @@
         return 1 - (1 - lateShare) * Math.min(1, lateMicros / Math.max(1, slackMicros));
     }
 
-    // ---- Stretches. ----
+    // ---- Intervals of due dates. ----
 
-    /** Divides all due dates from {@code first} on into stretches, also at the two cuts that are given. */
+    /** Divides all due dates from {@code earliestDue} on into intervals, with a split at each of the two given due dates. */
     public void divide(long earliestDue, long splitDue, long otherSplitDue) {
         intervalCount = 0;
         long servedAt = (long) Math.ceil(now + serviceMicros);
@@ -93,7 +100,7 @@
         } else if (halving) {
             addHalvingSteps(earliestDue, earliestOnTimeDue);
         } else if (slackMicros <= 0) {
-            // All value is lost within a microsecond of the objective.
+            // The whole value is lost within a microsecond of the objective.
             addInterval(Long.MIN_VALUE, earliestOnTimeDue - 1, false);
             addInterval(earliestOnTimeDue - 1, earliestOnTimeDue, false);
         } else {
@@ -122,7 +129,7 @@
         }
     }
 
-    /** The due date at which the step begins on which so many halvings are lost. */
+    /** Returns the due date at which the step begins that has this many halvings. */
     private long stepBegin(int halvings) {
         return (long) Math.ceil(now + serviceMicros + slackMicros - (double) halvings * objectiveMicros);
     }
@@ -155,12 +162,12 @@
         return intervalCount;
     }
 
-    /** The first due date of a stretch. */
+    /** Returns the first due date of an interval. */
     long begin(int interval) {
         return begins[interval];
     }
 
-    /** The due date behind a stretch. */
+    /** Returns the first due date after an interval. */
     long end(int interval) {
         return ends[interval];
     }
@@ -169,9 +176,9 @@
         return rising[interval];
     }
 
-    // ---- Questions to a treap of such messages; divide() comes first. ----
+    // ---- Queries on a treap of such messages; divide() must be called first. ----
 
-    /** How many messages have this index or a higher one. */
+    /** Returns the number of messages with an index of at least {@code minIndex}. */
     public <N extends DueDateTreap.Node<N>> int countAtLeast(DueDateTreap<N> messages, double minIndex) {
         int count = 0;
         for (int i = 0; i < intervalCount; i++) {
@@ -186,7 +193,10 @@
         return count;
     }
 
-    /** The message with the least index, of equals the one with the smallest number; null in an empty treap. */
+    /**
+     * Returns the message with the lowest index, and among equal ones that with the smallest sequence number; null if the treap
+     * is empty.
+     */
     public <N extends DueDateTreap.Node<N>> N lowestIndexMessage(DueDateTreap<N> messages) {
         N lowest = null;
         double lowestIndex = 0;
--- a/decisions/src/main/java/amberroute/decisions/collections/DecayingSum.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DecayingSum.java
@@ -1,9 +1,10 @@
 package amberroute.decisions.collections;
 
 /**
- * A sum whose terms are each a constant and a part that decays at one rate common to all, so that the decaying parts decay as a
- * whole: its value at any time costs one exponential, however many terms it has. To add and subtract leaves errors of some 1e-16 of
- * the largest term each time, which a new sum of the same terms does not have. Times are microseconds. Not thread-safe.
+ * A sum whose terms each have a constant part and a part that decays exponentially. All decaying parts have the same time
+ * constant and decay as one, so the value at any time costs one exponential, however many terms there are. Each addition and
+ * subtraction leaves an error of about 1e-16 of the largest term, which a new sum of the same terms does not have. Times are
+ * microseconds. Not thread-safe.
  */
 public final class DecayingSum {
     private final double timeConstantMicros;
@@ -12,15 +13,15 @@
     private long updatedAt;
 
     /**
-     * An empty sum.
+     * Creates an empty sum.
      *
-     * @param timeConstantMicros the span in which decaying parts fall to 1/e
+     * @param timeConstantMicros time in which decaying parts fall to 1/e
      */
     public DecayingSum(double timeConstantMicros) {
         this.timeConstantMicros = timeConstantMicros;
     }
 
-    /** Adds a term as of now, or subtracts one by its negative; {@code now} must not go back. */
+    /** Adds a term as of now, or subtracts one if its parts are negative; {@code now} must not go backwards. */
     public void add(long now, double constantPart, double decayingPart) {
         if (now != updatedAt) {
             decaying *= decayFactor(updatedAt, now);
@@ -36,12 +37,12 @@
         decaying = 0;
     }
 
-    /** The sum at this time, which is not before the last change. */
+    /** Returns the sum at this time, which must not be before the last change. */
     public double value(long now) {
         return constant + (decaying == 0 ? 0 : decaying * decayFactor(updatedAt, now));
     }
 
-    /** What is left at one time of a decaying part of 1 at another. */
+    /** Returns what is left at {@code to} of a decaying part of 1 at {@code from}. */
     public double decayFactor(long from, long to) {
         return Math.exp((from - to) / timeConstantMicros);
     }
--- a/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
@@ -3,16 +3,17 @@
 import java.util.function.LongPredicate;
 
 /**
- * Messages in the order of their due dates, equal ones in the order of their numbers: a treap whose nodes are the messages
- * themselves, so that nothing is allocated. Priorities are a hash of the number, so the same messages give the same tree. Each
- * operation costs the logarithm of the size on average. Due dates are microseconds on the caller's clock. Not thread-safe.
+ * Messages in the order of their due dates, and for equal due dates of their sequence numbers. It is a treap whose nodes are
+ * the messages themselves, so it allocates nothing. Priorities are a hash of the sequence number, so the same messages form the
+ * same tree. Each operation takes logarithmic time on average. Due dates are microseconds on the caller's clock. Not
+ * thread-safe.
  */
 public final class DueDateTreap<N extends DueDateTreap.Node<N>> {
-    /** A message, in one treap at a time. */
+    /** A message, which may be in one treap at a time. */
     public abstract static class Node<N extends Node<N>> {
         /** The due date; it must not change while the node is in a treap. */
         public long due;
-        /** The number, different for each node; it must not change while the node is in a treap. */
+        /** The sequence number, unique among the nodes; it must not change while the node is in a treap. */
         public long sequenceNumber;
 
         private N left;
@@ -24,12 +25,12 @@
         private int readyCount;
         private int firstOfKeyCount;
 
-        /** Whether it was marked as ready. */
+        /** Returns whether the message is marked as ready. */
         public final boolean ready() {
             return ready;
         }
 
-        /** Whether it was marked as the one that its key lets go. */
+        /** Returns whether the message is marked as first of its key. */
         public final boolean firstOfKey() {
             return firstOfKey;
         }
@@ -37,17 +38,17 @@
 
     private N root;
 
-    /** How many messages there are. */
+    /** Returns the number of messages. */
     public int size() {
         return root == null ? 0 : size(root);
     }
 
-    /** How many are marked as ready. */
+    /** Returns the number of messages marked as ready. */
     public int readyCount() {
         return readyCount(root);
     }
 
-    /** How many are marked as first of their key. */
+    /** Returns the number of messages marked as first of their key. */
     public int firstOfKeyCount() {
         return firstOfKeyCount(root);
     }
@@ -66,7 +67,7 @@
     /**
      * Removes a message and its marks.
      *
-     * @throws IllegalStateException if it is not here
+     * @throws IllegalStateException if the message is not in this treap
      */
     public void remove(N node) {
         root = removeFrom(root, node);
@@ -77,7 +78,7 @@
         removed.firstOfKey = false;
     }
 
-    /** Marks a message that is here. */
+    /** Changes the marks of a message in this treap. */
     public void mark(N node, boolean ready, boolean firstOfKey) {
         Node<N> marked = node;
         int readyDelta = (ready ? 1 : 0) - (marked.ready ? 1 : 0);
@@ -96,17 +97,20 @@
         }
     }
 
-    /** The message that is due first, null where there is none. */
+    /** Returns the message that is due first, null if there is none. */
     public N first() {
         return after(Long.MIN_VALUE, Long.MIN_VALUE, Long.MAX_VALUE, false);
     }
 
-    /** The first of those due in [from, to), null for none; with {@code ready} among the ready ones only. */
+    /** Returns the first message due in [from, to), null if there is none; with {@code readyOnly} only ready messages count. */
     public N earliest(long from, long to, boolean readyOnly) {
         return after(from, Long.MIN_VALUE, to, readyOnly);
     }
 
-    /** The first behind this due date and number that is due before {@code to}, null for none. */
+    /**
+     * Returns the first message after this due date and sequence number that is due before {@code to}, null if there is none;
+     * with {@code readyOnly} only ready messages count.
+     */
     public N after(long due, long sequenceNumber, long to, boolean readyOnly) {
         N found = after(root, due, sequenceNumber, readyOnly);
         return found == null || found.due >= to ? null : found;
@@ -126,13 +130,16 @@
         return !readyOnly || subtree.ready() ? subtree : after(right(subtree), due, sequenceNumber, true);
     }
 
-    /** Of those due last in [from, to) the one with the smallest number, null for none; with {@code ready} of the ready ones. */
+    /**
+     * Returns the message with the smallest sequence number among those with the latest due date in [from, to), null if there
+     * is none; with {@code readyOnly} only ready messages count.
+     */
     public N latest(long from, long to, boolean readyOnly) {
         N found = latest(root, to, readyOnly, false);
         return found == null || found.due < from ? null : after(found.due, Long.MIN_VALUE, Long.MAX_VALUE, readyOnly);
     }
 
-    /** The latest due date of those that are first of their key, MIN_VALUE for none. */
+    /** Returns the latest due date of the messages that are first of their key, {@link Long#MIN_VALUE} if there is none. */
     public long latestFirstOfKeyDue() {
         N found = latest(root, Long.MAX_VALUE, false, true);
         return found == null ? Long.MIN_VALUE : found.due;
@@ -156,7 +163,7 @@
                 : latest(left(subtree), to, readyOnly, firstOfKeyOnly);
     }
 
-    /** How many messages are due in [from, to). */
+    /** Returns the number of messages due in [from, to). */
     public int count(long from, long to) {
         return to <= from ? 0 : countBefore(to) - countBefore(from);
     }
@@ -175,8 +182,8 @@
     }
 
     /**
-     * The first due date in [from, to) for which a condition does not hold, {@code to} where it holds for all. It has to hold for
-     * the earlier due dates and not for the later ones.
+     * Returns the first due date in [from, to) for which a condition does not hold, {@code to} if it holds for all. The
+     * condition must hold for the earlier due dates and not for the later ones.
      */
     public long boundary(long from, long to, LongPredicate condition) {
         long found = to;
@@ -191,7 +198,7 @@
         return found;
     }
 
-    // ---- The treap. ----
+    // ---- Tree operations. ----
 
     private static <N extends Node<N>> N left(N node) {
         return ((Node<N>) node).left;
@@ -243,7 +250,7 @@
         return updateCounts(subtree);
     }
 
-    /** Splits a subtree: what is before the node becomes its left side, the rest its right side. */
+    /** Splits a subtree: the messages before the node become its left subtree, the others its right subtree. */
     private static <N extends Node<N>> void split(N subtree, N node) {
         Node<N> newRoot = node;
         if (subtree == null) {
@@ -265,7 +272,7 @@
 
     private static <N extends Node<N>> N removeFrom(N subtree, N node) {
         if (subtree == null) {
-            throw new IllegalStateException("number " + node.sequenceNumber + " is not here");
+            throw new IllegalStateException("number " + node.sequenceNumber + " is not in this treap");
         }
         Node<N> subtreeRoot = subtree;
         if (subtree == node) {
--- a/decisions/src/main/java/amberroute/decisions/collections/IndexOrderIterator.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexOrderIterator.java
@@ -3,33 +3,34 @@
 import java.util.Arrays;
 
 /**
- * Goes through the ready messages of one treap in the order of their index, the highest first, equal ones by their numbers. A step
- * costs the logarithm of the treap's size for each stretch in which the index only falls or rises. The treap may lose messages that
- * the iterator has passed or is at, and must not change otherwise meanwhile. Not thread-safe.
+ * Iterates over the ready messages of one treap in descending order of their index, and in ascending order of their sequence
+ * numbers where the index is equal. A step takes logarithmic time for each interval in which the index only falls or only
+ * rises. During the iteration messages may be removed from the treap only if the iterator is at them or has passed them; no
+ * other change is allowed. Not thread-safe.
  */
 public final class IndexOrderIterator<N extends DueDateTreap.Node<N>> {
     private static final int INITIAL_INTERVALS = 8;
 
     private final DueDateTreap<N> messages;
     private final AtcIndex atcIndex = new AtcIndex();
-    /** The next message of each stretch, null for none, and its index. */
+    /** The next message of each interval, null for none, and its index. */
     private Object[] nextMessages = new Object[INITIAL_INTERVALS];
 
     private double[] nextIndexes = new double[INITIAL_INTERVALS];
-    /** The stretch that the iterator is in; negative for none. */
+    /** The interval of the current message; negative if there is none. */
     private int currentInterval;
 
-    /** An iterator that has to be begun. */
+    /** Creates an iterator, which must be started with {@link #begin}. */
     public IndexOrderIterator(DueDateTreap<N> messages) {
         this.messages = messages;
     }
 
-    /** The index that it goes by, to be set and divided before {@link #begin}. */
+    /** Returns the index that defines the order; it must be set and divided before {@link #begin}. */
     public AtcIndex atcIndex() {
         return atcIndex;
     }
 
-    /** Goes to the message with the highest index; false where there is none. */
+    /** Moves to the message with the highest index; returns false if there is none. */
     public boolean begin() {
         if (nextMessages.length < atcIndex.intervalCount()) {
             nextMessages = new Object[atcIndex.intervalCount()];
@@ -48,18 +49,18 @@
         return goToHighest();
     }
 
-    /** The message that it is at; there has to be one. */
+    /** Returns the current message; there must be one. */
     @SuppressWarnings("unchecked")
     public N current() {
         return (N) nextMessages[currentInterval];
     }
 
-    /** The logarithm of that message's index. */
+    /** Returns the logarithm of the current message's index. */
     public double index() {
         return nextIndexes[currentInterval];
     }
 
-    /** Goes on to the next message; false where there is none. */
+    /** Moves to the next message; returns false if there is none. */
     public boolean advance() {
         N message = current();
         if (!atcIndex.rising(currentInterval)) {
@@ -75,7 +76,7 @@
         return goToHighest();
     }
 
-    /** Passes over all else of the stretch that it is in, see {@link AtcIndex#divide}; false where nothing is left. */
+    /** Skips the rest of the current interval, see {@link AtcIndex#divide}; returns false if no message is left. */
     public boolean skipInterval() {
         nextMessages[currentInterval] = null;
         return goToHighest();
--- a/decisions/src/main/java/amberroute/decisions/collections/IndexedTimerHeap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/IndexedTimerHeap.java
@@ -3,36 +3,36 @@
 import java.util.Arrays;
 
 /**
- * A heap of items by time that can be moved and removed wherever they are. Each is in it once at most, by an {@link Entry} of its
- * own. Nothing is allocated but the array; {@link #set} and {@link #remove} cost the logarithm of the size. Equal times come in no
- * particular order. Not thread-safe.
+ * A heap of items ordered by time, whose items can be moved and removed wherever they are. An item is in the heap at most once,
+ * by an {@link Entry} of its own. Only the array is allocated; {@link #set} and {@link #remove} take logarithmic time. Items
+ * with equal times come in no particular order. Not thread-safe.
  */
 public final class IndexedTimerHeap<T> {
     private static final int INITIAL_CAPACITY = 16;
     private static final int NOT_QUEUED = -1;
 
-    /** An item's place in one heap. */
+    /** The position of an item in a heap. */
     public static final class Entry<T> {
         private final T item;
         private long dueAt;
         private int position = NOT_QUEUED;
 
-        /** An entry that is in no heap yet. */
+        /** Creates an entry that is in no heap yet. */
         public Entry(T item) {
             this.item = item;
         }
 
-        /** The item that it stands for. */
+        /** Returns the item of this entry. */
         public T item() {
             return item;
         }
 
-        /** The time that it was set to last. */
+        /** Returns the time that the entry was last set to. */
         public long dueAt() {
             return dueAt;
         }
 
-        /** Whether it is in a heap. */
+        /** Returns whether the entry is in a heap. */
         public boolean isQueued() {
             return position >= 0;
         }
@@ -43,7 +43,7 @@
 
     private int size;
 
-    /** Adds an entry, or moves one that is here, to this time. */
+    /** Adds an entry with this time, or moves it to this time if it is already queued. */
     public void set(Entry<T> entry, long dueAt) {
         if (entry.position < 0) {
             if (size == heap.length) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Removes an entry; does nothing where it is not queued. */
+    /** Removes an entry; does nothing if it is not queued. */
     public void remove(Entry<T> entry) {
         if (entry.position < 0) {
             return;
@@ -79,12 +79,12 @@
         }
     }
 
-    /** The earliest entry, null where there is none. */
+    /** Returns the earliest entry, null if there is none. */
     public Entry<T> peek() {
         return size == 0 ? null : heap[0];
     }
 
-    /** Removes the earliest entry if it is not after this time; else null. */
+    /** Removes and returns the earliest entry if its time is not after {@code now}, otherwise returns null. */
     public Entry<T> poll(long now) {
         Entry<T> first = size == 0 || heap[0].dueAt > now ? null : heap[0];
         if (first != null) {
@@ -93,7 +93,7 @@
         return first;
     }
 
-    /** How many entries are queued. */
+    /** Returns the number of queued entries. */
     public int size() {
         return size;
     }
--- a/decisions/src/main/java/amberroute/decisions/collections/MaxHeap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/MaxHeap.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Items by a key, the greatest first, equal keys by their number, the smallest first. The arrays are kept from one use to the next.
- * {@link #add} is for many at once, {@link #push} for one at a time. Not thread-safe.
+ * A heap of items with the greatest key first; among equal keys the smallest tie-breaker comes first. The arrays are kept from
+ * one use to the next. {@link #add} suits many items at once, {@link #push} single items. Not thread-safe.
  */
 public final class MaxHeap<T> {
     private static final int INITIAL_CAPACITY = 64;
@@ -13,7 +13,7 @@
     private long[] tieBreakers = new long[INITIAL_CAPACITY];
     private Object[] items = new Object[INITIAL_CAPACITY];
     private int size;
-    /** The size when the items were last in the order of a heap. */
+    /** The size when the items were last in heap order. */
     private int heapifiedSize;
 
     /** Removes all items. */
@@ -23,12 +23,12 @@
         heapifiedSize = 0;
     }
 
-    /** Whether there are no items. */
+    /** Returns whether there are no items. */
     public boolean isEmpty() {
         return size == 0;
     }
 
-    /** Adds an item; the heap is put in order when it is next read. */
+    /** Adds an item; the heap order is restored when the heap is next read. */
     public void add(T item, double key, long tieBreaker) {
         if (size == keys.length) {
             keys = Arrays.copyOf(keys, 2 * size);
@@ -38,7 +38,7 @@
         set(size++, item, key, tieBreaker);
     }
 
-    /** Adds an item at the cost of the logarithm of the size. */
+    /** Adds an item in logarithmic time. */
     public void push(T item, double key, long tieBreaker) {
         heapify();
         add(item, key, tieBreaker);
@@ -50,13 +50,13 @@
         }
     }
 
-    /** The greatest key; there has to be one. */
+    /** Returns the greatest key; the heap must not be empty. */
     public double key() {
         heapify();
         return keys[0];
     }
 
-    /** Removes the item with the greatest key; there has to be one. */
+    /** Removes and returns the item with the greatest key; the heap must not be empty. */
     @SuppressWarnings("unchecked")
     public T pop() {
         heapify();
--- a/decisions/src/main/java/amberroute/decisions/collections/package-info.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Data structures that keep messages in order and sums over them, so that a decision costs the logarithm of what is pending. They
- * decide nothing and know no destinations, calls or rules. No I/O, no clock, no threads, no randomness, and no other package of the
- * project. Times are microseconds on the caller's clock.
+ * Data structures that keep messages in order and compute sums over them, so that the cost of a decision grows with the
+ * logarithm of the number of pending messages. They make no decisions and know nothing of destinations, calls or rules. They do
+ * no I/O, read no clock, start no threads, use no random numbers and depend on no other package of the project. Times are
+ * microseconds on the caller's clock.
  */
 package amberroute.decisions.collections;
--- a/decisions/src/main/java/amberroute/decisions/package-info.java
+++ b/decisions/src/main/java/amberroute/decisions/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The decisions of a sender: {@link amberroute.decisions.DeliveryScheduler} is the interface,
- * {@link amberroute.decisions.AtcDeliveryScheduler} dispatches events and fixes the order of one decision, and each other class
- * holds one rule, or the state that rules share. {@code docs/decisions.md} lists which class holds which rule.
+ * Decides when and where a sender delivers its messages. {@link amberroute.decisions.DeliveryScheduler} is the interface;
+ * {@link amberroute.decisions.AtcDeliveryScheduler} implements it: it passes each event to the class that handles it and runs
+ * the steps of a decision in order. Every other class holds one rule, or state that several rules share. {@code
+ * docs/decisions.md} lists the rules and their classes.
  *
- * <p>No I/O, no clock, no threads and no libraries: events with their time come in, actions go out. Nothing here may depend on any
- * other module.
+ * <p>The package does no I/O, reads no clock, starts no threads and uses no libraries: the caller passes events with their time
+ * and receives actions. It must not depend on any other module.
  */
 package amberroute.decisions;
--- a/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
+++ b/decisions/src/test/java/amberroute/decisions/AtcDeliverySchedulerTest.java
@@ -20,13 +20,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The rules of the scheduler, in one scripted situation each. */
+/** Tests each rule of the scheduler in a scripted situation. */
 class AtcDeliverySchedulerTest {
     private static SchedulerScript script() {
         return new SchedulerScript(SchedulerScript.settings(8, false, 1));
     }
 
-    /** Ten quick answers, one after the other, so that the usual latency is known. */
+    /** Returns a script with ten quick answers, one after the other, so that the usual latency is known. */
     private static SchedulerScript scriptWithMeasuredLatency(int destination, int endpoints) {
         SchedulerScript script = script().listEndpoints(destination, endpoints);
         for (int i = 0; i < 10; i++) {
@@ -39,7 +39,7 @@
         return script;
     }
 
-    /** Lines that a file of the module may have. */
+    /** Maximum number of lines in a source file of the module. */
     private static final int MAX_FILE_LINES = 500;
 
     @Test
@@ -55,11 +55,11 @@
             assertTrue(
                     lines.stream()
                             .noneMatch(line -> line.matches("import (static )?(java\\.(io|net|nio)|io\\.netty).*")),
-                    file + " does input or output");
+                    file + " imports classes for input or output");
         }
     }
 
-    /** Time passes, and each call is answered after 50 ms. */
+    /** Advances the time and answers each call after 50 ms. */
     private static void advanceAnsweringCalls(SchedulerScript script, long spanMicros) {
         int answeredCount = script.sends.size();
         for (long end = script.now + spanMicros; script.now < end; ) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Priority weights in the script: 3 idempotent, 1 keyed, 4 non-idempotent, 1 ordered. */
+    /** Priority weights of the message classes: 3 idempotent, 1 keyed, 4 non-idempotent, 1 ordered. */
     @Test
     void messageBelowTheAdmissionPriceIsRejected() {
         SchedulerScript script = script().listEndpoints(1, 1);
@@ -86,7 +86,7 @@
                 .submit(4, SchedulerScript.KEYED, 2)
                 .decide();
         assertEquals(List.of(2L), script.rejected);
-        // Of messages at the price a share is admitted, and all of a key or nothing of it.
+        // Of the messages at the price a share is admitted: all messages of a key or none of them.
         script.add(new Event.AdmissionPriceChanged(1, 0.9, 1.1, 0.5, 500_000)).decide();
         script.rejected.clear();
         for (long id = 100; id < 140; id++) {
@@ -107,7 +107,7 @@
         assertEquals(List.of(), script.rejected);
     }
 
-    /** Under a fleet rate limit messages leave evenly, and at once when it is lifted. */
+    /** Under a fleet rate limit messages are sent at even intervals; once it is lifted, they are sent at once. */
     @Test
     void messagesUnderAFleetRateLimitLeaveEvenly() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
@@ -149,7 +149,7 @@
         assertEquals(4, script.sends.size() - sendsBefore);
     }
 
-    /** Another sender was answered: the destination is tried now, not when this sender's own trial is due. */
+    /** If another sender was answered, the destination is tried at once, not when this sender's own trial is due. */
     @Test
     void recoverySeenByAnotherSenderBringsTheNextTrialForward() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
@@ -163,14 +163,14 @@
             }
             script.advance(50_000);
         }
-        // Its last call is in flight or completed; its own next trial would come later than this.
+        // The last call is in flight or completed; this sender's own next trial would come later.
         if (script.sends.size() > failedAttempts + 10) {
             script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
         }
         script.submit(2, SchedulerScript.IDEMPOTENT, 1).decide();
         int sendsBefore = script.sends.size();
         script.decide();
-        assertEquals(sendsBefore, script.sends.size(), "a trial was due anyhow");
+        assertEquals(sendsBefore, script.sends.size(), "a trial was due without the other sender's recovery");
         script.add(new Event.FleetRateLimitChanged(1, 100, 1, true)).decide();
         assertEquals(sendsBefore + 1, script.sends.size());
     }
@@ -203,7 +203,8 @@
         }
         script.decide().advance(12_000_000);
         script.submit(100, SchedulerScript.KEYED, 1).decide();
-        assertTrue(script.rejected.contains(100L), "refused at once: the destination has been silent for long");
+        assertTrue(
+                script.rejected.contains(100L), "not rejected at once, although the destination has long been silent");
     }
 
     @Test
@@ -250,7 +251,7 @@
         script.submit(1, SchedulerScript.NON_IDEMPOTENT, 1).decide();
         long firstEndpoint = script.lastSend(1).endpoint();
         script.complete(1, AttemptOutcome.CONNECT_FAILED).decide();
-        assertNotEquals(firstEndpoint, script.lastSend(1).endpoint(), "the sibling is tried next");
+        assertNotEquals(firstEndpoint, script.lastSend(1).endpoint(), "the retry went to the same endpoint");
     }
 
     @Test
@@ -261,10 +262,10 @@
                 .decide();
         assertTrue(script.isInFlight(1) && !hasSent(script, 2));
         script.add(new Event.MessageCancelled(1)).decide();
-        assertFalse(hasSent(script, 2), "the earlier attempt is still out");
+        assertFalse(hasSent(script, 2), "sent while the earlier attempt was in flight");
         script.complete(1, AttemptOutcome.RESET);
         script.add(new Event.MessageCancelled(1)).decide();
-        assertFalse(hasSent(script, 2), "the key rests");
+        assertFalse(hasSent(script, 2), "sent while the key was paused");
     }
 
     private static boolean hasSent(SchedulerScript script, long id) {
@@ -283,7 +284,7 @@
         assertFalse(hasSent(script, 9));
     }
 
-    /** Incident: calls without an answer held all slots until their time-outs. */
+    /** Regression: calls without an answer held all slots until they timed out. */
     @Test
     void silentCallsOpenTheBreakerAndFreeTheirSlots() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
@@ -291,10 +292,10 @@
             script.submit(i, SchedulerScript.IDEMPOTENT, 1);
         }
         script.decide().advance(2_500_000);
-        assertFalse(script.cancelled.isEmpty(), "silent calls are called off");
+        assertFalse(script.cancelled.isEmpty(), "no silent call was cancelled");
         long before = script.now;
         script.advance(5_000_000);
-        assertTrue(script.sendsTo(1, before) <= 6, "single trials only: " + script.sendsTo(1, before));
+        assertTrue(script.sendsTo(1, before) <= 6, "more calls than single trials: " + script.sendsTo(1, before));
     }
 
     @Test
@@ -349,15 +350,15 @@
                 script.complete(lastSentMessage(script), AttemptOutcome.OK).decide();
             }
         }
-        assertTrue(script.sendsTo(1, from) <= 6, "sent in the first three seconds: " + script.sendsTo(1, from));
+        assertTrue(script.sendsTo(1, from) <= 6, "calls in the first three seconds: " + script.sendsTo(1, from));
     }
 
-    /** The message of the latest attempt. */
+    /** Returns the message of the latest attempt. */
     private static long lastSentMessage(SchedulerScript script) {
         return script.sends.get(script.sends.size() - 1).id();
     }
 
-    /** Many senders with little traffic used up a destination's limit by rejected calls. */
+    /** Regression: many senders with little traffic used up a destination's limit with rejected calls. */
     @Test
     void backoffGrowsWhileADestinationRejects() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
@@ -381,11 +382,14 @@
         assertEquals(3, script.sends.size());
     }
 
-    /** Idle connections of hundreds of senders filled the tables of destinations that each called seldom. */
+    /**
+     * Regression: idle connections of hundreds of senders filled the connection tables of destinations that each sender rarely
+     * called.
+     */
     @Test
     void idleConnectionsAreClosedWhereConnectionTablesAreFull() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
-        assertEquals(List.of(), script.closedEndpoints, "connections are to be had");
+        assertEquals(List.of(), script.closedEndpoints, "closed although connections were available");
         script.submit(1, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .complete(1, AttemptOutcome.CONNECT_FAILED)
@@ -398,17 +402,17 @@
                 .complete(2, AttemptOutcome.OK)
                 .decide();
         int closedBefore = script.closedEndpoints.size();
-        assertTrue(closedBefore > 0, "a gap longer than its life shows that it serves nobody");
+        assertTrue(closedBefore > 0, "a connection stayed open that was idle longer than its life");
         script.advance(200_000)
                 .submit(3, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .advance(200_000)
                 .complete(3, AttemptOutcome.OK)
                 .decide();
-        assertEquals(closedBefore, script.closedEndpoints.size(), "calls close together keep theirs");
+        assertEquals(closedBefore, script.closedEndpoints.size(), "closed between calls in quick succession");
     }
 
-    /** Connections were dropped unseen while idle, and calls on them were lost. */
+    /** Regression: connections were dropped unnoticed while idle, and calls on them were lost. */
     @Test
     void connectionsThatFailAfterIdlingAreNotReused() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1).listEndpoints(2, 1);
@@ -431,10 +435,10 @@
             }
         }
         script.submit(50, SchedulerScript.IDEMPOTENT, 1).decide();
-        assertFalse(script.closedEndpoints.isEmpty(), "shut before it is used");
+        assertFalse(script.closedEndpoints.isEmpty(), "the idle connection was not closed before its next use");
     }
 
-    /** With three slots, two silent non-idempotent calls stopped a sender until their deadline. */
+    /** Regression: with three slots, two silent non-idempotent calls blocked a sender until their deadline. */
     @Test
     void silentNonIdempotentCallIsCancelledWhenAnotherMessageNeedsItsSlot() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(2, false, 1))
@@ -444,13 +448,13 @@
                 .submit(2, SchedulerScript.NON_IDEMPOTENT, 1)
                 .decide()
                 .advance(8_000_000);
-        assertTrue(script.cancelled.isEmpty(), "nobody waits");
+        assertTrue(script.cancelled.isEmpty(), "cancelled although no message waited");
         script.submit(3, SchedulerScript.IDEMPOTENT, 2).decide().advance(100_000);
-        assertTrue(script.isInFlight(3), "a slot was given back");
+        assertTrue(script.isInFlight(3), "no slot was freed");
         assertEquals(1, script.cancelled.size());
     }
 
-    /** A slow start that only an answer could end blocked a destination for senders that called it seldom. */
+    /** Regression: a slow start that only an answer could end blocked a destination for senders that rarely called it. */
     @Test
     void slowStartEndsWithoutTraffic() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
@@ -474,7 +478,7 @@
         assertTrue(script.isInFlight(5) && script.isInFlight(6));
     }
 
-    /** With one call in tens of seconds an outage was over before a second failure was seen. */
+    /** Regression: with one call in tens of seconds, an outage was over before a second failure was seen. */
     @Test
     void oneFailureOpensTheBreakerWhereNoSuccessIsRecent() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
@@ -489,7 +493,7 @@
         assertFalse(script.isInFlight(2) || script.isInFlight(3));
     }
 
-    /** Messages made a dozen attempts each, and hundreds of senders overloaded the destination. */
+    /** Regression: messages made a dozen attempts each, and hundreds of senders overloaded the destination. */
     @Test
     void messageMakesFewAttemptsAtADestinationThatRejects() {
         SchedulerScript script = new SchedulerScript(settingsOfThreeHundredSenders(7)).listEndpoints(1, 1);
@@ -503,7 +507,7 @@
         assertTrue(script.sends.size() <= 3, "attempts: " + script.sends.size());
     }
 
-    /** A burst rejected at hundreds of senders came back at once and overloaded the destination. */
+    /** Regression: a burst that was rejected at hundreds of senders was retried at once and overloaded the destination. */
     @Test
     void rejectedSendersRetryFarApart() {
         TreeSet<Long> retryDelaysMicros = new TreeSet<>();
@@ -518,13 +522,13 @@
             }
             retryDelaysMicros.add(script.now - SchedulerScript.START);
         }
-        assertTrue(retryDelaysMicros.first() >= 8_000_000, "none soon: " + retryDelaysMicros);
+        assertTrue(retryDelaysMicros.first() >= 8_000_000, "retried too soon: " + retryDelaysMicros);
         assertTrue(
                 retryDelaysMicros.last() - retryDelaysMicros.first() > 4_000_000 && retryDelaysMicros.size() > 12,
-                "apart: " + retryDelaysMicros);
+                "retried too close together: " + retryDelaysMicros);
     }
 
-    /** Settings of one among three hundred senders. */
+    /** Returns the settings of one of three hundred senders. */
     private static DeliveryScheduler.Settings settingsOfThreeHundredSenders(long seed) {
         DeliveryScheduler.Settings base = SchedulerScript.settings(4, false, 1);
         return new DeliveryScheduler.Settings(
@@ -574,7 +578,7 @@
         assertTrue(script.failed.isEmpty());
     }
 
-    /** Long random scenarios keep the rules that the script asserts, and give the same actions twice. */
+    /** Long random scenarios keep the rules that the script asserts, and a repetition gives the same actions. */
     @Test
     void randomScenariosKeepTheRulesAndAreReproducible() {
         for (int seed = 1; seed <= 20; seed++) {
@@ -582,7 +586,7 @@
         }
     }
 
-    /** Instances share nothing: a step of one between the steps of another changes neither. */
+    /** Schedulers share no state: a step of one between the steps of another changes neither. */
     @Test
     void interleavedSchedulersDoNotAffectEachOther() {
         SchedulerScript alone = script().listEndpoints(1, 2);
@@ -624,7 +628,7 @@
         return script.sends;
     }
 
-    /** One connection carries a call: its messages time out together, so none outlives its due date. */
+    /** A call has one connection, so its messages time out together and none outlives its due date. */
     @Test
     void messagesOfOneCallTimeOutTogether() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(1, false, 5)).listEndpoints(1, 1);
@@ -648,7 +652,7 @@
         script.advance(16_100_000);
     }
 
-    /** An outcome that would come after the end of the process loses a non-idempotent message; others are recovered. */
+    /** A non-idempotent message is lost if its outcome comes after the end of the process; other messages are recovered. */
     @Test
     void nonIdempotentMessageIsNotSentJustBeforeTheProcessEnds() {
         SchedulerScript script = scriptWithMeasuredLatency(1, 1);
@@ -669,7 +673,7 @@
         assertEquals(1, script.sends.stream().filter(send -> send.id() == 1).count());
     }
 
-    /** Where answers are acknowledged, the next message of a key goes only behind the acknowledgement. */
+    /** If answers are acknowledged, the next message of a key is sent only after the acknowledgement. */
     @Test
     void nextMessageOfAKeyWaitsForTheAcknowledgement() {
         List<Long> sent = new ArrayList<>();
@@ -700,7 +704,10 @@
         assertEquals(List.of(2L), sent);
     }
 
-    /** What was in flight at a kill may have run: non-idempotent fails, keyed goes on only while its key is remembered. */
+    /**
+     * An attempt that was in flight when the process was killed may have run: a non-idempotent message fails, and a keyed
+     * message is retried only while its key is remembered.
+     */
     @Test
     void recoveredMessagesAreRetriedAsTheirIdempotencyAllows() {
         List<Long> sent = new ArrayList<>();
@@ -721,7 +728,7 @@
         recover(scheduler, now, 5, SchedulerScript.IDEMPOTENT, 1, 9_000_000, actions);
         recover(scheduler, now, 6, SchedulerScript.IDEMPOTENT, 8, -1, actions);
         scheduler.step(now, new DeliveryScheduler.Event.Decide(), actions);
-        assertEquals(List.of(5L), sent, "the safe one tells whether the destination answers");
+        assertEquals(List.of(5L), sent, "only the idempotent message serves as the trial");
         scheduler.step(
                 now + 50_000,
                 new DeliveryScheduler.Event.AttemptCompleted(5, 1, 10, AttemptOutcome.OK, 50_000, true, 0, List.of()),
@@ -788,7 +795,7 @@
         };
     }
 
-    // ---- Settings that change. ----
+    // ---- Changes of the settings. ----
 
     private static DeliveryScheduler.Settings withAttemptsAndIdempotency(
             DeliveryScheduler.Settings settings, int maxAttempts, DeliveryScheduler.Idempotency idempotency) {
@@ -840,14 +847,14 @@
                         SchedulerScript.settings(8, false, 1), 12, DeliveryScheduler.Idempotency.NON_IDEMPOTENT)))
                 .decide();
         script.advance(100_000).complete(1, AttemptOutcome.ERROR).decide().advance(100_000);
-        assertTrue(script.isInFlight(1), "a safe message was not sent again");
+        assertTrue(script.isInFlight(1), "the idempotent message was not retried");
         script.complete(1, AttemptOutcome.OK)
                 .submit(2, SchedulerScript.IDEMPOTENT, 1)
                 .decide()
                 .advance(100_000)
                 .complete(2, AttemptOutcome.ERROR)
                 .decide();
-        assertTrue(script.failed.contains(2L), "an unsafe message may not go on");
+        assertTrue(script.failed.contains(2L), "the non-idempotent message was not failed");
     }
 
     @Test
@@ -880,7 +887,7 @@
                 .complete(1, AttemptOutcome.ERROR)
                 .decide()
                 .advance(100_000);
-        assertTrue(script.isInFlight(1), "the class had changed");
+        assertTrue(script.isInFlight(1), "the message class had changed");
     }
 
     @Test
@@ -891,12 +898,12 @@
                 .decide()
                 .complete(1, AttemptOutcome.CONNECT_FAILED)
                 .decide();
-        assertEquals(0, script.avoidedEndpoints(), "one failure is chance");
+        assertEquals(0, script.avoidedEndpoints(), "avoided after a single failure");
         script.advance(500_000).complete(1, AttemptOutcome.CONNECT_FAILED).decide();
         assertEquals(2, script.avoidedEndpoints());
     }
 
-    // ---- Transfer from a process that still runs. ----
+    // ---- Transfer from a process that is still running. ----
 
     private static Event messageRecovered(long id, int messageClass, long key) {
         return new Event.MessageRecovered(id, messageClass, key, 10_000_000, 1, 0, -1, 0, false);
@@ -919,7 +926,7 @@
         assertEquals(1, script.sends.size());
     }
 
-    /** Both messages of one call: one slot, free only when both have their outcomes. */
+    /** Two messages of one call use one slot, which is free only when both have their outcomes. */
     @Test
     void messagesOfATransferredCallShareItsSlot() {
         SchedulerScript script = new SchedulerScript(SchedulerScript.settings(2, false, 2))
@@ -944,7 +951,7 @@
                 .add(attemptCompleted(2, AttemptOutcome.OK))
                 .decide();
         script.submit(5, SchedulerScript.IDEMPOTENT, 1).decide();
-        assertTrue(script.isInFlight(5), "the slot did not come back");
+        assertTrue(script.isInFlight(5), "the slot was not freed");
     }
 
     @Test
@@ -991,14 +998,14 @@
         SchedulerScript nextProcess = script().listEndpoints(1, 2);
         snapshots.forEach(snapshot -> nextProcess.add(new Event.UpstreamStateTransferred(snapshot)));
         nextProcess.submit(2, SchedulerScript.IDEMPOTENT, 1).decide().advance(850_000);
-        assertFalse(nextProcess.isInFlight(2), "the told wait is not kept");
+        assertFalse(nextProcess.isInFlight(2), "sent before the transferred Retry-After was over");
         nextProcess.advance(900_000);
         assertTrue(nextProcess.isInFlight(2));
         List<DeliveryScheduler.UpstreamSnapshot> restored = script().listEndpoints(1, 2)
                 .add(new Event.UpstreamStateTransferred(snapshots.get(0)))
                 .decide()
                 .snapshots();
-        // For how long an upstream has been healthy is not kept: nothing depends on it.
+        // How long an upstream has been healthy is not transferred, because nothing depends on it.
         assertEquals(
                 snapshots.stream()
                         .map(AtcDeliverySchedulerTest::withoutHealthyTime)
--- a/decisions/src/test/java/amberroute/decisions/DispatchCandidatesTest.java
+++ b/decisions/src/test/java/amberroute/decisions/DispatchCandidatesTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The bound that a selection round orders dispatch queues by. */
+/** Tests the bounds by which a selection round orders dispatch queues. */
 class DispatchCandidatesTest {
-    /** The bound is never above the logarithm, and close enough to be of use. */
+    /** The bound is never above the logarithm, apart from rounding, and at most 0.0009 below it. */
     @Test
     void logLowerBoundStaysCloseBelowTheLogarithm() {
         for (double value = 1; value < 1e300; value *= 1.0003) {
--- a/decisions/src/test/java/amberroute/decisions/EmbeddingExampleTest.java
+++ b/decisions/src/test/java/amberroute/decisions/EmbeddingExampleTest.java
@@ -12,7 +12,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The example of docs/embedding.md stands here word for word, so that it compiles and runs. */
+/** Contains the example of docs/embedding.md word for word, so that it is compiled and run. */
 class EmbeddingExampleTest {
     private final List<String> done = new ArrayList<>();
 
--- a/decisions/src/test/java/amberroute/decisions/SchedulerScript.java
+++ b/decisions/src/test/java/amberroute/decisions/SchedulerScript.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Plays scripted events against a scheduler and asserts the rules on every action. */
+/** Passes scripted events to a scheduler and asserts the rules on every action. */
 final class SchedulerScript implements DeliveryScheduler.Actions {
     static final long START = 1_000_000_000L;
     static final int IDEMPOTENT = 0;
@@ -99,7 +99,7 @@
                 ordered);
     }
 
-    /** Lists endpoints that are ready; their numbers are destination times ten and up. */
+    /** Lists ready endpoints; their ids are ten times the destination's id and up. */
     SchedulerScript listEndpoints(int destination, int count) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -133,10 +133,10 @@
         return submit(id, messageClass, destination, 0);
     }
 
-    /** Completes the attempt in flight of a message. */
+    /** Completes the attempt of a message that is in flight. */
     SchedulerScript complete(long id, AttemptOutcome outcome, long retryAfterMicros) {
         SubmittedMessage message = messages.get(id);
-        assertTrue(message.inFlight, "no attempt of " + id + " is out");
+        assertTrue(message.inFlight, "no attempt of " + id + " is in flight");
         Send send = lastSend(id);
         boolean didNotRun = outcome == AttemptOutcome.FULL
                 || outcome == AttemptOutcome.CONNECT_FAILED
@@ -186,7 +186,7 @@
         return this;
     }
 
-    /** Passes the events that were added as one moment, then decides. */
+    /** Passes the added events as one moment, then decides. */
     SchedulerScript decide() {
         undeliveredEvents.forEach(event -> scheduler.step(now, event, this));
         undeliveredEvents.clear();
@@ -194,7 +194,7 @@
         return this;
     }
 
-    /** Lets time pass in ticks of 5 ms, in which timers expire and attempts time out. */
+    /** Advances the time in ticks of 5 ms, in which timers expire and attempts time out. */
     SchedulerScript advance(long spanMicros) {
         long until = now + spanMicros;
         decide();
@@ -218,7 +218,7 @@
             }
             messages.forEach((id, message) -> assertTrue(
                     message.completed || now <= message.due + 20_000,
-                    "no final answer in time for " + id + (message.inFlight ? ", out" : ", held")));
+                    "no final answer in time for " + id + (message.inFlight ? ", in flight" : ", waiting")));
         }
         return this;
     }
@@ -245,18 +245,18 @@
     @Override
     public void send(long id, long endpoint, long timeoutAt) {
         SubmittedMessage message = messages.get(id);
-        assertFalse(message.completed, "sent after its end: " + id);
-        assertFalse(message.inFlight, "two attempts out: " + id);
+        assertFalse(message.completed, "sent after its completion: " + id);
+        assertFalse(message.inFlight, "two attempts in flight: " + id);
         if (message.mayHaveRun) {
-            assertTrue(message.messageClass != NON_IDEMPOTENT, "unsafe sent again: " + id);
+            assertTrue(message.messageClass != NON_IDEMPOTENT, "non-idempotent message retried: " + id);
             assertTrue(
                     message.messageClass == IDEMPOTENT || now <= message.unknownOutcomeSince + 6_000_000,
-                    "key forgotten: " + id);
+                    "retried after the end of the key life: " + id);
         }
         int destination = destinationOf.get(endpoint);
-        assertTrue(now >= retryAfterUntil.getOrDefault(destination, 0L), "sent inside a told wait: " + id);
+        assertTrue(now >= retryAfterUntil.getOrDefault(destination, 0L), "sent before Retry-After was over: " + id);
         assertFalse(unlistedSince.containsKey(endpoint), "sent to a draining or gone endpoint: " + id);
-        assertTrue(timeoutAt <= message.due, "runs past the client's time: " + id);
+        assertTrue(timeoutAt <= message.due, "times out after its due date: " + id);
         if (message.messageClass == ORDERED && message.key != 0) {
             messages.forEach((otherId, otherMessage) -> assertTrue(
                     otherMessage == message
@@ -264,7 +264,7 @@
                             || otherMessage.key != message.key
                             || otherId > id
                             || otherMessage.completed && !otherMessage.inFlight,
-                    "out of turn: " + id));
+                    "sent out of order: " + id));
         }
         message.inFlight = true;
         sends.add(new Send(now, id, message.attempts++, endpoint, timeoutAt));
@@ -274,9 +274,10 @@
     public void reject(long id, long retryAfterMicros) {
         SubmittedMessage message = messages.get(id);
         assertFalse(message.completed, "answered twice: " + id);
-        assertFalse(message.inFlight && message.messageClass != IDEMPOTENT, "refused while out: " + id);
+        assertFalse(message.inFlight && message.messageClass != IDEMPOTENT, "rejected while in flight: " + id);
         assertFalse(
-                message.messageClass == NON_IDEMPOTENT && message.mayHaveRun, "refused though it may have run: " + id);
+                message.messageClass == NON_IDEMPOTENT && message.mayHaveRun,
+                "rejected although it may have run: " + id);
         message.completed = true;
         rejected.add(id);
     }
@@ -290,7 +291,7 @@
 
     @Override
     public void cancel(long id, int attempt) {
-        assertEquals(lastSend(id).attempt(), attempt, "cancels an attempt that is not out");
+        assertEquals(lastSend(id).attempt(), attempt, "cancels an attempt that is not in flight");
         cancelled.add(lastSend(id));
         complete(id, AttemptOutcome.CANCELLED);
     }
@@ -303,7 +304,7 @@
 
     @Override
     public void scheduleTimer(long delayMicros, long token) {
-        assertTrue(delayMicros > 0, "a timer in the past");
+        assertTrue(delayMicros > 0, "the timer's delay is not above 0");
         timers.add(now + delayMicros);
     }
 
--- a/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
+++ b/decisions/src/test/java/amberroute/decisions/collections/CollectionsTest.java
@@ -15,7 +15,7 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** Each structure beside the plainest thing that does the same, on random operations with printed seeds. */
+/** Compares each data structure with a simple model on random operations; failures name the seed. */
 class CollectionsTest {
     private static final class Item extends DueDateTreap.Node<Item> {
         private boolean isReady;
@@ -33,7 +33,7 @@
     }
 
     private static final Comparator<Item> ORDER =
-            Comparator.<Item>comparingLong(i -> i.due).thenComparingLong(i -> i.sequenceNumber);
+            Comparator.<Item>comparingLong(item -> item.due).thenComparingLong(item -> item.sequenceNumber);
 
     private static Item first(TreeSet<Item> model, Predicate<Item> wanted) {
         return model.stream().filter(wanted).findFirst().orElse(null);
@@ -189,7 +189,8 @@
                     }
                 } else if (!model.isEmpty()) {
                     Item best = model.stream()
-                            .max(Comparator.<Item>comparingLong(i -> i.due).thenComparing(i -> -i.sequenceNumber))
+                            .max(Comparator.<Item>comparingLong(item -> item.due)
+                                    .thenComparing(item -> -item.sequenceNumber))
                             .orElseThrow();
                     assertEquals(best.due, heap.key(), "seed " + seed + ", step " + step);
                     assertSame(best, heap.pop(), "seed " + seed + ", step " + step);
@@ -232,7 +233,7 @@
 
     // ---- The index. ----
 
-    /** Random classes, loads and moments; dues reach from behind to far ahead, many of them equal. */
+    /** Random message classes, loads and times; due dates reach from the past far into the future, and many are equal. */
     private static final class IndexScenario {
         final SplittableRandom random;
         final AtcIndex atcIndex;
@@ -253,7 +254,7 @@
                     objectiveMicros + random.nextLong(10_000_000) - (random.nextInt(10) == 0 ? objectiveMicros / 2 : 0);
             serviceMicros = Math.pow(10, random.nextDouble() * 7);
             boolean valueHalves = random.nextBoolean();
-            // Of a stair without end only the first sixty steps are told apart.
+            // Without a late share only the first sixty halvings of the value are distinguished.
             double[] lateShares = {valueHalves ? 0.5 : 0, 0.5, 1, random.nextDouble() + 1e-6, 0.001};
             atcIndex.set(
                     random.nextDouble() * 4,
@@ -305,7 +306,7 @@
             for (int i = 1; i < visited.size(); i++) {
                 double previousIndex = scenario.atcIndex.index(visited.get(i - 1).due);
                 double index = scenario.atcIndex.index(visited.get(i).due);
-                // Where the index is flat to the last digit its neighbours may change places.
+                // Messages whose indexes are equal up to rounding may come in either order.
                 assertTrue(
                         previousIndex >= index
                                 || Math.abs(previousIndex - index) <= 1e-9 * Math.max(1, Math.abs(index)),
@@ -353,7 +354,7 @@
         }
     }
 
-    /** What is skipped is just what lies between the same cuts and stretches; the rest is walked through as before. */
+    /** Skipping leaves out only messages between the same splits and interval bounds; the iteration continues over the rest. */
     @Test
     void skippingLeavesOutOneIntervalOnly() {
         for (long seed = 1; seed <= 500; seed++) {
