--- a/sender/src/main/java/amberroute/sender/journal/AttemptHistory.java
+++ b/sender/src/main/java/amberroute/sender/journal/AttemptHistory.java
@@ -3,13 +3,13 @@
 import amberroute.sender.message.AcceptedMessage;
 
 /**
- * What the attempts of a message have left behind.
+ * The outcome of a message's attempts so far, as it is restored after a restart.
  *
  * @param attempts number of attempts
- * @param unknownOutcomeSinceMillis time of the steady clock of the first attempt whose outcome is unknown, 0 for none
+ * @param unknownOutcomeSinceMillis steady-clock time of the first attempt whose outcome is unknown, 0 if there is none
  * @param unknownOutcomeEndpoint uid of the endpoint of that attempt
  * @param attemptInFlight whether an attempt was in flight
- * @param lastSentAtMillis time of the steady clock of the last attempt
+ * @param lastSentAtMillis steady-clock time of the last attempt
  * @param lastEndpoint uid of the endpoint of the last attempt
  */
 record AttemptHistory(
--- a/sender/src/main/java/amberroute/sender/journal/CompletedRecord.java
+++ b/sender/src/main/java/amberroute/sender/journal/CompletedRecord.java
@@ -3,10 +3,10 @@
 import amberroute.decisions.DeliveryScheduler;
 
 /**
- * What is journaled of a completed message, so that a client that submits it again is answered as for a duplicate.
+ * The part of a completed message that is kept, so that a client that submits it again gets the reply for a duplicate.
  *
  * @param id the message's id
- * @param contentHash hash of its content, 0 where that is unknown
- * @param idempotency of its class
+ * @param contentHash hash of its content, 0 if unknown
+ * @param idempotency idempotency of its message class
  */
 record CompletedRecord(String id, int contentHash, DeliveryScheduler.Idempotency idempotency) {}
--- a/sender/src/main/java/amberroute/sender/journal/DataLossReport.java
+++ b/sender/src/main/java/amberroute/sender/journal/DataLossReport.java
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What of a journal could not be read when it was opened. */
+/** The parts of a journal that could not be read when it was opened. */
 final class DataLossReport {
     private final SegmentLog log;
-    /** Unreadable bytes at the end of an earlier version's file, where that is what was opened. */
+    /** Unreadable bytes at the end of the journal file of an earlier version, 0 if segments were opened. */
     private final long legacyUnreadBytes;
 
     DataLossReport(SegmentLog log, long legacyUnreadBytes) {
@@ -17,12 +17,12 @@
         this.legacyUnreadBytes = legacyUnreadBytes;
     }
 
-    /** Returns one line for each unreadable part, damage before torn writes; empty where all was read. */
+    /** Returns one line for each unreadable part, damage before torn writes; empty if everything was read. */
     List<String> lines() {
         List<String> lines = new ArrayList<>();
         log.losses().forEach(loss -> lines.add(describe(loss)));
         if (log.tornBytes() > 0) {
-            lines.add(log.tornBytes() + " bytes of torn ends");
+            lines.add(log.tornBytes() + " bytes of torn writes");
         }
         if (legacyUnreadBytes > 0) {
             lines.add(legacyUnreadBytes + " bytes at the end of an earlier version's file");
@@ -37,12 +37,12 @@
                         + loss.damage().endOffset();
     }
 
-    /** Returns whether more than a torn write could not be read. */
+    /** Returns whether anything but a torn write could not be read. */
     boolean damaged() {
         return !log.losses().isEmpty() || legacyUnreadBytes > 0;
     }
 
-    /** Logs torn writes, and each damaged or missing segment. */
+    /** Logs torn writes and each damaged or missing segment. */
     void logWarnings() {
         if (log.tornBytes() > 0) {
             LogEvent.of("journal_torn_write_skipped")
--- a/sender/src/main/java/amberroute/sender/journal/FencingToken.java
+++ b/sender/src/main/java/amberroute/sender/journal/FencingToken.java
@@ -12,12 +12,12 @@
 import java.util.UUID;
 
 /**
- * The fence of a state folder: names the daemon that has taken over what is in it. It is raised once, whole and for one successor,
- * and never lowered: from then on no process may have an effect out of this folder. Raising makes a hard link, which the file
- * system grants to one of several successors only.
+ * The fencing token of a state folder: it names the sender that has taken over the folder's messages. It is created
+ * once, atomically and for one successor, and never removed: from then on no process may cause an effect from this
+ * folder. It is created by a hard link, which the file system grants to only one of several successors.
  *
- * @param successor name of the daemon that takes over
- * @param successorFolder its state folder, absolute
+ * @param successor name of the sender that takes over
+ * @param successorFolder its state folder, as an absolute path
  * @param handoffId identifies the takeover; prefix of its handoff batches
  * @param completed whether nothing is left in the folder to take over
  */
@@ -30,9 +30,10 @@
     }
 
     /**
-     * Reads the folder's fence; null where it is not fenced.
+     * Reads the folder's fencing token.
      *
-     * @throws IOException where there is a fence that cannot be read
+     * @return the token, or null if there is none
+     * @throws IOException if there is a token that cannot be read
      */
     public static FencingToken read(Path folder) throws IOException {
         Path file = folder.resolve(FILE_NAME);
@@ -52,10 +53,11 @@
     }
 
     /**
-     * Raises the fence for a successor, or finds it raised for the same one before. An earlier successor counts as the same once
-     * its own folder has been taken over completely into this one, as its handoff batches are known here then.
+     * Creates the token for a successor, or returns the token that was created earlier for the same one. An earlier
+     * successor counts as the same after its own folder has been taken over completely into {@code successorFolder},
+     * since its handoff batches are known there.
      *
-     * @throws IOException where another successor was first
+     * @throws IOException if another successor was first
      */
     public static FencingToken create(Path folder, String successor, Path successorFolder) throws IOException {
         Path ownFolder = successorFolder.toAbsolutePath().normalize();
@@ -73,14 +75,14 @@
         }
     }
 
-    /** Follows the folders that were taken over one after another, from the fence of the first one. */
+    /** Follows the chain of folders that were taken over, starting with the token of the first one. */
     private static FencingToken existingToken(Path folder, Path ownFolder) throws IOException {
         FencingToken first = read(folder);
         int chainLength = 0;
         for (FencingToken token = first;
                 token != null && !token.successorFolder().equals(ownFolder); ) {
             token = read(token.successorFolder());
-            // The bound ends a circle of folders that took each other over.
+            // The bound ends a cycle of folders that took each other over.
             if (token == null || !token.completed() || ++chainLength > MAX_CHAIN_LENGTH) {
                 throw new IOException("folder " + folder + " was taken over by " + first.successor() + " into "
                         + first.successorFolder());
--- a/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
+++ b/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
@@ -10,16 +10,21 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Forces the log to the disk and defers effects until what they depend on has been forced. One force runs at a time, on the
- * background executor; what is written meanwhile waits for the next one. Used on the event loop only.
+ * Forces the log to disk and defers effects until the records they depend on have been forced. One force runs at a
+ * time, on the background executor; records that are written meanwhile wait for the next one. Used on the event loop
+ * only.
  */
 final class ForceScheduler {
-    /** Bytes that one step of compaction copies; it bounds the time of one event loop iteration. */
+    /** Bytes copied by one step of compaction, which bounds the duration of one event loop iteration. */
     static final long COMPACTION_STEP_BYTES = 16 * 1_024;
 
     private static final int MAX_FORCE_ATTEMPTS = 5;
 
-    /** An effect that may happen once all up to a sequence number is forced; {@code failed} is null to wait without bound. */
+    /**
+     * An effect that may happen once all records up to a sequence number are forced.
+     *
+     * @param onFailure runs instead if a force fails; null to wait without a time limit
+     */
     private record DeferredEffect(long sequence, Runnable effect, Runnable onFailure) {}
 
     private final SegmentLog log;
@@ -29,12 +34,12 @@
     private final Deque<DeferredEffect> deferred = new ArrayDeque<>();
     private PendingForce runningForce;
     private boolean startRequested;
-    /** Counted down when the running force has run. */
+    /** Counted down when the running force has finished. */
     private CountDownLatch runningForceDone;
-    /** Takes the result of the running force, once. */
+    /** Processes the result of the running force, at most once. */
     private Runnable completeRunningForce;
 
-    /** {@code executor} may be null where nothing is forced in the background. */
+    /** {@code executor} may be null if nothing is forced in the background. */
     ForceScheduler(SegmentLog log, Durability durability, BackgroundExecutor executor, WriteFailure failure) {
         this.log = log;
         this.durability = durability;
@@ -51,7 +56,7 @@
         return deferred.size();
     }
 
-    /** Runs an effect when all records so far survive a loss of power, at once where that is not asked for. */
+    /** Runs an effect when all records so far survive a power loss; immediately if durability is not required. */
     void whenForced(Runnable effect, Runnable onFailure) {
         if (durability == Durability.NONE || deferred.isEmpty() && allForced()) {
             effect.run();
@@ -80,7 +85,7 @@
         CountDownLatch done = new CountDownLatch(1);
         runningForceDone = done;
         Runnable completion = () -> {
-            // Once: forceAll() completes the running force ahead of the executor.
+            // forceAll() may have completed the running force before the executor did.
             if (runningForce == force) {
                 runningForce = null;
                 onForceCompleted(force, error[0]);
@@ -95,7 +100,7 @@
         });
     }
 
-    /** On the executor's thread; the latch makes {@code error} visible to the event loop. */
+    /** Runs on the executor's thread; the latch makes {@code error} visible to the event loop. */
     private static void run(PendingForce force, IOException[] error, CountDownLatch done) {
         try {
             force.run();
@@ -113,7 +118,7 @@
             return;
         }
         failure.report(new IOException(
-                "forcing failed, what was written since the last one is written anew: " + error.getMessage()));
+                "fsync failed, rewriting the records since the last successful one: " + error.getMessage()));
         List<DeferredEffect> waiting = List.copyOf(deferred);
         deferred.clear();
         for (DeferredEffect waitingEffect : waiting) {
@@ -131,7 +136,7 @@
         }
     }
 
-    /** Forces on this thread. Slow. Returns whether all records so far survive a loss of power. */
+    /** Forces on the calling thread, which blocks it. Returns whether all records so far survive a power loss. */
     boolean forceNow() {
         PendingForce force = runningForce == null ? log.prepareForce() : null;
         if (force != null) {
@@ -150,7 +155,7 @@
         return !log.needsRewrite() && log.forcedSequence() >= log.lastSequence();
     }
 
-    /** Forces on this thread, several times where a force fails. Slow. Returns whether that succeeded. */
+    /** Forces on the calling thread, which blocks it, and repeats a failed force. Returns whether one succeeded. */
     boolean forceAll() {
         if (durability == Durability.NONE) {
             return true;
@@ -167,7 +172,7 @@
         return false;
     }
 
-    /** The executor's force comes first: its files must not be closed while it runs. */
+    /** Waits for the background force, whose files must not be closed while it runs. */
     private boolean awaitRunningForce() {
         try {
             runningForceDone.await();
@@ -179,7 +184,7 @@
         return true;
     }
 
-    /** Copies what a failed force has left unknown, so that the next force covers it. */
+    /** Copies the records whose durability is unknown after a failed force, so that the next force covers them. */
     void rewriteUnforcedRecords() {
         try {
             boolean progressed = true;
--- a/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/HandoffJournal.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * Journals who owns the messages of each handoff batch. A batch's state and all that follows from it, such as the messages and
- * key holds that come or go with it, is one write: after a crash a message has one owner, and is not lost. Used on the event loop
+ * Journals who owns the messages of each handoff batch. The state of a batch and everything that changes with it, such
+ * as its messages and key holds, is one write: after a crash each message has exactly one owner. Used on the event loop
  * only.
  */
 final class HandoffJournal {
-    /** Batches that are recorded at most; none is offered or accepted beyond. */
+    /** Bound on the number of recorded batches; beyond it no batch is offered or accepted. */
     private static final int MAX_BATCHES = 4_096;
 
     private static final int BUDGET_DIVISOR = 8;
@@ -25,7 +25,7 @@
     private final JournalWriter writer;
     private final KeyHoldJournal keyHolds;
     private final long maxBatches;
-    /** Time at which expired batches were last looked for, in milliseconds of the caller's clock. */
+    /** Time of the last search for expired batches, in milliseconds of the caller's clock. */
     private long lastExpiryCheckMillis;
 
     HandoffJournal(SegmentLog log, JournalContents contents, JournalWriter writer, KeyHoldJournal keyHolds) {
@@ -37,7 +37,7 @@
         maxBatches = Math.min(MAX_BATCHES, limits.budgetBytes() / BUDGET_DIVISOR / RecordSizes.HANDOFF_BATCH_BYTES);
     }
 
-    /** Writes a batch's state; the messages of one that was given away are completed here. */
+    /** Writes a batch's state; the messages of a batch that was given away are completed here. */
     boolean write(String name, HandoffBatchRecord record) {
         return write(name, record, new Batch());
     }
@@ -57,7 +57,7 @@
         Batch evictedIds = new Batch();
         givenAway.forEach(message ->
                 contents.complete(message, contents.completedRecord(message)).forEach(evictedIds::delete));
-        // Where the disk does not take this, their ids are remembered for longer.
+        // If the disk rejects this write, the ids are remembered for longer.
         writer.write(evictedIds);
         contents.putHandoffBatch(name, record);
         return true;
@@ -78,7 +78,7 @@
                 .toList();
     }
 
-    /** Pending writes of the batch's messages come first: they would undo what the batch changes. */
+    /** Writes pending changes of the batch's messages, which would undo the batch's change; false if any remain. */
     private boolean flushPendingWrites(HandoffBatchRecord record) {
         if (!writer.pendingWrites().isEmpty()) {
             writer.retryFailedWrites();
@@ -86,7 +86,7 @@
         return record.messageNumbers().stream().noneMatch(writer.pendingWrites()::contains);
     }
 
-    /** Writes an offer, and in the same batch the holds that make messages of its keys wait after a restart. */
+    /** Writes an offer together with the holds that make messages of its keys wait after a restart. */
     boolean offer(String name, HandoffBatchRecord record, String origin, List<Long> keys, long holdUntilMillis) {
         if (!keys.isEmpty() && !keyHolds.hasRoomFor(keys.size())) {
             return false;
@@ -100,7 +100,7 @@
         return true;
     }
 
-    /** Writes that a batch and its keys are this daemon's again; returns the free keys, null where it was not written. */
+    /** Writes that this sender owns a batch and its keys again; returns the keys that became free, null on failure. */
     List<Long> reclaim(String name, HandoffBatchRecord record, String origin, List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> keyHolds.delete(batch, origin, key));
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Accepts messages of another daemon, and in the same batch ends the origin's holds on their keys and ranks the messages that
-     * waited for these keys behind them.
+     * Accepts messages of another sender. The same write ends the origin's holds on their keys and ranks the messages
+     * that waited for these keys after them.
      */
     boolean accept(
             String name,
@@ -160,7 +160,7 @@
         return contents.handoffBatches.size() < maxBatches || contents.handoffBatches.containsKey(name);
     }
 
-    /** Deletes batches whose time is over; a late offer of one is rejected, since its messages are past their deadline. */
+    /** Deletes expired batches; a late offer of one is rejected, since its messages are past their deadline. */
     void expire(long nowMillis) {
         lastExpiryCheckMillis = nowMillis;
         List<String> expired = contents.handoffBatches.entrySet().stream()
@@ -174,7 +174,7 @@
         }
     }
 
-    /** The answer to an offer is awaited whatever the time. */
+    /** An offered batch does not expire: the reply to the offer is awaited without a time limit. */
     private static boolean isExpired(HandoffBatchRecord record, long nowMillis) {
         return record.retainUntilMillis() < nowMillis && record.ownership().status() != Ownership.Status.OFFERED;
     }
--- a/sender/src/main/java/amberroute/sender/journal/HealthJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/HealthJournal.java
@@ -4,8 +4,9 @@
 import amberroute.storage.Batch;
 
 /**
- * Journals the health of upstreams that are not healthy. The number of records is bounded, the longest unchanged is forgotten
- * first: the next process takes a forgotten upstream for healthy until its calls fail. Used on the event loop only.
+ * Journals the health of upstreams that are not healthy. The number of records is bounded; beyond it the record that
+ * has been unchanged for longest is deleted, and the next process assumes that upstream to be healthy until its calls
+ * fail. Used on the event loop only.
  */
 final class HealthJournal {
     private static final int BUDGET_DIVISOR = 16;
@@ -23,7 +24,7 @@
         maxRecords = (int) Math.min(MAX_RECORDS, Math.max(MIN_RECORDS, fittingRecords));
     }
 
-    /** Writes a record as soon as the disk takes it; that of a healthy upstream only deletes an earlier one. */
+    /** Writes a record, now or when the disk accepts it; that of a healthy upstream only deletes an earlier one. */
     void record(HealthRecord record) {
         Batch batch = new Batch();
         remove(record.upstreamKey(), batch);
--- a/sender/src/main/java/amberroute/sender/journal/HealthRecord.java
+++ b/sender/src/main/java/amberroute/sender/journal/HealthRecord.java
@@ -3,13 +3,13 @@
 import amberroute.decisions.DeliveryScheduler;
 
 /**
- * The journaled health of one endpoint, or of a whole destination where {@code uid} is empty.
+ * The journaled health of one endpoint, or of a whole destination if {@code uid} is empty.
  *
  * @param destination number of the destination
  * @param uid uid of the endpoint, empty for the destination as a whole
  * @param status last known status
- * @param sinceMillis when that status began, by the {@link SteadyClock}
- * @param callsPerSecond rate that was in force
+ * @param sinceMillis when that status began, in milliseconds of the {@link SteadyClock}
+ * @param callsPerSecond call rate that was in force
  * @param usualLatencyMicros usual latency of a call
  */
 public record HealthRecord(
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -18,15 +18,16 @@
 import java.util.function.Supplier;
 
 /**
- * The write-ahead journal of a sender: each change is written before the effect that it allows. What was written survives the end
- * of the process; what has to survive a loss of power is forced, as {@link Durability} says.
+ * The write-ahead journal of a sender: each change is written before the effect that it allows. Written records survive
+ * the end of the process; records that have to survive a power loss are forced, as {@link Durability} says.
  *
- * <p>Messages, handoff batches, key holds, health records and classes are owners in a {@link SegmentLog}. Each message reserves
- * room for all its later records, so that an accepted one can always be completed. What the disk does not take is retried ({@link
- * #retryFailedWrites}): meanwhile no message is accepted, no recorded attempt is made, and the effect of an outcome waits for its record.
+ * <p>Messages, handoff batches, key holds, health records and message classes are owners in a {@link SegmentLog}. Each
+ * message reserves space for all its later records, so that an accepted message can always be completed. Changes that
+ * the disk rejects are retried ({@link #retryFailedWrites}): meanwhile no message is accepted, no attempt that has to
+ * be recorded is made, and the effect of an outcome waits for its record.
  *
- * <p>Used on the event loop only. The state is in {@link JournalContents}, the write path in {@link JournalWriter}, the byte
- * layout in {@link JournalRecordCodec}.
+ * <p>Used on the event loop only. The state is in {@link JournalContents}, the write path in {@link JournalWriter}, the
+ * byte layout in {@link JournalRecordCodec}.
  */
 public final class Journal implements Closeable {
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -53,22 +54,22 @@
         dataLoss = new DataLossReport(log, legacyUnreadBytes);
     }
 
-    /** Opens or begins the journal without forcing it; one of an earlier version is migrated into segments. */
+    /** Opens or creates the journal without forcing it; the file of an earlier version is migrated into segments. */
     public static Journal open(Path folder, long budgetBytes) throws IOException {
         return open(folder, new FolderDisk(folder), budgetBytes);
     }
 
-    /** As {@link #open(Path, long)}, on a given disk. */
+    /** Same as {@link #open(Path, long)}, on a given disk. */
     static Journal open(Path folder, Disk disk, long budgetBytes) throws IOException {
         return open(folder, disk, budgetBytes, Durability.NONE, null);
     }
 
     /**
-     * Opens or begins the journal.
+     * Opens or creates the journal.
      *
-     * @param budgetBytes bound of all files together
+     * @param budgetBytes upper bound of the size of all files together
      * @param executor forces off the event loop, for {@link Durability#BATCH}
-     * @throws IOException where the budget is too small, the folder cannot be written, or a later version has written it
+     * @throws IOException if the budget is too small, the folder cannot be written, or a later version has written it
      */
     public static Journal open(
             Path folder, Disk disk, long budgetBytes, Durability durability, BackgroundExecutor executor)
@@ -77,15 +78,15 @@
     }
 
     /**
-     * Reads a folder's journal without changing it, also while its process writes.
+     * Reads a folder's journal without changing it, even while its process writes.
      *
-     * @throws java.nio.file.NoSuchFileException where there is none
+     * @throws java.nio.file.NoSuchFileException if there is none
      */
     public static Journal openReadOnly(Path folder) throws IOException {
         return JournalOpener.openReadOnly(folder);
     }
 
-    /** Reads the log, and deletes records that belong to nothing; where that fails the next start finds them again. */
+    /** Reads the log and deletes orphaned records; if the deletion fails, the next start finds them again. */
     void recover() throws IOException {
         Batch orphans = new JournalRecovery(log, contents).run();
         if (!orphans.isEmpty()) {
@@ -101,7 +102,7 @@
         records.applyTo(contents, log);
     }
 
-    /** Takes the records of another journal and writes them. */
+    /** Adds the records of another journal and writes them. */
     void importAll(JournalImport records) throws IOException {
         records.applyTo(contents, log);
         for (Supplier<Batch> batch : JournalSnapshot.withoutCompleted(contents, keyHoldJournal)) {
@@ -116,7 +117,7 @@
         log.write(batch);
     }
 
-    /** Writes a completed message that this process itself need not know. */
+    /** Writes a completed message without adding it to the deduplication cache of this process. */
     void importCompletedWithoutCache(CompletedRecord completed) throws IOException {
         log.write(MessageRecords.putCompleted(new Batch(), log.nextOwnerId(), completed));
     }
@@ -145,45 +146,45 @@
         return writer.forces().forceNow();
     }
 
-    /** Returns the bytes of all files of the log. */
+    /** Returns the size of all files of the log in bytes. */
     public long usedBytes() {
         return log.usedBytes();
     }
 
-    /** Returns the bytes of all live records. */
+    /** Returns the size of all live records in bytes. */
     public long liveBytes() {
         return log.liveBytes();
     }
 
     /**
-     * From now on the {@link FencingToken} is checked behind each write, and by {@link #checkFencingToken}.
+     * Enables the check of the {@link FencingToken} after each write and in {@link #checkFencingToken}.
      *
-     * @param onFenced runs when the token is there; it has to end the process
+     * @param onFenced runs if the token exists; has to end the process
      */
     public void watchFencingToken(Runnable onFenced) {
         writer.watchFencingToken(folder, onFenced);
     }
 
     /**
-     * Has to be called right before an effect that comes later than its record.
+     * Has to be called immediately before an effect that comes later than its record.
      *
-     * @throws IllegalStateException where the folder was taken over
+     * @throws IllegalStateException if the folder was taken over
      */
     public void checkFencingToken() {
         writer.checkFencingToken();
     }
 
     /**
-     * Runs an effect when all that was written so far survives what it has to: a loss of power where that is forced, the loss of
-     * the machine where the journal is replicated; at once where neither is.
+     * Runs an effect when everything written so far is as durable as configured: it survives a power loss if it is
+     * forced, and the loss of the machine if the journal is replicated. Runs it immediately if it is neither.
      *
-     * @param onFailure runs in its place where that fails or takes too long; null to wait without bound
+     * @param onFailure runs instead if that fails or takes too long; null to wait without a time limit
      */
     public void whenDurable(Runnable effect, Runnable onFailure) {
         writer.whenDurable(effect, onFailure);
     }
 
-    /** Forces all that was written so far on this thread. Slow. Returns whether that succeeded. */
+    /** Forces everything written so far on the calling thread, which blocks it. Returns whether that succeeded. */
     public boolean forceAll() {
         return writer.forces().forceAll();
     }
@@ -193,52 +194,52 @@
         return writer.forces().deferredEffectCount();
     }
 
-    /** Returns why the journal cannot be written just now, empty while it can. */
+    /** Returns why the journal cannot be written at present, empty while it can. */
     public String writeFailureReason() {
         return writer.failure().reason();
     }
 
-    /** Returns when a client that is rejected for it should retry, in milliseconds; 0 while the journal can be written. */
+    /** Returns after how many milliseconds a rejected client should retry; 0 while the journal is writable. */
     public long retryAfterMillis() {
         return writer.failure().isPresent() ? RETRY_AFTER_MILLIS : 0;
     }
 
-    /** Returns whether the last rejected message may be found after a restart: then a retry is not known to be harmless. */
+    /** Returns whether the last rejected message may be found after a restart: then a retry may cause a duplicate. */
     public boolean lastWriteUncertain() {
         return lastWriteUncertain;
     }
 
-    /** Returns the number of changes that are not on the disk yet. */
+    /** Returns the number of changes that are not on disk yet. */
     int pendingWriteCount() {
         return writer.pendingWrites().size();
     }
 
-    /** Tries again what the disk did not take; to be called from time to time. */
+    /** Retries the writes that the disk has rejected; has to be called periodically. */
     public void retryFailedWrites() {
         writer.retryFailedWrites();
     }
 
-    /** Does a step of compaction where that is needed, between other work; returns whether there is more to do. */
+    /** Runs one step of compaction if it is needed; returns whether there is more to do. */
     public boolean compactStep() {
         return writer.compactStep();
     }
 
-    /** From now on each change is given to the listener, and {@link #whenDurable} waits for it. */
+    /** Makes the listener receive each further change and {@link #whenDurable} wait for it. */
     public void replicateTo(JournalChangeListener listener) {
         writer.replicateTo(listener);
     }
 
-    /** Returns the position in the replicated log that was last written, null where the journal was never replicated. */
+    /** Returns the last written position in the replicated log, null if the journal was never replicated. */
     public byte[] replicationPosition() {
         return contents.replicationPosition;
     }
 
-    /** Returns the replica set that was last written, null where there never was one. */
+    /** Returns the last written replica set, null if there never was one. */
     public byte[] replicaSet() {
         return contents.replicaSet;
     }
 
-    /** Returns the replication position as a change of its own, for the end of a snapshot. */
+    /** Returns a batch of the replication position alone, for the end of a snapshot. */
     public Batch replicationPositionBatch() {
         return new Batch()
                 .put(
@@ -247,7 +248,7 @@
                         contents.replicationPosition);
     }
 
-    /** Writes the replica set; false where the disk does not take it. */
+    /** Writes the replica set; false if the disk rejects it. */
     public boolean writeReplicaSet(byte[] writeReplicaSet) {
         long owner = contents.owners.getOrAllocate(OwnerNumbers.replication());
         if (!writer.write(new Batch().put(owner, RecordKind.REPLICA_SET, writeReplicaSet))) {
@@ -257,7 +258,7 @@
         return true;
     }
 
-    /** Returns all live records as batches, each encoded when it is asked for; see {@link JournalSnapshot}. */
+    /** Returns all live records as batches, each encoded on demand; see {@link JournalSnapshot}. */
     public List<Supplier<Batch>> snapshotBatches() {
         return JournalSnapshot.allRecords(contents, keyHoldJournal);
     }
@@ -267,7 +268,7 @@
         return contents.pending.values();
     }
 
-    /** Returns those of these messages that are still to be delivered, in the order given. */
+    /** Returns those of the given messages that are still to be delivered, in the given order. */
     public List<AcceptedMessage> undeliveredMessages(List<Long> numbers) {
         return numbers.stream()
                 .map(contents.pending::get)
@@ -280,17 +281,17 @@
         return log.nextOwnerId();
     }
 
-    /** Returns whether a message of this id is pending or was completed not long ago. */
+    /** Returns whether a message with this id is pending or was completed recently. */
     public boolean containsId(String id) {
         return contents.containsId(id);
     }
 
-    /** Returns whether the message known under this id has another content hash, as far as that is known. */
+    /** Returns whether the message known under this id has another content hash; false if that is unknown. */
     public boolean hasDifferentContent(String id, int contentHash) {
         return contents.hasDifferentContent(id, contentHash);
     }
 
-    /** Writes a new message; false where there is no room for it, or the disk does not take it. */
+    /** Writes a new message; false if there is no space for it or the disk rejects it. */
     public boolean accept(AcceptedMessage message) {
         lastWriteUncertain = false;
         if (!contents.space.fits(RecordSizes.of(message)) || !writer.allWritesResolved()) {
@@ -305,9 +306,10 @@
     }
 
     /**
-     * Writes an attempt, before its first byte is sent: a restart must know that the upstream may have carried the message out.
+     * Writes an attempt before its first byte is sent: after a restart it has to be known that the upstream may have
+     * executed the message.
      *
-     * @return false where the disk does not take it; then the attempt must not be made, and the message is as before
+     * @return false if the disk rejects it; then the attempt must not be made, and the message is unchanged
      */
     public boolean recordAttempt(AcceptedMessage message, String uid, long nowMillis) {
         AcceptedMessage.Attempts previous = message.attempts();
@@ -318,14 +320,14 @@
             lastWriteUncertain = writer.lastWriteUncertain();
             return false;
         }
-        // This record has the outcome of the attempt before, too.
+        // This record includes the outcome of the previous attempt.
         writer.pendingWrites().remove(message.number);
         return true;
     }
 
     /**
-     * Notes an attempt, of an idempotent message, that is made although the disk does not take its record now. A restart before it
-     * does makes the attempt once more.
+     * Writes an attempt of an idempotent message, now or when the disk accepts it. The attempt may be made meanwhile: a
+     * restart before the write repeats it.
      */
     public void recordAttemptEventually(AcceptedMessage message, String uid, long nowMillis) {
         message.attempt(uid, nowMillis);
@@ -337,12 +339,12 @@
         writer.writeEventually(message.number, batch, PendingWrites.NO_EFFECT);
     }
 
-    /** Returns whether a change of this message is not on the disk yet. */
+    /** Returns whether a change of this message is not on disk yet. */
     public boolean hasPendingWrite(AcceptedMessage message) {
         return contents.isPending(message) && writer.pendingWrites().contains(message.number);
     }
 
-    /** Writes the outcome of an attempt, now or as soon as the disk takes it. */
+    /** Writes the outcome of an attempt, now or when the disk accepts it. */
     public void recordOutcome(AcceptedMessage message, boolean mayHaveRun) {
         message.outcome(mayHaveRun);
         if (contents.isPending(message) && message.pendingNotification == null) {
@@ -350,18 +352,18 @@
         }
     }
 
-    /** Writes the end of a message and its notice; {@code written} runs when that is on the disk, and sends the notice. */
+    /** Writes the end of a message with its notice; {@code onWritten} sends the notice after that is on disk. */
     public void endWithNotice(AcceptedMessage message, String notice, Runnable onWritten) {
         contents.endWithNotice(message, notice);
         writer.writeEventually(message.number, MessageRecords.putEnded(new Batch(), message), onWritten);
     }
 
-    /** Writes the end of a message and its notice, now or as soon as the disk takes it. */
+    /** Writes the end of a message with its notice, now or when the disk accepts it. */
     public void endWithNotice(AcceptedMessage message, String notice) {
         endWithNotice(message, notice, PendingWrites.NO_EFFECT);
     }
 
-    /** Completes a message: it was delivered, or its notice was answered. Its id is remembered for a while. */
+    /** Completes a message that was delivered or whose notice was acknowledged; its id is retained for a while. */
     public void complete(AcceptedMessage message) {
         if (contents.isPending(message)) {
             CompletedRecord record = contents.completedRecord(message);
@@ -376,7 +378,7 @@
         return contents.classes;
     }
 
-    /** Writes a version of a class, before a message of it is accepted; false where the disk does not take it. */
+    /** Writes a version of a class before a message of it is accepted; false if the disk rejects it. */
     public boolean defineClass(int number, MessageClassRegistry.Version version) {
         if (version.equals(contents.classes.get(number))) {
             return true;
@@ -395,7 +397,7 @@
         return contents.health.values();
     }
 
-    /** Writes a health record, now or as soon as the disk takes it; that of a healthy upstream deletes an earlier one. */
+    /** Writes a health record, now or when the disk accepts it; that of a healthy upstream deletes an earlier one. */
     public void recordHealth(HealthRecord record) {
         healthJournal.record(record);
     }
@@ -405,7 +407,11 @@
         return contents.handoffBatches;
     }
 
-    /** Writes who owns a batch; false where there is no room or the disk does not take it. One given away has no message here. */
+    /**
+     * Writes who owns a batch. The messages of a batch that is given away are completed here.
+     *
+     * @return false if there is no space or the disk rejects the write
+     */
     public boolean writeHandoffBatch(
             String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
         return handoffJournal.write(name, handoffRecord(ownership, untilMillis, messages));
@@ -417,7 +423,7 @@
         return new HandoffBatchRecord(ownership, untilMillis, numbers);
     }
 
-    /** Writes an offer of a batch and holds on its keys, in one write; false where there is no room for either. */
+    /** Writes an offer of a batch together with holds on its keys; false if there is no space for either. */
     public boolean offerHandoffBatch(
             String name,
             Ownership ownership,
@@ -430,7 +436,7 @@
                 name, handoffRecord(ownership, untilMillis, messages), origin, keys, holdUntilMillis);
     }
 
-    /** Writes that a batch and its keys are this daemon's again; returns the free keys, null where it was not written. */
+    /** Writes that this sender owns a batch and its keys again; returns the keys that became free, null on failure. */
     public List<Long> reclaimHandoffBatch(
             String name,
             Ownership ownership,
@@ -442,11 +448,11 @@
     }
 
     /**
-     * Accepts the messages of another daemon's batch, in one write with who owns them, the end of the origin's holds on their
-     * keys, and the new rank of the messages that waited for these keys.
+     * Accepts the messages of another sender's batch. The same write records their ownership, ends the origin's holds
+     * on their keys, and ranks the messages that waited for these keys after them.
      *
-     * @param rankedAfter messages that go behind the accepted ones
-     * @return false where there is no room or the disk does not take it
+     * @param rankedAfter messages to rank after the accepted ones
+     * @return false if there is no space or the disk rejects the write
      */
     public boolean acceptHandoffBatch(
             String name,
@@ -459,38 +465,38 @@
                 name, handoffRecord(ownership, untilMillis, messages), messages, origin, rankedAfter);
     }
 
-    /** As the other, without any key that another daemon may hold. */
+    /** Same as the other overload, for messages whose keys no other sender holds. */
     public boolean acceptHandoffBatch(
             String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
         return acceptHandoffBatch(name, ownership, untilMillis, messages, "", List.of());
     }
 
-    /** Deletes batches whose time is over, but for such as are offered. */
+    /** Deletes expired batches, except those that are offered. */
     public void expireHandoffBatches(long nowMillis) {
         handoffJournal.expire(nowMillis);
     }
 
-    /** Returns the holds of other daemons on keys. */
+    /** Returns the holds of other senders on keys. */
     public KeyHolds keyHolds() {
         return contents.keyHolds;
     }
 
-    /** For each held key the rank of its first hold: messages of a lower rank were accepted before it. */
+    /** Returns the rank of the first hold of each held key: messages with a lower rank were accepted before it. */
     public Map<Long, Long> keyHoldRanks() {
         return keyHoldJournal.ranks();
     }
 
-    /** Writes that the origin holds these keys; false where there is no room for it, or for some of them. */
+    /** Writes that the origin holds these keys; false if there is no space or the disk rejects some of them. */
     public boolean holdKeys(String origin, List<Long> keys, long untilMillis) {
         return keyHoldJournal.hold(origin, keys, untilMillis);
     }
 
-    /** Releases the origin's holds; returns the keys that nobody holds any more. */
+    /** Releases the origin's holds; returns the keys that are not held any more. */
     public List<Long> releaseKeys(String origin, List<Long> keys) {
         return keyHoldJournal.release(origin, keys);
     }
 
-    /** Ends holds whose time is over; returns the keys that nobody holds any more. */
+    /** Ends expired holds; returns the keys that are not held any more. */
     public List<Long> expireKeyHolds(long nowMillis) {
         return keyHoldJournal.expire(nowMillis);
     }
--- a/sender/src/main/java/amberroute/sender/journal/JournalContents.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalContents.java
@@ -14,11 +14,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * All live records of a journal in memory, and the room that they reserve. Every change of it follows the write that records it,
- * or the reading of the record. Writes nothing itself. Used on the event loop only.
+ * All live records of a journal in memory, and the space that they reserve. It changes only after a record has been
+ * written, or when one is read. Writes nothing itself. Used on the event loop only.
  */
 final class JournalContents {
-    /** The share of the budget that ids of completed messages may take, and a bound in bytes. */
+    /** Ids of completed messages may take one part in this many of the budget, within a bound in bytes. */
     private static final int COMPLETED_BUDGET_DIVISOR = 32;
 
     private static final long MAX_COMPLETED_BYTES = 4 << 20;
@@ -35,7 +35,7 @@
     final KeyHolds keyHolds = new KeyHolds();
     final OwnerNumbers owners;
     final JournalSpace space;
-    /** Null where the journal was never replicated. */
+    /** Null if the journal was never replicated. */
     byte[] replicationPosition;
 
     byte[] replicaSet;
@@ -52,12 +52,12 @@
         space.reserve(completedBytes);
     }
 
-    /** Returns whether a message of this id is pending or was completed not long ago. */
+    /** Returns whether a message with this id is pending or was completed recently. */
     boolean containsId(String id) {
         return pendingIds.containsKey(id) || completed.knows(id);
     }
 
-    /** Returns whether the message known under this id has other content, as far as that is known. */
+    /** Returns whether the message known under this id has other content; false if that is unknown. */
     boolean hasDifferentContent(String id, int contentHash) {
         int knownHash = pendingIds.containsKey(id) ? pendingIds.get(id) : completed.content(id);
         return knownHash != 0 && knownHash != contentHash;
@@ -73,14 +73,14 @@
         space.reserve(RecordSizes.of(message));
     }
 
-    /** Changes what a pending message needs, such as its body for a notice. */
+    /** Ends a message and adjusts its reserved space: it has a notice and no body any more. */
     void endWithNotice(AcceptedMessage message, String notice) {
         space.release(RecordSizes.of(message));
         message.end(notice);
         space.reserve(RecordSizes.of(message));
     }
 
-    /** Moves a message behind all others. */
+    /** Ranks a message after all others. */
     void moveToEnd(AcceptedMessage message, long rank) {
         message.rank = rank;
         if (pending.remove(message.number) != null) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Leaves only the id of a message; returns the numbers of completed messages that are forgotten for it. */
+    /** Replaces a message by its id; returns the numbers of completed messages that are evicted for it. */
     List<Long> complete(AcceptedMessage message, CompletedRecord record) {
         pending.remove(message.number);
         pendingIds.remove(message.id);
@@ -96,7 +96,7 @@
         return addCompleted(message.number, record);
     }
 
-    /** Returns the numbers of completed messages that are forgotten for this one. */
+    /** Returns the numbers of completed messages that are evicted for this one. */
     List<Long> addCompleted(long number, CompletedRecord record) {
         return completed.add(record.id(), record.contentHash(), record.idempotency(), number, nanoClock.getAsLong());
     }
@@ -130,7 +130,7 @@
         return removed;
     }
 
-    /** Puts a batch's state; its pending messages are frozen while it is offered, since the peer may own them already. */
+    /** Puts a batch's state; while it is offered, its messages are not processed, as the peer may own them already. */
     void putHandoffBatch(String name, HandoffBatchRecord batch) {
         HandoffBatchRecord previous = handoffBatches.put(name, batch);
         space.reserve(RecordSizes.of(batch) - (previous == null ? 0 : RecordSizes.of(previous)));
@@ -154,7 +154,7 @@
         space.reserve(RecordSizes.ofKeyHolds(keyHolds.size() - sizeBefore));
     }
 
-    /** Returns the keys that nobody holds any more. */
+    /** Returns the keys that are not held any more. */
     List<Long> releaseKeys(String origin, List<Long> keys) {
         int sizeBefore = keyHolds.size();
         List<Long> freeKeys = keyHolds.release(origin, keys);
@@ -163,7 +163,7 @@
         return freeKeys;
     }
 
-    /** Returns the keys that nobody holds any more. */
+    /** Returns the keys that are not held any more. */
     List<Long> expireKeyHolds(long nowMillis) {
         int sizeBefore = keyHolds.size();
         List<Long> freeKeys = keyHolds.expire(nowMillis);
--- a/sender/src/main/java/amberroute/sender/journal/JournalImport.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalImport.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 
 /**
- * All records of another journal, to be taken into an empty one.
+ * All records of another journal, to be added to an empty one.
  *
  * @param messages in the order of acceptance
- * @param firstFreeNumber the lowest number that no message of it has
+ * @param firstFreeNumber lower bound of unused message numbers
  */
 record JournalImport(
         Collection<AcceptedMessage> messages,
@@ -21,12 +21,12 @@
         KeyHolds keyHolds,
         Map<String, HandoffBatchRecord> handoffBatches,
         long firstFreeNumber) {
-    /** Puts all records into the contents; they are not written yet. Messages retain their numbers. */
+    /** Adds all records to the contents without writing them. Messages retain their numbers. */
     void applyTo(JournalContents contents, SegmentLog log) {
         classes.forEach(contents::putClass);
         health.forEach(contents::putHealth);
         long rank = firstFreeNumber;
-        // Which messages came before a hold is not known, so all of its key wait.
+        // Which messages came before a hold is unknown, so all messages of its key wait.
         for (KeyHolds.KeyHold hold : keyHolds.allHolds()) {
             contents.owners.restore(OwnerNumbers.keyHold(hold.origin(), hold.key()), rank++);
             contents.holdKeys(hold.origin(), List.of(hold.key()), hold.untilMillis());
--- a/sender/src/main/java/amberroute/sender/journal/JournalOpener.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalOpener.java
@@ -15,9 +15,9 @@
 import java.nio.file.StandardCopyOption;
 import java.security.SecureRandom;
 
-/** Opens journals: for writing, where it migrates the single file of earlier versions into segments, or read-only. */
+/** Opens journals: for writing, with migration of an earlier version's single file into segments, or read-only. */
 final class JournalOpener {
-    /** Room for the files of the folder that are not the log's. */
+    /** Space for the files of the folder that are not part of the log. */
     private static final long OTHER_FILES_BYTES = 4_096;
 
     private static final int MAX_READ_ONLY_ATTEMPTS = 5;
@@ -27,7 +27,12 @@
     private final Durability durability;
     private final BackgroundExecutor executor;
 
-    /** {@code folder} is null where there cannot be an earlier version's file; {@code executor} where nothing is forced. */
+    /**
+     * Creates an opener.
+     *
+     * @param folder null if there cannot be a file of an earlier version
+     * @param executor null if nothing is forced in the background
+     */
     JournalOpener(Path folder, Disk disk, Durability durability, BackgroundExecutor executor) {
         this.folder = folder;
         this.disk = disk;
@@ -38,8 +43,8 @@
     Journal open(long budgetBytes) throws IOException {
         long logBudgetBytes = budgetBytes - OTHER_FILES_BYTES;
         if (logBudgetBytes < LogLimits.MIN_BUDGET_BYTES) {
-            throw new IOException("the journal needs " + (LogLimits.MIN_BUDGET_BYTES + OTHER_FILES_BYTES)
-                    + " bytes of disk, and has " + budgetBytes);
+            throw new IOException("the disk budget of the journal is " + budgetBytes + " bytes, must be at least "
+                    + (LogLimits.MIN_BUDGET_BYTES + OTHER_FILES_BYTES));
         }
         LogLimits limits = LogLimits.forBudget(logBudgetBytes, durability != Durability.NONE);
         LegacyJournalReader legacy = folder == null ? null : LegacyJournalReader.read(folder);
@@ -55,10 +60,10 @@
                 migrate(journal, legacy);
             }
             if (durability != Durability.NONE && !journal.forceNow()) {
-                throw new IOException("the journal in " + folder + " cannot be forced to the disk");
+                throw new IOException("cannot force the journal in " + folder + " to disk");
             }
             if (folder != null && (legacy == null || needsMigration)) {
-                writeMigrationMark();
+                writeMigrationMarker();
             }
         } catch (IOException | RuntimeException e) {
             journal.close();
@@ -68,7 +73,7 @@
         return journal;
     }
 
-    /** What a migration that did not finish has left: the earlier version's file still has all of it. */
+    /** Deletes the segments of an interrupted migration: the earlier version's file still has all records. */
     private void deleteSegments() throws IOException {
         for (String name : disk.list()) {
             if (SegmentLog.isSegmentFileName(name)) {
@@ -95,14 +100,14 @@
         }
     }
 
-    /** The one step that ends a migration: from then on the segments count, and earlier versions end on the mark. */
-    private void writeMigrationMark() throws IOException {
-        Path mark = folder.resolve(LegacyJournalReader.FILE_NAME + ".new");
-        Files.write(mark, LegacyJournalReader.migrationMark());
-        Files.move(mark, folder.resolve(LegacyJournalReader.FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
+    /** Completes a migration atomically: from then on the segments are valid, and earlier versions fail. */
+    private void writeMigrationMarker() throws IOException {
+        Path marker = folder.resolve(LegacyJournalReader.FILE_NAME + ".new");
+        Files.write(marker, LegacyJournalReader.migrationMarker());
+        Files.move(marker, folder.resolve(LegacyJournalReader.FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Eight bytes that no client can know; the JDK's own source would load its security providers at each start. */
+    /** Returns a salt that clients cannot guess. {@link SecureRandom} would load security providers at each start. */
     private static long randomSalt() {
         try (InputStream random = Files.newInputStream(Path.of("/dev/urandom"))) {
             return ByteBuffer.wrap(random.readNBytes(Long.BYTES)).getLong();
@@ -111,7 +116,7 @@
         }
     }
 
-    /** Opens a folder's journal for reading, also while its process writes. */
+    /** Opens a folder's journal for reading, even while its process writes. */
     static Journal openReadOnly(Path folder) throws IOException {
         LegacyJournalReader legacy = LegacyJournalReader.read(folder);
         if (legacy == null) {
@@ -122,7 +127,7 @@
             try {
                 return openReadOnly(folder, legacy);
             } catch (NoSuchFileException e) {
-                // A segment was retired after it was listed.
+                // A segment was deleted after it was listed.
                 if (attempt == MAX_READ_ONLY_ATTEMPTS) {
                     throw e;
                 }
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecordCodec.java
@@ -14,9 +14,9 @@
 import java.util.List;
 
 /**
- * The byte layout of the journal's contents, by {@link RecordKind}. Numbers are big-endian; {@code utf} is two bytes of length
- * and modified UTF-8; times are in milliseconds unless said otherwise. The layout is on disk: fields are never reordered.
- *
+ * The byte layout of journal records, by {@link RecordKind}. Numbers are big-endian; {@code utf} is a two-byte length
+ * followed by modified UTF-8; times are in milliseconds unless stated otherwise. The layout is stored on disk: fields
+ * must not be reordered.
  * <pre>
  * MESSAGE        form:byte
  *   pending (0)  id:utf idempotencyKey:utf className:utf key:long destination:int deadline:long classNumber:int contentHash:int
@@ -32,7 +32,7 @@
  * RANK           rank:long
  * </pre>
  *
- * <p>Decoders throw IOException, or an unchecked exception of the buffer, for a content of another version.
+ * <p>Decoders throw IOException, or an unchecked exception of the buffer, for content of an unknown version.
  */
 final class JournalRecordCodec {
     private static final int FORM_PENDING = 0;
@@ -49,7 +49,7 @@
         });
     }
 
-    /** Encodes a message that has failed and whose notice is not answered yet; it has no body any more. */
+    /** Encodes a message that has failed and whose notice is not acknowledged yet; it has no body any more. */
     static byte[] encodeEnded(AcceptedMessage message) {
         return encodeMessage(message, FORM_ENDED, out -> {
             out.writeInt(message.attempts);
@@ -73,15 +73,15 @@
         });
     }
 
-    /** Returns whether the content of kind MESSAGE is the id of a completed one. */
+    /** Returns whether content of kind MESSAGE is the id of a completed message. */
     static boolean isCompleted(ByteBuffer content) {
         return content.get(0) == FORM_COMPLETED;
     }
 
     /**
-     * Decodes a pending or an ended message.
+     * Decodes a pending or ended message.
      *
-     * @param stringCache shares texts that many messages have in common
+     * @param stringCache shares strings that many messages have in common
      */
     static AcceptedMessage decodeMessage(long number, ByteBuffer in, ModifiedUtf8 stringCache) throws IOException {
         int form = in.get();
@@ -95,7 +95,7 @@
         int contentHash = in.getInt();
         long rank = in.getLong();
         if (form != FORM_PENDING && form != FORM_ENDED) {
-            throw new IOException("a message of form " + form + ", which this version does not know");
+            throw new IOException("unknown message form " + form + ", expected " + FORM_PENDING + " or " + FORM_ENDED);
         }
         byte[] body = decodeBody(in, form);
         AcceptedMessage message = new AcceptedMessage(
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
@@ -17,14 +17,14 @@
 import java.util.TreeMap;
 
 /**
- * Fills a journal's contents from its log. Contents come in the order of segments, so they are collected first and put in their
- * own order: messages by rank, handoff batches by version, health records and completed ids by owner.
+ * Fills a journal's contents from its log. Records are read in the order of segments, so they are collected first and
+ * then sorted: messages by rank, handoff batches by version, health records and completed ids by owner.
  */
 final class JournalRecovery {
-    /** Handoff batches of one record have one version; this many of them are told apart. */
+    /** Bound on the number of batches with the same version: those of one write share it. */
     private static final int BATCHES_PER_VERSION = 4_096;
 
-    /** The records of one message, in whatever order they are read. */
+    /** The records of one message, in any order. */
     private static final class RecoveredMessage {
         final long number;
         AcceptedMessage message;
@@ -43,7 +43,7 @@
     private final TreeMap<Long, HealthRecord> health = new TreeMap<>();
     private final TreeMap<Long, CompletedRecord> completed = new TreeMap<>();
     private final ModifiedUtf8 stringCache = new ModifiedUtf8();
-    /** The message that was read last: the records of one message mostly follow one another. */
+    /** The message that was read last: records of one message are mostly adjacent. */
     private RecoveredMessage lastMessage = new RecoveredMessage(0);
 
     JournalRecovery(SegmentLog log, JournalContents contents) {
@@ -54,14 +54,14 @@
     /**
      * Reads the log.
      *
-     * @return the deletion of records that belong to nothing, since what they belong to could not be read
-     * @throws IOException where a record is of a later version
+     * @return deletions of orphaned records, whose message could not be read, and of evicted ids of completed messages
+     * @throws IOException if a record was written by a later version
      */
     Batch run() throws IOException {
         try {
             log.readLiveContents(this::readRecord);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
-            throw new IOException("a content of the journal cannot be read by this version", e);
+            throw new IOException("a journal record has a layout that this version cannot read", e);
         }
         health.values().forEach(contents::putHealth);
         Batch orphans = new Batch();
@@ -129,7 +129,7 @@
                 contents.owners.restore(OwnerNumbers.replication(), owner);
                 contents.replicaSet = in.readAllBytes();
             }
-            default -> throw new IOException("content of kind " + kind + ", which this version does not know");
+            default -> throw new IOException("unknown journal record kind " + kind);
         }
     }
 
@@ -137,7 +137,7 @@
         List<AcceptedMessage> recovered = new ArrayList<>(messages.size());
         for (RecoveredMessage records : messages.values()) {
             if (records.message == null) {
-                // Its acceptance was in bytes that could not be read.
+                // The acceptance record was in bytes that could not be read.
                 orphans.delete(records.number);
                 continue;
             }
--- a/sender/src/main/java/amberroute/sender/journal/JournalRepair.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRepair.java
@@ -15,9 +15,9 @@
     private JournalRepair() {}
 
     /**
-     * Copies the records; the original is only read.
+     * Copies the records; the source is only read.
      *
-     * @throws IOException where there is a journal in {@code into} already, or a folder cannot be read or written
+     * @throws IOException if {@code targetFolder} already has a journal, or a folder cannot be read or written
      */
     static void run(Path sourceFolder, Path targetFolder) throws IOException {
         Files.createDirectories(targetFolder);
--- a/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalSnapshot.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 
 /**
- * All live records as batches, one owner each. A batch is encoded when it is asked for, with the owner's state of that moment, and
- * is empty where the owner is gone by then: so these batches and all changes since, in their order, make a whole copy. Used on the
- * event loop only.
+ * All live records as batches, one owner each. A batch is encoded on demand, with the owner's state at that time, and
+ * is empty if the owner has been deleted by then: these batches, followed by all changes since the snapshot, make a
+ * complete copy. Used on the event loop only.
  */
 final class JournalSnapshot {
     private final JournalContents contents;
@@ -23,7 +23,7 @@
         this.keyHolds = keyHolds;
     }
 
-    /** Returns the batches of all records but ids of completed messages and the replica set. */
+    /** Returns the batches of all records except ids of completed messages and the replica set. */
     static List<Supplier<Batch>> withoutCompleted(JournalContents contents, KeyHoldJournal keyHolds) {
         JournalSnapshot snapshot = new JournalSnapshot(contents, keyHolds);
         contents.classes.keySet().forEach(snapshot::addClass);
--- a/sender/src/main/java/amberroute/sender/journal/JournalSpace.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalSpace.java
@@ -3,8 +3,8 @@
 import amberroute.storage.SegmentLog;
 
 /**
- * The part of the disk budget that live records have reserved, in bytes. As each message reserves room for all its later records,
- * an accepted one can always be completed. Not thread-safe.
+ * The part of the disk budget that live records have reserved, in bytes. Each message reserves space for all its later
+ * records, so that an accepted message can always be completed. Not thread-safe.
  */
 final class JournalSpace {
     private final long budgetBytes;
--- a/sender/src/main/java/amberroute/sender/journal/JournalView.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalView.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * The pending messages of a state folder at the moment of reading, for operators. Writes nothing, so a folder may be read while
- * its daemon runs.
+ * The pending messages of a state folder at the time of reading, for operators. Writes nothing, so a folder may be read
+ * while its sender runs.
  */
 public final class JournalView {
     private final List<AcceptedMessage> pending;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Reads the folder's journal, also one of an earlier version.
+     * Reads the folder's journal, including one of an earlier version.
      *
-     * @throws IOException where there is none, or a later version has written it
+     * @throws IOException if there is none, or a later version has written it
      */
     public static JournalView read(Path folder) throws IOException {
         if (!Files.isRegularFile(folder.resolve(LegacyJournalReader.FILE_NAME))) {
@@ -41,16 +41,19 @@
     }
 
     /**
-     * Copies all that can be read into another folder, and reads that.
+     * Copies all readable records into another folder, and reads that.
      *
-     * @throws IOException where there is a journal in {@code into} already, or a folder cannot be read or written
+     * @throws IOException if {@code targetFolder} already has a journal, or a folder cannot be read or written
      */
     public static JournalView repair(Path sourceFolder, Path targetFolder) throws IOException {
         JournalRepair.run(sourceFolder, targetFolder);
         return read(targetFolder);
     }
 
-    /** Returns a line for each message, in the order of acceptance: id, class, destination, time left, attempts and state. */
+    /**
+     * Returns a line for each message in the order of acceptance: id, class, destination, time left, attempts,
+     * state.
+     */
     public List<String> lines(long wallMillis) {
         List<String> lines = new ArrayList<>();
         for (AcceptedMessage message : pending) {
@@ -64,18 +67,18 @@
 
     private static String describeState(AcceptedMessage message) {
         if (message.pendingNotification != null) {
-            return "ended, its notice is not answered: " + message.pendingNotification;
+            return "ended, notice not acknowledged: " + message.pendingNotification;
         }
         if (message.attemptInFlight) {
-            return "a call is out to " + message.attemptEndpoint;
+            return "call in flight to " + message.attemptEndpoint;
         }
         if (message.unknownOutcomeSinceMillis != 0) {
-            return "may have run at " + message.unknownOutcomeEndpoint;
+            return "outcome unknown at " + message.unknownOutcomeEndpoint;
         }
-        return message.attempts > 0 ? "has not run" : "not tried";
+        return message.attempts > 0 ? "not executed" : "not attempted";
     }
 
-    /** Returns a line of counts. */
+    /** Returns the counts of messages, notices and bytes as one line. */
     public String summary() {
         long pendingNotices = pending.stream()
                 .filter(message -> message.pendingNotification != null)
@@ -86,21 +89,21 @@
                 .count();
         return pending.size() - pendingNotices + " messages held, " + unknownOutcomes + " of them in doubt; "
                 + pendingNotices
-                + " notices not answered; " + liveBytes + " of " + usedBytes + " bytes are wanted"
+                + " notices not answered; " + liveBytes + " of " + usedBytes + " bytes are live"
                 + (unreadable.isEmpty() ? "" : "; COULD NOT BE READ: " + String.join(", ", unreadable));
     }
 
-    /** Returns a line for each part that could not be read; empty for a sound journal. */
+    /** Returns a line for each part that could not be read; empty if the journal is undamaged. */
     public List<String> unreadable() {
         return unreadable;
     }
 
-    /** Returns whether more than a torn write could not be read. */
+    /** Returns whether anything but a torn write could not be read. */
     public boolean damaged() {
         return damaged;
     }
 
-    /** Returns the number of messages, those with an unanswered notice included. */
+    /** Returns the number of messages, including those with an unacknowledged notice. */
     public int pendingCount() {
         return pending.size();
     }
--- a/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
@@ -8,11 +8,12 @@
 import java.nio.file.Path;
 
 /**
- * The write path of the journal: appends batches, retries what the disk did not take, gives each batch to replication, and checks
- * the fence behind each append, since nothing may have an effect out of a folder that was taken over. Used on the event loop only.
+ * The write path of the journal: appends batches, retries rejected writes, passes each batch on to replication, and
+ * checks the fencing token after each append, since nothing may cause an effect from a folder that was taken over. Used
+ * on the event loop only.
  */
 final class JournalWriter {
-    /** Pending writes that one call of {@link #retryFailedWrites} writes at most. */
+    /** Bound on the number of pending writes that one call of {@link #retryFailedWrites} writes. */
     private static final int MAX_RETRIED_WRITES = 64;
 
     private final SegmentLog log;
@@ -22,11 +23,11 @@
     private final WriteFailure failure = new WriteFailure();
     private final PendingWrites pendingWrites = new PendingWrites();
     private final ForceScheduler forces;
-    /** Null where nobody may take the folder over. */
+    /** Null if the folder cannot be taken over. */
     private File fencingTokenFile;
 
     private Runnable onFenced = () -> {};
-    /** Null where the journal is not replicated. */
+    /** Null if the journal is not replicated. */
     private JournalChangeListener listener;
 
     JournalWriter(SegmentLog log, Durability durability, BackgroundExecutor executor, JournalContents contents) {
@@ -59,28 +60,28 @@
     }
 
     /**
-     * Ends the process where the folder was taken over.
+     * Ends the process if the folder was taken over.
      *
-     * @throws IllegalStateException behind {@code onFenced}, so that no effect follows
+     * @throws IllegalStateException after {@code onFenced} has run, so that no effect follows
      */
     void checkFencingToken() {
         if (fencingTokenFile != null && fencingTokenFile.exists()) {
             onFenced.run();
-            throw new IllegalStateException("this folder was taken over");
+            throw new IllegalStateException("the state folder was taken over by another sender");
         }
     }
 
-    /** Returns whether nothing is left over of a write or a force that failed. */
+    /** Returns whether no failed write or force is left to be retried. */
     boolean allWritesResolved() {
         return pendingWrites.isEmpty() && !log.hasUncertainWrite() && !log.needsRewrite();
     }
 
-    /** Returns whether a batch whose write failed may be found after a restart all the same. */
+    /** Returns whether a batch whose write failed may be found after a restart. */
     boolean lastWriteUncertain() {
         return log.hasUncertainWrite();
     }
 
-    /** Appends a batch; false where the disk or the budget does not take it. */
+    /** Appends a batch; false if the disk or the budget does not allow it. */
     boolean write(Batch batch) {
         byte[] position = listener == null || batch.isEmpty() ? null : listener.replicationPosition();
         Batch replicatedBatch = position == null ? batch : withPosition(batch, position);
@@ -113,7 +114,7 @@
                         position);
     }
 
-    /** Writes the last state of an owner, now or as soon as the disk takes it; then runs the effect. */
+    /** Writes the latest state of an owner, now or when the disk accepts it; then runs the effect. */
     void writeEventually(long owner, Batch batch, Runnable effect) {
         if (pendingWrites.isEmpty() && write(batch)) {
             effect.run();
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Tries again what the disk did not take. */
+    /** Retries the writes and forces that have failed. */
     void retryFailedWrites() {
         if (log.needsRewrite() && !forces.isForceRunning()) {
             forces.rewriteUnforcedRecords();
@@ -149,7 +150,7 @@
         }
     }
 
-    /** Does a step of compaction where that is needed; returns whether there is more to do. */
+    /** Runs one step of compaction if it is needed; returns whether there is more to do. */
     boolean compactStep() {
         if (!log.shouldCompact()) {
             return false;
@@ -165,7 +166,7 @@
         }
     }
 
-    /** Runs an effect when all records so far are as durable as configured; {@code failed} in its place, null to wait. */
+    /** Runs an effect when all records so far are as durable as configured; {@code onFailure} is null to wait. */
     void whenDurable(Runnable effect, Runnable onFailure) {
         if (listener == null) {
             forces.whenForced(effect, onFailure);
--- a/sender/src/main/java/amberroute/sender/journal/KeyHoldJournal.java
+++ b/sender/src/main/java/amberroute/sender/journal/KeyHoldJournal.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * Journals the ordered keys that other daemons hold: messages of such a key wait here until the hold is released or expires.
- * Holds may take a share of the budget only, so that messages retain their room. Used on the event loop only.
+ * Journals the ordered keys that other senders hold: messages of such a key wait here until the hold is released or
+ * expires. Holds may take only a part of the budget, so that messages retain their space. Used on the event loop only.
  */
 final class KeyHoldJournal {
     private static final int BUDGET_DIVISOR = 8;
-    /** Room in a segment that a batch of holds leaves free. */
+    /** Bytes of a segment that a batch of holds leaves free. */
     private static final int SEGMENT_MARGIN_BYTES = 1_024;
 
     private final JournalContents contents;
@@ -27,7 +27,7 @@
         this.limits = limits;
     }
 
-    /** Writes holds; false where there is no room for all of them, or the disk does not take some. */
+    /** Writes holds; false if there is no space for all of them or the disk rejects some. */
     boolean hold(String origin, List<Long> keys, long untilMillis) {
         if (!hasRoomFor(keys.size())) {
             return false;
@@ -46,7 +46,7 @@
         return true;
     }
 
-    /** Returns whether there is room for so many more holds. */
+    /** Returns whether there is space for this many additional holds. */
     boolean hasRoomFor(int additionalHolds) {
         KeyHolds holds = contents.keyHolds;
         return holds.hasCapacity(additionalHolds)
@@ -66,7 +66,10 @@
         }
     }
 
-    /** Releases holds and returns the keys that nobody holds any more; where the disk does not take it they last until expiry. */
+    /**
+     * Releases holds and returns the keys that are not held any more. If the write fails, the holds on disk last until
+     * they expire.
+     */
     List<Long> release(String origin, List<Long> keys) {
         Batch batch = new Batch();
         keys.forEach(key -> delete(batch, origin, key));
@@ -75,8 +78,8 @@
     }
 
     /**
-     * For each key that is held the rank of its first hold, comparable with {@link AcceptedMessage#rank}: the messages of the key
-     * with a lower rank were accepted before it.
+     * Returns the rank of the first hold of each held key, comparable with {@link AcceptedMessage#rank}: messages of
+     * the key with a lower rank were accepted before it.
      */
     Map<Long, Long> ranks() {
         Map<Long, Long> ranks = new HashMap<>();
@@ -87,7 +90,7 @@
         return ranks;
     }
 
-    /** Ends expired holds and returns the keys that nobody holds any more; a hold's expiry is on disk with it. */
+    /** Ends expired holds and returns the keys that are not held any more; the expiry of a hold is stored with it. */
     List<Long> expire(long nowMillis) {
         List<KeyHolds.KeyHold> expired = contents.keyHolds.allHolds().stream()
                 .filter(hold -> hold.untilMillis() <= nowMillis)
--- a/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
+++ b/sender/src/main/java/amberroute/sender/journal/LegacyJournalReader.java
@@ -20,12 +20,12 @@
 import java.util.zip.CRC32;
 
 /**
- * Replays the single journal file of earlier versions, up to the first record that cannot be read, as they did. Also gives the
- * mark that replaces the file when its records are in segments: an earlier version that meets it ends with an error, where it
- * would otherwise begin an empty journal beside the messages in the segments.
+ * Replays the single journal file of earlier versions up to the first unreadable record, as they did. Also provides the
+ * marker that replaces the file after its records have been migrated to segments: an earlier version that opens it
+ * fails, instead of creating an empty journal beside the messages in the segments.
  */
 final class LegacyJournalReader {
-    /** Name of the file, and of the mark. */
+    /** Name of the file and of the marker. */
     static final String FILE_NAME = "journal";
 
     /** Length and CRC32 of the payload. */
@@ -47,16 +47,16 @@
     private static final byte KEYS_HELD = 'W';
     private static final byte KEYS_RELEASED = 'F';
     private static final byte HEALTH = 'M';
-    /** A type that no earlier version wrote: each ends on it. */
+    /** A record type that no earlier version wrote: each of them fails on it. */
     private static final byte MIGRATED = '!';
 
     final Map<Long, AcceptedMessage> pending = new LinkedHashMap<>();
-    /** Whether the file is the mark of a journal in segments. */
+    /** Whether the file is the marker of a migrated journal. */
     boolean migrated;
-    /** Bytes behind the last record that could be read. */
+    /** Bytes after the last readable record. */
     long unreadBytes;
 
-    /** Content hash of each completed message by its id, 0 where it is unknown. */
+    /** Content hash of each completed message by its id, 0 if unknown. */
     private final Map<String, Integer> completed = new LinkedHashMap<>();
 
     private final Map<String, HealthRecord> health = new LinkedHashMap<>();
@@ -67,7 +67,7 @@
 
     private LegacyJournalReader() {}
 
-    /** Reads the folder's file; null where there is none. */
+    /** Reads the folder's file; null if there is none. */
     static LegacyJournalReader read(Path folder) throws IOException {
         Path path = folder.resolve(FILE_NAME);
         if (!Files.isRegularFile(path)) {
@@ -80,7 +80,7 @@
         return reader;
     }
 
-    /** Returns all records but the ids of completed messages. */
+    /** Returns all records except the ids of completed messages. */
     JournalImport contents() {
         return new JournalImport(pending.values(), classes, health.values(), keyHolds, handoffBatches, firstFreeNumber);
     }
@@ -93,8 +93,8 @@
                 .toList();
     }
 
-    /** Returns the bytes of the mark: a message, and a record of it of a type that earlier versions do not know. */
-    static byte[] migrationMark() {
+    /** Returns the bytes of the marker: a message, and a record of it whose type is unknown to earlier versions. */
+    static byte[] migrationMarker() {
         byte[] accepted = RecordBytes.encode(out -> {
             out.writeByte(ACCEPTED);
             out.writeLong(1);
@@ -107,12 +107,12 @@
             out.writeInt(0);
             out.writeInt(-1);
         });
-        byte[] mark = RecordBytes.encode(out -> {
+        byte[] marker = RecordBytes.encode(out -> {
             out.writeByte(MIGRATED);
             out.writeLong(1);
         });
-        ByteBuffer all = ByteBuffer.allocate(2 * FRAME_HEADER_BYTES + accepted.length + mark.length);
-        for (byte[] payload : List.of(accepted, mark)) {
+        ByteBuffer all = ByteBuffer.allocate(2 * FRAME_HEADER_BYTES + accepted.length + marker.length);
+        for (byte[] payload : List.of(accepted, marker)) {
             all.putInt(payload.length).putInt(checksum(payload)).put(payload);
         }
         return all.array();
@@ -215,7 +215,7 @@
             case ENDED -> message.end(in.readUTF());
             case COMPLETED -> complete(message);
             case ATTEMPTS -> readAttempts(in).applyTo(message);
-            default -> throw new IOException("unknown record " + type);
+            default -> throw new IOException("unknown record type " + type + " in the legacy journal file");
         }
     }
 
@@ -229,7 +229,7 @@
                 in.readInt(),
                 in.readLong(),
                 in.readNBytes(in.readInt()));
-        // The number of the class was added by a later version of that format.
+        // The class number was added in a later version of this format.
         message.classNumber = in.available() < Integer.BYTES ? -1 : in.readInt();
         pending.put(number, message);
     }
@@ -262,7 +262,7 @@
 
     private void replayHandoffBatch(DataInputStream in) throws IOException {
         NamedHandoffBatch namedBatch = JournalRecordCodec.decodeHandoffBatch(in);
-        // Records that came with the batch: so many where negative, two for each message where not.
+        // The number of records of the batch if negative, otherwise the number of messages, each with two records.
         int count = in.readInt();
         for (int remainingRecords = count < 0 ? -count : 2 * count; remainingRecords > 0; remainingRecords--) {
             replay(in.readNBytes(in.readInt()));
--- a/sender/src/main/java/amberroute/sender/journal/MessageRecords.java
+++ b/sender/src/main/java/amberroute/sender/journal/MessageRecords.java
@@ -3,7 +3,7 @@
 import amberroute.sender.message.AcceptedMessage;
 import amberroute.storage.Batch;
 
-/** Puts the records of messages into batches. An ended or completed message's record replaces all others of the message. */
+/** Puts the records of messages into batches. The record of an ended or completed message replaces all its others. */
 final class MessageRecords {
     private MessageRecords() {}
 
@@ -27,7 +27,7 @@
         return batch.putExclusive(number, RecordKind.MESSAGE, JournalRecordCodec.encodeCompleted(completed));
     }
 
-    /** Puts a message's state without its rank: it is pending, or ended with a notice. */
+    /** Puts a message's state without its rank: pending, or ended with a notice. */
     static Batch putCurrentState(Batch batch, AcceptedMessage message) {
         return message.pendingNotification == null
                 ? putAttempts(putPending(batch, message), message)
--- a/sender/src/main/java/amberroute/sender/journal/NamedHandoffBatch.java
+++ b/sender/src/main/java/amberroute/sender/journal/NamedHandoffBatch.java
@@ -1,4 +1,4 @@
 package amberroute.sender.journal;
 
-/** A handoff batch as it is journaled: its name and its state. */
+/** A journaled handoff batch: its name and state. */
 record NamedHandoffBatch(String name, HandoffBatchRecord batch) {}
--- a/sender/src/main/java/amberroute/sender/journal/OwnerNumbers.java
+++ b/sender/src/main/java/amberroute/sender/journal/OwnerNumbers.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The log's owner numbers of all that is not a message: handoff batches, key holds, health records, classes and the state of
- * replication. Messages are owners under their own numbers. Not thread-safe.
+ * The log's owner numbers of everything but messages: handoff batches, key holds, health records, classes and the
+ * replication state. Messages are owners under their own numbers. Not thread-safe.
  */
 final class OwnerNumbers {
     private final SegmentLog log;
@@ -40,7 +40,7 @@
         return "hold " + key + " " + origin;
     }
 
-    /** Returns the owner's number, a new one where it has none. */
+    /** Returns the owner's number, allocating one if it has none. */
     long getOrAllocate(String owner) {
         return numbers.computeIfAbsent(owner, name -> log.nextOwnerId());
     }
@@ -50,12 +50,12 @@
         return numbers.get(owner);
     }
 
-    /** Takes a number that recovery has read. */
+    /** Adds a number that was read during recovery. */
     void restore(String owner, long number) {
         numbers.put(owner, number);
     }
 
-    /** Forgets a deleted owner; returns its number, or null. */
+    /** Removes a deleted owner; returns its number, or null. */
     Long remove(String owner) {
         return numbers.remove(owner);
     }
--- a/sender/src/main/java/amberroute/sender/journal/PendingWrites.java
+++ b/sender/src/main/java/amberroute/sender/journal/PendingWrites.java
@@ -7,11 +7,11 @@
 import java.util.function.Predicate;
 
 /**
- * Changes that the disk has not taken yet: the last one of each owner, and what may follow when it is written. There is at most
- * one for each pending message and each upstream. Used on the event loop only.
+ * Changes that the disk has rejected so far: the latest one of each owner, and the effect to run after it is written.
+ * There is at most one for each pending message and each upstream. Used on the event loop only.
  */
 final class PendingWrites {
-    /** Follows a change that nothing depends on. */
+    /** For a change that no effect depends on. */
     static final Runnable NO_EFFECT = () -> {};
 
     private record PendingWrite(Batch batch, Runnable effect) {}
@@ -36,12 +36,12 @@
         return write != null && write.effect() != NO_EFFECT;
     }
 
-    /** Replaces an earlier change of the owner: its last state is all that has to be written. */
+    /** Replaces an earlier change of the owner, since only the latest state has to be written. */
     void put(long owner, Batch batch, Runnable effect) {
         byOwner.put(owner, new PendingWrite(batch, effect));
     }
 
-    /** Drops a change that another write covers. */
+    /** Removes a change that another write includes. */
     void remove(long owner) {
         byOwner.remove(owner);
     }
--- a/sender/src/main/java/amberroute/sender/journal/RecordBytes.java
+++ b/sender/src/main/java/amberroute/sender/journal/RecordBytes.java
@@ -4,7 +4,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** Encodes a record's content with {@link DataOutputStream}: big-endian numbers, text in modified UTF-8. */
+/** Encodes the fields of a record with {@link DataOutputStream}: big-endian numbers, strings in modified UTF-8. */
 public final class RecordBytes {
     private static final int INITIAL_BYTES = 128;
 
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Returns the bytes that {@code content} writes.
+     * Returns the bytes that {@code fields} writes.
      *
-     * @throws IllegalArgumentException where a text is longer than its length field can say
+     * @throws IllegalArgumentException if a string is longer than its length field allows
      */
     public static byte[] encode(FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
--- a/sender/src/main/java/amberroute/sender/journal/StateLock.java
+++ b/sender/src/main/java/amberroute/sender/journal/StateLock.java
@@ -14,8 +14,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Exclusive ownership of a state folder: a record lock of the kernel on the file {@code lock}, which the end of the process
- * releases however it comes, SIGKILL too. On request the file has the process's id.
+ * Exclusive ownership of a state folder: a kernel record lock on the file {@code lock}, which is released when the
+ * process ends, even by SIGKILL. The file optionally contains the process id.
  */
 public final class StateLock implements Closeable {
     private static final String FILE_NAME = "lock";
@@ -30,8 +30,8 @@
     /**
      * Acquires the lock.
      *
-     * @param recordPid whether the file has the process's id
-     * @throws InvalidSettingsException where another process has it, which the message names
+     * @param recordPid whether to write the process id to the file
+     * @throws InvalidSettingsException if another process has the lock; the message names it
      */
     public static StateLock acquire(Path folder, boolean recordPid) throws IOException {
         StateLock lock = tryAcquireAndLog(folder, recordPid);
@@ -41,7 +41,7 @@
         throw new InvalidSettingsException("state folder " + folder + " is held by " + describeOwner(folder));
     }
 
-    /** As {@link #tryAcquire}, and the log says so: the folder is this sender's own from then on. */
+    /** Same as {@link #tryAcquire}, but logs the acquisition: the folder is this sender's own from then on. */
     public static StateLock tryAcquireAndLog(Path folder, boolean recordPid) throws IOException {
         StateLock lock = tryAcquire(folder, recordPid);
         if (lock != null) {
@@ -50,7 +50,7 @@
         return lock;
     }
 
-    /** Acquires the lock; null where another process, or another sender of this one, has it. */
+    /** Acquires the lock; null if another process, or another sender in this process, has it. */
     public static StateLock tryAcquire(Path folder, boolean recordPid) throws IOException {
         Files.createDirectories(folder);
         FileChannel file = FileChannel.open(
@@ -69,7 +69,7 @@
                 return new StateLock(file);
             }
         } catch (OverlappingFileLockException e) {
-            // Another sender of this process has it.
+            // Another sender in this process has it.
         } catch (IOException e) {
             file.close();
             throw e;
@@ -79,14 +79,14 @@
     }
 
     /**
-     * Records that the owner checks for a {@link FencingToken} behind each write, so that its folder may be taken over while it
-     * cannot be asked.
+     * Records that the owner checks the {@link FencingToken} after each write, so that its folder may be taken over
+     * even if the owner does not respond.
      */
     public void recordFencingChecked() throws IOException {
         file.write(ByteBuffer.wrap((FENCING_CHECKED + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Returns whether the last owner recorded that it watches the fence. */
+    /** Returns whether the last owner recorded that it checks the fencing token. */
     public static boolean isFencingChecked(Path folder) throws IOException {
         return Files.readString(folder.resolve(FILE_NAME)).contains(FENCING_CHECKED);
     }
--- a/sender/src/main/java/amberroute/sender/journal/SteadyClock.java
+++ b/sender/src/main/java/amberroute/sender/journal/SteadyClock.java
@@ -9,13 +9,13 @@
 import java.util.zip.CRC32;
 
 /**
- * The clock of a state folder's times, in milliseconds. It runs evenly while the machine runs, over restarts of the process too,
- * whatever becomes of the wall clock: it is the machine's monotonic clock, which on Linux all processes share until the next boot
- * ({@code CLOCK_MONOTONIC}), plus an offset that makes it equal the wall clock when the folder was first used. The offset is in
- * the folder's file {@value #FILE_NAME}, with the boot's id and a checksum.
+ * The clock of a state folder, in milliseconds. It runs steadily while the machine runs, also across restarts of the
+ * process, and is not affected by steps of the wall clock: it is the machine's monotonic clock, which on Linux all
+ * processes share until the next boot ({@code CLOCK_MONOTONIC}), plus an offset that made it equal to the wall clock
+ * when the folder was first used. The folder's file {@value #FILE_NAME} has the offset, the boot id and a checksum.
  *
- * <p>After a boot, on another machine, or where that file cannot be read, it is unknown how long the folder was unused: the offset
- * is taken anew from the wall clock, and {@link #isBeforeGap} says that spans over the gap cannot be trusted.
+ * <p>After a boot, on another machine, or if the file cannot be read, it is unknown how long the folder was unused: a
+ * new offset is taken from the wall clock, and {@link #isBeforeGap} reports that durations across the gap are unknown.
  */
 public final class SteadyClock {
     private static final String FILE_NAME = "clock";
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Opens the clock of a folder whose lock this process has. Times in a folder without a clock file are of an earlier version,
-     * which used the wall clock.
+     * Opens the clock of a folder whose lock this process has. Times in a folder without a clock file were written by
+     * an earlier version, which used the wall clock.
      */
     public static SteadyClock open(Path folder) {
         String bootId = readBootId();
@@ -55,7 +55,7 @@
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Returns the id of this boot; without one from the kernel all processes are taken to be of one boot. */
+    /** Returns the id of the current boot; if the kernel provides none, all processes are assumed to share one boot. */
     private static String readBootId() {
         try {
             return Files.readString(BOOT_ID_FILE).strip();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Returns the boot id, the offset and the checksum; null where there is no whole file. */
+    /** Returns the boot id, the offset and the checksum; null if there is no valid file. */
     private static String[] readFile(Path file) {
         try {
             String[] fields = Files.readString(file, StandardCharsets.US_ASCII).split(" ");
@@ -80,17 +80,17 @@
         return Long.toHexString(crc.getValue());
     }
 
-    /** Returns milliseconds that never decrease; close to the wall clock's where that was never stepped. */
+    /** Returns a time in milliseconds that never decreases; close to the wall clock unless that was stepped. */
     public long millis() {
         return monotonicMillis() + offsetMillis;
     }
 
-    /** Returns whether an instant in milliseconds lies before a gap of unknown length. */
+    /** Returns whether a time in milliseconds lies before a gap of unknown length. */
     public boolean isBeforeGap(long instantMillis) {
         return instantMillis < gapEndMillis;
     }
 
-    /** Writes the file where the disk did not take it before; to be called from time to time by the folder's owner. */
+    /** Writes the file if that has failed before; has to be called periodically by the folder's owner. */
     public void persist() {
         if (persisted) {
             return;
--- a/sender/src/main/java/amberroute/sender/journal/WriteFailure.java
+++ b/sender/src/main/java/amberroute/sender/journal/WriteFailure.java
@@ -4,7 +4,7 @@
 import amberroute.storage.LogFullException;
 import java.io.IOException;
 
-/** Why the journal cannot be written just now; logs when that begins, changes and ends. Used on the event loop only. */
+/** The reason why the journal cannot be written; logs when it begins, changes and ends. Used on the event loop only. */
 final class WriteFailure {
     private static final String BUDGET_EXHAUSTED = "the disk budget is spent";
 
--- a/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
+++ b/sender/src/test/java/amberroute/sender/journal/CompatibilityScenario.java
@@ -16,8 +16,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Fixed operations on a journal, over one restart, and a description of all that a journal holds. The same operations were
- * recorded with an earlier version: {@link JournalCompatibilityTest}.
+ * A fixed sequence of journal operations with one restart, and a textual description of a journal's contents. The same
+ * operations were recorded with an earlier version, see {@link JournalCompatibilityTest}.
  */
 final class CompatibilityScenario {
     static final long BUDGET_BYTES = 100_000;
@@ -28,7 +28,7 @@
 
     private CompatibilityScenario() {}
 
-    /** Numbers each change, and notes the changes as they would be replicated. */
+    /** Numbers each change and records the checksum of the batch that would be replicated. */
     private static final class RecordingListener implements JournalChangeListener {
         final List<String> batchChecksums = new ArrayList<>();
 
@@ -57,7 +57,7 @@
         return bytes.length + ":" + Long.toHexString(crc.getValue());
     }
 
-    /** Carries out all operations in a new folder; returns the changes as they were given to the listener. */
+    /** Runs all operations in a new folder; returns the checksums of the replicated batches. */
     static List<String> write(Path folder) throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             defineClasses(journal);
@@ -140,12 +140,12 @@
     private static AcceptedMessage accept(Journal journal, String id, int classNumber, long key, int bodyBytes) {
         AcceptedMessage message = message(journal, id, classNumber, key, bodyBytes);
         if (!journal.accept(message)) {
-            throw new IllegalStateException("not accepted: " + id);
+            throw new IllegalStateException("journal rejected message " + id);
         }
         return message;
     }
 
-    /** A message in each state that a restart can find it in. */
+    /** Writes a message in each state that a restart can find. */
     private static void writePendingMessages(Journal journal) {
         accept(journal, "untried", 0, 7, 300);
         accept(journal, "empty", 3, 0, 0);
@@ -193,7 +193,7 @@
         journal.recordHealth(healthRecord(4, "endpoint-é", DeliveryScheduler.UpstreamStatus.UNAVAILABLE, 7));
     }
 
-    /** Messages that come and go, so that segments fill up, are compacted and retired. */
+    /** Writes and ends short-lived messages, so that segments are filled, compacted and deleted. */
     private static void acceptAndFinishMessages(Journal journal, String idPrefix, int compactionSteps) {
         for (int i = 0; i < SHORT_LIVED_MESSAGES; i++) {
             AcceptedMessage message = accept(journal, idPrefix + "-" + i, i % 2 == 0 ? 0 : 3, i % 5, 300 + 13 * i);
@@ -255,7 +255,7 @@
         journal.expireKeyHolds(START_MILLIS + 1);
     }
 
-    /** All that a journal holds, one line for each item. Allocates numbers, so nothing may be written behind it. */
+    /** Describes all contents, one line for each item. Allocates numbers, so nothing may be written afterwards. */
     static List<String> describe(Journal journal) {
         List<String> lines = new ArrayList<>();
         for (AcceptedMessage message : journal.pendingMessages()) {
--- a/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The bytes of the journal are those of version 131520b, with which the resources were recorded: that version's journal is read
- * here, and what is written here that version reads, as it has the same records.
+ * The journal's bytes are those of version 131520b, which recorded the resources: its journal can be read, and it can
+ * read what is written here, since the records are identical.
  */
 class JournalCompatibilityTest {
     private static final int HEADER_BYTES = 48;
@@ -45,7 +45,7 @@
         return filesByName;
     }
 
-    /** By segment number: its bytes without the checksums of records, which cover a random salt. */
+    /** Returns the bytes of segments by number, without the checksums of records, which cover a random salt. */
     private static TreeMap<String, byte[]> segments(Path state) throws IOException {
         TreeMap<String, byte[]> bytesByNumber = new TreeMap<>();
         for (var entry : files(state).entrySet()) {
--- a/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalHandoffTest.java
@@ -21,6 +21,8 @@
 /** Handoff batches in the journal: wherever a process is killed, no message is lost or has two owners. */
 class JournalHandoffTest {
     private static final long DEADLINE_MILLIS = System.currentTimeMillis() + 60_000;
+    private static final int SEGMENT_HEADER_BYTES = 48;
+    private static final int RECORD_HEADER_BYTES = 20;
     private static final Ownership OFFERED = new Ownership(2, Status.OFFERED, "heir");
 
     @TempDir
@@ -45,7 +47,7 @@
         return Files.readAllBytes(segment());
     }
 
-    /** The one segment that a test has written so far. */
+    /** The only segment that a test has written so far. */
     private Path segment() throws IOException {
         try (var files = Files.list(folder)) {
             return files.filter(file ->
@@ -55,11 +57,11 @@
         }
     }
 
-    /** Lengths of the segment at which a whole record ends; the first record is the segment list. */
+    /** Lengths at which a whole record of the segment ends; the first record is the segment list. */
     private static List<Integer> recordEnds(byte[] segment) {
         List<Integer> ends = new ArrayList<>();
-        for (int offset = 48; offset < segment.length; ) {
-            offset += 20 + ByteBuffer.wrap(segment).getInt(offset + 4);
+        for (int offset = SEGMENT_HEADER_BYTES; offset < segment.length; ) {
+            offset += RECORD_HEADER_BYTES + ByteBuffer.wrap(segment).getInt(offset + 4);
             ends.add(offset);
         }
         return ends;
@@ -70,7 +72,7 @@
         return open();
     }
 
-    /** The sender of a batch, up to its acceptance: at each record a message is its own, frozen, or the peer's. */
+    /** Offering a batch until its acceptance: after each record a message is owned, offered, or owned by the peer. */
     @Test
     void offeringJournalTruncatedAfterAnyRecordHasConsistentOwnership() throws IOException {
         try (Journal journal = open()) {
@@ -95,7 +97,7 @@
         }
     }
 
-    /** A rejection unfreezes the messages, with all their attempts; a second offer freezes them again. */
+    /** A rejection makes the messages owned again, with all their attempts; a second offer freezes them again. */
     @Test
     void offeredMessagesAfterRejectionAreOwnedAgain() throws IOException {
         try (Journal journal = open()) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /** Ended while offered: at no record is a message the sender's own again, as the peer may deliver it. */
+    /** Messages that end while they are offered are never owned again, since the peer may deliver them. */
     @Test
     void messagesEndedWhileOfferedAreNeverOwnedAgain() throws IOException {
         try (Journal journal = open()) {
@@ -142,11 +144,11 @@
         }
     }
 
-    /** The receiver of a batch: messages and ownership are in one record, so a torn one leaves neither, at whatever byte. */
+    /** Accepting a batch: messages and ownership are one record, so a record torn at any byte leaves neither. */
     @Test
     void tornBatchAcceptanceLeavesNeitherMessagesNorBatch() throws IOException {
         try (Journal journal = open()) {
-            AcceptedMessage unknownOutcome = message(journal, "doubt", 50);
+            AcceptedMessage unknownOutcome = message(journal, "unknown", 50);
             unknownOutcome.attempts = 3;
             unknownOutcome.unknownOutcomeSinceMillis = 12_345;
             unknownOutcome.unknownOutcomeEndpoint = "s-1";
@@ -172,17 +174,17 @@
             assertEquals(3, unknownOutcome.attempts);
             assertEquals(12_345, unknownOutcome.unknownOutcomeSinceMillis);
             assertEquals("s-1", unknownOutcome.unknownOutcomeEndpoint);
-            assertEquals("idem-doubt", unknownOutcome.idempotencyKey);
+            assertEquals("idem-unknown", unknownOutcome.idempotencyKey);
             assertTrue(journal.handoffBatches().get("lot").ownership().isOwned());
         }
     }
 
-    /** Compaction retains handoff batches, and expired ones are deleted. */
+    /** Compaction retains handoff batches; expired ones are deleted. */
     @Test
     void handoffBatchesSurviveCompactionUntilTheyExpire() throws IOException {
         try (Journal journal = open()) {
             List<AcceptedMessage> messages = acceptTwo(journal);
-            journal.writeHandoffBatch("kept", OFFERED, DEADLINE_MILLIS, messages);
+            journal.writeHandoffBatch("offered", OFFERED, DEADLINE_MILLIS, messages);
             journal.writeHandoffBatch("refused", new Ownership(2, Status.REFUSED, ""), DEADLINE_MILLIS, List.of());
             journal.writeHandoffBatch("old", new Ownership(2, Status.REFUSED, ""), 1, List.of());
             long maxUsedBytes = 0;
@@ -193,7 +195,7 @@
                 journal.compactStep();
                 maxUsedBytes = Math.max(maxUsedBytes, journal.usedBytes());
             }
-            assertTrue(maxUsedBytes < 1_600_000, "nothing was retired: " + maxUsedBytes);
+            assertTrue(maxUsedBytes < 1_600_000, "no segment was deleted, used bytes: " + maxUsedBytes);
             journal.expireHandoffBatches(System.currentTimeMillis());
         }
         try (Journal journal = open()) {
@@ -202,7 +204,7 @@
                     journal.pendingMessages().stream()
                             .filter(message -> message.offeredToPeer)
                             .count());
-            assertEquals(OFFERED, journal.handoffBatches().get("kept").ownership());
+            assertEquals(OFFERED, journal.handoffBatches().get("offered").ownership());
             assertEquals(
                     Status.REFUSED,
                     journal.handoffBatches().get("refused").ownership().status());
@@ -210,7 +212,7 @@
         }
     }
 
-    /** Peers that offer ever new batches leave the room for messages. */
+    /** A peer that keeps offering new batches must not take the space of messages. */
     @Test
     void handoffBatchesBeyondTheirBudgetShareAreRejected() throws IOException {
         try (Journal journal = open()) {
@@ -219,10 +221,10 @@
                     "lot" + batches, new Ownership(2, Status.REFUSED, ""), DEADLINE_MILLIS, List.of())) {
                 batches++;
             }
-            assertTrue(batches > 1_000 && batches < 2_000, batches + " lots");
+            assertTrue(batches > 1_000 && batches < 2_000, batches + " batches");
             assertTrue(
                     journal.writeHandoffBatch("lot0", new Ownership(3, Status.REFUSED, ""), DEADLINE_MILLIS, List.of()),
-                    "a known one has its place");
+                    "a known batch can be written again");
             for (int i = 0; i < 400; i++) {
                 assertTrue(journal.accept(message(journal, "m" + i, 500)), "message " + i);
             }
@@ -240,7 +242,7 @@
                     List.of(message(journal, "m" + accepted, 20_000)))) {
                 accepted++;
             }
-            assertTrue(accepted > 2 && accepted < 20, "took " + accepted);
+            assertTrue(accepted > 2 && accepted < 20, "accepted " + accepted);
             assertFalse(journal.containsId("m" + accepted));
             for (AcceptedMessage message : List.copyOf(journal.pendingMessages())) {
                 journal.endWithNotice(message, message.failed());
@@ -252,7 +254,7 @@
         }
     }
 
-    /** Guards against messages that overtake another daemon's: a repair writes holds anew, and must not put them last. */
+    /** A repair rewrites holds; ranked last, they would let messages overtake those of another sender. */
     @Test
     void keyHoldsInRepairedJournalRankBeforeMessagesOfTheirKeys() throws IOException {
         Path copy = folder.resolve("copy");
--- a/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /**
- * Measures the journal beside the single file of 0.2, one after the other in one process; run by hand ({@code
+ * Compares the journal with the single-file journal of version 0.2, alternately in one process; run by hand ({@code
  * docs/figures/journal.md}). Not a test: it asserts nothing.
  */
 final class JournalMeasurement {
@@ -141,7 +141,7 @@
     }
 
     private static Path createFolder() throws IOException {
-        return Files.createTempDirectory("amberroute-figures-");
+        return Files.createTempDirectory("amberroute-measurement-");
     }
 
     private static void delete(Path folder) throws IOException {
@@ -152,7 +152,7 @@
         }
     }
 
-    /** So many live messages, and others that are accepted, attempted and completed. */
+    /** Accepts, attempts and completes messages while a number of others stay pending. */
     private static void measureLoad(String name, JournalAdapter adapter, int pending, int bodyBytes, int messages)
             throws IOException {
         Path folder = createFolder();
@@ -175,7 +175,7 @@
             adapter.attempt(journal, newMessage);
             long attemptEnd = System.nanoTime();
             pendingMessages.add(newMessage);
-            // One in ten outlives those that are completed at once.
+            // One in ten outlives those that are completed immediately.
             AcceptedMessage completed = i % 10 == 0 ? pendingMessages.poll() : pendingMessages.pollLast();
             long completeStart = System.nanoTime();
             adapter.complete(journal, completed);
@@ -192,7 +192,8 @@
         Arrays.sort(callNanos);
         System.out.printf(
                 Locale.ROOT,
-                "%-9s live %7d body %4d: %.1f us a message, calls 99.9%% %.0f us, longest %.1f ms, %.2f bytes written a byte%n",
+                "%-11s pending %7d body %4d bytes: %.1f us per message, calls 99.9%% %.0f us, longest %.1f ms, "
+                        + "%.2f bytes written per byte%n",
                 name,
                 pending,
                 bodyBytes,
@@ -204,7 +205,7 @@
         delete(folder);
     }
 
-    /** Iterations of so many messages, each accepted, attempted and completed, with the effects that wait for a force. */
+    /** Accepts, attempts and completes a number of messages per iteration, with effects that wait for a force. */
     private static void measureForces(Durability durability, int messagesPerIteration, int iterations)
             throws IOException {
         Path folder = createFolder();
@@ -242,7 +243,7 @@
         double tookSeconds = (System.nanoTime() - startNanos) / 1e9;
         System.out.printf(
                 Locale.ROOT,
-                "%-5s turns of %3d messages: %.0f messages a second (%d told)%n",
+                "%-5s iterations of %3d messages: %.0f messages per second (%d acknowledged)%n",
                 durability,
                 messagesPerIteration,
                 messagesPerIteration * iterations / tookSeconds,
@@ -261,7 +262,7 @@
         }
         System.out.printf(
                 Locale.ROOT,
-                "%-9s 3 MB hold %5d messages with bodies of %5d: %.2f of the budget are bodies%n",
+                "%-11s 3 MB hold %5d messages with bodies of %5d bytes: %.2f of the budget are bodies%n",
                 name,
                 accepted,
                 bodyBytes,
@@ -290,7 +291,7 @@
         }
         System.out.printf(
                 Locale.ROOT,
-                "%-9s reopens %7d live messages (%d found) in %.1f ms%n",
+                "%-11s reopens %7d pending messages (%d found) in %.1f ms%n",
                 name,
                 pending,
                 found,
@@ -302,7 +303,7 @@
         List<JournalAdapter> adapters = List.of(new SingleFileJournalAdapter(), new SegmentedJournalAdapter());
         for (int round = 0; round < 2; round++) {
             for (JournalAdapter adapter : adapters) {
-                String name = adapter instanceof SingleFileJournalAdapter ? "one file" : "segments";
+                String name = adapter instanceof SingleFileJournalAdapter ? "single file" : "segments";
                 System.out.println(round == 0 ? "warming up" : "measured");
                 for (int pending : round == 0 ? new int[] {400} : new int[] {400, 10_000, 100_000}) {
                     measureLoad(name, adapter, pending, 200, 30_000);
--- a/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalPowerLossTest.java
@@ -19,11 +19,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Acceptances, attempts and notices that were reported survive a loss of power, where that is configured. */
+/** Reported acceptances, attempts and notices survive a power loss if durability is configured. */
 class JournalPowerLossTest {
     private static final long BUDGET_BYTES = 600_000;
 
-    /** Runs what is due when a test says so, as a force takes its time. */
+    /** Runs tasks when a test requests it, to simulate slow forces. */
     private static final class ManualExecutor implements BackgroundExecutor {
         final Deque<Runnable> dueWork = new ArrayDeque<>();
         int forces;
@@ -69,13 +69,13 @@
         executor.runAll();
         assertEquals(20, effects.size());
         assertEquals(1, executor.forces);
-        // Nothing new was written: no force is needed.
-        journal.whenDurable(() -> effects.add("at once"), null);
+        // Nothing new was written, so no force is needed.
+        journal.whenDurable(() -> effects.add("immediate"), null);
         assertEquals(21, effects.size());
         assertEquals(1, executor.forces);
     }
 
-    /** Random operations, slow forces, and power that fails at any operation: all that was reported is found. */
+    /** Random operations, slow forces and a power loss at any operation: everything reported is found afterwards. */
     @Test
     void reportedChangesSurvivePowerLoss() throws IOException {
         int checked = 0;
@@ -130,7 +130,7 @@
                         journal.compactStep();
                     }
                 } catch (SimulatedDisk.ProcessKilledError e) {
-                    // Power has failed.
+                    // The power loss of this run.
                 }
                 disk.simulatePowerLoss(seed);
                 disk.restart(1, SimulatedDisk.Fault.NONE, 0);
@@ -149,14 +149,14 @@
                         context + ": attempt " + attemptCount + " of " + id));
                 reportedNotices.forEach((id, notice) -> assertTrue(
                         !foundById.containsKey(id) || notice.equals(foundById.get(id).pendingNotification),
-                        context + ": the end of " + id));
+                        context + ": notice of " + id));
                 checked += reportedAccepted.size();
             }
         }
-        assertTrue(checked > 5_000, "only " + checked);
+        assertTrue(checked > 5_000, "only " + checked + " messages were checked");
     }
 
-    /** After a failed force nothing is accepted until all of what it covered is on the disk in another way. */
+    /** After a failed force no message is accepted until all records that it covered have been rewritten. */
     @Test
     void messagesAfterFailedForceAreRejectedUntilRecordsAreRewritten() throws IOException {
         for (long seed = 0; seed < 100; seed++) {
@@ -166,16 +166,16 @@
             List<String> effects = new ArrayList<>();
             for (String id : List.of("a", "b")) {
                 assertTrue(journal.accept(newMessage(journal, id)));
-                journal.whenDurable(() -> effects.add(id), () -> effects.add("not " + id));
+                journal.whenDurable(() -> effects.add(id), () -> effects.add("failed " + id));
             }
             AcceptedMessage second = List.copyOf(journal.pendingMessages()).get(1);
             journal.endWithNotice(
                     second, second.failed(), () -> journal.whenDurable(() -> effects.add("end of b"), null));
             disk.restart(seed, SimulatedDisk.Fault.FAIL_FORCES, 1);
             executor.runAll();
-            assertEquals(List.of("not a", "not b"), effects);
+            assertEquals(List.of("failed a", "failed b"), effects);
             assertFalse(journal.accept(newMessage(journal, "c")));
-            assertFalse(journal.lastWriteUncertain(), "c was never written");
+            assertFalse(journal.lastWriteUncertain(), "the rejected message was not written");
             assertTrue(journal.retryAfterMillis() > 0);
             for (int i = 0; i < 3; i++) {
                 journal.retryFailedWrites();
@@ -203,7 +203,7 @@
         }
     }
 
-    /** A force on the event loop, while one runs in the background: both are done when it returns. */
+    /** Forces on the event loop while a background force runs: both are complete when it returns. */
     @Test
     void forceAllDuringBackgroundForceCompletesBoth() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
--- a/sender/src/test/java/amberroute/sender/journal/JournalTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Room in the journal: given back in full, never exceeded, and enough for every accepted message. */
+/** Space in the journal: released in full, never exceeded, and sufficient for every accepted message. */
 class JournalTest {
     private static final long BUDGET_BYTES = 600_000;
     private static final String ENDPOINT_UID = "u".repeat(128);
@@ -46,16 +46,16 @@
         }
     }
 
-    /** Twelve attempts each and a notice, repeatedly: the files stay within the budget all the time. */
+    /** Twelve attempts and a notice for each message, repeatedly: the files always stay within the budget. */
     @Test
     void spaceOfCompletedMessagesIsReleasedInFull() throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             int firstAccepted = acceptUntilFull(journal);
-            assertTrue(firstAccepted > 200, "took " + firstAccepted);
+            assertTrue(firstAccepted > 200, "accepted " + firstAccepted);
             for (int round = 0; round < 3; round++) {
                 for (AcceptedMessage message : List.copyOf(journal.pendingMessages())) {
                     for (int i = 0; i < 12; i++) {
-                        assertTrue(journal.recordAttempt(message, ENDPOINT_UID, 5), "no room for an attempt");
+                        assertTrue(journal.recordAttempt(message, ENDPOINT_UID, 5), "no space for an attempt");
                         journal.recordOutcome(message, true);
                     }
                     assertWithinBudget();
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Compaction and a restart change nothing, notices and ids of completed messages included. */
+    /** Compaction and a restart change nothing, including notices and ids of completed messages. */
     @Test
     void contentsAfterCompactionAndRestartAreUnchanged() throws IOException {
         String notice;
@@ -92,7 +92,7 @@
         try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             List<AcceptedMessage> pending = List.copyOf(journal.pendingMessages());
             assertEquals(notice, pending.get(0).pendingNotification);
-            assertTrue(journal.containsId("id000002"), "the id of an ended message was forgotten");
+            assertTrue(journal.containsId("id000002"), "the id of a completed message was lost");
             AcceptedMessage last = pending.get(pending.size() - 1);
             assertEquals(
                     List.of(3_001, 6L, ENDPOINT_UID, true, 77L),
@@ -104,7 +104,7 @@
                             last.attemptSentAtMillis));
             int pendingCount = pending.size();
             pending.forEach(journal::complete);
-            assertTrue(acceptUntilFull(journal) >= pendingCount, "room was lost over the restart");
+            assertTrue(acceptUntilFull(journal) >= pendingCount, "the restart lost space");
         }
     }
 
@@ -116,28 +116,31 @@
         return new AcceptedMessage(journal.nextNumber(), id, "", "unsafe", 7, 3, 1_000, new byte[100]);
     }
 
-    /** While nothing can be written no message is accepted, no attempt made and no notice sent; then all of it in order. */
+    /**
+     * While the disk is not writable, no message is accepted, no attempt made and no notice sent; all pending changes
+     * are written when it recovers.
+     */
     @Test
     void changesOnUnwritableDiskAreAppliedWhenItRecovers() throws IOException {
         for (SimulatedDisk.Fault fault : List.of(SimulatedDisk.Fault.FULL, SimulatedDisk.Fault.READ_ONLY)) {
             SimulatedDisk disk = new SimulatedDisk();
             Journal journal = openOn(disk);
-            AcceptedMessage attempted = newMessage(journal, "tried");
-            AcceptedMessage ending = newMessage(journal, "ends");
+            AcceptedMessage attempted = newMessage(journal, "attempted");
+            AcceptedMessage ending = newMessage(journal, "ending");
             AcceptedMessage completing = newMessage(journal, "over");
             List.of(attempted, ending, completing).forEach(message -> assertTrue(journal.accept(message)));
             assertTrue(journal.recordAttempt(attempted, "uid", 5) && journal.recordAttempt(completing, "uid", 5));
             assertEquals(0, journal.retryAfterMillis());
-            // The reserve is no help on a disk that takes nothing at all.
+            // The reserve does not help on a disk that accepts no write at all.
             disk.restart(4, fault, 1);
             List<String> effects = new ArrayList<>();
             assertFalse(journal.accept(newMessage(journal, "new")));
             assertTrue(journal.retryAfterMillis() > 0
                     && !journal.writeFailureReason().isEmpty());
             assertFalse(journal.recordAttempt(ending, "uid", 6));
-            assertEquals(0, ending.attempts, "an attempt that was not recorded was not made");
+            assertEquals(0, ending.attempts, "an attempt that is not recorded must not be made");
             journal.recordOutcome(attempted, true);
-            journal.endWithNotice(ending, ending.failed(), () -> effects.add("ends"));
+            journal.endWithNotice(ending, ending.failed(), () -> effects.add("ending"));
             journal.complete(completing);
             for (int i = 0; i < 5; i++) {
                 journal.retryFailedWrites();
@@ -148,13 +151,13 @@
             assertTrue(disk.fileNames().size() < 6, disk.fileNames().toString());
             disk.restart(4, SimulatedDisk.Fault.NONE, 0);
             journal.retryFailedWrites();
-            assertEquals(List.of("ends"), effects);
+            assertEquals(List.of("ending"), effects);
             assertEquals(0, journal.pendingWriteCount());
             assertEquals(0, journal.retryAfterMillis());
             assertTrue(journal.accept(newMessage(journal, "later")));
             Journal reopened = openOn(disk);
             assertEquals(
-                    List.of("tried", "ends", "later"),
+                    List.of("attempted", "ending", "later"),
                     reopened.pendingMessages().stream()
                             .map(message -> message.id)
                             .toList());
@@ -163,7 +166,7 @@
         }
     }
 
-    /** A full disk accepts no message, but accepted ones are ended out of the reserve, over a restart as well. */
+    /** A full disk accepts no message, but accepted ones are ended from the reserve, also after a restart. */
     @Test
     void messagesOnFullDiskAreEndedFromTheReserve() throws IOException {
         SimulatedDisk disk = new SimulatedDisk();
@@ -192,7 +195,7 @@
         assertTrue(reopened.accept(newMessage(reopened, "new")));
     }
 
-    /** With 3 MB of disk the next process knows the outages of more than a thousand upstreams. */
+    /** With 3 MB of disk, the health of more than a thousand upstreams survives a restart. */
     @Test
     void healthRecordsOfThousandUpstreamsSurviveRestart() throws IOException {
         try (Journal journal = Journal.open(folder, 3_000_000)) {
@@ -207,14 +210,15 @@
                 journal.recordHealth(new HealthRecord(
                         5_000 + i, "", amberroute.decisions.DeliveryScheduler.UpstreamStatus.UNAVAILABLE, i, 1, 2));
             }
-            assertEquals(1_950, journal.healthRecords().size(), "they take their share of the disk, and no more");
+            assertEquals(
+                    1_950, journal.healthRecords().size(), "health records are bounded by their part of the budget");
             assertTrue(
                     journal.healthRecords().stream().anyMatch(record -> record.destination() == 6_499),
-                    "the newest is forgotten");
+                    "the newest record is missing");
         }
     }
 
-    /** A burst of idempotent messages forgets no non-idempotent id, and memory and disk stay bounded. */
+    /** A burst of idempotent messages evicts no id of a non-idempotent one; memory and disk stay bounded. */
     @Test
     void nonIdempotentIdsSurviveBurstOfIdempotentMessages() throws IOException {
         try (Journal journal = Journal.open(folder, 3 << 20)) {
@@ -248,13 +252,13 @@
         }
         try (Journal journal = Journal.open(folder, 3 << 20)) {
             for (int i = 0; i < 500; i++) {
-                assertTrue(journal.containsId("unsafe" + i), "unsafe" + i + " was forgotten");
+                assertTrue(journal.containsId("unsafe" + i), "unsafe" + i + " was evicted");
             }
             assertTrue(journal.containsId("safe19999") && !journal.containsId("safe10"));
         }
     }
 
-    /** Repair writes what can be read elsewhere; the original stays as it is, byte for byte. */
+    /** Repair writes the readable records elsewhere and leaves the original unchanged, byte for byte. */
     @Test
     void repairCopiesReadableRecordsAndLeavesOriginalUnchanged() throws IOException {
         Path state = folder.resolve("state");
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrial.java
@@ -20,10 +20,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * For tests and experiments: runs a journal at full load on a simulated disk that kills the process, fails or fills up at an
- * operation chosen in turn, recovers it, and compares each message with a model that never saw the disk. Counts messages that are
- * lost, that would be answered or delivered twice, and whose state is wrong. A change that was interrupted may be found or not, as
- * nobody was answered. The same seed repeats the same run.
+ * For tests and experiments: runs a journal at full load on a simulated disk that kills the process, fails or fills up
+ * at a chosen operation, recovers the journal, and compares each message with an in-memory model. Counts messages that
+ * are lost, that would be acknowledged or delivered twice, and whose state is wrong. An interrupted change may be found
+ * or not, since nothing was reported. The same seed repeats the same run.
  */
 public final class JournalTrial {
     private static final long BUDGET_BYTES = 420_000;
@@ -31,7 +31,7 @@
     private static final int OPERATIONS_PER_PROCESS = 260;
     private static final long NOW_MILLIS = 1_700_000_000_000L;
 
-    /** The results of some rounds. */
+    /** The results of a number of rounds. */
     public static final class Counts {
         public long rounds;
         public long kills;
@@ -52,30 +52,30 @@
     private enum Violation {
         /** An accepted message is not found. */
         LOST,
-        /** A message would be answered or delivered a second time. */
+        /** A message would be acknowledged or delivered a second time. */
         DUPLICATED,
         WRONG_STATE
     }
 
-    /** What the model knows of one message. */
+    /** The expected state of one message. */
     private static final class ModelMessage {
         final String id;
         AcceptedMessage message;
-        /** Whether its client was answered that it is accepted. */
+        /** Whether its client was told that it is accepted. */
         boolean accepted;
-        /** Rejected while the journal was uncertain: it may be found. */
+        /** Rejected while the journal was uncertain, so that it may be found. */
         boolean mayBeFound;
 
         int attempts;
         boolean inFlight;
         boolean mayHaveRun;
-        /** The notice that was asked for. */
+        /** The notice that was requested. */
         String requestedNotice;
 
         boolean noticeSent;
         boolean completed;
         boolean completedDurably;
-        /** Whether the last call on it did not return, so that its change may be found or not. */
+        /** Whether the last call for it did not return, so that its change may be found or not. */
         boolean callInterrupted;
 
         ModelMessage(String id) {
@@ -99,7 +99,11 @@
         journalDisk = defect.apply(disk);
     }
 
-    /** Runs rounds {@code from} to {@code to}; {@code broken} puts a defect between journal and disk, to test the trial itself. */
+    /**
+     * Runs rounds {@code firstRound} (inclusive) to {@code endRound} (exclusive).
+     *
+     * @param defect wraps the disk with a defect, to test the trial itself
+     */
     public static Counts run(long seed, int firstRound, int endRound, UnaryOperator<Disk> defect) {
         Counts counts = new Counts();
         for (int round = firstRound; round < endRound; round++) {
@@ -129,15 +133,15 @@
                 disk.endFaultBefore(faultOperation + 40 + random.nextInt(200));
             }
             try {
-                open(", life " + process);
+                open(", process " + process);
                 runOperations();
             } catch (SimulatedDisk.ProcessKilledError e) {
                 counts.kills++;
             } catch (IOException e) {
-                // The next process finds what this one left.
+                // The next process recovers from what this one has written.
                 counts.failedWrites++;
             }
-            // The recovery may be interrupted too.
+            // Recovery may be interrupted, too.
             if (fault == SimulatedDisk.Fault.KILL && random.nextBoolean()) {
                 disk.restart(random.nextLong(), SimulatedDisk.Fault.KILL, 1 + random.nextInt(30));
                 try {
@@ -149,9 +153,9 @@
         }
         disk.restart(1, SimulatedDisk.Fault.NONE, 0);
         try {
-            open(", at the end");
+            open(", after the round");
         } catch (IOException e) {
-            recordViolation(Violation.WRONG_STATE, "cannot be opened: " + e);
+            recordViolation(Violation.WRONG_STATE, "the journal cannot be opened: " + e);
         }
     }
 
@@ -178,7 +182,7 @@
             foundOrder.add(message.id);
             ModelMessage expected = modelById.get(message.id);
             if (expected == null) {
-                recordViolation(Violation.DUPLICATED, message.id + " came from nowhere" + context);
+                recordViolation(Violation.DUPLICATED, message.id + " is unknown to the model" + context);
             } else {
                 compareWithModel(expected, message, context);
                 nextModel.put(message.id, modelOf(message));
@@ -191,26 +195,27 @@
         }
         if (!foundOrder.equals(
                 modelById.keySet().stream().filter(foundIds::contains).toList())) {
-            recordViolation(Violation.WRONG_STATE, "the order changed" + context);
+            recordViolation(Violation.WRONG_STATE, "the order of messages changed" + context);
         }
         modelById = nextModel;
     }
 
     private void compareWithModel(ModelMessage expected, AcceptedMessage found, String context) {
         if (!expected.accepted && !expected.mayBeFound && !expected.callInterrupted) {
-            recordViolation(Violation.DUPLICATED, found.id + " was refused and is there" + context);
+            recordViolation(Violation.DUPLICATED, found.id + " was rejected and was found" + context);
         }
         if (expected.completedDurably) {
-            recordViolation(Violation.DUPLICATED, found.id + " was over and is back" + context);
+            recordViolation(Violation.DUPLICATED, found.id + " was completed and was found" + context);
         }
         if (expected.noticeSent && !expected.requestedNotice.equals(found.pendingNotification)) {
             recordViolation(
                     Violation.DUPLICATED,
-                    found.id + " was told as ended and has " + found.pendingNotification + context);
+                    found.id + " was reported as ended and has notice " + found.pendingNotification + context);
         }
         if (found.pendingNotification != null && !found.pendingNotification.equals(expected.requestedNotice)) {
             recordViolation(
-                    Violation.WRONG_STATE, found.id + " ended as nobody asked: " + found.pendingNotification + context);
+                    Violation.WRONG_STATE,
+                    found.id + " has a notice that was not requested: " + found.pendingNotification + context);
         }
         if (found.pendingNotification == null) {
             boolean attemptsMatch = found.attempts == expected.attempts
@@ -221,18 +226,18 @@
                         found.id + " had " + expected.attempts + " attempts and has " + found.attempts + context);
             }
             if (expected.inFlight && !found.attemptInFlight && found.unknownOutcomeSinceMillis == 0) {
-                recordViolation(Violation.DUPLICATED, found.id + " was out and is not" + context);
+                recordViolation(Violation.DUPLICATED, found.id + " had an attempt in flight and has none" + context);
             }
             if (expected.mayHaveRun && found.unknownOutcomeSinceMillis == 0 && !found.attemptInFlight) {
-                recordViolation(Violation.DUPLICATED, found.id + " may have run and is in no doubt" + context);
+                recordViolation(Violation.DUPLICATED, found.id + " had an unknown outcome and has none" + context);
             }
             if (found.body.length != 40 + found.id.hashCode() % 40 + 40 || found.key != 7) {
-                recordViolation(Violation.WRONG_STATE, found.id + " is not what it was" + context);
+                recordViolation(Violation.WRONG_STATE, found.id + " has another body or key" + context);
             }
         }
     }
 
-    /** The model of a message that the journal has found. */
+    /** Returns the model of a message that was found in the journal. */
     private ModelMessage modelOf(AcceptedMessage message) {
         ModelMessage modelMessage = new ModelMessage(message.id);
         modelMessage.message = message;
@@ -257,7 +262,7 @@
         }
     }
 
-    /** Without pending writes, all completions are on the disk. */
+    /** Without pending writes, all completions are on disk. */
     private void markDurableCompletions() {
         if (journal.pendingWriteCount() == 0) {
             modelById.values().forEach(message -> message.completedDurably |= message.completed);
@@ -280,7 +285,7 @@
             if (target.noticeSent) {
                 complete(target);
             } else if (target.message.pendingNotification != null && random.nextBoolean()) {
-                // A process that found it ended sends its notice again.
+                // A process that finds it ended sends its notice again.
                 target.noticeSent |= journal.pendingWriteCount() == 0;
             }
         } else if (target.inFlight) {
@@ -300,7 +305,7 @@
             boolean recorded = journal.recordAttempt(target.message, "uid-" + choice, NOW_MILLIS);
             target.callInterrupted = false;
             counts.failedWrites += recorded ? 0 : 1;
-            // Not made, but perhaps recorded all the same.
+            // Not made, but possibly recorded.
             target.callInterrupted |= !recorded && journal.lastWriteUncertain();
             if (recorded) {
                 target.attempts++;
@@ -332,12 +337,12 @@
         counts.rejected += target.accepted ? 0 : 1;
     }
 
-    // ---- The same with real processes. ----
+    // ---- Trials with real processes. ----
 
     /**
-     * Fills the folder's journal until it is killed, and reports on standard output: {@code A} a message accepted, {@code T} an
-     * attempt recorded, {@code E} an end recorded, {@code C} a message completed; before each of them {@code ?}, as the change may
-     * be found or not if the process is killed during it.
+     * Fills the folder's journal until the process is killed, and reports on standard output: {@code A} message
+     * accepted, {@code T} attempt recorded, {@code E} end recorded, {@code C} message completed. {@code ?} precedes
+     * each of them, since the change may be found or not if the process is killed during it.
      */
     public static void main(String[] args) throws IOException {
         SplittableRandom random = new SplittableRandom(Long.parseLong(args[1]));
@@ -377,9 +382,10 @@
     }
 
     /**
-     * Starts processes that run {@link #main}, kills each after some of its reports, and compares its folder with them.
+     * Starts processes that run {@link #main}, kills each after a number of its reports, and compares its folder with
+     * the reports.
      *
-     * @param command gets the folder and a seed appended
+     * @param command the folder and a seed are appended to it
      */
     public static Counts runProcesses(List<String> command, Path folder, long seed, int rounds) throws IOException {
         Counts counts = new Counts();
@@ -397,13 +403,13 @@
                 if (in.readLine() == null) {
                     throw new IOException("the process of round " + round + " did not start");
                 }
-                // The pipe has all that the process wrote, also behind its end; a line that is cut off was not
+                // The pipe has everything that the process wrote, even after its end; a truncated line was not
                 // reported.
                 int lineCount = 0;
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     recordLine(reported, line);
                     if (++lineCount == linesBeforeKill) {
-                        // Not Process.destroyForcibly(): it closes the pipe with what is still in it.
+                        // Process.destroyForcibly() would close the pipe with the unread output.
                         process.toHandle().destroyForcibly();
                     }
                 }
@@ -470,7 +476,7 @@
                 counts.firstViolation = context + ": " + id;
             }
         });
-        // From now on each message is as it was found.
+        // From now on each message is expected as it was found.
         reported.values().removeIf(reportedMessage -> reportedMessage.completed);
         reported.entrySet().removeIf(entry -> !pendingById.containsKey(entry.getKey()));
         pendingById.forEach((id, found) -> {
--- a/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalTrialTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The experiment journal-crash in its short form, and that it would find a broken journal. */
+/** The experiment journal-crash in its short form, and that it detects a defective journal. */
 class JournalTrialTest {
     @Test
     void faultsAtAnyOperationNeitherLoseNorDuplicateMessages() {
@@ -22,11 +22,11 @@
         assertTrue(counts.ok(), counts.firstViolation);
         assertTrue(
                 counts.kills > 300 && counts.accepted > 20_000 && counts.failedWrites > 100 && counts.rejected > 100,
-                counts.kills + " kills, " + counts.accepted + " accepted, " + counts.failedWrites + " writes failed, "
-                        + counts.rejected + " refused");
+                counts.kills + " kills, " + counts.accepted + " accepted, " + counts.failedWrites + " failed writes, "
+                        + counts.rejected + " rejected");
     }
 
-    /** Skips a write once in a while, and reports it as done. */
+    /** The disk skips one write in 97 and reports success. */
     @Test
     void skippedWriteIsDetected() {
         assertDefectFound(disk -> new DefectiveDisk(disk) {
@@ -44,7 +44,7 @@
         });
     }
 
-    /** Reports a failed write as done. */
+    /** The disk reports a failed write as successful. */
     @Test
     void ignoredWriteErrorIsDetected() {
         assertDefectFound(disk -> new DefectiveDisk(disk) {
@@ -61,7 +61,7 @@
         });
     }
 
-    /** Deletes a segment before the last copies from it, and the record of its retirement, are written. */
+    /** A segment is deleted before the last copies from it and the record of its deletion are written. */
     @Test
     void segmentDeletedBeforeItsCopiesAreWrittenIsDetected() {
         assertDefectFound(disk -> new DefectiveDisk(disk) {
@@ -81,7 +81,7 @@
                             file.append(remaining);
                         }
                     } catch (IOException e) {
-                        // Ignored, as is part of the defect.
+                        // Ignored: part of the defect.
                     }
                 });
                 return copy.length;
@@ -103,10 +103,10 @@
 
     private static void assertDefectFound(UnaryOperator<Disk> defect) {
         JournalTrial.Counts counts = JournalTrial.run(11, 0, 500, defect);
-        assertFalse(counts.ok(), "the broken engine was not found");
+        assertFalse(counts.ok(), "the defect was not detected");
     }
 
-    /** Real processes on a real folder, killed at any moment; the experiment does more of it. */
+    /** Real processes with a real folder, killed at random times; the experiment runs more of them. */
     @Test
     void killedProcessesLoseNoMessage(@TempDir Path folder) throws Exception {
         JournalTrial.Counts counts = JournalTrial.runProcesses(
@@ -125,7 +125,7 @@
         assertTrue(counts.accepted > 100, counts.accepted + " accepted");
     }
 
-    /** A disk with a defect between it and the journal. */
+    /** A disk with a defect, between the journal and the simulated disk. */
     private static class DefectiveDisk implements Disk {
         private final Disk delegate;
 
@@ -137,7 +137,7 @@
             return file.append(bytes);
         }
 
-        /** Runs ahead of whatever reads. */
+        /** Called before each read. */
         void flush() {}
 
         @Override
--- a/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/LegacyJournalReaderTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Upgrade from, and downgrade to, the version that kept one file; {@code journal-0.2.bin} was written by it. */
+/** Upgrade from, and downgrade to, version 0.2, which used a single file and wrote {@code journal-0.2.bin}. */
 class LegacyJournalReaderTest {
     private static final long BUDGET_BYTES = 3_000_000;
     private static final long DEADLINE_MILLIS = 4_000_000_000_000L;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Compares with what {@link #writeRecordedFile} wrote. */
+    /** Compares with the contents that {@link #writeRecordedFile} wrote. */
     private static void assertRecordedContents(Journal journal) {
         List<AcceptedMessage> pending = List.copyOf(journal.pendingMessages());
         assertEquals(
@@ -87,7 +87,7 @@
     @Test
     void legacyFileOpenedForWritingIsMigratedCompletely() throws IOException {
         Files.write(folder.resolve("journal"), recordedFile());
-        assertEquals(5, JournalView.read(folder).pendingCount(), "looking does not move it");
+        assertEquals(5, JournalView.read(folder).pendingCount(), "reading must not migrate the file");
         assertArrayEquals(recordedFile(), Files.readAllBytes(folder.resolve("journal")));
         try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
             assertRecordedContents(journal);
@@ -98,10 +98,10 @@
                 assertRecordedContents(journal);
             }
         }
-        assertArrayEquals(LegacyJournalReader.migrationMark(), Files.readAllBytes(folder.resolve("journal")));
+        assertArrayEquals(LegacyJournalReader.migrationMarker(), Files.readAllBytes(folder.resolve("journal")));
     }
 
-    /** An interrupted migration is repeated: the old file is whole until one step replaces it. */
+    /** An interrupted migration is repeated: the old file is complete until it is replaced atomically. */
     @Test
     void interruptedMigrationIsRepeated() throws IOException {
         Files.write(folder.resolve("journal"), recordedFile());
@@ -122,7 +122,7 @@
         }
     }
 
-    /** The earlier version ends with an error, and changes nothing, instead of beginning an empty journal. */
+    /** The earlier version fails without a change, instead of creating an empty journal. */
     @Test
     void earlierVersionOpeningMigratedJournalFails() throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
@@ -148,7 +148,7 @@
         assertArrayEquals(damaged, Files.readAllBytes(folder.resolve("journal.damaged")));
     }
 
-    /** A segment of a later version: nothing is changed, and the error says so. */
+    /** A segment of a later version: the error says so, and nothing is changed. */
     @Test
     void segmentOfLaterVersionIsRejectedUnchanged() throws IOException {
         try (Journal journal = Journal.open(folder, BUDGET_BYTES)) {
@@ -169,7 +169,7 @@
         assertEquals(1, segments().size());
     }
 
-    /** How the resource was made, with the earlier version's own code: run once, kept as a file since. */
+    /** Wrote the resource {@code journal-0.2.bin}, with the code of version 0.2. */
     static void writeRecordedFile(Path folder) throws IOException {
         try (SingleFileJournal journal = SingleFileJournal.open(folder, BUDGET_BYTES)) {
             journal.define(
--- a/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
+++ b/sender/src/test/java/amberroute/sender/journal/SegmentFiles.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Segments of a state folder as bytes, for tests that truncate them. */
+/** The segments of a state folder as bytes, for tests that truncate them. */
 public final class SegmentFiles {
     private static final int HEADER_BYTES = 48;
     private static final int FRAME_HEADER_BYTES = 20;
@@ -26,12 +26,12 @@
         }
     }
 
-    /** The bytes of the first segment, which has all that one process of a test has written. */
+    /** Returns the bytes of the first segment, which has everything that one process of a test has written. */
     public static byte[] firstSegment(Path state) throws IOException {
         return Files.readAllBytes(segments(state).get(0));
     }
 
-    /** Lengths of a segment at which a whole record ends; the first record is the one that begins it. */
+    /** Returns the lengths at which a whole record of a segment ends; the first record is the segment's first one. */
     public static List<Integer> recordEnds(byte[] segment) {
         List<Integer> ends = new ArrayList<>();
         for (int offset = HEADER_BYTES; offset < segment.length; ) {
@@ -41,7 +41,7 @@
         return ends;
     }
 
-    /** Each record's content as text. */
+    /** Returns the content of each record as text. */
     public static List<String> recordContents(byte[] segment) {
         List<String> contents = new ArrayList<>();
         int offset = HEADER_BYTES;
@@ -56,7 +56,7 @@
         return contents;
     }
 
-    /** Replaces all segments of the folder by the first bytes of one. */
+    /** Replaces all segments of the folder with a prefix of one. */
     public static void replaceWithPrefix(Path state, byte[] segment, int length) throws IOException {
         List<Path> segments = segments(state);
         Path first = segments.isEmpty() ? state.resolve("0000000000000001-0000000000000001.seg") : segments.get(0);
--- a/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
+++ b/sender/src/test/java/amberroute/sender/journal/SingleFileJournal.java
@@ -31,45 +31,45 @@
 import java.util.zip.CRC32;
 
 /**
- * What this sender owes, in a folder that outlasts its process: records with length and checksum, each
- * written before the effect that it tells of. What the kernel has outlasts the process, so nothing is synced.
+ * The journal of version 0.2, kept unchanged to compare with: a single file of records with length and checksum, each
+ * written before the effect that it allows. Nothing is forced, since the kernel's page cache survives the process.
  *
- * <p>Every message reserves room for its later records, so that once taken on it can always be ended. A
- * file that has grown is rewritten with what is still owed; both copies count towards the budget.
+ * <p>Each message reserves space for its later records, so that an accepted message can always be ended. A file that
+ * has grown is rewritten with the live records; both copies count towards the budget.
  */
 public final class SingleFileJournal implements Closeable {
     private static final int FRAME_HEADER_BYTES = 8;
     private static final int MAX_RECORD_BYTES = 1 << 18;
     /**
-     * Room for all that can stand of one message behind its acceptance: a rewrite keeps one record of its attempts,
-     * however many there were, with two uids of up to 128 characters, and its notice.
+     * Space for all records of a message after its acceptance: a rewrite retains one record of its attempts, with two
+     * uids of up to 128 characters, and its notice.
      */
     private static final int LATER_RECORD_BYTES = 640;
-    /** Ids of ended messages are remembered, as a client may hand one in twice when its connection closes. */
+    /** Number of ids of completed messages, since a client may submit a message again when its connection closes. */
     private static final int MAX_COMPLETED_IDS = 512;
 
     private static final int COMPLETED_IDS_BYTES = MAX_COMPLETED_IDS * 96;
-    /** What is remembered of destinations, the longest unchanged forgotten first. */
+    /** Bound on the number of health records; the longest unchanged is deleted first. */
     private static final int MAX_HEALTH_RECORDS = 128;
 
     private static final int HEALTH_BYTES = 64;
-    /** Lots of which something is known; with more, none is offered or taken. */
+    /** Bound on the number of recorded handoff batches; beyond it none is offered or accepted. */
     private static final int MAX_HANDOFF_BATCHES = 4_096;
-    /** Room for a lot's record, but for the numbers of its messages: names have 128 and 64 characters at most. */
+    /** Space for a batch's record without its message numbers: names have at most 128 and 64 characters. */
     private static final int HANDOFF_BATCH_BYTES = 256;
-    /** Room for one origin's hold on one key, with its share of a record. */
+    /** Space for one origin's hold on one key, including its share of a record. */
     private static final int KEY_HOLD_BYTES = 112;
-    /** Part of the budget that holds on keys may take. */
+    /** Holds on keys may take one part in this many of the budget. */
     private static final int KEY_HOLDS_BUDGET_DIVISOR = 8;
-    /** Keys in one record of holds. */
+    /** Bound on the number of keys in one record of holds. */
     private static final int KEYS_PER_RECORD = 4_096;
-    /** Part of the budget that lots may take, so that peers that ask for ever new ones leave room for messages. */
+    /** Handoff batches may take one part in this many of the budget, so that peers leave space for messages. */
     private static final int HANDOFF_BATCHES_BUDGET_DIVISOR = 8;
 
     private static final long MIN_REWRITE_BYTES = 256 * 1024;
     private static final int REWRITE_BUFFER_BYTES = 16 * 1024;
 
-    /** What the module wants to know of a place again, {@code uid} empty for a whole destination; wall time. */
+    /** The journaled health of an endpoint, or of a whole destination if {@code uid} is empty; wall-clock time. */
     record Memory(
             int destination,
             String uid,
@@ -79,26 +79,26 @@
             double usual) {}
 
     /**
-     * What is known of a lot that moved or was to move: whose it is, until when that has to be kept (wall time), and the
-     * numbers of its messages here.
+     * The journaled state of a handoff batch: who owns it, until when that has to be retained (wall-clock time), and
+     * the numbers of its messages in this journal.
      */
     record Lot(Ownership ownership, long until, List<Long> numbers) {}
 
     private final Path folder;
     private final long budgetBytes;
     private final Map<Long, AcceptedMessage> pending = new LinkedHashMap<>();
-    /** What ended under each id, 0 where that is no longer known. */
+    /** Content hash of each completed message by its id, 0 if unknown. */
     private final Map<String, Integer> completedIds = new LinkedHashMap<>();
 
     private final Map<String, Integer> pendingIds = new HashMap<>();
     private final Map<String, Memory> healthRecords = new LinkedHashMap<>();
     private final Map<String, Lot> handoffBatches = new LinkedHashMap<>();
-    /** Versions of classes that were taken on in, by number: at most {@link MessageClassRegistry#MOST}. */
+    /** Versions of message classes by number. */
     private final Map<Integer, MessageClassRegistry.Version> classes = new LinkedHashMap<>();
 
     private final KeyHolds keyHolds = new KeyHolds();
     private FileChannel file;
-    /** Looked for behind each record, null where nobody may take the folder over. */
+    /** Checked after each record; null if the folder cannot be taken over. */
     private File fencingTokenFile;
 
     private Runnable onFenced = () -> {};
@@ -111,7 +111,7 @@
         this.budgetBytes = budgetBytes - 4_096;
     }
 
-    /** Opens or begins the journal; a tail that was torn by the process's end is cut off. */
+    /** Opens or creates the journal; a torn write at its end is truncated. */
     public static SingleFileJournal open(Path folder, long budgetBytes) throws IOException {
         SingleFileJournal journal = new SingleFileJournal(folder, budgetBytes);
         Files.createDirectories(folder);
@@ -125,7 +125,7 @@
         return journal;
     }
 
-    /** Reads a folder's journal and leaves it as it is; for looking only. */
+    /** Reads a folder's journal without changing it. */
     static SingleFileJournal peek(Path folder) throws IOException {
         SingleFileJournal journal = new SingleFileJournal(folder, Long.MAX_VALUE);
         journal.file = FileChannel.open(journal.pathOf("journal"), StandardOpenOption.READ);
@@ -133,21 +133,21 @@
         return journal;
     }
 
-    /** Bytes of the file behind the last record that could be read. */
+    /** Returns the number of bytes after the last readable record. */
     long unread() throws IOException {
         return file.size() - validBytes;
     }
 
     /**
-     * From now on a raised {@link FencingToken} is noticed behind each record and before any effect that it allows; then this is
-     * run, which has to end the process.
+     * Enables the check of the {@link FencingToken} after each record and before each effect that it allows; if the
+     * token exists, {@code whenFenced} runs and has to end the process.
      */
     void guard(Runnable whenFenced) {
         fencingTokenFile = FencingToken.file(folder);
         onFenced = whenFenced;
     }
 
-    /** To be called right before an effect that comes later than its record. */
+    /** Has to be called immediately before an effect that comes later than its record. */
     void checkFence() {
         if (fencingTokenFile != null && fencingTokenFile.exists()) {
             onFenced.run();
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Messages that have not been concluded, in the order of acceptance. */
+    /** Returns the messages that are not completed, in the order of acceptance. */
     Collection<AcceptedMessage> live() {
         return pending.values();
     }
@@ -164,23 +164,23 @@
         return nextNumber++;
     }
 
-    /** Whether this id was taken on, now or not long ago. */
+    /** Returns whether a message with this id is pending or was completed recently. */
     boolean knows(String id) {
         return pendingIds.containsKey(id) || completedIds.containsKey(id);
     }
 
-    /** Whether what is known under this id is another message, as far as can be told. */
+    /** Returns whether the message known under this id has other content; false if that is unknown. */
     boolean differs(String id, int contentHash) {
         int knownHash = pendingIds.getOrDefault(id, completedIds.getOrDefault(id, 0));
         return knownHash != 0 && knownHash != contentHash;
     }
 
-    /** The versions of classes that were defined, by number. */
+    /** Returns the versions of message classes by number. */
     Map<Integer, MessageClassRegistry.Version> classes() {
         return classes;
     }
 
-    /** To be called before a message of this version is taken on; false where it could not be written. */
+    /** Writes a version of a class before a message of it is accepted; false if that fails. */
     boolean define(int number, MessageClassRegistry.Version version) {
         if (version.equals(classes.get(number))) {
             return true;
@@ -201,7 +201,7 @@
         return 80 + 3L * version.name().length();
     }
 
-    /** Takes a message on; false where the budget or the disk has no room for it. */
+    /** Writes a new message; false if the budget or the disk has no space for it. */
     public boolean accept(AcceptedMessage message) {
         if (2 * (reservedBytes + requiredBytes(message)) + MIN_REWRITE_BYTES / 4 > budgetBytes) {
             return false;
@@ -213,7 +213,7 @@
         return true;
     }
 
-    /** To be called before the attempt's first byte; false where it could not be written. */
+    /** Writes an attempt before its first byte is sent; false if that fails. */
     boolean attempt(AcceptedMessage message, String uid, long wallMillis) {
         byte[] record = encodeRecord('T', out -> {
             out.writeLong(message.number);
@@ -235,7 +235,7 @@
         }));
     }
 
-    /** The end is decided and its notice owed. */
+    /** Writes the end of a message, whose notice is to be sent. */
     void end(AcceptedMessage message, String notice) {
         reservedBytes -= requiredBytes(message);
         message.end(notice);
@@ -243,18 +243,18 @@
         appendRecord(encodeEnded(message));
     }
 
-    /** Nothing more is owed: it was delivered, or its notice has been answered. */
+    /** Completes a message that was delivered or whose notice was acknowledged. */
     public void conclude(AcceptedMessage message) {
         appendRecord(encodeRecord('N', out -> out.writeLong(message.number)));
         complete(message);
     }
 
-    /** All lots of which something is known. */
+    /** Returns all handoff batches by name. */
     Map<String, Lot> lots() {
         return handoffBatches;
     }
 
-    /** Those of these messages that are still owed here, in the order given. */
+    /** Returns those of the given messages that are still to be delivered, in the given order. */
     List<AcceptedMessage> messages(List<Long> numbers) {
         return numbers.stream()
                 .map(pending::get)
@@ -262,7 +262,7 @@
                 .toList();
     }
 
-    /** Writes whose a lot is. One that is given drops its messages, as they are another's now. */
+    /** Writes who owns a batch. Giving a batch away completes its messages here. */
     boolean lot(String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
         return writeBatch(name, ownership, untilMillis, messages, List.of());
     }
@@ -285,8 +285,8 @@
     }
 
     /**
-     * Writes that a lot is offered, and in the same record that what comes of its keys after a restart has to wait; false
-     * without room for either.
+     * Writes an offer of a batch and, in the same record, holds that make messages of its keys wait after a restart;
+     * false if there is no space for either.
      */
     boolean offer(
             String name,
@@ -311,7 +311,7 @@
         return true;
     }
 
-    /** Writes that a lot is this daemon's own again, and its keys with it; null where that could not be written. */
+    /** Writes that this sender owns a batch and its keys again; null if that fails. */
     List<Long> takeBack(
             String name,
             Ownership ownership,
@@ -330,8 +330,8 @@
     }
 
     /**
-     * Takes messages over from another daemon: they and whose they are stand in one record, so never one alone. In the
-     * same record the origin's holds on the messages' keys end, and those that came here while they were held go behind.
+     * Accepts messages of another sender in one record with their ownership. The same record ends the origin's holds on
+     * the messages' keys and moves the messages that waited for these keys to the end.
      */
     boolean adopt(
             String name,
@@ -370,7 +370,7 @@
         return true;
     }
 
-    /** Without any key that another daemon may have. */
+    /** Accepts messages whose keys no other sender holds. */
     boolean adopt(String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
         return adopt(name, ownership, untilMillis, messages, "", List.of());
     }
@@ -388,13 +388,13 @@
         });
     }
 
-    // ---- Keys of which another daemon still has messages. ----
+    // ---- Keys that other senders hold. ----
 
     KeyHolds holds() {
         return keyHolds;
     }
 
-    /** Writes that these keys are held for the origin; false where there is no room for it. */
+    /** Writes that the origin holds these keys; false if there is no space. */
     boolean hold(String origin, List<Long> keys, long untilMillis) {
         if (!hasRoomForKeyHolds(keys.size())) {
             return false;
@@ -415,7 +415,7 @@
                 && 2 * (reservedBytes + additionalHolds * (long) KEY_HOLD_BYTES) + MIN_REWRITE_BYTES / 4 <= budgetBytes;
     }
 
-    /** The origin has nothing of these keys any more. If that cannot be written the hold only lasts longer. */
+    /** Releases the origin's holds on these keys; if the write fails, they last until they expire. */
     List<Long> release(String origin, List<Long> keys) {
         appendRecord(encodeKeysReleased(origin, keys));
         return removeKeyHolds(origin, keys);
@@ -434,7 +434,7 @@
         return freeKeys;
     }
 
-    /** Ends holds whose time is up; nothing is written, as their time stands in their record. */
+    /** Ends expired holds; nothing is written, since the expiry of a hold is in its record. */
     List<Long> expireHolds(long wallMillis) {
         int sizeBefore = keyHolds.size();
         List<Long> freeKeys = keyHolds.expire(wallMillis);
@@ -442,7 +442,7 @@
         return freeKeys;
     }
 
-    /** The 0 stands where other records have a message's number, so that older programs pass over it. */
+    /** The 0 replaces the message number of other records, so that earlier versions skip the record. */
     private static byte[] encodeKeysHeld(String origin, List<Long> keys, long untilMillis) {
         return encodeRecord('W', out -> {
             out.writeLong(0);
@@ -495,7 +495,7 @@
         return handoffBatches.size() < maxBatches || handoffBatches.containsKey(name);
     }
 
-    /** What nobody can ask for any more: a late offer of messages whose time is up is refused for that. */
+    /** Deletes expired batches; a late offer of one is rejected, since its messages are past their deadline. */
     private void deleteExpiredBatches() {
         long nowMillis = System.currentTimeMillis();
         List.copyOf(handoffBatches.keySet()).forEach(name -> {
@@ -544,7 +544,7 @@
                 }
             }
             records.addAll(additionalRecords);
-            // Below 0 it counts parts; older journals have the number of messages there, each with two.
+            // If negative, the number of records; earlier versions wrote the number of messages, each with two records.
             out.writeInt(-records.size());
             for (byte[] record : records) {
                 out.writeInt(record.length - FRAME_HEADER_BYTES);
@@ -568,7 +568,7 @@
         putBatch(name, new Lot(ownership, untilMillis, numbers));
     }
 
-    /** What was remembered of places, one for each. */
+    /** Returns the health records, one for each upstream. */
     Collection<Memory> memories() {
         return healthRecords.values();
     }
@@ -626,7 +626,7 @@
         });
     }
 
-    /** The 0 stands where other records have a message's number, so that older programs pass over it. */
+    /** The 0 replaces the message number of other records, so that earlier versions skip the record. */
     private static byte[] encodeClass(int number, MessageClassRegistry.Version version) {
         DeliveryScheduler.MessageClass messageClass = version.type();
         return encodeRecord('D', out -> {
@@ -681,7 +681,7 @@
         });
     }
 
-    /** All that attempts have left behind, for a rewritten file. */
+    /** Encodes the state that all attempts have left, for a rewritten file. */
     private static byte[] encodeAttempts(AcceptedMessage message) {
         return encodeRecord('S', out -> {
             out.writeLong(message.number);
@@ -816,7 +816,7 @@
         return true;
     }
 
-    // ---- Room. ----
+    // ---- Space. ----
 
     private static long requiredBytes(AcceptedMessage message) {
         return 160
@@ -838,7 +838,7 @@
         reservedBytes -= requiredBytes(message);
     }
 
-    /** That a place is well need not be kept. */
+    /** Adds a health record; that of a healthy upstream only removes an earlier one. */
     private void putHealth(Memory record) {
         String upstreamKey = record.destination() + " " + record.uid();
         removeHealth(upstreamKey);
@@ -885,7 +885,7 @@
         }
     }
 
-    /** Half a record would hide every later one from the next start. */
+    /** Truncates a partly written record, which would hide all later ones from the next start. */
     private void truncateFailedAppend() {
         try {
             file.truncate(validBytes);
@@ -895,7 +895,7 @@
         }
     }
 
-    /** Written through a small buffer: the heap has no room for a second copy of all that is owed. */
+    /** Writes through a small buffer, since the heap has no space for a second copy of all live records. */
     private void rewriteFile() throws IOException {
         deleteExpiredBatches();
         Path newPath = pathOf("journal.new");
