--- a/decisions/src/main/java/amberroute/decisions/AdmissionController.java
+++ b/decisions/src/main/java/amberroute/decisions/AdmissionController.java
@@ -8,16 +8,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Rejects at arrival what cannot be delivered in time: a message whose due date less its predicted wait is past, and one whose
- * priority weight is below the price of a call. Near capacity the message with the least index is shed, so that arrivals are
- * still ranked. Times are microseconds on the caller's clock.
+ * Rejects arriving messages that are predicted to wait until after their due date, and messages whose priority weight is below
+ * the admission price of a call. Near capacity, the message with the lowest index is shed, so that new arrivals can still
+ * compete. Times are microseconds on the caller's clock.
  *
  * <p>Cost of a predicted wait that is too long: a message is rejected that could have been delivered.
  */
 final class AdmissionController {
-    /** Share of the most pending messages above which the least is shed. */
+    /** Share of the maximum number of pending messages above which messages are shed. */
     private static final double SHED_ABOVE_CAPACITY_RATIO = 0.9;
-    /** Seconds of a tenant's quota that it may use in one burst. */
+    /** Seconds of its quota that a tenant may use in one burst. */
     private static final double TENANT_BURST_SECONDS = 2;
 
     private final CurrentSettings settings;
@@ -49,20 +49,20 @@
         }
     }
 
-    /** Takes note of an arrival, to be tested in the next decision; a message beyond its tenant's quota loses weight. */
+    /** Adds an arrival, to be tested in the next decision; a message beyond the quota of its tenant gets a lower weight. */
     void onArrival(long now, PendingMessage message, int tenant) {
         message.priorityWeight *= withinQuota(now, tenant) ? 1 : settings.get().overQuotaWeightFactor();
         arrivals.add(message);
     }
 
-    /** Each sender sees its own part of a tenant's traffic only, and takes a fair share of the quota. */
+    /** Each sender sees only its own part of the traffic of a tenant, and applies a fair share of the quota to it. */
     private boolean withinQuota(long now, int tenant) {
         return tenant < 0
                 || tenant >= tenantQuotas.size()
                 || tenantQuotas.get(tenant).tryTake(now);
     }
 
-    /** Tests the arrivals; the predicted wait counts once more messages wait than there are slots. */
+    /** Tests the arrivals; the predicted wait is tested only while more messages are waiting than there are slots. */
     void admitArrivals(long now, Actions actions) {
         boolean checkWait = pending.waitingCount() > settings.limits().maxConcurrentCalls();
         for (PendingMessage message : arrivals) {
@@ -86,8 +86,8 @@
     }
 
     /**
-     * When to submit a message again that is not worth the price of a call, 0 for one that is. At the limit a share is admitted,
-     * by whole keys, so that no message of a key overtakes one that was rejected.
+     * Returns after how long a message that is worth less than the admission price may be submitted again, 0 if it is admitted.
+     * At the price itself a share is admitted by whole keys, so that no message of a key overtakes a rejected one.
      */
     private long priceRetryAfterMicros(PendingMessage message) {
         AdmissionPriceChanged price = message.destination.admissionPrice;
--- a/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
@@ -5,8 +5,8 @@
 import amberroute.decisions.DeliveryScheduler.Event.AttemptCompleted;
 
 /**
- * What the outcome of an attempt means for its message and for its upstream. The messages of a call have one outcome each; the
- * upstream learns from the first of them. Times are microseconds on the caller's clock.
+ * Applies the outcome of an attempt to its message and to its upstream. Each message of a call has its own outcome, but only the
+ * first one updates the upstream. Times are microseconds on the caller's clock.
  */
 final class AttemptOutcomeHandler {
     private final CurrentSettings settings;
@@ -49,7 +49,7 @@
         this.rateLimiter = rateLimiter;
     }
 
-    /** Handles an outcome; ignores one of an attempt that is not in flight. */
+    /** Handles an outcome; ignores attempts that are not in flight. */
     void handle(long now, AttemptCompleted event, Actions actions) {
         PendingMessage message = messages.get(event.id());
         if (message == null || message.call == null || message.attempts - 1 != event.attempt()) {
@@ -106,7 +106,7 @@
             case OK -> handleSuccess(now, call, event);
             case FULL -> handleRejection(now, message, call, event, wasTrial);
             case MOOT -> {
-                // Says nothing of the upstream.
+                // The message was no longer wanted, which says nothing about the upstream.
             }
             case CANCELLED -> handleCancellation(now, call, wasTrial);
             case TIMEOUT -> handleTimeout(now, message, call, event, wasTrial);
@@ -125,7 +125,7 @@
         rateLimiter.raisePace(now, health);
     }
 
-    /** A rejection holds calls back; a trial that is rejected, or a long Retry-After, opens the breaker. */
+    /** A rejection causes a backoff and cuts the pace. A rejected trial or a long Retry-After opens the breaker instead. */
     private void handleRejection(
             long now, PendingMessage message, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
         UpstreamHealth health = call.endpoint.health;
@@ -150,14 +150,17 @@
         }
     }
 
-    /** A call that was cancelled for its silence is a failure unless its endpoint has answered others since. */
+    /** A call that was cancelled because it was silent is a failure, unless its endpoint has answered a later call. */
     private void handleCancellation(long now, UpstreamCall call, boolean wasTrial) {
         if (call.silent && call.sentAt >= call.endpoint.lastSuccessAt) {
             breaker.recordFailure(now, call, AttemptOutcome.CANCELLED, wasTrial);
         }
     }
 
-    /** A trial that timed out before it was silent, for its message's deadline, shows slowness at most: another is due. */
+    /**
+     * A trial may time out before it counts as silent, because its message is short of time. That shows at most that the
+     * upstream is slow, so it is no failure and the next trial may start at once.
+     */
     private void handleTimeout(
             long now, PendingMessage message, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
         UpstreamHealth health = call.endpoint.health;
@@ -167,7 +170,7 @@
         }
     }
 
-    /** The reset of a reused connection shows that the connection was stale; a faulty endpoint resets fresh ones too. */
+    /** A reset of a reused connection only shows that the connection was stale; a faulty endpoint resets fresh ones as well. */
     private void handleReset(long now, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
         boolean reused = event.connectionIdleMicros() > 0;
         if (!reused || wasTrial) {
--- a/decisions/src/main/java/amberroute/decisions/AttemptTimeout.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptTimeout.java
@@ -4,25 +4,26 @@
 import amberroute.decisions.DeliveryScheduler.MessageClass;
 
 /**
- * When an attempt times out, and from when a call counts as silent before that. Times are microseconds on the caller's clock.
+ * Computes when an attempt times out, and when a call counts as silent before that. Times are microseconds on the caller's clock.
  *
- * <p>Both follow the latency of the upstream: a fixed span would hold all slots where deadlines are short. Cost of a time-out
- * that is too early: the attempt is lost and one more is made; non-idempotent attempts therefore run until the deadline.
+ * <p>Both depend on the latency of the upstream, as a fixed time would block all slots if deadlines are short. Cost of a timeout
+ * that is too early: the attempt is lost and has to be repeated. Attempts of non-idempotent messages therefore run until the
+ * deadline.
  */
 final class AttemptTimeout {
-    /** An attempt times out after so many expected latencies, doubled with each time-out of the message. */
+    /** Timeout of an attempt in expected latencies, doubled with each timeout of the message. */
     private static final double TIMEOUT_LATENCIES = 8;
 
     private static final int MAX_TIMEOUT_DOUBLINGS = 4;
-    /** The least time-out, as connecting is part of a call. */
+    /** Minimum timeout, as a call may include connecting. */
     private static final long MIN_TIMEOUT_MICROS = 2_000_000;
-    /** The least time-out as a share of the time that the message has left. */
+    /** Minimum timeout as a share of the time that the message has left. */
     private static final double MIN_TIMEOUT_TIME_LEFT_RATIO = 0.25;
-    /** A call is silent after so many usual latencies. Cost of a false positive: the breaker opens on slow connecting. */
+    /** Time after which a call is silent, in usual latencies. Cost of a false positive: slow connecting opens the breaker. */
     private static final double SILENT_AFTER_LATENCIES = 6;
-    /** The least time after which a call is silent, as a share of the longest deadline: connecting is part of a call. */
+    /** Minimum time after which a call is silent, as a share of the longest deadline; a call may include connecting. */
     private static final double MIN_SILENCE_DEADLINE_RATIO = 1 / 16.0;
-    /** A message with fewer service times left may run out of time before a slow answer. */
+    /** A message with fewer expected service times left may reach its deadline before a slow answer arrives. */
     private static final double AMPLE_TIME_SERVICE_TIMES = 3;
 
     private final CurrentSettings settings;
@@ -34,9 +35,9 @@
     }
 
     /**
-     * When a call times out: all of its messages together with the first of them, as its connection is closed then. If it were
-     * left open for the others, a retry of the first would be a second copy. Cost: a non-idempotent message of the call is lost
-     * with it; to wait for that one instead costs more where calls hang.
+     * Returns when a call times out. All its messages time out with the first of them, as the connection is closed then. If the
+     * connection stayed open for the others, a retry of the first message would be a duplicate. Cost: a non-idempotent message
+     * of the call is lost with it. To wait for that message instead would cost more if calls hang.
      */
     long timeoutAt(long now, UpstreamCall call) {
         long earliest = Long.MAX_VALUE;
@@ -59,7 +60,7 @@
         return Math.min(message.due, now + (long) Math.max(timeoutMicros, minMicros));
     }
 
-    /** After how long without an answer a call to this upstream is silent. */
+    /** Returns the time without an answer after which a call to this upstream is silent. */
     long silenceThresholdMicros(UpstreamHealth health) {
         double latencyMicros = health.usualLatencyMicros > 0
                 ? Math.max(health.usualLatencyMicros, health.presentLatencyMicros)
@@ -68,12 +69,12 @@
         return Math.max(minMicros, (long) (SILENT_AFTER_LATENCIES * latencyMicros));
     }
 
-    /** Whether the message may run out of time before a slow answer: its call would time out before that is silence. */
+    /** Returns whether the message may reach its deadline before a slow answer, so that its call times out before it is silent. */
     boolean isShortOfTime(long now, PendingMessage message) {
         return message.due < ampleTimeDue(now, message.destination, message.messageClass);
     }
 
-    /** Messages that are due from then on have time to wait for a slow answer. */
+    /** Returns the due date from which on messages have time to wait for a slow answer. */
     long ampleTimeDue(long now, Destination destination, MessageClass messageClass) {
         return now
                 + (long) Math.max(
--- a/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
+++ b/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
@@ -5,20 +5,20 @@
 import java.util.TreeMap;
 
 /**
- * How much work waits: sums of the service times of waiting messages, one for each priority weight. Service times decay at one
- * rate, so a sum is known at any time without a look at its messages. Times are microseconds on the caller's clock.
+ * Estimates the waiting work: the sum of the service times of waiting messages for each priority weight. All service times decay
+ * at the same rate, so a sum is known at any time without visiting the messages. Times are microseconds on the caller's clock.
  */
 final class BacklogEstimate {
-    /** Sums are computed anew after so many changes, so that rounding errors do not add up. */
+    /** Recounts after which the sums are recomputed, so that rounding errors do not accumulate. */
     private static final int RECOUNTS_BEFORE_RECOMPUTATION = 1 << 16;
-    /** {@link DispatchQueue#backlogSteadyMicros} of messages whose service time is not known. */
+    /** {@link DispatchQueue#backlogSteadyMicros} for messages without a measured service time. */
     private static final double NOT_MEASURED = -1;
 
-    /** All waiting messages of one priority weight. */
+    /** Sums over all waiting messages of one priority weight. */
     private static final class Sums {
         final DecayingSum measuredMicros = new DecayingSum(ServiceTimes.DECAY_TIME_CONSTANT_MICROS);
         int unmeasuredMessages;
-        /** Latency objectives of the messages without a measured service time. */
+        /** Sum of the latency objectives of the messages without a measured service time. */
         double objectivesMicros;
 
         double totalMicros(long now, double usualLatencyMicros) {
@@ -26,7 +26,7 @@
                     + (usualLatencyMicros > 0 ? unmeasuredMessages * usualLatencyMicros : objectivesMicros);
         }
 
-        /** Adds a queue as it is counted, or takes it away with a {@code sign} of -1. */
+        /** Adds the messages of a queue as they were counted, or subtracts them if {@code sign} is -1. */
         void add(long now, DispatchQueue queue, int sign) {
             int messages = sign * queue.backlogMessages;
             if (queue.backlogSteadyMicros < 0) {
@@ -51,11 +51,11 @@
     }
 
     /**
-     * Counts one queue anew with the service time that its destination has now. To be called when that or the number of its
+     * Recounts a queue with the present service time of its destination. Must be called when the service time or the number of
      * messages has changed.
      *
-     * @param baselineMicros the part of the service time that stays
-     * @param decayingMicros the part that decays
+     * @param baselineMicros the part of the service time that does not decay
+     * @param decayingMicros the part of the service time that decays
      */
     void recount(long now, DispatchQueue queue, double baselineMicros, double decayingMicros) {
         Destination destination = queue.destination;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** To be called behind each recount of a destination's queues. */
+    /** Recomputes the sums if due; must be called after each recount of the queues of a destination. */
     void recomputeIfDue(long now, List<DispatchQueue> nonEmptyQueues) {
         if (++recountsSinceRecomputation <= RECOUNTS_BEFORE_RECOMPUTATION) {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** The service times of all waiting messages with at least this priority weight. */
+    /** Returns the sum of the service times of all waiting messages with at least this priority weight. */
     double waitingMicros(long now, double minWeight) {
         double totalMicros = 0;
         for (Sums sums : sumsByWeight.tailMap(minWeight, true).values()) {
@@ -101,7 +101,7 @@
         return totalMicros;
     }
 
-    /** Whether any message with less priority weight may be waiting. */
+    /** Returns whether a message with a lower priority weight may be waiting. */
     boolean anyWithLowerWeight(double weight) {
         return !sumsByWeight.headMap(weight, false).isEmpty();
     }
--- a/decisions/src/main/java/amberroute/decisions/Backoff.java
+++ b/decisions/src/main/java/amberroute/decisions/Backoff.java
@@ -4,15 +4,15 @@
 import java.util.SplittableRandom;
 
 /**
- * How long to wait behind a rejection or a failure before the next call. All senders meet the same upstream, so a backoff has
- * room for a call of each; it is jittered and doubles with each try. All times are microseconds.
+ * Computes the delay after a rejection or a failure before the next call. All senders call the same upstream, so the delay grows
+ * with the number of senders. It is jittered and doubles with each attempt. All times are microseconds.
  */
 final class Backoff {
-    /** Time that the backoff has for the call of one sender, where the upstream reports no limit. */
+    /** Part of the delay for each sender that shares the upstream, where the upstream reports no limit. */
     static final long SENDER_SPACING_MICROS = 80_000;
-    /** Backoff beside the senders' spacing, for upstreams; a message that is retried waits for the spacing alone. */
+    /** Delay of an upstream in addition to the spacing of the senders; the retry of a message waits for the spacing only. */
     static final long BASE_MICROS = 240_000;
-    /** A reported limit shortens the spacing of one sender to the time of so many calls under it. */
+    /** Under a reported limit the spacing of one sender is at most the time in which the limit permits this many calls. */
     private static final double SENDER_SPACING_CALLS = 3.2;
 
     private static final int MAX_DOUBLINGS = 3;
@@ -26,9 +26,10 @@
     }
 
     /**
-     * A backoff with room for all senders: up to {@code longestMicros} at first, doubled up to eight times that.
+     * Returns a jittered exponential delay that includes the spacing of all senders.
      *
-     * @param attempts for an upstream the failures in a row, for a message the attempts before this one
+     * @param maxInitialMicros limit of the delay before doubling; the result is at most eight times that
+     * @param attempts consecutive failures of an upstream, or earlier attempts of a message
      */
     long delayMicros(long senderSpacingMicros, long baseMicros, long maxInitialMicros, int attempts) {
         long initialMicros = Math.min(
@@ -37,8 +38,8 @@
     }
 
     /**
-     * Time for the call of each sender behind this outcome; none where the connection was turned away and not the call, as
-     * places for connections come free with each answer.
+     * Returns the spacing for each sender after this outcome. It is 0 if the upstream rejected the connection and not the call, as
+     * each answered call makes a connection available.
      */
     long senderSpacingMicros(UpstreamHealth health, AttemptCompleted event) {
         if (event.connectionLimitReached(settings.get().reportFields())) {
@@ -47,7 +48,7 @@
         return (long) Math.min(SENDER_SPACING_MICROS, SENDER_SPACING_CALLS * Micros.PER_SECOND / health.reportedLimit);
     }
 
-    /** A random time between half of this and all of it. */
+    /** Returns a random time between half of the given one and all of it. */
     long jitter(long micros) {
         return micros / 2 + random.nextLong(Math.max(1, micros / 2));
     }
--- a/decisions/src/main/java/amberroute/decisions/BreakerState.java
+++ b/decisions/src/main/java/amberroute/decisions/BreakerState.java
@@ -2,10 +2,10 @@
 
 /** State of a circuit breaker. */
 enum BreakerState {
-    /** Calls go out as limits permit. */
+    /** Calls are permitted within the limits. */
     CLOSED,
-    /** No calls go out but one half-open trial at a time. */
+    /** Only one half-open trial at a time is permitted. */
     OPEN,
-    /** Calls go out at the pace of a slow start, see {@link RecoveryRamp}. */
+    /** Calls are permitted at the pace of a slow start, see {@link RecoveryRamp}. */
     SLOW_START
 }
--- a/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
+++ b/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
@@ -6,30 +6,31 @@
 import java.util.Set;
 
 /**
- * Opens behind failures, lets half-open trials out one at a time, and ends in a slow start with the first success. Times are
+ * Opens after failures, permits one half-open trial at a time, and begins a slow start with the first success. Times are
  * microseconds on the caller's clock.
  *
- * <p>An upstream has failed when each of its listed endpoints has, in two calls together: one degraded endpoint is passed over
- * while its siblings answer. Where no success is recent one failure suffices, as the second would come after the outage. Cost
- * of a false positive: calls wait for one trial. Cost of many endpoints: an outage is noticed later.
+ * <p>An upstream has failed when each of its listed endpoints has failed, with at least two failed calls in total. A single
+ * degraded endpoint is avoided while its siblings answer. If there is no recent success, one failure is enough, as the second
+ * one could come only after the outage. Cost of a false positive: calls wait for one trial. With many endpoints an outage is
+ * detected later.
  */
 final class CircuitBreaker {
-    /** Failures in a row that open the breaker: a single one may be chance. */
+    /** Consecutive failures that open the breaker; a single failure may be coincidence. */
     static final int FAILURES_TO_OPEN = 2;
-    /** Shortest outage: successes closer together count as uninterrupted, a longer Retry-After counts as an outage. */
+    /** Shortest outage. Successes closer together count as uninterrupted service; a longer Retry-After counts as an outage. */
     static final long MIN_OUTAGE_MICROS = 2_500_000;
-    /** A success no longer shows that an upstream is healthy after this share of the longest deadline. */
+    /** Age, as a share of the longest deadline, above which a success is no evidence that the upstream is healthy. */
     private static final double STALE_SUCCESS_DEADLINE_RATIO = 0.5;
-    /** The longest time between trials, for each sender. */
+    /** Longest time between trials, to be multiplied by the number of senders. */
     private static final long MAX_TRIAL_INTERVAL_MICROS = 700_000;
-    /** Trials come no further apart than so many calls at the first pace of a slow start. */
+    /** Longest time between trials, in call intervals at the initial pace of a slow start. */
     private static final double MAX_TRIAL_INTERVAL_CALLS = 1.5;
 
     private final CurrentSettings settings;
     private final Backoff backoff;
     private final RecoveryRamp recoveryRamp;
     private final DispatchCandidates candidates;
-    /** Upstreams whose breaker has changed since the last decision. */
+    /** Upstreams whose breaker has changed since the last decision, in the order of the changes. */
     private final Set<UpstreamHealth> changedUpstreams = new LinkedHashSet<>();
 
     CircuitBreaker(
@@ -40,13 +41,13 @@
         this.candidates = candidates;
     }
 
-    /** Whether an endpoint gets no ordinary messages now. */
+    /** Returns whether an endpoint gets no calls now other than trials. */
     static boolean avoids(Endpoint endpoint) {
         return endpoint.health.breaker == BreakerState.OPEN
                 || endpoint.consecutiveFailures + endpoint.silentCalls >= FAILURES_TO_OPEN;
     }
 
-    /** Counts a failure against an endpoint, and opens the breaker if that is enough or ends a trial. */
+    /** Records a failure of an endpoint; opens the breaker if the call was a trial or the upstream has failed. */
     void recordFailure(long now, UpstreamCall call, AttemptOutcome outcome, boolean wasTrial) {
         Endpoint endpoint = call.endpoint;
         endpoint.failureRatio += UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * (1 - endpoint.failureRatio);
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Counts a success, and ends an outage in a slow start unless it was a false alarm. */
+    /** Records a success; an outage ends in a slow start, or at once if it was a false alarm. */
     void recordSuccess(long now, UpstreamCall call) {
         Endpoint endpoint = call.endpoint;
         endpoint.failureRatio *= 1 - UpstreamHealth.RECENT_CALL_WEIGHT_RATIO;
@@ -78,7 +79,7 @@
         }
     }
 
-    /** Opens a breaker that is not open if its upstream has failed. */
+    /** Opens the breaker if the upstream has failed and the breaker is not open yet. */
     void openIfFailed(long now, UpstreamHealth health) {
         if (health.breaker != BreakerState.OPEN && hasFailed(now, health)) {
             open(now, health);
@@ -99,7 +100,7 @@
                         && now - health.lastSuccessAt > STALE_SUCCESS_DEADLINE_RATIO * settings.longestDeadlineMicros();
     }
 
-    /** Opens the breaker, or keeps it open behind a failed trial, and sets the time of the next trial. */
+    /** Opens the breaker, or keeps it open after a failed trial, and schedules the next trial. */
     void open(long now, UpstreamHealth health) {
         for (Endpoint endpoint : health.endpoints) {
             candidates.wake(endpoint.destination);
@@ -118,7 +119,10 @@
         health.nextTrialAt = now + trialIntervalMicros(health);
     }
 
-    /** The trials of all senders together come no faster than a slow start begins: an upstream that returns can take them. */
+    /**
+     * Returns a jittered backoff. It is limited so that the trials of all senders together are about as frequent as the first
+     * calls of a slow start, which a recovering upstream can take.
+     */
     private long trialIntervalMicros(UpstreamHealth health) {
         long interval = backoff.delayMicros(
                 Backoff.SENDER_SPACING_MICROS,
@@ -130,7 +134,7 @@
         return Math.min(MAX_TRIAL_INTERVAL_MICROS * settings.get().senderCount(), interval);
     }
 
-    /** Saves what has to outlast the process; that changes with breakers only, so it is seldom written. */
+    /** Saves checkpoints of the upstreams whose breaker has changed. Nothing else changes a checkpoint, so writes are rare. */
     void saveCheckpoints(long now, Actions actions) {
         for (UpstreamHealth health : changedUpstreams) {
             actions.saveCheckpoint(HealthTransfer.checkpoint(now, health));
--- a/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
@@ -5,32 +5,33 @@
 import amberroute.decisions.DeliveryScheduler.Event.AttemptCompleted;
 
 /**
- * For how long an idle connection is reused. Calls lost on connections that had been idle, more than on fresh ones, show that
- * idle ones are dropped unseen, by firewalls or restarts; such are closed before use. Connections are closed after use where
- * many calls get none, as those of hundreds of senders fill an endpoint's table. Times are microseconds on the caller's clock.
+ * Decides for how long an idle connection may be reused. If more calls are lost on reused connections than on fresh ones, then
+ * firewalls or restarts drop idle connections without notice, and connections that were idle for long are closed before use.
+ * Connections are also closed after use if many calls get no connection, as those of hundreds of senders fill the connection
+ * table of an endpoint. Times are microseconds on the caller's clock.
  *
- * <p>Cost of a false positive: one handshake for each call whose gap is longer than trusted.
+ * <p>Cost of a false positive: one handshake for each call whose connection was idle for longer than the limit.
  */
 final class ConnectionReusePolicy {
-    /** Weight of a call in shares over all destinations: about the last thirty calls count. */
+    /** Weight of a call in ratios over all destinations: about the last thirty calls count. */
     private static final double POOLED_WEIGHT_RATIO = 0.03;
-    /** Idle connections are distrusted when so much larger a share of calls is lost on them than on fresh ones. */
+    /** Excess of the loss ratio on idle connections over that on fresh ones above which the idle limit is reduced. */
     private static final double EXCESS_LOSS_THRESHOLD_RATIO = 0.1;
-    /** Part of the connections' life by which each answer raises the trusted idle time. */
+    /** Share of the idle connection life by which each answered call raises the idle limit. */
     private static final double RAISE_PER_SUCCESS_LIFE_RATIO = 0.002;
-    /** Factor by which an answer raises it where the caller reports the idle time of each connection. */
+    /** Factor by which an answered call raises the idle limit if the caller reports the idle time of each connection. */
     private static final double REPORTED_RAISE_FACTOR = 1.03;
-    /** Share of calls without a connection from which endpoints' tables of connections are taken to be full. */
+    /** Share of calls without a connection above which the connection tables of endpoints are assumed to be full. */
     private static final double CONNECTION_TABLES_FULL_RATIO = 0.01;
-    /** Part of the trusted idle time that is still used while tables begin to be full. */
+    /** Share of the idle limit that is used when connection tables begin to be full. */
     private static final double CONNECTION_TABLES_FULL_IDLE_RATIO = 0.5;
-    /** Share of calls without a connection at which that part has fallen to nothing. */
+    /** Share of calls without a connection at which that share has fallen to 0. */
     private static final double NO_IDLE_REUSE_RATIO = 0.1;
 
     private final CurrentSettings settings;
     private double maxReusableIdleMicros;
     private double announcedMaxIdleMicros;
-    /** The caller knows each connection's idle time and keeps to the announced one by itself. */
+    /** Whether the caller knows the idle time of each connection and applies the announced limit itself. */
     private boolean callerReportsIdleTime;
 
     private double freshLossRatio;
@@ -42,7 +43,7 @@
         maxReusableIdleMicros = settings.limits().idleConnectionLifeMicros();
     }
 
-    /** Whether a call to the endpoint would find a connection to reuse. */
+    /** Returns whether a call to the endpoint would find a connection to reuse. */
     boolean hasWarmConnection(long now, Endpoint endpoint) {
         return (endpoint.callsInFlight > 0 || now - endpoint.lastUsedAt < maxReusableIdleMicros)
                 && endpoint.callsInFlight < endpoint.openConnections * callsPerConnection();
@@ -52,7 +53,7 @@
         return Math.max(1, settings.limits().callsPerConnection());
     }
 
-    /** To be called when a call starts, before the endpoint's other calls in flight include it. */
+    /** Must be called when a call starts, before it is counted in the endpoint's calls in flight. */
     void onCallStarting(long now, UpstreamCall call, Actions actions) {
         Endpoint endpoint = call.endpoint;
         if (endpoint.callsInFlight == 0) {
@@ -66,7 +67,7 @@
                 Math.max(endpoint.openConnections, 1 + endpoint.callsInFlight / callsPerConnection());
     }
 
-    /** To be called when an endpoint's last call has ended. */
+    /** Must be called when the last call in flight of an endpoint has ended. */
     void onEndpointIdle(Endpoint endpoint, Actions actions) {
         if (unconnectedRatio > CONNECTION_TABLES_FULL_RATIO) {
             double reusableIdleRatio =
@@ -82,7 +83,7 @@
         }
     }
 
-    /** Learns from the outcome of a call. */
+    /** Updates the loss ratios and the idle limit with the outcome of a call. */
     void recordOutcome(UpstreamCall call, AttemptCompleted event) {
         boolean idleTimeReported = event.connectionIdleMicros() >= 0;
         callerReportsIdleTime |= idleTimeReported;
@@ -99,7 +100,7 @@
         unconnectedRatio += POOLED_WEIGHT_RATIO * ((connected ? 0 : 1) - unconnectedRatio);
     }
 
-    /** Learns from a call that has become silent: it counts as lost, once. */
+    /** Counts a call as lost that has become silent; its outcome is not counted again. */
     void recordSilence(UpstreamCall call) {
         recordConnectionResult(call, true, false);
     }
@@ -110,7 +111,7 @@
         freshLossRatio += call.connectionIdleMicros == 0 ? POOLED_WEIGHT_RATIO * (loss - freshLossRatio) : 0;
         idleLossRatio += call.connectionIdleMicros > 0 ? POOLED_WEIGHT_RATIO * (loss - idleLossRatio) : 0;
         if (!lost && idleTimeReported) {
-            // Only a connection that was idle for nearly so long shows that a longer time can be trusted.
+            // Only a connection that was idle for at least half of the limit is evidence that the limit may be higher.
             maxReusableIdleMicros *= call.connectionIdleMicros > maxReusableIdleMicros / 2 ? REPORTED_RAISE_FACTOR : 1;
             maxReusableIdleMicros = Math.min(lifeMicros, maxReusableIdleMicros);
         } else if (!lost) {
@@ -121,7 +122,7 @@
         }
     }
 
-    /** Tells the caller the trusted idle time where it has changed. */
+    /** Passes the idle limit to the caller if it has changed. */
     void announceIdleLimit(Actions actions) {
         if (maxReusableIdleMicros != announcedMaxIdleMicros) {
             announcedMaxIdleMicros = maxReusableIdleMicros;
--- a/decisions/src/main/java/amberroute/decisions/DecayingRate.java
+++ b/decisions/src/main/java/amberroute/decisions/DecayingRate.java
@@ -8,7 +8,7 @@
     private long updatedAt;
 
     /**
-     * A rate of 0.
+     * Creates a rate of 0.
      *
      * @param timeConstantMicros the time in which the weight of an event falls to 1/e
      */
@@ -21,7 +21,7 @@
         updatedAt = now;
     }
 
-    /** Adds as many events as a constant rate of {@code perSecond} would have left. */
+    /** Adds the events that a constant rate of {@code perSecond} would have left. */
     void addConstantRate(long now, double perSecond) {
         add(now, perSecond * timeConstantMicros / Micros.PER_SECOND);
     }
@@ -30,7 +30,7 @@
         return sum * Math.exp((updatedAt - now) / timeConstantMicros) * Micros.PER_SECOND / timeConstantMicros;
     }
 
-    /** The rate right behind the last event. */
+    /** Returns the rate immediately after the last event. */
     double perSecondAtLastEvent() {
         return sum * Micros.PER_SECOND / timeConstantMicros;
     }
--- a/decisions/src/main/java/amberroute/decisions/FleetRateLimit.java
+++ b/decisions/src/main/java/amberroute/decisions/FleetRateLimit.java
@@ -1,13 +1,14 @@
 package amberroute.decisions;
 
 /**
- * This sender's share of what all senders together may send to a destination: a token bucket of one token, so that nothing
- * leaves in a burst. Calls with several messages may overdraw it. Times are microseconds on the caller's clock.
+ * Limits this sender to its share of the rate at which all senders together may send to a destination. It is a token bucket with
+ * a capacity of one, so that there are no bursts. Calls with several messages may overdraw it. Times are microseconds on the
+ * caller's clock.
  */
 final class FleetRateLimit {
     private static final double CAPACITY_TOKENS = 1;
     private static final double MAX_REFILL_PER_SECOND = 1e6;
-    /** Tokens by which a rounded sum may fall short of one. */
+    /** Amount by which rounding may leave the tokens below one. */
     private static final double ROUNDING_TOLERANCE_TOKENS = 1e-9;
 
     private double perSecond = Double.POSITIVE_INFINITY;
@@ -15,10 +16,10 @@
     private long refilledAt;
 
     /**
-     * Sets the rate; the tokens that were saved under a finite rate stay.
+     * Sets the rate; the tokens that have accumulated under a finite rate are kept.
      *
-     * @param ratePerSecond messages a second, infinite for no limit
-     * @param initialTokens tokens to begin with where there was no limit before
+     * @param ratePerSecond messages per second, infinite for no limit
+     * @param initialTokens tokens to begin with if there was no limit before
      */
     void set(long now, double ratePerSecond, double initialTokens) {
         if (Double.isInfinite(perSecond)) {
@@ -40,7 +41,7 @@
         return perSecond;
     }
 
-    /** When the next message may be sent, MAX_VALUE while the rate is 0. */
+    /** Returns when the next message may be sent, MAX_VALUE while the rate is 0. */
     long nextMessageAt(long now) {
         if (Double.isInfinite(perSecond)) {
             return now;
@@ -53,7 +54,7 @@
         return perSecond == 0 ? Long.MAX_VALUE : now + (long) Math.ceil(missingTokens * Micros.PER_SECOND / perSecond);
     }
 
-    /** Takes the token of one message, also where that overdraws the bucket. */
+    /** Takes the token of one message, even if that overdraws the bucket. */
     void consume() {
         tokens -= Double.isInfinite(perSecond) ? 0 : 1;
     }
--- a/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
+++ b/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
@@ -5,11 +5,11 @@
 import amberroute.decisions.DeliveryScheduler.UpstreamStatus;
 
 /**
- * Passes the health of upstreams from one process to the next: a checkpoint outlasts any end of a process, a snapshot goes to one
- * that takes over at once. Otherwise the first answer would let out all that is pending, at an upstream that is still in slow
- * start. Times are microseconds on the caller's clock.
+ * Transfers the health of upstreams from one process to the next. A checkpoint survives any end of a process, including a crash;
+ * a snapshot is passed to a process that takes over at once. Without them, the first answer of an upstream that is still in slow
+ * start would release all pending messages. Times are microseconds on the caller's clock.
  *
- * <p>Cost of an outdated checkpoint: an upstream that has recovered meanwhile is tried by one call first.
+ * <p>Cost of an outdated checkpoint: an upstream that has recovered in the meantime gets a single call first.
  */
 final class HealthTransfer {
     private final EndpointRegistry registry;
@@ -22,7 +22,7 @@
         this.pending = pending;
     }
 
-    /** What has to outlast the process. */
+    /** Returns the state that has to survive the process. */
     static HealthCheckpoint checkpoint(long now, UpstreamHealth health) {
         UpstreamStatus status =
                 switch (health.breaker) {
@@ -40,7 +40,7 @@
                 health.usualLatencyMicros);
     }
 
-    /** What another process needs that takes over at once. */
+    /** Returns the state for a process that takes over at once. */
     static UpstreamSnapshot snapshot(long now, UpstreamHealth health) {
         Destination destination = health.endpoints.get(0).destination;
         return new UpstreamSnapshot(
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Goes on with an outage or a slow start of an earlier process.
+     * Resumes an outage or a slow start that an earlier process has seen.
      *
-     * @param ageMicros the time since it began
+     * @param ageMicros the time since the outage or the slow start began
      */
     void restore(long now, HealthCheckpoint checkpoint, long ageMicros) {
         if (isUnknownEndpoint(checkpoint) || checkpoint.status() == UpstreamStatus.HEALTHY) {
@@ -87,7 +87,7 @@
         pending.updateEstimatesAndWake(now, destination);
     }
 
-    /** Goes on with all that the process knew that this one takes over from. */
+    /** Restores the complete state of an upstream from the process that this one takes over from. */
     void restore(long now, UpstreamSnapshot snapshot) {
         HealthCheckpoint checkpoint = snapshot.checkpoint();
         if (isUnknownEndpoint(checkpoint)) {
--- a/decisions/src/main/java/amberroute/decisions/RateLimiter.java
+++ b/decisions/src/main/java/amberroute/decisions/RateLimiter.java
@@ -4,37 +4,37 @@
 import java.util.List;
 
 /**
- * Client-side rate limit of an upstream: additive increase and multiplicative decrease behind rejections (AIMD), or around a
- * fair share of the limit that load reports name. Senders share nothing, so each keeps below its share by itself. Times are
- * microseconds on the caller's clock.
+ * Client-side rate limit of an upstream, the pace: it decreases multiplicatively after rejections and increases with successes
+ * (AIMD), or follows a fair share of the limit in load reports. Senders do not coordinate here, so each one stays near its own
+ * share. Times are microseconds on the caller's clock.
  *
- * <p>Cost of a pace that is too low: messages wait although their destination would take them, until the pace has grown again or its
- * life is over. Cost of one that is too high: rejected calls, which use up the limit as well.
+ * <p>Cost of a pace that is too low: messages wait although their destination could take them, until the pace has grown or
+ * expired. Cost of a pace that is too high: rejected calls, which use up the limit as well.
  */
 final class RateLimiter {
-    /** Least pace of all senders together, so that it is noticed when a limit is lifted. */
+    /** Minimum pace of all senders together, so that they notice when a limit is lifted. */
     static final double MIN_FLEET_PACE_PER_SECOND = 1.2;
-    /** A cut leaves this share of the pace that was sent. */
+    /** Factor on the used pace when it is cut. */
     private static final double CUT_RATIO = 0.8;
-    /** Share by which each success raises the pace where no limit is reported. */
+    /** Share by which each success raises the pace if no limit is reported. */
     private static final double RAISE_PER_SUCCESS_RATIO = 0.05;
-    /** First pace under a reported limit, in fair shares of it: not all senders use theirs. */
+    /** Initial pace under a reported limit, in fair shares of it; above 1, as not all senders use their share. */
     private static final double INITIAL_FAIR_SHARES = 1.2;
-    /** Least pace under a reported limit, in fair shares: with all senders at it, the total is under the limit. */
+    /** Minimum pace under a reported limit, in fair shares; below 1, so that the total of all senders is under the limit. */
     private static final double MIN_FAIR_SHARES = 0.85;
-    /** Fair shares that the pace gains a second while the allowance is ample. */
+    /** Fair shares that the pace gains per second while the allowance is ample. */
     private static final double FAIR_SHARES_GAINED_PER_SECOND = 0.25;
-    /** Share of the allowance left from which the pace is raised. */
+    /** Remaining share of the allowance from which the pace is raised. */
     private static final double AMPLE_ALLOWANCE_RATIO = 0.5;
-    /** Share of the allowance left under which the pace is cut before a rejection comes. */
+    /** Remaining share of the allowance below which the pace is cut before the upstream rejects calls. */
     private static final double LOW_ALLOWANCE_RATIO = 0.1;
-    /** Least time between two cuts for a low allowance. */
+    /** Minimum time between two cuts for a low allowance. */
     private static final long MIN_CUT_INTERVAL_MICROS = 1_000_000;
-    /** A reported limit counts up to so many times what all would send if they sent as much as this sender. */
+    /** Upper bound of a reported limit, as a multiple of the fleet's rate if each sender sends as much as this one. */
     private static final double MAX_REPORTED_LIMIT_RATIO = 8;
-    /** Calls that may go out at once under a pace. */
+    /** Calls that may be sent at once under a pace. */
     private static final double BURST_CALLS = 2;
-    /** A pace is dropped after so long without a rejection, unless a limit is reported. */
+    /** Time without a rejection after which a pace expires, unless a limit is reported. */
     private static final long PACE_EXPIRY_MICROS = 6_000_000;
 
     private final CurrentSettings settings;
@@ -47,7 +47,7 @@
         return !Double.isInfinite(health.pacePerSecond);
     }
 
-    /** When the pace lets the next call out; long ago where there is none. */
+    /** Returns when the pace permits the next call, Long.MIN_VALUE if there is no pace. */
     long nextCallAt(long now, UpstreamHealth health) {
         if (now - health.lastRejectionAt > PACE_EXPIRY_MICROS && health.reportedLimit == 0) {
             health.pacePerSecond = Double.POSITIVE_INFINITY;
@@ -57,7 +57,7 @@
                 : Long.MIN_VALUE;
     }
 
-    /** When the pace is dropped if no rejection comes until then, NEVER where there is none. */
+    /** Returns when the pace expires if there is no further rejection, NEVER if there is no pace. */
     long paceExpiresAt(UpstreamHealth health) {
         return isLimited(health) ? health.lastRejectionAt + PACE_EXPIRY_MICROS + 1 : Micros.NEVER;
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Takes note of a load report: a limit sets the pace, a low allowance cuts it. An absurdly low limit is ignored. */
+    /** Applies a load report: a limit sets the pace, a low allowance cuts it. An implausibly low limit is ignored. */
     void applyLoadReport(long now, UpstreamHealth health, List<Double> report) {
         ReportFields fields = settings.get().reportFields();
         if (!fields.presentIn(report) || !(report.get(fields.limit()) >= MIN_FLEET_PACE_PER_SECOND)) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Raises the pace behind a success, unless the allowance is known to be less than ample. */
+    /** Raises the pace after a success, unless the allowance is known to be less than ample. */
     void raisePace(long now, UpstreamHealth health) {
         if (!isLimited(health) || health.reportedAllowanceLeft < AMPLE_ALLOWANCE_RATIO) {
             return;
@@ -102,7 +102,7 @@
         health.lastPaceRaiseAt = now;
     }
 
-    /** Cuts the pace behind a rejection or for a low allowance. */
+    /** Cuts the pace after a rejection or because of a low allowance. */
     void cutPace(long now, UpstreamHealth health) {
         double servedPerSecond = health.servedRate.perSecond(now);
         double usedPerSecond =
--- a/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
@@ -5,16 +5,16 @@
 import amberroute.decisions.DeliveryScheduler.KeyScope;
 
 /**
- * Whether, where and when a message may be sent again, and whether it may be rejected. An attempt whose outcome is unknown may
- * have run: a non-idempotent message is not repeated then, one with an idempotency key only where and while the key is known.
- * Times are microseconds on the caller's clock.
+ * Decides whether, where and when a message may be retried, and whether it may be rejected. An attempt with an unknown outcome may
+ * have run. After it, a non-idempotent message is not retried, and one with an idempotency key only where and as long as the key
+ * is known. Times are microseconds on the caller's clock.
  *
- * <p>Cost of an outcome that is unknown although the attempt did not run: a non-idempotent message fails undelivered.
+ * <p>If the outcome is unknown but the attempt did not run, a non-idempotent message fails undelivered.
  */
 final class RetryPolicy {
-    /** Allowance for the transit of a call: a key counts as forgotten so much before its life ends. */
+    /** Time before the end of a key's life from which the key counts as forgotten, as a retry takes time to arrive. */
     private static final long KEY_LIFE_MARGIN_MICROS = 300_000;
-    /** Messages are tried again at once until each endpoint has been tried, and so often at least. */
+    /** Minimum number of attempts without backoff; if there are more endpoints, one attempt for each of them. */
     private static final int MIN_ATTEMPTS_WITHOUT_BACKOFF = 2;
 
     private final Backoff backoff;
@@ -23,7 +23,7 @@
         this.backoff = backoff;
     }
 
-    /** Until when the message may be sent again, NEVER for no limit but its deadline. */
+    /** Returns until when the message may be retried, NEVER if only its deadline limits that. */
     static long retryableUntil(PendingMessage message) {
         if (!message.outcomeUnknown() || message.messageClass.idempotency() == Idempotency.IDEMPOTENT) {
             return Micros.NEVER;
@@ -33,14 +33,14 @@
                 : message.unknownOutcomeSince + message.messageClass.keyLifeMicros() - KEY_LIFE_MARGIN_MICROS;
     }
 
-    /** Whether the message may be repeated at any endpoint of its destination. */
+    /** Returns whether the message may be retried at every endpoint of its destination. */
     static boolean retryableAnywhere(PendingMessage message) {
         return !message.outcomeUnknown()
                 || message.messageClass.idempotency() == Idempotency.IDEMPOTENT
                 || message.messageClass.keyScope() == KeyScope.DESTINATION;
     }
 
-    /** Whether the message may be repeated at this endpoint: the endpoint knows its key if an earlier attempt ran. */
+    /** Returns whether the message may be retried at this endpoint: the endpoint knows the key if an earlier attempt ran. */
     static boolean retryableAt(PendingMessage message, Endpoint endpoint) {
         if (retryableAnywhere(message)) {
             return true;
@@ -54,7 +54,7 @@
                 : earlierEndpoint == endpoint;
     }
 
-    /** Whether a rejection is harmless: no attempt is in flight, and none may have run unless a repetition does no harm. */
+    /** Returns whether a rejection is safe: no attempt is in flight, and none may have run unless a repetition does no harm. */
     static boolean mayReject(PendingMessage message) {
         if (message.call != null) {
             return false;
@@ -65,7 +65,7 @@
                 || idempotency == Idempotency.KEYED && message.messageClass.keyScope() == KeyScope.DESTINATION;
     }
 
-    /** Takes note of an attempt that may have run: the first of them counts. */
+    /** Records an attempt that may have run; only the first one of a message is kept. */
     static void recordUnknownOutcome(PendingMessage message, UpstreamCall call) {
         if (!message.outcomeUnknown()) {
             message.unknownOutcomeSince = call.sentAt;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Sets the backoff of a message that each endpoint may have failed by now. */
+    /** Sets the backoff of a message once it has had as many attempts as there are endpoints. */
     void backOff(long now, PendingMessage message, UpstreamHealth health, AttemptCompleted event) {
         int attemptsWithoutBackoff = Math.max(MIN_ATTEMPTS_WITHOUT_BACKOFF, message.destination.endpoints.size());
         if (message.attempts >= attemptsWithoutBackoff) {
--- a/decisions/src/main/java/amberroute/decisions/ServiceTimes.java
+++ b/decisions/src/main/java/amberroute/decisions/ServiceTimes.java
@@ -3,29 +3,32 @@
 import amberroute.decisions.DeliveryScheduler.MessageClass;
 
 /**
- * Expected service times: how long a call to a destination takes, from the latencies of its calls. All times are microseconds.
+ * Estimates how long a call to a destination takes from the latencies of earlier calls. All times are microseconds.
  *
- * <p>A learned time decays towards the usual latency while no call is in flight. Otherwise the messages of a destination that
- * was slow may stand behind all others for good. Cost of a false guess: one call to a destination that is still slow.
+ * <p>An estimate decays towards the usual latency while no call is in flight. Otherwise the messages of a destination that was
+ * slow might rank below all others forever. Cost of a wrong estimate: one call to a destination that is still slow.
  */
 final class ServiceTimes {
-    /** Span in which a learned time falls to 1/e of its excess over the usual latency. */
+    /** Time in which the excess of an estimate over the usual latency falls to 1/e. */
     static final double DECAY_TIME_CONSTANT_MICROS = 1_000_000;
-    /** Present latency up to this multiple of the usual is noise of ordinary service times, not slowness. */
+    /** A present latency up to this multiple of the usual one is ordinary variation, not slowness. */
     static final double NORMAL_LATENCY_RATIO = 2;
-    /** Weight of a new latency in the usual one: slow enough to outlast a fault of tens of calls. */
+    /** Weight of a new latency in the usual one; small, so that a fault of tens of calls changes it little. */
     private static final double USUAL_WEIGHT_RATIO = 0.02;
-    /** Weight of a new latency in the usual one of all destinations: about the last thirty calls count. */
+    /** Weight of a new latency in the usual latency over all destinations: about the last thirty calls count. */
     private static final double POOLED_WEIGHT_RATIO = 0.03;
 
     private double usualLatencyMicros;
 
-    /** Usual latency over all destinations, 0 before the first success: what one that never answered is taken to need. */
+    /** Returns the usual latency over all destinations, which is the estimate for one without a success; 0 if there is none. */
     double usualLatencyMicros() {
         return usualLatencyMicros;
     }
 
-    /** What a message needs: what was learned, else the usual latency, else the latency objective of its class. */
+    /**
+     * Returns the expected service time of a message: the estimate of its destination, or else the usual latency over all
+     * destinations, or else the latency objective of its class.
+     */
     double expectedMicros(long now, Destination destination, MessageClass messageClass) {
         if (destination.serviceMeasured) {
             decay(now, destination);
@@ -42,7 +45,7 @@
         return expectedMicros(now, queue.destination, queue.messageClass);
     }
 
-    /** The service times of all messages in flight that are not completed. */
+    /** Returns the sum of the expected service times of the messages in flight that are not completed. */
     double inFlightMicros(long now, UpstreamHealth health) {
         double totalMicros = 0;
         for (UpstreamCall call : health.callsInFlight) {
@@ -53,7 +56,7 @@
         return totalMicros;
     }
 
-    /** Brings the learned time up to now. */
+    /** Applies the decay of the estimate up to now. */
     void decay(long now, Destination destination) {
         if (destination.callsInFlight == 0 && destination.serviceUpdatedAt != now) {
             double baselineMicros = baselineMicros(destination);
@@ -64,7 +67,7 @@
         destination.serviceUpdatedAt = now;
     }
 
-    /** What the learned time decays to: the least usual latency of the endpoints, or the learned time if that is less. */
+    /** Returns the value that the estimate decays to: the least usual latency of the endpoints, or the estimate if lower. */
     double baselineMicros(Destination destination) {
         double baselineMicros = destination.serviceMicros;
         for (Endpoint endpoint : destination.endpoints) {
@@ -74,7 +77,7 @@
         return baselineMicros;
     }
 
-    /** Learns from a call that succeeded. */
+    /** Updates the estimates with the latency of a successful call. */
     void recordSuccess(Destination destination, UpstreamHealth health, double latencyMicros) {
         mergeUsualLatency(latencyMicros, POOLED_WEIGHT_RATIO);
         destination.serviceMicros = destination.serviceMeasured
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Learns from a call that timed out: it takes longer than so long. */
+    /** Raises the estimates after a timeout: the call would have taken longer than {@code elapsedMicros}. */
     void recordTimeout(Destination destination, UpstreamHealth health, double elapsedMicros) {
         destination.serviceMicros +=
                 UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * Math.max(0, elapsedMicros - destination.serviceMicros);
@@ -102,7 +105,7 @@
                 UpstreamHealth.RECENT_CALL_WEIGHT_RATIO * Math.max(0, elapsedMicros - health.presentLatencyMicros);
     }
 
-    /** Moves the usual latency over all destinations by a share towards a measured one; the first is taken as it is. */
+    /** Merges a latency into the usual latency over all destinations, with the given weight; the first one is taken as it is. */
     void mergeUsualLatency(double measuredMicros, double weightRatio) {
         usualLatencyMicros +=
                 usualLatencyMicros == 0 ? measuredMicros : weightRatio * (measuredMicros - usualLatencyMicros);
--- a/decisions/src/main/java/amberroute/decisions/ShutdownPolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/ShutdownPolicy.java
@@ -3,11 +3,11 @@
 import amberroute.decisions.DeliveryScheduler.Idempotency;
 
 /**
- * Before the process ends, no attempt of a non-idempotent message starts whose outcome it may not see, as that would lose the
- * message; it is recovered by the next process instead. Times are microseconds on the caller's clock.
+ * Holds back attempts of non-idempotent messages whose outcome would probably arrive after the process has ended. Such a message
+ * would be lost; the next process recovers it instead. Times are microseconds on the caller's clock.
  */
 final class ShutdownPolicy {
-    /** Such an attempt needs so many expected latencies before the end of the process. */
+    /** Time that an attempt of a non-idempotent message needs before the end of the process, in expected latencies. */
     private static final double MIN_TIME_LEFT_LATENCIES = 3;
 
     private final ServiceTimes serviceTimes;
@@ -21,7 +21,7 @@
         stopsAt = at;
     }
 
-    /** Whether an attempt to this upstream will end in time, or may be cut off. */
+    /** Returns whether an attempt to this upstream is expected to end in time, or may be interrupted without harm. */
     boolean permits(long now, PendingMessage message, UpstreamHealth health) {
         if (stopsAt == Micros.NEVER || message.messageClass.idempotency() != Idempotency.NON_IDEMPOTENT) {
             return true;
--- a/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
+++ b/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
@@ -6,15 +6,16 @@
 import java.util.List;
 
 /**
- * Finds calls that have been unanswered for so long that they count as lost, before they time out: they count as failures of
- * their endpoints, and some are cancelled to free their slots. Times are microseconds on the caller's clock.
+ * Detects silent calls: calls that have not been answered for so long that they count as lost, although they have not timed out.
+ * They count as failures of their endpoints, and some are cancelled to free their slots. Times are microseconds on the caller's
+ * clock.
  *
  * <p>Cost of a false positive: a very slow answer is lost.
  */
 final class SilentCallDetector {
-    /** Share of the slots that silent calls may hold while messages wait and no slot is free. */
+    /** Share of the slots that silent calls may occupy while messages are waiting and no slot is free. */
     private static final double MAX_SILENT_SLOTS_RATIO = 0.2;
-    /** How much longer a non-idempotent call may be silent before it is cancelled, as that loses its message. */
+    /** Factor on the time that a non-idempotent call may be silent, as cancelling it loses its message. */
     private static final double NON_IDEMPOTENT_SILENCE_FACTOR = 2.5;
 
     private final CurrentSettings settings;
@@ -39,7 +40,7 @@
         this.connections = connections;
     }
 
-    /** Finds what is silent now, opens breakers by it, and requests a wake-up for what may be silent next. */
+    /** Marks silent calls, opens breakers of failed upstreams, and requests a wake-up for when the next call may become silent. */
     void detect(long now, WakeupTimer timer) {
         for (UpstreamHealth health : calls.busyUpstreams()) {
             detect(now, health, timer);
@@ -56,7 +57,7 @@
                 timer.request(silentAt);
                 continue;
             }
-            // Behind a success of the endpoint only the call itself is taken for lost.
+            // If the endpoint has answered a later call, the silent call is no evidence against the endpoint.
             call.endpoint.silentCalls += call.sentAt >= call.endpoint.lastSuccessAt ? 1 : 0;
             if (!call.silent) {
                 call.silent = true;
@@ -69,8 +70,9 @@
     }
 
     /**
-     * Cancels silent calls: idempotent ones once the breaker of their upstream is open, and one of any kind in each decision
-     * while messages wait and silent calls hold many of the slots, as with few slots two such calls would stop a sender.
+     * Cancels silent calls: those without non-idempotent messages once the breaker of their upstream is open, and one call of any
+     * kind in each decision while messages are waiting and silent calls occupy many of the slots. With few slots, two silent
+     * calls would otherwise block the sender.
      */
     void cancelSilentCalls(long now, Actions actions) {
         int silentCalls = silentCalls();
@@ -120,7 +122,7 @@
         return false;
     }
 
-    /** The messages of silent calls that are not being cancelled, in the order of arrival. */
+    /** Returns the messages of silent calls that are not being cancelled, in the order of arrival. */
     private List<PendingMessage> silentMessages() {
         List<PendingMessage> silent = new ArrayList<>();
         for (UpstreamHealth health : calls.busyUpstreams()) {
--- a/decisions/src/main/java/amberroute/decisions/TokenBucket.java
+++ b/decisions/src/main/java/amberroute/decisions/TokenBucket.java
@@ -1,6 +1,6 @@
 package amberroute.decisions;
 
-/** A token bucket that starts full and holds one token at least. Times are microseconds on the caller's clock. */
+/** A token bucket that starts full and has a capacity of at least one token. Times are microseconds on the caller's clock. */
 final class TokenBucket {
     private static final long NEVER_USED = Long.MIN_VALUE;
 
@@ -10,10 +10,10 @@
     private long refilledAt = NEVER_USED;
 
     /**
-     * A full bucket.
+     * Creates a full bucket.
      *
-     * @param perSecond tokens that are refilled a second
-     * @param burstSeconds how many seconds of refill it holds
+     * @param perSecond tokens added per second
+     * @param burstSeconds capacity of the bucket, in seconds of refill
      */
     TokenBucket(double perSecond, double burstSeconds) {
         this.perSecond = perSecond;
@@ -21,7 +21,7 @@
         tokens = capacity;
     }
 
-    /** Takes a token; false where there is none. */
+    /** Takes a token; returns false if there is none. */
     boolean tryTake(long now) {
         if (refilledAt != NEVER_USED) {
             tokens = Math.min(capacity, tokens + perSecond * (now - refilledAt) / Micros.PER_SECOND);
--- a/decisions/src/main/java/amberroute/decisions/UpstreamGate.java
+++ b/decisions/src/main/java/amberroute/decisions/UpstreamGate.java
@@ -1,9 +1,9 @@
 package amberroute.decisions;
 
 /**
- * When an upstream takes the next call, as all rules together permit it: Retry-After and backoff, the circuit breaker, the
- * concurrency cap, slow start and pace. It withholds an upstream from a selection and never changes the order of messages. Times
- * are microseconds on the caller's clock.
+ * Decides when an upstream may get its next call. It combines Retry-After and backoff, the circuit breaker, the concurrency cap,
+ * the slow start and the rate limit. It excludes upstreams from a selection but never changes the order of messages. Times are
+ * microseconds on the caller's clock.
  */
 final class UpstreamGate {
     private final CurrentSettings settings;
@@ -16,7 +16,7 @@
         this.rateLimiter = rateLimiter;
     }
 
-    /** From when a call may go out; NEVER if only an outcome can change that. */
+    /** Returns the time from which a call may be sent, NEVER if that depends on an outcome that is still to come. */
     long nextCallAt(long now, UpstreamHealth health) {
         long permittedAt = Math.max(health.retryAfterUntil, health.backoffUntil);
         if (health.breaker == BreakerState.OPEN) {
@@ -33,7 +33,10 @@
         return Math.max(permittedAt, rateLimiter.nextCallAt(now, health));
     }
 
-    /** When to ask again for an upstream that is closed until {@code at}: slow starts speed up and paces end. */
+    /**
+     * Returns when to evaluate an upstream again that takes no calls until {@code closedUntil}. This may be earlier, as a slow
+     * start speeds up and a pace expires.
+     */
     long reevaluateAt(long closedUntil, UpstreamHealth health) {
         long reevaluateAt = health.breaker != BreakerState.SLOW_START || closedUntil == Micros.NEVER
                 ? closedUntil
@@ -43,14 +46,14 @@
                 : Math.min(reevaluateAt, rateLimiter.paceExpiresAt(health));
     }
 
-    /** One call for each endpoint until the first success, as all that waits behind a restart would else go out at once. */
+    /** One call for each endpoint until the first success; otherwise all pending messages would be sent at once after a restart. */
     private int maxCallsInFlight(long now, UpstreamHealth health) {
         return health.usualLatencyMicros == 0 ? health.endpoints.size() : concurrencyCap(now, health);
     }
 
     /**
-     * Latency-scaled cap on calls in flight: all slots at the usual latency, else their share usual over present latency, and
-     * at least one. Cost of a latency that is too high: fewer calls to an upstream that could take more.
+     * Returns the cap on calls in flight: all slots at up to twice the usual latency, fewer in proportion above that, and at
+     * least one. Cost of a latency that is overestimated: fewer calls to an upstream that could take more.
      */
     int concurrencyCap(long now, UpstreamHealth health) {
         int slots = settings.limits().maxConcurrentCalls();
@@ -64,7 +67,7 @@
         return (int) Math.max(1, Math.min(slots, scaledSlots));
     }
 
-    /** Counts a call that goes out: it is the trial of an open breaker, and uses up pace and slow start. */
+    /** Records a call that is being sent: it is the trial of an open breaker, and counts for the pace and the slow start. */
     void recordCallStarted(long now, UpstreamHealth health, UpstreamCall call) {
         health.sentRate.add(now, 1);
         rateLimiter.recordCallStarted(now, health);
--- a/decisions/src/main/java/amberroute/decisions/UpstreamHealth.java
+++ b/decisions/src/main/java/amberroute/decisions/UpstreamHealth.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * Health and limits of endpoints that share one limit and fail together: all of a destination, or one where the endpoints of
- * its kind are independent. It is state only; {@link CircuitBreaker}, {@link RecoveryRamp}, {@link RateLimiter} and
- * {@link ServiceTimes} hold the rules. Times are microseconds on the caller's clock.
+ * Health and limits of endpoints that share one limit and fail together: all endpoints of a destination, or a single endpoint if
+ * the endpoints of its kind are independent. This class is state only; {@link CircuitBreaker}, {@link RecoveryRamp},
+ * {@link RateLimiter} and {@link ServiceTimes} implement the rules. Times are microseconds on the caller's clock.
  */
 final class UpstreamHealth {
-    /** Span over which the rate of sent calls is averaged. */
+    /** Time constant of the average rate of sent calls. */
     private static final double SENT_RATE_TIME_CONSTANT_MICROS = 2_000_000;
-    /** Span over which the rate of answered calls is averaged. */
+    /** Time constant of the average rate of successful calls. */
     private static final double SERVED_RATE_TIME_CONSTANT_MICROS = 8_000_000;
-    /** Weight of a new call in averages of one upstream: about the last seven calls count. */
+    /** Weight of a new call in the averages of one upstream: about the last seven calls count. */
     static final double RECENT_CALL_WEIGHT_RATIO = 0.15;
 
     final int destinationId;
-    /** 0 where the health is that of a whole destination. */
+    /** 0 for the health of a whole destination. */
     final long endpointId;
 
     final List<Endpoint> endpoints = new ArrayList<>();
@@ -32,36 +32,36 @@
 
     /** End of the longest Retry-After. */
     long retryAfterUntil;
-    /** End of the backoff behind a rejection. */
+    /** End of the backoff after a rejection. */
     long backoffUntil;
 
-    /** Calls a second that {@link RateLimiter} lets out; infinite for no limit. */
+    /** Calls per second that {@link RateLimiter} permits; infinite for no limit. */
     double pacePerSecond = Double.POSITIVE_INFINITY;
 
     long nextPacedCallAt;
     long lastPaceCutAt;
     long lastPaceRaiseAt;
     long lastRejectionAt;
-    /** Rejections in a row; each success halves it. */
+    /** Recent rejections; each success halves the count. */
     int rejections;
-    /** Calls a second from all senders that it reported or was listed with; 0 where none is known. */
+    /** Limit in calls per second from all senders, from a load report or the endpoint list; 0 if unknown. */
     double reportedLimit;
-    /** Share of its allowance that it last reported as left; NaN before the first report. */
+    /** Remaining share of the allowance in the last load report; NaN before the first report. */
     double reportedAllowanceLeft = Double.NaN;
 
-    /** Share of recent calls that may have run and did not succeed. */
+    /** Share of failures among the recent calls that may have run. */
     double failureRatio;
 
     BreakerState breaker = BreakerState.CLOSED;
     long openedAt;
     int failedTrials;
     long nextTrialAt;
-    /** The half-open trial in flight; null for none. */
+    /** The half-open trial in flight, null for none. */
     UpstreamCall trial;
 
     long slowStartBeganAt;
     long lastSlowStartCallAt;
-    /** Calls answered a second before the breaker opened. */
+    /** Successful calls per second when the breaker opened. */
     double callsPerSecondBeforeOutage;
 
     long lastSuccessAt = Endpoint.LONG_AGO;
@@ -71,12 +71,12 @@
         this.endpointId = endpointId;
     }
 
-    /** Whether nothing is known of it, or only that it failed. */
+    /** Returns whether the upstream has not succeeded yet, or has failed since. */
     boolean isUnproven() {
         return breaker == BreakerState.OPEN || usualLatencyMicros == 0;
     }
 
-    /** The present latency; a call that has been unanswered for longer counts as though it were answered now. */
+    /** Returns the present latency; a call in flight for longer than that counts as if it were answered now. */
     double presentLatencyMicros(long now) {
         double latencyMicros = presentLatencyMicros;
         for (UpstreamCall call : callsInFlight) {
--- a/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
+++ b/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
@@ -1,9 +1,10 @@
 package amberroute.decisions;
 
 /**
- * Predicts how long a message will wait: the larger of the work ahead over all slots and the work ahead at its destination over
- * the destination's cap, or the time that its limits take. Ahead is what has the higher index now or, having no less priority
- * weight, will have it as the message ages. Times are microseconds on the caller's clock.
+ * Predicts how long a message will wait. The prediction is the largest of: the work ahead divided by the number of slots, the
+ * work ahead for its destination divided by the concurrency cap of the destination, and the wait that rate limits impose. A
+ * message is ahead if it has the higher index now, or no less priority weight, as it will then get the higher index. Times are
+ * microseconds on the caller's clock.
  */
 final class WaitPrediction {
     private final CurrentSettings settings;
@@ -31,12 +32,12 @@
         this.recoveryRamp = recoveryRamp;
     }
 
-    /** The predicted wait of a message that waits now. */
+    /** Returns the predicted wait of a message that is waiting now. */
     long predictedWaitMicros(long now, PendingMessage message) {
         return predictedWaitMicros(now, message, false);
     }
 
-    /** An upper bound on the predicted wait at a fraction of its cost: all that waits counts as ahead. */
+    /** Returns an upper bound of the predicted wait that is cheap to compute: all waiting messages count as ahead. */
     long upperBoundMicros(long now, PendingMessage message) {
         return predictedWaitMicros(now, message, true);
     }
@@ -79,7 +80,7 @@
         return cap;
     }
 
-    /** The time until limits let the message out behind those ahead: an outage, a slow start, paces and the fleet's limit. */
+    /** Returns the time until limits permit the message after those ahead of it: outage, slow start, pace and fleet rate limit. */
     private double rateLimitedWaitMicros(long now, Destination destination, double messagesAhead) {
         double messagesPerSecond = 0;
         long availableAt = Micros.NEVER;
@@ -87,7 +88,7 @@
         for (Endpoint endpoint : destination.endpoints) {
             if (endpoint.isReady() && endpoint.health != lastCounted) {
                 lastCounted = endpoint.health;
-                // Paces count calls, and what waits behind a limit fills them.
+                // A pace counts calls, and messages that wait for a limit fill the calls.
                 messagesPerSecond += endpoint.messagesPerCall * callsPerSecond(now, lastCounted);
                 availableAt = Math.min(availableAt, availableAt(now, lastCounted));
             }
@@ -102,14 +103,14 @@
         return Math.max(0, availableAt - now) + pacedMicros;
     }
 
-    /** The pace of an upstream; during an outage and a slow start the mean of the rest of the slow start. */
+    /** Returns the pace of an upstream; during an outage or a slow start it is the mean over the rest of the slow start. */
     private double callsPerSecond(long now, UpstreamHealth health) {
         return health.breaker == BreakerState.CLOSED
                 ? health.pacePerSecond
                 : recoveryRamp.callsPerSecond((1 + recoveryRamp.progress(now, health)) / 2, health);
     }
 
-    /** When an upstream is expected to take calls: an outage without a Retry-After counts as half over. */
+    /** Returns when an upstream is expected to take calls; an outage is expected to last as long again as it has lasted. */
     private static long availableAt(long now, UpstreamHealth health) {
         long holdOffUntil = Math.max(health.retryAfterUntil, health.backoffUntil);
         return health.breaker == BreakerState.OPEN ? Math.max(holdOffUntil, 2 * now - health.openedAt) : holdOffUntil;
--- a/decisions/src/main/java/amberroute/decisions/settings/InvalidSettingsException.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/InvalidSettingsException.java
@@ -1,10 +1,10 @@
 package amberroute.decisions.settings;
 
-/** Settings of the platform that are missing or cannot be read; the message names the path. */
+/** A setting of the platform is missing or invalid; the message names its path. */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The message is shown to the operator as it is. */
+    /** Creates an exception whose message is shown to the operator unchanged. */
     public InvalidSettingsException(String message) {
         super(message);
     }
--- a/decisions/src/main/java/amberroute/decisions/settings/package-info.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reads the platform's settings, pairs of path and value, into the terms of {@link amberroute.decisions.DeliveryScheduler}. Both
- * the host of the module on the simulator's wire and the daemon, which flattens its JSON to the same paths, read them here. No I/O,
- * and no other package of the project.
+ * Reads the platform's settings, which are pairs of path and value, into {@link amberroute.decisions.DeliveryScheduler.Settings}.
+ * It is used by the simulator's host of the scheduler and by the sender, which flattens its JSON configuration to the same paths.
+ * This package does no I/O and depends on no other module of the project.
  */
 package amberroute.decisions.settings;
--- a/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What each sender does by itself, seen from a destination that many of them share. */
+/** Tests the combined load of many independent senders on a destination that they share. */
 class FleetBehaviorTest {
     private static final long SEED = 20_261;
 
@@ -23,38 +23,39 @@
         return simulation;
     }
 
-    /** Half of the limit is offered, which a destination in slow start can take within 5 s of its return. */
+    /** The clients offer half of the limit, which a destination in slow start can take within 5 s after the outage. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void destinationAfterOutageRecoversWithoutOverload(int senders) {
         FleetSimulation simulation = outage(senders, 200);
         simulation.run(26_000_000);
-        String summary = senders + " senders: push " + simulation.peakOverload + ", rates after the return";
+        String summary = senders + " senders: peak overload " + simulation.peakOverload
+                + ", answered per second after the outage";
         for (int second = 0; second < 12; second++) {
             summary += " " + (int) simulation.answersPerSecond((11 + second) * 1_000_000L, (12 + second) * 1_000_000L);
         }
-        System.out.println(
-                summary + "; refused " + simulation.rejectedCalls + " of " + simulation.calls + ", turned away "
-                        + simulation.rejectedMessages + " of " + simulation.offeredMessages + ", seed " + SEED);
+        System.out.println(summary + "; rejected " + simulation.rejectedCalls + " of " + simulation.calls + " calls, "
+                + simulation.rejectedMessages + " of " + simulation.offeredMessages + ", seed " + SEED);
         assertTrue(simulation.peakOverload < 1, summary);
         assertTrue(simulation.answersPerSecond(11_000_000, 13_000_000) > 0.1 * simulation.limitPerSecond, summary);
         assertTrue(simulation.answersPerSecond(14_000_000, 17_000_000) > 0.4 * simulation.limitPerSecond, summary);
     }
 
-    /** Trials and slow starts of many senders stay within the rule where the limit is small, too. */
+    /** Trials and slow starts of many senders do not overload a destination with a small limit either. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void smallDestinationAfterOutageIsNotOverloaded(int senders) {
         FleetSimulation simulation = outage(senders, 15);
         simulation.run(30_000_000);
-        System.out.println(senders + " senders, small: push " + simulation.peakOverload + ", refused "
+        System.out.println(senders + " senders, small limit: peak overload " + simulation.peakOverload + ", rejected "
                 + simulation.rejectedCalls + " of " + simulation.calls + ", seed " + SEED);
-        assertTrue(simulation.peakOverload < 1, "push " + simulation.peakOverload);
+        assertTrue(simulation.peakOverload < 1, "peak overload " + simulation.peakOverload);
     }
 
     /**
-     * The ramp holds for the sum of all: over N calls in a window only 2 x root of N + 2 are put down to chance, also where senders
-     * learn of the outage one after another, get uneven parts of the traffic, and some are started anew while it is cold.
+     * The limit of the slow start holds for all senders together: it may be exceeded by random variation only, 2 x sqrt(N) + 2
+     * calls above N in a window. This includes senders that detect the outage one after another, have uneven traffic, or restart
+     * during the slow start.
      */
     @ParameterizedTest
     @CsvSource({
@@ -79,9 +80,10 @@
             long detectionSpreadMicros,
             int restartingSenders,
             boolean limitReported) {
-        StringBuilder summary = new StringBuilder(senders + " senders, limit " + limitPerSecond + ", uneven "
-                + trafficSkew + ", learn within " + detectionSpreadMicros + ", " + restartingSenders
-                + " restarts, limit told " + limitReported + ": excess");
+        StringBuilder summary = new StringBuilder(senders + " senders, limit " + limitPerSecond + ", traffic skew "
+                + trafficSkew + ", outage detected within " + detectionSpreadMicros + ", "
+                + restartingSenders
+                + " restarts, limit reported " + limitReported + ": excess");
         double worstExcess = Double.NEGATIVE_INFINITY;
         for (int seed = 0; seed < 8; seed++) {
             FleetSimulation simulation = new FleetSimulation(senders, SEED + seed);
@@ -98,7 +100,7 @@
             simulation.run(27_000_000);
             worstExcess = Math.max(worstExcess, simulation.peakExcess);
             summary.append(String.format(
-                    " %.2f (push %.2f, answered %.2f)",
+                    " %.2f (peak overload %.2f, answered ratio %.2f)",
                     simulation.peakExcess,
                     simulation.peakOverload,
                     (double) simulation.answeredCalls / simulation.offeredMessages));
@@ -115,7 +117,7 @@
         return simulation;
     }
 
-    /** Rejected calls use up the limit: all that is sent has to stay near the limit, evenly shared. */
+    /** Rejected calls use up the limit, so the total rate has to stay near the limit, with even shares for the senders. */
     @ParameterizedTest
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
     void fleetUnderReportedLimitStaysNearIt(int senders, boolean fixedWindows) {
@@ -123,9 +125,10 @@
         simulation.run(30_000_000);
         int minAnswered = Arrays.stream(simulation.answeredCallsBySender).min().orElse(0);
         int maxAnswered = Arrays.stream(simulation.answeredCallsBySender).max().orElse(0);
-        String summary = senders + " senders, windows " + fixedWindows + ": answered "
+        String summary = senders + " senders, fixed windows " + fixedWindows + ": answered "
                 + simulation.answersPerSecond(10_000_000, 30_000_000)
-                + " a second, sent " + simulation.calls + ", refused " + simulation.rejectedCalls + ", answered by one "
+                + " per second, sent " + simulation.calls + ", rejected " + simulation.rejectedCalls
+                + ", answered per sender "
                 + minAnswered + " to "
                 + maxAnswered + ", seed " + SEED;
         System.out.println(summary);
@@ -138,8 +141,8 @@
     }
 
     /**
-     * A limit that has grown with the senders: who is refused makes way for a turn of each at that limit. Turns of 80 ms for each of a
-     * hundred kept every sender away for 4 to 8 s, and up to eight times as long at further refusals.
+     * The backoff after a rejection must become shorter under a large limit that is reported. With the fixed spacing of 80 ms for
+     * each of 100 senders, every rejected sender paused for 4 to 8 s, and for up to eight times as long after more rejections.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -147,15 +150,15 @@
         FleetSimulation simulation = overloaded(100, fixedWindows);
         simulation.limitPerSecond = 280;
         simulation.run(30_000_000);
-        String summary = "large limit, windows " + fixedWindows + ": answered "
-                + simulation.answersPerSecond(10_000_000, 30_000_000) + " a second of 280, refused "
+        String summary = "large limit, fixed windows " + fixedWindows + ": answered "
+                + simulation.answersPerSecond(10_000_000, 30_000_000) + " per second of a limit of 280, rejected "
                 + simulation.rejectedCalls + " of " + simulation.calls + ", seed " + SEED;
         System.out.println(summary);
         assertTrue(simulation.answersPerSecond(10_000_000, 30_000_000) > 0.8 * simulation.limitPerSecond, summary);
         assertTrue(simulation.rejectedCalls < 0.25 * simulation.calls, summary);
     }
 
-    /** The limit falls to half for 9 s and comes back. */
+    /** The limit falls to half for 9 s and is then restored. */
     @ParameterizedTest
     @CsvSource({"2,false", "14,false", "50,false", "2,true", "14,true", "50,true"})
     void limitLoweredAndRestoredIsFollowedBothWays(int senders, boolean fixedWindows) {
@@ -163,10 +166,11 @@
         simulation.scheduleSinceStart(8_000_000, () -> simulation.limitPerSecond = 20);
         simulation.scheduleSinceStart(17_000_000, () -> simulation.limitPerSecond = 40);
         simulation.run(30_000_000);
-        String summary = senders + " senders, windows " + fixedWindows + ": lowered "
+        String summary = senders + " senders, fixed windows " + fixedWindows + ": answered under the lowered limit "
                 + simulation.answersPerSecond(10_000_000, 17_000_000)
-                + ", back "
-                + simulation.answersPerSecond(20_000_000, 30_000_000) + " a second, refused " + simulation.rejectedCalls
+                + ", after its end "
+                + simulation.answersPerSecond(20_000_000, 30_000_000) + " per second, rejected "
+                + simulation.rejectedCalls
                 + " of " + simulation.calls
                 + ", seed " + SEED;
         System.out.println(summary);
@@ -175,7 +179,7 @@
         assertTrue(simulation.rejectedCalls < 0.3 * simulation.calls, summary);
     }
 
-    /** Where half of the senders are gone the others use their share of the limit. */
+    /** After half of the senders have stopped, the others use the whole limit. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void limitShareOfStoppedSendersIsUsedByOthers(int senders) {
@@ -184,44 +188,45 @@
         simulation.stoppingSenders = senders / 2;
         simulation.stopAtMicros = 8_000_000;
         simulation.run(30_000_000);
-        System.out.println(senders + " senders, half of them dead: "
-                + simulation.answersPerSecond(16_000_000, 30_000_000) + " a second");
+        System.out.println(senders + " senders, half of them stopped: answered "
+                + simulation.answersPerSecond(16_000_000, 30_000_000) + " per second");
         assertTrue(
                 simulation.answersPerSecond(16_000_000, 30_000_000)
                         > (senders > 14 ? 0.55 : 0.75) * simulation.limitPerSecond,
                 "" + simulation.answersPerSecond(16_000_000, 30_000_000));
     }
 
-    /** Absurd reports neither starve a destination nor overload it behind an outage. */
+    /** Implausible load reports neither starve a destination nor overload it after an outage. */
     @ParameterizedTest
     @CsvSource({"0,0", "-1,-5", "NaN,NaN", "7,1e300", "0,1e-9", "Infinity,Infinity", "0,1e300", "1,1e-300"})
     void implausibleLoadReportsHaveBoundedEffect(double allowanceLeft, double limitPerSecond) {
         FleetSimulation simulation = outage(14, 60);
         simulation.reportOverride = () -> List.of(allowanceLeft, limitPerSecond);
         simulation.run(34_000_000);
-        String summary = allowanceLeft + " " + limitPerSecond + ": push " + simulation.peakOverload + ", answered "
+        String summary = allowanceLeft + " " + limitPerSecond + ": peak overload " + simulation.peakOverload
+                + ", answered "
                 + simulation.answeredCalls + " of " + simulation.offeredMessages + ", at the end "
-                + simulation.answersPerSecond(26_000_000, 34_000_000) + ", seed " + SEED;
+                + simulation.answersPerSecond(26_000_000, 34_000_000) + " per second, seed " + SEED;
         System.out.println(summary);
         assertTrue(simulation.peakOverload < 1, summary);
         assertTrue(simulation.answersPerSecond(26_000_000, 34_000_000) > 0.25 * simulation.limitPerSecond, summary);
     }
 
-    /** A limit that jumps tenfold between two answers. */
+    /** The reported limit alternates between a tenth of the true one and ten times as much. */
     @Test
     void jumpingReportedLimitNeitherOverloadsNorStarvesDestination() {
         FleetSimulation simulation = outage(14, 60);
         int[] reportCount = new int[1];
         simulation.reportOverride = () -> List.of(0.5, reportCount[0]++ % 2 == 0 ? 6.0 : 600.0);
         simulation.run(34_000_000);
-        String summary = "jumping: push " + simulation.peakOverload + ", at the end "
+        String summary = "jumping limit: peak overload " + simulation.peakOverload + ", answered per second at the end "
                 + simulation.answersPerSecond(26_000_000, 34_000_000);
         System.out.println(summary);
         assertTrue(simulation.peakOverload < 1, summary);
         assertTrue(simulation.answersPerSecond(26_000_000, 34_000_000) > 0.25 * simulation.limitPerSecond, summary);
     }
 
-    /** Reports that are 8 s old are read as current ones: the limit has halved and risen again since. */
+    /** Load reports arrive about 8 s late, while the limit falls to half and is restored. */
     @Test
     void outdatedLoadReportsDoNotStarveDestination() {
         FleetSimulation simulation = overloaded(14, false);
@@ -233,15 +238,15 @@
         simulation.scheduleSinceStart(8_000_000, () -> simulation.limitPerSecond = 20);
         simulation.scheduleSinceStart(17_000_000, () -> simulation.limitPerSecond = 40);
         simulation.run(34_000_000);
-        String summary = "old reports: at the end " + simulation.answersPerSecond(26_000_000, 34_000_000)
-                + " a second, refused " + simulation.rejectedCalls + " of " + simulation.calls + ", seed " + SEED;
+        String summary = "delayed reports: answered at the end " + simulation.answersPerSecond(26_000_000, 34_000_000)
+                + " per second, rejected " + simulation.rejectedCalls + " of " + simulation.calls + ", seed " + SEED;
         System.out.println(summary);
         assertTrue(simulation.answersPerSecond(26_000_000, 34_000_000) > 0.4 * 40, summary);
     }
 
     /**
-     * A destination with few places for connections, on average half of them taken: that a place is free only now and then
-     * costs messages of some senders time, and must not shut it to all.
+     * A destination accepts five connections, half of which are in use on average. Calls that cannot connect may delay some
+     * messages, but must not open the breaker of all senders.
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
@@ -250,18 +255,18 @@
         simulation.limitPerSecond = 100;
         simulation.maxConnectionsInUse = 5;
         simulation.run(30_000_000);
-        String summary = senders + " senders, five places: answered " + simulation.answeredCalls + " of "
+        String summary = senders + " senders, five connections: answered " + simulation.answeredCalls + " of "
                 + simulation.offeredMessages + ", "
-                + simulation.unconnectedCalls + " found no place, in the last ten seconds "
+                + simulation.unconnectedCalls + " calls without a connection, in the last 10 s "
                 + simulation.answersPerSecond(20_000_000, 30_000_000)
-                + " a second, seed " + SEED;
+                + " per second, seed " + SEED;
         System.out.println(summary);
         assertTrue(simulation.answeredCalls > (senders > 14 ? 0.75 : 0.9) * simulation.offeredMessages, summary);
     }
 
     /**
-     * A receiver that holds few connections turns fresh ones away while idle ones hold its places. That is no refusal of calls:
-     * taken for one, each sender made way for all others and cut its pace, and most of what could be done was not asked for.
+     * A destination with a small connection table rejects fresh connections while idle ones occupy the table. This is no rejection
+     * of calls: when it was treated as one, all senders backed off and cut their pace, and most of the capacity was unused.
      */
     @ParameterizedTest
     @CsvSource({"14,6", "50,10", "100,10"})
@@ -271,17 +276,18 @@
         simulation.maxConnections = maxConnections;
         simulation.idleConnectionLifeMicros = 4_000_000;
         simulation.run(40_000_000);
-        String summary = senders + " senders, a table of " + maxConnections + ": answered " + simulation.answeredCalls
-                + " of " + simulation.offeredMessages
-                + ", turned away at the" + " door " + simulation.unconnectedCalls + ", in the last twenty seconds "
-                + simulation.answersPerSecond(20_000_000, 40_000_000) + " a second, seed " + SEED;
+        String summary =
+                senders + " senders, connection limit " + maxConnections + ": answered " + simulation.answeredCalls
+                        + " of " + simulation.offeredMessages
+                        + ", rejected connections " + simulation.unconnectedCalls + ", in the last 20 s "
+                        + simulation.answersPerSecond(20_000_000, 40_000_000) + " per second, seed " + SEED;
         System.out.println(summary);
         assertTrue(simulation.answeredCalls > 0.85 * simulation.offeredMessages, summary);
     }
 
     /**
-     * What a restart finds taken on and untried, with two thirds of its time left, gets its call: under overload, in an outage, and with
-     * no more room than what is held takes, so that what comes anew presses on it.
+     * Messages that a restart recovers without an earlier attempt, with two thirds of their time left, are attempted: under
+     * overload, in an outage, and if recovered messages fill the capacity, so that new arrivals compete with them.
      */
     @ParameterizedTest
     @CsvSource({
@@ -302,17 +308,17 @@
             recovered += simulation.recoveredUnattempted;
             abandoned += simulation.abandonedUnattempted;
         }
-        String summary = senders + " senders, load " + offeredLoadRatio + ", outage " + outage + ", room for "
-                + maxPending + ": of " + recovered + " found untried " + abandoned
-                + " were given up with no call, seeds from " + SEED;
+        String summary = senders + " senders, load " + offeredLoadRatio + ", outage " + outage + ", capacity "
+                + maxPending + ": of " + recovered + " recovered without an attempt " + abandoned
+                + " got no attempt, seeds from " + SEED;
         System.out.println(summary);
         assertTrue(recovered > 20, summary);
         assertTrue(abandoned < 0.5 * recovered, summary);
     }
 
     /**
-     * The same holds for those alone that may not simply be repeated, whether they are worth more than the others or less: under overload
-     * and in an outage, in which they are no trials.
+     * The same holds for non-idempotent and keyed messages alone, with a higher or lower priority weight than the others: under
+     * overload and in an outage, where they are not used as trials.
      */
     @ParameterizedTest
     @CsvSource({
@@ -347,15 +353,15 @@
             abandoned += simulation.abandonedUnattemptedOther;
         }
         String summary = senders + " senders, load " + offeredLoadRatio + ", outage " + outage + ", " + idempotency
-                + " worth " + priorityWeight
-                + ": of " + recovered + " found untried that may not be repeated " + abandoned
-                + " were given up with no call, seeds from " + SEED;
+                + ", weight " + priorityWeight
+                + ": of " + recovered + " recovered without an attempt " + abandoned
+                + " got no attempt, seeds from " + SEED;
         System.out.println(summary);
         assertTrue(recovered > 20, summary);
         assertTrue(abandoned < 0.5 * recovered, summary);
     }
 
-    /** A limit of 40 a second, all senders restarted between 9 and 13 s, an outage up to its middle. */
+    /** Runs with a limit of 40 calls per second, restarts of all senders from 9 to 13 s, and optionally an outage until 11 s. */
     private static void restartAll(FleetSimulation simulation, int senders, double offeredLoadRatio, boolean outage) {
         simulation.limitPerSecond = 40;
         simulation.offeredLoadRatio = offeredLoadRatio;
@@ -367,7 +373,7 @@
         simulation.run(30_000_000);
     }
 
-    /** All start in the same millisecond with 300 messages pending in all, 7 s of the limit, and without checkpoints. */
+    /** All senders start at once without checkpoints and with 300 pending messages in total, which the limit takes 7.5 s to serve. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
     void fleetStartingAtOnceSpreadsPendingMessages(int senders) {
@@ -376,10 +382,11 @@
         simulation.offeredLoadRatio = 0.3;
         simulation.pendingAtStart = 300 / senders;
         simulation.run(20_000_000);
-        String summary = senders + " senders that start together: refused in the first second "
+        String summary = senders + " senders started at once: rejected in the first second "
                 + simulation.rejectedCalls(0, 1_000_000)
-                + ", then " + simulation.rejectedCalls(1_000_000, 20_000_000) + ", answered a second up to 8 s "
-                + simulation.answersPerSecond(0, 8_000_000) + ", of all " + simulation.answeredCalls + " of "
+                + ", then " + simulation.rejectedCalls(1_000_000, 20_000_000)
+                + ", answered per second in the first 8 s "
+                + simulation.answersPerSecond(0, 8_000_000) + ", in total " + simulation.answeredCalls + " of "
                 + simulation.offeredMessages + ", seed "
                 + SEED;
         System.out.println(summary);
--- a/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
@@ -16,8 +16,8 @@
 import java.util.function.Supplier;
 
 /**
- * Many senders, each with its own scheduler, against one modelled destination with a limit, in virtual time and from a seed. A
- * sender sees only its own calls and what their answers report. Times are microseconds.
+ * Simulates many senders, each with its own scheduler, and one destination with a rate limit, in virtual time and with seeded
+ * random numbers. A sender sees only its own calls and the load reports in their answers. Times are microseconds.
  */
 final class FleetSimulation {
     static final double OVERLOAD_MULTIPLE = 2.5;
@@ -27,53 +27,60 @@
     private static final long SERVICE_TIME_MICROS = 50_000;
     private static final long REPORT_PERIOD_MICROS = 300_000;
 
-    /** Calls a second that the destination permits, and its capacity as a multiple of that. */
+    /** Calls per second that the destination permits. */
     double limitPerSecond = 200;
 
+    /** Capacity of the destination, as a multiple of its limit. */
     double capacityRatio = 1.3;
-    /** Messages a second from all clients, as a share of the limit. */
+    /** Messages per second from all clients, as a share of the limit. */
     double offeredLoadRatio = 0.5;
 
     long outageStartMicros = Long.MAX_VALUE;
     long outageEndMicros = Long.MAX_VALUE;
-    /** The values of load reports (allowance left, limit) in place of the true ones; null for the true ones. */
+    /** Supplies the values of load reports (remaining allowance, limit); null for the true values. */
     Supplier<List<Double>> reportOverride;
-    /** The limit counts in fixed windows of 2 s, and rejected calls are charged to the next, up to half; else a token bucket. */
+    /**
+     * Whether the limit is counted in fixed windows of 2 s, where rejected calls are charged to the next window, up to half of it;
+     * otherwise it is a token bucket.
+     */
     boolean fixedWindows;
-    /** Messages that each sender has to deliver when all start at the same moment. */
+    /** Messages that each sender has pending when all of them start at the same time. */
     int pendingAtStart;
-    /** Calls that may be connected at once; further ones cannot connect. */
+    /** Maximum number of connections in use; further calls cannot connect. */
     int maxConnectionsInUse = Integer.MAX_VALUE;
 
     int unconnectedCalls;
-    /** Connections that the receiver keeps, in use and idle; further ones are rejected without a load report. */
+    /** Maximum number of connections in use or idle; further ones are rejected without a load report. */
     int maxConnections = Integer.MAX_VALUE;
     /** How long a connection may be idle. */
     long idleConnectionLifeMicros = 12_000_000;
 
     private int openConnections;
-    /** Traffic of each sender falls off by this power of its number; 0 for even traffic. */
+    /** The traffic of a sender decreases with this power of its number; 0 for even traffic. */
     double trafficSkew;
-    /** Span in which senders get their first messages of an outage, so that they learn of it one after another. */
+    /** Time over which senders get their first messages in an outage, so that they detect it one after another. */
     long outageDetectionSpreadMicros;
-    /** Senders that restart during the slow start of the destination, each at a moment of its own; they keep their checkpoints. */
+    /** Number of senders that restart, one after another; they keep their checkpoints. */
     int restartingSenders;
 
     long firstRestartMicros;
     long lastRestartMicros;
-    /** The largest excess in any window behind the outage, as a share of what counts as chance: 2 x root of N + 2. */
+    /**
+     * Largest number of calls above the overload threshold N in any window after the outage, as a share of the random variation
+     * that is permitted: 2 x sqrt(N) + 2.
+     */
     double peakExcess;
-    /** Messages that restarts recovered untried: all, and those that were rejected without a call. */
+    /** Messages that were recovered by restarts without an earlier attempt. */
     int recoveredUnattempted;
 
     int abandonedUnattempted;
-    /** The same for messages of the other class; every so many messages one is of it, 0 for none. */
+    /** One of this many messages is of the other class; 0 for none. */
     int otherClassPeriod;
 
     int recoveredUnattemptedOther;
     int abandonedUnattemptedOther;
     private final int maxPending;
-    /** Senders that stop for good, and when. */
+    /** Number of senders that stop permanently. */
     int stoppingSenders;
 
     long stopAtMicros = Long.MAX_VALUE;
@@ -84,7 +91,7 @@
     int rejectedMessages;
     int failedMessages;
     int offeredMessages;
-    /** The largest load in any window behind the outage, as a share of what overloads the destination. */
+    /** Largest load in any window after the outage, as a share of the load that breaks the destination down. */
     double peakOverload;
 
     final int[] answeredCallsBySender;
@@ -117,12 +124,12 @@
         this(senders, seed, 4_000 / senders);
     }
 
-    /** {@code maxPending}: messages that each sender may have pending. */
+    /** Creates a fleet whose senders may have {@code maxPending} pending messages each. */
     FleetSimulation(int senders, long seed, int maxPending) {
         this(senders, seed, maxPending, messageClass(2, DeliveryScheduler.Idempotency.NON_IDEMPOTENT));
     }
 
-    /** {@code other}: the class of some messages; all others are idempotent and have weight 2. */
+    /** Creates a fleet where some messages are of the class {@code other}; all others are idempotent and have weight 2. */
     FleetSimulation(int senders, long seed, int maxPending, DeliveryScheduler.MessageClass other) {
         this.maxPending = maxPending;
         random = new SplittableRandom(seed);
@@ -134,7 +141,7 @@
 
     private static DeliveryScheduler.Settings settings(
             int senders, long seed, int maxPending, DeliveryScheduler.MessageClass other) {
-        // Slots as the platform gives them: about three times what the load keeps busy, four at the least.
+        // As in the platform's settings: about three times the slots that the load occupies, and at least four.
         int maxConcurrentCalls = Math.max(4, 70 / senders);
         return new DeliveryScheduler.Settings(
                 seed,
@@ -162,7 +169,7 @@
                 new DeliveryScheduler.ReportFields(0, 1));
     }
 
-    /** A class with 12 s, repeats of which are known for 1 s where they carry a key. */
+    /** Returns a class with a deadline of 12 s; the destination remembers its idempotency keys for 1 s. */
     static DeliveryScheduler.MessageClass messageClass(
             double priorityWeight, DeliveryScheduler.Idempotency idempotency) {
         return new DeliveryScheduler.MessageClass(
@@ -216,11 +223,11 @@
         });
     }
 
-    /** The number of the sender that gets the next message. */
+    /** Returns the index of the sender that gets the next message. */
     private int chooseSender() {
         int candidateSenders = senders.size();
         if (outageDetectionSpreadMicros > 0 && now - startedAt >= outageStartMicros) {
-            // Senders get their first message of the outage one after another.
+            // Senders get their first messages in the outage one after another.
             candidateSenders = (int) Math.max(
                     1,
                     Math.min(
@@ -249,7 +256,7 @@
         return initialLimitPerSecond;
     }
 
-    /** At a time since the start. */
+    /** Schedules an action at a time since the start. */
     void scheduleSinceStart(long sinceStartMicros, Runnable action) {
         schedule(startedAt + sinceStartMicros, action);
     }
@@ -269,7 +276,7 @@
                                         / (double) SLOW_START_MICROS);
     }
 
-    /** Schedules the outcome of a call. */
+    /** Handles a call at the destination and schedules its outcome. */
     private void handleCall(SimulatedSender sender, long id, int attempt, BooleanSupplier senderStillRunning) {
         if (isUnavailable()) {
             schedule(
@@ -331,7 +338,7 @@
             reportedLimit = limitPerSecond * (1 + 0.1 * (2 * random.nextDouble() - 1));
         }
         double serviceIntervalMicros = 1e6 / (capacityRatio * limitPerSecond * availableCapacityRatio());
-        // Rejected calls use up the limit as well, down to a debt.
+        // Rejected calls use up the limit as well; the tokens may become negative down to a bound.
         tokens = Math.max(fixedWindows ? -bucketCapacity : -limitPerSecond / 10, tokens - 1);
         if (tokens < 0 || serverFreeAt - now > 8 * serviceIntervalMicros + 100_000) {
             rejectedCalls++;
@@ -377,14 +384,14 @@
         return reportedLimit;
     }
 
-    /** Rejected calls in a span since the start. */
+    /** Returns the number of rejected calls between two times since the start. */
     long rejectedCalls(long fromMicros, long untilMicros) {
         return rejectionTimes.stream()
                 .filter(time -> time >= fromMicros && time < untilMicros)
                 .count();
     }
 
-    /** Answers in a span since the start, a second. */
+    /** Returns the answered calls per second between two times since the start. */
     double answersPerSecond(long fromMicros, long untilMicros) {
         return answerTimes.stream()
                         .filter(time -> time >= fromMicros && time < untilMicros)
@@ -399,11 +406,11 @@
         AtcDeliveryScheduler scheduler;
         DeliveryScheduler.HealthCheckpoint checkpoint;
         long checkpointAt;
-        /** Number of the start; outcomes and timers of earlier ones are ignored. */
+        /** Number of restarts; outcomes and timers from before the last restart are ignored. */
         int incarnation;
 
         final Map<Long, Integer> attemptsById = new HashMap<>();
-        /** Recovered by the last restart, and neither called nor completed since. */
+        /** Messages that the last restart recovered without an attempt, and that have neither been sent nor answered since. */
         private final Set<Long> recoveredUnattemptedIds = new HashSet<>();
 
         private final Deque<Long> idleConnectionsSince = new ArrayDeque<>();
@@ -415,7 +422,7 @@
             scheduler = new AtcDeliveryScheduler(settings);
         }
 
-        /** Killed and started again with its checkpoint; its pending messages are recovered. */
+        /** Restarts the sender after a kill: its checkpoint is restored and its pending messages are recovered. */
         void restart() {
             incarnation++;
             Map<Long, Integer> pendingAttempts = new HashMap<>(attemptsById);
@@ -463,7 +470,7 @@
             decide();
         }
 
-        /** The number of its class: 1 for the other class. */
+        /** Returns the index of the class of a message: 1 for the other class. */
         private int classOf(long id) {
             return otherClassPeriod > 0 && id % otherClassPeriod == 0 ? 1 : 0;
         }
@@ -479,7 +486,7 @@
             return reportOverride != null ? reportOverride.get() : List.of(reportedAllowanceLeft, reportedLimit);
         }
 
-        /** A connection for a call: how long it has been idle, 0 for a fresh one, -1 where it is rejected. */
+        /** Acquires a connection for a call: returns its idle time, 0 for a fresh one, -1 if it is rejected. */
         long acquireConnection(int maxOpen) {
             if (maxOpen == Integer.MAX_VALUE) {
                 return 0;
@@ -494,7 +501,7 @@
             return 0;
         }
 
-        /** A call has ended: its connection is idle until it is used, closed, or has been idle too long. */
+        /** Releases the connection of a call that has ended: it is idle until it is reused, closed or expired. */
         private void releaseConnection() {
             if (maxConnections != Integer.MAX_VALUE) {
                 long idleFrom = now;
--- a/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTrace.java
@@ -16,11 +16,11 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays random scenarios against the scheduler and digests all that it does: each action with its arguments, the number of
- * avoided endpoints behind each step, and now and then what it would transfer to another process. Events that
- * {@link RandomScenario} does not have (admission prices, transferred and restored health, paused keys, calls in flight, changed
- * settings, failed and cached lists, shutdown) are added at fixed steps. Records are digested by the values of their components
- * and enums by their ordinals, so renaming them does not change a digest.
+ * Runs random scenarios with the scheduler and digests its behavior: each action with its arguments, the number of avoided
+ * endpoints after each step, and periodically the state that it would transfer to another process. Events that
+ * {@link RandomScenario} does not generate (admission prices, transferred and restored health, paused keys, calls in flight,
+ * changed settings, failed and cached lists, shutdown) are added at fixed steps. Records are digested by the values of their
+ * components and enums by their ordinals, so renaming them does not change a digest.
  */
 final class DecisionTrace {
     private static final int SEEDS_PER_PLAN = 7;
@@ -36,11 +36,11 @@
             new RandomScenario.Plan(30, 1, 16, 200, 200, 40, false),
             new RandomScenario.Plan(1, 5, 4, 100, 80, 3, true),
             new RandomScenario.Plan(60, 3, 40, 400, 400, 0, true),
-            // Overload: far more messages than slots, so that arrivals are rejected and the least are shed.
+            // Overload: far more messages than slots, so that arrivals are rejected and messages are shed.
             new RandomScenario.Plan(12, 2, 3, 150, 600, 20, true),
-            // More dispatch queues than one choice puts in order.
+            // More dispatch queues than a selection sorts.
             new RandomScenario.Plan(250, 2, 5, 1_500, 1_500, 60, false),
-            // One slot only: silent calls are called off for those that wait.
+            // A single slot, so that silent calls are cancelled while messages are waiting.
             new RandomScenario.Plan(3, 3, 1, 40, 40, 2, true));
 
     private final int planNumber;
@@ -59,25 +59,25 @@
         settings = settings(seed);
     }
 
-    /** The seeds of one plan, as text. */
+    /** Returns the range of the seeds of one plan as text. */
     static String seeds(int planNumber) {
         return (1 + 100 * planNumber) + " to " + (100 * planNumber + SEEDS_PER_PLAN);
     }
 
-    /** SHA-256, in hexadecimal, of all that the scheduler does in the scenarios of one plan. */
+    /** Returns the SHA-256 digest, in hexadecimal, of the scheduler's behavior in all scenarios of one plan. */
     static String digest(int planNumber) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             LongStream.rangeClosed(1, SEEDS_PER_PLAN)
                     .forEach(seed -> new DecisionTrace(planNumber, 100 * planNumber + seed, digest)
-                            .play(100 * planNumber + seed));
+                            .run(100 * planNumber + seed));
             return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void play(long seed) {
+    private void run(long seed) {
         DeliveryScheduler scheduler = new AtcDeliveryScheduler(settings, plan.acknowledgements());
         RandomScenario scenario = new RandomScenario(seed, plan);
         Event event = scenario.initialList();
@@ -107,7 +107,7 @@
         scenario.apply(actions.recorder);
     }
 
-    /** Settings of the scenario; for some seeds with listed weights, zone tolls and extreme classes. */
+    /** Returns the settings of the scenario; some seeds have listed weights, zone tolls or extreme classes. */
     private DeliveryScheduler.Settings settings(long seed) {
         DeliveryScheduler.Settings scenarioSettings = RandomScenario.settings(seed, plan);
         return new DeliveryScheduler.Settings(
@@ -128,7 +128,7 @@
                 scenarioSettings.reportFields());
     }
 
-    /** Classes without weight, with an objective of a microsecond or equal to the deadline, and with all value left when late. */
+    /** Returns classes with extreme weights, with objectives of 1 microsecond or equal to the deadline, and late value 0 or 1. */
     private static List<DeliveryScheduler.MessageClass> extremeClasses(List<DeliveryScheduler.MessageClass> plain) {
         return List.of(
                 withValue(plain.get(0), 0, 0, 1),
@@ -277,7 +277,7 @@
         }
     }
 
-    /** Digests each action and passes it on to what the scenario follows. */
+    /** Digests each action and passes it to the recorder of the scenario. */
     private final class ScenarioActions implements DeliveryScheduler.Actions {
         final RandomScenario.Recorder recorder = new RandomScenario.Recorder();
 
--- a/decisions/src/test/java/amberroute/decisions/reference/DecisionTraceDigestTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/DecisionTraceDigestTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards the behaviour of the decision module byte for byte: the digests were recorded from the version before the module was
- * split into one class a rule. Every action with its ids, times and delays is part of a digest, see {@link DecisionTrace}.
+ * Guards against unintended changes of the scheduler's behavior: the digests were recorded before the module was split into one
+ * class per rule. A digest covers every action with its ids, times and delays, see {@link DecisionTrace}.
  */
 class DecisionTraceDigestTest {
     private static final List<String> RECORDED_DIGESTS = List.of(
--- a/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
@@ -16,11 +16,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Cases that are hard for structures that order by time and sum up, beside the reference scheduler, which visits all messages. */
+/** Edge cases of the indexed data structures, compared with the reference scheduler, which visits all messages. */
 class HardCasesTest {
     private static final long DEADLINE_MICROS = 40_000_000;
 
-    /** Both schedulers, the same events to each, and the calls in flight. */
+    /** Passes the same events to both schedulers, compares their actions and tracks the calls in flight. */
     private static final class SideBySideFixture {
         final ReferenceScheduler reference;
         final AtcDeliveryScheduler scheduler;
@@ -29,7 +29,7 @@
         final Set<Long> completed = new HashSet<>();
         long now = 1_000_000;
         long lastId;
-        /** False where the index of the reference underflows and its messages tie. */
+        /** False if the index of the reference underflows, so that its messages tie. */
         boolean comparesWithReference = true;
 
         int sends;
@@ -52,19 +52,20 @@
                     !comparesWithReference
                             || SideBySideRun.sameActions(
                                     expected.actionsWithoutTimers(), actual.actionsWithoutTimers()),
-                    () -> "at " + now + " " + event + "\nbefore:\n" + String.join("\n", expected.actionsWithoutTimers())
-                            + "\nnow:\n" + String.join("\n", actual.actionsWithoutTimers()));
+                    () -> "at " + now + " " + event + "\nreference:\n"
+                            + String.join("\n", expected.actionsWithoutTimers()) + "\nactual:\n"
+                            + String.join("\n", actual.actionsWithoutTimers()));
             for (long[] send : actual.sends) {
                 inFlight.put(send[0], send);
                 attempts.merge(send[0], 1, Integer::sum);
                 sends++;
             }
             for (String line : actual.lines) {
-                rejected += line.startsWith("refuse") ? 1 : 0;
+                rejected += line.startsWith("reject") ? 1 : 0;
                 failed += line.startsWith("fail") ? 1 : 0;
             }
             for (long id : actual.answered) {
-                assertTrue(completed.add(id), "two ends of " + id);
+                assertTrue(completed.add(id), "second final answer of message " + id);
             }
         }
 
@@ -93,7 +94,7 @@
             long[] send = inFlight.remove(inFlight.keySet().iterator().next());
             boolean messageCompleted = outcome == AttemptOutcome.OK;
             if (messageCompleted) {
-                assertTrue(completed.add(send[0]), "two ends of " + send[0]);
+                assertTrue(completed.add(send[0]), "second final answer of message " + send[0]);
             }
             step(new Event.AttemptCompleted(
                     send[0],
@@ -107,7 +108,7 @@
                     0));
         }
 
-        /** Completes so many calls one after another, with a decision and some time behind each. */
+        /** Completes up to {@code calls} calls one after another, 1 ms apart, with a decision after each. */
         void completeCalls(int calls, long durationMicros, AttemptOutcome outcome) {
             for (int i = 0; i < calls && !inFlight.isEmpty(); i++) {
                 now += 1_000;
@@ -116,7 +117,7 @@
             }
         }
 
-        /** Lets time pass in steps with a decision behind each. */
+        /** Advances the time in steps, with a decision after each. */
         void advance(long durationMicros, long stepMicros) {
             for (long end = now + durationMicros; now < end; ) {
                 now += stepMicros;
@@ -194,7 +195,7 @@
                 NON_IDEMPOTENT));
     }
 
-    /** Queues change their order all at once as service times move, an outage makes one explode, and it falls back. */
+    /** Service times change the order of whole queues; an outage raises one service time steeply, and it decays again. */
     @Test
     void pendingMessagesWithChangingServiceTimesAreHandledAsByReference() {
         SideBySideFixture fixture = fixture(6, 5_000);
@@ -229,14 +230,14 @@
         }
         fixture.decide();
         fixture.completeCalls(300, 5_000, AttemptOutcome.OK);
-        // Near capacity the least are shed.
+        // Near capacity, messages are shed.
         for (int i = 0; i < 2_500; i++) {
             fixture.submit(i % 3, i, DEADLINE_MICROS - i, 1);
         }
         fixture.decide();
         assertTrue(
                 fixture.rejected > 500 && fixture.sends > 300,
-                fixture.rejected + " refused, " + fixture.sends + " sends");
+                fixture.rejected + " rejected, " + fixture.sends + " sends");
     }
 
     @Test
@@ -275,14 +276,14 @@
         assertEquals(1, fixture.sends);
         fixture.completeCalls(1, 2_000_000, AttemptOutcome.TIMEOUT);
         fixture.advance(50_000, 10_000);
-        assertTrue(fixture.inFlight.size() <= 1, "one of a key at a time");
+        assertTrue(fixture.inFlight.size() <= 1, "more than one message of the key in flight");
         fixture.advance(3_000_000, 100_000);
         fixture.completeCalls(60, 4_000, AttemptOutcome.OK);
-        // Messages in the middle of the key's order run out of time as well.
+        // Messages in the middle of the key queue expire as well.
         fixture.advance(DEADLINE_MICROS, 2_000_000);
         assertTrue(
                 fixture.rejected + fixture.failed > 1_000,
-                fixture.rejected + " refused, " + fixture.failed + " failed");
+                fixture.rejected + " rejected, " + fixture.failed + " failed");
     }
 
     @Test
@@ -345,7 +346,7 @@
         assertTrue(fixture.failed > 0 && fixture.sends > 350, fixture.failed + " failed, " + fixture.sends + " sends");
     }
 
-    /** Nothing is NaN or overflows, and every message gets its answer; messages without weight still have an order. */
+    /** No value becomes NaN or overflows, and every message gets an answer; messages without weight are still ordered. */
     @Test
     void extremeClassesAndTimesGiveEveryMessageAnAnswer() {
         for (DeliveryScheduler.LateValueDecay lateValueDecay : DeliveryScheduler.LateValueDecay.values()) {
@@ -379,8 +380,8 @@
             }
             assertTrue(
                     fixture.sends > 50 && fixture.rejected > 50,
-                    lateValueDecay + ": " + fixture.sends + " sends, " + fixture.rejected + " refused");
-            // Calls in flight time out, and all other messages expire.
+                    lateValueDecay + ": " + fixture.sends + " sends, " + fixture.rejected + " rejected");
+            // All calls in flight time out, and all other messages expire.
             while (!fixture.inFlight.isEmpty()) {
                 fixture.now += 1_000;
                 fixture.complete(AttemptOutcome.TIMEOUT, 1_000);
@@ -389,7 +390,7 @@
             assertEquals(
                     fixture.lastId,
                     fixture.completed.size() + fixture.inFlight.size(),
-                    lateValueDecay + ": all but what is out has its end");
+                    lateValueDecay + ": every message is completed or in flight");
         }
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
@@ -12,12 +12,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Random events for one scheduler: clients, destinations that are healthy, slow, unreachable, rejecting or failing, Retry-After,
- * keys, changes of the endpoint list, recovered and cancelled messages, rate limits. It follows the scheduler's actions, so that
- * calls end as those of real upstreams would. The same seed and scheduler give the same events.
+ * Generates random events for one scheduler: submissions, destinations that are healthy, slow, unreachable, rejecting or failing,
+ * Retry-After, keys, changes of the endpoint list, recovered and cancelled messages, and rate limits. Calls that the scheduler
+ * starts end as those of real upstreams would. The same seed and scheduler give the same events.
  */
 final class RandomScenario {
-    /** The actions of one step, in their order. */
+    /** Records the actions of one step in their order. */
     static final class Recorder implements DeliveryScheduler.Actions {
         final List<String> lines = new ArrayList<>();
         final List<long[]> sends = new ArrayList<>();
@@ -25,9 +25,11 @@
         final List<long[]> cancels = new ArrayList<>();
         long timerDelayMicros = -1;
 
-        /** All actions but timers. */
+        /** Returns all actions except timers. */
         List<String> actionsWithoutTimers() {
-            return lines.stream().filter(line -> !line.startsWith("wake ")).toList();
+            return lines.stream()
+                    .filter(line -> !line.startsWith("scheduleTimer "))
+                    .toList();
         }
 
         @Override
@@ -38,7 +40,7 @@
 
         @Override
         public void reject(long id, long retryAfterMicros) {
-            lines.add("refuse " + id + " " + retryAfterMicros);
+            lines.add("reject " + id + " " + retryAfterMicros);
             answered.add(id);
         }
 
@@ -61,23 +63,23 @@
 
         @Override
         public void limitIdleReuse(long longestMicros) {
-            lines.add("trustIdle " + longestMicros);
+            lines.add("limitIdleReuse " + longestMicros);
         }
 
         @Override
         public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint checkpoint) {
-            lines.add("remember " + checkpoint);
+            lines.add("saveCheckpoint " + checkpoint);
         }
 
         @Override
         public void scheduleTimer(long delayMicros, long token) {
-            lines.add("wake " + delayMicros);
+            lines.add("scheduleTimer " + delayMicros);
             timerDelayMicros = delayMicros;
         }
 
         @Override
         public void subscribe() {
-            lines.add("follow");
+            lines.add("subscribe");
         }
 
         @Override
@@ -86,7 +88,7 @@
         }
     }
 
-    /** How large a scenario is. */
+    /** Parameters of a scenario. */
     record Plan(
             int destinations,
             int endpointsPerDestination,
@@ -96,7 +98,7 @@
             int keys,
             boolean acknowledgements) {}
 
-    /** The outcome of a call, for when it is due. */
+    /** The outcome of a call and its time. */
     private record ScheduledOutcome(
             long at,
             long id,
@@ -231,7 +233,7 @@
         return pending.size();
     }
 
-    /** What happens next; a decision follows each event. */
+    /** Returns the next event; the caller makes a decision after each one. */
     Event nextEvent() {
         if (!unacknowledged.isEmpty() && random.nextInt(3) == 0) {
             return new Event.CompletionAcknowledged(unacknowledged.remove(0));
@@ -331,7 +333,7 @@
         if (messageCompleted) {
             pending.remove(call.id());
             if (plan.acknowledgements()) {
-                // As a sender does it: at once.
+                // A sender acknowledges completed messages at once.
                 unacknowledged.remove(call.id());
             }
         }
@@ -347,7 +349,7 @@
                 random.nextBoolean() ? -1 : random.nextLong(5_000_000));
     }
 
-    /** Takes note of the actions: calls get an outcome that comes later, by the behavior of their destination. */
+    /** Applies the actions of a step: the outcome of each call is scheduled according to the behavior of its destination. */
     void apply(Recorder recorded) {
         for (long[] send : recorded.sends) {
             int destination = (int) ((send[1] - 1) / plan.endpointsPerDestination());
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparison.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparison.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The long form of {@link ReferenceComparisonTest}: {@code bin/rig decisions-oracle [--rounds N] [--steps N] [--seed N]}. */
+/** Long version of {@link ReferenceComparisonTest}: {@code bin/experiment decisions-oracle [--rounds N] [--steps N] [--seed N]}. */
 final class ReferenceComparison {
     private ReferenceComparison() {}
 
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The present module beside the one of before its data structures changed: the same actions in the same order. */
+/** Compares the scheduler with the reference scheduler in random scenarios: both must take the same actions in the same order. */
 class ReferenceComparisonTest {
     @Test
     void schedulerAndReferenceTakeTheSameActionsInTheSameOrder() {
@@ -16,11 +16,19 @@
             SideBySideRun.run(seed, SideBySideRun.PLANS.get((int) (seed % SideBySideRun.PLANS.size())), 2_500)
                     .forEach((kind, count) -> actionCounts.merge(kind, count, Integer::sum));
         }
-        for (String kind :
-                List.of("send", "refuse", "fail", "cancel", "closeIdle", "trustIdle", "remember", "wake", "follow")) {
+        for (String kind : List.of(
+                "send",
+                "reject",
+                "fail",
+                "cancel",
+                "closeIdle",
+                "limitIdleReuse",
+                "saveCheckpoint",
+                "scheduleTimer",
+                "subscribe")) {
             assertTrue(
                     actionCounts.getOrDefault(kind, 0) > 10,
-                    kind + " was seen " + actionCounts.get(kind) + " times: " + actionCounts);
+                    kind + " occurred " + actionCounts.get(kind) + " times, expected more than 10: " + actionCounts);
         }
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
@@ -17,123 +17,129 @@
 import java.util.TreeMap;
 
 /**
- * All decisions of one sender. Its interface (settings, events, actions) is {@code DeliveryScheduler.java}.
+ * Frozen reference implementation of {@link DeliveryScheduler}, which visits every message in each decision.
  *
- * <p>Held messages leave by the ATC index of Ye et al.; an arrival whose due date minus predicted wait is
- * negative is refused at once. Guards withhold a destination from that choice and never reorder it.
- * Sections follow the order of one step. A scope carries health and limits and is the destination, or the
- * endpoint where routes are apart.
+ * <p>Waiting messages are sent in the order of the ATC index of Ye et al.; an arrival that is predicted to wait until after its
+ * due date is rejected at once. Limits and breakers exclude upstreams from the selection and never reorder messages. Sections
+ * follow the order of one step. Health and limits belong to a destination, or to an endpoint if the endpoints of its kind are
+ * independent.
  */
 public final class ReferenceScheduler implements DeliveryScheduler {
 
-    // ---- Figures. Spans in microseconds unless said otherwise. ----
+    // ---- Constants. ----
 
-    /** k of the index: how many mean service times ahead of its due date a message starts to press. */
+    /** k of the index: how many mean service times before its due date a message becomes urgent. */
     private static final double PRESSURE_SPAN_SERVICE_TIMES = 25;
-    /** Weight of a new served latency in p and in the present latency: about the last seven calls count. */
+    /** Weight of a new latency in the service time and in the present latency: about the last seven calls count. */
     private static final double RECENT_CALL_WEIGHT_RATIO = 0.15;
-    /** Weight of a new latency in the usual one: slow enough to outlast an episode of tens of calls. */
+    /** Weight of a new latency in the usual one; small, so that a fault of tens of calls changes it little. */
     private static final double USUAL_WEIGHT_RATIO = 0.02;
-    /** Present latency up to this multiple of the usual is noise of ordinary service times, not slowness. */
+    /** A present latency up to this multiple of the usual one is ordinary variation, not slowness. */
     private static final double NORMAL_LATENCY_RATIO = 2;
-    /** Span over which a service time that was learned falls back to the usual while no call is out. */
+    /** Time constant with which a service time decays to the usual latency while no call is in flight. */
     private static final double DECAY_TIME_CONSTANT_MICROS = 1_000_000;
-    /** Share of the room above which the least message is handed back, so that arrivals are still ranked. */
+    /** Share of the maximum number of pending messages above which the lowest-ranked message is shed. */
     private static final double SHED_ABOVE_CAPACITY_RATIO = 0.9;
-    /** A held message is ended at least this long before its time is up: rounds and timers take a while. */
+    /** A waiting message gets its final answer at least this long before its deadline, as decisions and timers take time. */
     private static final long ANSWER_MARGIN_MICROS = 40_000;
-    /** A repeatable attempt is given up after so many expected latencies, doubled with each time-out, and not
-     * before this span, as connecting is part of a call, nor this share of the time left. */
+    /**
+     * Timeout of an attempt that may be repeated, in expected latencies, doubled with each timeout. It is at least the minimum,
+     * as a call may include connecting, and at least a share of the time left.
+     */
     private static final double TIMEOUT_LATENCIES = 8;
 
     private static final long MIN_TIMEOUT_MICROS = 2_000_000;
     private static final double MIN_TIMEOUT_TIME_LEFT_RATIO = 0.25;
-    /** A call is silent after so many usual latencies, and after this share of the longest class's time, as
-     * connecting is part of it: a fixed span holds all slots where times are short. Harm: slow connecting. */
+    /**
+     * Time after which a call is silent, in usual latencies; at least a share of the longest deadline, as a call may include
+     * connecting. A fixed time would block all slots if deadlines are short. Cost: slow connecting may count as silence.
+     */
     private static final double SILENT_AFTER_LATENCIES = 6;
 
     private static final double MIN_SILENCE_DEADLINE_RATIO = 1 / 16.0;
-    /** A message with less than so many service times left may run out of time before a slow answer. */
+    /** A message with fewer service times left may reach its deadline before a slow answer arrives. */
     private static final double AMPLE_TIME_SERVICE_TIMES = 3;
-    /** Share of the slots that silent calls may hold while messages wait, and how much longer unsafe ones. */
+    /** Share of the slots that silent calls may occupy while messages wait, and a factor on the time of non-idempotent calls. */
     private static final double MAX_SILENT_SLOTS_RATIO = 0.2;
 
     private static final double NON_IDEMPOTENT_SILENCE_FACTOR = 2.5;
-    /** Transit allowed for when the life of a key runs out. */
+    /** Time before the end of a key's life from which the key counts as forgotten. */
     private static final long KEY_LIFE_MARGIN_MICROS = 300_000;
-    /** Failures in a row that open the breaker: one is chance. */
+    /** Consecutive failures that open the breaker; a single one may be coincidence. */
     private static final int FAILURES_TO_OPEN = 2;
-    /** Shortest outage: answers closer together had none between them, and a longer told wait is one. */
+    /** Shortest outage. Successes closer together count as uninterrupted service; a longer Retry-After counts as an outage. */
     private static final long MIN_OUTAGE_MICROS = 2_500_000;
-    /** First pause at a door shared by all: a turn for each sender, and a base where no wait was told. */
+    /** Backoff after a rejection: a part for each sender, and a base if there was no Retry-After. */
     private static final long SENDER_SPACING_MICROS = 80_000;
 
     private static final double SENDER_SPACING_CALLS = 3.2;
     private static final long BASE_BACKOFF_MICROS = 240_000;
-    /** Share of recent calls that ran and failed above which a destination is in doubt: two in a row. */
+    /** Share of failures among recent calls from which it is doubtful that calls succeed: two consecutive failures. */
     private static final double DOUBTFUL_FAILURE_RATIO = 0.25;
-    /** Share of its time left from which a message takes the risk of a destination in doubt. */
+    /** Remaining share of its deadline below which a message is sent to a doubtful destination. */
     private static final double RISK_ACCEPTED_DEADLINE_RATIO = 0.25;
-    /** Share of the longest class's time after which an answer no longer tells that a destination is well. */
+    /** Age, as a share of the longest deadline, above which a success is no evidence that a destination is healthy. */
     private static final double STALE_SUCCESS_DEADLINE_RATIO = 0.5;
-    /** The longest pause between trials for each sender. */
+    /** Longest time between trials, to be multiplied by the number of senders. */
     private static final long MAX_TRIAL_INTERVAL_MICROS = 700_000;
-    /** AIMD: a refusal cuts the pace to this share of what was sent; each answer adds a share. */
+    /** AIMD: a rejection cuts the pace to this share of the used one; each success adds a share. */
     private static final double CUT_RATIO = 0.8;
 
     private static final double INITIAL_FAIR_SHARES = 1.2;
     private static final double MIN_FAIR_SHARES = 0.85;
     private static final double FAIR_SHARES_GAINED_PER_SECOND = 0.25;
     private static final double AMPLE_ALLOWANCE_RATIO = 0.5;
-    /** A told limit counts up to so many times what all would send if they sent as much as this one. */
+    /** Upper bound of a reported limit, as a multiple of the fleet's rate if each sender sends as much as this one. */
     private static final double MAX_REPORTED_LIMIT_RATIO = 8;
 
     private static final double RAISE_PER_SUCCESS_RATIO = 0.05;
-    /** Least pace of all senders together in calls a second, so that a limit is noticed when it lifts. */
+    /** Minimum pace of all senders together, so that they notice when a limit is lifted. */
     private static final double MIN_FLEET_PACE_PER_SECOND = 1.2;
-    /** Calls that may go at once under a pace. */
+    /** Calls that may be sent at once under a pace. */
     private static final double BURST_CALLS = 2;
-    /** A pace with no refusal for so long is dropped. */
+    /** Time without a rejection after which a pace expires. */
     private static final long PACE_EXPIRY_MICROS = 6_000_000;
-    /** Share of a reported allowance under which the pace is cut before a refusal comes. */
+    /** Remaining share of the allowance below which the pace is cut before calls are rejected. */
     private static final double LOW_ALLOWANCE_RATIO = 0.1;
-    /** Share of the permitted push that a slow start uses: other senders may see more than their part. */
+    /** Share of the permitted overload that a slow start uses; other senders may send more than their fair share. */
     private static final double PERMITTED_OVERLOAD_RATIO = 0.9;
-    /** Spans over which sent and served rates are averaged. */
+    /** Time constants of the average rates of sent and of successful calls. */
     private static final double SENT_RATE_TIME_CONSTANT_MICROS = 2_000_000;
 
     private static final double SERVED_RATE_TIME_CONSTANT_MICROS = 8_000_000;
-    /** Weight of a call in shares over all destinations: about the last thirty calls count. */
+    /** Weight of a call in ratios over all destinations: about the last thirty calls count. */
     private static final double POOLED_WEIGHT_RATIO = 0.03;
-    /** By how much more is lost on idle connections than on fresh ones when they are dropped unseen. */
+    /** Excess of the loss ratio on idle connections over that on fresh ones above which the idle limit is reduced. */
     private static final double EXCESS_LOSS_THRESHOLD_RATIO = 0.1;
-    /** Part of the connections' life by which each answer raises the idle time that is trusted. */
+    /** Share of the idle connection life by which each answered call raises the idle limit. */
     private static final double RAISE_PER_SUCCESS_LIFE_RATIO = 0.002;
-    /** The same where the idle time of each call's connection is told, as a factor. */
+    /** Factor by which an answered call raises the idle limit if the caller reports the idle time of each connection. */
     private static final double REPORTED_RAISE_FACTOR = 1.03;
-    /** Share of calls without connection from which tables of connections are taken to be full. */
+    /** Share of calls without a connection above which the connection tables of endpoints are assumed to be full. */
     private static final double CONNECTION_TABLES_FULL_RATIO = 0.01;
-    /** Part of the trusted idle time from which a gap shows that a table's place is held to little use. */
+    /** Share of the idle limit that is used when connection tables begin to be full. */
     private static final double CONNECTION_TABLES_FULL_IDLE_RATIO = 0.5;
-    /** Endpoint choice, in calls in flight: fresh connection, far zone, failing endpoint, point of toll,
-     * the one that failed this message last. Equals are taken in a random order of listing. */
+    /**
+     * Costs of an endpoint in calls in flight: fresh connection, other zone, failures, zone toll, and having failed the message
+     * last. Endpoints of equal cost are selected in a random order.
+     */
     private static final double FRESH_CONNECTION_COST_CALLS = 0.6;
 
     private static final double CROSS_ZONE_COST_CALLS = 0.8;
     private static final double FAILURE_COST_CALLS = 4;
     private static final double ZONE_TOLL_COST_CALLS = 20;
     private static final double LAST_FAILED_COST_CALLS = 2;
-    /** Seconds of a tenant's share that it may use in one go. */
+    /** Seconds of its quota that a tenant may use in one burst. */
     private static final double TENANT_BURST_SECONDS = 2;
-    /** First pause before a failed subscription is renewed. */
+    /** Initial delay before a failed subscription is renewed. */
     private static final long SUBSCRIPTION_RETRY_MICROS = 300_000;
 
-    /** Unsafe calls start until so many expected latencies before the process ends. */
+    /** Time that a non-idempotent call needs before the end of the process, in expected latencies. */
     private static final double MIN_TIME_LEFT_LATENCIES = 3;
-    /** So many destinations are kept without a look at which still matter. */
+    /** Number of destinations above which unused ones are removed. */
     private static final int MAX_UNUSED_DESTINATIONS = 1_024;
 
-    /** Pauses double no more often than this. */
+    /** Maximum number of doublings of a backoff. */
     private static final int MAX_DOUBLINGS = 3;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -150,13 +156,13 @@
     private final List<PendingMessage> arrivals = new ArrayList<>();
     private final Map<Integer, Destination> destinations = new TreeMap<>();
     private final Map<Long, Endpoint> endpoints = new TreeMap<>();
-    /** Scopes with calls out: a step walks these, however long the list is. */
+    /** Upstreams with calls in flight: a step visits these, however long the endpoint list is. */
     private final Set<UpstreamHealth> busyUpstreams = new LinkedHashSet<>();
-    /** Scopes whose breaker has turned since the last step. */
+    /** Upstreams whose breaker has changed since the last step. */
     private final Set<UpstreamHealth> changedUpstreams = new LinkedHashSet<>();
 
     private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
-    /** Answered messages whose key's turn waits for the answer to be concluded. */
+    /** Answered messages whose key waits for the acknowledgement of the answer. */
     private final Map<Long, PendingMessage> unacknowledged = new HashMap<>();
 
     private final Deque<KeyQueue> emptyQueues = new ArrayDeque<>();
@@ -166,15 +172,15 @@
     private long subscribeAt;
     private int subscriptionFailures;
     private double meanServiceMicros;
-    /** Usual latency over all destinations: what a scope that never answered is taken to need. */
+    /** Usual latency over all destinations, assumed for an upstream that has not answered yet. */
     private double usualLatencyMicros;
 
     private double unconnectedRatio;
-    /** How long an idle connection is trusted, and shares of calls lost on fresh and on idle ones. */
+    /** For how long an idle connection may be reused. */
     private double maxReusableIdleMicros;
 
     private double announcedMaxIdleMicros;
-    /** The caller knows each connection's idle time and keeps to {@code trustedIdle} by itself. */
+    /** Whether the caller knows the idle time of each connection and applies the limit itself. */
     private boolean callerReportsIdleTime;
 
     private double freshLossRatio;
@@ -183,12 +189,12 @@
     private long wakeAt = NEVER;
     private long timerAt = NEVER;
 
-    /** A sender with nothing but its settings; they are checked here. Answers are final as they are given. */
+    /** Creates a scheduler and checks its settings. Final answers need no acknowledgement. */
     public ReferenceScheduler(Settings settings) {
         this(settings, false);
     }
 
-    /** {@code concludes}: the caller tells by {@link Event.CompletionAcknowledged} when an answer has been received. */
+    /** Creates a scheduler; if {@code acknowledgements}, the caller passes {@link Event.CompletionAcknowledged} for each answer. */
     public ReferenceScheduler(Settings settings, boolean acknowledgements) {
         this.acknowledgements = acknowledgements;
         configure(settings);
@@ -317,7 +323,7 @@
         return keyQueue;
     }
 
-    /** It passed the arrival test in an earlier process; what was out when that ended may still run. */
+    /** The message was admitted by an earlier process; an attempt in flight when that process ended may still run. */
     private void onRecovered(long now, Event.MessageRecovered event) {
         if (messages.containsKey(event.id())) {
             return;
@@ -342,9 +348,9 @@
     }
 
     /**
-     * An outage or its end that an earlier process saw goes on in this one, else the first answer would let
-     * out all that is held, at a destination that is still cold. It covers crashes and planned restarts.
-     * Harm: a destination that is well again since is tried by one call first.
+     * Resumes an outage or a slow start that an earlier process has seen. Otherwise the first answer of a destination in slow
+     * start would release all pending messages. This covers crashes and planned restarts. Cost: a destination that has recovered
+     * in the meantime gets a single call first.
      */
     private void restoreCheckpoint(long now, HealthCheckpoint checkpoint, long ageMicros) {
         Endpoint endpoint = endpoints.get(checkpoint.endpoint());
@@ -368,7 +374,7 @@
         health.failureRatio = checkpoint.status() == UpstreamStatus.UNAVAILABLE ? 1 : 0;
     }
 
-    /** What is to outlast the process changes with the breaker only, so it is seldom written. */
+    /** Saves checkpoints of the upstreams whose breaker has changed. Nothing else changes a checkpoint, so writes are rare. */
     private void saveCheckpoints(long now, Actions actions) {
         changedUpstreams.forEach(health -> actions.saveCheckpoint(checkpoint(now, health)));
         changedUpstreams.clear();
@@ -391,7 +397,7 @@
                 health.usualLatencyMicros);
     }
 
-    // ---- Taking over from a process that still runs. ----
+    // ---- Takeover from a process that is still running. ----
 
     private void onCallInFlight(long now, Event.CallInFlight event, Actions actions) {
         Endpoint endpoint = endpoints.get(event.endpoint());
@@ -480,7 +486,7 @@
         health.failureRatio = snapshot.failureRatio();
     }
 
-    /** That another has seen it answer is worth a trial now: its own turn may be many seconds away. */
+    /** If another sender has seen the destination answer, a trial is due now; the own one may be many seconds away. */
     private void onFleetRateLimit(long now, Event.FleetRateLimitChanged event) {
         Destination destination = destination(event.destination());
         destination.fleetRateLimit.set(now, event.perSecond(), event.initialCredit());
@@ -502,7 +508,7 @@
                         newId, 0, SENT_RATE_TIME_CONSTANT_MICROS, SERVED_RATE_TIME_CONSTANT_MICROS)));
     }
 
-    /** A sender sees only its own part of a tenant's traffic and takes an even part of its share. */
+    /** A sender sees only its own part of the traffic of a tenant, and applies a fair share of the quota to it. */
     private boolean withinQuota(long now, int tenant) {
         return tenant < 0
                 || tenant >= tenantQuotas.size()
@@ -616,7 +622,8 @@
         subscriptionFailures = event.kind() == EndpointListKind.CACHED ? subscriptionFailures : 0;
         List<Endpoint> affected =
                 new ArrayList<>(event.kind() == EndpointListKind.DELTA ? List.of() : endpoints.values());
-        // The second: what was learned fades up to a change of the list by the endpoints that were listed until then.
+        // Service times decay up to the change of the list by the endpoints that were listed until then
+        // (docs/decisions.md, "What differs").
         destinations.values().forEach(destination -> decayServiceTime(now, destination));
         affected.forEach(endpoint -> endpoint.state = EndpointState.GONE);
         event.entries().forEach(entry -> affected.add(update(entry)));
@@ -657,13 +664,13 @@
         endpoint.zone = entry.zone();
         endpoint.state = entry.state();
         if (settings.weightKind() != WeightKind.NONE) {
-            // Where the list tells none, a limit that was reported must outlast the next change of the list.
+            // Without listed weights, a reported limit must be kept when the list changes.
             endpoint.health.reportedLimit = entry.weight();
         }
         return endpoint;
     }
 
-    // ---- Effects: each send and each answer goes through these. ----
+    // ---- Conditions of each attempt and of each final answer. ----
 
     private boolean maySend(long now, PendingMessage message) {
         return !message.completed
@@ -673,7 +680,7 @@
                 && now < retryableUntil(message);
     }
 
-    /** Until when the class lets this message be sent again. */
+    /** Returns until when the class permits the message to be retried. */
     private static long retryableUntil(PendingMessage message) {
         if (message.unknownOutcomeSince == NEVER || message.messageClass.idempotency() == Idempotency.IDEMPOTENT) {
             return NEVER;
@@ -702,7 +709,7 @@
                                 && message.messageClass.keyScope() == KeyScope.DESTINATION);
     }
 
-    /** The final answer: a refusal wherever that is harmless, since the client may then come again. */
+    /** Gives the final answer: a rejection if that is safe, as the client may then submit the message again. */
     private void answer(long now, PendingMessage message, long retryAfterMicros, Actions actions) {
         if (mayReject(message)) {
             actions.reject(
@@ -720,7 +727,7 @@
         removeIfCompleted(now, message);
     }
 
-    // ---- Answers due and admission. ----
+    // ---- Expiry and admission. ----
 
     private void decide(long now, Actions actions) {
         wakeAt = NEVER;
@@ -743,9 +750,9 @@
     }
 
     private void answerExpired(long now, Actions actions) {
-        // The first of what differs from the module of before: advice for what ends now counts what is ahead by the
-        // index of
-        // this moment, not of the last turn (docs/decisions.md, "What differs").
+        // The retry advice of messages that expire now counts the messages ahead by their present index, not by that of
+        // the
+        // last decision (docs/decisions.md, "What differs").
         messages.values().forEach(message -> {
             if (message.call == null && !message.completed) {
                 decayServiceTime(now, message.destination);
@@ -778,10 +785,9 @@
     }
 
     /**
-     * What was learned of a slow destination ages while nothing is sent there: p falls back to the usual.
-     * With all slots taken its index would else stand behind all others for good, and short messages be
-     * turned away, after a few time-outs. It covers slowness, hangs and lost calls. Harm: one more call to
-     * what is still slow.
+     * Applies the decay of a service time to the usual latency while no call is in flight. Otherwise, with all slots in use, the
+     * messages of a destination that was slow might rank below all others forever after a few timeouts, and messages with short
+     * deadlines would be rejected. This covers slowness, hangs and lost calls. Cost: one call to a destination that is still slow.
      */
     private static void decayServiceTime(long now, Destination destination) {
         double baselineMicros = destination.serviceMicros;
@@ -798,7 +804,7 @@
         destination.serviceUpdatedAt = now;
     }
 
-    /** The arrival test binds once more messages are held unsent than there are slots. */
+    /** Tests the arrivals; the predicted wait is tested only while more messages are waiting than there are slots. */
     private void admit(long now, Actions actions) {
         long waiting = messages.values().stream()
                 .filter(message -> message.call == null)
@@ -826,8 +832,8 @@
     }
 
     /**
-     * W: the larger of the work ahead over all slots and that ahead at the destination over its cap. Ahead
-     * is what has the higher index now or, being worth no less, will have it as this one ages.
+     * Returns the larger of the work ahead divided by the slots and the work ahead for the destination divided by its concurrency
+     * cap. A message is ahead if it has the higher index now, or no less priority weight, as it will then get the higher index.
      */
     private long predictedWaitMicros(long now, PendingMessage message) {
         double totalMicros = 0;
@@ -854,7 +860,7 @@
             if (endpoint.state == EndpointState.READY && endpoint.health != lastCounted) {
                 lastCounted = endpoint.health;
                 cap += concurrencyCap(now, lastCounted);
-                // Paces count calls: what waits behind a limit or a slow start fills them.
+                // A pace counts calls, and messages that wait for a limit or a slow start fill the calls.
                 messagesPerSecond += endpoint.messagesPerCall
                         * (lastCounted.breaker == BreakerState.CLOSED
                                 ? lastCounted.pacePerSecond
@@ -874,13 +880,13 @@
         return (long) waitMicros;
     }
 
-    /** When a scope is expected to take calls: an outage without a told end counts as half over. */
+    /** Returns when an upstream is expected to take calls; an outage is expected to last as long again as it has lasted. */
     private static long availableAt(long now, UpstreamHealth health) {
         long holdOffUntil = Math.max(health.retryAfterUntil, health.backoffUntil);
         return health.breaker == BreakerState.OPEN ? Math.max(holdOffUntil, 2 * now - health.openedAt) : holdOffUntil;
     }
 
-    // ---- Choice. ----
+    // ---- Dispatch. ----
 
     private double serviceMicros(PendingMessage message) {
         return message.destination.serviceMeasured
@@ -888,7 +894,7 @@
                 : usualLatencyMicros > 0 ? usualLatencyMicros : message.messageClass.latencyObjectiveMicros();
     }
 
-    /** I = (w/p) exp(-max(d - t, 0) / (k p')). */
+    /** Returns I = (w/p) exp(-max(d - t, 0) / (k p')). */
     private double index(long now, PendingMessage message) {
         double serviceMicros = serviceMicros(message);
         double urgency = Math.exp(-Math.max(message.due - now, 0) / (PRESSURE_SPAN_SERVICE_TIMES * meanServiceMicros));
@@ -899,7 +905,7 @@
                 * urgency;
     }
 
-    /** Share of the worth that is left at a time. */
+    /** Returns the share of the priority weight that is left at a time. */
     private double remainingValueShare(PendingMessage message, double at) {
         if (at <= message.latencyObjectiveAt) {
             return 1;
@@ -962,7 +968,7 @@
         started.forEach(call -> send(now, call, actions));
     }
 
-    /** The least that a failed call costs or could cost among the messages for each destination. */
+    /** Computes for each destination the least risk among its messages that are in flight or may be sent. */
     private void updateLeastRisks(long now) {
         destinations.values().forEach(destination -> destination.leastRisk = Integer.MAX_VALUE);
         for (PendingMessage message : messages.values()) {
@@ -974,11 +980,11 @@
     }
 
     /**
-     * While it is in doubt whether calls to a scope succeed, only those messages go whose failure costs
-     * least: a safe one is just sent again, a keyed one uses up the life of its key, an unsafe one is lost;
-     * and rather those with time to wait for a slow answer, as one given up early proves nothing.
-     * It covers trials in an outage of any kind, brown-outs, cold returns and what a new process finds.
-     * Harm: where most calls go on failing, unsafe messages wait for the last part of their time.
+     * While it is doubtful whether calls to an upstream succeed, only the messages with the least cost of a failure are sent: an
+     * idempotent one is just retried, a keyed one uses up the life of its key, a non-idempotent one is lost. Messages with time to
+     * wait for a slow answer come first, as an early timeout proves nothing. This covers trials in any outage, partial failures,
+     * slow starts and what a new process finds. Cost: if most calls keep failing, non-idempotent messages wait for the last part
+     * of their time.
      */
     private boolean mayRisk(long now, PendingMessage message, UpstreamHealth health) {
         boolean late = message.due - now < RISK_ACCEPTED_DEADLINE_RATIO * message.messageClass.deadlineMicros();
@@ -992,14 +998,14 @@
                 : message.messageClass.idempotency().ordinal() + (isShortOfTime(now, message) ? 2 : 0);
     }
 
-    /** Its time may run out before a slow answer: it would be given up before that is silence. */
+    /** Returns whether the message may reach its deadline before a slow answer, so that its call times out before it is silent. */
     private boolean isShortOfTime(long now, PendingMessage message) {
         return message.due - now
                 < Math.max((long) (MIN_SILENCE_DEADLINE_RATIO * longestDeadlineMicros), (long)
                         (AMPLE_TIME_SERVICE_TIMES * serviceMicros(message)));
     }
 
-    /** Nothing is known of a scope, or only that it failed: only safe messages share a call to it. */
+    /** Returns whether the upstream has not succeeded yet or its breaker is open; only idempotent messages share a call to it. */
     private static boolean isUnproven(UpstreamHealth health) {
         return health.breaker == BreakerState.OPEN || health.usualLatencyMicros == 0;
     }
@@ -1038,7 +1044,7 @@
         return best;
     }
 
-    /** Before the process ends, no unsafe attempt starts whose outcome it may not see: that would lose it. */
+    /** Holds back non-idempotent attempts whose outcome may arrive after the end of the process, as that would lose the message. */
     private boolean endsBeforeShutdown(long now, PendingMessage message, Endpoint endpoint) {
         return stopsAt == NEVER
                 || message.messageClass.idempotency() != Idempotency.NON_IDEMPOTENT
@@ -1084,7 +1090,7 @@
         return call;
     }
 
-    /** A call is given up with the first of its messages: those with time to wait must not fail by that. */
+    /** A call times out with the first of its messages, so messages with and without ample time do not share one. */
     private boolean mayShareTimeout(long now, PendingMessage message, Call call) {
         return call.shortOfTime == isShortOfTime(now, message);
     }
@@ -1101,9 +1107,9 @@
     }
 
     /**
-     * All messages of a call are given up together, with its least patient one: their connection is closed
-     * then. Left open for the others, a resend of it would be a second copy. Harm: an unsafe one ends
-     * with it; waiting for that one instead costs more where calls hang.
+     * All messages of a call time out with the first of them, as the connection is closed then. If the connection stayed open for
+     * the others, a retry of the first message would be a duplicate. Cost: a non-idempotent message of the call is lost with it.
+     * To wait for that message instead would cost more if calls hang.
      */
     private void send(long now, Call call, Actions actions) {
         long timeoutAt = call.messages.stream()
@@ -1113,7 +1119,7 @@
         call.messages.forEach(message -> actions.send(message.id, call.endpoint.id, timeoutAt));
     }
 
-    /** Unsafe attempts run to the end, as giving one up loses the message. */
+    /** Non-idempotent attempts run until the deadline, as a timeout loses the message. */
     private long timeoutAt(long now, PendingMessage message, Call call) {
         if (message.messageClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || message.attempts >= settings.limits().maxAttempts()) {
@@ -1127,9 +1133,9 @@
     }
 
     /**
-     * Shuts connections where this sender's last gap was long: before use, as they may have been dropped;
-     * and after it where many calls get none, as those of hundreds of senders fill an endpoint's table.
-     * Harm: handshakes where gaps vary widely.
+     * Closes connections that were idle for long: before use, as they may have been dropped, and after use if many calls get no
+     * connection, as those of hundreds of senders fill the connection table of an endpoint. Cost: more handshakes if idle times
+     * vary widely.
      */
     private void closeIdle(Endpoint endpoint, double maxIdleMicros, Actions actions) {
         if (endpoint.connections > 0 && endpoint.idleGapMicros > maxIdleMicros) {
@@ -1138,11 +1144,11 @@
         }
     }
 
-    // ---- Guards. ----
+    // ---- Limits, breakers and connections. ----
 
     /**
-     * Calls lost on connections that had lain idle, more than on fresh ones, show that idle ones are dropped
-     * unseen; they are shut before use. It covers firewalls and restarts too. Harm: more handshakes.
+     * If more calls are lost on reused connections than on fresh ones, then firewalls or restarts drop idle connections without
+     * notice, and those are closed before use. Cost: more handshakes.
      */
     private void recordConnectionResult(Call call, boolean lost, boolean idleTimeReported) {
         double lifeMicros = settings.limits().idleConnectionLifeMicros();
@@ -1150,7 +1156,7 @@
         freshLossRatio += call.connectionIdleMicros == 0 ? POOLED_WEIGHT_RATIO * (loss - freshLossRatio) : 0;
         idleLossRatio += call.connectionIdleMicros > 0 ? POOLED_WEIGHT_RATIO * (loss - idleLossRatio) : 0;
         if (!lost && idleTimeReported) {
-            // Only what was in use again after nearly so long shows that more can be trusted.
+            // Only a connection that was idle for at least half of the limit is evidence that the limit may be higher.
             maxReusableIdleMicros *= call.connectionIdleMicros > maxReusableIdleMicros / 2 ? REPORTED_RAISE_FACTOR : 1;
             maxReusableIdleMicros = Math.min(lifeMicros, maxReusableIdleMicros);
         } else if (!lost) {
@@ -1161,13 +1167,14 @@
         }
     }
 
-    /** From when a scope's guards let a call out; NEVER if only an outcome can tell. */
+    /** Returns the time from which a call may be sent, NEVER if that depends on an outcome that is still to come. */
     private long nextCallAt(long now, UpstreamHealth health) {
         long permittedAt = Math.max(health.retryAfterUntil, health.backoffUntil);
         if (health.breaker == BreakerState.OPEN) {
             return health.trial != null ? NEVER : Math.max(permittedAt, health.nextTrialAt);
         }
-        // What never answered gets a call for each endpoint: after a restart all held would else go at once.
+        // One call for each endpoint until the first success; otherwise all pending messages would be sent after a
+        // restart.
         if (health.callsInFlight.size()
                 >= (health.usualLatencyMicros == 0 ? health.endpoints.size() : concurrencyCap(now, health))) {
             return NEVER;
@@ -1208,7 +1215,7 @@
         }
     }
 
-    /** Latency-scaled cap: all slots at the usual pace, else their share usual over present; at least one. */
+    /** Returns the cap on calls in flight: all slots at up to twice the usual latency, fewer in proportion above, at least one. */
     private int concurrencyCap(long now, UpstreamHealth health) {
         int slots = settings.limits().maxConcurrentCalls();
         if (health.usualLatencyMicros == 0) {
@@ -1221,7 +1228,7 @@
                         slots * NORMAL_LATENCY_RATIO * health.usualLatencyMicros / presentLatencyMicros(now, health)));
     }
 
-    /** Present latency: a call unanswered for longer than it counts as though it were answered now. */
+    /** Returns the present latency; a call in flight for longer than that counts as if it were answered now. */
     private static double presentLatencyMicros(long now, UpstreamHealth health) {
         double latencyMicros = health.presentLatencyMicros;
         for (Call call : health.callsInFlight) {
@@ -1242,8 +1249,8 @@
     }
 
     /**
-     * Silence opens the breaker before anything times out; one slow call among answered ones does not, but
-     * it is silent all the same: what its endpoint has answered since does not bring its answer.
+     * Marks silent calls and opens the breaker if the upstream has failed, before any call times out. One slow call among answered
+     * ones does not open the breaker, but is silent as well: later answers of its endpoint do not make its own answer likelier.
      */
     private void detectSilentCalls(long now, UpstreamHealth health) {
         health.endpoints.forEach(endpoint -> endpoint.silentCalls = 0);
@@ -1265,9 +1272,10 @@
     }
 
     /**
-     * Silent calls give their slots back: repeatable ones once their scope is silent; with all slots busy and
-     * messages waiting any of them, unsafe ones later. Those are lost by it, but with few slots two such
-     * stop a sender. It covers hangs and dropped connections. Harm: very slow answers are lost.
+     * Cancels silent calls to free their slots: those without non-idempotent messages once the breaker is open, and one call of
+     * any kind while all slots are in use and messages are waiting, a non-idempotent one later. That loses its message, but with
+     * few slots two silent calls would block the sender. This covers hangs and dropped connections. Cost: very slow answers are
+     * lost.
      */
     private void cancelSilentCalls(long now, Actions actions) {
         int slots = settings.limits().maxConcurrentCalls();
@@ -1301,9 +1309,9 @@
     }
 
     /**
-     * A scope has failed when each of its listed endpoints has, in so many calls together: one sick endpoint
-     * is passed over while its siblings answer. Where no answer is recent one will do, as the second would
-     * come after the outage. Harm: with many endpoints an outage is seen later; false alarms.
+     * An upstream has failed when each of its listed endpoints has failed, with at least two failed calls in total. A single
+     * degraded endpoint is avoided while its siblings answer. If there is no recent success, one failure is enough, as the second
+     * one could come only after the outage. Cost: false positives; with many endpoints an outage is detected later.
      */
     private boolean hasFailed(long now, UpstreamHealth health) {
         int failures = 0;
@@ -1357,7 +1365,8 @@
                 }
             }
             case TIMEOUT -> {
-                // A trial given up early for its message's sake shows slowness at most: another is due.
+                // A trial may time out before it is silent, as its message is short of time. That shows at most
+                // slowness.
                 message.destination.serviceMicros += RECENT_CALL_WEIGHT_RATIO
                         * Math.max(0, event.durationMicros() - message.destination.serviceMicros);
                 health.presentLatencyMicros +=
@@ -1367,7 +1376,8 @@
                 }
             }
             default -> {
-                // A kept connection that is reset tells of itself; a sick endpoint shows on a fresh one.
+                // A reset of a reused connection only shows that it was stale; a faulty endpoint resets fresh ones as
+                // well.
                 if (event.outcome() != AttemptOutcome.RESET
                         || !idleTimeReported
                         || event.connectionIdleMicros() == 0
@@ -1423,7 +1433,7 @@
         }
     }
 
-    /** A reported allowance that runs low cuts the pace before refusals do. */
+    /** Applies a load report: a limit sets the pace, and a low allowance cuts it before calls are rejected. */
     private void applyLoadReport(long now, UpstreamHealth health, List<Double> report) {
         ReportFields fields = settings.reportFields();
         if (Math.max(fields.allowanceLeft(), fields.limit()) >= report.size()
@@ -1478,7 +1488,7 @@
         }
     }
 
-    /** A turn among all senders, or half of the class's time up to all of it; doubled with each try. */
+    /** Returns the part of a backoff for each sender, which a reported limit shortens. */
     private static long senderSpacingMicros(UpstreamHealth health) {
         return (long) Math.min(SENDER_SPACING_MICROS, SENDER_SPACING_CALLS * 1e6 / health.reportedLimit);
     }
@@ -1523,7 +1533,7 @@
         return health.breaker == BreakerState.OPEN ? 0 : Math.min(1, (now - health.slowStartBeganAt) / durationMicros);
     }
 
-    /** Messages a second that a slow start lets out: own former pace times what the rule allows. */
+    /** Returns the calls per second of a slow start: the rate before the outage times the permitted load at this progress. */
     private double slowStartCallsPerSecond(double progress, UpstreamHealth health) {
         Rules rules = settings.rules();
         double capacityRatio = rules.slowStartCapacity() + (1 - rules.slowStartCapacity()) * progress;
@@ -1535,7 +1545,7 @@
                 * Math.max(health.callsPerSecondBeforeOutage, reportedPacePerSecond);
     }
 
-    /** Between half of a pause and all of it. */
+    /** Returns a random time between half of the given one and all of it. */
     private long jitter(long micros) {
         return micros / 2 + random.nextLong(Math.max(1, micros / 2));
     }
@@ -1546,7 +1556,7 @@
         wakeAt = Math.min(wakeAt, at);
     }
 
-    /** One timer stands for all: it is set anew only when something is due earlier. */
+    /** Schedules one timer for all wake-ups; it is replaced only if something is due earlier. */
     private void setTimer(long now, Actions actions) {
         if (wakeAt != NEVER && (timerAt <= now || timerAt > wakeAt)) {
             timerAt = Math.max(wakeAt, now + 1);
@@ -1554,7 +1564,7 @@
         }
     }
 
-    /** For comparing: when something is due next as of the last turn, MAX_VALUE for never. */
+    /** For comparison: returns when something is due next, as of the last decision; MAX_VALUE for never. */
     long wakeAt() {
         return wakeAt;
     }
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
@@ -6,7 +6,7 @@
 import java.util.Deque;
 import java.util.List;
 
-/** What a sender remembers; every decision on it is in {@link ReferenceScheduler}. */
+/** State of the {@link ReferenceScheduler}, which makes all decisions on it. */
 final class ReferenceState {
     private ReferenceState() {}
 
@@ -29,9 +29,9 @@
         Call call;
         boolean cancelling;
         boolean completed;
-        /** Answered by this sender; where answers are concluded later, the key's turn waits for that. */
+        /** Whether this sender gave the final answer; with acknowledgements, the key waits for that of the answer. */
         boolean answeredHere;
-        /** When the first attempt that may have run was sent, MAX_VALUE while none may have. */
+        /** When the first attempt that may have run was sent; MAX_VALUE if none may have run. */
         long unknownOutcomeSince = Long.MAX_VALUE;
 
         Endpoint unknownOutcomeEndpoint;
@@ -48,13 +48,13 @@
         int outstanding;
         boolean outcomeLearned;
         boolean silent;
-        /** One of its messages may not be repeated. */
+        /** Whether one of its messages is non-idempotent. */
         boolean nonIdempotent;
-        /** One of its messages has little time left, so that all are given up early. */
+        /** Whether its messages have little time left, so that the call times out early. */
         boolean shortOfTime;
 
         boolean cancelling;
-        /** How long the connection it may have reused had lain idle, 0 for a fresh one. */
+        /** Idle time of the connection before the call, 0 for a fresh one. */
         long connectionIdleMicros;
     }
 
@@ -68,7 +68,7 @@
         int callsInFlight;
         int connections;
         long lastUsedAt = Long.MIN_VALUE / 2;
-        /** Time between the last two stretches of use. */
+        /** Time between the last two periods of use. */
         long idleGapMicros;
 
         double failureRatio;
@@ -83,11 +83,11 @@
         final UpstreamHealth sharedHealth;
         double serviceMicros;
         boolean serviceMeasured;
-        /** Up to when p is as it was learned. */
+        /** Time up to which {@link #serviceMicros} is updated. */
         long serviceUpdatedAt;
-        /** Share of recent calls that were answered. */
+        /** Share of recent calls that succeeded. */
         double successProbability = 1;
-        /** The least risk of a call among the messages for it; worked out anew in each choice. */
+        /** The least risk of a call among its messages; computed in each dispatch. */
         int leastRisk;
 
         Destination(UpstreamHealth sharedHealth) {
@@ -102,7 +102,7 @@
         PendingMessage exemptFromPause;
     }
 
-    /** Exponentially averaged rate. */
+    /** Exponentially averaged rate of events. */
     static final class DecayingRate {
         private final double timeConstantMicros;
         private double sum;
@@ -126,9 +126,9 @@
         }
     }
 
-    /** Health and limits of what shares one limit and one fate. */
+    /** Health and limits of endpoints that share one limit and fail together. */
     static final class UpstreamHealth {
-        /** Whose it is: a destination's, or one endpoint's where that is not 0. */
+        /** The destination; the health is that of one of its endpoints if {@link #endpointId} is not 0. */
         final int destinationId;
 
         final long endpointId;
@@ -148,7 +148,7 @@
         int rejections;
         double reportedLimit;
         double reportedAllowanceLeft = Double.NaN;
-        /** Share of recent calls that may have run and were not answered as done. */
+        /** Share of failures among the recent calls that may have run. */
         double failureRatio;
 
         BreakerState breaker = BreakerState.CLOSED;
@@ -173,13 +173,13 @@
         }
     }
 
-    /** An account of messages that may be sent; it saves up one at most, so that nothing comes in a burst. */
+    /** Token bucket with a capacity of one message, so that there are no bursts; it may be overdrawn. */
     static final class FleetRateLimit {
         private double perSecond = Double.POSITIVE_INFINITY;
         private double tokens;
         private long refilledAt;
 
-        /** From now on so many a second; what was saved up under the rate before stays. */
+        /** Sets the rate; the tokens that have accumulated under a finite rate are kept. */
         void set(long now, double ratePerSecond, double initialTokens) {
             if (Double.isInfinite(perSecond)) {
                 tokens = Math.min(1, initialTokens);
@@ -199,7 +199,7 @@
             return perSecond;
         }
 
-        /** When the next message may be sent, MAX_VALUE while the rate is 0. */
+        /** Returns when the next message may be sent, MAX_VALUE while the rate is 0. */
         long nextMessageAt(long now) {
             if (Double.isInfinite(perSecond)) {
                 return now;
@@ -211,13 +211,13 @@
                     : perSecond == 0 ? Long.MAX_VALUE : now + (long) Math.ceil(missingTokens * 1e6 / perSecond);
         }
 
-        /** One is sent; more than were saved up are owed. */
+        /** Takes the token of one message, even if that overdraws the bucket. */
         void consume() {
             tokens -= Double.isInfinite(perSecond) ? 0 : 1;
         }
     }
 
-    /** Token bucket that starts full and holds one token at least. */
+    /** Token bucket that starts full and has a capacity of at least one token. */
     static final class TokenBucket {
         private final double perSecond;
         private final double capacity;
--- a/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The scheduler beside the reference scheduler in one random scenario, which follows the actions of the reference. */
+/** Runs the scheduler and the reference scheduler side by side in one random scenario, which applies the reference's actions. */
 final class SideBySideRun {
-    /** By how much times may differ: decaying values are not updated in each decision, and round otherwise. */
+    /** Tolerance for times: the scheduler does not update decaying values in each decision, so rounding differs. */
     private static final long TOLERANCE_MICROS = 5;
 
     private SideBySideRun() {}
@@ -21,13 +21,13 @@
             new RandomScenario.Plan(1, 5, 4, 100, 80, 3, true),
             new RandomScenario.Plan(60, 3, 40, 400, 400, 0, true));
 
-    /** Whether the actions are the same; times may differ by rounding, as sums are made in another order. */
+    /** Returns whether the actions are the same; times may differ by rounding, as sums are computed in a different order. */
     static boolean sameActions(List<String> expected, List<String> actual) {
         for (int i = 0; i < expected.size() && expected.size() == actual.size(); i++) {
             String expectedLine = expected.get(i);
             String actualLine = actual.get(i);
             int prefixEnd = expectedLine.lastIndexOf(' ') + 1;
-            boolean endsWithTime = expectedLine.startsWith("refuse ") || expectedLine.startsWith("send ");
+            boolean endsWithTime = expectedLine.startsWith("reject ") || expectedLine.startsWith("send ");
             if (!expectedLine.equals(actualLine)
                     && !(endsWithTime
                             && actualLine.startsWith(expectedLine.substring(0, prefixEnd))
@@ -40,7 +40,7 @@
         return expected.size() == actual.size();
     }
 
-    /** Returns how often each kind of action was seen; an AssertionError tells the first difference. */
+    /** Returns the number of actions of each kind; throws an AssertionError at the first difference. */
     static Map<String, Integer> run(long seed, RandomScenario.Plan plan, int steps) {
         Map<String, Integer> actionCounts = new HashMap<>();
         DeliveryScheduler.Settings settings = RandomScenario.settings(seed, plan);
@@ -59,24 +59,24 @@
                         "seed " + seed + ", " + plan + ", step " + step + " at " + scenario.now() + ": " + current;
                 if (!sameActions(expected.actionsWithoutTimers(), actual.actionsWithoutTimers())) {
                     throw new AssertionError(
-                            context + "\nbefore:\n" + String.join("\n", expected.actionsWithoutTimers()) + "\nnow:\n"
-                                    + String.join("\n", actual.actionsWithoutTimers()));
+                            context + "\nreference:\n" + String.join("\n", expected.actionsWithoutTimers())
+                                    + "\nactual:\n" + String.join("\n", actual.actionsWithoutTimers()));
                 }
                 timerAt = actual.timerDelayMicros >= 0
                         ? scenario.now() + actual.timerDelayMicros
                         : current instanceof Event.TimerExpired && timerAt <= scenario.now() ? Long.MAX_VALUE : timerAt;
-                // It may be due earlier, as it is set for a destination and not for each of its messages.
+                // The timer may be due earlier, as it is set for a destination and not for each of its messages.
                 if (current instanceof Event.Decide
                         && timerAt - TOLERANCE_MICROS > Math.max(scenario.now() + 1, reference.wakeAt())) {
-                    throw new AssertionError(
-                            context + ": the timer is set for " + timerAt + ", not for " + reference.wakeAt());
+                    throw new AssertionError(context + ": the timer is set to " + timerAt + ", which is later than "
+                            + reference.wakeAt());
                 }
                 scenario.apply(expected);
                 expected.lines.forEach(line -> actionCounts.merge(line.split(" ")[0], 1, Integer::sum));
             }
             if (reference.avoidedEndpointCount() != scheduler.avoidedEndpointCount()) {
                 throw new AssertionError("seed " + seed + ", step " + step + ": " + reference.avoidedEndpointCount()
-                        + " avoided, now " + scheduler.avoidedEndpointCount());
+                        + " avoided endpoints expected, actual " + scheduler.avoidedEndpointCount());
             }
             event = scenario.nextEvent();
         }
--- a/decisions/src/test/java/amberroute/decisions/reference/package-info.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The decision module as it was before its data structures were changed, kept unchanged, and worlds of random events that play it
- * beside the present one: the same actions in the same order are wanted. What is learned of a difference stands in
- * {@code docs/decisions.md}.
+ * A frozen reference implementation of the scheduler, from before its data structures were changed, and random scenarios that run
+ * it side by side with the present one. Both must take the same actions in the same order; {@code docs/decisions.md} lists the
+ * intended differences.
  */
 package amberroute.decisions.reference;
