--- a/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
@@ -20,14 +20,14 @@
 import java.util.function.IntFunction;
 
 /**
- * Reads the platform's settings, pairs of path and value, and maps the platform's names to the terms of the module: lanes are
- * message classes, parties are tenants, balancers are senders, an importance is a priority weight. The names of paths and values
- * are the platform's and appear nowhere else in the module. Spans are microseconds (paths that end in {@code _us}).
+ * Reads the platform's settings, which are pairs of path and value, and maps the platform's names to the terms of this module:
+ * lanes are message classes, parties are tenants, balancers are senders, an importance is a priority weight. The names of paths
+ * and values belong to the platform and appear nowhere else in the module. Times are microseconds (paths that end in {@code _us}).
  */
 public final class PlatformSettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
-    /** Settings as lines of {@code path=value}; other lines are ignored. */
+    /** Reads settings from lines of the form {@code path=value}; other lines are ignored. */
     public PlatformSettingsReader(String text) {
         for (String line : text.split("\n")) {
             int separator = line.indexOf('=');
@@ -39,16 +39,16 @@
         }
     }
 
-    /** Settings that already are pairs of path and value. */
+    /** Reads settings from pairs of path and value. */
     public PlatformSettingsReader(Map<String, String> values) {
         this.values.putAll(values);
     }
 
     /**
-     * The settings of a scheduler. Their ranges are checked by the scheduler.
+     * Returns the settings of a scheduler. The scheduler checks their ranges.
      *
-     * @param seed of all random choices
-     * @throws InvalidSettingsException if one is missing or cannot be read
+     * @param seed the seed of all random choices
+     * @throws InvalidSettingsException if a setting is missing or invalid
      */
     public Settings settings(long seed) {
         return new Settings(
@@ -103,7 +103,7 @@
             case "pure" -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.KEYED;
             case "side_effect" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw invalidSetting(path);
+            default -> throw invalidSetting(path, "is \"" + text(path) + "\", expected pure, token or side_effect");
         };
     }
 
@@ -156,7 +156,7 @@
                 values.containsKey("rules.settle_after_doubt_us") ? micros("rules.settle_after_doubt_us") : 0);
     }
 
-    /** The platform names the values of a report x0 (allowance left) and x1 (limit). */
+    /** The platform names the values of a load report x0 (remaining allowance) and x1 (limit). */
     private ReportFields reportFields() {
         boolean inline = values.getOrDefault("reporting.how", "off").equals("inline");
         List<String> names = inline ? list("reporting.names") : List.of();
@@ -173,15 +173,15 @@
     }
 
     /**
-     * Names of the message classes in the order of their indexes.
+     * Returns the names of the message classes in the order of their indexes.
      *
-     * @throws InvalidSettingsException if one is missing
+     * @throws InvalidSettingsException if a name is missing
      */
     public List<String> classNames() {
         return items("lanes", index -> text("lanes." + index + ".name"));
     }
 
-    /** A list of plain values; empty where the setting is absent. */
+    /** Returns a list of plain values, empty if the setting is absent. */
     public List<String> list(String path) {
         String value = values.getOrDefault(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
@@ -202,7 +202,7 @@
     private String text(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw invalidSetting(path);
+            throw invalidSetting(path, "is missing");
         }
         return value;
     }
@@ -231,11 +231,11 @@
         try {
             return parser.apply(value);
         } catch (NumberFormatException e) {
-            throw invalidSetting(path);
+            throw invalidSetting(path, "is \"" + value + "\", expected a number");
         }
     }
 
-    private static InvalidSettingsException invalidSetting(String path) {
-        return new InvalidSettingsException("setting " + path + " is missing or cannot be read");
+    private static InvalidSettingsException invalidSetting(String path, String problem) {
+        return new InvalidSettingsException("setting " + path + " " + problem);
     }
 }
