--- a/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
+++ b/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
@@ -134,7 +134,10 @@
         return Math.min(MAX_TRIAL_INTERVAL_MICROS * settings.get().senderCount(), interval);
     }
 
-    /** Saves checkpoints of the upstreams whose breaker has changed. Nothing else changes a checkpoint, so writes are rare. */
+    /**
+     * Saves checkpoints of upstreams whose breaker has changed. What has to survive the process changes only then, so writes are
+     * rare.
+     */
     void saveCheckpoints(long now, Actions actions) {
         for (UpstreamHealth health : changedUpstreams) {
             actions.saveCheckpoint(HealthTransfer.checkpoint(now, health));
--- a/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetBehaviorTest.java
@@ -34,8 +34,9 @@
         for (int second = 0; second < 12; second++) {
             summary += " " + (int) simulation.answersPerSecond((11 + second) * 1_000_000L, (12 + second) * 1_000_000L);
         }
-        System.out.println(summary + "; rejected " + simulation.rejectedCalls + " of " + simulation.calls + " calls, "
-                + simulation.rejectedMessages + " of " + simulation.offeredMessages + ", seed " + SEED);
+        System.out.println(summary + "; rejected " + simulation.rejectedCalls + " of " + simulation.calls
+                + " calls and " + simulation.rejectedMessages + " of " + simulation.offeredMessages + " messages, seed "
+                + SEED);
         assertTrue(simulation.peakOverload < 1, summary);
         assertTrue(simulation.answersPerSecond(11_000_000, 13_000_000) > 0.1 * simulation.limitPerSecond, summary);
         assertTrue(simulation.answersPerSecond(14_000_000, 17_000_000) > 0.4 * simulation.limitPerSecond, summary);
@@ -81,7 +82,7 @@
             int restartingSenders,
             boolean limitReported) {
         StringBuilder summary = new StringBuilder(senders + " senders, limit " + limitPerSecond + ", traffic skew "
-                + trafficSkew + ", outage detected within " + detectionSpreadMicros + ", "
+                + trafficSkew + ", outage detected within " + detectionSpreadMicros + " us, "
                 + restartingSenders
                 + " restarts, limit reported " + limitReported + ": excess");
         double worstExcess = Double.NEGATIVE_INFINITY;
--- a/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
+++ b/decisions/src/test/java/amberroute/decisions/FleetSimulation.java
@@ -72,17 +72,19 @@
     double peakExcess;
     /** Messages that were recovered by restarts without an earlier attempt. */
     int recoveredUnattempted;
-
+    /** Those of them that were rejected or failed without an attempt. */
     int abandonedUnattempted;
     /** One of this many messages is of the other class; 0 for none. */
     int otherClassPeriod;
-
+    /** Like {@link #recoveredUnattempted}, but only messages of the other class. */
     int recoveredUnattemptedOther;
+    /** Like {@link #abandonedUnattempted}, but only messages of the other class. */
     int abandonedUnattemptedOther;
+
     private final int maxPending;
     /** Number of senders that stop permanently. */
     int stoppingSenders;
-
+    /** When they stop, since the start. */
     long stopAtMicros = Long.MAX_VALUE;
 
     int calls;
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
@@ -29,7 +29,7 @@
     // ---- Constants. ----
 
     /** k of the index: how many mean service times before its due date a message becomes urgent. */
-    private static final double PRESSURE_SPAN_SERVICE_TIMES = 25;
+    private static final double LOOKAHEAD_SERVICE_TIMES = 25;
     /** Weight of a new latency in the service time and in the present latency: about the last seven calls count. */
     private static final double RECENT_CALL_WEIGHT_RATIO = 0.15;
     /** Weight of a new latency in the usual one; small, so that a fault of tens of calls changes it little. */
@@ -38,7 +38,7 @@
     private static final double NORMAL_LATENCY_RATIO = 2;
     /** Time constant with which a service time decays to the usual latency while no call is in flight. */
     private static final double DECAY_TIME_CONSTANT_MICROS = 1_000_000;
-    /** Share of the maximum number of pending messages above which the lowest-ranked message is shed. */
+    /** Share of the maximum number of pending messages above which messages are shed, so that arrivals can still compete. */
     private static final double SHED_ABOVE_CAPACITY_RATIO = 0.9;
     /** A waiting message gets its final answer at least this long before its deadline, as decisions and timers take time. */
     private static final long ANSWER_MARGIN_MICROS = 40_000;
@@ -63,7 +63,7 @@
     private static final double MAX_SILENT_SLOTS_RATIO = 0.2;
 
     private static final double NON_IDEMPOTENT_SILENCE_FACTOR = 2.5;
-    /** Time before the end of a key's life from which the key counts as forgotten. */
+    /** Time before the end of a key's life from which the key counts as forgotten, as a retry takes time to arrive. */
     private static final long KEY_LIFE_MARGIN_MICROS = 300_000;
     /** Consecutive failures that open the breaker; a single one may be coincidence. */
     private static final int FAILURES_TO_OPEN = 2;
@@ -132,12 +132,12 @@
     /** Seconds of its quota that a tenant may use in one burst. */
     private static final double TENANT_BURST_SECONDS = 2;
     /** Initial delay before a failed subscription is renewed. */
-    private static final long SUBSCRIPTION_RETRY_MICROS = 300_000;
+    private static final long RESUBSCRIBE_DELAY_MICROS = 300_000;
 
     /** Time that a non-idempotent call needs before the end of the process, in expected latencies. */
     private static final double MIN_TIME_LEFT_LATENCIES = 3;
     /** Number of destinations above which unused ones are removed. */
-    private static final int MAX_UNUSED_DESTINATIONS = 1_024;
+    private static final int DESTINATIONS_BEFORE_EVICTION = 1_024;
 
     /** Maximum number of doublings of a backoff. */
     private static final int MAX_DOUBLINGS = 3;
@@ -287,7 +287,7 @@
         if (messages.containsKey(event.id())) {
             return;
         }
-        if (destinations.size() > MAX_UNUSED_DESTINATIONS) {
+        if (destinations.size() > DESTINATIONS_BEFORE_EVICTION) {
             destinations
                     .values()
                     .removeIf(destination -> destination.endpoints.isEmpty()
@@ -374,7 +374,7 @@
         health.failureRatio = checkpoint.status() == UpstreamStatus.UNAVAILABLE ? 1 : 0;
     }
 
-    /** Saves checkpoints of the upstreams whose breaker has changed. Nothing else changes a checkpoint, so writes are rare. */
+    /** Saves checkpoints of upstreams whose breaker has changed. What has to survive the process changes only then. */
     private void saveCheckpoints(long now, Actions actions) {
         changedUpstreams.forEach(health -> actions.saveCheckpoint(checkpoint(now, health)));
         changedUpstreams.clear();
@@ -568,7 +568,7 @@
         message.lastFailedEndpoint = call.endpoint;
         UpstreamHealth health = call.endpoint.health;
         if (message.attempts >= Math.max(2, message.destination.endpoints.size())) {
-            message.notBefore = now
+            message.backoffUntil = now
                     + backoffMicros(
                             event.connectionLimitReached(settings.reportFields()) ? 0 : senderSpacingMicros(health),
                             0,
@@ -615,7 +615,7 @@
 
     private void onEndpointListUpdated(long now, Event.EndpointListUpdated event) {
         if (event.kind() == EndpointListKind.FAILED) {
-            long retryMicros = SUBSCRIPTION_RETRY_MICROS << Math.min(subscriptionFailures++, 6);
+            long retryMicros = RESUBSCRIBE_DELAY_MICROS << Math.min(subscriptionFailures++, 6);
             subscribeAt = now + jitter(Math.min(retryMicros, settings.rules().discoveryDeadlineMicros() / 4));
             return;
         }
@@ -750,9 +750,8 @@
     }
 
     private void answerExpired(long now, Actions actions) {
-        // The retry advice of messages that expire now counts the messages ahead by their present index, not by that of
-        // the
-        // last decision (docs/decisions.md, "What differs").
+        // The retry advice of messages that expire now counts the messages ahead by their present index, not by that
+        // of the last decision (docs/decisions.md, "What differs").
         messages.values().forEach(message -> {
             if (message.call == null && !message.completed) {
                 decayServiceTime(now, message.destination);
@@ -897,7 +896,7 @@
     /** Returns I = (w/p) exp(-max(d - t, 0) / (k p')). */
     private double index(long now, PendingMessage message) {
         double serviceMicros = serviceMicros(message);
-        double urgency = Math.exp(-Math.max(message.due - now, 0) / (PRESSURE_SPAN_SERVICE_TIMES * meanServiceMicros));
+        double urgency = Math.exp(-Math.max(message.due - now, 0) / (LOOKAHEAD_SERVICE_TIMES * meanServiceMicros));
         return message.priorityWeight
                 * remainingValueShare(message, now + serviceMicros)
                 * message.destination.successProbability
@@ -927,10 +926,10 @@
         List<PendingMessage> ready = new ArrayList<>();
         for (PendingMessage message : messages.values()) {
             if (maySend(now, message) && isKeyReady(now, message)) {
-                if (message.notBefore <= now) {
+                if (message.backoffUntil <= now) {
                     ready.add(message);
                 } else {
-                    requestWakeup(message.notBefore);
+                    requestWakeup(message.backoffUntil);
                 }
             }
         }
@@ -1057,7 +1056,8 @@
     private double cost(long now, PendingMessage message, Endpoint endpoint) {
         boolean warm = (endpoint.callsInFlight > 0 || now - endpoint.lastUsedAt < maxReusableIdleMicros)
                 && endpoint.callsInFlight
-                        < endpoint.connections * Math.max(1, settings.limits().callsPerConnection());
+                        < endpoint.openConnections
+                                * Math.max(1, settings.limits().callsPerConnection());
         boolean crossZone = settings.prices().crossZone() > 0 && endpoint.zone != settings.zone();
         List<Double> zoneTolls = settings.prices().zoneTolls();
         double zoneToll = endpoint.zone < zoneTolls.size() ? zoneTolls.get(endpoint.zone) : 0;
@@ -1079,10 +1079,10 @@
             if (!callerReportsIdleTime) {
                 closeIdle(endpoint, maxReusableIdleMicros, actions);
             }
-            call.connectionIdleMicros = endpoint.connections > 0 ? endpoint.idleGapMicros : 0;
+            call.connectionIdleMicros = endpoint.openConnections > 0 ? endpoint.idleGapMicros : 0;
         }
-        endpoint.connections = Math.max(
-                endpoint.connections,
+        endpoint.openConnections = Math.max(
+                endpoint.openConnections,
                 1 + (endpoint.callsInFlight - 1) / Math.max(1, settings.limits().callsPerConnection()));
         endpoint.health.callsInFlight.add(call);
         busyUpstreams.add(endpoint.health);
@@ -1138,8 +1138,8 @@
      * vary widely.
      */
     private void closeIdle(Endpoint endpoint, double maxIdleMicros, Actions actions) {
-        if (endpoint.connections > 0 && endpoint.idleGapMicros > maxIdleMicros) {
-            endpoint.connections = 0;
+        if (endpoint.openConnections > 0 && endpoint.idleGapMicros > maxIdleMicros) {
+            endpoint.openConnections = 0;
             actions.closeIdle(endpoint.id);
         }
     }
@@ -1173,8 +1173,7 @@
         if (health.breaker == BreakerState.OPEN) {
             return health.trial != null ? NEVER : Math.max(permittedAt, health.nextTrialAt);
         }
-        // One call for each endpoint until the first success; otherwise all pending messages would be sent after a
-        // restart.
+        // One call for each endpoint until the first success; else a restart would send all pending messages at once.
         if (health.callsInFlight.size()
                 >= (health.usualLatencyMicros == 0 ? health.endpoints.size() : concurrencyCap(now, health))) {
             return NEVER;
@@ -1285,7 +1284,7 @@
                 .count();
         boolean slotsNeeded = slotsUsed >= slots
                 && silentCalls >= MAX_SILENT_SLOTS_RATIO * slots
-                && messages.values().stream().anyMatch(message -> message.call == null && message.notBefore <= now);
+                && messages.values().stream().anyMatch(message -> message.call == null && message.backoffUntil <= now);
         for (PendingMessage message : messages.values()) {
             if (message.call != null
                     && message.call.silent
@@ -1365,8 +1364,8 @@
                 }
             }
             case TIMEOUT -> {
-                // A trial may time out before it is silent, as its message is short of time. That shows at most
-                // slowness.
+                // A trial may time out before it is silent, as its message is short of time. That shows at
+                // most that the upstream is slow.
                 message.destination.serviceMicros += RECENT_CALL_WEIGHT_RATIO
                         * Math.max(0, event.durationMicros() - message.destination.serviceMicros);
                 health.presentLatencyMicros +=
@@ -1376,8 +1375,8 @@
                 }
             }
             default -> {
-                // A reset of a reused connection only shows that it was stale; a faulty endpoint resets fresh ones as
-                // well.
+                // A reset of a reused connection only shows that it was stale; a faulty endpoint resets fresh ones
+                // as well.
                 if (event.outcome() != AttemptOutcome.RESET
                         || !idleTimeReported
                         || event.connectionIdleMicros() == 0
@@ -1458,7 +1457,7 @@
         UpstreamHealth health = call.endpoint.health;
         call.endpoint.failureRatio += RECENT_CALL_WEIGHT_RATIO * (1 - call.endpoint.failureRatio);
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
-            call.endpoint.connections = 0;
+            call.endpoint.openConnections = 0;
         }
         call.endpoint.consecutiveFailures++;
         if (wasTrial || health.breaker != BreakerState.OPEN && hasFailed(now, health)) {
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
@@ -36,7 +36,7 @@
 
         Endpoint unknownOutcomeEndpoint;
         Endpoint lastFailedEndpoint;
-        long notBefore;
+        long backoffUntil;
         double index;
     }
 
@@ -66,7 +66,7 @@
         UpstreamHealth health;
         DeliveryScheduler.EndpointState state;
         int callsInFlight;
-        int connections;
+        int openConnections;
         long lastUsedAt = Long.MIN_VALUE / 2;
         /** Time between the last two periods of use. */
         long idleGapMicros;
