--- a/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
+++ b/decisions/src/main/java/amberroute/decisions/settings/PlatformSettingsReader.java
@@ -103,7 +103,7 @@
             case "pure" -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.KEYED;
             case "side_effect" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw invalidSetting(path, "is \"" + text(path) + "\", expected pure, token or side_effect");
+            default -> throw invalidSetting(path);
         };
     }
 
@@ -202,7 +202,7 @@
     private String text(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw invalidSetting(path, "is missing");
+            throw invalidSetting(path);
         }
         return value;
     }
@@ -231,11 +231,11 @@
         try {
             return parser.apply(value);
         } catch (NumberFormatException e) {
-            throw invalidSetting(path, "is \"" + value + "\", expected a number");
+            throw invalidSetting(path);
         }
     }
 
-    private static InvalidSettingsException invalidSetting(String path, String problem) {
-        return new InvalidSettingsException("setting " + path + " " + problem);
+    private static InvalidSettingsException invalidSetting(String path) {
+        return new InvalidSettingsException("setting " + path + " is missing or invalid");
     }
 }
--- a/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/HardCasesTest.java
@@ -61,7 +61,7 @@
                 sends++;
             }
             for (String line : actual.lines) {
-                rejected += line.startsWith("reject") ? 1 : 0;
+                rejected += line.startsWith("refuse") ? 1 : 0;
                 failed += line.startsWith("fail") ? 1 : 0;
             }
             for (long id : actual.answered) {
--- a/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/RandomScenario.java
@@ -27,9 +27,7 @@
 
         /** Returns all actions except timers. */
         List<String> actionsWithoutTimers() {
-            return lines.stream()
-                    .filter(line -> !line.startsWith("scheduleTimer "))
-                    .toList();
+            return lines.stream().filter(line -> !line.startsWith("wake ")).toList();
         }
 
         @Override
@@ -40,7 +38,7 @@
 
         @Override
         public void reject(long id, long retryAfterMicros) {
-            lines.add("reject " + id + " " + retryAfterMicros);
+            lines.add("refuse " + id + " " + retryAfterMicros);
             answered.add(id);
         }
 
@@ -63,23 +61,23 @@
 
         @Override
         public void limitIdleReuse(long longestMicros) {
-            lines.add("limitIdleReuse " + longestMicros);
+            lines.add("trustIdle " + longestMicros);
         }
 
         @Override
         public void saveCheckpoint(DeliveryScheduler.HealthCheckpoint checkpoint) {
-            lines.add("saveCheckpoint " + checkpoint);
+            lines.add("remember " + checkpoint);
         }
 
         @Override
         public void scheduleTimer(long delayMicros, long token) {
-            lines.add("scheduleTimer " + delayMicros);
+            lines.add("wake " + delayMicros);
             timerDelayMicros = delayMicros;
         }
 
         @Override
         public void subscribe() {
-            lines.add("subscribe");
+            lines.add("follow");
         }
 
         @Override
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
@@ -16,16 +16,8 @@
             SideBySideRun.run(seed, SideBySideRun.PLANS.get((int) (seed % SideBySideRun.PLANS.size())), 2_500)
                     .forEach((kind, count) -> actionCounts.merge(kind, count, Integer::sum));
         }
-        for (String kind : List.of(
-                "send",
-                "reject",
-                "fail",
-                "cancel",
-                "closeIdle",
-                "limitIdleReuse",
-                "saveCheckpoint",
-                "scheduleTimer",
-                "subscribe")) {
+        for (String kind :
+                List.of("send", "refuse", "fail", "cancel", "closeIdle", "trustIdle", "remember", "wake", "follow")) {
             assertTrue(
                     actionCounts.getOrDefault(kind, 0) > 10,
                     kind + " occurred " + actionCounts.get(kind) + " times, expected more than 10: " + actionCounts);
--- a/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/SideBySideRun.java
@@ -27,7 +27,7 @@
             String expectedLine = expected.get(i);
             String actualLine = actual.get(i);
             int prefixEnd = expectedLine.lastIndexOf(' ') + 1;
-            boolean endsWithTime = expectedLine.startsWith("reject ") || expectedLine.startsWith("send ");
+            boolean endsWithTime = expectedLine.startsWith("refuse ") || expectedLine.startsWith("send ");
             if (!expectedLine.equals(actualLine)
                     && !(endsWithTime
                             && actualLine.startsWith(expectedLine.substring(0, prefixEnd))
