--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceComparisonTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The present module beside the one of before its data structures changed: the same actions in the same order. */
+/** Compares the scheduler with the reference scheduler in random scenarios: both must take the same actions in the same order. */
 class ReferenceComparisonTest {
     @Test
     void schedulerAndReferenceTakeTheSameActionsInTheSameOrder() {
@@ -20,7 +20,7 @@
                 List.of("send", "refuse", "fail", "cancel", "closeIdle", "trustIdle", "remember", "wake", "follow")) {
             assertTrue(
                     actionCounts.getOrDefault(kind, 0) > 10,
-                    kind + " was seen " + actionCounts.get(kind) + " times: " + actionCounts);
+                    kind + " occurred " + actionCounts.get(kind) + " times, expected more than 10: " + actionCounts);
         }
     }
 }
