--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -77,11 +77,7 @@
         return new JournalOpener(folder, disk, durability, executor).open(budgetBytes);
     }
 
-    /**
-     * Reads a folder's journal without changing it, even while its process writes.
-     *
-     * @throws java.nio.file.NoSuchFileException if there is none
-     */
+    /** Reads a journal without changing it, even while its process writes; NoSuchFileException if there is none. */
     public static Journal openReadOnly(Path folder) throws IOException {
         return JournalOpener.openReadOnly(folder);
     }
@@ -165,11 +161,7 @@
         writer.watchFencingToken(folder, onFenced);
     }
 
-    /**
-     * Has to be called immediately before an effect that comes later than its record.
-     *
-     * @throws IllegalStateException if the folder was taken over
-     */
+    /** Call immediately before an effect later than its record; IllegalStateException if the folder was taken over. */
     public void checkFencingToken() {
         writer.checkFencingToken();
     }
@@ -306,8 +298,7 @@
     }
 
     /**
-     * Writes an attempt before its first byte is sent: after a restart it has to be known that the upstream may have
-     * executed the message.
+     * Writes an attempt before its first byte is sent: a restart has to know that the upstream may have executed it.
      *
      * @return false if the disk rejects it; then the attempt must not be made, and the message is unchanged
      */
@@ -407,11 +398,7 @@
         return contents.handoffBatches;
     }
 
-    /**
-     * Writes who owns a batch. The messages of a batch that is given away are completed here.
-     *
-     * @return false if there is no space or the disk rejects the write
-     */
+    /** Writes a batch's owner and completes messages given away; false if there is no space or the disk rejects it. */
     public boolean writeHandoffBatch(
             String name, Ownership ownership, long untilMillis, List<AcceptedMessage> messages) {
         return handoffJournal.write(name, handoffRecord(ownership, untilMillis, messages));
@@ -423,7 +410,7 @@
         return new HandoffBatchRecord(ownership, untilMillis, numbers);
     }
 
-    /** Writes an offer of a batch together with holds on its keys; false if there is no space for either. */
+    /** Writes an offer of a batch and holds on its keys in one write; false if there is no space for either. */
     public boolean offerHandoffBatch(
             String name,
             Ownership ownership,
