--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -241,12 +241,12 @@
     }
 
     /** Writes the replica set; false if the disk rejects it. */
-    public boolean writeReplicaSet(byte[] writeReplicaSet) {
+    public boolean writeReplicaSet(byte[] replicaSet) {
         long owner = contents.owners.getOrAllocate(OwnerNumbers.replication());
-        if (!writer.write(new Batch().put(owner, RecordKind.REPLICA_SET, writeReplicaSet))) {
+        if (!writer.write(new Batch().put(owner, RecordKind.REPLICA_SET, replicaSet))) {
             return false;
         }
-        contents.replicaSet = writeReplicaSet;
+        contents.replicaSet = replicaSet;
         return true;
     }
 
