--- a/handoff/src/main/java/amberroute/handoff/HandoffPlacement.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffPlacement.java
@@ -99,7 +99,7 @@
                 assign(group, successor, maxBatches, batches, openBySuccessor);
             }
         }
-        openBySuccessor.forEach((successor, open) -> batches.add(new HandoffBatch(successor, open)));
+        openBySuccessor.forEach((successor, openGroups) -> batches.add(new HandoffBatch(successor, openGroups)));
         for (HandoffBatch batch : batches) {
             batch.groups().forEach(group -> historyOf(group).offerCount++);
         }
@@ -113,41 +113,41 @@
             int maxBatches,
             List<HandoffBatch> batches,
             Map<String, List<MessageGroup>> openBySuccessor) {
-        boolean hasPlace = batches.size() + openBySuccessor.size() < maxBatches;
+        boolean canAddBatch = batches.size() + openBySuccessor.size() < maxBatches;
         OfferHistory history = historyByGroup.get(group.firstNumber());
         if (history != null && history.offerAlone) {
-            if (hasPlace) {
+            if (canAddBatch) {
                 batches.add(new HandoffBatch(successor, List.of(group)));
             }
             return;
         }
-        List<MessageGroup> open = openBySuccessor.get(successor);
-        if (open != null && !fitsInBatch(open, group)) {
+        List<MessageGroup> openGroups = openBySuccessor.get(successor);
+        if (openGroups != null && !fitsInBatch(openGroups, group)) {
             batches.add(new HandoffBatch(successor, openBySuccessor.remove(successor)));
-            open = null;
+            openGroups = null;
         }
-        if (open == null) {
-            if (!hasPlace) {
+        if (openGroups == null) {
+            if (!canAddBatch) {
                 return;
             }
-            open = new ArrayList<>();
-            openBySuccessor.put(successor, open);
+            openGroups = new ArrayList<>();
+            openBySuccessor.put(successor, openGroups);
         }
-        open.add(group);
+        openGroups.add(group);
     }
 
     private OfferHistory historyOf(MessageGroup group) {
         return historyByGroup.computeIfAbsent(group.firstNumber(), number -> new OfferHistory());
     }
 
-    private static boolean fitsInBatch(List<MessageGroup> batch, MessageGroup group) {
-        int messages = group.messageCount();
-        long bytes = group.sizeBytes();
-        for (MessageGroup each : batch) {
-            messages += each.messageCount();
-            bytes += each.sizeBytes();
+    private static boolean fitsInBatch(List<MessageGroup> batchedGroups, MessageGroup group) {
+        int messageCount = group.messageCount();
+        long sizeBytes = group.sizeBytes();
+        for (MessageGroup batchedGroup : batchedGroups) {
+            messageCount += batchedGroup.messageCount();
+            sizeBytes += batchedGroup.sizeBytes();
         }
-        return messages <= MAX_BATCH_MESSAGES && bytes <= MAX_BATCH_BYTES;
+        return messageCount <= MAX_BATCH_MESSAGES && sizeBytes <= MAX_BATCH_BYTES;
     }
 
     /** Null where it stays, for now or for good. */
--- a/handoff/src/main/java/amberroute/handoff/KeyHoldAnnouncement.java
+++ b/handoff/src/main/java/amberroute/handoff/KeyHoldAnnouncement.java
@@ -16,7 +16,7 @@
  * <p>Invariant: a client of a key of which something is pending here is told to retry <em>at once elsewhere</em> only when
  * every peer holds that key; else it is told to wait until nothing of the key can be delivered here any more. So order
  * holds also where a peer is dead, cut off or has no capacity for holds, at the price of a wait. While acknowledgements are outstanding,
- * for {@link #patienceMillis} at most, the client's answer waits.
+ * for {@link #acknowledgementTimeoutMillis} at most, the client's answer waits.
  *
  * <p>Decides only. Times are milliseconds of wall time, as the ends of holds mean the same to all daemons; clocks that
  * differ by up to {@link #CLOCK_SKEW_MILLIS} are allowed for. Not thread-safe.
@@ -35,31 +35,34 @@
     private final List<KeyBatch> batches = new ArrayList<>();
     private final Map<String, Set<Integer>> unacknowledgedByPeer = new LinkedHashMap<>();
     private final long startedAtMillis;
-    private final long patienceMillis;
+    private final long acknowledgementTimeoutMillis;
 
     /** {@code endMillisByKey} has each ordered key that is pending and when the last of its messages is surely over. */
     public KeyHoldAnnouncement(
-            long wallMillis, Collection<String> peers, Map<Long, Long> endMillisByKey, long patienceMillis) {
+            long wallMillis,
+            Collection<String> peers,
+            Map<Long, Long> endMillisByKey,
+            long acknowledgementTimeoutMillis) {
         this.endMillisByKey = new HashMap<>(endMillisByKey);
         startedAtMillis = wallMillis;
-        this.patienceMillis = patienceMillis;
+        this.acknowledgementTimeoutMillis = acknowledgementTimeoutMillis;
         List<Long> keys = new ArrayList<>(endMillisByKey.keySet());
         for (int from = 0; from < keys.size(); from += MAX_KEYS_PER_BATCH) {
             addBatch(List.copyOf(keys.subList(from, Math.min(keys.size(), from + MAX_KEYS_PER_BATCH))));
         }
         for (String peer : peers) {
-            Set<Integer> numbers = new HashSet<>();
-            batches.forEach(batch -> numbers.add(batch.number()));
-            unacknowledgedByPeer.put(peer, numbers);
+            Set<Integer> batchNumbers = new HashSet<>();
+            batches.forEach(batch -> batchNumbers.add(batch.number()));
+            unacknowledgedByPeer.put(peer, batchNumbers);
         }
     }
 
     private void addBatch(List<Long> keys) {
-        int number = batches.size();
-        keys.forEach(key -> batchNumberByKey.put(key, number));
+        int batchNumber = batches.size();
+        keys.forEach(key -> batchNumberByKey.put(key, batchNumber));
         long latestEndMillis =
                 keys.stream().mapToLong(endMillisByKey::get).max().orElse(startedAtMillis);
-        batches.add(new KeyBatch(number, keys, latestEndMillis + CLOCK_SKEW_MILLIS));
+        batches.add(new KeyBatch(batchNumber, keys, latestEndMillis + CLOCK_SKEW_MILLIS));
     }
 
     /**
@@ -68,7 +71,7 @@
      */
     public List<KeyBatch> batchesToSend(String peer, OfferedKeys offeredKeys) {
         return batches.stream()
-                .filter(batch -> unacknowledged(peer).contains(batch.number()))
+                .filter(batch -> unacknowledgedBatches(peer).contains(batch.number()))
                 .map(this::withoutFinishedKeys)
                 .filter(batch -> batch.keys().stream()
                         .noneMatch(key -> offeredKeys.status(peer, key) == OfferedKeys.Status.UNANSWERED))
@@ -77,25 +80,25 @@
     }
 
     private KeyBatch withoutFinishedKeys(KeyBatch batch) {
-        List<Long> open =
+        List<Long> unfinishedKeys =
                 batch.keys().stream().filter(endMillisByKey::containsKey).toList();
-        return new KeyBatch(batch.number(), open, batch.untilMillis());
+        return new KeyBatch(batch.number(), unfinishedKeys, batch.untilMillis());
     }
 
     private static KeyBatch withoutAdoptedKeys(KeyBatch batch, String peer, OfferedKeys offeredKeys) {
-        List<Long> others = batch.keys().stream()
+        List<Long> remainingKeys = batch.keys().stream()
                 .filter(key -> offeredKeys.status(peer, key) != OfferedKeys.Status.ADOPTED)
                 .toList();
-        return new KeyBatch(batch.number(), others, batch.untilMillis());
+        return new KeyBatch(batch.number(), remainingKeys, batch.untilMillis());
     }
 
-    private Set<Integer> unacknowledged(String peer) {
+    private Set<Integer> unacknowledgedBatches(String peer) {
         return unacknowledgedByPeer.getOrDefault(peer, Set.of());
     }
 
     /** Whether the peer has acknowledged all batches. */
     public boolean isAcknowledgedBy(String peer) {
-        return unacknowledged(peer).isEmpty();
+        return unacknowledgedBatches(peer).isEmpty();
     }
 
     /** The peer has the keys of this batch on disk as held. */
@@ -110,7 +113,7 @@
 
     /** Whether clients may be answered now: all peers hold all keys, or have been waited for. */
     public boolean isSettled(long wallMillis) {
-        return wallMillis - startedAtMillis >= patienceMillis
+        return wallMillis - startedAtMillis >= acknowledgementTimeoutMillis
                 || unacknowledgedByPeer.values().stream().allMatch(Set::isEmpty);
     }
 
@@ -140,6 +143,6 @@
 
     private boolean isHeldByAll(long key) {
         Integer batchNumber = batchNumberByKey.get(key);
-        return unacknowledgedByPeer.values().stream().noneMatch(numbers -> numbers.contains(batchNumber));
+        return unacknowledgedByPeer.values().stream().noneMatch(batchNumbers -> batchNumbers.contains(batchNumber));
     }
 }
--- a/handoff/src/main/java/amberroute/handoff/KeyHolds.java
+++ b/handoff/src/main/java/amberroute/handoff/KeyHolds.java
@@ -28,8 +28,8 @@
     private int holdCount;
 
     /** Whether there is capacity for so many more. */
-    public boolean hasCapacity(int more) {
-        return holdCount + more <= MAX_HOLDS;
+    public boolean hasCapacity(int additionalHolds) {
+        return holdCount + additionalHolds <= MAX_HOLDS;
     }
 
     /** Returns the keys that nobody held before. A hold that is asked for again lasts until the later of both times. */
@@ -40,10 +40,10 @@
             if (untilByOrigin.isEmpty()) {
                 newlyHeld.add(key);
             }
-            Long before = untilByOrigin.put(origin, untilMillis);
-            holdCount += before == null ? 1 : 0;
-            if (before != null && before > untilMillis) {
-                untilByOrigin.put(origin, before);
+            Long previousUntilMillis = untilByOrigin.put(origin, untilMillis);
+            holdCount += previousUntilMillis == null ? 1 : 0;
+            if (previousUntilMillis != null && previousUntilMillis > untilMillis) {
+                untilByOrigin.put(origin, previousUntilMillis);
             }
         }
         return newlyHeld;
@@ -74,9 +74,9 @@
         while (entries.hasNext()) {
             Map.Entry<Long, Map<String, Long>> entry = entries.next();
             Map<String, Long> untilByOrigin = entry.getValue();
-            int before = untilByOrigin.size();
+            int previousHoldCount = untilByOrigin.size();
             untilByOrigin.values().removeIf(untilMillis -> untilMillis <= wallMillis);
-            holdCount -= before - untilByOrigin.size();
+            holdCount -= previousHoldCount - untilByOrigin.size();
             if (untilByOrigin.isEmpty()) {
                 released.add(entry.getKey());
                 entries.remove();
--- a/handoff/src/test/java/amberroute/handoff/ExplorationTest.java
+++ b/handoff/src/test/java/amberroute/handoff/ExplorationTest.java
@@ -24,141 +24,157 @@
  */
 class ExplorationTest {
     /** How the host behaves; the mutants do one thing wrong each and have to be found. */
-    enum Host {
-        RIGHT,
-        ANSWERS_BEFORE_WRITING,
-        SENDS_BEFORE_FREEZING,
-        FORGETS_REJECTIONS,
+    enum HostVariant {
+        CORRECT,
+        REPLIES_BEFORE_PERSISTING,
+        OFFERS_BEFORE_PERSISTING,
+        LOSES_REJECTIONS,
         IGNORES_GENERATIONS,
-        TAKES_BACK_UNASKED
+        RECLAIMS_WITHOUT_REPLY
     }
 
-    private record Sent(String from, String to, HandoffMessage message) implements Comparable<Sent> {
+    private record SentMessage(String from, String to, HandoffMessage message) implements Comparable<SentMessage> {
         @Override
-        public int compareTo(Sent other) {
+        public int compareTo(SentMessage other) {
             return toString().compareTo(other.toString());
         }
     }
 
     /** Records by daemon and batch, all messages ever sent, and how often each batch was worked on by whom. */
-    private record World(Map<String, Ownership> records, Set<Sent> sent) {
-        Ownership of(String daemon, String batch) {
+    private record SystemState(Map<String, Ownership> records, Set<SentMessage> sent) {
+        Ownership ownership(String daemon, String batch) {
             return records.getOrDefault(daemon + batch, Ownership.NONE);
         }
 
-        World with(String daemon, List<HandoffEffect> effects, int upTo) {
+        SystemState withEffects(String daemon, List<HandoffEffect> effects, int effectCount) {
             Map<String, Ownership> changed = new TreeMap<>(records);
-            Set<Sent> messages = new TreeSet<>(sent);
-            for (HandoffEffect effect : effects.subList(0, upTo)) {
-                if (effect instanceof HandoffEffect.PersistOwnership write) {
-                    changed.put(daemon + write.batchId(), write.ownership());
+            Set<SentMessage> messages = new TreeSet<>(sent);
+            for (HandoffEffect effect : effects.subList(0, effectCount)) {
+                if (effect instanceof HandoffEffect.PersistOwnership persist) {
+                    changed.put(daemon + persist.batchId(), persist.ownership());
                 } else if (effect instanceof HandoffEffect.SendMessage send) {
-                    messages.add(new Sent(daemon, send.recipient(), send.message()));
+                    messages.add(new SentMessage(daemon, send.recipient(), send.message()));
                 }
             }
-            return new World(changed, messages);
+            return new SystemState(changed, messages);
         }
     }
 
     /** One walk through all states of so many daemons, batches and generations. */
     private static final class Exploration {
-        private final Host host;
+        private final HostVariant host;
         private final List<String> daemons;
         private final List<String> batches;
-        private final long generations;
-        private int states;
+        private final long maxGenerations;
+        private int stateCount;
 
-        Exploration(Host host, int daemons, int batches, long generations) {
+        Exploration(HostVariant host, int daemonCount, int batchCount, long maxGenerations) {
             this.host = host;
-            this.daemons = List.of("A", "B", "C").subList(0, daemons);
-            this.batches = List.of("1", "2", "3").subList(0, batches);
-            this.generations = generations;
+            this.daemons = List.of("A", "B", "C").subList(0, daemonCount);
+            this.batches = List.of("1", "2", "3").subList(0, batchCount);
+            this.maxGenerations = maxGenerations;
         }
 
         /** All worlds that one step leads to: each possible step, cut off after each of its effects. */
-        private List<World> next(World world) {
-            List<World> out = new ArrayList<>();
+        private List<SystemState> successors(SystemState state) {
+            List<SystemState> successors = new ArrayList<>();
             for (String batch : batches) {
                 for (String daemon : daemons) {
-                    Ownership own = world.of(daemon, batch);
+                    Ownership ownership = state.ownership(daemon, batch);
                     for (String peer : daemons) {
-                        if (!peer.equals(daemon) && own.generation() < generations) {
-                            cut(out, world, daemon, wrong(own.offer(batch, peer), Host.SENDS_BEFORE_FREEZING));
+                        if (!peer.equals(daemon) && ownership.generation() < maxGenerations) {
+                            addPrefixes(
+                                    successors,
+                                    state,
+                                    daemon,
+                                    reorderIfMutant(
+                                            ownership.offer(batch, peer), HostVariant.OFFERS_BEFORE_PERSISTING));
                         }
                     }
-                    cut(out, world, daemon, own.requestReply(batch, true));
-                    if (host == Host.TAKES_BACK_UNASKED && own.status() == Status.OFFERED) {
-                        cut(
-                                out,
-                                world,
+                    addPrefixes(successors, state, daemon, ownership.requestReply(batch, true));
+                    if (host == HostVariant.RECLAIMS_WITHOUT_REPLY && ownership.status() == Status.OFFERED) {
+                        addPrefixes(
+                                successors,
+                                state,
                                 daemon,
                                 List.of(new HandoffEffect.PersistOwnership(
-                                        batch, new Ownership(own.generation(), Status.OWNED, ""))));
+                                        batch, new Ownership(ownership.generation(), Status.OWNED, ""))));
                     }
                 }
             }
-            for (Sent s : world.sent()) {
-                Ownership own = world.of(s.to(), s.message().batchId());
-                HandoffMessage message = s.message();
+            for (SentMessage sentMessage : state.sent()) {
+                Ownership ownership =
+                        state.ownership(sentMessage.to(), sentMessage.message().batchId());
+                HandoffMessage message = sentMessage.message();
                 if (message.isForSuccessor()) {
                     for (boolean willing : new boolean[] {true, false}) {
-                        List<HandoffEffect> effects = own.onOffer(message.batchId(), s.from(), message, willing);
-                        if (host == Host.FORGETS_REJECTIONS) {
+                        List<HandoffEffect> effects =
+                                ownership.onOffer(message.batchId(), sentMessage.from(), message, willing);
+                        if (host == HostVariant.LOSES_REJECTIONS) {
                             effects = effects.stream()
-                                    .filter(e -> !(e instanceof HandoffEffect.PersistOwnership w
-                                            && w.ownership().status() == Status.REFUSED))
+                                    .filter(effect -> !(effect instanceof HandoffEffect.PersistOwnership persist
+                                            && persist.ownership().status() == Status.REFUSED))
                                     .toList();
                         }
-                        cut(out, world, s.to(), wrong(effects, Host.ANSWERS_BEFORE_WRITING));
+                        addPrefixes(
+                                successors,
+                                state,
+                                sentMessage.to(),
+                                reorderIfMutant(effects, HostVariant.REPLIES_BEFORE_PERSISTING));
                     }
                 } else {
-                    HandoffMessage heard = host == Host.IGNORES_GENERATIONS
-                            ? new HandoffMessage(message.kind(), message.batchId(), own.generation())
+                    HandoffMessage reply = host == HostVariant.IGNORES_GENERATIONS
+                            ? new HandoffMessage(message.kind(), message.batchId(), ownership.generation())
                             : message;
-                    cut(out, world, s.to(), own.onReply(message.batchId(), s.from(), heard));
+                    addPrefixes(
+                            successors,
+                            state,
+                            sentMessage.to(),
+                            ownership.onReply(message.batchId(), sentMessage.from(), reply));
                 }
             }
-            return out;
+            return successors;
         }
 
         /** A mutant does the effects in the wrong order. */
-        private List<HandoffEffect> wrong(List<HandoffEffect> effects, Host mutant) {
+        private List<HandoffEffect> reorderIfMutant(List<HandoffEffect> effects, HostVariant mutant) {
             if (host != mutant) {
                 return effects;
             }
-            List<HandoffEffect> turned = new ArrayList<>(effects);
-            java.util.Collections.reverse(turned);
-            return turned;
+            List<HandoffEffect> reversed = new ArrayList<>(effects);
+            java.util.Collections.reverse(reversed);
+            return reversed;
         }
 
-        private static void cut(List<World> out, World world, String daemon, List<HandoffEffect> effects) {
-            for (int n = 1; n <= effects.size(); n++) {
-                out.add(world.with(daemon, effects, n));
+        private static void addPrefixes(
+                List<SystemState> successors, SystemState state, String daemon, List<HandoffEffect> effects) {
+            for (int effectCount = 1; effectCount <= effects.size(); effectCount++) {
+                successors.add(state.withEffects(daemon, effects, effectCount));
             }
         }
 
         /** What must hold in each state; null where it does. */
-        private String broken(World world) {
+        private String findInvariantViolation(SystemState state) {
             for (String batch : batches) {
                 List<String> owners = daemons.stream()
-                        .filter(d -> world.of(d, batch).isOwned())
+                        .filter(d -> state.ownership(d, batch).isOwned())
                         .toList();
                 if (owners.size() > 1) {
                     return "two owners of batch " + batch + ": " + owners;
                 }
                 if (owners.isEmpty()) {
                     // Somebody has to be able to find out: an offer whose successor has not decided, or has taken it.
-                    boolean waits =
-                            daemons.stream().anyMatch(d -> world.of(d, batch).status() == Status.OFFERED);
-                    if (!waits) {
+                    boolean offerIsPending = daemons.stream()
+                            .anyMatch(d -> state.ownership(d, batch).status() == Status.OFFERED);
+                    if (!offerIsPending) {
                         return "nobody owns batch " + batch;
                     }
                 }
                 for (String daemon : daemons) {
-                    Ownership own = world.of(daemon, batch);
-                    if (own.status() == Status.GIVEN
-                            && world.of(own.peer(), batch).generation() < own.generation()) {
-                        return daemon + " gave batch " + batch + " to " + own.peer() + ", who never took it";
+                    Ownership ownership = state.ownership(daemon, batch);
+                    if (ownership.status() == Status.GIVEN
+                            && state.ownership(ownership.peer(), batch).generation() < ownership.generation()) {
+                        return daemon + " gave batch " + batch + " to " + ownership.peer() + ", who never took it";
                     }
                 }
             }
@@ -166,17 +182,21 @@
         }
 
         /** Where all messages of a frozen batch arrive once more, its owner knows whose it is: no dead end without an exit. */
-        private String stuck(World world) {
+        private String findDeadlock(SystemState state) {
             for (String batch : batches) {
                 for (String daemon : daemons) {
-                    Ownership own = world.of(daemon, batch);
-                    if (own.status() != Status.OFFERED) {
+                    Ownership ownership = state.ownership(daemon, batch);
+                    if (ownership.status() != Status.OFFERED) {
                         continue;
                     }
-                    HandoffMessage cancel = new HandoffMessage(HandoffMessage.Kind.CANCEL, batch, own.generation());
-                    List<HandoffEffect> successor = world.of(own.peer(), batch).onOffer(batch, daemon, cancel, false);
+                    HandoffMessage cancel =
+                            new HandoffMessage(HandoffMessage.Kind.CANCEL, batch, ownership.generation());
+                    List<HandoffEffect> successor =
+                            state.ownership(ownership.peer(), batch).onOffer(batch, daemon, cancel, false);
                     HandoffEffect.SendMessage answer = (HandoffEffect.SendMessage) successor.get(successor.size() - 1);
-                    if (own.onReply(batch, own.peer(), answer.message()).isEmpty()) {
+                    if (ownership
+                            .onReply(batch, ownership.peer(), answer.message())
+                            .isEmpty()) {
                         return daemon + " never learns whose batch " + batch + " is";
                     }
                 }
@@ -186,60 +206,60 @@
 
         /** Null where every reachable state is good; else what broke first. */
         private String explore() {
-            Map<String, Ownership> begin = new TreeMap<>();
+            Map<String, Ownership> initialRecords = new TreeMap<>();
             for (int i = 0; i < batches.size(); i++) {
-                begin.put(daemons.get(i % daemons.size()) + batches.get(i), Ownership.initial());
+                initialRecords.put(daemons.get(i % daemons.size()) + batches.get(i), Ownership.initial());
             }
-            World first = new World(begin, new TreeSet<>());
-            Set<World> seen = new HashSet<>(Set.of(first));
-            Deque<World> open = new ArrayDeque<>(seen);
-            while (!open.isEmpty()) {
-                World world = open.removeFirst();
-                String wrong = broken(world);
-                if (wrong == null && host == Host.RIGHT) {
-                    wrong = stuck(world);
+            SystemState initialState = new SystemState(initialRecords, new TreeSet<>());
+            Set<SystemState> seen = new HashSet<>(Set.of(initialState));
+            Deque<SystemState> unexplored = new ArrayDeque<>(seen);
+            while (!unexplored.isEmpty()) {
+                SystemState state = unexplored.removeFirst();
+                String violation = findInvariantViolation(state);
+                if (violation == null && host == HostVariant.CORRECT) {
+                    violation = findDeadlock(state);
                 }
-                if (wrong != null) {
-                    return wrong + " in " + world;
+                if (violation != null) {
+                    return violation + " in " + state;
                 }
-                for (World after : next(world)) {
-                    if (seen.add(after)) {
-                        open.add(after);
+                for (SystemState nextState : successors(state)) {
+                    if (seen.add(nextState)) {
+                        unexplored.add(nextState);
                     }
                 }
             }
-            states = seen.size();
+            stateCount = seen.size();
             return null;
         }
     }
 
-    private static void holds(int daemons, int batches, long generations, int least) {
-        Exploration exploration = new Exploration(Host.RIGHT, daemons, batches, generations);
+    private static void assertInvariantsHold(int daemons, int batches, long generations, int minimumStates) {
+        Exploration exploration = new Exploration(HostVariant.CORRECT, daemons, batches, generations);
         assertNull(exploration.explore());
         System.out.println(daemons + " daemons, " + batches + " batches, " + generations + " generations: "
-                + exploration.states + " states");
-        assertTrue(exploration.states >= least, "explored only " + exploration.states);
+                + exploration.stateCount + " states");
+        assertTrue(exploration.stateCount >= minimumStates, "explored only " + exploration.stateCount);
     }
 
     /** Chains of handoffs, there and back again, rejections and withdrawals among three daemons. */
     @Test
     void oneBatchAmongThreeDaemonsHasOneOwner() {
-        holds(3, 1, 4, 1_000);
+        assertInvariantsHold(3, 1, 4, 1_000);
     }
 
     @Test
     void oneBatchBetweenTwoDaemonsHasOneOwnerOverLongChains() {
-        holds(2, 1, 5, 500);
+        assertInvariantsHold(2, 1, 5, 500);
     }
 
     /** Two owners that choose each other, each with a batch of its own, and a third. */
     @Test
     void threeBatchesBetweenTwoDaemonsHaveOneOwnerEach() {
-        holds(2, 3, 2, 1_000);
+        assertInvariantsHold(2, 3, 2, 1_000);
     }
 
     @Test
-    void aMessageFromElsewhereChangesNothing() {
+    void replyToAnotherOfferIsIgnored() {
         Ownership offered = new Ownership(2, Status.OFFERED, "B");
         assertEquals(List.of(), offered.onReply("1", "C", new HandoffMessage(HandoffMessage.Kind.YES, "1", 2)));
         assertEquals(List.of(), offered.onReply("1", "B", new HandoffMessage(HandoffMessage.Kind.YES, "1", 1)));
@@ -250,12 +270,12 @@
     }
 
     @Test
-    void eachMutantIsFound() {
-        for (Host mutant : Host.values()) {
-            if (mutant != Host.RIGHT) {
-                String found = new Exploration(mutant, 3, 1, 4).explore();
-                assertTrue(found != null, mutant + " was not found");
-                System.out.println(mutant + ": " + found.substring(0, Math.min(90, found.length())));
+    void mutantIsDetected() {
+        for (HostVariant mutant : HostVariant.values()) {
+            if (mutant != HostVariant.CORRECT) {
+                String violation = new Exploration(mutant, 3, 1, 4).explore();
+                assertTrue(violation != null, mutant + " was not found");
+                System.out.println(mutant + ": " + violation.substring(0, Math.min(90, violation.length())));
             }
         }
     }
--- a/handoff/src/test/java/amberroute/handoff/KeyHoldAnnouncementTest.java
+++ b/handoff/src/test/java/amberroute/handoff/KeyHoldAnnouncementTest.java
@@ -17,53 +17,57 @@
     private static final OfferedKeys NOTHING_OFFERED = new OfferedKeys();
 
     @Test
-    void clientsMayGoOnlyWhenAllPeersHold() {
-        KeyHoldAnnouncement naming = new KeyHoldAnnouncement(1_000, List.of("a", "b"), Map.of(7L, 9_000L), 400);
-        assertFalse(naming.isSettled(1_100));
-        naming.acknowledge("a", 0);
-        naming.acknowledge("a", 0);
-        naming.acknowledge("stranger", 0);
-        assertFalse(naming.isSettled(1_100));
-        assertEquals(9_000 + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS - 1_100, naming.retryElsewhereDelayMillis(1_100, 7));
-        assertTrue(naming.isSettled(1_400), "patience is over");
-        assertTrue(naming.retryElsewhereDelayMillis(1_400, 7) > 0, "b may not know of it");
-        naming.acknowledge("b", 0);
-        assertEquals(0, naming.retryElsewhereDelayMillis(1_500, 7));
-        assertEquals(0, naming.retryElsewhereDelayMillis(1_500, 8), "nothing of 8 is here");
+    void clientIsRedirectedOnlyAfterAllPeersAcknowledge() {
+        KeyHoldAnnouncement announcement = new KeyHoldAnnouncement(1_000, List.of("a", "b"), Map.of(7L, 9_000L), 400);
+        assertFalse(announcement.isSettled(1_100));
+        announcement.acknowledge("a", 0);
+        announcement.acknowledge("a", 0);
+        announcement.acknowledge("stranger", 0);
+        assertFalse(announcement.isSettled(1_100));
+        assertEquals(
+                9_000 + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS - 1_100,
+                announcement.retryElsewhereDelayMillis(1_100, 7));
+        assertTrue(announcement.isSettled(1_400), "patience is over");
+        assertTrue(announcement.retryElsewhereDelayMillis(1_400, 7) > 0, "b may not know of it");
+        announcement.acknowledge("b", 0);
+        assertEquals(0, announcement.retryElsewhereDelayMillis(1_500, 7));
+        assertEquals(0, announcement.retryElsewhereDelayMillis(1_500, 8), "nothing of 8 is here");
     }
 
     @Test
-    void aHoldOutlastsItsMessages() {
-        KeyHoldAnnouncement naming = new KeyHoldAnnouncement(0, List.of("a"), Map.of(1L, 5_000L, 2L, 6_000L), 400);
-        assertTrue(naming.batchesToSend("a", NOTHING_OFFERED).get(0).untilMillis()
+    void holdExpiresAfterLastMessageOfItsKey() {
+        KeyHoldAnnouncement announcement =
+                new KeyHoldAnnouncement(0, List.of("a"), Map.of(1L, 5_000L, 2L, 6_000L), 400);
+        assertTrue(announcement.batchesToSend("a", NOTHING_OFFERED).get(0).untilMillis()
                 >= 6_000 + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS);
-        naming.keysDone(List.of(2L));
-        assertFalse(naming.isAnnounced(2));
-        assertEquals(0, naming.retryElsewhereDelayMillis(10, 2));
+        announcement.keysDone(List.of(2L));
+        assertFalse(announcement.isAnnounced(2));
+        assertEquals(0, announcement.retryElsewhereDelayMillis(10, 2));
     }
 
     @Test
-    void manyKeysAreNamedInBatchesAndEachIsAnsweredForItself() {
-        Map<Long, Long> ends = new HashMap<>();
+    void manyKeysAreAnnouncedInBatchesAcknowledgedSeparately() {
+        Map<Long, Long> endMillisByKey = new HashMap<>();
         for (long key = 1; key <= 5_000; key++) {
-            ends.put(key, 10_000L + key);
+            endMillisByKey.put(key, 10_000L + key);
         }
-        KeyHoldAnnouncement naming = new KeyHoldAnnouncement(0, List.of("a"), ends, 400);
-        List<KeyHoldAnnouncement.KeyBatch> batches = naming.batchesToSend("a", NOTHING_OFFERED);
-        Set<Long> named = new HashSet<>();
-        batches.forEach(b -> named.addAll(b.keys()));
-        assertEquals(ends.keySet(), named);
-        naming.acknowledge("a", batches.get(0).number());
+        KeyHoldAnnouncement announcement = new KeyHoldAnnouncement(0, List.of("a"), endMillisByKey, 400);
+        List<KeyHoldAnnouncement.KeyBatch> batches = announcement.batchesToSend("a", NOTHING_OFFERED);
+        Set<Long> announcedKeys = new HashSet<>();
+        batches.forEach(batch -> announcedKeys.addAll(batch.keys()));
+        assertEquals(endMillisByKey.keySet(), announcedKeys);
+        announcement.acknowledge("a", batches.get(0).number());
         assertEquals(
-                batches.size() - 1, naming.batchesToSend("a", NOTHING_OFFERED).size());
-        for (long key : ends.keySet()) {
-            assertEquals(batches.get(0).keys().contains(key), naming.retryElsewhereDelayMillis(1, key) == 0);
+                batches.size() - 1,
+                announcement.batchesToSend("a", NOTHING_OFFERED).size());
+        for (long key : endMillisByKey.keySet()) {
+            assertEquals(batches.get(0).keys().contains(key), announcement.retryElsewhereDelayMillis(1, key) == 0);
         }
     }
 
     /** Failure: a hold repeated behind the adoption of its key kept later messages of the key waiting at the adopter. */
     @Test
-    void aPeerIsNotAskedToHoldWhatItMayHaveAdopted() {
+    void peerIsNotAskedToHoldKeyItMayHaveAdopted() {
         KeyHoldAnnouncement announcement =
                 new KeyHoldAnnouncement(0, List.of("a", "b"), Map.of(1L, 5_000L, 2L, 5_000L), 400);
         OfferedKeys offered = new OfferedKeys();
@@ -87,43 +91,44 @@
 
     /** Holds and their ends against a plain list of them. */
     @Test
-    void holdsAreThoseThatWereAskedForAndNotReleased() {
+    void holdsMatchReferenceModelAfterRandomOperations() {
         for (long seed = 1; seed <= 50; seed++) {
             Random random = new Random(seed);
             KeyHolds holds = new KeyHolds();
-            Map<String, Long> plain = new HashMap<>();
+            Map<String, Long> untilMillisByHold = new HashMap<>();
             for (long now = 0; now < 300; now++) {
                 String origin = "o" + random.nextInt(3);
                 long key = random.nextInt(4);
-                boolean before = plain.keySet().stream().anyMatch(k -> k.endsWith(":" + key));
+                boolean wasHeld = untilMillisByHold.keySet().stream().anyMatch(k -> k.endsWith(":" + key));
                 if (random.nextBoolean()) {
                     long until = now + random.nextInt(40);
                     assertEquals(
-                            !before, holds.hold(origin, List.of(key), until).contains(key), "seed " + seed);
-                    plain.merge(origin + ":" + key, until, Math::max);
+                            !wasHeld, holds.hold(origin, List.of(key), until).contains(key), "seed " + seed);
+                    untilMillisByHold.merge(origin + ":" + key, until, Math::max);
                 } else {
-                    boolean gone = plain.remove(origin + ":" + key) != null
-                            && plain.keySet().stream().noneMatch(k -> k.endsWith(":" + key));
-                    assertEquals(gone, holds.release(origin, List.of(key)).contains(key), "seed " + seed);
+                    boolean becomesFree = untilMillisByHold.remove(origin + ":" + key) != null
+                            && untilMillisByHold.keySet().stream().noneMatch(k -> k.endsWith(":" + key));
+                    assertEquals(
+                            becomesFree, holds.release(origin, List.of(key)).contains(key), "seed " + seed);
                 }
-                long at = now;
+                long nowMillis = now;
                 holds.expire(now);
-                plain.values().removeIf(until -> until <= at);
+                untilMillisByHold.values().removeIf(until -> until <= nowMillis);
                 for (long k = 0; k < 4; k++) {
-                    long one = k;
+                    long currentKey = k;
                     assertEquals(
-                            plain.keySet().stream().anyMatch(p -> p.endsWith(":" + one)),
+                            untilMillisByHold.keySet().stream().anyMatch(p -> p.endsWith(":" + currentKey)),
                             holds.isHeld(k),
                             "seed " + seed);
                 }
-                assertEquals(plain.size(), holds.size(), "seed " + seed);
-                assertEquals(plain.size(), holds.allHolds().size(), "seed " + seed);
+                assertEquals(untilMillisByHold.size(), holds.size(), "seed " + seed);
+                assertEquals(untilMillisByHold.size(), holds.allHolds().size(), "seed " + seed);
             }
         }
     }
 
     @Test
-    void holdsAreBounded() {
+    void holdsBeyondLimitAreRefused() {
         KeyHolds holds = new KeyHolds();
         assertTrue(holds.hasCapacity(KeyHolds.MAX_HOLDS));
         holds.hold("a", List.of(1L), 10);
--- a/handoff/src/test/java/amberroute/handoff/KeyOrderTest.java
+++ b/handoff/src/test/java/amberroute/handoff/KeyOrderTest.java
@@ -23,12 +23,12 @@
  */
 class KeyOrderTest {
     /** A host as it should be, and hosts with one defect each, which the exploration has to find. */
-    enum Host {
-        RIGHT,
-        ACKNOWLEDGES_BEFORE_WRITING,
-        REDIRECTS_AT_ONCE,
-        RELEASES_WHAT_IS_HANDED_OFF,
-        QUEUES_BEHIND_NEW_MESSAGES
+    enum HostVariant {
+        CORRECT,
+        ACKNOWLEDGES_BEFORE_PERSISTING,
+        REDIRECTS_BEFORE_ACKNOWLEDGEMENT,
+        RELEASES_HOLD_AT_HANDOFF,
+        APPENDS_ADOPTED_MESSAGES
     }
 
     private static final List<String> PEERS = List.of("A", "B");
@@ -37,163 +37,174 @@
      * {@code batch} is whose the first two messages are: L, an offer to a peer, or a peer's; {@code queues} has what each
      * daemon has accepted and not carried out, {@code holds} who holds the key, {@code messages} all that was ever sent.
      */
-    private record World(
+    private record SystemState(
             String batch,
             Map<String, String> queues,
             Set<String> holds,
             Set<String> messages,
-            String done,
-            int come,
-            int rejections) {
+            String delivered,
+            int acceptedCount,
+            int rejectionCount) {
 
-        World queue(String daemon, String queue) {
+        SystemState withQueue(String daemon, String newQueue) {
             Map<String, String> changed = new TreeMap<>(queues);
-            changed.put(daemon, queue);
-            return new World(batch, changed, holds, messages, done, come, rejections);
+            changed.put(daemon, newQueue);
+            return new SystemState(batch, changed, holds, messages, delivered, acceptedCount, rejectionCount);
         }
 
-        World batch(String now) {
-            return new World(now, queues, holds, messages, done, come, rejections);
+        SystemState withBatch(String newBatch) {
+            return new SystemState(newBatch, queues, holds, messages, delivered, acceptedCount, rejectionCount);
         }
 
-        World hold(String peer, boolean held) {
+        SystemState withHold(String peer, boolean held) {
             Set<String> changed = new TreeSet<>(holds);
             if (held) {
                 changed.add(peer);
             } else {
                 changed.remove(peer);
             }
-            return new World(batch, queues, changed, messages, done, come, rejections);
+            return new SystemState(batch, queues, changed, messages, delivered, acceptedCount, rejectionCount);
         }
 
-        World say(String message) {
+        SystemState withMessage(String message) {
             Set<String> all = new TreeSet<>(messages);
             all.add(message);
-            return new World(batch, queues, holds, all, done, come, rejections);
+            return new SystemState(batch, queues, holds, all, delivered, acceptedCount, rejectionCount);
         }
     }
 
-    private static List<World> next(World w, Host host) {
-        List<World> out = new ArrayList<>();
+    private static List<SystemState> successors(SystemState state, HostVariant host) {
+        List<SystemState> successors = new ArrayList<>();
         // The owner names the key, and each peer holds it and says so; it may die in between.
         for (String peer : PEERS) {
-            out.add(w.say("HOLD " + peer));
-            if (w.messages().contains("HOLD " + peer) && !w.messages().contains("over " + peer)) {
-                out.add(w.hold(peer, true));
-                out.add(
-                        host == Host.ACKNOWLEDGES_BEFORE_WRITING
-                                ? w.say("HELD " + peer)
-                                : w.hold(peer, true).say("HELD " + peer));
+            successors.add(state.withMessage("HOLD " + peer));
+            if (state.messages().contains("HOLD " + peer) && !state.messages().contains("over " + peer)) {
+                successors.add(state.withHold(peer, true));
+                successors.add(
+                        host == HostVariant.ACKNOWLEDGES_BEFORE_PERSISTING
+                                ? state.withMessage("HELD " + peer)
+                                : state.withHold(peer, true).withMessage("HELD " + peer));
             }
             // Released: what was asked for before does not hold any more, as it comes on one connection in order.
-            if (w.messages().contains("RELEASE")) {
-                out.add(w.hold(peer, false).say("over " + peer));
+            if (state.messages().contains("RELEASE")) {
+                successors.add(state.withHold(peer, false).withMessage("over " + peer));
             }
         }
         // A client comes, as soon as it may.
-        boolean away = PEERS.stream().allMatch(p -> w.messages().contains("HELD " + p))
-                || w.messages().contains("RELEASE")
-                || host == Host.REDIRECTS_AT_ONCE;
-        if (away && w.come() < 4) {
+        boolean mayRedirect = PEERS.stream().allMatch(p -> state.messages().contains("HELD " + p))
+                || state.messages().contains("RELEASE")
+                || host == HostVariant.REDIRECTS_BEFORE_ACKNOWLEDGEMENT;
+        if (mayRedirect && state.acceptedCount() < 4) {
             for (String peer : PEERS) {
                 // One key's client keeps to one peer while that is there.
-                if (w.come() == 2 || w.messages().contains("came " + peer)) {
-                    World came =
-                            w.queue(peer, w.queues().get(peer) + (w.come() + 1)).say("came " + peer);
-                    out.add(new World(
-                            came.batch(),
-                            came.queues(),
-                            came.holds(),
-                            came.messages(),
-                            came.done(),
-                            w.come() + 1,
-                            came.rejections()));
+                if (state.acceptedCount() == 2 || state.messages().contains("came " + peer)) {
+                    SystemState accepted = state.withQueue(peer, state.queues().get(peer) + (state.acceptedCount() + 1))
+                            .withMessage("came " + peer);
+                    successors.add(new SystemState(
+                            accepted.batch(),
+                            accepted.queues(),
+                            accepted.holds(),
+                            accepted.messages(),
+                            accepted.delivered(),
+                            state.acceptedCount() + 1,
+                            accepted.rejectionCount()));
                 }
             }
         }
         // The batch moves: offered with what is left of it, taken or refused once, the answer may come late.
         for (String peer : PEERS) {
-            if (w.batch().equals("L") && !w.queues().get("L").isEmpty() && w.rejections() < 2) {
-                out.add(w.batch("offered " + peer).say("OFFER " + peer + w.rejections()));
+            if (state.batch().equals("L") && !state.queues().get("L").isEmpty() && state.rejectionCount() < 2) {
+                successors.add(
+                        state.withBatch("offered " + peer).withMessage("OFFER " + peer + state.rejectionCount()));
             }
-            String offer = peer + w.rejections();
-            if (w.batch().equals("offered " + peer)
-                    && w.messages().contains("OFFER " + offer)
-                    && !w.messages().contains("YES " + offer)
-                    && !w.messages().contains("NO " + offer)) {
-                String batch = w.queues().get("L");
-                String came = w.queues().get(peer);
-                World taken = w.queue(peer, host == Host.QUEUES_BEHIND_NEW_MESSAGES ? came + batch : batch + came)
-                        .hold(peer, false)
-                        .say("YES " + offer)
-                        .say("over " + peer);
-                out.add(host == Host.RELEASES_WHAT_IS_HANDED_OFF ? taken.say("RELEASE") : taken);
-                out.add(w.say("NO " + offer));
+            String offer = peer + state.rejectionCount();
+            if (state.batch().equals("offered " + peer)
+                    && state.messages().contains("OFFER " + offer)
+                    && !state.messages().contains("YES " + offer)
+                    && !state.messages().contains("NO " + offer)) {
+                String batch = state.queues().get("L");
+                String peerQueue = state.queues().get(peer);
+                SystemState adopted = state.withQueue(
+                                peer,
+                                host == HostVariant.APPENDS_ADOPTED_MESSAGES ? peerQueue + batch : batch + peerQueue)
+                        .withHold(peer, false)
+                        .withMessage("YES " + offer)
+                        .withMessage("over " + peer);
+                successors.add(host == HostVariant.RELEASES_HOLD_AT_HANDOFF ? adopted.withMessage("RELEASE") : adopted);
+                successors.add(state.withMessage("NO " + offer));
             }
-            if (w.batch().equals("offered " + peer) && w.messages().contains("YES " + offer)) {
-                out.add(w.batch("given").queue("L", ""));
+            if (state.batch().equals("offered " + peer) && state.messages().contains("YES " + offer)) {
+                successors.add(state.withBatch("given").withQueue("L", ""));
             }
-            if (w.batch().equals("offered " + peer) && w.messages().contains("NO " + offer)) {
-                out.add(new World("L", w.queues(), w.holds(), w.messages(), w.done(), w.come(), w.rejections() + 1));
+            if (state.batch().equals("offered " + peer) && state.messages().contains("NO " + offer)) {
+                successors.add(new SystemState(
+                        "L",
+                        state.queues(),
+                        state.holds(),
+                        state.messages(),
+                        state.delivered(),
+                        state.acceptedCount(),
+                        state.rejectionCount() + 1));
             }
         }
         // Whoever has the turn carries out what is first; with the last of the two all are told that the key is free.
         for (String daemon : List.of("L", "A", "B")) {
-            String queue = w.queues().get(daemon);
-            boolean may =
-                    daemon.equals("L") ? w.batch().equals("L") : !w.holds().contains(daemon);
-            if (may && !queue.isEmpty()) {
-                World carried = w.queue(daemon, queue.substring(1));
-                carried = new World(
-                        carried.batch(),
-                        carried.queues(),
-                        carried.holds(),
-                        carried.messages(),
-                        w.done() + queue.charAt(0),
-                        carried.come(),
-                        carried.rejections());
-                out.add(queue.charAt(0) == '2' ? carried.say("RELEASE") : carried);
+            String queue = state.queues().get(daemon);
+            boolean mayDeliver = daemon.equals("L")
+                    ? state.batch().equals("L")
+                    : !state.holds().contains(daemon);
+            if (mayDeliver && !queue.isEmpty()) {
+                SystemState afterDelivery = state.withQueue(daemon, queue.substring(1));
+                afterDelivery = new SystemState(
+                        afterDelivery.batch(),
+                        afterDelivery.queues(),
+                        afterDelivery.holds(),
+                        afterDelivery.messages(),
+                        state.delivered() + queue.charAt(0),
+                        afterDelivery.acceptedCount(),
+                        afterDelivery.rejectionCount());
+                successors.add(queue.charAt(0) == '2' ? afterDelivery.withMessage("RELEASE") : afterDelivery);
             }
         }
-        return out;
+        return successors;
     }
 
-    private int states;
-    private boolean finished;
+    private int stateCount;
+    private boolean allDelivered;
 
     /** What was carried out of order, null where nothing ever is. */
-    private String explore(Host host) {
+    private String explore(HostVariant host) {
         Map<String, String> queues = new TreeMap<>(Map.of("L", "12", "A", "", "B", ""));
-        World first = new World("L", queues, new TreeSet<>(), new TreeSet<>(), "", 2, 0);
-        Set<World> seen = new HashSet<>(Set.of(first));
-        Deque<World> todo = new ArrayDeque<>(seen);
-        while (!todo.isEmpty()) {
-            World world = todo.poll();
-            if (!"1234".startsWith(world.done())) {
-                return world.toString();
+        SystemState initialState = new SystemState("L", queues, new TreeSet<>(), new TreeSet<>(), "", 2, 0);
+        Set<SystemState> seen = new HashSet<>(Set.of(initialState));
+        Deque<SystemState> unexplored = new ArrayDeque<>(seen);
+        while (!unexplored.isEmpty()) {
+            SystemState state = unexplored.poll();
+            if (!"1234".startsWith(state.delivered())) {
+                return state.toString();
             }
-            finished |= world.done().equals("1234");
-            for (World next : next(world, host)) {
-                if (seen.add(next)) {
-                    todo.add(next);
+            allDelivered |= state.delivered().equals("1234");
+            for (SystemState nextState : successors(state, host)) {
+                if (seen.add(nextState)) {
+                    unexplored.add(nextState);
                 }
             }
         }
-        states = seen.size();
+        stateCount = seen.size();
         return null;
     }
 
     @Test
-    void nothingOvertakesThroughAMove() {
-        assertNull(explore(Host.RIGHT));
-        assertTrue(states > 1_000, "only " + states + " states were met");
-        assertTrue(finished, "nothing ever came to its end");
+    void messagesOfKeyStayInOrderThroughHandoff() {
+        assertNull(explore(HostVariant.CORRECT));
+        assertTrue(stateCount > 1_000, "only " + stateCount + " states were met");
+        assertTrue(allDelivered, "nothing ever came to its end");
     }
 
     @Test
-    void eachMutantIsFound() {
-        for (Host mutant : Host.values()) {
-            if (mutant != Host.RIGHT) {
+    void mutantIsDetected() {
+        for (HostVariant mutant : HostVariant.values()) {
+            if (mutant != HostVariant.CORRECT) {
                 assertNotNull(explore(mutant), mutant + " was not found");
             }
         }
--- a/replication/src/main/java/amberroute/replication/Candidacy.java
+++ b/replication/src/main/java/amberroute/replication/Candidacy.java
@@ -57,9 +57,9 @@
 
     /** Whether so many have denied it that it cannot be won any more. */
     public boolean hasLost() {
-        Set<String> possible = new HashSet<>(replicaSet.members());
-        possible.removeAll(deniedBy);
-        return !replicaSet.hasQuorum(possible);
+        Set<String> possibleVoters = new HashSet<>(replicaSet.members());
+        possibleVoters.removeAll(deniedBy);
+        return !replicaSet.hasQuorum(possibleVoters);
     }
 
     /** The least term that could be stood for next. */
@@ -69,10 +69,10 @@
 
     /** Who has not answered yet, and is to be asked again. */
     public Set<String> pendingVoters() {
-        Set<String> pending = new HashSet<>(replicaSet.members());
-        pending.remove(self);
-        pending.removeAll(grantedBy);
-        pending.removeAll(deniedBy);
-        return pending;
+        Set<String> pendingMembers = new HashSet<>(replicaSet.members());
+        pendingMembers.remove(self);
+        pendingMembers.removeAll(grantedBy);
+        pendingMembers.removeAll(deniedBy);
+        return pendingMembers;
     }
 }
--- a/replication/src/main/java/amberroute/replication/ElectionSchedule.java
+++ b/replication/src/main/java/amberroute/replication/ElectionSchedule.java
@@ -38,7 +38,7 @@
      */
     public static List<String> chooseReplicas(
             String self, String zone, int size, List<String> others, UnaryOperator<String> zoneOf) {
-        List<String> ring = ringBehind(self, others);
+        List<String> ring = ringAfter(self, others);
         List<String> chosen = new ArrayList<>(List.of(self));
         Set<String> zones = new HashSet<>(Set.of(zone));
         for (String name : ring) {
@@ -55,16 +55,16 @@
     }
 
     /** The others in the order of names, beginning behind this one. */
-    private static List<String> ringBehind(String self, List<String> others) {
+    private static List<String> ringAfter(String self, List<String> others) {
         List<String> ring = new ArrayList<>(others);
         ring.remove(self);
         ring.sort((left, right) -> {
-            boolean leftIsBehind = left.compareTo(self) > 0;
-            boolean rightIsBehind = right.compareTo(self) > 0;
-            if (leftIsBehind == rightIsBehind) {
+            boolean leftIsAfterSelf = left.compareTo(self) > 0;
+            boolean rightIsAfterSelf = right.compareTo(self) > 0;
+            if (leftIsAfterSelf == rightIsAfterSelf) {
                 return left.compareTo(right);
             }
-            return leftIsBehind ? -1 : 1;
+            return leftIsAfterSelf ? -1 : 1;
         });
         return ring;
     }
--- a/replication/src/main/java/amberroute/replication/LeaderTerm.java
+++ b/replication/src/main/java/amberroute/replication/LeaderTerm.java
@@ -12,7 +12,7 @@
  * snapshot. Changes of the replica set are records like others; the next one waits until the last is committed. Not thread-safe.
  */
 public final class LeaderTerm {
-    private static final long NOTHING = -1;
+    private static final long NO_INDEX = -1;
 
     private final String self;
     private final long term;
@@ -85,19 +85,19 @@
         if (member.equals(self)) {
             return 0;
         }
-        Long acknowledged = acknowledgedIndexByMember.get(member);
-        return acknowledged == null ? NOTHING : lastIndex - acknowledged;
+        Long acknowledgedIndex = acknowledgedIndexByMember.get(member);
+        return acknowledgedIndex == null ? NO_INDEX : lastIndex - acknowledgedIndex;
     }
 
     /** The highest index up to which a quorum has all; -1 where none has anything of this term, and after its end. */
     public long commitIndex() {
         List<Long> indexes = replicaSet.members().stream()
                 .map(member ->
-                        member.equals(self) ? lastIndex : acknowledgedIndexByMember.getOrDefault(member, NOTHING))
+                        member.equals(self) ? lastIndex : acknowledgedIndexByMember.getOrDefault(member, NO_INDEX))
                 .sorted()
                 .toList();
         // Of n members sorted upwards, more than half are at or above this one.
-        return indexes.isEmpty() || ended ? NOTHING : indexes.get((indexes.size() - 1) / 2);
+        return indexes.isEmpty() || ended ? NO_INDEX : indexes.get((indexes.size() - 1) / 2);
     }
 
     /** Somebody has a later term: nothing more is committed. */
--- a/replication/src/main/java/amberroute/replication/ReplicaSet.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSet.java
@@ -28,15 +28,15 @@
 
     /** The next version with one more. */
     public ReplicaSet withMember(String name) {
-        List<String> more = new ArrayList<>(members);
-        more.add(name);
-        return new ReplicaSet(version + 1, more);
+        List<String> newMembers = new ArrayList<>(members);
+        newMembers.add(name);
+        return new ReplicaSet(version + 1, newMembers);
     }
 
     /** The next version without one. */
     public ReplicaSet withoutMember(String name) {
-        List<String> fewer =
+        List<String> newMembers =
                 members.stream().filter(member -> !member.equals(name)).toList();
-        return new ReplicaSet(version + 1, fewer);
+        return new ReplicaSet(version + 1, newMembers);
     }
 }
--- a/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
@@ -41,13 +41,13 @@
             List<String> alive,
             UnaryOperator<String> zoneOf) {}
 
-    private static final String NOBODY = "";
+    private static final String NO_MEMBER = "";
 
     private final String self;
     private final int targetSize;
     private final long replaceAfterNanos;
     private final Map<String, Long> failedSinceNanos = new HashMap<>();
-    private String learner = NOBODY;
+    private String learner = NO_MEMBER;
 
     /** A replica set of so many; a member that has failed for longer than {@code replaceAfterNanos} is replaced. */
     public ReplicaSetChange(String self, int targetSize, long replaceAfterNanos) {
@@ -57,51 +57,51 @@
     }
 
     /** The next step for a replica set whose last change is committed. */
-    public Step nextStep(long now, ReplicaSet replicaSet, View view) {
+    public Step nextStep(long nowNanos, ReplicaSet replicaSet, View view) {
         List<String> others = replicaSet.members().stream()
                 .filter(member -> !member.equals(self))
                 .toList();
-        trackFailures(now, others, view);
-        String failed = others.stream()
-                .filter(member -> hasFailedForLong(now, member))
+        trackFailures(nowNanos, others, view);
+        String failedMember = others.stream()
+                .filter(member -> hasExceededReplaceDelay(nowNanos, member))
                 .findFirst()
-                .orElse(NOBODY);
-        String withoutState =
-                others.stream().filter(view.hasLostState()).findFirst().orElse(NOBODY);
+                .orElse(NO_MEMBER);
+        String memberWithoutState =
+                others.stream().filter(view.hasLostState()).findFirst().orElse(NO_MEMBER);
         int size = replicaSet.members().size();
-        if (!withoutState.isEmpty() && others.size() > 1) {
-            return new Step(Kind.REMOVE, withoutState);
+        if (!memberWithoutState.isEmpty() && others.size() > 1) {
+            return new Step(Kind.REMOVE, memberWithoutState);
         }
-        if (!failed.isEmpty() && size > targetSize) {
-            return new Step(Kind.REMOVE, failed);
+        if (!failedMember.isEmpty() && size > targetSize) {
+            return new Step(Kind.REMOVE, failedMember);
         }
         if (!learner.isEmpty()
                 && (view.hasFailed().test(learner) || replicaSet.members().contains(learner))) {
-            learner = NOBODY;
+            learner = NO_MEMBER;
         }
-        if (size > targetSize || failed.isEmpty() && size == targetSize) {
+        if (size > targetSize || failedMember.isEmpty() && size == targetSize) {
             return Step.NONE;
         }
-        return stepOfLearner(replicaSet, view);
+        return nextLearnerStep(replicaSet, view);
     }
 
-    private void trackFailures(long now, List<String> others, View view) {
+    private void trackFailures(long nowNanos, List<String> others, View view) {
         failedSinceNanos.keySet().retainAll(others);
         for (String member : others) {
             if (view.hasFailed().test(member)) {
-                failedSinceNanos.putIfAbsent(member, now);
+                failedSinceNanos.putIfAbsent(member, nowNanos);
             } else {
                 failedSinceNanos.remove(member);
             }
         }
     }
 
-    private boolean hasFailedForLong(long now, String member) {
-        return failedSinceNanos.containsKey(member) && now - failedSinceNanos.get(member) > replaceAfterNanos;
+    private boolean hasExceededReplaceDelay(long nowNanos, String member) {
+        return failedSinceNanos.containsKey(member) && nowNanos - failedSinceNanos.get(member) > replaceAfterNanos;
     }
 
     /** Chooses a learner where there is none, and adds it once it has caught up. */
-    private Step stepOfLearner(ReplicaSet replicaSet, View view) {
+    private Step nextLearnerStep(ReplicaSet replicaSet, View view) {
         if (!learner.isEmpty()) {
             return view.isCaughtUp().test(learner) ? new Step(Kind.ADD, learner) : Step.NONE;
         }
--- a/replication/src/main/java/amberroute/replication/ReplicaState.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaState.java
@@ -48,8 +48,8 @@
      * back: what it promised since is gone, as with one that comes without any.
      */
     public ReplicaState withAcknowledged(long leaderTerm, String leader, long acknowledgedIndex) {
-        boolean kept = logPosition.compareTo(new LogPosition(leaderTerm, acknowledgedIndex)) >= 0;
-        return isStale(leaderTerm, leader) || kept || acknowledgedIndex <= 0
+        boolean hasAcknowledgedRecords = logPosition.compareTo(new LogPosition(leaderTerm, acknowledgedIndex)) >= 0;
+        return isStale(leaderTerm, leader) || hasAcknowledgedRecords || acknowledgedIndex <= 0
                 ? this
                 : new ReplicaState(leaderTerm, leader, LogPosition.NONE, LISTED_WITHOUT_STATE);
     }
@@ -90,8 +90,9 @@
      * right there the result is this very state: it needs a snapshot.
      */
     public ReplicaState onAppend(long leaderTerm, String leader, long previousIndex, long lastIndex) {
-        boolean follows = logPosition.equals(new LogPosition(leaderTerm, previousIndex)) && lastIndex >= previousIndex;
-        return isStale(leaderTerm, leader) || !follows
+        boolean isContiguous =
+                logPosition.equals(new LogPosition(leaderTerm, previousIndex)) && lastIndex >= previousIndex;
+        return isStale(leaderTerm, leader) || !isContiguous
                 ? this
                 : new ReplicaState(leaderTerm, leader, new LogPosition(leaderTerm, lastIndex), nonVotingStage);
     }
@@ -105,18 +106,18 @@
         if (isStale(leaderTerm, leader) || position.compareTo(logPosition) < 0) {
             return this;
         }
-        int stageOfUnknown = isMember ? LISTED_WITHOUT_STATE : LEARNER;
-        return new ReplicaState(leaderTerm, leader, position, term > 0 ? nonVotingStage : stageOfUnknown);
+        int stageOfNewReplica = isMember ? LISTED_WITHOUT_STATE : LEARNER;
+        return new ReplicaState(leaderTerm, leader, position, term > 0 ? nonVotingStage : stageOfNewReplica);
     }
 
     /** The replica set of the copy that it has now names this replica, or does not. */
     public ReplicaState onReplicaSet(boolean isMember) {
-        int next = nonVotingStage;
+        int nextStage = nonVotingStage;
         if (isMember && nonVotingStage == LEARNER) {
-            next = VOTER;
+            nextStage = VOTER;
         } else if (!isMember && nonVotingStage == LISTED_WITHOUT_STATE) {
-            next = LEARNER;
+            nextStage = LEARNER;
         }
-        return next == nonVotingStage ? this : new ReplicaState(term, owner, logPosition, next);
+        return nextStage == nonVotingStage ? this : new ReplicaState(term, owner, logPosition, nextStage);
     }
 }
--- a/replication/src/test/java/amberroute/replication/ElectionScheduleTest.java
+++ b/replication/src/test/java/amberroute/replication/ElectionScheduleTest.java
@@ -15,21 +15,23 @@
 /** When to try, who is to hold, and how holders are counted. */
 class ElectionScheduleTest {
     @Test
-    void holdersStandInDifferentZonesAndEachHoldsForAboutAsMany() {
+    void replicasAreInDifferentZonesAndEvenlySpread() {
         List<String> names = new ArrayList<>();
         for (int i = 10; i < 40; i++) {
             names.add("s" + i);
         }
-        Map<String, Integer> holds = new HashMap<>();
+        Map<String, Integer> replicaCountByName = new HashMap<>();
         for (String name : names) {
-            List<String> group =
+            List<String> replicas =
                     ElectionSchedule.chooseReplicas(name, zone(name), 3, names, ElectionScheduleTest::zone);
-            assertEquals(name, group.get(0));
+            assertEquals(name, replicas.get(0));
             assertEquals(
-                    3, group.stream().map(ElectionScheduleTest::zone).distinct().count(), group.toString());
-            group.forEach(h -> holds.merge(h, 1, Integer::sum));
+                    3,
+                    replicas.stream().map(ElectionScheduleTest::zone).distinct().count(),
+                    replicas.toString());
+            replicas.forEach(replica -> replicaCountByName.merge(replica, 1, Integer::sum));
         }
-        assertTrue(holds.values().stream().allMatch(n -> n >= 2 && n <= 4), holds.toString());
+        assertTrue(replicaCountByName.values().stream().allMatch(n -> n >= 2 && n <= 4), replicaCountByName.toString());
     }
 
     private static String zone(String name) {
@@ -37,14 +39,14 @@
     }
 
     @Test
-    void withFewZonesOrFewPeersAsManyAsThereAre() {
+    void fewZonesOrPeersGiveAllAvailableReplicas() {
         assertEquals(
                 List.of("b", "c", "a"), ElectionSchedule.chooseReplicas("b", "", 3, List.of("a", "b", "c"), n -> ""));
         assertEquals(List.of("b", "c"), ElectionSchedule.chooseReplicas("b", "", 3, List.of("c"), n -> ""));
     }
 
     @Test
-    void anOwnerThatIsHeardIsLeftAlone() {
+    void electionStartsOnlyAfterSilenceOfLeader() {
         assertFalse(ElectionSchedule.shouldStartElection(new ElectionSchedule.OwnerObservation(false, true, 5), 6, 12));
         assertTrue(ElectionSchedule.shouldStartElection(new ElectionSchedule.OwnerObservation(false, true, 6), 6, 12));
         assertFalse(
@@ -55,48 +57,49 @@
     }
 
     @Test
-    void whatAMajorityHasIsAgreedOnAndAChangeOfTheGroupWaitsForTheLast() {
-        LeaderTerm tenure = new LeaderTerm("a", 3, 10, new ReplicaSet(0, List.of("a", "b", "c")));
-        assertEquals(-1, tenure.commitIndex());
-        assertEquals(11, tenure.appended());
-        tenure.acknowledged("b", 10);
-        assertEquals(10, tenure.commitIndex());
-        tenure.acknowledged("c", 11);
-        assertEquals(11, tenure.commitIndex());
-        tenure.acknowledgementLost("c");
-        assertEquals(-1, tenure.replicationLag("c"));
-        assertEquals(1, tenure.replicationLag("b"));
+    void recordsOfQuorumAreCommittedAndReplicaSetChangeWaitsForPrevious() {
+        LeaderTerm leaderTerm = new LeaderTerm("a", 3, 10, new ReplicaSet(0, List.of("a", "b", "c")));
+        assertEquals(-1, leaderTerm.commitIndex());
+        assertEquals(11, leaderTerm.appended());
+        leaderTerm.acknowledged("b", 10);
+        assertEquals(10, leaderTerm.commitIndex());
+        leaderTerm.acknowledged("c", 11);
+        assertEquals(11, leaderTerm.commitIndex());
+        leaderTerm.acknowledgementLost("c");
+        assertEquals(-1, leaderTerm.replicationLag("c"));
+        assertEquals(1, leaderTerm.replicationLag("b"));
         // A number that was never written is nobody's.
-        tenure.acknowledged("b", 99);
-        assertEquals(10, tenure.commitIndex());
-        tenure.acknowledged("b", 11);
-        tenure.appended();
-        tenure.replicaSetChanged(tenure.replicaSet().withMember("d"));
-        assertFalse(tenure.isReplicaSetCommitted());
+        leaderTerm.acknowledged("b", 99);
+        assertEquals(10, leaderTerm.commitIndex());
+        leaderTerm.acknowledged("b", 11);
+        leaderTerm.appended();
+        leaderTerm.replicaSetChanged(leaderTerm.replicaSet().withMember("d"));
+        assertFalse(leaderTerm.isReplicaSetCommitted());
         assertThrows(
                 IllegalStateException.class,
-                () -> tenure.replicaSetChanged(tenure.replicaSet().withoutMember("c")));
-        tenure.acknowledged("b", 12);
-        assertFalse(tenure.isReplicaSetCommitted());
-        tenure.acknowledged("d", 12);
-        assertTrue(tenure.isReplicaSetCommitted());
-        tenure.end();
-        assertEquals(-1, tenure.commitIndex());
+                () -> leaderTerm.replicaSetChanged(leaderTerm.replicaSet().withoutMember("c")));
+        leaderTerm.acknowledged("b", 12);
+        assertFalse(leaderTerm.isReplicaSetCommitted());
+        leaderTerm.acknowledged("d", 12);
+        assertTrue(leaderTerm.isReplicaSetCommitted());
+        leaderTerm.end();
+        assertEquals(-1, leaderTerm.commitIndex());
     }
 
     @Test
-    void aClaimIsWonByAMajorityAndLostWhereNoneIsLeft() {
-        ReplicaState own = new ReplicaState(2, "b", new LogPosition(1, 7)).onVoteRequest(3, "a", new LogPosition(1, 7));
-        Candidacy claim = new Candidacy("a", new ReplicaSet(0, List.of("a", "b", "c")), own);
-        assertEquals(Set.of("b", "c"), claim.pendingVoters());
-        claim.onVote("x", 3, true, 3);
-        claim.onVote("b", 2, true, 3);
-        assertFalse(claim.hasWon());
-        claim.onVote("b", 3, false, 8);
-        assertFalse(claim.hasLost());
-        claim.onVote("c", 3, false, 3);
-        assertTrue(claim.hasLost());
-        assertEquals(9, claim.nextTerm());
-        assertThrows(IllegalArgumentException.class, () -> new Candidacy("c", claim.replicaSet(), own));
+    void candidacyIsWonByQuorumAndLostWhenNoneIsPossible() {
+        ReplicaState ownState =
+                new ReplicaState(2, "b", new LogPosition(1, 7)).onVoteRequest(3, "a", new LogPosition(1, 7));
+        Candidacy candidacy = new Candidacy("a", new ReplicaSet(0, List.of("a", "b", "c")), ownState);
+        assertEquals(Set.of("b", "c"), candidacy.pendingVoters());
+        candidacy.onVote("x", 3, true, 3);
+        candidacy.onVote("b", 2, true, 3);
+        assertFalse(candidacy.hasWon());
+        candidacy.onVote("b", 3, false, 8);
+        assertFalse(candidacy.hasLost());
+        candidacy.onVote("c", 3, false, 3);
+        assertTrue(candidacy.hasLost());
+        assertEquals(9, candidacy.nextTerm());
+        assertThrows(IllegalArgumentException.class, () -> new Candidacy("c", candidacy.replicaSet(), ownState));
     }
 }
--- a/replication/src/test/java/amberroute/replication/ExplorationTest.java
+++ b/replication/src/test/java/amberroute/replication/ExplorationTest.java
@@ -28,23 +28,23 @@
  */
 class ExplorationTest {
     /** How the hosts behave; each mutant does one thing wrong and has to be found. */
-    enum Host {
+    enum HostVariant {
         RIGHT,
         GRANTS_TWICE,
-        COPIES_AFTER_GRANT,
-        EFFECT_BEFORE_COPY,
-        GRANTS_TO_SHORTER,
-        FORGETS_GRANTS,
+        ACCEPTS_STALE_RECORDS,
+        EFFECT_BEFORE_COMMIT,
+        GRANTS_TO_OUTDATED_CANDIDATE,
+        LOSES_GRANTS,
         COUNTS_EARLIER_TERMS,
         SWAPS_MEMBERS,
-        EMPTY_FOLDER_GRANTS,
-        EMPTY_FOLDER_COUNTS
+        GRANTS_WITHOUT_STATE,
+        COUNTS_REPLICA_WITHOUT_STATE
     }
 
     private enum Kind {
-        ASK,
-        GRANT,
-        COPY
+        VOTE_REQUEST,
+        VOTE,
+        APPEND
     }
 
     /** {@code log} are the changes up to the message's position, or what the asker has. */
@@ -52,37 +52,37 @@
             Kind kind, String from, String to, LogPosition position, List<String> log, ReplicaSet replicaSet) {}
 
     /** What one process has in memory: a candidacy (granted by these) or a leader term (held by these), or neither. */
-    private record Role(long term, boolean owner, Set<String> granted, Map<String, Long> has) {}
+    private record Role(long term, boolean isLeader, Set<String> grantedBy, Map<String, Long> acknowledgedIndexes) {}
 
     private record Daemon(ReplicaState state, List<String> log, ReplicaSet replicaSet, Role role) {
-        Daemon with(ReplicaState next, List<String> changes, ReplicaSet now) {
-            return new Daemon(next, changes, now, role);
+        Daemon with(ReplicaState newState, List<String> newLog, ReplicaSet newReplicaSet) {
+            return new Daemon(newState, newLog, newReplicaSet, role);
         }
 
-        Daemon as(Role next) {
-            return new Daemon(state, log, replicaSet, next);
+        Daemon withRole(Role newRole) {
+            return new Daemon(state, log, replicaSet, newRole);
         }
     }
 
-    private static final class World {
+    private static final class SystemState {
         private final Map<String, Daemon> daemons;
         private final Set<Message> messages;
         private final Set<String> effects;
         /** Sets and maps do not keep theirs. */
         private final int hash;
 
-        private final boolean forgot;
+        private final boolean stateLost;
 
-        World(Map<String, Daemon> daemons, Set<Message> messages, Set<String> effects, boolean forgot) {
-            this.forgot = forgot;
+        SystemState(Map<String, Daemon> daemons, Set<Message> messages, Set<String> effects, boolean stateLost) {
+            this.stateLost = stateLost;
             this.daemons = daemons;
             this.messages = messages;
             this.effects = effects;
-            hash = java.util.Objects.hash(daemons, messages, effects, forgot);
+            hash = java.util.Objects.hash(daemons, messages, effects, stateLost);
         }
 
-        boolean forgot() {
-            return forgot;
+        boolean stateLost() {
+            return stateLost;
         }
 
         Map<String, Daemon> daemons() {
@@ -104,12 +104,12 @@
 
         @Override
         public boolean equals(Object o) {
-            return o instanceof World w
-                    && w.hash == hash
-                    && w.forgot == forgot
-                    && w.daemons.equals(daemons)
-                    && w.messages.equals(messages)
-                    && w.effects.equals(effects);
+            return o instanceof SystemState other
+                    && other.hash == hash
+                    && other.stateLost == stateLost
+                    && other.daemons.equals(daemons)
+                    && other.messages.equals(messages)
+                    && other.effects.equals(effects);
         }
 
         @Override
@@ -117,239 +117,274 @@
             return daemons + " effects " + effects;
         }
 
-        World with(String name, Daemon daemon, List<Message> more) {
+        SystemState with(String name, Daemon daemon, List<Message> newMessages) {
             Map<String, Daemon> changed = new TreeMap<>(daemons);
             changed.put(name, daemon);
-            Set<Message> all = messages;
-            if (!more.isEmpty()) {
-                all = new HashSet<>(messages);
-                all.addAll(more);
+            Set<Message> allMessages = messages;
+            if (!newMessages.isEmpty()) {
+                allMessages = new HashSet<>(messages);
+                allMessages.addAll(newMessages);
             }
-            return new World(changed, all, effects, forgot);
+            return new SystemState(changed, allMessages, effects, stateLost);
         }
     }
 
     private final class Exploration {
-        private final Host host;
-        private final long terms;
-        private final int changes;
+        private final HostVariant host;
+        private final long maxTerms;
+        private final int maxRecords;
         private final boolean changesReplicaSet;
-        private int states;
-        private int effectsSeen;
+        private int stateCount;
+        private int maxEffectCount;
 
-        Exploration(Host host, long terms, int changes, boolean changesReplicaSet) {
+        Exploration(HostVariant host, long maxTerms, int maxRecords, boolean changesReplicaSet) {
             this.host = host;
-            this.terms = terms;
-            this.changes = changes;
+            this.maxTerms = maxTerms;
+            this.maxRecords = maxRecords;
             this.changesReplicaSet = changesReplicaSet;
         }
 
-        private List<World> next(World world) {
-            List<World> out = new ArrayList<>();
-            world.daemons().forEach((name, d) -> {
-                standForElection(out, world, name, d);
-                forget(out, world, name, d);
-                if (d.role() != null) {
-                    own(out, world, name, d);
+        private List<SystemState> successors(SystemState state) {
+            List<SystemState> successors = new ArrayList<>();
+            state.daemons().forEach((name, daemon) -> {
+                standForElection(successors, state, name, daemon);
+                loseState(successors, state, name, daemon);
+                if (daemon.role() != null) {
+                    actAsLeader(successors, state, name, daemon);
                 }
             });
-            for (Message w : world.messages()) {
-                Daemon d = world.daemons().get(w.to());
-                receive(out, world, w, d);
+            for (Message message : state.messages()) {
+                Daemon daemon = state.daemons().get(message.to());
+                onMessage(successors, state, message, daemon);
             }
-            return out;
+            return successors;
         }
 
         /** A member's folder is gone, once in a walk: it comes back with nothing. */
-        private void forget(List<World> out, World world, String name, Daemon d) {
+        private void loseState(List<SystemState> successors, SystemState state, String name, Daemon daemon) {
             // B is as C.
-            if (!world.forgot() && d.role() == null && !changesReplicaSet && name.equals("C")) {
-                World after =
-                        world.with(name, new Daemon(ReplicaState.NONE, List.of(), d.replicaSet(), null), List.of());
-                out.add(new World(after.daemons(), after.messages(), after.effects(), true));
+            if (!state.stateLost() && daemon.role() == null && !changesReplicaSet && name.equals("C")) {
+                SystemState nextState = state.with(
+                        name, new Daemon(ReplicaState.NONE, List.of(), daemon.replicaSet(), null), List.of());
+                successors.add(new SystemState(nextState.daemons(), nextState.messages(), nextState.effects(), true));
             }
         }
 
-        private void standForElection(List<World> out, World world, String name, Daemon d) {
-            long term = d.state().term() + 1;
-            ReplicaState own = d.state().onVoteRequest(term, name, d.state().logPosition());
+        private void standForElection(List<SystemState> successors, SystemState state, String name, Daemon daemon) {
+            long term = daemon.state().term() + 1;
+            ReplicaState ownState =
+                    daemon.state().onVoteRequest(term, name, daemon.state().logPosition());
             // With changes of the replica set B is as C, and A would stand with what it has: that keeps their walk
             // within its
             // bound.
-            if (!own.hasGranted(term, name)) {
+            if (!ownState.hasGranted(term, name)) {
                 return;
             }
-            if (term > terms
+            if (term > maxTerms
                     || changesReplicaSet && (name.equals("A") || name.equals("B"))
-                    || !d.replicaSet().members().contains(name)
-                    || d.state().logPosition().index() == 0) {
+                    || !daemon.replicaSet().members().contains(name)
+                    || daemon.state().logPosition().index() == 0) {
                 return;
             }
-            List<Message> asks = new ArrayList<>();
-            for (String member : d.replicaSet().members()) {
+            List<Message> voteRequests = new ArrayList<>();
+            for (String member : daemon.replicaSet().members()) {
                 if (!member.equals(name)) {
-                    asks.add(new Message(
-                            Kind.ASK,
+                    voteRequests.add(new Message(
+                            Kind.VOTE_REQUEST,
                             name,
                             member,
                             new LogPosition(term, 0),
-                            List.of(d.state().logPosition().toString()),
+                            List.of(daemon.state().logPosition().toString()),
                             null));
                 }
             }
-            Daemon candidate = d.with(own, d.log(), d.replicaSet()).as(new Role(term, false, Set.of(name), Map.of()));
+            Daemon candidate = daemon.with(ownState, daemon.log(), daemon.replicaSet())
+                    .withRole(new Role(term, false, Set.of(name), Map.of()));
             // That none of them arrives is among what follows.
-            out.add(world.with(name, candidate, asks));
+            successors.add(state.with(name, candidate, voteRequests));
         }
 
         /** What an owner may do: write a change, change the replica set. */
-        private void own(List<World> out, World world, String name, Daemon d) {
-            Role role = d.role();
-            if (!role.owner() || d.state().isStale(role.term(), name)) {
+        private void actAsLeader(List<SystemState> successors, SystemState state, String name, Daemon daemon) {
+            Role role = daemon.role();
+            if (!role.isLeader() || daemon.state().isStale(role.term(), name)) {
                 return;
             }
-            if (d.log().size() < changes) {
-                out.add(write(world, name, d, role.term() + "." + (d.log().size() + 1), d.replicaSet()));
+            if (daemon.log().size() < maxRecords) {
+                successors.add(append(
+                        state, name, daemon, role.term() + "." + (daemon.log().size() + 1), daemon.replicaSet()));
             }
-            LeaderTerm leaderTerm = leaderTerm(name, d);
+            LeaderTerm leaderTerm = leaderTerm(name, daemon);
             if (changesReplicaSet && leaderTerm.isReplicaSetCommitted()) {
-                Set<String> others = new TreeSet<>(world.daemons().keySet());
-                others.removeAll(d.replicaSet().members());
+                Set<String> others = new TreeSet<>(state.daemons().keySet());
+                others.removeAll(daemon.replicaSet().members());
                 for (String other : others) {
-                    if (d.replicaSet().members().size() == 3 && d.replicaSet().version() < 2) {
-                        ReplicaSet next = d.replicaSet().withMember(other);
-                        if (host == Host.SWAPS_MEMBERS) {
-                            String out1 = d.replicaSet().members().stream()
-                                    .filter(h -> !h.equals(name))
+                    if (daemon.replicaSet().members().size() == 3
+                            && daemon.replicaSet().version() < 2) {
+                        ReplicaSet next = daemon.replicaSet().withMember(other);
+                        if (host == HostVariant.SWAPS_MEMBERS) {
+                            String removedMember = daemon.replicaSet().members().stream()
+                                    .filter(member -> !member.equals(name))
                                     .findFirst()
                                     .orElseThrow();
                             next = new ReplicaSet(
-                                    next.version(), next.withoutMember(out1).members());
+                                    next.version(),
+                                    next.withoutMember(removedMember).members());
                         }
-                        out.add(write(
-                                world, name, d, role.term() + ".g" + (d.log().size() + 1), next));
+                        successors.add(append(
+                                state,
+                                name,
+                                daemon,
+                                role.term() + ".g" + (daemon.log().size() + 1),
+                                next));
                     }
                 }
-                if (d.replicaSet().members().size() == 4) {
-                    for (String member : d.replicaSet().members()) {
+                if (daemon.replicaSet().members().size() == 4) {
+                    for (String member : daemon.replicaSet().members()) {
                         if (!member.equals(name)) {
-                            out.add(write(
-                                    world,
+                            successors.add(append(
+                                    state,
                                     name,
-                                    d,
-                                    role.term() + ".g" + (d.log().size() + 1),
-                                    d.replicaSet().withoutMember(member)));
+                                    daemon,
+                                    role.term() + ".g" + (daemon.log().size() + 1),
+                                    daemon.replicaSet().withoutMember(member)));
                         }
                     }
                 }
             }
         }
 
-        private World write(World world, String name, Daemon d, String change, ReplicaSet replicaSet) {
-            Role role = d.role();
-            List<String> log = new ArrayList<>(d.log());
-            log.add(change);
-            long number = log.size();
-            ReplicaState next = d.state().onAppend(role.term(), name, number - 1, number);
+        private SystemState append(
+                SystemState state, String name, Daemon daemon, String record, ReplicaSet replicaSet) {
+            Role role = daemon.role();
+            List<String> log = new ArrayList<>(daemon.log());
+            log.add(record);
+            long index = log.size();
+            ReplicaState next = daemon.state().onAppend(role.term(), name, index - 1, index);
             List<Message> messages = new ArrayList<>();
-            for (String member : world.daemons().keySet()) {
+            for (String member : state.daemons().keySet()) {
                 if (!member.equals(name)) {
                     messages.add(
-                            new Message(Kind.COPY, name, member, next.logPosition(), List.copyOf(log), replicaSet));
+                            new Message(Kind.APPEND, name, member, next.logPosition(), List.copyOf(log), replicaSet));
                 }
             }
-            return world.with(name, d.with(next, List.copyOf(log), replicaSet), messages);
+            return state.with(name, daemon.with(next, List.copyOf(log), replicaSet), messages);
         }
 
-        private void receive(List<World> out, World world, Message w, Daemon d) {
-            long term = w.position().term();
-            switch (w.kind()) {
-                case ASK -> {
-                    LogPosition theirs = host == Host.GRANTS_TO_SHORTER
+        private void onMessage(List<SystemState> successors, SystemState state, Message message, Daemon daemon) {
+            long term = message.position().term();
+            switch (message.kind()) {
+                case VOTE_REQUEST -> {
+                    LogPosition candidatePosition = host == HostVariant.GRANTS_TO_OUTDATED_CANDIDATE
                             ? new LogPosition(Long.MAX_VALUE, 0)
-                            : position(w.log().get(0));
-                    ReplicaState next = d.state().onVoteRequest(term, w.from(), theirs);
-                    if (host == Host.EMPTY_FOLDER_GRANTS && d.state().term() == 0) {
-                        next = new ReplicaState(term, w.from(), LogPosition.NONE);
+                            : position(message.log().get(0));
+                    ReplicaState next = daemon.state().onVoteRequest(term, message.from(), candidatePosition);
+                    if (host == HostVariant.GRANTS_WITHOUT_STATE
+                            && daemon.state().term() == 0) {
+                        next = new ReplicaState(term, message.from(), LogPosition.NONE);
                     }
-                    boolean yes = next.hasGranted(term, w.from())
-                            || host == Host.GRANTS_TWICE
+                    boolean granted = next.hasGranted(term, message.from())
+                            || host == HostVariant.GRANTS_TWICE
                                     && next.term() == term
-                                    && theirs.compareTo(next.logPosition()) >= 0;
-                    if (yes) {
-                        Daemon written = host == Host.FORGETS_GRANTS ? d : d.with(next, d.log(), d.replicaSet());
-                        out.add(world.with(
-                                w.to(),
-                                written,
+                                    && candidatePosition.compareTo(next.logPosition()) >= 0;
+                    if (granted) {
+                        Daemon newDaemon = host == HostVariant.LOSES_GRANTS
+                                ? daemon
+                                : daemon.with(next, daemon.log(), daemon.replicaSet());
+                        successors.add(state.with(
+                                message.to(),
+                                newDaemon,
                                 List.of(new Message(
-                                        Kind.GRANT, w.to(), w.from(), new LogPosition(term, 0), List.of(), null))));
+                                        Kind.VOTE,
+                                        message.to(),
+                                        message.from(),
+                                        new LogPosition(term, 0),
+                                        List.of(),
+                                        null))));
                     }
                 }
-                case GRANT -> {
-                    Role role = d.role();
+                case VOTE -> {
+                    Role role = daemon.role();
                     if (role == null
-                            || role.owner()
+                            || role.isLeader()
                             || role.term() != term
-                            || d.state().isStale(term, w.to())) {
+                            || daemon.state().isStale(term, message.to())) {
                         return;
                     }
-                    Candidacy candidacy = new Candidacy(w.to(), d.replicaSet(), d.state());
-                    role.granted().forEach(from -> candidacy.onVote(from, term, true, term));
-                    candidacy.onVote(w.from(), term, true, term);
+                    Candidacy candidacy = new Candidacy(message.to(), daemon.replicaSet(), daemon.state());
+                    role.grantedBy().forEach(from -> candidacy.onVote(from, term, true, term));
+                    candidacy.onVote(message.from(), term, true, term);
                     if (candidacy.hasWon()) {
-                        ReplicaState begun =
-                                d.state().onSnapshot(term, w.to(), d.log().size(), true);
+                        ReplicaState stateWithSnapshot = daemon.state()
+                                .onSnapshot(term, message.to(), daemon.log().size(), true);
                         List<Message> messages = new ArrayList<>();
-                        for (String member : world.daemons().keySet()) {
-                            if (!member.equals(w.to())) {
+                        for (String member : state.daemons().keySet()) {
+                            if (!member.equals(message.to())) {
                                 messages.add(new Message(
-                                        Kind.COPY, w.to(), member, begun.logPosition(), d.log(), d.replicaSet()));
+                                        Kind.APPEND,
+                                        message.to(),
+                                        member,
+                                        stateWithSnapshot.logPosition(),
+                                        daemon.log(),
+                                        daemon.replicaSet()));
                             }
                         }
-                        out.add(world.with(
-                                w.to(),
-                                d.with(begun, d.log(), d.replicaSet()).as(new Role(term, true, Set.of(), Map.of())),
+                        successors.add(state.with(
+                                message.to(),
+                                daemon.with(stateWithSnapshot, daemon.log(), daemon.replicaSet())
+                                        .withRole(new Role(term, true, Set.of(), Map.of())),
                                 messages));
                     } else {
-                        Set<String> granted = new TreeSet<>(role.granted());
-                        granted.add(w.from());
-                        out.add(world.with(w.to(), d.as(new Role(term, false, granted, Map.of())), List.of()));
+                        Set<String> grantedBy = new TreeSet<>(role.grantedBy());
+                        grantedBy.add(message.from());
+                        successors.add(state.with(
+                                message.to(), daemon.withRole(new Role(term, false, grantedBy, Map.of())), List.of()));
                     }
                 }
                     // The snapshot does all that the last change alone does, and more: that is looked at here as well.
-                case COPY -> {
-                    boolean late =
-                            host == Host.COPIES_AFTER_GRANT && term < d.state().term();
-                    ReplicaState at = late
+                case APPEND -> {
+                    boolean acceptsStale = host == HostVariant.ACCEPTS_STALE_RECORDS
+                            && term < daemon.state().term();
+                    ReplicaState replica = acceptsStale
                             ? new ReplicaState(
                                     term,
-                                    w.from(),
-                                    d.state().logPosition(),
-                                    d.state().nonVotingStage())
-                            : d.state();
-                    long number = w.position().index();
-                    boolean in = w.replicaSet().members().contains(w.to());
-                    ReplicaState next =
-                            at.onSnapshot(term, w.from(), number, in).onReplicaSet(in);
-                    ReplicaState alone = at.onAppend(term, w.from(), number - 1, number);
-                    assertTrue(alone == at || alone.logPosition().equals(next.logPosition()), () -> at + " takes " + w);
-                    if (next.equals(at)) {
+                                    message.from(),
+                                    daemon.state().logPosition(),
+                                    daemon.state().nonVotingStage())
+                            : daemon.state();
+                    long index = message.position().index();
+                    boolean isMember = message.replicaSet().members().contains(message.to());
+                    ReplicaState next = replica.onSnapshot(term, message.from(), index, isMember)
+                            .onReplicaSet(isMember);
+                    ReplicaState afterAppend = replica.onAppend(term, message.from(), index - 1, index);
+                    assertTrue(
+                            afterAppend == replica || afterAppend.logPosition().equals(next.logPosition()),
+                            () -> replica + " takes " + message);
+                    if (next.equals(replica)) {
                         return;
                     }
-                    if (late) {
+                    if (acceptsStale) {
                         next = new ReplicaState(
-                                d.state().term(), d.state().owner(), next.logPosition(), next.nonVotingStage());
+                                daemon.state().term(),
+                                daemon.state().owner(),
+                                next.logPosition(),
+                                next.nonVotingStage());
                     }
-                    World after = world.with(w.to(), d.with(next, w.log(), w.replicaSet()), List.of());
-                    out.add(after);
-                    Daemon owner = after.daemons().get(w.from());
-                    if ((next.isVoter() || host == Host.EMPTY_FOLDER_COUNTS)
-                            && owner.role() != null
-                            && owner.role().owner()
-                            && owner.role().term() == term) {
-                        Map<String, Long> has = new TreeMap<>(owner.role().has());
-                        has.merge(w.to(), number, Math::max);
-                        out.add(after.with(w.from(), owner.as(new Role(term, true, Set.of(), has)), List.of()));
+                    SystemState nextState =
+                            state.with(message.to(), daemon.with(next, message.log(), message.replicaSet()), List.of());
+                    successors.add(nextState);
+                    Daemon leader = nextState.daemons().get(message.from());
+                    if ((next.isVoter() || host == HostVariant.COUNTS_REPLICA_WITHOUT_STATE)
+                            && leader.role() != null
+                            && leader.role().isLeader()
+                            && leader.role().term() == term) {
+                        Map<String, Long> acknowledgedIndexes =
+                                new TreeMap<>(leader.role().acknowledgedIndexes());
+                        acknowledgedIndexes.merge(message.to(), index, Math::max);
+                        successors.add(nextState.with(
+                                message.from(),
+                                leader.withRole(new Role(term, true, Set.of(), acknowledgedIndexes)),
+                                List.of()));
                     }
                 }
                 default -> throw new IllegalStateException();
@@ -361,71 +396,72 @@
             return new LogPosition(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
         }
 
-        private LeaderTerm leaderTerm(String name, Daemon d) {
+        private LeaderTerm leaderTerm(String name, Daemon daemon) {
             // The last change of the replica set may be its last change at all: a leader term takes it for that, which
             // is
             // stricter.
-            int groupAt = 0;
-            for (int i = 0; i < d.log().size(); i++) {
-                groupAt = d.log().get(i).contains("g") ? i + 1 : groupAt;
+            int replicaSetIndex = 0;
+            for (int i = 0; i < daemon.log().size(); i++) {
+                replicaSetIndex = daemon.log().get(i).contains("g") ? i + 1 : replicaSetIndex;
             }
-            LeaderTerm leaderTerm = new LeaderTerm(name, d.role().term(), groupAt, d.replicaSet());
-            for (int i = groupAt; i < d.log().size(); i++) {
+            LeaderTerm leaderTerm = new LeaderTerm(name, daemon.role().term(), replicaSetIndex, daemon.replicaSet());
+            for (int i = replicaSetIndex; i < daemon.log().size(); i++) {
                 leaderTerm.appended();
             }
-            d.role().has().forEach(leaderTerm::acknowledged);
+            daemon.role().acknowledgedIndexes().forEach(leaderTerm::acknowledged);
             return leaderTerm;
         }
 
         /** Every effect that may be had is had. */
-        private World effects(World world) {
-            Set<String> had = new TreeSet<>(world.effects());
-            world.daemons().forEach((name, d) -> {
-                if (d.role() == null
-                        || !d.role().owner()
-                        || d.state().isStale(d.role().term(), name)) {
+        private SystemState withAllowedEffects(SystemState state) {
+            Set<String> allowedEffects = new TreeSet<>(state.effects());
+            state.daemons().forEach((name, daemon) -> {
+                if (daemon.role() == null
+                        || !daemon.role().isLeader()
+                        || daemon.state().isStale(daemon.role().term(), name)) {
                     return;
                 }
-                long agreed = host == Host.EFFECT_BEFORE_COPY
-                        ? d.log().size()
-                        : leaderTerm(name, d).commitIndex();
-                if (host == Host.COUNTS_EARLIER_TERMS) {
+                long committedIndex = host == HostVariant.EFFECT_BEFORE_COMMIT
+                        ? daemon.log().size()
+                        : leaderTerm(name, daemon).commitIndex();
+                if (host == HostVariant.COUNTS_EARLIER_TERMS) {
                     // Whoever holds a copy of any term that is as long counts.
-                    agreed = Math.max(
-                            agreed,
-                            world.daemons().values().stream()
-                                                    .filter(o -> d.log().size()
-                                                            <= o.log().size())
+                    committedIndex = Math.max(
+                            committedIndex,
+                            state.daemons().values().stream()
+                                                    .filter(other -> daemon.log()
+                                                                    .size()
+                                                            <= other.log().size())
                                                     .count()
                                             > 1
-                                    ? d.log().size()
+                                    ? daemon.log().size()
                                     : -1);
                 }
-                for (int i = 0; i < agreed; i++) {
-                    had.add(d.role().term() + "@" + d.log().get(i));
+                for (int i = 0; i < committedIndex; i++) {
+                    allowedEffects.add(daemon.role().term() + "@" + daemon.log().get(i));
                 }
             });
-            return had.equals(world.effects())
-                    ? world
-                    : new World(world.daemons(), world.messages(), had, world.forgot());
+            return allowedEffects.equals(state.effects())
+                    ? state
+                    : new SystemState(state.daemons(), state.messages(), allowedEffects, state.stateLost());
         }
 
-        private String broken(World world) {
-            Set<Long> owned = new HashSet<>();
-            for (Map.Entry<String, Daemon> e : world.daemons().entrySet()) {
-                Daemon d = e.getValue();
-                if (d.role() == null || !d.role().owner()) {
+        private String findInvariantViolation(SystemState state) {
+            Set<Long> ledTerms = new HashSet<>();
+            for (Map.Entry<String, Daemon> entry : state.daemons().entrySet()) {
+                Daemon daemon = entry.getValue();
+                if (daemon.role() == null || !daemon.role().isLeader()) {
                     continue;
                 }
-                if (!owned.add(d.role().term())) {
-                    return "two owners of term " + d.role().term();
+                if (!ledTerms.add(daemon.role().term())) {
+                    return "two owners of term " + daemon.role().term();
                 }
-                for (String effect : world.effects()) {
+                for (String effect : state.effects()) {
                     if (Long.parseLong(effect.substring(0, effect.indexOf('@')))
-                                    < d.role().term()
-                            && !d.log().contains(effect.substring(effect.indexOf('@') + 1))) {
-                        return e.getKey() + " owns term " + d.role().term() + " and does not know of the effect of "
-                                + effect;
+                                    < daemon.role().term()
+                            && !daemon.log().contains(effect.substring(effect.indexOf('@') + 1))) {
+                        return entry.getKey() + " owns term " + daemon.role().term()
+                                + " and does not know of the effect of " + effect;
                     }
                 }
             }
@@ -434,81 +470,85 @@
 
         /** Null where every reachable state is good; else what broke first. */
         String explore() {
-            Map<String, Daemon> begin = new TreeMap<>();
+            Map<String, Daemon> initialDaemons = new TreeMap<>();
             ReplicaSet replicaSet = new ReplicaSet(0, List.of("A", "B", "C"));
-            List<String> base = List.of("1.1");
+            List<String> initialLog = List.of("1.1");
             for (String name : changesReplicaSet ? List.of("A", "B", "C", "D") : replicaSet.members()) {
-                boolean holds = replicaSet.members().contains(name);
-                ReplicaState state = holds ? new ReplicaState(1, "A", new LogPosition(1, 1)) : ReplicaState.NONE;
-                begin.put(
+                boolean isMember = replicaSet.members().contains(name);
+                ReplicaState state = isMember ? new ReplicaState(1, "A", new LogPosition(1, 1)) : ReplicaState.NONE;
+                initialDaemons.put(
                         name,
                         new Daemon(
                                 state,
-                                holds ? base : List.of(),
+                                isMember ? initialLog : List.of(),
                                 replicaSet,
                                 name.equals("A")
                                         ? new Role(1, true, Set.of(), new TreeMap<>(Map.of("B", 1L, "C", 1L)))
                                         : null));
             }
-            World first = effects(new World(begin, Set.of(), Set.of(), false));
-            Set<World> seen = new HashSet<>(Set.of(first));
-            Deque<World> open = new ArrayDeque<>(seen);
-            while (!open.isEmpty()) {
-                World world = open.removeFirst();
-                String wrong = broken(world);
-                if (wrong != null) {
-                    return wrong + " in " + world;
+            SystemState initialState = withAllowedEffects(new SystemState(initialDaemons, Set.of(), Set.of(), false));
+            Set<SystemState> seen = new HashSet<>(Set.of(initialState));
+            Deque<SystemState> unexplored = new ArrayDeque<>(seen);
+            while (!unexplored.isEmpty()) {
+                SystemState state = unexplored.removeFirst();
+                String violation = findInvariantViolation(state);
+                if (violation != null) {
+                    return violation + " in " + state;
                 }
-                effectsSeen = Math.max(effectsSeen, world.effects().size());
-                for (World after : next(world)) {
-                    World settled = effects(after);
-                    if (seen.add(settled)) {
-                        open.add(settled);
+                maxEffectCount = Math.max(maxEffectCount, state.effects().size());
+                for (SystemState nextState : successors(state)) {
+                    SystemState nextWithEffects = withAllowedEffects(nextState);
+                    if (seen.add(nextWithEffects)) {
+                        unexplored.add(nextWithEffects);
                     }
                 }
-                if (seen.size() > (changesReplicaSet ? MOST_STATES : 4 * MOST_STATES)) {
+                if (seen.size() > (changesReplicaSet ? MAX_STATES : 4 * MAX_STATES)) {
                     if (!changesReplicaSet) {
-                        throw new IllegalStateException("more states than this test is for, " + open.size() + " open");
+                        throw new IllegalStateException(
+                                "more states than this test is for, " + unexplored.size() + " open");
                     }
                     // Told in docs/survival.md: with a fourth member the walk is broad, not whole.
                     break;
                 }
             }
-            states = seen.size();
+            stateCount = seen.size();
             return null;
         }
     }
 
-    private static final int MOST_STATES = 150_000;
+    private static final int MAX_STATES = 150_000;
 
-    private void holds(long terms, int changes, boolean changesReplicaSet, int least, int effects) {
-        Exploration exploration = new Exploration(Host.RIGHT, terms, changes, changesReplicaSet);
+    private void assertInvariantsHold(
+            long maxTerms, int maxRecords, boolean changesReplicaSet, int minimumStates, int minimumEffects) {
+        Exploration exploration = new Exploration(HostVariant.RIGHT, maxTerms, maxRecords, changesReplicaSet);
         assertNull(exploration.explore());
-        System.out.println("states " + exploration.states);
-        assertTrue(exploration.states > least && exploration.effectsSeen > effects, exploration.states + " states");
+        System.out.println("states " + exploration.stateCount);
+        assertTrue(
+                exploration.stateCount > minimumStates && exploration.maxEffectCount > minimumEffects,
+                exploration.stateCount + " states");
     }
 
     @Test
-    void oneOwnerKnowsAllThatWasHad() {
-        holds(3, 2, false, 10_000, 1);
+    void newLeaderHasRecordsOfAllEffects() {
+        assertInvariantsHold(3, 2, false, 10_000, 1);
     }
 
     @Test
-    void changesOfTheGroupNeverDecideApart() {
-        holds(2, 3, true, 1_000, 2);
+    void replicaSetChangesKeepInvariants() {
+        assertInvariantsHold(2, 3, true, 1_000, 2);
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Host.class,
+            value = HostVariant.class,
             names = {"RIGHT", "SWAPS_MEMBERS", "COUNTS_EARLIER_TERMS"},
             mode = EnumSource.Mode.EXCLUDE)
-    void mutantsAreFound(Host mutant) {
+    void mutantIsDetected(HostVariant mutant) {
         assertNotNull(new Exploration(mutant, 3, 2, false).explore(), mutant + " was not found");
     }
 
     @Test
-    void swappingAHolderInOneStepIsFound() {
-        assertNotNull(new Exploration(Host.SWAPS_MEMBERS, 2, 4, true).explore());
+    void swappingMembersInOneChangeIsDetected() {
+        assertNotNull(new Exploration(HostVariant.SWAPS_MEMBERS, 2, 4, true).explore());
     }
 }
