--- a/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
@@ -1,12 +1,12 @@
 package amberroute.handoff;
 
 /**
- * A message between two daemons about one batch; an offer's messages travel with it.
+ * A protocol message between two senders about one batch. The client messages of the batch travel with its offer.
  *
- * @param generation counts the offers of the batch, whoever made them
+ * @param generation number of offers of the batch so far, by any sender
  */
 public record HandoffMessage(Kind kind, String batchId, long generation) {
-    /** OFFER and CANCEL go to the successor, YES and NO come back. */
+    /** OFFER and CANCEL go to the successor; YES and NO are its replies. */
     public enum Kind {
         OFFER,
         CANCEL,
@@ -14,7 +14,7 @@
         NO
     }
 
-    /** Whether it goes to a successor. */
+    /** Whether the message is addressed to a successor. */
     public boolean isForSuccessor() {
         return kind == Kind.OFFER || kind == Kind.CANCEL;
     }
--- a/handoff/src/main/java/amberroute/handoff/HandoffPlacement.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffPlacement.java
@@ -10,60 +10,69 @@
 import java.util.Set;
 
 /**
- * Which peer is offered what, when a daemon leaves. A group is what must move together: all messages of an ordered key,
- * or one message without a key. Groups for one peer are packed into batches, so that thousands move with few records.
+ * Decides which peer is offered which messages during a graceful shutdown. A group holds messages that must move
+ * together: all messages of an ordered key, or one message without a key. Groups for one peer are packed into
+ * batches, so that thousands of messages move with few journal records.
  *
  * <ul>
- * <li>A key goes where its clients have come; before any has, to the peer with its number among all peers, which is what clients do that
- * choose by the key; messages without a key are spread by their number.
- * <li>A group with too little time left is not moved: it is completed here.
- * <li>A peer without capacity is left alone for {@link #NO_CAPACITY_PAUSE_MILLIS} and each of its groups is offered elsewhere; one that
- * cannot use something in a batch is offered that batch's groups one by one, and each that it rejects alone goes elsewhere.
- * <li>A peer that cannot be reached is left alone for {@link #UNREACHABLE_PAUSE_MILLIS}.
- * <li>A group that every peer has rejected stays. So does one that was offered {@link #MAX_OFFERS_PER_GROUP} times.
+ * <li>An ordered key is offered to the peer to which its clients have connected. Before any client has connected
+ * elsewhere, it is offered to the peer at the index of the key modulo the number of peers, which is the peer that
+ * clients choose if they choose by key. Messages without a key are distributed by message number.
+ * <li>A group with too little time left is not moved; this sender completes it.
+ * <li>A peer without capacity is paused for {@link #NO_CAPACITY_PAUSE_MILLIS}, and each of its groups is offered
+ * elsewhere. A peer that rejects a batch as unfit is offered the groups of that batch one by one; a group that it
+ * rejects on its own is offered elsewhere.
+ * <li>A peer that cannot be reached is paused for {@link #UNREACHABLE_PAUSE_MILLIS}.
+ * <li>A group that every peer has rejected, or that was offered {@link #MAX_OFFERS_PER_GROUP} times, is not moved.
  * </ul>
  *
- * <p>Decides only; times are milliseconds on the caller's clock. It remembers what it has met for one shutdown, at most one
- * entry for each group. Not thread-safe.
+ * <p>This class only makes decisions and performs no I/O. Times are milliseconds on the caller's clock. It keeps at
+ * most one history entry per group, for the duration of one shutdown. Not thread-safe.
  */
 public final class HandoffPlacement {
-    /** Messages in a batch. */
+    /** Maximum number of messages in a batch. */
     public static final int MAX_BATCH_MESSAGES = 64;
-    /** Bytes of a batch's messages with what is recorded of each, so that its record stays within the journal's bound. */
+    /**
+     * Maximum size of a batch: its messages and the metadata recorded with each. Keeps the journal record of a
+     * batch within the maximum record size.
+     */
     public static final long MAX_BATCH_BYTES = 96 << 10;
-    /** A group may have more than a batch, but not more than a record holds. */
+    /** Maximum size of a group. A group may exceed the limit of a batch, but must fit in one journal record. */
     public static final long MAX_GROUP_BYTES = 128 << 10;
-    /** An offer, its reply and a call take a while: what has less time left is not moved. */
+    /** Minimum time left for a group to be moved: an offer, its reply and the call all take time. */
     public static final long MIN_TIME_LEFT_MILLIS = 300;
-    /** Pause before a peer that had no capacity is offered anything again. */
+    /** Pause before a peer that had no capacity receives another offer. */
     public static final long NO_CAPACITY_PAUSE_MILLIS = 500;
-    /** Pause before a peer that could not be reached is offered anything again. */
+    /** Pause before a peer that could not be reached receives another offer. */
     public static final long UNREACHABLE_PAUSE_MILLIS = 1_000;
-    /** Offers of one group. */
+    /** Maximum number of offers of one group. */
     public static final int MAX_OFFERS_PER_GROUP = 32;
 
     /**
-     * What moves together.
+     * Messages that must move together.
      *
      * @param firstNumber number of the first message, which identifies the group
-     * @param key the ordered key, 0 for none
-     * @param timeLeftMillis least time left of its messages
+     * @param key the ordered key, or 0 for none
+     * @param timeLeftMillis the shortest time left of any message of the group
      */
     public record MessageGroup(long firstNumber, long key, int messageCount, long sizeBytes, long timeLeftMillis) {}
 
-    /** Groups for one peer. */
+    /** Groups that are offered to one peer together. */
     public record HandoffBatch(String successor, List<MessageGroup> groups) {}
 
-    /** Why a peer rejects an offer: no capacity, or a message that it cannot take. Names are on the wire. */
+    /**
+     * Why a peer rejects an offer: it has no capacity, or it cannot accept one of the messages. The names are on
+     * the wire.
+     */
     public enum RejectionReason {
         ROOM,
         UNFIT
     }
 
-    /** What was met with one group. */
+    /** Offers and rejections of one group so far. */
     private static final class OfferHistory {
         final Set<String> rejectedBy = new HashSet<>();
-        /** A peer could not use something in a batch with it. */
+        /** Whether a peer rejected, as unfit, a batch that contained this group. */
         boolean offerAlone;
 
         int offerCount;
@@ -74,19 +83,22 @@
     private final Map<Long, String> preferredPeerByKey = new HashMap<>();
     private final Map<String, Long> peerPausedUntilMillis = new HashMap<>();
 
-    /** For these peers, in the order that clients number them. */
+    /** Creates a placement for these peers, in the order in which clients number them. */
     public HandoffPlacement(Collection<String> peers) {
         this.peers = List.copyOf(peers);
     }
 
-    /** Clients of this key have come to that peer. */
+    /** Records that clients of this key have connected to this peer. */
     public void preferPeer(long key, String peer) {
         if (peers.contains(peer) && preferredPeerByKey.size() < KeyHolds.MAX_HOLDS) {
             preferredPeerByKey.put(key, peer);
         }
     }
 
-    /** Batches to be offered now, at most so many; the rest of the groups have to wait or stay. */
+    /**
+     * Returns the batches to offer now, at most {@code maxBatches}. The other groups wait for a later call or are
+     * not moved.
+     */
     public List<HandoffBatch> assignBatches(long nowMillis, List<MessageGroup> groups, int maxBatches) {
         List<HandoffBatch> batches = new ArrayList<>();
         Map<String, List<MessageGroup>> openBySuccessor = new LinkedHashMap<>();
@@ -106,7 +118,10 @@
         return batches;
     }
 
-    /** Adds a group to its successor's open batch, or to one of its own; it waits where that would be one too many. */
+    /**
+     * Adds a group to the open batch of its successor, or to a batch of its own if it has to be offered alone.
+     * Leaves the group out if that would exceed {@code maxBatches}.
+     */
     private void assign(
             MessageGroup group,
             String successor,
@@ -150,7 +165,7 @@
         return messageCount <= MAX_BATCH_MESSAGES && sizeBytes <= MAX_BATCH_BYTES;
     }
 
-    /** Null where it stays, for now or for good. */
+    /** Returns null if the group is not moved, either for now or for good. */
     private String chooseSuccessor(long nowMillis, MessageGroup group) {
         OfferHistory history = historyByGroup.get(group.firstNumber());
         if (peers.isEmpty()
@@ -178,7 +193,7 @@
                 && (history == null || !history.rejectedBy.contains(peer));
     }
 
-    /** The peer rejected a batch. */
+    /** Records that the successor rejected a batch. */
     public void batchRejected(long nowMillis, HandoffBatch batch, RejectionReason reason) {
         if (reason == RejectionReason.ROOM) {
             peerPausedUntilMillis.put(batch.successor(), nowMillis + NO_CAPACITY_PAUSE_MILLIS);
@@ -193,12 +208,12 @@
         }
     }
 
-    /** The peer could not be reached; nothing was offered to it. */
+    /** Records that a peer could not be reached, so that nothing was offered to it. */
     public void peerUnreachable(long nowMillis, String peer) {
         peerPausedUntilMillis.put(peer, nowMillis + UNREACHABLE_PAUSE_MILLIS);
     }
 
-    /** Nothing more need be remembered of these. */
+    /** Discards the history of groups that need no further offers. */
     public void forgetGroups(Collection<MessageGroup> groups) {
         groups.forEach(group -> historyByGroup.remove(group.firstNumber()));
     }
--- a/handoff/src/main/java/amberroute/handoff/KeyHoldAnnouncement.java
+++ b/handoff/src/main/java/amberroute/handoff/KeyHoldAnnouncement.java
@@ -10,24 +10,27 @@
 import java.util.Set;
 
 /**
- * What a daemon does before it sends the clients of its ordered keys away: it announces those keys to every peer, and each
- * acknowledges once it has the hold on disk. A client that is sent away then finds its key held wherever it goes.
+ * Announces the ordered keys of a sender to every peer before a graceful shutdown redirects the clients of those
+ * keys. Each peer acknowledges once the key hold is on disk, so a redirected client finds its key held whichever
+ * peer it connects to.
  *
- * <p>Invariant: a client of a key of which something is pending here is told to retry <em>at once elsewhere</em> only when
- * every peer holds that key; else it is told to wait until nothing of the key can be delivered here any more. So order
- * holds also where a peer is dead, cut off or has no capacity for holds, at the price of a wait. While acknowledgements are outstanding,
- * for {@link #acknowledgementTimeoutMillis} at most, the client's answer waits.
+ * <p>Invariant: a client of a key with pending messages here is told to retry <em>immediately at another
+ * sender</em> only if every peer holds that key. Otherwise it is told to wait until no message of the key can be
+ * delivered here any more. Key order therefore also holds if a peer is down, partitioned or has no capacity for
+ * holds, at the cost of a wait. While acknowledgements are outstanding, the reply to the client is delayed, by at
+ * most {@link #acknowledgementTimeoutMillis}.
  *
- * <p>Decides only. Times are milliseconds of wall time, as the ends of holds mean the same to all daemons; clocks that
- * differ by up to {@link #CLOCK_SKEW_MILLIS} are allowed for. Not thread-safe.
+ * <p>This class only makes decisions and performs no I/O. Times are milliseconds of wall-clock time, because the
+ * expiry time of a hold must mean the same to all senders; clock skew of up to {@link #CLOCK_SKEW_MILLIS} is
+ * allowed for. Not thread-safe.
  */
 public final class KeyHoldAnnouncement {
-    /** Keys in one message. */
+    /** Maximum number of keys in one message. */
     public static final int MAX_KEYS_PER_BATCH = 2_048;
-    /** How far the wall clocks of two daemons may differ, and what a call may take beyond its deadline. */
+    /** Allowance for the skew between the wall clocks of two senders and for a call that overruns its deadline. */
     public static final long CLOCK_SKEW_MILLIS = 1_000;
 
-    /** Keys in one message, held until the latest of their ends. */
+    /** Keys announced in one message, held until the latest of their end times. */
     public record KeyBatch(int number, List<Long> keys, long untilMillis) {}
 
     private final Map<Long, Long> endMillisByKey;
@@ -37,7 +40,10 @@
     private final long startedAtMillis;
     private final long acknowledgementTimeoutMillis;
 
-    /** {@code endMillisByKey} has each ordered key that is pending and when the last of its messages is surely over. */
+    /**
+     * Starts an announcement. {@code endMillisByKey} contains each ordered key with pending messages and the time
+     * by which the last of these messages has certainly ended.
+     */
     public KeyHoldAnnouncement(
             long wallMillis,
             Collection<String> peers,
@@ -66,8 +72,9 @@
     }
 
     /**
-     * What this peer has not acknowledged yet, to be sent, and sent again: without finished keys and without those that the peer has
-     * adopted. A batch with a key that the peer may have adopted waits for the answer to that offer.
+     * Returns the batches to send, or to send again, to this peer: those that it has not acknowledged, without
+     * finished keys and without the keys that the peer has adopted. A batch with a key that the peer may have
+     * adopted is held back until that offer is answered.
      */
     public List<KeyBatch> batchesToSend(String peer, OfferedKeys offeredKeys) {
         return batches.stream()
@@ -101,38 +108,41 @@
         return unacknowledgedBatches(peer).isEmpty();
     }
 
-    /** The peer has the keys of this batch on disk as held. */
+    /** Records that the peer has the holds of this batch on disk. */
     public void acknowledge(String peer, int batchNumber) {
         unacknowledgedByPeer.getOrDefault(peer, new HashSet<>()).remove(batchNumber);
     }
 
-    /** No client can find these peers: they need hold nothing. */
+    /** Removes peers that no client can discover, and that therefore need not hold any key. */
     public void excludePeers(Collection<String> peers) {
         peers.forEach(unacknowledgedByPeer::remove);
     }
 
-    /** Whether clients may be answered now: all peers hold all keys, or have been waited for. */
+    /** Whether clients may be answered now: all peers hold all keys, or the acknowledgement timeout has passed. */
     public boolean isSettled(long wallMillis) {
         return wallMillis - startedAtMillis >= acknowledgementTimeoutMillis
                 || unacknowledgedByPeer.values().stream().allMatch(Set::isEmpty);
     }
 
-    /** Nothing of these keys is pending here any more and nothing of them has moved. */
+    /** Records that no message of these keys is pending here any more and that none was handed off. */
     public void keysDone(Collection<Long> keys) {
         keys.forEach(endMillisByKey::remove);
     }
 
-    /** Whether this key was announced and may still be delivered by this daemon or one that it moved to. */
+    /** Whether this key was announced and may still be delivered by this sender or by a sender that adopted it. */
     public boolean isAnnounced(long key) {
         return endMillisByKey.containsKey(key);
     }
 
-    /** The keys that are announced and not finished. */
+    /** Returns the keys that are announced and not finished. */
     public Set<Long> openKeys() {
         return Set.copyOf(endMillisByKey.keySet());
     }
 
-    /** How long a client of this key has to wait before it goes elsewhere, in milliseconds; 0 for not at all. */
+    /**
+     * Returns how long a client of this key has to wait before it retries at another sender, in milliseconds; 0 if
+     * it may retry immediately.
+     */
     public long retryElsewhereDelayMillis(long wallMillis, long key) {
         Long endMillis = endMillisByKey.get(key);
         if (endMillis == null || isHeldByAll(key)) {
--- a/handoff/src/main/java/amberroute/handoff/KeyHolds.java
+++ b/handoff/src/main/java/amberroute/handoff/KeyHolds.java
@@ -9,30 +9,34 @@
 import java.util.Set;
 
 /**
- * The ordered keys of which another daemon still has messages. Invariant: a message of such a key that comes here waits until the
- * hold is released or expires, so that it cannot overtake what came before it. A hold has the name of the daemon that asked
- * for it (its origin) and expires at a wall time, when none of the messages it stands for can be delivered any
- * more. Several origins may hold one key; it is free when none does.
+ * The ordered keys of which another sender still has messages. Invariant: a message of a held key that is accepted
+ * here waits until the hold is released or expires, so that it cannot overtake earlier messages of the key. A hold
+ * names the sender that requested it (its origin) and expires at a wall-clock time by which none of the messages
+ * that it protects can be delivered any more. Several origins may hold the same key; the key is free once none of
+ * them does.
  *
- * <p>At most {@value #MAX_HOLDS} holds are kept; an origin that asks for more is not acknowledged and keeps its clients away by itself.
- * Times are milliseconds of wall time. Not thread-safe.
+ * <p>At most {@value #MAX_HOLDS} holds are kept. A request beyond that limit is not acknowledged, and its origin
+ * delays its own clients instead. Times are milliseconds of wall-clock time. Not thread-safe.
  */
 public final class KeyHolds {
-    /** Of all keys and origins together. */
+    /** Maximum number of holds, over all keys and origins. */
     public static final int MAX_HOLDS = 65_536;
 
-    /** One origin's hold on one key. */
+    /** The hold of one origin on one key. */
     public record KeyHold(String origin, long key, long untilMillis) {}
 
     private final Map<Long, Map<String, Long>> untilByOriginByKey = new HashMap<>();
     private int holdCount;
 
-    /** Whether there is capacity for so many more. */
+    /** Whether this many additional holds fit within {@link #MAX_HOLDS}. */
     public boolean hasCapacity(int additionalHolds) {
         return holdCount + additionalHolds <= MAX_HOLDS;
     }
 
-    /** Returns the keys that nobody held before. A hold that is asked for again lasts until the later of both times. */
+    /**
+     * Adds holds and returns the keys that were not held before. A repeated hold lasts until the later of the two
+     * times.
+     */
     public List<Long> hold(String origin, Collection<Long> keys, long untilMillis) {
         List<Long> newlyHeld = new ArrayList<>();
         for (long key : keys) {
@@ -49,7 +53,7 @@
         return newlyHeld;
     }
 
-    /** Returns the keys that nobody holds any more. */
+    /** Releases the holds of an origin and returns the keys that no origin holds any more. */
     public List<Long> release(String origin, Collection<Long> keys) {
         List<Long> released = new ArrayList<>();
         for (long key : keys) {
@@ -66,7 +70,7 @@
         return released;
     }
 
-    /** Ends the holds whose time is up and returns the keys that nobody holds any more. */
+    /** Removes expired holds and returns the keys that no origin holds any more. */
     public List<Long> expire(long wallMillis) {
         List<Long> released = new ArrayList<>();
         Iterator<Map.Entry<Long, Map<String, Long>>> entries =
@@ -85,22 +89,22 @@
         return released;
     }
 
-    /** Whether anybody holds this key. */
+    /** Whether any origin holds this key. */
     public boolean isHeld(long key) {
         return untilByOriginByKey.containsKey(key);
     }
 
-    /** Who holds a key, empty where nobody does. */
+    /** Returns the origins that hold a key; empty if there are none. */
     public Set<String> origins(long key) {
         return Set.copyOf(untilByOriginByKey.getOrDefault(key, Map.of()).keySet());
     }
 
-    /** All keys that are held. */
+    /** Returns all keys that are held. */
     public Set<Long> heldKeys() {
         return Set.copyOf(untilByOriginByKey.keySet());
     }
 
-    /** All holds, for a journal that is written anew. */
+    /** Returns all holds, for journal compaction. */
     public List<KeyHold> allHolds() {
         List<KeyHold> all = new ArrayList<>(holdCount);
         untilByOriginByKey.forEach((key, untilByOrigin) ->
@@ -108,7 +112,7 @@
         return all;
     }
 
-    /** Number of holds. */
+    /** Returns the number of holds. */
     public int size() {
         return holdCount;
     }
--- a/handoff/src/main/java/amberroute/handoff/OfferedKeys.java
+++ b/handoff/src/main/java/amberroute/handoff/OfferedKeys.java
@@ -5,18 +5,19 @@
 import java.util.Map;
 
 /**
- * The ordered keys of which a leaving daemon has offered messages, and what became of the offers. A peer that may have adopted the
- * messages of a key is not asked to hold that key any more: the request would come behind the offer, and then later messages of the
- * key would wait for a daemon that has none. A key is kept until it is released or an offer of it is refused. Not thread-safe.
+ * The ordered keys of which a sender that is shutting down has offered messages, and the results of these offers. A
+ * peer that may have adopted the messages of a key is not asked to hold that key any more: the request would arrive
+ * after the offer, and later messages of the key would then wait for a sender that has no messages of it. A key is
+ * kept until it is released or an offer of it is refused. Not thread-safe.
  */
 public final class OfferedKeys {
-    /** What a peer has of a key, as far as the leaving daemon knows. */
+    /** The state of a key at a peer, as far as the offering sender knows. */
     public enum Status {
-        /** The peer has no offer of the key. */
+        /** The key was not offered to the peer. */
         NOT_OFFERED,
-        /** The peer may have adopted it: its answer is awaited. */
+        /** The peer may have adopted the key; its reply is outstanding. */
         UNANSWERED,
-        /** The peer has adopted it. */
+        /** The peer has adopted the key. */
         ADOPTED
     }
 
@@ -24,22 +25,22 @@
 
     private final Map<Long, Offer> offers = new HashMap<>();
 
-    /** An offer of these keys goes to a peer. */
+    /** Records that these keys are being offered to a peer. */
     public void offered(String peer, Collection<Long> keys) {
         keys.forEach(key -> offers.put(key, new Offer(peer, Status.UNANSWERED)));
     }
 
-    /** The peer has adopted these keys, or will never answer. */
+    /** Records that the peer has adopted these keys, or will never reply. */
     public void adopted(String peer, Collection<Long> keys) {
         keys.forEach(key -> offers.put(key, new Offer(peer, Status.ADOPTED)));
     }
 
-    /** The peer refused these keys, or nobody has messages of them any more. */
+    /** Removes keys that the peer refused, or of which no sender has messages any more. */
     public void forget(Collection<Long> keys) {
         keys.forEach(offers::remove);
     }
 
-    /** What this peer has of the key. */
+    /** Returns the status of the key at this peer. */
     public Status status(String peer, long key) {
         Offer offer = offers.get(key);
         return offer == null || !offer.peer().equals(peer) ? Status.NOT_OFFERED : offer.status();
--- a/handoff/src/main/java/amberroute/handoff/Ownership.java
+++ b/handoff/src/main/java/amberroute/handoff/Ownership.java
@@ -3,44 +3,50 @@
 import java.util.List;
 
 /**
- * What one daemon's journal says of one batch, and the transitions of the handoff. Invariant: at any time at most one daemon owns a batch. The
- * generation grows by one with each offer, whoever makes it, so it fences: a message of an older generation changes nothing.
- * Immutable.
+ * The ownership record of one batch in the journal of one sender, and the state transitions of the handoff.
+ * Invariant: at most one sender owns a batch at any time. The generation grows by one with each offer, by any
+ * sender, and acts as a fencing token: a message of an older generation changes nothing. Immutable.
  *
- * @param generation the last generation that this daemon took part in
- * @param peer to whom the batch was offered or given, empty otherwise
+ * @param generation the last generation that this sender took part in
+ * @param peer the peer to which the batch was offered or given; empty otherwise
  */
 public record Ownership(long generation, Status status, String peer) {
-    /** Only an {@link #OWNED} batch may be worked on: calls, completions and further offers. Names are on disk. */
+    /**
+     * Only the messages of an {@link #OWNED} batch may be called, completed or offered again. The names are on
+     * disk.
+     */
     public enum Status {
-        /** This daemon owns it. */
+        /** This sender owns the batch. */
         OWNED,
-        /** Offered to a peer whose reply is not known: frozen, as the peer may own it already. */
+        /** Offered to a peer whose reply is not known. The batch is frozen, because the peer may own it already. */
         OFFERED,
-        /** The peer has accepted and owns it. */
+        /** The peer has accepted the batch and owns it. */
         GIVEN,
-        /** This daemon has rejected the offer of this generation, and never accepts it. */
+        /** This sender has rejected the offer of this generation and will never accept it. */
         REFUSED,
-        /** This daemon has reported its messages as ended. */
+        /** This sender has reported the messages of the batch as ended. */
         ENDED
     }
 
-    /** Of a batch that nothing is known of. */
+    /** The state of an unknown batch. */
     public static final Ownership NONE = new Ownership(0, Status.REFUSED, "");
 
-    /** Of a batch of messages that were accepted from clients. */
+    /** Returns the state of a batch whose messages were accepted from clients. */
     public static Ownership initial() {
         return new Ownership(1, Status.OWNED, "");
     }
 
-    /** Whether this daemon may work on the batch. */
+    /** Whether this sender may process the batch. */
     public boolean isOwned() {
         return status == Status.OWNED;
     }
 
-    // ---- The owner. ----
+    // Transitions of the owner
 
-    /** Offers an owned batch: the record first, then the message. Nothing where it is not owned. */
+    /**
+     * Offers an owned batch: persists the record, then sends the offer. Returns no effects if the batch is not
+     * owned.
+     */
     public List<HandoffEffect> offer(String batchId, String successor) {
         if (!isOwned()) {
             return List.of();
@@ -52,7 +58,10 @@
                         successor, new HandoffMessage(HandoffMessage.Kind.OFFER, batchId, next.generation)));
     }
 
-    /** Repeats an offer that was not answered, or withdraws it; only the successor knows whose the batch is. */
+    /**
+     * Repeats an unanswered offer, or withdraws it. Only the successor knows which of the two senders owns the
+     * batch.
+     */
     public List<HandoffEffect> requestReply(String batchId, boolean withdraw) {
         return status != Status.OFFERED
                 ? List.of()
@@ -64,7 +73,7 @@
                                 generation)));
     }
 
-    /** The successor's reply; one that belongs to another offer or comes again changes nothing. */
+    /** Handles the reply of the successor. A duplicate, or a reply to another offer, changes nothing. */
     public List<HandoffEffect> onReply(String batchId, String sender, HandoffMessage message) {
         if (status != Status.OFFERED || message.generation() != generation || !sender.equals(peer)) {
             return List.of();
@@ -79,8 +88,9 @@
     }
 
     /**
-     * The deadline of the batch has passed. An owner ends it as it likes; whoever waits for a reply may only report it as
-     * failed, which promises nothing, as the successor may have delivered it.
+     * Ends a batch whose deadline has passed. An owner may end it with any outcome. A sender that waits for a reply
+     * may only report the messages as failed with an unknown outcome, because the successor may have delivered
+     * them.
      */
     public List<HandoffEffect> expire(String batchId) {
         return status == Status.OWNED || status == Status.OFFERED
@@ -88,18 +98,21 @@
                 : List.of();
     }
 
-    // ---- The successor. ----
+    // Transitions of the successor
 
-    /** An offer or its withdrawal; {@code willing} is whether this daemon would accept it. Decided once, and kept. */
+    /**
+     * Handles an offer or its withdrawal. {@code willing} is whether this sender would accept the offer. The
+     * decision on a generation is made once and is final.
+     */
     public List<HandoffEffect> onOffer(String batchId, String sender, HandoffMessage message, boolean willing) {
         HandoffEffect accept = new HandoffEffect.SendMessage(
                 sender, new HandoffMessage(HandoffMessage.Kind.YES, batchId, message.generation()));
         HandoffEffect reject = new HandoffEffect.SendMessage(
                 sender, new HandoffMessage(HandoffMessage.Kind.NO, batchId, message.generation()));
         if (message.generation() < generation) {
-            // A sender that still waits for this offer waits because it was accepted and the batch has moved on since:
-            // had it
-            // been rejected, the batch would not have come to a later generation without its owner hearing so.
+            // A sender still waits for the reply to this older offer only if the offer was accepted and the batch
+            // was handed off again since. Had it been rejected, the batch could not have reached a later generation
+            // without its owner having received that reply.
             return List.of(accept);
         }
         if (message.generation() == generation) {
--- a/handoff/src/test/java/amberroute/handoff/ExplorationTest.java
+++ b/handoff/src/test/java/amberroute/handoff/ExplorationTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every reachable state of the protocol at small sizes. A message that was ever sent may arrive at any later moment, any
- * number of times or never, which covers loss, delay, repetition and reordering at once. A process may die between any
- * two effects: the records that were written stay, the messages behind are not sent. Since a daemon keeps nothing but its
- * records, a restart needs no step of its own.
+ * Explores every reachable state of the handoff protocol at small sizes. A message that was ever sent may arrive at
+ * any later time, any number of times or never, which covers loss, delay, duplication and reordering. A process may
+ * crash between any two effects: records that were written stay, and later messages are not sent. A sender keeps no
+ * state but its records, so a restart needs no step of its own.
  */
 class ExplorationTest {
-    /** How the host behaves; the mutants do one thing wrong each and have to be found. */
+    /** The behavior of the senders. Each mutant has one defect, which the exploration must detect. */
     enum HostVariant {
         CORRECT,
         REPLIES_BEFORE_PERSISTING,
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Records by daemon and batch, all messages ever sent, and how often each batch was worked on by whom. */
+    /** The records by sender and batch, and all messages that were ever sent. */
     private record SystemState(Map<String, Ownership> records, Set<SentMessage> sent) {
         Ownership ownership(String daemon, String batch) {
             return records.getOrDefault(daemon + batch, Ownership.NONE);
@@ -60,7 +60,7 @@
         }
     }
 
-    /** One walk through all states of so many daemons, batches and generations. */
+    /** One exploration of all states for a number of senders, batches and generations. */
     private static final class Exploration {
         private final HostVariant host;
         private final List<String> daemons;
@@ -75,7 +75,7 @@
             this.maxGenerations = maxGenerations;
         }
 
-        /** All worlds that one step leads to: each possible step, cut off after each of its effects. */
+        /** Returns all states that one step leads to: each possible step, interrupted after each of its effects. */
         private List<SystemState> successors(SystemState state) {
             List<SystemState> successors = new ArrayList<>();
             for (String batch : batches) {
@@ -136,7 +136,7 @@
             return successors;
         }
 
-        /** A mutant does the effects in the wrong order. */
+        /** Reverses the order of effects for a mutant. */
         private List<HandoffEffect> reorderIfMutant(List<HandoffEffect> effects, HostVariant mutant) {
             if (host != mutant) {
                 return effects;
@@ -153,7 +153,7 @@
             }
         }
 
-        /** What must hold in each state; null where it does. */
+        /** Returns the violated invariant, or null if all hold. */
         private String findInvariantViolation(SystemState state) {
             for (String batch : batches) {
                 List<String> owners = daemons.stream()
@@ -163,25 +163,26 @@
                     return "two owners of batch " + batch + ": " + owners;
                 }
                 if (owners.isEmpty()) {
-                    // Somebody has to be able to find out: an offer whose successor has not decided, or has taken it.
+                    // An offer must be open: its successor has not decided yet, or has accepted it.
                     boolean offerIsPending = daemons.stream()
                             .anyMatch(d -> state.ownership(d, batch).status() == Status.OFFERED);
                     if (!offerIsPending) {
-                        return "nobody owns batch " + batch;
+                        return "no sender owns batch " + batch;
                     }
                 }
                 for (String daemon : daemons) {
                     Ownership ownership = state.ownership(daemon, batch);
                     if (ownership.status() == Status.GIVEN
                             && state.ownership(ownership.peer(), batch).generation() < ownership.generation()) {
-                        return daemon + " gave batch " + batch + " to " + ownership.peer() + ", who never took it";
+                        return daemon + " gave batch " + batch + " to " + ownership.peer()
+                                + ", which never accepted it";
                     }
                 }
             }
             return null;
         }
 
-        /** Where all messages of a frozen batch arrive once more, its owner knows whose it is: no dead end without an exit. */
+        /** Checks that a sender with an offered batch learns who owns it once its withdrawal and the reply arrive. */
         private String findDeadlock(SystemState state) {
             for (String batch : batches) {
                 for (String daemon : daemons) {
@@ -204,7 +205,7 @@
             return null;
         }
 
-        /** Null where every reachable state is good; else what broke first. */
+        /** Returns null if the invariants hold in every reachable state, otherwise the first violation. */
         private String explore() {
             Map<String, Ownership> initialRecords = new TreeMap<>();
             for (int i = 0; i < batches.size(); i++) {
@@ -241,7 +242,7 @@
         assertTrue(exploration.stateCount >= minimumStates, "explored only " + exploration.stateCount);
     }
 
-    /** Chains of handoffs, there and back again, rejections and withdrawals among three daemons. */
+    /** Covers chains of handoffs, there and back again, rejections and withdrawals among three senders. */
     @Test
     void oneBatchAmongThreeDaemonsHasOneOwner() {
         assertInvariantsHold(3, 1, 4, 1_000);
@@ -252,7 +253,7 @@
         assertInvariantsHold(2, 1, 5, 500);
     }
 
-    /** Two owners that choose each other, each with a batch of its own, and a third. */
+    /** Covers two senders that offer their batches to each other, with a third batch in addition. */
     @Test
     void threeBatchesBetweenTwoDaemonsHaveOneOwnerEach() {
         assertInvariantsHold(2, 3, 2, 1_000);
@@ -274,7 +275,7 @@
         for (HostVariant mutant : HostVariant.values()) {
             if (mutant != HostVariant.CORRECT) {
                 String violation = new Exploration(mutant, 3, 1, 4).explore();
-                assertTrue(violation != null, mutant + " was not found");
+                assertTrue(violation != null, mutant + " was not detected");
                 System.out.println(mutant + ": " + violation.substring(0, Math.min(90, violation.length())));
             }
         }
--- a/handoff/src/test/java/amberroute/handoff/HandoffPlacementTest.java
+++ b/handoff/src/test/java/amberroute/handoff/HandoffPlacementTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Which peer is offered which messages, and what rejections and unreachable peers change. */
+/** Tests which peer is offered which messages, and the effect of rejections and unreachable peers. */
 class HandoffPlacementTest {
     private static MessageGroup groupWithoutKey(long number) {
         return new MessageGroup(number, 0, 1, 1_100, 5_000);
@@ -95,7 +95,7 @@
                         8)));
     }
 
-    /** One message that a peer cannot use costs its batch one more offer, and only that message goes elsewhere. */
+    /** An unfit message costs its batch one more offer, and only that message is offered to another peer. */
     @Test
     void unfitBatchIsSplitAndOnlyUnfitGroupMoves() {
         HandoffPlacement placement = new HandoffPlacement(List.of("a", "b"));
@@ -140,7 +140,7 @@
                         .successor());
     }
 
-    /** Whatever peers answer, offers end: nothing is offered without bound, and nothing twice in one round. */
+    /** For any replies of the peers, the number of offers is bounded and no group is offered twice in one round. */
     @Test
     void offersOfEachGroupAreBoundedForAnyReplies() {
         for (long seed = 1; seed <= 30; seed++) {
--- a/handoff/src/test/java/amberroute/handoff/KeyHoldAnnouncementTest.java
+++ b/handoff/src/test/java/amberroute/handoff/KeyHoldAnnouncementTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which clients may go elsewhere while peers acknowledge the keys that they hold. */
+/** Tests which clients may be redirected while peers acknowledge the keys that they hold. */
 class KeyHoldAnnouncementTest {
     private static final OfferedKeys NOTHING_OFFERED = new OfferedKeys();
 
@@ -27,11 +27,11 @@
         assertEquals(
                 9_000 + KeyHoldAnnouncement.CLOCK_SKEW_MILLIS - 1_100,
                 announcement.retryElsewhereDelayMillis(1_100, 7));
-        assertTrue(announcement.isSettled(1_400), "patience is over");
-        assertTrue(announcement.retryElsewhereDelayMillis(1_400, 7) > 0, "b may not know of it");
+        assertTrue(announcement.isSettled(1_400), "the acknowledgement timeout has passed");
+        assertTrue(announcement.retryElsewhereDelayMillis(1_400, 7) > 0, "b has not acknowledged the hold");
         announcement.acknowledge("b", 0);
         assertEquals(0, announcement.retryElsewhereDelayMillis(1_500, 7));
-        assertEquals(0, announcement.retryElsewhereDelayMillis(1_500, 8), "nothing of 8 is here");
+        assertEquals(0, announcement.retryElsewhereDelayMillis(1_500, 8), "key 8 has no pending messages");
     }
 
     @Test
@@ -65,22 +65,25 @@
         }
     }
 
-    /** Failure: a hold repeated behind the adoption of its key kept later messages of the key waiting at the adopter. */
+    /**
+     * Guards against a hold that was repeated after the adoption of its key: later messages of the key then kept
+     * waiting at the peer that had adopted it.
+     */
     @Test
     void peerIsNotAskedToHoldKeyItMayHaveAdopted() {
         KeyHoldAnnouncement announcement =
                 new KeyHoldAnnouncement(0, List.of("a", "b"), Map.of(1L, 5_000L, 2L, 5_000L), 400);
         OfferedKeys offered = new OfferedKeys();
         offered.offered("a", List.of(1L));
-        assertEquals(List.of(), announcement.batchesToSend("a", offered), "the answer may be a refusal");
+        assertEquals(List.of(), announcement.batchesToSend("a", offered), "the offer to a is unanswered");
         assertEquals(Set.of(1L, 2L), keysToSend(announcement, "b", offered));
         assertFalse(announcement.isAcknowledgedBy("a"));
         offered.forget(List.of(1L));
-        assertEquals(Set.of(1L, 2L), keysToSend(announcement, "a", offered), "it was refused");
+        assertEquals(Set.of(1L, 2L), keysToSend(announcement, "a", offered), "a refused the offer");
         offered.offered("a", List.of(1L));
         offered.adopted("a", List.of(1L));
         assertEquals(Set.of(2L), keysToSend(announcement, "a", offered));
-        assertEquals(Set.of(1L, 2L), keysToSend(announcement, "b", offered), "its clients may come to b");
+        assertEquals(Set.of(1L, 2L), keysToSend(announcement, "b", offered), "clients of the key may connect to b");
     }
 
     private static Set<Long> keysToSend(KeyHoldAnnouncement announcement, String peer, OfferedKeys offered) {
@@ -89,7 +92,7 @@
         return keys;
     }
 
-    /** Holds and their ends against a plain list of them. */
+    /** Compares holds and their expiry with a plain map. */
     @Test
     void holdsMatchReferenceModelAfterRandomOperations() {
         for (long seed = 1; seed <= 50; seed++) {
--- a/handoff/src/test/java/amberroute/handoff/KeyOrderTest.java
+++ b/handoff/src/test/java/amberroute/handoff/KeyOrderTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every reachable state of one ordered key through a move: an owner with messages 1 and 2, two peers that may take them or
- * refuse, and a client that comes with 3 and 4 when the owner has sent it away, to whichever peer it likes. Messages may
- * arrive at any later moment, any number of times or never; a daemon may die between writing and saying. What is carried
- * out has to be in order, by whomever.
+ * Explores every reachable state of one ordered key during a handoff: an owner with messages 1 and 2, two peers
+ * that may accept or refuse them, and a client that submits 3 and 4 to either peer once the owner has redirected
+ * it. Messages may arrive at any later time, any number of times or never, and a sender may crash between writing a
+ * record and sending a message. Messages must be delivered in order, whichever sender delivers them.
  */
 class KeyOrderTest {
-    /** A host as it should be, and hosts with one defect each, which the exploration has to find. */
+    /** The behavior of the senders. Each mutant has one defect, which the exploration must detect. */
     enum HostVariant {
         CORRECT,
         ACKNOWLEDGES_BEFORE_PERSISTING,
@@ -34,8 +34,9 @@
     private static final List<String> PEERS = List.of("A", "B");
 
     /**
-     * {@code batch} is whose the first two messages are: L, an offer to a peer, or a peer's; {@code queues} has what each
-     * daemon has accepted and not carried out, {@code holds} who holds the key, {@code messages} all that was ever sent.
+     * {@code batch} is the owner of the first two messages: L, an offer to a peer, or a peer. {@code queues} has
+     * the messages that each sender has accepted and not delivered, {@code holds} the peers that hold the key, and
+     * {@code messages} all messages that were ever sent.
      */
     private record SystemState(
             String batch,
@@ -75,7 +76,7 @@
 
     private static List<SystemState> successors(SystemState state, HostVariant host) {
         List<SystemState> successors = new ArrayList<>();
-        // The owner names the key, and each peer holds it and says so; it may die in between.
+        // The owner announces the key. Each peer holds it and acknowledges, and may crash in between.
         for (String peer : PEERS) {
             successors.add(state.withMessage("HOLD " + peer));
             if (state.messages().contains("HOLD " + peer) && !state.messages().contains("over " + peer)) {
@@ -85,18 +86,19 @@
                                 ? state.withMessage("HELD " + peer)
                                 : state.withHold(peer, true).withMessage("HELD " + peer));
             }
-            // Released: what was asked for before does not hold any more, as it comes on one connection in order.
+            // After the release, earlier hold requests have no effect, because they arrive in order on one
+            // connection.
             if (state.messages().contains("RELEASE")) {
                 successors.add(state.withHold(peer, false).withMessage("over " + peer));
             }
         }
-        // A client comes, as soon as it may.
+        // A client submits its messages as soon as it may.
         boolean mayRedirect = PEERS.stream().allMatch(p -> state.messages().contains("HELD " + p))
                 || state.messages().contains("RELEASE")
                 || host == HostVariant.REDIRECTS_BEFORE_ACKNOWLEDGEMENT;
         if (mayRedirect && state.acceptedCount() < 4) {
             for (String peer : PEERS) {
-                // One key's client keeps to one peer while that is there.
+                // The client of a key stays with one peer while that peer is up.
                 if (state.acceptedCount() == 2 || state.messages().contains("came " + peer)) {
                     SystemState accepted = state.withQueue(peer, state.queues().get(peer) + (state.acceptedCount() + 1))
                             .withMessage("came " + peer);
@@ -111,7 +113,7 @@
                 }
             }
         }
-        // The batch moves: offered with what is left of it, taken or refused once, the answer may come late.
+        // The batch is offered with its remaining messages and accepted or refused once; the reply may arrive late.
         for (String peer : PEERS) {
             if (state.batch().equals("L") && !state.queues().get("L").isEmpty() && state.rejectionCount() < 2) {
                 successors.add(
@@ -147,7 +149,8 @@
                         state.rejectionCount() + 1));
             }
         }
-        // Whoever has the turn carries out what is first; with the last of the two all are told that the key is free.
+        // A sender that may deliver delivers the first message of its queue. After message 2, the key is released
+        // at all peers.
         for (String daemon : List.of("L", "A", "B")) {
             String queue = state.queues().get(daemon);
             boolean mayDeliver = daemon.equals("L")
@@ -172,7 +175,7 @@
     private int stateCount;
     private boolean allDelivered;
 
-    /** What was carried out of order, null where nothing ever is. */
+    /** Returns the first state with messages delivered out of order, or null if there is none. */
     private String explore(HostVariant host) {
         Map<String, String> queues = new TreeMap<>(Map.of("L", "12", "A", "", "B", ""));
         SystemState initialState = new SystemState("L", queues, new TreeSet<>(), new TreeSet<>(), "", 2, 0);
@@ -197,15 +200,15 @@
     @Test
     void messagesOfKeyStayInOrderThroughHandoff() {
         assertNull(explore(HostVariant.CORRECT));
-        assertTrue(stateCount > 1_000, "only " + stateCount + " states were met");
-        assertTrue(allDelivered, "nothing ever came to its end");
+        assertTrue(stateCount > 1_000, "explored only " + stateCount + " states");
+        assertTrue(allDelivered, "no state with all messages delivered was reached");
     }
 
     @Test
     void mutantIsDetected() {
         for (HostVariant mutant : HostVariant.values()) {
             if (mutant != HostVariant.CORRECT) {
-                assertNotNull(explore(mutant), mutant + " was not found");
+                assertNotNull(explore(mutant), mutant + " was not detected");
             }
         }
     }
--- a/replication/src/main/java/amberroute/replication/Candidacy.java
+++ b/replication/src/main/java/amberroute/replication/Candidacy.java
@@ -4,8 +4,9 @@
 import java.util.Set;
 
 /**
- * One attempt to become the owner of a journal for a term. Invariant: the candidate has granted the term to itself, on disk, before
- * it asks others; a pre-vote is not recorded. It wins with a quorum of the replica set that its own copy names. Not thread-safe.
+ * One candidacy to become the leader of a journal for a term. Invariant: the candidate has granted the term to
+ * itself, on disk, before it requests votes; a pre-vote is not recorded. The candidate wins with a quorum of the
+ * replica set that its own copy of the journal names. Not thread-safe.
  */
 public final class Candidacy {
     private final String self;
@@ -15,10 +16,15 @@
     private final Set<String> deniedBy = new HashSet<>();
     private long highestTermSeen;
 
-    /** {@code ownState} is the candidate's own, with the term granted to itself; an {@link IllegalArgumentException} otherwise. */
+    /**
+     * Starts a candidacy. {@code ownState} is the state of the candidate, which must have granted the term to
+     * itself.
+     *
+     * @throws IllegalArgumentException if the candidate has not granted the term to itself
+     */
     public Candidacy(String self, ReplicaSet replicaSet, ReplicaState ownState) {
         if (!ownState.hasGranted(ownState.term(), self)) {
-            throw new IllegalArgumentException("a term that was not granted by its claimant");
+            throw new IllegalArgumentException("candidate has not granted the term to itself");
         }
         this.self = self;
         this.replicaSet = replicaSet;
@@ -27,22 +33,25 @@
         grantedBy.add(self);
     }
 
-    /** The term that is stood for. */
+    /** Returns the term of this candidacy. */
     public long term() {
         return ownState.term();
     }
 
-    /** How far the candidate's own copy reaches. */
+    /** Returns the log position of the candidate. */
     public LogPosition logPosition() {
         return ownState.logPosition();
     }
 
-    /** The voters. */
+    /** Returns the replica set whose members vote. */
     public ReplicaSet replicaSet() {
         return replicaSet;
     }
 
-    /** A voter's answer; {@code term} is the highest that it knows of. One to another candidacy changes nothing. */
+    /**
+     * Handles a vote. {@code term} is the highest term that the voter knows. A vote in another candidacy is not
+     * counted.
+     */
     public void onVote(String voter, long requestedTerm, boolean granted, long term) {
         highestTermSeen = Math.max(highestTermSeen, term);
         if (requestedTerm == ownState.term() && replicaSet.members().contains(voter)) {
@@ -50,24 +59,24 @@
         }
     }
 
-    /** Whether the term is this candidate's. */
+    /** Whether a quorum has granted the term to this candidate. */
     public boolean hasWon() {
         return replicaSet.hasQuorum(grantedBy);
     }
 
-    /** Whether so many have denied it that it cannot be won any more. */
+    /** Whether so many members have denied the term that a quorum is no longer possible. */
     public boolean hasLost() {
         Set<String> possibleVoters = new HashSet<>(replicaSet.members());
         possibleVoters.removeAll(deniedBy);
         return !replicaSet.hasQuorum(possibleVoters);
     }
 
-    /** The least term that could be stood for next. */
+    /** Returns the lowest term for the next candidacy. */
     public long nextTerm() {
         return highestTermSeen + 1;
     }
 
-    /** Who has not answered yet, and is to be asked again. */
+    /** Returns the members that have not answered yet and are to be asked again. */
     public Set<String> pendingVoters() {
         Set<String> pendingMembers = new HashSet<>(replicaSet.members());
         pendingMembers.remove(self);
--- a/replication/src/main/java/amberroute/replication/ElectionSchedule.java
+++ b/replication/src/main/java/amberroute/replication/ElectionSchedule.java
@@ -6,24 +6,28 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** When to stand for election, and who is to have replicas. Neither matters for safety: a wrong answer costs time or work. Stateless. */
+/**
+ * Decides when to start an election and which senders become replicas. Neither affects safety: a wrong decision
+ * costs only time or work. Stateless.
+ */
 public final class ElectionSchedule {
     /**
-     * What a replica sees of a journal's owner.
+     * What a replica observes of the leader of a journal.
      *
-     * @param isSelf it is this daemon, whose process was restarted
-     * @param hasFailed membership takes it for failed
-     * @param silentNanos how long nothing was heard of the journal
+     * @param isSelf whether the leader is this sender itself, after a process restart
+     * @param hasFailed whether membership considers the leader failed
+     * @param silentNanos time since the last message about the journal
      */
     public record OwnerObservation(boolean isSelf, boolean hasFailed, long silentNanos) {}
 
     private ElectionSchedule() {}
 
     /**
-     * Whether to ask the replica set for the next term.
+     * Whether to start an election for the next term.
      *
-     * @param failedSilenceNanos how long nothing has to be heard of the journal from an owner that is taken for failed
-     * @param aliveSilenceNanos the same of one that is not: a process that lost its folder is alive and owns nothing
+     * @param failedSilenceNanos minimum silence of a leader that is considered failed
+     * @param aliveSilenceNanos minimum silence of a leader that is not considered failed: a process that lost its
+     *     state folder is alive but leads no journal
      */
     public static boolean shouldStartElection(
             OwnerObservation observation, long failedSilenceNanos, long aliveSilenceNanos) {
@@ -33,8 +37,9 @@
     }
 
     /**
-     * The owner and so many less one others: those behind it in the order of names, so that each has about as many replicas,
-     * and as far as there are any each in a zone that has none yet. Fewer where there are no more.
+     * Returns the leader and up to {@code size - 1} others. The others are chosen in the order of names, starting
+     * after the leader, so that each sender holds about the same number of replicas. Senders in zones that have no
+     * replica yet come first. Returns fewer if there are not enough senders.
      */
     public static List<String> chooseReplicas(
             String self, String zone, int size, List<String> others, UnaryOperator<String> zoneOf) {
@@ -54,7 +59,7 @@
         return chosen;
     }
 
-    /** The others in the order of names, beginning behind this one. */
+    /** Returns the others in the order of names, starting after {@code self} and wrapping around. */
     private static List<String> ringAfter(String self, List<String> others) {
         List<String> ring = new ArrayList<>(others);
         ring.remove(self);
--- a/replication/src/main/java/amberroute/replication/LeaderTerm.java
+++ b/replication/src/main/java/amberroute/replication/LeaderTerm.java
@@ -5,18 +5,20 @@
 import java.util.Map;
 
 /**
- * An owner's term: which records it has written itself, which of them each member has acknowledged, and so which are committed. Invariant: an
- * effect that a record allows may happen once the record is committed and not before.
+ * The term of a leader: which records the leader has written, which of them each member has acknowledged, and so
+ * which are committed. Invariant: an effect that depends on a record may take place only once the record is
+ * committed.
  *
- * <p>Of earlier terms nothing counts by itself: a member is counted for what it has of this one, which begins with a
- * snapshot. Changes of the replica set are records like others; the next one waits until the last is committed. Not thread-safe.
+ * <p>Records of earlier terms are not counted. A member is counted for what it has of this term, which begins with
+ * a snapshot. Changes of the replica set are records like any other; the next change must wait until the last one
+ * is committed. Not thread-safe.
  */
 public final class LeaderTerm {
     private static final long NO_INDEX = -1;
 
     private final String self;
     private final long term;
-    /** Up to where each member has it in this term; those without the snapshot are not there. */
+    /** Highest acknowledged index of each member in this term; members without the snapshot have no entry. */
     private final Map<String, Long> acknowledgedIndexByMember = new HashMap<>();
 
     private ReplicaSet replicaSet;
@@ -24,7 +26,10 @@
     private long lastIndex;
     private boolean ended;
 
-    /** {@code lastIndex} is the index of the owner's last record so far; the replica set is the one that its copy names. */
+    /**
+     * Starts a term. {@code lastIndex} is the index of the last record of the leader, and {@code replicaSet} the
+     * one that its copy of the journal names.
+     */
     public LeaderTerm(String self, long term, long lastIndex, ReplicaSet replicaSet) {
         this.self = self;
         this.term = term;
@@ -33,54 +38,61 @@
         replicaSetIndex = lastIndex;
     }
 
-    /** Number of the term. */
+    /** Returns the number of the term. */
     public long term() {
         return term;
     }
 
-    /** The replica set as it counts now. */
+    /** Returns the current replica set, including a change that is not yet committed. */
     public ReplicaSet replicaSet() {
         return replicaSet;
     }
 
-    /** Index of the last record that the owner has written. */
+    /** Returns the index of the last record that the leader has written. */
     public long lastIndex() {
         return lastIndex;
     }
 
-    /** A record was written by the owner; returns its index. */
+    /** Records that the leader has written a record, and returns its index. */
     public long appended() {
         return ++lastIndex;
     }
 
-    /** The last record changes the replica set, which counts from then on; only after the last change is committed. */
+    /**
+     * Records that the last record changes the replica set. The new replica set is in effect immediately.
+     *
+     * @throws IllegalStateException if the previous change is not committed
+     */
     public void replicaSetChanged(ReplicaSet next) {
         if (!isReplicaSetCommitted()) {
-            throw new IllegalStateException("the last change of the group is not agreed on");
+            throw new IllegalStateException("previous change of the replica set is not committed");
         }
         replicaSet = next;
         replicaSetIndex = lastIndex;
         acknowledgedIndexByMember.keySet().retainAll(next.members());
     }
 
-    /** Whether the next change of the replica set may be made. */
+    /** Whether the last change of the replica set is committed, so that the next one may be made. */
     public boolean isReplicaSetCommitted() {
         return commitIndex() >= replicaSetIndex;
     }
 
-    /** A member has all up to an index on its disk, in this term. */
+    /** Records that a member has all records up to an index on disk, in this term. */
     public void acknowledged(String member, long index) {
         if (!member.equals(self) && index <= lastIndex) {
             acknowledgedIndexByMember.merge(member, index, Math::max);
         }
     }
 
-    /** A member's copy is not known to be complete any more: its connection was lost, or it asks for a snapshot. */
+    /**
+     * Records that the copy of a member is no longer known to be complete: its connection was lost, or it requests
+     * a snapshot.
+     */
     public void acknowledgementLost(String member) {
         acknowledgedIndexByMember.remove(member);
     }
 
-    /** How many records a member is behind, -1 where it has no snapshot of this term. */
+    /** Returns how many records a member lags behind, or -1 if it has no snapshot of this term. */
     public long replicationLag(String member) {
         if (member.equals(self)) {
             return 0;
@@ -89,23 +101,26 @@
         return acknowledgedIndex == null ? NO_INDEX : lastIndex - acknowledgedIndex;
     }
 
-    /** The highest index up to which a quorum has all; -1 where none has anything of this term, and after its end. */
+    /**
+     * Returns the highest index that a quorum has acknowledged; -1 if no quorum has the snapshot of this term, or
+     * if the term has ended.
+     */
     public long commitIndex() {
         List<Long> indexes = replicaSet.members().stream()
                 .map(member ->
                         member.equals(self) ? lastIndex : acknowledgedIndexByMember.getOrDefault(member, NO_INDEX))
                 .sorted()
                 .toList();
-        // Of n members sorted upwards, more than half are at or above this one.
+        // Of n indexes in ascending order, more than half are at or above this one.
         return indexes.isEmpty() || ended ? NO_INDEX : indexes.get((indexes.size() - 1) / 2);
     }
 
-    /** Somebody has a later term: nothing more is committed. */
+    /** Ends the term, because another sender leads a later one: no further record is committed. */
     public void end() {
         ended = true;
     }
 
-    /** Whether nothing more is committed. */
+    /** Whether the term has ended, so that no further record is committed. */
     public boolean hasEnded() {
         return ended;
     }
--- a/replication/src/main/java/amberroute/replication/LogPosition.java
+++ b/replication/src/main/java/amberroute/replication/LogPosition.java
@@ -1,11 +1,11 @@
 package amberroute.replication;
 
 /**
- * A position in a journal's records: the term in which the record was written, and its index within the journal. Of two
- * copies the one with the higher position has all that was ever committed in the other. Immutable.
+ * A position in the records of a journal: the term in which a record was written, and its index within the journal.
+ * Of two copies, the one with the higher position has every record that was committed in the other. Immutable.
  */
 public record LogPosition(long term, long index) implements Comparable<LogPosition> {
-    /** Of a replica that has nothing. */
+    /** The position of an empty copy. */
     public static final LogPosition NONE = new LogPosition(0, 0);
 
     @Override
--- a/replication/src/main/java/amberroute/replication/ReplicaSet.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSet.java
@@ -5,35 +5,40 @@
 import java.util.List;
 
 /**
- * Who has replicas of a journal, its owner among them; {@code version} grows by one with each change. Invariant: a change adds one member
- * or removes one, never both: then any quorum of before and any of after have a member in common, so two versions can
- * never decide apart. Immutable. An {@link IllegalArgumentException} for a member twice, or more than {@link #MAX_MEMBERS}.
+ * The senders that have replicas of a journal, including its leader. {@code version} grows by one with each change.
+ * Invariant: a change adds or removes exactly one member. Any quorum before the change and any quorum after it then
+ * have a member in common, so two versions cannot make conflicting decisions. Immutable.
+ *
+ * @throws IllegalArgumentException for a duplicate member or more than {@link #MAX_MEMBERS} members
  */
 public record ReplicaSet(long version, List<String> members) {
-    /** More would make each message slower and the fleet no safer against what happens to it. */
+    /**
+     * Maximum number of members. More members would slow down each message without protecting against more kinds of
+     * failure.
+     */
     public static final int MAX_MEMBERS = 7;
 
-    /** Checks the members. */
+    /** Validates the members. */
     public ReplicaSet {
         members = List.copyOf(members);
         if (members.size() > MAX_MEMBERS || members.stream().distinct().count() != members.size()) {
-            throw new IllegalArgumentException("no group: " + members);
+            throw new IllegalArgumentException("replica set with duplicate or too many members: " + members);
         }
     }
 
-    /** Whether these are more than half of it; others do not count. */
+    /** Whether the given names include more than half of the members; names of other senders are not counted. */
     public boolean hasQuorum(Collection<String> names) {
         return 2 * members.stream().filter(names::contains).count() > members.size();
     }
 
-    /** The next version with one more. */
+    /** Returns the next version, with an additional member. */
     public ReplicaSet withMember(String name) {
         List<String> newMembers = new ArrayList<>(members);
         newMembers.add(name);
         return new ReplicaSet(version + 1, newMembers);
     }
 
-    /** The next version without one. */
+    /** Returns the next version, without a member. */
     public ReplicaSet withoutMember(String name) {
         List<String> newMembers =
                 members.stream().filter(member -> !member.equals(name)).toList();
--- a/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSetChange.java
@@ -7,12 +7,13 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Which change of a journal's replica set comes next. A member that lost its state is removed at once, one that has failed is removed
- * once another has taken its place, and whoever is to join is caught up first. One step at a time; whoever carries
- * it out asks again when it is committed. Times are nanoseconds on the caller's clock. Not thread-safe.
+ * Decides the next change of the replica set of a journal. A member that lost its state is removed immediately. A
+ * member that has failed is removed once a replacement was added. A new member is caught up before it is added.
+ * Changes are made one at a time; the caller asks for the next one when the last is committed. Times are
+ * nanoseconds on the caller's clock. Not thread-safe.
  */
 public final class ReplicaSetChange {
-    /** What to do with a daemon; NONE names nobody. */
+    /** What to do with a sender; NONE names no sender. */
     public enum Kind {
         NONE,
         REMOVE,
@@ -20,19 +21,19 @@
         ADD
     }
 
-    /** One step. */
+    /** One step of a replica set change. */
     public record Step(Kind kind, String member) {
         static final Step NONE = new Step(Kind.NONE, "");
     }
 
     /**
-     * How the other daemons are.
+     * The state of the other senders.
      *
-     * @param hasFailed membership takes it for failed
-     * @param hasLostState it came back without what it had promised
-     * @param isCaughtUp it has all records
-     * @param alive who could join
-     * @param zoneOf where each is
+     * @param hasFailed whether membership considers the sender failed
+     * @param hasLostState whether the sender restarted without its previous votes and records
+     * @param isCaughtUp whether the sender has all records
+     * @param alive the senders that could be added
+     * @param zoneOf the zone of each sender
      */
     public record View(
             Predicate<String> hasFailed,
@@ -49,14 +50,17 @@
     private final Map<String, Long> failedSinceNanos = new HashMap<>();
     private String learner = NO_MEMBER;
 
-    /** A replica set of so many; a member that has failed for longer than {@code replaceAfterNanos} is replaced. */
+    /**
+     * Maintains a replica set of {@code targetSize} members. A member that has failed for longer than {@code
+     * replaceAfterNanos} is replaced.
+     */
     public ReplicaSetChange(String self, int targetSize, long replaceAfterNanos) {
         this.self = self;
         this.targetSize = targetSize;
         this.replaceAfterNanos = replaceAfterNanos;
     }
 
-    /** The next step for a replica set whose last change is committed. */
+    /** Returns the next step for a replica set whose last change is committed. */
     public Step nextStep(long nowNanos, ReplicaSet replicaSet, View view) {
         List<String> others = replicaSet.members().stream()
                 .filter(member -> !member.equals(self))
@@ -100,7 +104,7 @@
         return failedSinceNanos.containsKey(member) && nowNanos - failedSinceNanos.get(member) > replaceAfterNanos;
     }
 
-    /** Chooses a learner where there is none, and adds it once it has caught up. */
+    /** Chooses a learner if there is none, and adds the learner once it has caught up. */
     private Step nextLearnerStep(ReplicaSet replicaSet, View view) {
         if (!learner.isEmpty()) {
             return view.isCaughtUp().test(learner) ? new Step(Kind.ADD, learner) : Step.NONE;
--- a/replication/src/main/java/amberroute/replication/ReplicaState.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaState.java
@@ -1,51 +1,56 @@
 package amberroute.replication;
 
 /**
- * What one replica has promised and has of one journal. The one thing that must outlast the replica's process: on disk before any
- * answer that follows. Immutable; each transition gives the next state, or this very instance where nothing changes.
+ * The votes and the log position of one replica of one journal. This is the only state that must survive the
+ * process of the replica: it is on disk before any reply that depends on it is sent. Immutable; each transition
+ * returns the next state, or this instance if nothing changes.
  *
- * <p>Invariant: a term has one owner. It is granted once, and a replica that has granted a term takes nothing of an older one.
+ * <p>Invariant: a term has one leader. A replica grants a term once, and afterwards accepts nothing of an earlier
+ * term.
  *
- * <p>A replica that never heard of the journal may have lost its folder, and with it what it promised: it takes copies, but grants
- * only the beginning of a new journal and does not count until a replica set names it that was committed without it. An owner whose term is over cannot
- * bring that about, as each change of the replica set takes a quorum that does not count this one.
+ * <p>A replica without any state for the journal may have lost its state folder, and with it its votes. It accepts
+ * records, but grants only the beginning of a new journal, and is not counted until it is named by a replica set
+ * that was committed without it. A leader whose term is over cannot bring that about, because each change of the
+ * replica set requires a quorum, in which this replica is not counted.
  *
- * @param term the highest term that was granted, or of which records were taken
- * @param owner to whom that term belongs, empty for none
- * @param logPosition how far the copy reaches
- * @param nonVotingStage 0 for a replica that has kept all its promises and votes, {@link #LISTED_WITHOUT_STATE} for one that came when the
- *     replica set named it already, so that it has to be taken out first, and {@link #LEARNER} for one that has met a replica set
- *     without it: the next one with it makes it a voter. The number is on disk.
+ * @param term the highest term that was granted, or of which records were accepted
+ * @param owner the leader of that term; empty for none
+ * @param logPosition the last position of the copy
+ * @param nonVotingStage 0 for a voter, which has kept its state. {@link #LISTED_WITHOUT_STATE} for a replica that
+ *     joined without state when the replica set already named it, so that it has to be removed first. {@link
+ *     #LEARNER} for a replica that has received a replica set that does not name it: the next one that names it
+ *     makes it a voter. The number is on disk.
  */
 public record ReplicaState(long term, String owner, LogPosition logPosition, int nonVotingStage) {
-    /** Votes again once a replica set names it. */
+    /** Becomes a voter once a replica set names it. */
     public static final int LEARNER = 1;
-    /** Has to be taken out of the replica set before it may learn. */
+    /** Has to be removed from the replica set before it can become a learner. */
     public static final int LISTED_WITHOUT_STATE = 2;
 
     private static final int VOTER = 0;
 
-    /** Of a replica that never heard of the journal. */
+    /** The state of a replica without any record of the journal. */
     public static final ReplicaState NONE = new ReplicaState(0, "", LogPosition.NONE, VOTER);
 
-    /** Of a replica that has kept its promises. */
+    /** Creates the state of a voter. */
     public ReplicaState(long term, String owner, LogPosition logPosition) {
         this(term, owner, logPosition, VOTER);
     }
 
-    /** The same with a copy that reaches as far as its own records say. */
+    /** Returns this state with the log position that the records of the copy show. */
     public ReplicaState withLogPosition(LogPosition position) {
         return new ReplicaState(term, owner, position, nonVotingStage);
     }
 
-    /** Whether what it has and grants counts. */
+    /** Whether the votes and acknowledgements of this replica count towards a quorum. */
     public boolean isVoter() {
         return nonVotingStage == VOTER;
     }
 
     /**
-     * The owner says what this replica has acknowledged in a term. Where it has less, its folder is an old one that was put
-     * back: what it promised since is gone, as with one that comes without any.
+     * Compares this state with the index that, according to the leader, this replica has acknowledged in a term. If
+     * the replica has less, an old copy of its state folder was restored: its votes since then are lost, as for a
+     * replica that joins without any state.
      */
     public ReplicaState withAcknowledged(long leaderTerm, String leader, long acknowledgedIndex) {
         boolean hasAcknowledgedRecords = logPosition.compareTo(new LogPosition(leaderTerm, acknowledgedIndex)) >= 0;
@@ -55,9 +60,10 @@
     }
 
     /**
-     * A candidate whose copy reaches so far asks for a term. The result is this very state where the vote is denied, else
-     * what has to be on disk before it is granted. The same candidate may ask again. A replica that never heard of the journal grants
-     * only its very beginning, when there is nothing to know.
+     * Handles a vote request of a candidate at the given position. Returns this instance if the vote is denied,
+     * otherwise the state that has to be on disk before the vote is sent. The same candidate may ask again. A
+     * replica without any record of the journal grants only a term of an empty journal, of which there are no
+     * records to miss.
      */
     public ReplicaState onVoteRequest(long requestedTerm, String candidate, LogPosition candidatePosition) {
         if (!isVoter() || term == 0 && !candidatePosition.equals(LogPosition.NONE)) {
@@ -68,17 +74,23 @@
                 : this;
     }
 
-    /** Whether it has granted this term to this candidate. */
+    /** Whether this replica has granted this term to this candidate. */
     public boolean hasGranted(long requestedTerm, String candidate) {
         return isVoter() && term == requestedTerm && owner.equals(candidate);
     }
 
-    /** Whether a message of this term and leader is over here: somebody else has the same or a later term. */
+    /**
+     * Whether a message of this term and leader is stale: this replica knows a later term, or another leader of the
+     * same term.
+     */
     public boolean isStale(long leaderTerm, String leader) {
         return leaderTerm < term || leaderTerm == term && !owner.equals(leader);
     }
 
-    /** A leader has a term that is not stale: from now on nothing of an older one is taken. */
+    /**
+     * Handles a message of the leader of a term that is not stale. Messages of earlier terms are rejected from now
+     * on.
+     */
     public ReplicaState onLeader(long leaderTerm, String leader) {
         return isStale(leaderTerm, leader) || term == 0
                 ? this
@@ -86,8 +98,8 @@
     }
 
     /**
-     * Records that follow one another from {@code previousIndex} on, in a term that is not stale. Where the copy does not end
-     * right there the result is this very state: it needs a snapshot.
+     * Appends consecutive records after {@code previousIndex}, in a term that is not stale. Returns this instance
+     * if the copy does not end exactly at that index, in which case the replica needs a snapshot.
      */
     public ReplicaState onAppend(long leaderTerm, String leader, long previousIndex, long lastIndex) {
         boolean isContiguous =
@@ -98,7 +110,7 @@
     }
 
     /**
-     * All of the journal as it stands at an index: takes the place of any copy of an earlier term, or a shorter one.
+     * Replaces the copy by a snapshot of the journal at an index, if the copy is of an earlier term or shorter.
      * {@code isMember} is whether the replica set names this replica.
      */
     public ReplicaState onSnapshot(long leaderTerm, String leader, long index, boolean isMember) {
@@ -110,7 +122,7 @@
         return new ReplicaState(leaderTerm, leader, position, term > 0 ? nonVotingStage : stageOfNewReplica);
     }
 
-    /** The replica set of the copy that it has now names this replica, or does not. */
+    /** Handles the replica set of the current copy. {@code isMember} is whether it names this replica. */
     public ReplicaState onReplicaSet(boolean isMember) {
         int nextStage = nonVotingStage;
         if (isMember && nonVotingStage == LEARNER) {
--- a/replication/src/main/java/amberroute/replication/package-info.java
+++ b/replication/src/main/java/amberroute/replication/package-info.java
@@ -1,21 +1,22 @@
 /**
- * Who owns a daemon's journal when the daemon may be lost: replicas of its records at a replica set, leader terms that a quorum grants, and the
- * candidacy for the next one.
+ * Replication of a sender's journal: replicas of its records at the members of a replica set, leader terms that a
+ * quorum grants, and elections for the next term.
  *
- * <p>Assumes that messages may be lost, delayed and repeated, that clocks may be wrong, and that the host has each {@link
- * amberroute.replication.ReplicaState} on disk before the answer that follows from it leaves. Invariants:
+ * <p>Messages may be lost, delayed and duplicated, and clocks may be wrong. The caller must have each {@link
+ * amberroute.replication.ReplicaState} on disk before it sends the reply that depends on it. Invariants:
  *
  * <ul>
- * <li>A term has one owner: a replica grants it once, and takes nothing of an older one afterwards ({@link
+ * <li>A term has one leader: a replica grants it once, and afterwards accepts nothing of an earlier term ({@link
  * amberroute.replication.ReplicaState}).
- * <li>An effect happens once a quorum has the record that allows it ({@link amberroute.replication.LeaderTerm}); whoever wins a later term
- * has that record, as its quorum has a member in common with the first ({@link amberroute.replication.Candidacy}).
- * <li>A change of the replica set adds or removes one member, so quorums of before and after meet ({@link
+ * <li>An effect takes place only once a quorum has the record that allows it ({@link
+ * amberroute.replication.LeaderTerm}). The leader of a later term has that record, because its quorum and the first
+ * have a member in common ({@link amberroute.replication.Candidacy}).
+ * <li>A change of the replica set adds or removes one member, so that quorums before and after it overlap ({@link
  * amberroute.replication.ReplicaSet}).
  * </ul>
  *
- * <p>No I/O and no clock. It knows neither the journal nor sockets nor the sender. When to stand for election ({@link
- * amberroute.replication.ElectionSchedule}) and whom to replicate to ({@link amberroute.replication.ReplicaSetChange}) matters for time and
- * work only, never for safety.
+ * <p>The package performs no I/O and reads no clock. It does not depend on the journal, the network or the sender.
+ * When to start an election ({@link amberroute.replication.ElectionSchedule}) and which senders to replicate to
+ * ({@link amberroute.replication.ReplicaSetChange}) affect only time and work, never safety.
  */
 package amberroute.replication;
--- a/replication/src/test/java/amberroute/replication/ElectionScheduleTest.java
+++ b/replication/src/test/java/amberroute/replication/ElectionScheduleTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When to try, who is to hold, and how holders are counted. */
+/** Tests when an election starts, which senders become replicas, and how acknowledgements and votes are counted. */
 class ElectionScheduleTest {
     @Test
     void replicasAreInDifferentZonesAndEvenlySpread() {
@@ -68,7 +68,7 @@
         leaderTerm.acknowledgementLost("c");
         assertEquals(-1, leaderTerm.replicationLag("c"));
         assertEquals(1, leaderTerm.replicationLag("b"));
-        // A number that was never written is nobody's.
+        // An index that was never written is ignored.
         leaderTerm.acknowledged("b", 99);
         assertEquals(10, leaderTerm.commitIndex());
         leaderTerm.acknowledged("b", 11);
--- a/replication/src/test/java/amberroute/replication/ExplorationTest.java
+++ b/replication/src/test/java/amberroute/replication/ExplorationTest.java
@@ -18,16 +18,17 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Every reachable state of one journal at small sizes. A message that was ever sent may arrive at any later moment, any number
- * of times or never, which covers loss, delay, repetition, reordering, cuts of any shape and processes that are stopped and
- * go on. A daemon that is lost for good is one of which no more steps follow, and one that is restarted one that stands for election
- * anew with what it has on disk: neither needs a step of its own.
+ * Explores every reachable state of the replication of one journal at small sizes. A message that was ever sent may
+ * arrive at any later time, any number of times or never, which covers loss, delay, duplication, reordering,
+ * network partitions, and processes that are paused and resumed. A sender that is lost for good takes no further
+ * steps, and one that is restarted stands for election with the state that it has on disk, so neither needs a step
+ * of its own.
  *
- * <p>Two choices only make the worst case come sooner: an owner hears at once what a member has, and has each effect as soon
- * as it may. More effects, earlier, can only break more.
+ * <p>Two simplifications only bring the worst case forward: a leader learns at once what a member has, and carries
+ * out each effect as soon as it may. More and earlier effects can only violate more invariants.
  */
 class ExplorationTest {
-    /** How the hosts behave; each mutant does one thing wrong and has to be found. */
+    /** The behavior of the senders. Each mutant has one defect, which the exploration must detect. */
     enum HostVariant {
         RIGHT,
         GRANTS_TWICE,
@@ -47,11 +48,17 @@
         APPEND
     }
 
-    /** {@code log} are the changes up to the message's position, or what the asker has. */
+    /**
+     * {@code log} has the records up to the position of the message; in a vote request, the position of the
+     * candidate.
+     */
     private record Message(
             Kind kind, String from, String to, LogPosition position, List<String> log, ReplicaSet replicaSet) {}
 
-    /** What one process has in memory: a candidacy (granted by these) or a leader term (held by these), or neither. */
+    /**
+     * The volatile state of a process: a candidacy with the members that granted it, or a leader term with the
+     * index that each member has acknowledged. Null for a follower.
+     */
     private record Role(long term, boolean isLeader, Set<String> grantedBy, Map<String, Long> acknowledgedIndexes) {}
 
     private record Daemon(ReplicaState state, List<String> log, ReplicaSet replicaSet, Role role) {
@@ -68,7 +75,7 @@
         private final Map<String, Daemon> daemons;
         private final Set<Message> messages;
         private final Set<String> effects;
-        /** Sets and maps do not keep theirs. */
+        /** Cached, because collections compute their hash code on every call. */
         private final int hash;
 
         private final boolean stateLost;
@@ -160,9 +167,9 @@
             return successors;
         }
 
-        /** A member's folder is gone, once in a walk: it comes back with nothing. */
+        /** A member loses its state folder, once per exploration, and restarts without any state. */
         private void loseState(List<SystemState> successors, SystemState state, String name, Daemon daemon) {
-            // B is as C.
+            // B and C are symmetric.
             if (!state.stateLost() && daemon.role() == null && !changesReplicaSet && name.equals("C")) {
                 SystemState nextState = state.with(
                         name, new Daemon(ReplicaState.NONE, List.of(), daemon.replicaSet(), null), List.of());
@@ -174,9 +181,8 @@
             long term = daemon.state().term() + 1;
             ReplicaState ownState =
                     daemon.state().onVoteRequest(term, name, daemon.state().logPosition());
-            // With changes of the replica set B is as C, and A would stand with what it has: that keeps their walk
-            // within its
-            // bound.
+            // With changes of the replica set, only C and D stand for election, which keeps the exploration within
+            // its bound: B and C are symmetric, and A would stand with the records that it has.
             if (!ownState.hasGranted(term, name)) {
                 return;
             }
@@ -200,11 +206,11 @@
             }
             Daemon candidate = daemon.with(ownState, daemon.log(), daemon.replicaSet())
                     .withRole(new Role(term, false, Set.of(name), Map.of()));
-            // That none of them arrives is among what follows.
+            // Later states include those in which none of the requests arrives.
             successors.add(state.with(name, candidate, voteRequests));
         }
 
-        /** What an owner may do: write a change, change the replica set. */
+        /** Adds the steps of a leader: append a record, or change the replica set. */
         private void actAsLeader(List<SystemState> successors, SystemState state, String name, Daemon daemon) {
             Role role = daemon.role();
             if (!role.isLeader() || daemon.state().isStale(role.term(), name)) {
@@ -341,7 +347,8 @@
                                 message.to(), daemon.withRole(new Role(term, false, grantedBy, Map.of())), List.of()));
                     }
                 }
-                    // The snapshot does all that the last change alone does, and more: that is looked at here as well.
+                    // A snapshot has at least the effect of appending its last record alone, which is checked here
+                    // as well.
                 case APPEND -> {
                     boolean acceptsStale = host == HostVariant.ACCEPTS_STALE_RECORDS
                             && term < daemon.state().term();
@@ -359,7 +366,7 @@
                     ReplicaState afterAppend = replica.onAppend(term, message.from(), index - 1, index);
                     assertTrue(
                             afterAppend == replica || afterAppend.logPosition().equals(next.logPosition()),
-                            () -> replica + " takes " + message);
+                            () -> replica + " accepts " + message);
                     if (next.equals(replica)) {
                         return;
                     }
@@ -397,9 +404,8 @@
         }
 
         private LeaderTerm leaderTerm(String name, Daemon daemon) {
-            // The last change of the replica set may be its last change at all: a leader term takes it for that, which
-            // is
-            // stricter.
+            // The last record that changes the replica set may be its last change at all. A leader term assumes
+            // that it is, which is stricter.
             int replicaSetIndex = 0;
             for (int i = 0; i < daemon.log().size(); i++) {
                 replicaSetIndex = daemon.log().get(i).contains("g") ? i + 1 : replicaSetIndex;
@@ -412,7 +418,7 @@
             return leaderTerm;
         }
 
-        /** Every effect that may be had is had. */
+        /** Carries out every effect that is allowed. */
         private SystemState withAllowedEffects(SystemState state) {
             Set<String> allowedEffects = new TreeSet<>(state.effects());
             state.daemons().forEach((name, daemon) -> {
@@ -425,7 +431,7 @@
                         ? daemon.log().size()
                         : leaderTerm(name, daemon).commitIndex();
                 if (host == HostVariant.COUNTS_EARLIER_TERMS) {
-                    // Whoever holds a copy of any term that is as long counts.
+                    // Counts every copy of at least this length, of whatever term.
                     committedIndex = Math.max(
                             committedIndex,
                             state.daemons().values().stream()
@@ -454,21 +460,21 @@
                     continue;
                 }
                 if (!ledTerms.add(daemon.role().term())) {
-                    return "two owners of term " + daemon.role().term();
+                    return "two leaders of term " + daemon.role().term();
                 }
                 for (String effect : state.effects()) {
                     if (Long.parseLong(effect.substring(0, effect.indexOf('@')))
                                     < daemon.role().term()
                             && !daemon.log().contains(effect.substring(effect.indexOf('@') + 1))) {
-                        return entry.getKey() + " owns term " + daemon.role().term()
-                                + " and does not know of the effect of " + effect;
+                        return entry.getKey() + " leads term " + daemon.role().term() + " without the record of effect "
+                                + effect;
                     }
                 }
             }
             return null;
         }
 
-        /** Null where every reachable state is good; else what broke first. */
+        /** Returns null if the invariants hold in every reachable state, otherwise the first violation. */
         String explore() {
             Map<String, Daemon> initialDaemons = new TreeMap<>();
             ReplicaSet replicaSet = new ReplicaSet(0, List.of("A", "B", "C"));
@@ -505,9 +511,10 @@
                 if (seen.size() > (changesReplicaSet ? MAX_STATES : 4 * MAX_STATES)) {
                     if (!changesReplicaSet) {
                         throw new IllegalStateException(
-                                "more states than this test is for, " + unexplored.size() + " open");
+                                "exploration exceeds its bound of states, " + unexplored.size() + " unexplored");
                     }
-                    // Told in docs/survival.md: with a fourth member the walk is broad, not whole.
+                    // With a fourth member the exploration is bounded by the number of states and not exhaustive;
+                    // see docs/survival.md.
                     break;
                 }
             }
@@ -544,7 +551,7 @@
             names = {"RIGHT", "SWAPS_MEMBERS", "COUNTS_EARLIER_TERMS"},
             mode = EnumSource.Mode.EXCLUDE)
     void mutantIsDetected(HostVariant mutant) {
-        assertNotNull(new Exploration(mutant, 3, 2, false).explore(), mutant + " was not found");
+        assertNotNull(new Exploration(mutant, 3, 2, false).explore(), mutant + " was not detected");
     }
 
     @Test
--- a/replication/src/test/java/amberroute/replication/ReplicaSetChangeTest.java
+++ b/replication/src/test/java/amberroute/replication/ReplicaSetChangeTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which change of a group comes next, step by step as its host carries them out. */
+/** Tests which change of a replica set comes next, as the caller carries out each step. */
 class ReplicaSetChangeTest {
     private static final long REPLACE_AFTER_NANOS = 10;
     private final Set<String> failedDaemons = new HashSet<>();
@@ -57,7 +57,7 @@
         failedDaemons.add("b");
         assertEquals(Kind.NONE, applyNextStep(0).kind());
         assertEquals(Kind.NONE, applyNextStep(REPLACE_AFTER_NANOS).kind());
-        // One in another zone where there is one.
+        // A sender in another zone is preferred.
         assertEquals(new Step(Kind.CATCH_UP, "e"), applyNextStep(REPLACE_AFTER_NANOS + 1));
         assertEquals(Kind.NONE, applyNextStep(REPLACE_AFTER_NANOS + 2).kind());
         caughtUpDaemons.add("e");
@@ -98,7 +98,10 @@
         assertEquals(new Step(Kind.CATCH_UP, "d"), applyNextStep(REPLACE_AFTER_NANOS + 2));
     }
 
-    /** Whatever comes and goes: one change at a time, never below two, never the owner, and whole again in the end. */
+    /**
+     * For any order of events: one change at a time, never fewer than two members, the leader always among them,
+     * and a complete replica set in the end.
+     */
     @Test
     void randomEventsEndInCompleteReplicaSet() {
         for (int seed = 0; seed < 300; seed++) {
