--- a/replication/src/main/java/amberroute/replication/ElectionSchedule.java
+++ b/replication/src/main/java/amberroute/replication/ElectionSchedule.java
@@ -6,24 +6,28 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** When to stand for election, and who is to have replicas. Neither matters for safety: a wrong answer costs time or work. Stateless. */
+/**
+ * Decides when to start an election and which senders become replicas. Neither affects safety: a wrong decision
+ * costs only time or work. Stateless.
+ */
 public final class ElectionSchedule {
     /**
-     * What a replica sees of a journal's owner.
+     * What a replica observes of the leader of a journal.
      *
-     * @param isSelf it is this daemon, whose process was restarted
-     * @param hasFailed membership takes it for failed
-     * @param silentNanos how long nothing was heard of the journal
+     * @param isSelf whether the leader is this sender itself, after a process restart
+     * @param hasFailed whether membership considers the leader failed
+     * @param silentNanos time since the last message about the journal
      */
     public record OwnerObservation(boolean isSelf, boolean hasFailed, long silentNanos) {}
 
     private ElectionSchedule() {}
 
     /**
-     * Whether to ask the replica set for the next term.
+     * Whether to start an election for the next term.
      *
-     * @param failedSilenceNanos how long nothing has to be heard of the journal from an owner that is taken for failed
-     * @param aliveSilenceNanos the same of one that is not: a process that lost its folder is alive and owns nothing
+     * @param failedSilenceNanos minimum silence of a leader that is considered failed
+     * @param aliveSilenceNanos minimum silence of a leader that is not considered failed: a process that lost its
+     *     state folder is alive but leads no journal
      */
     public static boolean shouldStartElection(
             OwnerObservation observation, long failedSilenceNanos, long aliveSilenceNanos) {
@@ -33,12 +37,13 @@
     }
 
     /**
-     * The owner and so many less one others: those behind it in the order of names, so that each has about as many replicas,
-     * and as far as there are any each in a zone that has none yet. Fewer where there are no more.
+     * Returns the leader and up to {@code size - 1} others. The others are chosen in the order of names, starting
+     * after the leader, so that each sender holds about the same number of replicas. Senders in zones that have no
+     * replica yet come first. Returns fewer if there are not enough senders.
      */
     public static List<String> chooseReplicas(
             String self, String zone, int size, List<String> others, UnaryOperator<String> zoneOf) {
-        List<String> ring = ringBehind(self, others);
+        List<String> ring = ringAfter(self, others);
         List<String> chosen = new ArrayList<>(List.of(self));
         Set<String> zones = new HashSet<>(Set.of(zone));
         for (String name : ring) {
@@ -54,17 +59,17 @@
         return chosen;
     }
 
-    /** The others in the order of names, beginning behind this one. */
-    private static List<String> ringBehind(String self, List<String> others) {
+    /** Returns the others in the order of names, starting after {@code self} and wrapping around. */
+    private static List<String> ringAfter(String self, List<String> others) {
         List<String> ring = new ArrayList<>(others);
         ring.remove(self);
         ring.sort((left, right) -> {
-            boolean leftIsBehind = left.compareTo(self) > 0;
-            boolean rightIsBehind = right.compareTo(self) > 0;
-            if (leftIsBehind == rightIsBehind) {
+            boolean leftIsAfterSelf = left.compareTo(self) > 0;
+            boolean rightIsAfterSelf = right.compareTo(self) > 0;
+            if (leftIsAfterSelf == rightIsAfterSelf) {
                 return left.compareTo(right);
             }
-            return leftIsBehind ? -1 : 1;
+            return leftIsAfterSelf ? -1 : 1;
         });
         return ring;
     }
