--- a/membership/src/main/java/amberroute/membership/GossipQueue.java
+++ b/membership/src/main/java/amberroute/membership/GossipQueue.java
@@ -36,16 +36,16 @@
     /**
      * The updates for one datagram, in so many bytes; the recipient first hears what is said of itself.
      *
-     * @param first goes with the datagram in any case, null for none
+     * @param requiredUpdate goes with the datagram in any case, null for none
      * @param maxTransmissions an update that was sent so many times is dropped
      */
-    List<SwimMessage.MemberUpdate> next(
-            String recipient, SwimMessage.MemberUpdate first, int maxBytes, int maxTransmissions) {
+    List<SwimMessage.MemberUpdate> nextUpdates(
+            String recipient, SwimMessage.MemberUpdate requiredUpdate, int maxBytes, int maxTransmissions) {
         List<SwimMessage.MemberUpdate> updates = new ArrayList<>();
         int bytesLeft = maxBytes;
-        if (first != null) {
-            updates.add(first);
-            bytesLeft -= first.encodedBytes();
+        if (requiredUpdate != null) {
+            updates.add(requiredUpdate);
+            bytesLeft -= requiredUpdate.encodedBytes();
         }
         for (QueuedUpdate queued : leastSentFirst(recipient)) {
             SwimMessage.MemberUpdate update = queued.update;
--- a/membership/src/main/java/amberroute/membership/Heartbeat.java
+++ b/membership/src/main/java/amberroute/membership/Heartbeat.java
@@ -126,11 +126,11 @@
             long incarnation = in.getLong();
             long sequence = in.getLong();
             List<SlowStartUpdate> updates = new ArrayList<>();
-            for (int left = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); left > 0; left--) {
+            for (int remaining = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); remaining > 0; remaining--) {
                 updates.add(decodeUpdate(in));
             }
             List<QuotaLoan> loans = new ArrayList<>();
-            for (int left = DatagramChecks.intInRange(in.get(), 0, MAX_LOANS); left > 0; left--) {
+            for (int remaining = DatagramChecks.intInRange(in.get(), 0, MAX_LOANS); remaining > 0; remaining--) {
                 loans.add(decodeLoan(in));
             }
             if (in.hasRemaining() || !sender.matches("[A-Za-z0-9._-]+") || sequence < 0 || incarnation < 0) {
@@ -152,9 +152,9 @@
         return new SlowStartUpdate(
                 in.getInt(),
                 Health.values()[DatagramChecks.intInRange(in.get(), 0, 3)],
-                ageMillis(in),
-                ageMillis(in),
-                ageMillis(in),
+                decodeAgeMillis(in),
+                decodeAgeMillis(in),
+                decodeAgeMillis(in),
                 DatagramChecks.perSecond(in.getFloat()),
                 DatagramChecks.perSecond(in.getFloat()),
                 DatagramChecks.perSecond(in.getFloat()));
@@ -168,7 +168,7 @@
                 DatagramChecks.fraction(in.getFloat()));
     }
 
-    private static int ageMillis(ByteBuffer in) {
+    private static int decodeAgeMillis(ByteBuffer in) {
         return DatagramChecks.intInRange(in.getInt(), -1, MAX_AGE_MILLIS);
     }
 }
--- a/membership/src/main/java/amberroute/membership/HeartbeatMonitor.java
+++ b/membership/src/main/java/amberroute/membership/HeartbeatMonitor.java
@@ -32,9 +32,9 @@
     private long lastSentAtMicros = NEVER;
 
     /** {@code incarnation} is higher than that of any earlier process of this daemon, such as wall time. */
-    public HeartbeatMonitor(Collection<String> names, long incarnation) {
+    public HeartbeatMonitor(Collection<String> peerNames, long incarnation) {
         this.incarnation = incarnation;
-        names.forEach(name -> peers.put(name, new Peer()));
+        peerNames.forEach(name -> peers.put(name, new Peer()));
     }
 
     /** Whether a heartbeat is new and its sender known: then it counts, and so does what else it carries. */
--- a/membership/src/main/java/amberroute/membership/SwimMembership.java
+++ b/membership/src/main/java/amberroute/membership/SwimMembership.java
@@ -33,13 +33,13 @@
 
     static final int INDIRECT_PROBES = 3;
     /** A suspicion lasts so many periods for each tenfold of members, at least one tenfold; SWIM and Lifeguard use 4 to 5. */
-    private static final double SUSPICION_PERIODS = 4;
+    private static final double SUSPICION_MULTIPLIER = 4;
     /** A member that was never heard of is not taken for failed before: it may only be starting. */
     private static final long FIRST_CONTACT_TIMEOUT_MICROS = 8_000_000;
     /** Lifeguard's bound on the score of the local health. */
     private static final int MAX_LOCAL_HEALTH_SCORE = 8;
     /** How often each update travels, for each tenfold of members. */
-    private static final int TRANSMISSIONS_PER_UPDATE = 4;
+    private static final int RETRANSMIT_MULTIPLIER = 4;
     /** One of so many probes goes to a failed member, so that a network split that heals is noticed. */
     private static final int FAILED_MEMBER_PROBE_INTERVAL = 8;
 
@@ -56,7 +56,7 @@
         Phase phase = Phase.STARTING;
         String zone = "";
         long heardAtMicros = NEVER;
-        long suspectUntilMicros = Long.MAX_VALUE;
+        long suspicionDeadlineMicros = Long.MAX_VALUE;
 
         boolean isUnknown() {
             return incarnation < 0;
@@ -68,7 +68,7 @@
     }
 
     /** A ping on behalf of another member, under the sequence number that it gave. */
-    private record IndirectProbe(String requester, long sequence, long untilMicros) {}
+    private record IndirectProbe(String requester, long sequence, long expiresAtMicros) {}
 
     private final String self;
     private final String zone;
@@ -93,7 +93,7 @@
     private String target;
 
     private long targetSequence;
-    private long targetSinceMicros;
+    private long probeStartedAtMicros;
     private int indirectProbeCount;
     private boolean indirectProbesSent;
     /** Whether the target was probed in the period before as well. */
@@ -101,18 +101,18 @@
 
     /** {@code incarnation} is higher than that of earlier processes where it can be, such as wall time; a lower one is refuted. */
     public SwimMembership(
-            String self, String zone, Collection<String> names, long incarnation, RandomGenerator random) {
+            String self, String zone, Collection<String> memberNames, long incarnation, RandomGenerator random) {
         this.self = self;
         this.zone = zone;
         this.incarnation = incarnation;
         this.random = random;
-        names.stream().filter(name -> !name.equals(self)).forEach(name -> peers.put(name, new Peer()));
+        memberNames.stream().filter(name -> !name.equals(self)).forEach(name -> peers.put(name, new Peer()));
     }
 
     /** What this daemon says of itself from now on. */
-    public void setPhase(Phase next) {
-        if (next != phase) {
-            phase = next;
+    public void setPhase(Phase newPhase) {
+        if (newPhase != phase) {
+            phase = newPhase;
             gossip.add(ownUpdate());
         }
     }
@@ -156,31 +156,31 @@
      * each other.
      */
     public List<OutgoingMessage> tick(long now) {
-        List<OutgoingMessage> out = new ArrayList<>();
+        List<OutgoingMessage> outgoing = new ArrayList<>();
         if (!started) {
             started = true;
             startedAtMicros = now;
-            targetSinceMicros = now - random.nextLong(PROTOCOL_PERIOD_MICROS);
+            probeStartedAtMicros = now - random.nextLong(PROTOCOL_PERIOD_MICROS);
         }
-        indirectProbes.values().removeIf(probe -> probe.untilMicros < now);
-        long slowdown = 1 + localHealthScore;
+        indirectProbes.values().removeIf(probe -> probe.expiresAtMicros < now);
+        long localHealthMultiplier = 1 + localHealthScore;
         if (target != null
                 && !indirectProbesSent
-                && now - targetSinceMicros >= DIRECT_PROBE_TIMEOUT_MICROS * slowdown) {
+                && now - probeStartedAtMicros >= DIRECT_PROBE_TIMEOUT_MICROS * localHealthMultiplier) {
             indirectProbesSent = true;
-            sendIndirectProbes(out);
+            sendIndirectProbes(outgoing);
         }
-        if (now - targetSinceMicros >= PROTOCOL_PERIOD_MICROS * slowdown) {
-            boolean retry = target != null && onProbeFailed(now);
-            startProbe(now, retry ? target : null, out);
+        if (now - probeStartedAtMicros >= PROTOCOL_PERIOD_MICROS * localHealthMultiplier) {
+            boolean retryTarget = target != null && onProbeFailed(now);
+            startProbe(now, retryTarget ? target : null, outgoing);
         }
         expireSuspicions(now);
-        return out;
+        return outgoing;
     }
 
     private void expireSuspicions(long now) {
         peers.forEach((name, peer) -> {
-            if (peer.state == MemberState.SUSPECT && now >= peer.suspectUntilMicros) {
+            if (peer.state == MemberState.SUSPECT && now >= peer.suspicionDeadlineMicros) {
                 peer.state = MemberState.FAILED;
                 gossip.add(peer.update(name));
             }
@@ -188,32 +188,32 @@
     }
 
     /** Probes the member given, else the next in turn; failed members seldom. */
-    private void startProbe(long now, String retried, List<OutgoingMessage> out) {
-        targetSinceMicros = now;
+    private void startProbe(long now, String retriedTarget, List<OutgoingMessage> outgoing) {
+        probeStartedAtMicros = now;
         indirectProbesSent = false;
         indirectProbeCount = 0;
         nackedBy.clear();
-        targetRetried = retried != null;
-        target = retried;
-        boolean probesFailed = ++probeCount % FAILED_MEMBER_PROBE_INTERVAL == 0;
-        if (probesFailed && target == null) {
+        targetRetried = retriedTarget != null;
+        target = retriedTarget;
+        boolean probeFailedMember = ++probeCount % FAILED_MEMBER_PROBE_INTERVAL == 0;
+        if (probeFailedMember && target == null) {
             List<String> failed =
                     peers.keySet().stream().filter(this::hasFailed).toList();
             target = failed.isEmpty() ? null : failed.get(random.nextInt(failed.size()));
         }
         for (int tries = 0; target == null && tries <= peers.size(); tries++) {
-            String name = nextInOrder();
+            String name = nextProbeCandidate();
             if (name != null && !hasFailed(name)) {
                 target = name;
             }
         }
         if (target != null) {
             targetSequence = ++lastSequence;
-            out.add(message(Kind.PING, targetSequence, NO_TARGET, target));
+            outgoing.add(outgoingMessage(Kind.PING, targetSequence, NO_TARGET, target));
         }
     }
 
-    private String nextInOrder() {
+    private String nextProbeCandidate() {
         if (probeOrder.isEmpty()) {
             probeOrder.addAll(peers.keySet());
             Collections.shuffle(probeOrder, new Random(random.nextLong()));
@@ -221,7 +221,7 @@
         return probeOrder.isEmpty() ? null : probeOrder.remove(probeOrder.size() - 1);
     }
 
-    private void sendIndirectProbes(List<OutgoingMessage> out) {
+    private void sendIndirectProbes(List<OutgoingMessage> outgoing) {
         List<String> helpers = new ArrayList<>(peers.entrySet().stream()
                 .filter(entry -> entry.getValue().state == MemberState.ALIVE
                         && !entry.getKey().equals(target))
@@ -230,10 +230,10 @@
         Collections.shuffle(helpers, new Random(random.nextLong()));
         for (String helper : helpers.subList(0, Math.min(INDIRECT_PROBES, helpers.size()))) {
             indirectProbeCount++;
-            out.add(message(Kind.PING_REQUEST, targetSequence, target, helper));
+            outgoing.add(outgoingMessage(Kind.PING_REQUEST, targetSequence, target, helper));
         }
         // Where datagrams are lost the second of two pings may arrive.
-        out.add(message(Kind.PING, targetSequence, NO_TARGET, target));
+        outgoing.add(outgoingMessage(Kind.PING, targetSequence, NO_TARGET, target));
     }
 
     /**
@@ -253,15 +253,15 @@
         // member that
         // was probed in vain counts.
         boolean unknown = peer.isUnknown();
-        boolean mayFail = unknown && now - startedAtMicros >= FIRST_CONTACT_TIMEOUT_MICROS;
-        if (peer.state != MemberState.ALIVE && !mayFail) {
+        boolean firstContactTimedOut = unknown && now - startedAtMicros >= FIRST_CONTACT_TIMEOUT_MICROS;
+        if (peer.state != MemberState.ALIVE && !firstContactTimedOut) {
             return false;
         }
         if (!targetRetried) {
             return true;
         }
         if (unknown) {
-            peer.suspectUntilMicros = now;
+            peer.suspicionDeadlineMicros = now;
             return false;
         }
         suspect(now, target, peer, peer.incarnation);
@@ -272,8 +272,8 @@
     private void suspect(long now, String name, Peer peer, long suspectedIncarnation) {
         peer.state = MemberState.SUSPECT;
         peer.incarnation = suspectedIncarnation;
-        double periods = SUSPICION_PERIODS * fleetSizeFactor();
-        peer.suspectUntilMicros = now + (long) (periods * PROTOCOL_PERIOD_MICROS * (1 + localHealthScore));
+        double periods = SUSPICION_MULTIPLIER * fleetSizeFactor();
+        peer.suspicionDeadlineMicros = now + (long) (periods * PROTOCOL_PERIOD_MICROS * (1 + localHealthScore));
         gossip.add(new MemberUpdate(name, MemberState.SUSPECT, suspectedIncarnation, peer.phase, peer.zone));
     }
 
@@ -292,7 +292,7 @@
                         message.sender(), MemberState.ALIVE, message.incarnation(), message.phase(), message.zone()));
         message.updates().forEach(update -> applyUpdate(now, update));
         return switch (message.kind()) {
-            case PING -> List.of(message(Kind.ACK, message.sequence(), NO_TARGET, message.sender()));
+            case PING -> List.of(outgoingMessage(Kind.ACK, message.sequence(), NO_TARGET, message.sender()));
             case PING_REQUEST -> onPingRequest(now, message);
             case ACK -> onAck(message);
             case NACK -> onNack(message);
@@ -305,19 +305,19 @@
         }
         long sequence = ++lastSequence;
         if (indirectProbes.size() < peers.size() + INDIRECT_PROBES) {
-            long untilMicros = now + PROTOCOL_PERIOD_MICROS * (2 + MAX_LOCAL_HEALTH_SCORE);
-            indirectProbes.put(sequence, new IndirectProbe(request.sender(), request.sequence(), untilMicros));
+            long expiresAtMicros = now + PROTOCOL_PERIOD_MICROS * (2 + MAX_LOCAL_HEALTH_SCORE);
+            indirectProbes.put(sequence, new IndirectProbe(request.sender(), request.sequence(), expiresAtMicros));
         }
         // That this helper is alive is said at once; the target's acknowledgement follows if it comes.
         return List.of(
-                message(Kind.PING, sequence, NO_TARGET, request.target()),
-                message(Kind.NACK, request.sequence(), request.target(), request.sender()));
+                outgoingMessage(Kind.PING, sequence, NO_TARGET, request.target()),
+                outgoingMessage(Kind.NACK, request.sequence(), request.target(), request.sender()));
     }
 
     private List<OutgoingMessage> onAck(SwimMessage ack) {
         IndirectProbe probe = indirectProbes.remove(ack.sequence());
         if (probe != null) {
-            return List.of(message(Kind.ACK, probe.sequence, ack.sender(), probe.requester));
+            return List.of(outgoingMessage(Kind.ACK, probe.sequence, ack.sender(), probe.requester));
         }
         if (ack.sequence() == targetSequence && target != null) {
             target = null;
@@ -343,12 +343,12 @@
         if (peer == null) {
             return;
         }
-        boolean later = update.incarnation() > peer.incarnation;
-        boolean worse =
+        boolean newerIncarnation = update.incarnation() > peer.incarnation;
+        boolean worseState =
                 update.incarnation() == peer.incarnation && update.state().compareTo(peer.state) > 0;
-        boolean unknownAndSuspect = peer.isUnknown() && update.state() == MemberState.SUSPECT;
-        if (!later && !worse || unknownAndSuspect) {
-            applySameIncarnation(peer, update, later);
+        boolean suspicionOfUnknownPeer = peer.isUnknown() && update.state() == MemberState.SUSPECT;
+        if (!newerIncarnation && !worseState || suspicionOfUnknownPeer) {
+            applySameIncarnation(peer, update, newerIncarnation);
             return;
         }
         peer.incarnation = update.incarnation();
@@ -358,7 +358,7 @@
             suspect(now, update.name(), peer, update.incarnation());
         } else {
             peer.state = update.state();
-            peer.suspectUntilMicros = Long.MAX_VALUE;
+            peer.suspicionDeadlineMicros = Long.MAX_VALUE;
             gossip.add(update);
         }
     }
@@ -373,7 +373,7 @@
     }
 
     /** A member that is alive has gone on to a later phase, or has to hear that it is taken for failed. */
-    private void applySameIncarnation(Peer peer, MemberUpdate update, boolean later) {
+    private void applySameIncarnation(Peer peer, MemberUpdate update, boolean newerIncarnation) {
         if (update.state() != MemberState.ALIVE) {
             return;
         }
@@ -383,7 +383,7 @@
         if (laterPhase) {
             peer.phase = update.phase();
             gossip.add(update);
-        } else if (peer.state == MemberState.FAILED && !later) {
+        } else if (peer.state == MemberState.FAILED && !newerIncarnation) {
             // Otherwise it could not refute that.
             gossip.add(peer.update(update.name()));
         }
@@ -391,16 +391,16 @@
 
     // ---- What is sent. ----
 
-    private OutgoingMessage message(Kind kind, long sequence, String about, String recipient) {
-        int maxTransmissions = (int) Math.ceil(TRANSMISSIONS_PER_UPDATE * fleetSizeFactor());
-        List<MemberUpdate> updates =
-                gossip.next(recipient, accusationOf(recipient), SwimMessage.MAX_UPDATE_BYTES, maxTransmissions);
+    private OutgoingMessage outgoingMessage(Kind kind, long sequence, String subject, String recipient) {
+        int maxTransmissions = (int) Math.ceil(RETRANSMIT_MULTIPLIER * fleetSizeFactor());
+        List<MemberUpdate> updates = gossip.nextUpdates(
+                recipient, updateToRefute(recipient), SwimMessage.MAX_UPDATE_BYTES, maxTransmissions);
         return new OutgoingMessage(
-                recipient, new SwimMessage(kind, sequence, self, incarnation, phase, zone, about, updates));
+                recipient, new SwimMessage(kind, sequence, self, incarnation, phase, zone, subject, updates));
     }
 
     /** However often it was sent already, an accused member has to be able to refute it; null where there is nothing to say. */
-    private MemberUpdate accusationOf(String recipient) {
+    private MemberUpdate updateToRefute(String recipient) {
         Peer peer = peers.get(recipient);
         return peer == null || peer.state == MemberState.ALIVE || peer.isUnknown() || gossip.contains(recipient)
                 ? null
--- a/membership/src/main/java/amberroute/membership/SwimMessage.java
+++ b/membership/src/main/java/amberroute/membership/SwimMessage.java
@@ -30,7 +30,7 @@
         String zone,
         String target,
         List<MemberUpdate> updates) {
-    private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9._-]*");
+    private static final Pattern PLAIN_TEXT = Pattern.compile("[A-Za-z0-9._-]*");
 
     /** A ping, its acknowledgement, a request to ping the target, or that the target was asked. Ordinals are on the wire. */
     public enum Kind {
@@ -110,7 +110,7 @@
             String zone = decodeText(in);
             String target = decodeText(in);
             List<MemberUpdate> updates = new ArrayList<>();
-            for (int left = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); left > 0; left--) {
+            for (int remaining = DatagramChecks.intInRange(in.get(), 0, MAX_UPDATES); remaining > 0; remaining--) {
                 updates.add(decodeUpdate(in));
             }
             return in.hasRemaining()
@@ -141,7 +141,7 @@
         byte[] bytes = new byte[DatagramChecks.intInRange(in.get(), 0, MAX_TEXT_BYTES)];
         in.get(bytes);
         String text = new String(bytes, StandardCharsets.US_ASCII);
-        if (!PLAIN.matcher(text).matches()) {
+        if (!PLAIN_TEXT.matcher(text).matches()) {
             throw new IllegalArgumentException("no plain word");
         }
         return text;
--- a/membership/src/test/java/amberroute/membership/HeartbeatCompatibilityTest.java
+++ b/membership/src/test/java/amberroute/membership/HeartbeatCompatibilityTest.java
@@ -74,8 +74,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"heartbeat_empty", "heartbeat_updates", "heartbeat_loans"})
-    void heartbeatsAreReadAndWrittenAsBefore(String name) throws IOException {
-        byte[] datagram = recorded().get(name);
+    void recordedHeartbeatDecodesAndEncodesIdentically(String name) throws IOException {
+        byte[] datagram = recordedDatagrams().get(name);
         Heartbeat expected = HEARTBEATS.get(name);
         assertEquals(expected, Heartbeat.decode(ByteBuffer.wrap(datagram)));
         assertEquals(hex(datagram), hex(expected.encode()));
@@ -84,8 +84,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"swim_ping", "swim_ack", "swim_ping_request", "swim_nack"})
-    void swimMessagesAreReadAndWrittenAsBefore(String name) throws IOException {
-        byte[] datagram = recorded().get(name);
+    void recordedSwimMessageDecodesAndEncodesIdentically(String name) throws IOException {
+        byte[] datagram = recordedDatagrams().get(name);
         SwimMessage expected = SWIM_MESSAGES.get(name);
         assertEquals(expected, SwimMessage.decode(ByteBuffer.wrap(datagram)));
         assertEquals(hex(datagram), hex(expected.encode()));
@@ -93,9 +93,9 @@
     }
 
     @Test
-    void everyRecordingIsChecked() throws IOException {
-        Map<String, byte[]> recorded = recorded();
-        assertEquals(HEARTBEATS.size() + SWIM_MESSAGES.size(), recorded.size());
+    void everyRecordedDatagramHasAnExpectedMessage() throws IOException {
+        Map<String, byte[]> datagrams = recordedDatagrams();
+        assertEquals(HEARTBEATS.size() + SWIM_MESSAGES.size(), datagrams.size());
     }
 
     private static String hex(byte[] bytes) {
@@ -108,7 +108,7 @@
         return hex(bytes);
     }
 
-    private static Map<String, byte[]> recorded() throws IOException {
+    private static Map<String, byte[]> recordedDatagrams() throws IOException {
         Map<String, byte[]> datagrams = new HashMap<>();
         try (InputStream in =
                 HeartbeatCompatibilityTest.class.getResourceAsStream("/compatibility/131520b/heartbeats.txt")) {
--- a/membership/src/test/java/amberroute/membership/SwimMembershipTest.java
+++ b/membership/src/test/java/amberroute/membership/SwimMembershipTest.java
@@ -17,23 +17,25 @@
 
 /** Fleets in virtual time: every datagram goes through bytes, a way that delays and loses, and members that stop. */
 class SwimMembershipTest {
-    private static final long STEP = 20_000;
+    private static final long TICK_MICROS = 20_000;
 
-    private record Flying(long due, long order, String to, ByteBuffer bytes) {}
+    private record DatagramInFlight(long arrivesAtMicros, long sendOrder, String recipient, ByteBuffer bytes) {}
 
     private static final class Fleet {
         final List<String> names = new ArrayList<>();
         final List<SwimMembership> members = new ArrayList<>();
-        final PriorityQueue<Flying> ways = new PriorityQueue<>(
-                (a, b) -> a.due() != b.due() ? Long.compare(a.due(), b.due()) : Long.compare(a.order(), b.order()));
+        final PriorityQueue<DatagramInFlight> inFlight =
+                new PriorityQueue<>((first, second) -> first.arrivesAtMicros() != second.arrivesAtMicros()
+                        ? Long.compare(first.arrivesAtMicros(), second.arrivesAtMicros())
+                        : Long.compare(first.sendOrder(), second.sendOrder()));
         final Set<String> stopped = new HashSet<>();
         final Set<String> slow = new HashSet<>();
         final Random random;
-        double loss;
-        long now;
-        long sent;
-        long bytes;
-        long largest;
+        double lossProbability;
+        long nowMicros;
+        long datagramsSent;
+        long bytesSent;
+        long largestDatagramBytes;
 
         Fleet(int size, long seed) {
             random = new Random(seed);
@@ -42,61 +44,66 @@
                 names.add("m" + i);
             }
             for (int i = 0; i < size; i++) {
-                SwimMembership swim =
+                SwimMembership member =
                         new SwimMembership("m" + i, "z" + i % 3, names, 1_000, new SplittableRandom(seed + i));
-                swim.setPhase(MembershipView.Phase.READY);
-                members.add(swim);
+                member.setPhase(MembershipView.Phase.READY);
+                members.add(member);
             }
         }
 
-        void run(long span) {
-            long end = now + span;
-            while (now < end) {
-                now += STEP;
-                while (!ways.isEmpty() && ways.peek().due() <= now) {
-                    Flying f = ways.poll();
-                    if (!stopped.contains(f.to())) {
-                        SwimMessage probe = SwimMessage.decode(f.bytes());
-                        send(members.get(Integer.parseInt(f.to().substring(1))).onMessage(f.due(), probe));
+        void run(long durationMicros) {
+            long endMicros = nowMicros + durationMicros;
+            while (nowMicros < endMicros) {
+                nowMicros += TICK_MICROS;
+                while (!inFlight.isEmpty() && inFlight.peek().arrivesAtMicros() <= nowMicros) {
+                    DatagramInFlight datagram = inFlight.poll();
+                    if (!stopped.contains(datagram.recipient())) {
+                        SwimMessage message = SwimMessage.decode(datagram.bytes());
+                        send(members.get(Integer.parseInt(datagram.recipient().substring(1)))
+                                .onMessage(datagram.arrivesAtMicros(), message));
                     }
                 }
                 for (int i = 0; i < members.size(); i++) {
                     if (!stopped.contains(names.get(i))) {
-                        send(members.get(i).tick(now));
+                        send(members.get(i).tick(nowMicros));
                     }
                 }
             }
         }
 
-        private void send(List<SwimMembership.OutgoingMessage> out) {
-            for (SwimMembership.OutgoingMessage o : out) {
-                ByteBuffer written = o.message().encode();
-                sent++;
-                bytes += written.remaining();
-                largest = Math.max(largest, written.remaining());
-                if (random.nextDouble() >= loss) {
+        private void send(List<SwimMembership.OutgoingMessage> outgoing) {
+            for (SwimMembership.OutgoingMessage outgoingMessage : outgoing) {
+                ByteBuffer encoded = outgoingMessage.message().encode();
+                datagramsSent++;
+                bytesSent += encoded.remaining();
+                largestDatagramBytes = Math.max(largestDatagramBytes, encoded.remaining());
+                if (random.nextDouble() >= lossProbability) {
                     // What a slow member hears and says comes late.
-                    long late = slow.contains(o.recipient())
-                                    || slow.contains(o.message().sender())
+                    long delayMicros = slow.contains(outgoingMessage.recipient())
+                                    || slow.contains(outgoingMessage.message().sender())
                             ? 300_000
                             : 0;
-                    ways.add(new Flying(now + 1_000 + random.nextInt(10_000) + late, sent, o.recipient(), written));
+                    inFlight.add(new DatagramInFlight(
+                            nowMicros + 1_000 + random.nextInt(10_000) + delayMicros,
+                            datagramsSent,
+                            outgoingMessage.recipient(),
+                            encoded));
                 }
             }
         }
 
-        long takenForGone(String name) {
-            return members.stream().filter(m -> m.hasFailed(name)).count();
+        long countMembersThatSeeFailed(String name) {
+            return members.stream().filter(member -> member.hasFailed(name)).count();
         }
 
         /** Living members that some living member takes for gone. */
-        long falselyGone() {
+        long countFalselyFailed() {
             return names.stream()
-                    .filter(n -> !stopped.contains(n))
-                    .filter(n -> {
+                    .filter(name -> !stopped.contains(name))
+                    .filter(name -> {
                         for (int i = 0; i < names.size(); i++) {
                             if (!stopped.contains(names.get(i))
-                                    && members.get(i).hasFailed(n)) {
+                                    && members.get(i).hasFailed(name)) {
                                 return true;
                             }
                         }
@@ -107,90 +114,96 @@
     }
 
     @Test
-    void aLossIsKnownToAllAndTheLoadDoesNotGrow() {
-        double[] each = new double[2];
-        int at = 0;
+    void failureIsKnownToAllAndLoadPerMemberDoesNotGrowWithTheFleet() {
+        double[] datagramsPerMemberSecond = new double[2];
+        int index = 0;
         for (int size : new int[] {10, 100}) {
             Fleet fleet = new Fleet(size, 7);
             fleet.run(10_000_000);
-            assertEquals(0, fleet.falselyGone());
-            assertTrue(
-                    fleet.members.get(0).members(fleet.now).stream().allMatch(MembershipView.Member::acceptsMessages));
-            long before = fleet.sent;
+            assertEquals(0, fleet.countFalselyFailed());
+            assertTrue(fleet.members.get(0).members(fleet.nowMicros).stream()
+                    .allMatch(MembershipView.Member::acceptsMessages));
+            long sentBefore = fleet.datagramsSent;
             fleet.run(10_000_000);
-            each[at++] = (fleet.sent - before) / 10.0 / size;
+            datagramsPerMemberSecond[index++] = (fleet.datagramsSent - sentBefore) / 10.0 / size;
             fleet.stopped.add("m3");
-            long since = fleet.now;
-            while (fleet.takenForGone("m3") < size - 1 && fleet.now - since < 20_000_000) {
+            long failedAtMicros = fleet.nowMicros;
+            while (fleet.countMembersThatSeeFailed("m3") < size - 1 && fleet.nowMicros - failedAtMicros < 20_000_000) {
                 fleet.run(100_000);
             }
-            System.out.println("size " + size + ": " + each[at - 1] + " datagrams a member a second, largest "
-                    + fleet.largest + ", known to all after ms " + (fleet.now - since) / 1_000);
-            assertTrue(fleet.now - since < 6_000_000, "known to all after " + (fleet.now - since));
-            assertEquals(0, fleet.falselyGone());
-            assertTrue(fleet.largest <= Heartbeat.MAX_DATAGRAM_BYTES);
+            System.out.println("size " + size + ": " + datagramsPerMemberSecond[index - 1]
+                    + " datagrams a member a second, largest " + fleet.largestDatagramBytes + ", known to all after ms "
+                    + (fleet.nowMicros - failedAtMicros) / 1_000);
+            assertTrue(
+                    fleet.nowMicros - failedAtMicros < 6_000_000,
+                    "known to all after " + (fleet.nowMicros - failedAtMicros));
+            assertEquals(0, fleet.countFalselyFailed());
+            assertTrue(fleet.largestDatagramBytes <= Heartbeat.MAX_DATAGRAM_BYTES);
         }
-        assertTrue(each[1] < 1.3 * each[0], each[0] + " to " + each[1]);
+        assertTrue(
+                datagramsPerMemberSecond[1] < 1.3 * datagramsPerMemberSecond[0],
+                datagramsPerMemberSecond[0] + " to " + datagramsPerMemberSecond[1]);
     }
 
     /** All start in one moment, and whoever was not heard of in the first seconds is not gone for that; later a loss is one. */
     @Test
-    void aThousandStartAtOnceAndALossIsKnown() {
+    void thousandMembersStartedAtOnceDetectOnlyTheRealFailure() {
         Fleet fleet = new Fleet(1_000, 5);
         fleet.run(9_000_000);
-        assertEquals(0, fleet.falselyGone());
-        long before = fleet.sent;
+        assertEquals(0, fleet.countFalselyFailed());
+        long sentBefore = fleet.datagramsSent;
         fleet.run(1_000_000);
-        double each = (fleet.sent - before) / 1_000.0;
+        double datagramsPerMemberSecond = (fleet.datagramsSent - sentBefore) / 1_000.0;
         fleet.stopped.add("m3");
-        long since = fleet.now;
-        while (fleet.takenForGone("m3") < 999 && fleet.now - since < 30_000_000) {
+        long failedAtMicros = fleet.nowMicros;
+        while (fleet.countMembersThatSeeFailed("m3") < 999 && fleet.nowMicros - failedAtMicros < 30_000_000) {
             fleet.run(200_000);
         }
-        System.out.println("size 1000: " + each + " datagrams a member a second, largest " + fleet.largest
-                + ", known to all after ms " + (fleet.now - since) / 1_000);
-        assertTrue(each < 14, each + " datagrams a member a second");
-        assertTrue(fleet.now - since < 30_000_000);
-        assertEquals(0, fleet.falselyGone());
-        assertTrue(fleet.largest <= Heartbeat.MAX_DATAGRAM_BYTES);
+        System.out.println("size 1000: " + datagramsPerMemberSecond + " datagrams a member a second, largest "
+                + fleet.largestDatagramBytes + ", known to all after ms " + (fleet.nowMicros - failedAtMicros) / 1_000);
+        assertTrue(datagramsPerMemberSecond < 14, datagramsPerMemberSecond + " datagrams a member a second");
+        assertTrue(fleet.nowMicros - failedAtMicros < 30_000_000);
+        assertEquals(0, fleet.countFalselyFailed());
+        assertTrue(fleet.largestDatagramBytes <= Heartbeat.MAX_DATAGRAM_BYTES);
     }
 
     @Test
-    void lostDatagramsAndSlowMembersAccuseNobody() {
+    void lostDatagramsAndSlowMembersCauseNoFalseFailure() {
         Fleet fleet = new Fleet(60, 11);
         fleet.run(10_000_000);
-        fleet.loss = 0.2;
+        fleet.lossProbability = 0.2;
         fleet.slow.addAll(List.of("m1", "m2"));
-        long falsely = 0;
+        long falselyFailedMemberSeconds = 0;
         for (int i = 0; i < 60; i++) {
             fleet.run(1_000_000);
-            falsely += names(fleet);
+            falselyFailedMemberSeconds += countFalselyFailedFastMembers(fleet);
         }
-        System.out.println("falsely taken for gone, sums of seconds over members that are not slow: " + falsely);
-        assertEquals(0, falsely);
+        System.out.println("falsely taken for gone, sums of seconds over members that are not slow: "
+                + falselyFailedMemberSeconds);
+        assertEquals(0, falselyFailedMemberSeconds);
         assertTrue(fleet.members.get(1).localHealthScore() > 0
                 || fleet.members.get(2).localHealthScore() > 0);
     }
 
-    private static long names(Fleet fleet) {
+    private static long countFalselyFailedFastMembers(Fleet fleet) {
         return fleet.names.stream()
-                .filter(n -> !fleet.slow.contains(n))
-                .filter(n -> fleet.members.stream().anyMatch(m -> m.hasFailed(n)))
+                .filter(name -> !fleet.slow.contains(name))
+                .filter(name -> fleet.members.stream().anyMatch(member -> member.hasFailed(name)))
                 .count();
     }
 
     @Test
-    void whoWasTakenForGoneComesBackWithAHigherIncarnation() {
+    void failedMemberThatReturnsIsAliveWithAHigherIncarnation() {
         Fleet fleet = new Fleet(7, 3);
         fleet.run(5_000_000);
         fleet.stopped.add("m2");
         fleet.run(6_000_000);
-        assertEquals(6, fleet.takenForGone("m2"));
+        assertEquals(6, fleet.countMembersThatSeeFailed("m2"));
         fleet.stopped.clear();
         fleet.run(8_000_000);
-        assertEquals(0, fleet.falselyGone());
-        assertTrue(fleet.members.get(0).members(fleet.now).stream()
-                        .filter(m -> m.name().equals("m2"))
+        assertEquals(0, fleet.countFalselyFailed());
+        assertTrue(fleet.members.get(0).members(fleet.nowMicros).stream()
+                        .filter(member -> member.name().equals("m2"))
                         .findFirst()
                         .orElseThrow()
                         .incarnation()
@@ -199,9 +212,9 @@
     }
 
     @Test
-    void whatIsNoProbeIsPassedOver() {
+    void malformedSwimMessageIsNotDecoded() {
         Random random = new Random(5);
-        SwimMessage probe = new SwimMessage(
+        SwimMessage pingRequest = new SwimMessage(
                 SwimMessage.Kind.PING_REQUEST,
                 7,
                 "m1",
@@ -211,22 +224,22 @@
                 "m2",
                 List.of(new SwimMessage.MemberUpdate(
                         "m3", SwimMessage.MemberState.SUSPECT, 4, MembershipView.Phase.READY, "")));
-        assertEquals(probe, SwimMessage.decode(probe.encode()));
-        byte[] good = new byte[probe.encode().remaining()];
-        probe.encode().get(good);
-        for (int i = 0; i < good.length; i++) {
-            assertNull(SwimMessage.decode(ByteBuffer.wrap(good, 0, i)));
+        assertEquals(pingRequest, SwimMessage.decode(pingRequest.encode()));
+        byte[] validBytes = new byte[pingRequest.encode().remaining()];
+        pingRequest.encode().get(validBytes);
+        for (int i = 0; i < validBytes.length; i++) {
+            assertNull(SwimMessage.decode(ByteBuffer.wrap(validBytes, 0, i)));
         }
-        int read = 0;
+        int decodedCount = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bad = new byte[random.nextInt(100)];
-            random.nextBytes(bad);
-            read += SwimMessage.decode(ByteBuffer.wrap(bad)) == null ? 0 : 1;
+            byte[] randomBytes = new byte[random.nextInt(100)];
+            random.nextBytes(randomBytes);
+            decodedCount += SwimMessage.decode(ByteBuffer.wrap(randomBytes)) == null ? 0 : 1;
         }
-        assertEquals(0, read);
-        assertNull(Heartbeat.decode(probe.encode()));
+        assertEquals(0, decodedCount);
+        assertNull(Heartbeat.decode(pingRequest.encode()));
         assertFalse(new SwimMembership("a", "", List.of("a", "b"), 1, new SplittableRandom(1))
-                .onMessage(0, probe)
+                .onMessage(0, pingRequest)
                 .iterator()
                 .hasNext());
     }
