--- a/overload/src/main/java/amberroute/overload/CapacityEstimate.java
+++ b/overload/src/main/java/amberroute/overload/CapacityEstimate.java
@@ -26,9 +26,9 @@
      * How fast the estimate falls, in seconds, where this part of calls is rejected; with fewer slower. Reports are a second
      * old and more, and behind a spike they still tell of rejections when less is sent than the destination could take.
      */
-    private static final double FALL_SECONDS = 1.0;
+    private static final double DECREASE_SECONDS = 1.0;
 
-    private static final double REJECTED_RATIO_FOR_FULL_FALL = 0.25;
+    private static final double REJECTED_RATIO_FOR_FULL_DECREASE = 0.25;
     /** With demand below this part of the capacity nothing limits it. */
     private static final double LOW_DEMAND_RATIO = 0.85;
     /** A destination that serves less than this part is in an outage rather than slow: its backlog may be wanted when it is back. */
@@ -41,9 +41,9 @@
 
     private static final double IDLE_SERVED_RATIO = 0.95;
     /** While it is idle so much more a second is admitted than reports say, up to a bound: they are older than a spike's end. */
-    private static final double LIFT_PER_SECOND_RATIO = 0.75;
+    private static final double IDLE_BOOST_PER_SECOND_RATIO = 0.75;
 
-    private static final double MAX_LIFT = 4;
+    private static final double MAX_IDLE_BOOST = 4;
     private static final double MIN_SERVED_PER_SECOND = 1e-3;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final long NEVER = -1;
@@ -54,10 +54,10 @@
     /** Known by what it rejected; where calls are limited by that, a backlog shows the limit and not the capacity. */
     private boolean atLimit;
 
-    private long calledSinceMicros = NEVER;
+    private long firstServedAtMicros = NEVER;
     private long limitSeenAtMicros;
-    private double lift = 1;
-    private long atMicros;
+    private double idleBoost = 1;
+    private long updatedAtMicros;
 
     /** {@code enforceShares}: calls are limited to the daemons' shares of the estimate. */
     CapacityEstimate(boolean enforceShares) {
@@ -65,56 +65,56 @@
     }
 
     /** Takes the load of all as it is now; returns what may be admitted a second, infinite for anything. */
-    double update(long now, DestinationLoad all) {
-        double seconds = Math.max(0, Math.min(1, (now - atMicros) / MICROS_PER_SECOND));
-        atMicros = now;
-        boolean known = Double.isFinite(perSecond);
-        if (all.servedPerSecond() < (known ? OUTAGE_RATIO * perSecond : MIN_SERVED_PER_SECOND)) {
+    double update(long now, DestinationLoad fleetLoad) {
+        double seconds = Math.max(0, Math.min(1, (now - updatedAtMicros) / MICROS_PER_SECOND));
+        updatedAtMicros = now;
+        boolean isKnown = Double.isFinite(perSecond);
+        if (fleetLoad.servedPerSecond() < (isKnown ? OUTAGE_RATIO * perSecond : MIN_SERVED_PER_SECOND)) {
             // In an outage, or not called at all.
-            return known ? perSecond : Double.POSITIVE_INFINITY;
+            return isKnown ? perSecond : Double.POSITIVE_INFINITY;
         }
-        calledSinceMicros = calledSinceMicros < 0 ? now : calledSinceMicros;
-        if (now - calledSinceMicros < SETTLE_MICROS) {
+        firstServedAtMicros = firstServedAtMicros < 0 ? now : firstServedAtMicros;
+        if (now - firstServedAtMicros < SETTLE_MICROS) {
             return Double.POSITIVE_INFINITY;
         }
-        updateCapacity(now, seconds, known, all);
-        updateLift(seconds, all);
+        updateCapacity(now, seconds, isKnown, fleetLoad);
+        updateIdleBoost(seconds, fleetLoad);
         double allowedBacklog = BACKLOG_SECONDS / 2 * perSecond;
-        double backlog = Math.max(0, all.pendingMessages() - allowedBacklog - BACKLOG_ALLOWANCE_MESSAGES);
-        return lift * Math.max(0, perSecond - backlog / QUEUE_DRAIN_SECONDS);
+        double backlog = Math.max(0, fleetLoad.pendingMessages() - allowedBacklog - BACKLOG_ALLOWANCE_MESSAGES);
+        return idleBoost * Math.max(0, perSecond - backlog / QUEUE_DRAIN_SECONDS);
     }
 
-    private void updateCapacity(long now, double seconds, boolean known, DestinationLoad all) {
-        double served = all.servedPerSecond();
-        double rejectedRatio = all.rejectedPerSecond() / (all.rejectedPerSecond() + served);
-        boolean rejects = rejectedRatio > REJECTED_RATIO_AT_LIMIT;
-        atLimit = rejects || atLimit && known;
-        boolean behind = !(enforceShares && atLimit)
-                && all.pendingMessages() > BACKLOG_SECONDS * served + BACKLOG_ALLOWANCE_MESSAGES;
-        if (rejects || behind) {
+    private void updateCapacity(long now, double seconds, boolean isKnown, DestinationLoad fleetLoad) {
+        double served = fleetLoad.servedPerSecond();
+        double rejectedRatio = fleetLoad.rejectedPerSecond() / (fleetLoad.rejectedPerSecond() + served);
+        boolean rejectsCalls = rejectedRatio > REJECTED_RATIO_AT_LIMIT;
+        atLimit = rejectsCalls || atLimit && isKnown;
+        boolean hasBacklog = !(enforceShares && atLimit)
+                && fleetLoad.pendingMessages() > BACKLOG_SECONDS * served + BACKLOG_ALLOWANCE_MESSAGES;
+        if (rejectsCalls || hasBacklog) {
             limitSeenAtMicros = now;
-            double fall = Math.min(1, seconds / FALL_SECONDS)
-                    * (behind ? 1 : Math.min(1, rejectedRatio / REJECTED_RATIO_FOR_FULL_FALL));
-            perSecond = !known || served > perSecond ? served : perSecond + (served - perSecond) * fall;
-        } else if (known) {
+            double decrease = Math.min(1, seconds / DECREASE_SECONDS)
+                    * (hasBacklog ? 1 : Math.min(1, rejectedRatio / REJECTED_RATIO_FOR_FULL_DECREASE));
+            perSecond = !isKnown || served > perSecond ? served : perSecond + (served - perSecond) * decrease;
+        } else if (isKnown) {
             double secondsSinceLimit = (now - limitSeenAtMicros) / MICROS_PER_SECOND;
             double growth =
                     Math.min(MAX_GROWTH_PER_SECOND_RATIO, GROWTH_PER_SECOND_RATIO * Math.pow(2, secondsSinceLimit));
             perSecond = Math.max(served, perSecond * (1 + growth * seconds));
-            if (all.totalDemand() < LOW_DEMAND_RATIO * perSecond) {
+            if (fleetLoad.totalDemand() < LOW_DEMAND_RATIO * perSecond) {
                 perSecond = Double.POSITIVE_INFINITY;
             }
         }
     }
 
     /** Without a limit there is nothing to lift: the first moments of one would have it. */
-    private void updateLift(double seconds, DestinationLoad all) {
+    private void updateIdleBoost(double seconds, DestinationLoad fleetLoad) {
         boolean idle = Double.isFinite(perSecond)
-                && all.pendingMessages() < IDLE_BACKLOG_SECONDS * perSecond
-                && all.servedPerSecond() < IDLE_SERVED_RATIO * perSecond;
-        lift = idle
-                ? Math.min(MAX_LIFT, lift * (1 + LIFT_PER_SECOND_RATIO * seconds))
-                : Math.max(1, lift * (1 - 2 * LIFT_PER_SECOND_RATIO * seconds));
+                && fleetLoad.pendingMessages() < IDLE_BACKLOG_SECONDS * perSecond
+                && fleetLoad.servedPerSecond() < IDLE_SERVED_RATIO * perSecond;
+        idleBoost = idle
+                ? Math.min(MAX_IDLE_BOOST, idleBoost * (1 + IDLE_BOOST_PER_SECOND_RATIO * seconds))
+                : Math.max(1, idleBoost * (1 - 2 * IDLE_BOOST_PER_SECOND_RATIO * seconds));
     }
 
     /** The capacity, infinite while nothing is known. */
--- a/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
+++ b/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
@@ -59,7 +59,7 @@
     private final Map<Integer, AdmissionPrice> prices = new LinkedHashMap<>();
     private final List<DestinationReport> destinationReports = new ArrayList<>();
     private final Map<Integer, RateShare> shares = new LinkedHashMap<>();
-    private final int daemons;
+    private final int senderCount;
     private final boolean enforceShares;
     private final long quietUntilMicros;
     private long lastSequence;
@@ -68,7 +68,7 @@
     /**
      * A view of this fleet. An earlier process may have lent all that it had, so at first nothing is used of what is limited.
      *
-     * @param daemons among how many a limit is divided: at least as many as can run
+     * @param senderCount among how many a limit is divided: at least as many as can run
      * @param enforceShares whether calls are limited to this daemon's share
      * @param incarnation higher than that of any earlier process of this daemon, such as wall time
      */
@@ -76,20 +76,20 @@
             long now,
             String self,
             List<String> peers,
-            int daemons,
+            int senderCount,
             boolean enforceShares,
             long incarnation,
             RandomGenerator random) {
         this.enforceShares = enforceShares;
-        this.daemons = Math.max(daemons, peers.size());
+        this.senderCount = Math.max(senderCount, peers.size());
         quietUntilMicros = now + QuotaShare.quietPeriodMicros(RateShare.LEASE_MICROS);
         this.self = self;
         this.peers = new ArrayList<>(peers);
         this.peers.remove(self);
         this.incarnation = incarnation;
         this.random = random;
-        double roundsOfAReport = (double) FleetLoadEstimate.REPORT_LIFE_MICROS / ROUND_MICROS;
-        fleetLoad = new FleetLoadEstimate(this.peers, REPORT_FAN_OUT, roundsOfAReport);
+        double roundsPerReportLife = (double) FleetLoadEstimate.REPORT_LIFE_MICROS / ROUND_MICROS;
+        fleetLoad = new FleetLoadEstimate(this.peers, REPORT_FAN_OUT, roundsPerReportLife);
     }
 
     // ---- What happens here. ----
@@ -132,7 +132,7 @@
 
     private RateShare share(long now, int destination) {
         return shares.computeIfAbsent(
-                destination, d -> new RateShare(now, incarnation, daemons, now < quietUntilMicros));
+                destination, d -> new RateShare(now, incarnation, senderCount, now < quietUntilMicros));
     }
 
     /** A peer's report; returns what is to be sent to it, null for nothing. */
@@ -168,8 +168,8 @@
         counters.forEach((destination, counter) -> {
             counter.setPendingMessages(pendingMessages.applyAsDouble(destination));
             AdmissionPrice price = updatePrice(now, destination, counter.load(now));
-            AdmissionPrice before = prices.getOrDefault(destination, AdmissionPrice.none(destination));
-            if (!price.isSimilarTo(before)) {
+            AdmissionPrice previousPrice = prices.getOrDefault(destination, AdmissionPrice.none(destination));
+            if (!price.isSimilarTo(previousPrice)) {
                 prices.put(destination, price);
                 changed.add(price);
             }
@@ -177,21 +177,21 @@
         return changed;
     }
 
-    private AdmissionPrice updatePrice(long now, int destination, DestinationLoad own) {
-        DestinationLoad all = fleetLoad.fleetLoad(now, destination, own);
+    private AdmissionPrice updatePrice(long now, int destination, DestinationLoad localLoad) {
+        DestinationLoad totalLoad = fleetLoad.fleetLoad(now, destination, localLoad);
         CapacityEstimate capacity = capacities.computeIfAbsent(destination, d -> new CapacityEstimate(enforceShares));
-        double admissible = capacity.update(now, all);
-        AdmissionPrice price = Double.isInfinite(admissible)
+        double admissiblePerSecond = capacity.update(now, totalLoad);
+        AdmissionPrice price = Double.isInfinite(admissiblePerSecond)
                 ? AdmissionPrice.none(destination)
-                : AdmissionPrice.fromDemand(destination, all.demandByBand(), admissible);
+                : AdmissionPrice.fromDemand(destination, totalLoad.demandByBand(), admissiblePerSecond);
         RateShare share = share(now, destination);
-        share.updateNeed(own, price, capacity.perSecond());
+        share.updateNeed(localLoad, price, capacity.perSecond());
         destinationReports.add(new DestinationReport(
                 destination,
-                all.totalDemand(),
-                all.servedPerSecond(),
-                all.rejectedPerSecond(),
-                all.pendingMessages(),
+                totalLoad.totalDemand(),
+                totalLoad.servedPerSecond(),
+                totalLoad.rejectedPerSecond(),
+                totalLoad.pendingMessages(),
                 capacity.perSecond(),
                 price,
                 share.usableFraction(now)));
@@ -237,11 +237,11 @@
             long now, int destination, CapacityEstimate capacity, Map<String, List<LoadReport.QuotaLoan>> loansByPeer) {
         RateShare share = share(now, destination);
         double ownPerSecond = share.ownFraction() * capacity.perSecond();
-        List<String> lenders = fleetLoad.peersBelow(now, destination, ownPerSecond);
+        List<String> lenders = fleetLoad.peersWithLoadBelow(now, destination, ownPerSecond);
         for (QuotaLending.Request request : share.requestLoans(now, lenders)) {
             loansByPeer
                     .computeIfAbsent(request.peer(), peer -> new ArrayList<>())
-                    .add(new LoadReport.QuotaLoan(false, destination, request.number(), request.fraction()));
+                    .add(new LoadReport.QuotaLoan(false, destination, request.requestNumber(), request.fraction()));
         }
     }
 
--- a/overload/src/main/java/amberroute/overload/FleetLoadEstimate.java
+++ b/overload/src/main/java/amberroute/overload/FleetLoadEstimate.java
@@ -29,11 +29,11 @@
     private static final class Peer {
         long incarnation = -1;
         long sequence = -1;
-        long heardAtMicros = NEVER;
+        long lastReportAtMicros = NEVER;
         final Map<Integer, ReceivedReport> reportByDestination = new HashMap<>();
 
         boolean isReachable(long now) {
-            return heardAtMicros != NEVER && now - heardAtMicros < REPORT_LIFE_MICROS;
+            return lastReportAtMicros != NEVER && now - lastReportAtMicros < REPORT_LIFE_MICROS;
         }
     }
 
@@ -60,7 +60,7 @@
         }
         peer.incarnation = report.incarnation();
         peer.sequence = report.sequence();
-        peer.heardAtMicros = now;
+        peer.lastReportAtMicros = now;
         report.loads().forEach((destination, load) -> {
             if (peer.reportByDestination.containsKey(destination)
                     || peer.reportByDestination.size() < FleetAdmissionControl.MAX_DESTINATIONS) {
@@ -71,26 +71,26 @@
     }
 
     /** The load of all, with this daemon's own. */
-    DestinationLoad fleetLoad(long now, int destination, DestinationLoad own) {
-        List<DestinationLoad> heard = new ArrayList<>();
+    DestinationLoad fleetLoad(long now, int destination, DestinationLoad localLoad) {
+        List<DestinationLoad> reportedLoads = new ArrayList<>();
         for (Peer peer : peers.values()) {
             ReceivedReport report = peer.reportByDestination.get(destination);
             if (report != null && report.isFresh(now)) {
-                heard.add(report.load());
+                reportedLoads.add(report.load());
             }
         }
-        DestinationLoad sum = own;
-        for (DestinationLoad load : heard) {
+        DestinationLoad sum = localLoad;
+        for (DestinationLoad load : reportedLoads) {
             sum = sum.plusScaled(load, 1 / reachProbability);
         }
         // Of two nobody can say which of them reports nonsense.
-        return heard.size() > 1 ? withoutOutliers(sum, heard) : sum;
+        return reportedLoads.size() > 1 ? withoutOutliers(sum, reportedLoads) : sum;
     }
 
-    private DestinationLoad withoutOutliers(DestinationLoad all, List<DestinationLoad> heard) {
-        DestinationLoad sum = all;
-        for (DestinationLoad load : heard) {
-            DestinationLoad others = all.plusScaled(load, -1 / reachProbability);
+    private DestinationLoad withoutOutliers(DestinationLoad totalLoad, List<DestinationLoad> reportedLoads) {
+        DestinationLoad sum = totalLoad;
+        for (DestinationLoad load : reportedLoads) {
+            DestinationLoad others = totalLoad.plusScaled(load, -1 / reachProbability);
             DestinationLoad capped = load.cappedAt(others, reachProbability);
             sum = sum.plusScaled(load, -1 / reachProbability).plusScaled(capped, 1 / reachProbability);
         }
@@ -98,7 +98,7 @@
     }
 
     /** Peers that were heard of lately and do less at a destination than this. */
-    List<String> peersBelow(long now, int destination, double perSecond) {
+    List<String> peersWithLoadBelow(long now, int destination, double perSecond) {
         List<String> below = new ArrayList<>();
         peers.forEach((name, peer) -> {
             ReceivedReport report = peer.reportByDestination.get(destination);
--- a/overload/src/main/java/amberroute/overload/LoadReport.java
+++ b/overload/src/main/java/amberroute/overload/LoadReport.java
@@ -111,11 +111,11 @@
             long incarnation = in.getLong();
             long sequence = in.getLong();
             Map<Integer, DestinationLoad> loads = new LinkedHashMap<>();
-            for (int left = DatagramChecks.intInRange(in.get(), 0, MAX_LOADS); left > 0; left--) {
+            for (int remaining = DatagramChecks.intInRange(in.get(), 0, MAX_LOADS); remaining > 0; remaining--) {
                 loads.put(in.getInt(), decodeLoad(in));
             }
             List<QuotaLoan> loans = new ArrayList<>();
-            for (int left = DatagramChecks.intInRange(in.get(), 0, MAX_LOANS); left > 0; left--) {
+            for (int remaining = DatagramChecks.intInRange(in.get(), 0, MAX_LOANS); remaining > 0; remaining--) {
                 loans.add(decodeLoan(in));
             }
             return in.hasRemaining() || !NAME.matcher(sender).matches() || sequence < 0 || incarnation < 0
@@ -131,7 +131,7 @@
         float rejected = DatagramChecks.perSecond(in.getFloat());
         float pending = DatagramChecks.perSecond(in.getFloat());
         double[] demandByBand = new double[PriorityBands.COUNT];
-        for (int left = DatagramChecks.intInRange(in.get(), 0, PriorityBands.COUNT); left > 0; left--) {
+        for (int remaining = DatagramChecks.intInRange(in.get(), 0, PriorityBands.COUNT); remaining > 0; remaining--) {
             int band = DatagramChecks.intInRange(in.get(), 0, PriorityBands.COUNT - 1);
             demandByBand[band] = DatagramChecks.perSecond(in.getFloat());
         }
--- a/overload/src/main/java/amberroute/overload/PriorityBands.java
+++ b/overload/src/main/java/amberroute/overload/PriorityBands.java
@@ -12,7 +12,7 @@
     /** In the middle. */
     private static final int BAND_OF_WEIGHT_ONE = COUNT / 2;
     /** Rounding must not put a weight below the lower bound of its own band. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private PriorityBands() {}
 
@@ -21,7 +21,7 @@
             return 0;
         }
         double doublings = BANDS_PER_DOUBLING * Math.log(priorityWeight) / Math.log(2);
-        int band = (int) Math.floor(doublings + ROUNDING) + BAND_OF_WEIGHT_ONE;
+        int band = (int) Math.floor(doublings + ROUNDING_TOLERANCE) + BAND_OF_WEIGHT_ONE;
         return Math.max(0, Math.min(COUNT - 1, band));
     }
 
@@ -33,6 +33,6 @@
         if (band >= COUNT) {
             return Double.POSITIVE_INFINITY;
         }
-        return Math.pow(2, (band - BAND_OF_WEIGHT_ONE) / BANDS_PER_DOUBLING) * (1 - ROUNDING);
+        return Math.pow(2, (band - BAND_OF_WEIGHT_ONE) / BANDS_PER_DOUBLING) * (1 - ROUNDING_TOLERANCE);
     }
 }
--- a/overload/src/main/java/amberroute/overload/RateShare.java
+++ b/overload/src/main/java/amberroute/overload/RateShare.java
@@ -13,7 +13,7 @@
     /** Long beside a lost request and the next one, short enough that a failed daemon blocks what it was lent for a moment only. */
     static final long LEASE_MICROS = 2_000_000;
     /** A peer is asked in every round until it has lent what is missing. */
-    private static final long REQUEST_PAUSE_MICROS = FleetAdmissionControl.ROUND_MICROS / 2;
+    private static final long REQUEST_INTERVAL_MICROS = FleetAdmissionControl.ROUND_MICROS / 2;
     /** What is pending is to be called within so many seconds. */
     private static final double QUEUE_DRAIN_SECONDS = 1;
     /** Requested is a little more than is needed, as rates are averages. */
@@ -26,18 +26,18 @@
 
     private final QuotaLending lending;
     private double neededFraction;
-    private double announcedPerSecond = Double.POSITIVE_INFINITY;
+    private double lastReportedPerSecond = Double.POSITIVE_INFINITY;
 
-    RateShare(long now, long firstRequestNumber, int daemons, boolean restarted) {
-        QuotaShare share = new QuotaShare(now, firstRequestNumber, daemons, LEASE_MICROS, restarted);
-        lending = new QuotaLending(share, REQUEST_PAUSE_MICROS);
+    RateShare(long now, long firstRequestNumber, int senderCount, boolean restarted) {
+        QuotaShare share = new QuotaShare(now, firstRequestNumber, senderCount, LEASE_MICROS, restarted);
+        lending = new QuotaLending(share, REQUEST_INTERVAL_MICROS);
     }
 
     /** Computes what this daemon has to call: its load as far as the price admits it, of the destination's capacity. */
-    void updateNeed(DestinationLoad own, AdmissionPrice price, double capacityPerSecond) {
-        double calls = own.pendingMessages() / QUEUE_DRAIN_SECONDS;
+    void updateNeed(DestinationLoad localLoad, AdmissionPrice price, double capacityPerSecond) {
+        double calls = localLoad.pendingMessages() / QUEUE_DRAIN_SECONDS;
         for (int band = 0; band < PriorityBands.COUNT; band++) {
-            calls += own.demandByBand()[band] * admittedFraction(PriorityBands.lowerBound(band), price);
+            calls += localLoad.demandByBand()[band] * admittedFraction(PriorityBands.lowerBound(band), price);
         }
         neededFraction = Double.isInfinite(capacityPerSecond)
                 ? 1
@@ -56,19 +56,19 @@
         double rate = Double.isInfinite(capacityPerSecond)
                 ? capacityPerSecond
                 : lending.usableFraction(now) * capacityPerSecond;
-        boolean similar = !Double.isInfinite(announcedPerSecond)
-                && Math.abs(rate - announcedPerSecond) < MIN_RATE_CHANGE_RATIO * announcedPerSecond;
-        if (rate == announcedPerSecond || similar) {
+        boolean similar = !Double.isInfinite(lastReportedPerSecond)
+                && Math.abs(rate - lastReportedPerSecond) < MIN_RATE_CHANGE_RATIO * lastReportedPerSecond;
+        if (rate == lastReportedPerSecond || similar) {
             return UNCHANGED;
         }
-        announcedPerSecond = rate;
+        lastReportedPerSecond = rate;
         return rate;
     }
 
     /** Requests for what is missing, to peers that need less than they own. */
     List<QuotaLending.Request> requestLoans(long now, List<String> lenders) {
-        double missing = neededFraction - lending.usableFraction(now);
-        return missing <= 0 ? List.of() : lending.requestLoans(now, missing, lenders);
+        double missingFraction = neededFraction - lending.usableFraction(now);
+        return missingFraction <= 0 ? List.of() : lending.requestLoans(now, missingFraction, lenders);
     }
 
     double ownFraction() {
--- a/overload/src/test/java/amberroute/overload/LoadReportCompatibilityTest.java
+++ b/overload/src/test/java/amberroute/overload/LoadReportCompatibilityTest.java
@@ -18,12 +18,12 @@
 /** Load report datagrams recorded from version 131520b, which daemons of both versions read and write alike. */
 class LoadReportCompatibilityTest {
     @Test
-    void anEmptyReport() throws IOException {
-        check("report_empty", new LoadReport("s1", 1_700_000_000_000_000L, 7, Map.of(), List.of()));
+    void emptyReportMatchesTheRecordedDatagram() throws IOException {
+        assertMatchesRecording("report_empty", new LoadReport("s1", 1_700_000_000_000_000L, 7, Map.of(), List.of()));
     }
 
     @Test
-    void aReportOfLoads() throws IOException {
+    void reportOfLoadsMatchesTheRecordedDatagram() throws IOException {
         double[] demand = new double[PriorityBands.COUNT];
         demand[0] = 1.5;
         demand[31] = 200;
@@ -31,18 +31,18 @@
         Map<Integer, DestinationLoad> loads = new LinkedHashMap<>();
         loads.put(4, new DestinationLoad(demand, 120.5, 3.25, 40));
         loads.put(-2, new DestinationLoad(new double[PriorityBands.COUNT], 0, 0, 0));
-        check("report_loads", new LoadReport("sender-2.east_b", 5, 9_000_000_000L, loads, List.of()));
+        assertMatchesRecording("report_loads", new LoadReport("sender-2.east_b", 5, 9_000_000_000L, loads, List.of()));
     }
 
     @Test
-    void aReportOfLoans() throws IOException {
+    void reportOfLoansMatchesTheRecordedDatagram() throws IOException {
         List<QuotaLoan> loans =
                 List.of(new QuotaLoan(false, 4, 123_456_789_012L, 0.25f), new QuotaLoan(true, 9, -8, 1f));
-        check("report_loans", new LoadReport("s3", 1, 2, Map.of(), loans));
+        assertMatchesRecording("report_loans", new LoadReport("s3", 1, 2, Map.of(), loans));
     }
 
-    private static void check(String name, LoadReport expected) throws IOException {
-        byte[] datagram = recorded().get(name);
+    private static void assertMatchesRecording(String name, LoadReport expected) throws IOException {
+        byte[] datagram = recordedDatagrams().get(name);
         LoadReport decoded = LoadReport.decode(ByteBuffer.wrap(datagram));
         assertEquals(expected.sender(), decoded.sender());
         assertEquals(expected.incarnation(), decoded.incarnation());
@@ -52,11 +52,11 @@
                 List.copyOf(expected.loads().keySet()),
                 List.copyOf(decoded.loads().keySet()));
         expected.loads().forEach((destination, load) -> {
-            DestinationLoad read = decoded.loads().get(destination);
-            assertArrayEquals(load.demandByBand(), read.demandByBand());
-            assertEquals(load.servedPerSecond(), read.servedPerSecond());
-            assertEquals(load.rejectedPerSecond(), read.rejectedPerSecond());
-            assertEquals(load.pendingMessages(), read.pendingMessages());
+            DestinationLoad decodedLoad = decoded.loads().get(destination);
+            assertArrayEquals(load.demandByBand(), decodedLoad.demandByBand());
+            assertEquals(load.servedPerSecond(), decodedLoad.servedPerSecond());
+            assertEquals(load.rejectedPerSecond(), decodedLoad.rejectedPerSecond());
+            assertEquals(load.pendingMessages(), decodedLoad.pendingMessages());
         });
         assertEquals(hex(ByteBuffer.wrap(datagram)), hex(expected.encode()));
         assertEquals(hex(ByteBuffer.wrap(datagram)), hex(decoded.encode()));
@@ -68,7 +68,7 @@
         return HexFormat.of().formatHex(bytes);
     }
 
-    private static Map<String, byte[]> recorded() throws IOException {
+    private static Map<String, byte[]> recordedDatagrams() throws IOException {
         Map<String, byte[]> datagrams = new HashMap<>();
         try (InputStream in =
                 LoadReportCompatibilityTest.class.getResourceAsStream("/compatibility/131520b/load-reports.txt")) {
--- a/quota/src/main/java/amberroute/quota/DecayingRate.java
+++ b/quota/src/main/java/amberroute/quota/DecayingRate.java
@@ -6,7 +6,7 @@
 
     private final double windowMicros;
     private double sum;
-    private long atMicros;
+    private long updatedAtMicros;
 
     /** Averages over about a window. */
     public DecayingRate(double windowMicros) {
@@ -15,12 +15,12 @@
 
     /** So many happened now. */
     public void add(long now, double count) {
-        sum = sum * Math.exp((atMicros - now) / windowMicros) + count;
-        atMicros = now;
+        sum = sum * Math.exp((updatedAtMicros - now) / windowMicros) + count;
+        updatedAtMicros = now;
     }
 
     /** How many happened a second, averaged over about a window. */
     public double perSecond(long now) {
-        return sum * Math.exp((atMicros - now) / windowMicros) * MICROS_PER_SECOND / windowMicros;
+        return sum * Math.exp((updatedAtMicros - now) / windowMicros) * MICROS_PER_SECOND / windowMicros;
     }
 }
--- a/quota/src/main/java/amberroute/quota/QuotaLending.java
+++ b/quota/src/main/java/amberroute/quota/QuotaLending.java
@@ -15,16 +15,16 @@
     private static final long MICROS_PER_MILLISECOND = 1_000;
 
     /** A request to a peer. */
-    public record Request(String peer, long number, float fraction) {}
+    public record Request(String peer, long requestNumber, float fraction) {}
 
     private final QuotaShare share;
-    private final long pauseMicros;
+    private final long requestIntervalMicros;
     private final Map<String, Long> requestedAtMicros = new HashMap<>();
 
     /** One peer is not asked again before a pause is over. */
-    public QuotaLending(QuotaShare share, long pauseMicros) {
+    public QuotaLending(QuotaShare share, long requestIntervalMicros) {
         this.share = share;
-        this.pauseMicros = pauseMicros;
+        this.requestIntervalMicros = requestIntervalMicros;
     }
 
     /** The fraction of the limit that may be used now. */
@@ -39,33 +39,33 @@
 
     /** Requests for a fraction that is missing, to peers that seem to have some to spare; none is asked again too soon. */
     public List<Request> requestLoans(long now, double missingFraction, List<String> lenders) {
-        List<String> ready = lenders.stream()
-                .filter(peer -> now - requestedAtMicros.getOrDefault(peer, NEVER) > pauseMicros)
+        List<String> eligiblePeers = lenders.stream()
+                .filter(peer -> now - requestedAtMicros.getOrDefault(peer, NEVER) > requestIntervalMicros)
                 .toList();
         List<Request> requests = new ArrayList<>();
-        double left = missingFraction;
+        double remainingFraction = missingFraction;
         // Daemons begin with different peers, so that not all ask the same one.
-        int start = ready.isEmpty() ? 0 : Math.floorMod(now / MICROS_PER_MILLISECOND, ready.size());
-        for (int i = 0; i < Math.min(MAX_CONCURRENT_REQUESTS, ready.size()) && left > 0; i++) {
-            String peer = ready.get((start + i) % ready.size());
-            float fraction = roundDown(Math.min(left, share.ownFraction()));
+        int start = eligiblePeers.isEmpty() ? 0 : Math.floorMod(now / MICROS_PER_MILLISECOND, eligiblePeers.size());
+        for (int i = 0; i < Math.min(MAX_CONCURRENT_REQUESTS, eligiblePeers.size()) && remainingFraction > 0; i++) {
+            String peer = eligiblePeers.get((start + i) % eligiblePeers.size());
+            float fraction = roundDown(Math.min(remainingFraction, share.ownFraction()));
             requests.add(
-                    new Request(peer, share.requestLoan(now, peer, fraction).number(), fraction));
+                    new Request(peer, share.requestLoan(now, peer, fraction).requestNumber(), fraction));
             requestedAtMicros.put(peer, now);
-            left -= fraction;
+            remainingFraction -= fraction;
         }
         return requests;
     }
 
     /** A peer asks, while this daemon itself needs a fraction; returns what it is lent, 0 for nothing. */
-    public float onLoanRequest(long now, String peer, long number, float fraction, double neededFraction) {
-        QuotaShare.LoanRequest request = new QuotaShare.LoanRequest(number, fraction);
+    public float onLoanRequest(long now, String peer, long requestNumber, float fraction, double neededFraction) {
+        QuotaShare.LoanRequest request = new QuotaShare.LoanRequest(requestNumber, fraction);
         return roundDown(share.onLoanRequest(now, peer, request, neededFraction).fraction());
     }
 
     /** A peer's answer. */
-    public void onLoanGrant(long now, String peer, long number, float fraction) {
-        share.onLoanGrant(now, peer, new QuotaShare.LoanGrant(number, fraction));
+    public void onLoanGrant(long now, String peer, long requestNumber, float fraction) {
+        share.onLoanGrant(now, peer, new QuotaShare.LoanGrant(requestNumber, fraction));
     }
 
     private static float roundDown(double fraction) {
--- a/quota/src/main/java/amberroute/quota/QuotaShare.java
+++ b/quota/src/main/java/amberroute/quota/QuotaShare.java
@@ -23,10 +23,10 @@
     private static final long MIN_LEASE_MICROS = 1_000;
 
     /** What a peer is asked for. The number is the borrower's and grows with each request. */
-    public record LoanRequest(long number, double fraction) {}
+    public record LoanRequest(long requestNumber, double fraction) {}
 
     /** What was lent, for the lease that both know from the settings; 0 for nothing. */
-    public record LoanGrant(long number, double fraction) {}
+    public record LoanGrant(long requestNumber, double fraction) {}
 
     private record Loan(double fraction, long untilMicros) {}
 
@@ -36,26 +36,26 @@
     /** Of each borrower by request number: all loans that may still be in use; a renewal stands beside the one before. */
     private final Map<String, Map<Long, Loan>> loansByBorrower = new HashMap<>();
 
-    private final Map<String, Long> lastRequestNumber = new HashMap<>();
+    private final Map<String, Long> lastRequestNumberByBorrower = new HashMap<>();
     private final Map<String, Loan> loanByLender = new HashMap<>();
     private final Map<String, LoanRequest> pendingRequests = new HashMap<>();
     private final Map<String, Long> requestedAtMicros = new HashMap<>();
-    private long lastNumber;
+    private long lastRequestNumber;
 
     /**
      * A share of a limit.
      *
-     * @param number higher than any that an earlier process of this daemon used for its requests, such as wall time
-     * @param daemons how many there are by the settings
+     * @param firstRequestNumber higher than any that an earlier process of this daemon used for its requests, such as wall time
+     * @param senderCount how many there are by the settings
      * @param restarted whether an earlier process may have lent something
      */
-    public QuotaShare(long now, long number, int daemons, long leaseMicros, boolean restarted) {
-        if (daemons < 1 || leaseMicros < MIN_LEASE_MICROS) {
+    public QuotaShare(long now, long firstRequestNumber, int senderCount, long leaseMicros, boolean restarted) {
+        if (senderCount < 1 || leaseMicros < MIN_LEASE_MICROS) {
             throw new IllegalArgumentException("no daemons or no lease");
         }
-        ownFraction = 1.0 / daemons;
+        ownFraction = 1.0 / senderCount;
         this.leaseMicros = leaseMicros;
-        lastNumber = number;
+        lastRequestNumber = firstRequestNumber;
         quietUntilMicros = restarted ? now + quietPeriodMicros(leaseMicros) : now;
     }
 
@@ -100,7 +100,7 @@
         if (!pendingRequests.containsKey(peer) && pendingRequests.size() >= MAX_PEERS) {
             throw new IllegalStateException("more than " + MAX_PEERS + " peers");
         }
-        LoanRequest request = new LoanRequest(++lastNumber, fraction);
+        LoanRequest request = new LoanRequest(++lastRequestNumber, fraction);
         pendingRequests.put(peer, request);
         requestedAtMicros.put(peer, now);
         return request;
@@ -111,31 +111,31 @@
      * first answer may be on the way, and nobody may get a loan twice.
      */
     public LoanGrant onLoanRequest(long now, String peer, LoanRequest request, double neededFraction) {
-        LoanGrant nothing = new LoanGrant(request.number(), 0);
-        boolean known = lastRequestNumber.containsKey(peer);
+        LoanGrant emptyGrant = new LoanGrant(request.requestNumber(), 0);
+        boolean isKnownPeer = lastRequestNumberByBorrower.containsKey(peer);
         if (now < quietUntilMicros
-                || known && request.number() <= lastRequestNumber.get(peer)
-                || !known && lastRequestNumber.size() >= MAX_PEERS
+                || isKnownPeer && request.requestNumber() <= lastRequestNumberByBorrower.get(peer)
+                || !isKnownPeer && lastRequestNumberByBorrower.size() >= MAX_PEERS
                 || !(request.fraction() > 0)) {
-            return nothing;
+            return emptyGrant;
         }
-        lastRequestNumber.put(peer, request.number());
+        lastRequestNumberByBorrower.put(peer, request.requestNumber());
         double spare = ownFraction - lentFraction(now) - Math.max(0, neededFraction);
         double fraction = Math.min(request.fraction(), spare);
         if (fraction <= 0) {
-            return nothing;
+            return emptyGrant;
         }
         loansByBorrower
                 .computeIfAbsent(peer, p -> new HashMap<>())
-                .put(request.number(), new Loan(fraction, now + leaseMicros));
-        return new LoanGrant(request.number(), fraction);
+                .put(request.requestNumber(), new Loan(fraction, now + leaseMicros));
+        return new LoanGrant(request.requestNumber(), fraction);
     }
 
     /** A peer's answer; it counts from when it was asked for, so one that was delayed is worth little. */
     public void onLoanGrant(long now, String peer, LoanGrant grant) {
         LoanRequest request = pendingRequests.get(peer);
         if (request == null
-                || request.number() != grant.number()
+                || request.requestNumber() != grant.requestNumber()
                 || !(grant.fraction() > 0)
                 || grant.fraction() > request.fraction()) {
             return;
--- a/quota/src/main/java/amberroute/quota/SlowStartLimit.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimit.java
@@ -40,7 +40,7 @@
 
     private static final double SMOOTHING_MICROS = 4e6;
     private static final double SERVED_WINDOW_MICROS = 1e6;
-    private static final double SLOW_SERVED_WINDOW_MICROS = 8e6;
+    private static final double LONG_SERVED_WINDOW_MICROS = 8e6;
     /** What is pending is to be sent within this, for how much of the limit this daemon wants. */
     private static final double QUEUE_DRAIN_MICROS = 1e6;
     /** Successes are remembered by slots of this length, for so many of them. */
@@ -81,7 +81,7 @@
         }
 
         /** The moment of an age that the report has. */
-        long momentOf(int ageMillis) {
+        long timeAtAge(int ageMillis) {
             return ageMillis < 0 ? NEVER : atMicros - ageMillis * MICROS_PER_MILLISECOND;
         }
     }
@@ -90,7 +90,7 @@
     private final Rules rules;
     private final QuotaLending lending;
     private final DecayingRate served = new DecayingRate(SERVED_WINDOW_MICROS);
-    private final DecayingRate slowServed = new DecayingRate(SLOW_SERVED_WINDOW_MICROS);
+    private final DecayingRate longWindowServed = new DecayingRate(LONG_SERVED_WINDOW_MICROS);
     private final Map<String, PeerReport> reportByPeer = new HashMap<>();
     private final boolean[] successSlots = new boolean[SLOTS];
     private long latestSlot = Long.MIN_VALUE;
@@ -117,19 +117,19 @@
         rememberSuccess(now);
         if (localHealth == Health.NEW) {
             // It warms up from now, unless peers know better.
-            long recoveryMicros = slowStartSincePeers(now);
-            localHealth = isHealthyElsewhere(now) ? Health.HEALTHY : Health.SLOW_START;
+            long recoveryMicros = warmUpStartFromPeers(now);
+            localHealth = isHealthyForAnyPeer(now) ? Health.HEALTHY : Health.SLOW_START;
             recoveryAtMicros = recoveryMicros >= 0 ? recoveryMicros : now;
         }
         successAtMicros = now;
         served.add(now, 1);
-        slowServed.add(now, 1);
+        longWindowServed.add(now, 1);
     }
 
     private void rememberSuccess(long now) {
         long slot = Math.floorDiv(now, SLOT_MICROS);
-        for (long each = Math.max(latestSlot + 1, slot - SLOTS + 1); each <= slot; each++) {
-            successSlots[Math.floorMod(each, SLOTS)] = false;
+        for (long clearedSlot = Math.max(latestSlot + 1, slot - SLOTS + 1); clearedSlot <= slot; clearedSlot++) {
+            successSlots[Math.floorMod(clearedSlot, SLOTS)] = false;
         }
         latestSlot = Math.max(latestSlot, slot);
         successSlots[Math.floorMod(slot, SLOTS)] = true;
@@ -157,10 +157,11 @@
         if (!reportByPeer.containsKey(peer) && reportByPeer.size() >= MAX_PEERS) {
             return false;
         }
-        PeerReport before = reportByPeer.put(peer, new PeerReport(update, now));
+        PeerReport previousReport = reportByPeer.put(peer, new PeerReport(update, now));
         boolean available = update.health() == Health.HEALTHY || update.health() == Health.SLOW_START;
-        boolean unchanged =
-                before != null && before.isFresh(now) && before.update().health() == update.health();
+        boolean unchanged = previousReport != null
+                && previousReport.isFresh(now)
+                && previousReport.update().health() == update.health();
         return localHealth == Health.UNAVAILABLE
                 && available
                 && !unchanged
@@ -168,24 +169,24 @@
                 && now - update.successAgoMillis() * MICROS_PER_MILLISECOND > outageAtMicros;
     }
 
-    private boolean isHealthyElsewhere(long now) {
+    private boolean isHealthyForAnyPeer(long now) {
         return reportByPeer.values().stream()
                 .anyMatch(report -> report.isFresh(now)
                         && report.update().health() == Health.HEALTHY
                         && report.update().successAgoMillis() >= 0
-                        && now - report.momentOf(report.update().successAgoMillis()) < RECENT_SUCCESS_MICROS);
+                        && now - report.timeAtAge(report.update().successAgoMillis()) < RECENT_SUCCESS_MICROS);
     }
 
     /** Since when it warms up as peers say, -1 where none says so against what was seen here. */
-    private long slowStartSincePeers(long now) {
+    private long warmUpStartFromPeers(long now) {
         long latestMicros = NEVER;
         for (PeerReport report : reportByPeer.values()) {
-            long recoveryMicros = report.momentOf(report.update().recoveryAgoMillis());
+            long recoveryMicros = report.timeAtAge(report.update().recoveryAgoMillis());
             if (report.isFresh(now)
                     && report.update().health() == Health.SLOW_START
                     && recoveryMicros >= 0
                     && now - recoveryMicros < rules.warmUpMicros()
-                    && !hadSuccessBetween(report.momentOf(report.update().outageAgoMillis()), recoveryMicros)) {
+                    && !hadSuccessBetween(report.timeAtAge(report.update().outageAgoMillis()), recoveryMicros)) {
                 latestMicros = Math.max(latestMicros, recoveryMicros);
             }
         }
@@ -214,12 +215,12 @@
         if (localHealth == Health.SLOW_START && now - recoveryAtMicros >= rules.warmUpMicros()) {
             localHealth = Health.HEALTHY;
         }
-        long sincePeers = slowStartSincePeers(now);
+        long peerWarmUpStartMicros = warmUpStartFromPeers(now);
         return switch (localHealth) {
             case UNAVAILABLE -> now;
-            case NEW -> isHealthyElsewhere(now) ? NO_LIMIT : sincePeers >= 0 ? sincePeers : now;
-            case SLOW_START -> Math.max(recoveryAtMicros, sincePeers);
-            case HEALTHY -> sincePeers;
+            case NEW -> isHealthyForAnyPeer(now) ? NO_LIMIT : peerWarmUpStartMicros >= 0 ? peerWarmUpStartMicros : now;
+            case SLOW_START -> Math.max(recoveryAtMicros, peerWarmUpStartMicros);
+            case HEALTHY -> peerWarmUpStartMicros;
         };
     }
 
@@ -236,16 +237,16 @@
         }
         double progress = Math.min(1, (double) (now - startMicros) / Math.max(1, rules.warmUpMicros()));
         double capacityFraction = rules.initialFraction() + (1 - rules.initialFraction()) * progress;
-        double byPeak = KNOWN_CAPACITY_RATIO * rules.overloadMultiple() * capacityFraction * updatedPeak(now);
-        double byAnswers = OBSERVED_RATE_RATIO * rules.overloadMultiple() * servedByFleet(now, served);
-        return Math.max(rules.initialPerSecond(), evenFlowUnder(Math.max(byPeak, byAnswers)));
+        double limitFromPeak = KNOWN_CAPACITY_RATIO * rules.overloadMultiple() * capacityFraction * updatedPeak(now);
+        double limitFromServedRate = OBSERVED_RATE_RATIO * rules.overloadMultiple() * servedByFleet(now, served);
+        return Math.max(rules.initialPerSecond(), steadyRateBelow(Math.max(limitFromPeak, limitFromServedRate)));
     }
 
     /**
      * The even flow that stays under a rate with chance allowed for: m messages in a window, from daemons that do not know
      * of one another's, are m and some square roots of m now and then.
      */
-    private double evenFlowUnder(double perSecond) {
+    private double steadyRateBelow(double perSecond) {
         double windowSeconds = rules.overloadWindowMicros() / MICROS_PER_SECOND;
         double root = (Math.sqrt(ALLOWED_DEVIATIONS * ALLOWED_DEVIATIONS + 4 * perSecond * windowSeconds)
                         - ALLOWED_DEVIATIONS)
@@ -260,8 +261,8 @@
     }
 
     /** Answered a second, here as this rate has it and at all peers that report it. */
-    private double servedByFleet(long now, DecayingRate servedHere) {
-        double sum = servedHere.perSecond(now);
+    private double servedByFleet(long now, DecayingRate localServed) {
+        double sum = localServed.perSecond(now);
         for (PeerReport report : reportByPeer.values()) {
             sum += report.isFresh(now) ? report.update().servedPerSecond() : 0;
         }
@@ -275,11 +276,11 @@
             peakOfPeers =
                     report.isFresh(now) ? Math.max(peakOfPeers, report.update().peakPerSecond()) : peakOfPeers;
         }
-        smoothedPerSecond += (servedByFleet(now, slowServed) - smoothedPerSecond)
+        smoothedPerSecond += (servedByFleet(now, longWindowServed) - smoothedPerSecond)
                 * -Math.expm1((smoothedAtMicros - now) / SMOOTHING_MICROS);
         smoothedAtMicros = now;
-        double remembered = peakPerSecond * Math.pow(0.5, (now - peakAtMicros) / PEAK_HALF_LIFE_MICROS);
-        peakPerSecond = Math.max(remembered, Math.max(smoothedPerSecond, peakOfPeers));
+        double decayedPeak = peakPerSecond * Math.pow(0.5, (now - peakAtMicros) / PEAK_HALF_LIFE_MICROS);
+        peakPerSecond = Math.max(decayedPeak, Math.max(smoothedPerSecond, peakOfPeers));
         peakAtMicros = now;
         return peakPerSecond;
     }
@@ -292,34 +293,34 @@
         if (Double.isInfinite(fleetPerSecond)) {
             return 1;
         }
-        return Math.min(1, wantedPerSecond(pendingMessages, served.perSecond(now)) / fleetPerSecond);
+        return Math.min(1, neededPerSecond(pendingMessages, served.perSecond(now)) / fleetPerSecond);
     }
 
-    private static double wantedPerSecond(double pendingMessages, double servedPerSecond) {
+    private static double neededPerSecond(double pendingMessages, double servedPerSecond) {
         return pendingMessages * MICROS_PER_SECOND / QUEUE_DRAIN_MICROS + servedPerSecond;
     }
 
     /** Requests to peers that are alive and seem to have quota to spare. */
-    List<LoanRequest> loanRequests(long now, List<String> alive) {
-        double missing = isLimited(now) ? neededFraction(now) - lending.usableFraction(now) : 0;
-        if (missing <= 0) {
+    List<LoanRequest> loanRequests(long now, List<String> alivePeers) {
+        double missingFraction = isLimited(now) ? neededFraction(now) - lending.usableFraction(now) : 0;
+        if (missingFraction <= 0) {
             return List.of();
         }
         double fleetPerSecond = fleetPerSecond(now);
-        List<String> lenders = alive.stream()
+        List<String> lenders = alivePeers.stream()
                 .filter(peer -> hasQuotaToSpare(reportByPeer.get(peer), fleetPerSecond))
                 .toList();
-        return lending.requestLoans(now, missing, lenders).stream()
+        return lending.requestLoans(now, missingFraction, lenders).stream()
                 .map(request -> new LoanRequest(
                         request.peer(),
-                        new Heartbeat.QuotaLoan(false, destination, request.number(), request.fraction())))
+                        new Heartbeat.QuotaLoan(false, destination, request.requestNumber(), request.fraction())))
                 .toList();
     }
 
     private boolean hasQuotaToSpare(PeerReport report, double fleetPerSecond) {
         double usedFraction = report == null
                 ? 0
-                : wantedPerSecond(
+                : neededPerSecond(
                                 report.update().pendingMessages(),
                                 report.update().servedPerSecond())
                         / fleetPerSecond;
@@ -353,11 +354,11 @@
                 (float) pendingMessages);
     }
 
-    private static int millisSince(long now, long momentMicros) {
-        if (momentMicros < 0) {
+    private static int millisSince(long now, long timeMicros) {
+        if (timeMicros < 0) {
             return -1;
         }
-        long millis = (now - momentMicros) / MICROS_PER_MILLISECOND;
+        long millis = (now - timeMicros) / MICROS_PER_MILLISECOND;
         return (int) Math.max(0, Math.min(Heartbeat.MAX_AGE_MILLIS, millis));
     }
 
--- a/quota/src/main/java/amberroute/quota/SlowStartLimits.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimits.java
@@ -21,7 +21,7 @@
     private static final double MIN_RATE_CHANGE_RATIO = 0.02;
 
     /** What daemons have in their settings; {@code index} tells this one from the others. */
-    public record FleetParameters(int daemons, int index, long leaseMicros, SlowStartLimit.Rules rules) {}
+    public record FleetParameters(int senderCount, int senderIndex, long leaseMicros, SlowStartLimit.Rules rules) {}
 
     /**
      * What holds from now on.
@@ -47,14 +47,14 @@
     }
 
     /** Null for one destination too many. */
-    private SlowStartLimit limitOf(long now, int destination) {
+    private SlowStartLimit limitFor(long now, int destination) {
         SlowStartLimit limit = limits.get(destination);
         if (limit == null && limits.size() < MAX_DESTINATIONS) {
             boolean restarted = now < quietUntilMicros;
             limit = new SlowStartLimit(
                     destination,
                     fleet.rules(),
-                    new QuotaShare(now, firstRequestNumber, fleet.daemons(), fleet.leaseMicros(), restarted),
+                    new QuotaShare(now, firstRequestNumber, fleet.senderCount(), fleet.leaseMicros(), restarted),
                     fleet.leaseMicros());
             limits.put(destination, limit);
         }
@@ -64,24 +64,24 @@
     /** There is such a destination; its limit where that is new, else null. To be asked before anything is sent to it. */
     public RateLimit onDestinationListed(long now, int destination) {
         boolean isNew = !limits.containsKey(destination);
-        SlowStartLimit limit = limitOf(now, destination);
-        return isNew && limit != null ? limitNow(now, destination, limit, false) : null;
+        SlowStartLimit limit = limitFor(now, destination);
+        return isNew && limit != null ? currentLimit(now, destination, limit, false) : null;
     }
 
     /** A message was delivered; true where peers had better hear of it at once. */
     public boolean onSuccess(long now, int destination) {
-        SlowStartLimit limit = limitOf(now, destination);
+        SlowStartLimit limit = limitFor(now, destination);
         if (limit == null) {
             return false;
         }
-        Health before = limit.localHealth();
+        Health healthBefore = limit.localHealth();
         limit.onSuccess(now);
-        return limit.localHealth() != before;
+        return limit.localHealth() != healthBefore;
     }
 
     /** What the decision module has found of a destination, since when. */
     public void onHealthChanged(long now, int destination, Health health, long sinceMicros) {
-        SlowStartLimit limit = limitOf(now, destination);
+        SlowStartLimit limit = limitFor(now, destination);
         if (limit != null) {
             limit.onHealthChanged(now, health, sinceMicros);
         }
@@ -91,9 +91,9 @@
     public List<RateLimit> onPeerUpdates(long now, String peer, List<Heartbeat.SlowStartUpdate> updates) {
         List<RateLimit> recovered = new ArrayList<>();
         for (Heartbeat.SlowStartUpdate update : updates) {
-            SlowStartLimit limit = limitOf(now, update.destination());
+            SlowStartLimit limit = limitFor(now, update.destination());
             if (limit != null && limit.onPeerUpdate(now, peer, update)) {
-                recovered.add(limitNow(now, update.destination(), limit, true));
+                recovered.add(currentLimit(now, update.destination(), limit, true));
             }
         }
         return recovered;
@@ -123,32 +123,33 @@
             limit.setPendingMessages(pendingMessages.applyAsDouble(destination));
             limit.updatedPeak(now);
             double rate = limit.ownPerSecond(now);
-            double before = lastRateByDestination.getOrDefault(destination, Double.POSITIVE_INFINITY);
-            boolean similar = !Double.isInfinite(before) && Math.abs(rate - before) < MIN_RATE_CHANGE_RATIO * before;
-            if (rate != before && !similar) {
-                changed.add(limitNow(now, destination, limit, false));
+            double previousRate = lastRateByDestination.getOrDefault(destination, Double.POSITIVE_INFINITY);
+            boolean similar = !Double.isInfinite(previousRate)
+                    && Math.abs(rate - previousRate) < MIN_RATE_CHANGE_RATIO * previousRate;
+            if (rate != previousRate && !similar) {
+                changed.add(currentLimit(now, destination, limit, false));
             }
         });
         return changed;
     }
 
-    private RateLimit limitNow(long now, int destination, SlowStartLimit limit, boolean recoveredElsewhere) {
+    private RateLimit currentLimit(long now, int destination, SlowStartLimit limit, boolean recoveredElsewhere) {
         double rate = limit.ownPerSecond(now);
         lastRateByDestination.put(destination, rate);
         // Daemons that begin together begin one after another.
-        double initialCredit = (double) fleet.index() / fleet.daemons();
+        double initialCredit = (double) fleet.senderIndex() / fleet.senderCount();
         return new RateLimit(destination, rate, initialCredit, recoveredElsewhere);
     }
 
     /** Requests for more of what is limited, by peer. */
     public Map<String, List<Heartbeat.QuotaLoan>> loanRequests(long now, MembershipView view) {
-        List<String> alive = view.members(now).stream()
+        List<String> alivePeers = view.members(now).stream()
                 .filter(MembershipView.Member::alive)
                 .map(MembershipView.Member::name)
                 .toList();
         Map<String, List<Heartbeat.QuotaLoan>> requestsByPeer = new LinkedHashMap<>();
         limits.forEach((destination, limit) -> {
-            for (SlowStartLimit.LoanRequest request : limit.loanRequests(now, alive)) {
+            for (SlowStartLimit.LoanRequest request : limit.loanRequests(now, alivePeers)) {
                 List<Heartbeat.QuotaLoan> requests =
                         requestsByPeer.computeIfAbsent(request.peer(), peer -> new ArrayList<>());
                 if (requests.size() < Heartbeat.MAX_LOANS) {
@@ -161,15 +162,16 @@
 
     /** What to tell peers: destinations that are unavailable or warm up first, then by turns. */
     public List<Heartbeat.SlowStartUpdate> currentUpdates(long now) {
-        List<Map.Entry<Integer, SlowStartLimit>> all = new ArrayList<>(limits.entrySet());
-        if (all.size() > Heartbeat.MAX_UPDATES) {
-            updateOffset = (updateOffset + Heartbeat.MAX_UPDATES / 2) % all.size();
-            List<Map.Entry<Integer, SlowStartLimit>> rotated = new ArrayList<>(all.subList(updateOffset, all.size()));
-            rotated.addAll(all.subList(0, updateOffset));
+        List<Map.Entry<Integer, SlowStartLimit>> entries = new ArrayList<>(limits.entrySet());
+        if (entries.size() > Heartbeat.MAX_UPDATES) {
+            updateOffset = (updateOffset + Heartbeat.MAX_UPDATES / 2) % entries.size();
+            List<Map.Entry<Integer, SlowStartLimit>> rotated =
+                    new ArrayList<>(entries.subList(updateOffset, entries.size()));
+            rotated.addAll(entries.subList(0, updateOffset));
             rotated.sort(Comparator.comparing(entry -> isUrgent(entry.getValue()) ? 0 : 1));
-            all = rotated;
+            entries = rotated;
         }
-        return all.stream()
+        return entries.stream()
                 .limit(Heartbeat.MAX_UPDATES)
                 .map(entry -> entry.getValue().currentUpdate(now))
                 .toList();
--- a/quota/src/test/java/amberroute/quota/QuotaShareTest.java
+++ b/quota/src/test/java/amberroute/quota/QuotaShareTest.java
@@ -14,39 +14,39 @@
 
 /** That the fractions in use never add up to more than the whole, and what loans give. */
 class QuotaShareTest {
-    private static final long LEASE = 1_000_000;
+    private static final long LEASE_MICROS = 1_000_000;
 
-    private static QuotaShare fresh(int daemons) {
-        return new QuotaShare(0, 0, daemons, LEASE, false);
+    private static QuotaShare newShare(int senderCount) {
+        return new QuotaShare(0, 0, senderCount, LEASE_MICROS, false);
     }
 
     @Test
-    void ownsAnEqualPart() {
-        assertEquals(0.05, fresh(20).usableFraction(0), 1e-12);
+    void shareOwnsAnEqualFraction() {
+        assertEquals(0.05, newShare(20).usableFraction(0), 1e-12);
     }
 
     @Test
-    void lendsAndGetsBackByTime() {
-        QuotaShare lender = fresh(4);
-        QuotaShare borrower = fresh(4);
-        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
-        LoanGrant grant = lender.onLoanRequest(100, "borrower", ask, 0.1);
+    void lentFractionReturnsWhenTheLeaseEnds() {
+        QuotaShare lender = newShare(4);
+        QuotaShare borrower = newShare(4);
+        LoanRequest request = borrower.requestLoan(0, "lender", 0.2);
+        LoanGrant grant = lender.onLoanRequest(100, "borrower", request, 0.1);
         assertEquals(0.15, grant.fraction(), 1e-12);
         borrower.onLoanGrant(200, "lender", grant);
         assertEquals(0.4, borrower.usableFraction(200), 1e-12);
         assertEquals(0.1, lender.usableFraction(200), 1e-12);
-        assertEquals(0.25, borrower.usableFraction(QuotaShare.usableLeaseMicros(LEASE)), 1e-12);
-        assertEquals(0.1, lender.usableFraction(LEASE), 1e-12);
-        assertEquals(0.25, lender.usableFraction(100 + LEASE), 1e-12);
+        assertEquals(0.25, borrower.usableFraction(QuotaShare.usableLeaseMicros(LEASE_MICROS)), 1e-12);
+        assertEquals(0.1, lender.usableFraction(LEASE_MICROS), 1e-12);
+        assertEquals(0.25, lender.usableFraction(100 + LEASE_MICROS), 1e-12);
     }
 
     @Test
-    void aRepeatedRequestGetsNothingMore() {
-        QuotaShare lender = fresh(2);
-        QuotaShare borrower = fresh(2);
-        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
-        LoanGrant first = lender.onLoanRequest(0, "borrower", ask, 0);
-        assertEquals(0, lender.onLoanRequest(10, "borrower", ask, 0).fraction());
+    void repeatedLoanRequestIsGrantedNothing() {
+        QuotaShare lender = newShare(2);
+        QuotaShare borrower = newShare(2);
+        LoanRequest request = borrower.requestLoan(0, "lender", 0.2);
+        LoanGrant first = lender.onLoanRequest(0, "borrower", request, 0);
+        assertEquals(0, lender.onLoanRequest(10, "borrower", request, 0).fraction());
         borrower.onLoanGrant(10, "lender", first);
         borrower.onLoanGrant(20, "lender", first);
         assertEquals(0.7, borrower.usableFraction(20), 1e-12);
@@ -54,60 +54,62 @@
     }
 
     @Test
-    void anAnswerThatCameTooLateIsWorthNothing() {
-        QuotaShare borrower = fresh(2);
-        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
-        borrower.onLoanGrant(LEASE, "lender", new LoanGrant(ask.number(), 0.2));
-        assertEquals(0.5, borrower.usableFraction(LEASE), 1e-12);
+    void grantReceivedAfterTheLeaseIsIgnored() {
+        QuotaShare borrower = newShare(2);
+        LoanRequest request = borrower.requestLoan(0, "lender", 0.2);
+        borrower.onLoanGrant(LEASE_MICROS, "lender", new LoanGrant(request.requestNumber(), 0.2));
+        assertEquals(0.5, borrower.usableFraction(LEASE_MICROS), 1e-12);
     }
 
     @Test
-    void whoRestartsWaitsUntilItsLoansAreOver() {
-        QuotaShare again = new QuotaShare(0, 5, 2, LEASE, true);
-        assertEquals(0, again.usableFraction(QuotaShare.quietPeriodMicros(LEASE) - 1), 1e-12);
+    void restartedSenderUsesNothingUntilItsLoansExpire() {
+        QuotaShare restarted = new QuotaShare(0, 5, 2, LEASE_MICROS, true);
+        assertEquals(0, restarted.usableFraction(QuotaShare.quietPeriodMicros(LEASE_MICROS) - 1), 1e-12);
         assertEquals(
-                0, again.onLoanRequest(0, "peer", new LoanRequest(1, 0.1), 0).fraction());
-        assertEquals(0.5, again.usableFraction(QuotaShare.quietPeriodMicros(LEASE)), 1e-12);
+                0,
+                restarted.onLoanRequest(0, "peer", new LoanRequest(1, 0.1), 0).fraction());
+        assertEquals(0.5, restarted.usableFraction(QuotaShare.quietPeriodMicros(LEASE_MICROS)), 1e-12);
     }
 
     @Test
-    void takesNoPartThatWasNotAskedFor() {
-        QuotaShare borrower = fresh(2);
-        LoanRequest ask = borrower.requestLoan(0, "lender", 0.2);
-        for (double part : new double[] {-1, 0.3, Double.NaN, Double.POSITIVE_INFINITY}) {
-            borrower.onLoanGrant(1, "lender", new LoanGrant(ask.number(), part));
+    void grantThatWasNotRequestedIsIgnored() {
+        QuotaShare borrower = newShare(2);
+        LoanRequest request = borrower.requestLoan(0, "lender", 0.2);
+        for (double fraction : new double[] {-1, 0.3, Double.NaN, Double.POSITIVE_INFINITY}) {
+            borrower.onLoanGrant(1, "lender", new LoanGrant(request.requestNumber(), fraction));
         }
-        borrower.onLoanGrant(1, "other", new LoanGrant(ask.number(), 0.2));
+        borrower.onLoanGrant(1, "other", new LoanGrant(request.requestNumber(), 0.2));
         assertEquals(0.5, borrower.usableFraction(1), 1e-12);
         assertEquals(
                 0,
-                fresh(2).onLoanRequest(0, "p", new LoanRequest(1, Double.NaN), 0)
+                newShare(2)
+                        .onLoanRequest(0, "p", new LoanRequest(1, Double.NaN), 0)
                         .fraction());
         assertEquals(
-                0, fresh(2).onLoanRequest(0, "p", new LoanRequest(1, -1), 0).fraction());
+                0, newShare(2).onLoanRequest(0, "p", new LoanRequest(1, -1), 0).fraction());
     }
 
     /** One daemon of a simulated fleet, with a clock of its own rate. */
-    private static final class Node {
+    private static final class SimulatedSender {
         final String name;
-        final double rate;
-        final long offset;
+        final double clockRate;
+        final long clockOffset;
         QuotaShare share;
         boolean alive = true;
 
-        Node(String name, double rate, long offset, int daemons) {
+        SimulatedSender(String name, double clockRate, long clockOffset, int senderCount) {
             this.name = name;
-            this.rate = rate;
-            this.offset = offset;
-            share = new QuotaShare(clock(0), 0, daemons, LEASE, false);
+            this.clockRate = clockRate;
+            this.clockOffset = clockOffset;
+            share = new QuotaShare(localTime(0), 0, senderCount, LEASE_MICROS, false);
         }
 
-        long clock(long real) {
-            return offset + (long) (real * rate);
+        long localTime(long realMicros) {
+            return clockOffset + (long) (realMicros * clockRate);
         }
     }
 
-    private record Mail(long at, Node from, Node to, Object content) {}
+    private record Packet(long deliverAtMicros, SimulatedSender from, SimulatedSender to, Object payload) {}
 
     /**
      * Up to forty daemons with clocks up to two per cent fast or slow ask each other at random over a network that
@@ -116,89 +118,100 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-    void theWholeIsNeverExceeded(long seed) {
-        double[] used = simulate(seed);
-        assertTrue(used[0] <= 1 + 1e-9, "seed " + seed + ": " + used[0]);
-        assertTrue(used[1] > 1.2, "seed " + seed + ": hardly anything was lent, the test shows nothing: " + used[1]);
+    void usableFractionsNeverExceedTheWholeLimit(long seed) {
+        double[] highestFractions = simulate(seed);
+        assertTrue(highestFractions[0] <= 1 + 1e-9, "seed " + seed + ": " + highestFractions[0]);
+        assertTrue(
+                highestFractions[1] > 1.2,
+                "seed " + seed + ": hardly anything was lent, the test shows nothing: " + highestFractions[1]);
     }
 
     /** The largest sum of all parts, and the largest part of one daemon as a multiple of what it owns. */
     private static double[] simulate(long seed) {
         Random random = new Random(seed);
-        int daemons = 2 + random.nextInt(39);
-        List<Node> nodes = new ArrayList<>();
-        for (int i = 0; i < daemons; i++) {
-            double rate = i == 0
+        int senderCount = 2 + random.nextInt(39);
+        List<SimulatedSender> senders = new ArrayList<>();
+        for (int i = 0; i < senderCount; i++) {
+            double clockRate = i == 0
                     ? 1 + QuotaShare.MAX_CLOCK_DRIFT_RATIO
                     : i == 1
                             ? 1 - QuotaShare.MAX_CLOCK_DRIFT_RATIO
                             : 1 + QuotaShare.MAX_CLOCK_DRIFT_RATIO * (2 * random.nextDouble() - 1);
-            nodes.add(new Node("d" + i, rate, random.nextInt(1_000_000), daemons));
+            senders.add(new SimulatedSender("d" + i, clockRate, random.nextInt(1_000_000), senderCount));
         }
-        List<Mail> mails = new ArrayList<>();
-        double highest = 0;
-        double highestOne = 0;
-        for (long now = 0; now < 20 * LEASE; now += 5_000) {
-            boolean split = now / LEASE % 4 == 3;
-            long moment = now;
-            for (Mail mail : mails.stream().filter(m -> m.at() <= moment).toList()) {
-                mails.remove(mail);
-                if (mail.to().alive) {
-                    deliver(random, mails, now, mail);
+        List<Packet> packets = new ArrayList<>();
+        double highestSum = 0;
+        double highestMultiple = 0;
+        for (long now = 0; now < 20 * LEASE_MICROS; now += 5_000) {
+            boolean partitioned = now / LEASE_MICROS % 4 == 3;
+            long stepTime = now;
+            for (Packet packet : packets.stream()
+                    .filter(queued -> queued.deliverAtMicros() <= stepTime)
+                    .toList()) {
+                packets.remove(packet);
+                if (packet.to().alive) {
+                    deliver(random, packets, now, packet);
                 }
             }
-            for (Node node : nodes) {
-                if (!node.alive || random.nextInt(40) != 0) {
+            for (SimulatedSender sender : senders) {
+                if (!sender.alive || random.nextInt(40) != 0) {
                     continue;
                 }
-                Node peer = nodes.get(random.nextInt(daemons));
-                if (peer != node) {
-                    LoanRequest ask = node.share.requestLoan(node.clock(now), peer.name, random.nextDouble() / daemons);
-                    post(
+                SimulatedSender peer = senders.get(random.nextInt(senderCount));
+                if (peer != sender) {
+                    LoanRequest request = sender.share.requestLoan(
+                            sender.localTime(now), peer.name, random.nextDouble() / senderCount);
+                    send(
                             random,
-                            mails,
+                            packets,
                             now,
-                            node,
+                            sender,
                             peer,
-                            ask,
-                            split && nodes.indexOf(node) % 2 != nodes.indexOf(peer) % 2);
+                            request,
+                            partitioned && senders.indexOf(sender) % 2 != senders.indexOf(peer) % 2);
                 }
             }
             if (random.nextInt(100) == 0) {
-                Node node = nodes.get(random.nextInt(daemons));
-                node.alive = !node.alive;
-                if (node.alive) {
-                    node.share = new QuotaShare(node.clock(now), now, daemons, LEASE, true);
+                SimulatedSender sender = senders.get(random.nextInt(senderCount));
+                sender.alive = !sender.alive;
+                if (sender.alive) {
+                    sender.share = new QuotaShare(sender.localTime(now), now, senderCount, LEASE_MICROS, true);
                 }
             }
             double sum = 0;
-            for (Node node : nodes) {
-                double part = node.alive ? node.share.usableFraction(node.clock(now)) : 0;
-                sum += part;
-                highestOne = Math.max(highestOne, part * daemons);
+            for (SimulatedSender sender : senders) {
+                double fraction = sender.alive ? sender.share.usableFraction(sender.localTime(now)) : 0;
+                sum += fraction;
+                highestMultiple = Math.max(highestMultiple, fraction * senderCount);
             }
-            highest = Math.max(highest, sum);
+            highestSum = Math.max(highestSum, sum);
         }
-        return new double[] {highest, highestOne};
+        return new double[] {highestSum, highestMultiple};
     }
 
-    private static void deliver(Random random, List<Mail> mails, long now, Mail mail) {
-        Node to = mail.to();
-        if (mail.content() instanceof LoanRequest ask) {
-            LoanGrant grant =
-                    to.share.onLoanRequest(to.clock(now), mail.from().name, ask, 0.2 * random.nextDouble() / 40);
-            post(random, mails, now, to, mail.from(), grant, false);
-        } else if (mail.content() instanceof LoanGrant grant) {
-            to.share.onLoanGrant(to.clock(now), mail.from().name, grant);
+    private static void deliver(Random random, List<Packet> packets, long now, Packet packet) {
+        SimulatedSender to = packet.to();
+        if (packet.payload() instanceof LoanRequest request) {
+            LoanGrant grant = to.share.onLoanRequest(
+                    to.localTime(now), packet.from().name, request, 0.2 * random.nextDouble() / 40);
+            send(random, packets, now, to, packet.from(), grant, false);
+        } else if (packet.payload() instanceof LoanGrant grant) {
+            to.share.onLoanGrant(to.localTime(now), packet.from().name, grant);
         }
     }
 
-    private static void post(
-            Random random, List<Mail> mails, long now, Node from, Node to, Object content, boolean cut) {
+    private static void send(
+            Random random,
+            List<Packet> packets,
+            long now,
+            SimulatedSender from,
+            SimulatedSender to,
+            Object payload,
+            boolean partitioned) {
         for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
-            if (!cut && random.nextInt(8) != 0) {
-                long delay = random.nextInt(6) == 0 ? random.nextInt((int) (2 * LEASE)) : random.nextInt(20_000);
-                mails.add(new Mail(now + delay, from, to, content));
+            if (!partitioned && random.nextInt(8) != 0) {
+                long delay = random.nextInt(6) == 0 ? random.nextInt((int) (2 * LEASE_MICROS)) : random.nextInt(20_000);
+                packets.add(new Packet(now + delay, from, to, payload));
             }
         }
     }
--- a/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
+++ b/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
@@ -25,395 +25,431 @@
  */
 class SlowStartFleetTest {
     private static final SlowStartLimit.Rules RULES = new SlowStartLimit.Rules(0.15, 14_000_000, 2.5, 1_500_000, 20);
-    private static final long LEASE = 500_000;
-    private static final long STEP = 2_000;
-    private static final int PARTNER = 7;
+    private static final long LEASE_MICROS = 500_000;
+    private static final long STEP_MICROS = 2_000;
+    private static final int DESTINATION = 7;
 
     /** A partner that is out until it comes back, cold. */
-    private static final class Partner {
-        final double capacity;
-        final Deque<Long> recent = new ArrayDeque<>();
-        long backAt;
-        double highest;
-        int down;
-        long answered;
-        double room;
-
-        Partner(double capacity, long backAt) {
-            this.capacity = capacity;
-            this.backAt = backAt;
+    private static final class SimulatedDestination {
+        final double capacityPerSecond;
+        final Deque<Long> recentCalls = new ArrayDeque<>();
+        long recoversAtMicros;
+        double highestLoadRatio;
+        int overloadCount;
+        long servedCount;
+        double tokens;
+
+        SimulatedDestination(double capacityPerSecond, long recoversAtMicros) {
+            this.capacityPerSecond = capacityPerSecond;
+            this.recoversAtMicros = recoversAtMicros;
         }
 
-        double now(long at) {
-            return capacity
+        double currentCapacity(long timeMicros) {
+            return capacityPerSecond
                     * Math.min(
                             1,
                             RULES.initialFraction()
-                                    + (1 - RULES.initialFraction()) * Math.max(0, at - backAt) / RULES.warmUpMicros());
+                                    + (1 - RULES.initialFraction())
+                                            * Math.max(0, timeMicros - recoversAtMicros)
+                                            / RULES.warmUpMicros());
         }
 
         /** Whether a message that comes now is answered as done; a refused one weighs as much. */
-        boolean take(long at) {
-            if (at < backAt) {
+        boolean tryServe(long timeMicros) {
+            if (timeMicros < recoversAtMicros) {
                 return false;
             }
-            recent.addLast(at);
-            while (recent.peekFirst() < at - RULES.overloadWindowMicros()) {
-                recent.removeFirst();
+            recentCalls.addLast(timeMicros);
+            while (recentCalls.peekFirst() < timeMicros - RULES.overloadWindowMicros()) {
+                recentCalls.removeFirst();
             }
-            double stands = RULES.overloadMultiple() * now(at) * RULES.overloadWindowMicros() / 1e6;
-            if (at - backAt < RULES.warmUpMicros()) {
-                highest = Math.max(highest, recent.size() / stands);
-                down += recent.size() > stands ? 1 : 0;
+            double overloadCalls =
+                    RULES.overloadMultiple() * currentCapacity(timeMicros) * RULES.overloadWindowMicros() / 1e6;
+            if (timeMicros - recoversAtMicros < RULES.warmUpMicros()) {
+                highestLoadRatio = Math.max(highestLoadRatio, recentCalls.size() / overloadCalls);
+                overloadCount += recentCalls.size() > overloadCalls ? 1 : 0;
             }
-            if (room < 1) {
+            if (tokens < 1) {
                 return false;
             }
-            room--;
-            answered++;
+            tokens--;
+            servedCount++;
             return true;
         }
 
-        void step(long at) {
-            room = Math.min(now(at) / 4, room + now(at) * STEP / 1e6);
+        void refillTokens(long timeMicros) {
+            tokens =
+                    Math.min(currentCapacity(timeMicros) / 4, tokens + currentCapacity(timeMicros) * STEP_MICROS / 1e6);
         }
     }
 
-    private record Packet(long at, long order, int to, Heartbeat beat) {}
+    private record Packet(long deliverAtMicros, long sequence, int recipient, Heartbeat heartbeat) {}
 
     /** How a run is disturbed. */
-    private record Trouble(double loss, long delay, boolean split, boolean ceilings, double fastest, int dying) {
-        static Trouble none() {
-            return new Trouble(0, 2_000, false, true, 1, 0);
+    private record Scenario(
+            double lossProbability,
+            long maxDelayMicros,
+            boolean partitioned,
+            boolean limitsEnforced,
+            double maxClockRate,
+            int crashedSenders) {
+        static Scenario withoutFaults() {
+            return new Scenario(0, 2_000, false, true, 1, 0);
         }
     }
 
-    private final class Daemon {
+    private final class SimulatedSender {
         final int index;
         final String name;
-        final double rate;
-        final long offset;
+        final double clockRate;
+        final long clockOffset;
         SlowStartLimits limits;
-        HeartbeatMonitor beats;
-        double ceiling = Double.POSITIVE_INFINITY;
-        double saved;
-        long savedAt;
+        HeartbeatMonitor heartbeats;
+        double ratePerSecond = Double.POSITIVE_INFINITY;
+        double credit;
+        long creditAtMicros;
         int backlog;
-        boolean dead;
-        boolean knowsOut;
+        boolean crashed;
+        boolean outageKnown;
 
-        Daemon(int index, double rate, long offset) {
+        SimulatedSender(int index, double clockRate, long clockOffset) {
             this.index = index;
             this.name = String.format("d%02d", index);
-            this.rate = rate;
-            this.offset = offset;
+            this.clockRate = clockRate;
+            this.clockOffset = clockOffset;
         }
 
-        long clock(long at) {
-            return (long) (at * rate) + offset;
+        long localTime(long timeMicros) {
+            return (long) (timeMicros * clockRate) + clockOffset;
         }
     }
 
-    private final List<Daemon> fleet = new ArrayList<>();
-    private final PriorityQueue<Packet> wire =
-            new PriorityQueue<>(Comparator.comparingLong(Packet::at).thenComparingLong(Packet::order));
+    private final List<SimulatedSender> senders = new ArrayList<>();
+    private final PriorityQueue<Packet> packetsInFlight = new PriorityQueue<>(
+            Comparator.comparingLong(Packet::deliverAtMicros).thenComparingLong(Packet::sequence));
     private SplittableRandom random;
-    private Trouble trouble;
-    private long order;
-
-    private Partner partner;
-
-    private void build(int daemons, long seed, Trouble how, Partner against, int backlog, boolean fresh) {
+    private Scenario scenario;
+    private long nextSequence;
+
+    private SimulatedDestination destination;
+
+    private void buildFleet(
+            int senderCount,
+            long seed,
+            Scenario newScenario,
+            SimulatedDestination newDestination,
+            int backlog,
+            boolean freshStart) {
         random = new SplittableRandom(seed);
-        trouble = how;
-        partner = against;
+        scenario = newScenario;
+        destination = newDestination;
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < daemons; i++) {
+        for (int i = 0; i < senderCount; i++) {
             names.add(String.format("d%02d", i));
         }
-        for (int i = 0; i < daemons; i++) {
-            Daemon d = new Daemon(i, 1 + (trouble.fastest() - 1) * random.nextDouble(), 1_000_000_000L * (i + 1));
-            long now = d.clock(0);
-            d.limits = new SlowStartLimits(now, new SlowStartLimits.FleetParameters(daemons, i, LEASE, RULES), 1);
+        for (int i = 0; i < senderCount; i++) {
+            SimulatedSender sender = new SimulatedSender(
+                    i, 1 + (scenario.maxClockRate() - 1) * random.nextDouble(), 1_000_000_000L * (i + 1));
+            long now = sender.localTime(0);
+            sender.limits = new SlowStartLimits(
+                    now, new SlowStartLimits.FleetParameters(senderCount, i, LEASE_MICROS, RULES), 1);
             List<String> peers = new ArrayList<>(names);
-            peers.remove(d.name);
-            d.beats = new HeartbeatMonitor(peers, 1);
-            d.backlog = backlog / daemons;
-            if (!fresh) {
+            peers.remove(sender.name);
+            sender.heartbeats = new HeartbeatMonitor(peers, 1);
+            sender.backlog = backlog / senderCount;
+            if (!freshStart) {
                 // It has seen the outage, and what the partner did before.
-                d.limits.onSuccess(now, PARTNER);
-                d.limits.onHealthChanged(now, PARTNER, Health.UNAVAILABLE, now);
+                sender.limits.onSuccess(now, DESTINATION);
+                sender.limits.onHealthChanged(now, DESTINATION, Health.UNAVAILABLE, now);
             }
-            set(d, now, d.limits.onDestinationListed(now, PARTNER));
-            fleet.add(d);
+            applyRateLimit(sender, now, sender.limits.onDestinationListed(now, DESTINATION));
+            senders.add(sender);
         }
     }
 
-    private void set(Daemon d, long now, SlowStartLimits.RateLimit c) {
-        if (c == null) {
+    private void applyRateLimit(SimulatedSender sender, long now, SlowStartLimits.RateLimit limit) {
+        if (limit == null) {
             return;
         }
-        if (Double.isInfinite(d.ceiling)) {
-            d.saved = c.initialCredit();
+        if (Double.isInfinite(sender.ratePerSecond)) {
+            sender.credit = limit.initialCredit();
         } else {
-            save(d, now);
+            updateCredit(sender, now);
         }
-        d.savedAt = now;
-        d.ceiling = c.perSecond();
+        sender.creditAtMicros = now;
+        sender.ratePerSecond = limit.perSecond();
     }
 
-    private static void save(Daemon d, long now) {
-        d.saved = Math.min(1, d.saved + d.ceiling * (now - d.savedAt) / 1e6);
-        d.savedAt = now;
+    private static void updateCredit(SimulatedSender sender, long now) {
+        sender.credit = Math.min(1, sender.credit + sender.ratePerSecond * (now - sender.creditAtMicros) / 1e6);
+        sender.creditAtMicros = now;
     }
 
-    private void send(long at, Daemon from, int to, Heartbeat beat) {
-        boolean apart = trouble.split() && from.index % 2 != to % 2;
-        int copies = random.nextDouble() < trouble.loss() || apart ? 0 : random.nextDouble() < trouble.loss() ? 2 : 1;
+    private void send(long timeMicros, SimulatedSender from, int to, Heartbeat heartbeat) {
+        boolean separated = scenario.partitioned() && from.index % 2 != to % 2;
+        int copies = random.nextDouble() < scenario.lossProbability() || separated
+                ? 0
+                : random.nextDouble() < scenario.lossProbability() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            wire.add(new Packet(
-                    at + 200 + random.nextLong(Math.max(1, trouble.delay())),
-                    order++,
+            packetsInFlight.add(new Packet(
+                    timeMicros + 200 + random.nextLong(Math.max(1, scenario.maxDelayMicros())),
+                    nextSequence++,
                     to,
-                    Heartbeat.decode(beat.encode())));
+                    Heartbeat.decode(heartbeat.encode())));
         }
     }
 
-    private void tell(long at, Daemon d) {
-        Heartbeat beat = d.beats.nextHeartbeat(
-                d.clock(at), d.name, MembershipView.Phase.READY, d.limits.currentUpdates(d.clock(at)));
-        for (Daemon other : fleet) {
-            if (other != d) {
-                send(at, d, other.index, beat);
+    private void broadcastHeartbeat(long timeMicros, SimulatedSender sender) {
+        Heartbeat heartbeat = sender.heartbeats.nextHeartbeat(
+                sender.localTime(timeMicros),
+                sender.name,
+                MembershipView.Phase.READY,
+                sender.limits.currentUpdates(sender.localTime(timeMicros)));
+        for (SimulatedSender other : senders) {
+            if (other != sender) {
+                send(timeMicros, sender, other.index, heartbeat);
             }
         }
     }
 
     /** Returns how long after its return the partner first answered so many messages within a second. */
-    private long play(long span, double usual) {
-        Deque<Long> answers = new ArrayDeque<>();
-        long usualAt = -1;
-        for (long at = 0; at < span; at += STEP) {
-            partner.step(at);
-            while (!wire.isEmpty() && wire.peek().at() <= at) {
-                deliver(at, wire.poll());
+    private long run(long durationMicros, double targetPerSecond) {
+        Deque<Long> recentlyServed = new ArrayDeque<>();
+        long targetReachedMicros = -1;
+        for (long timeMicros = 0; timeMicros < durationMicros; timeMicros += STEP_MICROS) {
+            destination.refillTokens(timeMicros);
+            while (!packetsInFlight.isEmpty() && packetsInFlight.peek().deliverAtMicros() <= timeMicros) {
+                deliver(timeMicros, packetsInFlight.poll());
             }
-            for (Daemon d : fleet) {
-                if (!d.dead) {
-                    turn(at, d, answers);
+            for (SimulatedSender sender : senders) {
+                if (!sender.crashed) {
+                    stepSender(timeMicros, sender, recentlyServed);
                 }
             }
-            if (trouble.dying() > 0 && at == 6_000_000) {
-                fleet.subList(0, trouble.dying()).forEach(d -> d.dead = true);
+            if (scenario.crashedSenders() > 0 && timeMicros == 6_000_000) {
+                senders.subList(0, scenario.crashedSenders()).forEach(sender -> sender.crashed = true);
             }
-            while (!answers.isEmpty() && answers.peekFirst() < at - 1_000_000) {
-                answers.removeFirst();
+            while (!recentlyServed.isEmpty() && recentlyServed.peekFirst() < timeMicros - 1_000_000) {
+                recentlyServed.removeFirst();
             }
-            if (usualAt < 0 && answers.size() >= usual) {
-                usualAt = at - partner.backAt;
+            if (targetReachedMicros < 0 && recentlyServed.size() >= targetPerSecond) {
+                targetReachedMicros = timeMicros - destination.recoversAtMicros;
             }
         }
-        return usualAt;
+        return targetReachedMicros;
     }
 
-    private void deliver(long at, Packet packet) {
-        Daemon d = fleet.get(packet.to());
-        long now = d.clock(at);
-        if (d.dead || packet.beat() == null || !d.beats.onHeartbeat(now, packet.beat())) {
+    private void deliver(long timeMicros, Packet packet) {
+        SimulatedSender sender = senders.get(packet.recipient());
+        long now = sender.localTime(timeMicros);
+        if (sender.crashed || packet.heartbeat() == null || !sender.heartbeats.onHeartbeat(now, packet.heartbeat())) {
             return;
         }
-        d.limits
-                .onPeerUpdates(now, packet.beat().sender(), packet.beat().updates())
-                .forEach(c -> set(d, now, c));
-        List<Heartbeat.QuotaLoan> answers =
-                d.limits.onLoans(now, packet.beat().sender(), packet.beat().loans());
-        if (!answers.isEmpty()) {
+        sender.limits
+                .onPeerUpdates(
+                        now, packet.heartbeat().sender(), packet.heartbeat().updates())
+                .forEach(limit -> applyRateLimit(sender, now, limit));
+        List<Heartbeat.QuotaLoan> replies = sender.limits.onLoans(
+                now, packet.heartbeat().sender(), packet.heartbeat().loans());
+        if (!replies.isEmpty()) {
             send(
-                    at,
-                    d,
-                    Integer.parseInt(packet.beat().sender().substring(1)),
-                    d.beats.nextHeartbeat(d.name, MembershipView.Phase.READY, answers));
+                    timeMicros,
+                    sender,
+                    Integer.parseInt(packet.heartbeat().sender().substring(1)),
+                    sender.heartbeats.nextHeartbeat(sender.name, MembershipView.Phase.READY, replies));
         }
     }
 
-    private void turn(long at, Daemon d, Deque<Long> answers) {
-        long now = d.clock(at);
-        if (at % 50_000 == 0) {
-            d.limits.changedLimits(now, destination -> d.backlog).forEach(c -> set(d, now, c));
-            d.limits
-                    .loanRequests(now, d.beats)
+    private void stepSender(long timeMicros, SimulatedSender sender, Deque<Long> recentlyServed) {
+        long now = sender.localTime(timeMicros);
+        if (timeMicros % 50_000 == 0) {
+            sender.limits
+                    .changedLimits(now, destination -> sender.backlog)
+                    .forEach(limit -> applyRateLimit(sender, now, limit));
+            sender.limits
+                    .loanRequests(now, sender.heartbeats)
                     .forEach((peer, loans) -> send(
-                            at,
-                            d,
+                            timeMicros,
+                            sender,
                             Integer.parseInt(peer.substring(1)),
-                            d.beats.nextHeartbeat(d.name, MembershipView.Phase.READY, loans)));
+                            sender.heartbeats.nextHeartbeat(sender.name, MembershipView.Phase.READY, loans)));
         }
-        if (d.beats.isDue(now)) {
-            tell(at, d);
+        if (sender.heartbeats.isDue(now)) {
+            broadcastHeartbeat(timeMicros, sender);
         }
         // What the sender's own slots allow, 16 calls of 20 ms.
-        for (int i = 0; i < 2 && d.backlog > 0; i++) {
-            if (trouble.ceilings() && !Double.isInfinite(d.ceiling)) {
-                save(d, now);
-                if (d.saved < 1) {
+        for (int i = 0; i < 2 && sender.backlog > 0; i++) {
+            if (scenario.limitsEnforced() && !Double.isInfinite(sender.ratePerSecond)) {
+                updateCredit(sender, now);
+                if (sender.credit < 1) {
                     return;
                 }
-                d.saved--;
+                sender.credit--;
             }
-            if (partner.take(at)) {
-                d.backlog--;
-                answers.addLast(at);
-                if (d.limits.onSuccess(now, PARTNER)) {
-                    tell(at, d);
+            if (destination.tryServe(timeMicros)) {
+                sender.backlog--;
+                recentlyServed.addLast(timeMicros);
+                if (sender.limits.onSuccess(now, DESTINATION)) {
+                    broadcastHeartbeat(timeMicros, sender);
                 }
-                if (d.knowsOut) {
-                    d.knowsOut = false;
-                    d.limits.onHealthChanged(now, PARTNER, Health.SLOW_START, now);
-                    tell(at, d);
+                if (sender.outageKnown) {
+                    sender.outageKnown = false;
+                    sender.limits.onHealthChanged(now, DESTINATION, Health.SLOW_START, now);
+                    broadcastHeartbeat(timeMicros, sender);
                 }
             }
         }
     }
 
-    private void fresh(int daemons, long seed, Trouble how, double capacity) {
-        fleet.clear();
-        wire.clear();
-        build(daemons, seed, how, new Partner(capacity, 0), (int) (capacity * 20), true);
+    private void startFreshFleet(int senderCount, long seed, Scenario newScenario, double capacityPerSecond) {
+        senders.clear();
+        packetsInFlight.clear();
+        buildFleet(
+                senderCount,
+                seed,
+                newScenario,
+                new SimulatedDestination(capacityPerSecond, 0),
+                (int) (capacityPerSecond * 20),
+                true);
     }
 
     /** Forty daemons that know nothing start in one second before a partner that is cold, with a full backlog. */
     @Test
-    void fortyThatKnowNothingDoNotPushAColdPartnerOver() {
+    void fortyFreshSendersDoNotOverloadAColdDestination() {
         for (long seed = 1; seed <= 5; seed++) {
-            fresh(40, seed, Trouble.none(), 400);
-            long usual = play(20_000_000, 400 * 0.5);
-            System.out.println("40 fresh, seed " + seed + ": highest " + partner.highest + ", half its usual after "
-                    + usual / 1e6 + " s");
-            assertTrue(partner.highest <= 1, "seed " + seed + ": " + partner.highest);
-            assertTrue(usual > 0, "seed " + seed + ": it never carried half of its usual load");
+            startFreshFleet(40, seed, Scenario.withoutFaults(), 400);
+            long recoveryMicros = run(20_000_000, 400 * 0.5);
+            System.out.println("40 fresh, seed " + seed + ": highest " + destination.highestLoadRatio
+                    + ", half its usual after " + recoveryMicros / 1e6 + " s");
+            assertTrue(destination.highestLoadRatio <= 1, "seed " + seed + ": " + destination.highestLoadRatio);
+            assertTrue(recoveryMicros > 0, "seed " + seed + ": it never carried half of its usual load");
         }
     }
 
     /** The same without the ceilings pushes it over, or the test would show nothing. */
     @Test
-    void withoutCeilingsTheSameFleetPushesItOver() {
-        fresh(40, 1, new Trouble(0, 2_000, false, false, 1, 0), 400);
-        play(2_000_000, 200);
-        assertTrue(partner.highest > 1, "highest " + partner.highest);
-        assertTrue(partner.down > 0);
+    void sameFleetWithoutLimitsOverloadsTheDestination() {
+        startFreshFleet(40, 1, new Scenario(0, 2_000, false, false, 1, 0), 400);
+        run(2_000_000, 200);
+        assertTrue(destination.highestLoadRatio > 1, "highest " + destination.highestLoadRatio);
+        assertTrue(destination.overloadCount > 0);
     }
 
     @Test
-    void halfThatThinkTheOthersDeadKeepTheLimit() {
+    void partitionedHalvesKeepTheLimit() {
         for (long seed = 1; seed <= 5; seed++) {
-            fresh(40, seed, new Trouble(0.1, 50_000, true, true, 1, 0), 400);
-            play(20_000_000, 200);
-            assertTrue(partner.highest <= 1, "seed " + seed + ": " + partner.highest);
-            assertTrue(partner.answered > 400, "seed " + seed + ": only " + partner.answered);
+            startFreshFleet(40, seed, new Scenario(0.1, 50_000, true, true, 1, 0), 400);
+            run(20_000_000, 200);
+            assertTrue(destination.highestLoadRatio <= 1, "seed " + seed + ": " + destination.highestLoadRatio);
+            assertTrue(destination.servedCount > 400, "seed " + seed + ": only " + destination.servedCount);
         }
     }
 
     @Test
-    void fastClocksLossAndDeathsKeepTheLimit() {
+    void fastClocksLossAndCrashesKeepTheLimit() {
         for (long seed = 1; seed <= 5; seed++) {
-            fresh(20, seed, new Trouble(0.2, 300_000, false, true, 1.02, 8), 400);
-            play(20_000_000, 200);
-            assertTrue(partner.highest <= 1, "seed " + seed + ": " + partner.highest);
-            assertTrue(partner.answered > 400, "seed " + seed + ": only " + partner.answered);
+            startFreshFleet(20, seed, new Scenario(0.2, 300_000, false, true, 1.02, 8), 400);
+            run(20_000_000, 200);
+            assertTrue(destination.highestLoadRatio <= 1, "seed " + seed + ": " + destination.highestLoadRatio);
+            assertTrue(destination.servedCount > 400, "seed " + seed + ": only " + destination.servedCount);
         }
     }
 
     /** Where one daemon has all the messages, it gets more than its own part, lent by the others. */
     @Test
-    void partsGoWhereTheMessagesAre() {
-        fresh(20, 1, Trouble.none(), 200);
-        for (Daemon d : fleet) {
-            d.backlog = d.index == 3 ? 4_000 : 0;
+    void quotaIsLentToTheSenderWithTheMessages() {
+        startFreshFleet(20, 1, Scenario.withoutFaults(), 200);
+        for (SimulatedSender sender : senders) {
+            sender.backlog = sender.index == 3 ? 4_000 : 0;
         }
-        play(13_500_000, 1e9);
-        long with = partner.answered;
-        assertTrue(partner.highest <= 1, "" + partner.highest);
-        fresh(20, 1, new Trouble(1, 2_000, false, true, 1, 0), 200);
-        for (Daemon d : fleet) {
-            d.backlog = d.index == 3 ? 4_000 : 0;
+        run(13_500_000, 1e9);
+        long servedWithLending = destination.servedCount;
+        assertTrue(destination.highestLoadRatio <= 1, "" + destination.highestLoadRatio);
+        startFreshFleet(20, 1, new Scenario(1, 2_000, false, true, 1, 0), 200);
+        for (SimulatedSender sender : senders) {
+            sender.backlog = sender.index == 3 ? 4_000 : 0;
         }
-        play(13_500_000, 1e9);
-        System.out.println("one of 20 has all: " + with + " answered with lending, " + partner.answered + " without");
-        assertTrue(with > 2 * partner.answered, with + " with lending, " + partner.answered + " without");
+        run(13_500_000, 1e9);
+        System.out.println("one of 20 has all: " + servedWithLending + " answered with lending, "
+                + destination.servedCount + " without");
+        assertTrue(
+                servedWithLending > 2 * destination.servedCount,
+                servedWithLending + " with lending, " + destination.servedCount + " without");
     }
 
-    private static Heartbeat.SlowStartUpdate well(int okAgo) {
-        return new Heartbeat.SlowStartUpdate(PARTNER, Health.HEALTHY, -1, -1, okAgo, 100, 100, 0);
+    private static Heartbeat.SlowStartUpdate healthyUpdate(int successAgoMillis) {
+        return new Heartbeat.SlowStartUpdate(DESTINATION, Health.HEALTHY, -1, -1, successAgoMillis, 100, 100, 0);
     }
 
-    private static SlowStartLimit limit(int daemons) {
-        return new SlowStartLimit(PARTNER, RULES, new QuotaShare(0, 1, daemons, LEASE, false), LEASE);
+    private static SlowStartLimit limit(int senderCount) {
+        return new SlowStartLimit(
+                DESTINATION, RULES, new QuotaShare(0, 1, senderCount, LEASE_MICROS, false), LEASE_MICROS);
     }
 
     @Test
-    void aPartnerThatIsWellForAPeerIsWellForOneThatHasJustStarted() {
+    void destinationHealthyForAPeerIsUnlimitedForAStartingSender() {
         SlowStartLimit limit = limit(10);
         assertTrue(limit.isLimited(1_000));
-        limit.onPeerUpdate(2_000, "b", well(100));
+        limit.onPeerUpdate(2_000, "b", healthyUpdate(100));
         assertTrue(Double.isInfinite(limit.ownPerSecond(3_000)));
         limit.onSuccess(4_000);
         assertEquals(Health.HEALTHY, limit.localHealth());
         // A word that is old or of an answer long ago says nothing.
         SlowStartLimit other = limit(10);
-        other.onPeerUpdate(2_000, "b", well(6_000));
+        other.onPeerUpdate(2_000, "b", healthyUpdate(6_000));
         assertTrue(other.isLimited(3_000));
-        other.onPeerUpdate(3_000, "b", well(100));
+        other.onPeerUpdate(3_000, "b", healthyUpdate(100));
         assertTrue(other.isLimited(3_000 + SlowStartLimit.REPORT_LIFE_MICROS));
     }
 
     /** An outage that only a peer has seen, while this daemon was answered all along, is that peer's own. */
     @Test
-    void aPeersOwnTroubleSlowsNobodyElse() {
+    void outageSeenByOnePeerOnlyLimitsNobodyElse() {
         SlowStartLimit limit = limit(10);
-        limit.onPeerUpdate(0, "c", well(100));
+        limit.onPeerUpdate(0, "c", healthyUpdate(100));
         for (long now = 0; now < 20_000_000; now += 50_000) {
             limit.onSuccess(now);
         }
-        Heartbeat.SlowStartUpdate claims =
-                new Heartbeat.SlowStartUpdate(PARTNER, Health.SLOW_START, 8_000, 500, 100, 5, 100, 0);
-        limit.onPeerUpdate(20_000_000, "b", claims);
+        Heartbeat.SlowStartUpdate slowStartUpdate =
+                new Heartbeat.SlowStartUpdate(DESTINATION, Health.SLOW_START, 8_000, 500, 100, 5, 100, 0);
+        limit.onPeerUpdate(20_000_000, "b", slowStartUpdate);
         assertTrue(Double.isInfinite(limit.ownPerSecond(20_000_000)));
         // One that was answered by nobody here meanwhile is believed.
-        SlowStartLimit silent = limit(10);
-        silent.onPeerUpdate(0, "c", well(100));
+        SlowStartLimit withoutSuccesses = limit(10);
+        withoutSuccesses.onPeerUpdate(0, "c", healthyUpdate(100));
         for (long now = 0; now < 11_000_000; now += 50_000) {
-            silent.onSuccess(now);
+            withoutSuccesses.onSuccess(now);
         }
-        silent.onPeerUpdate(20_000_000, "b", claims);
-        assertTrue(silent.isLimited(20_000_000));
+        withoutSuccesses.onPeerUpdate(20_000_000, "b", slowStartUpdate);
+        assertTrue(withoutSuccesses.isLimited(20_000_000));
     }
 
     @Test
-    void theNewsOfAReturnIsPassedOnOnce() {
+    void recoverySeenByAPeerIsReportedOnce() {
         SlowStartLimit limit = limit(10);
-        limit.onPeerUpdate(0, "c", well(100));
+        limit.onPeerUpdate(0, "c", healthyUpdate(100));
         limit.onSuccess(1_000);
         limit.onHealthChanged(2_000_000, Health.UNAVAILABLE, 2_000_000);
-        assertTrue(!limit.onPeerUpdate(2_100_000, "b", well(3_000)), "its answer is older than the outage");
-        Heartbeat.SlowStartUpdate back =
-                new Heartbeat.SlowStartUpdate(PARTNER, Health.SLOW_START, 4_000, 10, 10, 5, 100, 0);
-        assertTrue(limit.onPeerUpdate(8_000_000, "b", back));
-        assertTrue(!limit.onPeerUpdate(8_200_000, "b", back));
+        assertTrue(!limit.onPeerUpdate(2_100_000, "b", healthyUpdate(3_000)), "its answer is older than the outage");
+        Heartbeat.SlowStartUpdate recovered =
+                new Heartbeat.SlowStartUpdate(DESTINATION, Health.SLOW_START, 4_000, 10, 10, 5, 100, 0);
+        assertTrue(limit.onPeerUpdate(8_000_000, "b", recovered));
+        assertTrue(!limit.onPeerUpdate(8_200_000, "b", recovered));
         assertTrue(limit.isLimited(8_200_000));
     }
 
     /** The cold span over, nothing is limited any more, and what is told of it is the same. */
     @Test
-    void aLimitEndsWithTheColdSpan() {
+    void limitEndsWithTheWarmUp() {
         SlowStartLimit limit = limit(4);
         limit.onHealthChanged(1_000_000, Health.UNAVAILABLE, 1_000_000);
         limit.onHealthChanged(5_000_000, Health.SLOW_START, 5_000_000);
-        double before = 0;
+        double previousRate = 0;
         Map<Long, Double> rates = new HashMap<>();
         for (long now = 5_000_000; now < 5_000_000 + RULES.warmUpMicros(); now += 500_000) {
             rates.put(now, limit.fleetPerSecond(now));
-            assertTrue(limit.fleetPerSecond(now) >= before);
-            before = limit.fleetPerSecond(now);
+            assertTrue(limit.fleetPerSecond(now) >= previousRate);
+            previousRate = limit.fleetPerSecond(now);
         }
         assertTrue(Double.isInfinite(limit.fleetPerSecond(5_000_000 + RULES.warmUpMicros())));
         assertEquals(
