--- a/overload/src/main/java/amberroute/overload/AdmissionPrice.java
+++ b/overload/src/main/java/amberroute/overload/AdmissionPrice.java
@@ -1,22 +1,22 @@
 package amberroute.overload;
 
 /**
- * What it takes to be admitted to a destination. Messages below {@code priorityFloor} are more than the destination can take; of those up to
- * {@code priorityCeiling} it can take a fraction. Immutable.
+ * The priority weight that a message needs to be admitted to a destination. Messages below {@code priorityFloor} are rejected; of those from
+ * there up to {@code priorityCeiling} a fraction is admitted. Immutable.
  *
- * @param priorityFloor least priority weight that is admitted at all
- * @param priorityCeiling priority weight from which all are admitted
- * @param admittedFraction of the messages between both
- * @param retryAfterMicros when a rejected message had better come again
+ * @param priorityFloor least priority weight that is admitted
+ * @param priorityCeiling priority weight from which all messages are admitted
+ * @param admittedFraction admitted part of the messages between both
+ * @param retryAfterMicros time after which a client should submit a rejected message again
  */
 public record AdmissionPrice(
         int destination, double priorityFloor, double priorityCeiling, double admittedFraction, long retryAfterMicros) {
-    /** Reports may be newer then; the more demand exceeds capacity the later, up to a few times that. */
+    /** Time for newer reports to arrive. Scaled by demand over capacity, up to {@link #MAX_RETRY_AFTER_MULTIPLE}. */
     private static final double BASE_RETRY_AFTER_MICROS = 5e5;
 
     private static final double MAX_RETRY_AFTER_MULTIPLE = 4;
     private static final double MIN_CAPACITY_PER_SECOND = 1e-3;
-    /** Changes of less need not be passed on. */
+    /** Smaller changes of the admitted fraction are not reported. */
     private static final double MIN_FRACTION_CHANGE = 0.03;
 
     private static final double MIN_RETRY_AFTER_CHANGE_MICROS = BASE_RETRY_AFTER_MICROS / 4;
@@ -25,7 +25,7 @@
         return new AdmissionPrice(destination, 0, 0, 1, 0);
     }
 
-    /** The weight at which demand from above fits what may be admitted a second. */
+    /** The price at which the admitted demand fits {@code capacityPerSecond}; the highest weights are admitted first. */
     static AdmissionPrice fromDemand(int destination, double[] demandByBand, double capacityPerSecond) {
         double demandAbove = 0;
         for (int band = demandByBand.length - 1; band >= 0; band--) {
@@ -51,7 +51,7 @@
         return (long) (BASE_RETRY_AFTER_MICROS * Math.max(1, Math.min(MAX_RETRY_AFTER_MULTIPLE, multiple)));
     }
 
-    /** Whether it is about as before, so that nobody need hear of it. */
+    /** Whether the difference to the other price is too small to be reported. */
     boolean isSimilarTo(AdmissionPrice other) {
         return priorityFloor == other.priorityFloor
                 && Math.abs(admittedFraction - other.admittedFraction) < MIN_FRACTION_CHANGE
--- a/overload/src/main/java/amberroute/overload/CapacityEstimate.java
+++ b/overload/src/main/java/amberroute/overload/CapacityEstimate.java
@@ -1,46 +1,47 @@
 package amberroute.overload;
 
 /**
- * Estimates what a destination can take of all daemons together, in messages a second. Nothing is known of it while
- * it answers all that it is asked; once it rejects for want of capacity, or a backlog piles up before it, its capacity is what it answers.
- * From there the estimate grows all the time, until the destination shows its limit again, or until demand is
- * well below. A destination in an outage tells nothing of its capacity. Times are microseconds. Not thread-safe.
+ * Estimates the capacity of a destination for the whole fleet, in messages per second. The capacity is unknown while the destination serves
+ * all demand. Once it rejects messages for lack of capacity, or a backlog builds up for it, the estimate is the served rate. The
+ * estimate then grows continuously until the destination shows its limit again, or until demand is well below the estimate. An outage
+ * does not change the estimate. Times are in microseconds. Not thread-safe.
  */
 final class CapacityEstimate {
-    /** A destination that rejects this part of its calls is at its limit: less is chance, as daemons do not coordinate their calls. */
+    /** Part of rejected calls above which a destination is at its limit; fewer occur by chance, as senders do not coordinate calls. */
     private static final double REJECTED_RATIO_AT_LIMIT = 0.03;
-    /** A destination is behind with so many seconds of its work pending. */
+    /** Pending messages, in seconds of the served rate, above which a destination has a backlog. */
     private static final double BACKLOG_SECONDS = 1.0;
-    /** So many more may be pending before that counts: a message or two at each of a few daemons are no queue. */
+    /** Pending messages allowed on top of that: one or two messages at each of a few senders are not a backlog. */
     private static final double BACKLOG_ALLOWANCE_MESSAGES = 10;
     /**
-     * Growth of the estimate in a second, twice as much with each second in which the destination shows no limit. Cost: some
-     * rejections now and then; an estimate that was far too low is corrected within seconds.
+     * Growth of the estimate per second; it doubles with each second in which the destination shows no limit. This costs occasional
+     * rejections, but corrects an estimate that is far too low within seconds.
      */
     private static final double GROWTH_PER_SECOND_RATIO = 0.06;
 
     private static final double MAX_GROWTH_PER_SECOND_RATIO = 1;
-    /** Averages over a second tell too little before this has passed since the first call. */
+    /** Time from the first served message until the one-second averages have settled. */
     private static final long SETTLE_MICROS = 3_000_000;
     /**
-     * How fast the estimate falls, in seconds, where this part of calls is rejected; with fewer slower. Reports are a second
-     * old and more, and behind a spike they still tell of rejections when less is sent than the destination could take.
+     * Time in which the estimate falls to the served rate while at least {@link #REJECTED_RATIO_FOR_FULL_DECREASE} of the calls are
+     * rejected; with fewer rejections it falls more slowly. Reports are a second old or more, so after a spike they still show rejections
+     * while the load is already below the capacity.
      */
     private static final double DECREASE_SECONDS = 1.0;
 
     private static final double REJECTED_RATIO_FOR_FULL_DECREASE = 0.25;
-    /** With demand below this part of the capacity nothing limits it. */
+    /** Part of the capacity below which demand removes the limit. */
     private static final double LOW_DEMAND_RATIO = 0.85;
-    /** A destination that serves less than this part is in an outage rather than slow: its backlog may be wanted when it is back. */
+    /** Part of the capacity below which the served rate means an outage rather than a slow destination; its backlog is still to be sent. */
     private static final double OUTAGE_RATIO = 0.2;
-    /** A backlog is to be worked off within so many seconds. */
+    /** Time in which a backlog is to be sent. */
     private static final double QUEUE_DRAIN_SECONDS = 2;
 
-    /** With less than so many seconds of its work pending, and less than this part of its capacity served, it is idle for want of messages. */
+    /** A destination is idle with fewer seconds of work pending, and a served rate below {@link #IDLE_SERVED_RATIO} of its capacity. */
     private static final double IDLE_BACKLOG_SECONDS = 0.1;
 
     private static final double IDLE_SERVED_RATIO = 0.95;
-    /** While it is idle so much more a second is admitted than reports say, up to a bound: they are older than a spike's end. */
+    /** Growth per second of the admitted rate while the destination is idle, up to a bound: reports lag behind the end of a spike. */
     private static final double IDLE_BOOST_PER_SECOND_RATIO = 0.75;
 
     private static final double MAX_IDLE_BOOST = 4;
@@ -49,9 +50,9 @@
     private static final long NEVER = -1;
 
     private final boolean enforceShares;
-    /** Infinite while nothing is known. */
+    /** Infinite while the capacity is unknown. */
     private double perSecond = Double.POSITIVE_INFINITY;
-    /** Known by what it rejected; where calls are limited by that, a backlog shows the limit and not the capacity. */
+    /** Whether the estimate comes from rejections. If calls are then limited to it, a backlog is due to that limit, not to the capacity. */
     private boolean atLimit;
 
     private long firstServedAtMicros = NEVER;
@@ -59,18 +60,18 @@
     private double idleBoost = 1;
     private long updatedAtMicros;
 
-    /** {@code enforceShares}: calls are limited to the daemons' shares of the estimate. */
+    /** {@code enforceShares} tells whether calls are limited to the senders' shares of the estimate. */
     CapacityEstimate(boolean enforceShares) {
         this.enforceShares = enforceShares;
     }
 
-    /** Takes the load of all as it is now; returns what may be admitted a second, infinite for anything. */
+    /** Updates the estimate from the current load of the fleet; returns the messages to admit per second, infinite for no limit. */
     double update(long now, DestinationLoad fleetLoad) {
         double seconds = Math.max(0, Math.min(1, (now - updatedAtMicros) / MICROS_PER_SECOND));
         updatedAtMicros = now;
         boolean isKnown = Double.isFinite(perSecond);
         if (fleetLoad.servedPerSecond() < (isKnown ? OUTAGE_RATIO * perSecond : MIN_SERVED_PER_SECOND)) {
-            // In an outage, or not called at all.
+            // The destination has an outage, or is not called at all.
             return isKnown ? perSecond : Double.POSITIVE_INFINITY;
         }
         firstServedAtMicros = firstServedAtMicros < 0 ? now : firstServedAtMicros;
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Without a limit there is nothing to lift: the first moments of one would have it. */
+    /** The factor grows only while there is a limit, as it would otherwise raise the next limit from its start. */
     private void updateIdleBoost(double seconds, DestinationLoad fleetLoad) {
         boolean idle = Double.isFinite(perSecond)
                 && fleetLoad.pendingMessages() < IDLE_BACKLOG_SECONDS * perSecond
@@ -117,12 +118,12 @@
                 : Math.max(1, idleBoost * (1 - 2 * IDLE_BOOST_PER_SECOND_RATIO * seconds));
     }
 
-    /** The capacity, infinite while nothing is known. */
+    /** The estimated capacity, infinite while it is unknown. */
     double perSecond() {
         return perSecond;
     }
 
-    /** What calls are limited to: infinite where the destination rejects none. */
+    /** The limit of the calls per second, infinite unless the estimate comes from rejections and shares are enforced. */
     double enforcedPerSecond() {
         return enforceShares && atLimit ? perSecond : Double.POSITIVE_INFINITY;
     }
--- a/overload/src/main/java/amberroute/overload/DestinationLoad.java
+++ b/overload/src/main/java/amberroute/overload/DestinationLoad.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /**
- * What one daemon, or all of them, have to do with one destination. Rates are messages a second. Immutable by convention: nobody changes the
- * array.
+ * The load of one sender, or of the whole fleet, for one destination. Rates are messages per second. Immutable by convention: the array must
+ * not be modified.
  *
- * @param demandByBand submitted, by priority band
- * @param servedPerSecond answered as delivered
- * @param rejectedPerSecond rejected there for want of capacity
- * @param pendingMessages that wait
+ * @param demandByBand messages submitted per second, by priority band
+ * @param servedPerSecond messages delivered per second
+ * @param rejectedPerSecond messages that the destination rejected per second for lack of capacity
+ * @param pendingMessages accepted messages that are not yet delivered
  */
 record DestinationLoad(
         double[] demandByBand, double servedPerSecond, double rejectedPerSecond, double pendingMessages) {
@@ -19,7 +19,7 @@
         return Arrays.stream(demandByBand).sum();
     }
 
-    /** The sum of this and so many times the other. */
+    /** Returns this load plus {@code factor} times the other. */
     DestinationLoad plusScaled(DestinationLoad other, double factor) {
         double[] sum = demandByBand.clone();
         for (int band = 0; band < sum.length; band++) {
@@ -32,7 +32,7 @@
                 pendingMessages + factor * other.pendingMessages);
     }
 
-    /** The same with no value above so many times the other's. */
+    /** Returns this load with the total demand and each other value capped at {@code factor} times that of {@code cap}. */
     DestinationLoad cappedAt(DestinationLoad cap, double factor) {
         double[] capped = demandByBand.clone();
         double demand = totalDemand();
--- a/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
+++ b/overload/src/main/java/amberroute/overload/FleetAdmissionControl.java
@@ -12,32 +12,32 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One daemon's view of what its fleet is asked for and can do: counts what happens here, reports it to some peers, takes their reports, and
- * computes the admission price of each destination. All compute alone and from about the same, so they come to about the same
- * prices; nobody's safety rests on that. Invariant: demand is counted before anything is rejected, so reports do not
- * depend on the price, and old ones do not make it oscillate.
+ * One sender's view of the demand on its fleet and of the capacity of destinations. It counts the local load, reports it to some peers, takes
+ * their reports, and computes the admission price of each destination. Senders compute prices on their own, but from similar data, so the
+ * prices are similar; correctness does not depend on that. Invariant: demand is counted before any message is rejected, so reports do not
+ * depend on the price, and late ones do not make it oscillate.
  *
- * <p>What one daemon sends a second does not grow with the fleet: {@value #REPORT_FAN_OUT} datagrams in each round. Times are microseconds on
- * the caller's clock; at most {@value #MAX_DESTINATIONS} destinations. Not thread-safe.
+ * <p>The report traffic of one sender does not grow with the fleet: {@value #REPORT_FAN_OUT} datagrams in each round. Times are microseconds
+ * on the caller's clock. At most {@value #MAX_DESTINATIONS} destinations are tracked. Not thread-safe.
  */
 public final class FleetAdmissionControl {
     static final int MAX_DESTINATIONS = 1_024;
-    /** Peers that get a report in a round, chosen at random; four reach all of forty while a report counts. */
+    /** Random peers that get a report in each round; 4 make 40 reports while one is valid, on average one for each of 40 peers. */
     static final int REPORT_FAN_OUT = 4;
-    /** Microseconds between rounds. */
+    /** Time between two rounds. */
     public static final long ROUND_MICROS = 200_000;
 
-    /** A datagram for a peer. */
+    /** A report to send to a peer. */
     public record OutgoingReport(String recipient, LoadReport report) {}
 
-    /** The calls a second that this daemon may make from now on; infinite for any. */
+    /** A new limit of the calls per second of this sender; infinite for no limit. */
     public record RateLimit(int destination, double perSecond) {}
 
     /**
-     * One destination, for engineers. Rates are messages a second of all daemons.
+     * The state of one destination, for operators. Rates are messages per second of the whole fleet.
      *
-     * @param capacityPerSecond what it is taken to be able to do, infinite while that is not known
-     * @param fraction of the capacity that this daemon may use
+     * @param capacityPerSecond estimated capacity, infinite while it is unknown
+     * @param fraction part of the capacity that this sender may use
      */
     public record DestinationReport(
             int destination,
@@ -66,11 +66,11 @@
     private int reportOffset;
 
     /**
-     * A view of this fleet. An earlier process may have lent all that it had, so at first nothing is used of what is limited.
+     * Creates the view of one sender. An earlier process may have lent its whole share, so at first no share of a limit is used.
      *
-     * @param senderCount among how many a limit is divided: at least as many as can run
-     * @param enforceShares whether calls are limited to this daemon's share
-     * @param incarnation higher than that of any earlier process of this daemon, such as wall time
+     * @param senderCount number of senders that a limit is divided among: at least as many as can run
+     * @param enforceShares whether calls are limited to this sender's share
+     * @param incarnation higher than that of any earlier process of this sender, such as the wall-clock time
      */
     public FleetAdmissionControl(
             long now,
@@ -92,9 +92,9 @@
         fleetLoad = new FleetLoadEstimate(this.peers, REPORT_FAN_OUT, roundsPerReportLife);
     }
 
-    // ---- What happens here. ----
+    // ---- Local load. ----
 
-    /** Null for one destination too many. */
+    /** Returns null for a new destination if {@link #MAX_DESTINATIONS} are tracked already. */
     private LocalLoadCounter counter(int destination) {
         LocalLoadCounter counter = counters.get(destination);
         if (counter == null && counters.size() < MAX_DESTINATIONS) {
@@ -104,7 +104,7 @@
         return counter;
     }
 
-    /** A client submitted a message of this priority weight, whatever becomes of it. */
+    /** Counts a submitted message of this priority weight, whether or not it is accepted. */
     public void onDemand(long now, int destination, double priorityWeight) {
         LocalLoadCounter counter = counter(destination);
         if (counter != null) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** A message was delivered. */
+    /** Counts a delivered message. */
     public void onServed(long now, int destination) {
         LocalLoadCounter counter = counter(destination);
         if (counter != null) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** A message was rejected by the destination for want of capacity. */
+    /** Counts a message that the destination rejected for lack of capacity. */
     public void onRejected(long now, int destination) {
         LocalLoadCounter counter = counter(destination);
         if (counter != null) {
@@ -128,14 +128,14 @@
         }
     }
 
-    // ---- What peers report. ----
+    // ---- Reports of peers. ----
 
     private RateShare share(long now, int destination) {
         return shares.computeIfAbsent(
                 destination, d -> new RateShare(now, incarnation, senderCount, now < quietUntilMicros));
     }
 
-    /** A peer's report; returns what is to be sent to it, null for nothing. */
+    /** Handles a peer's report; returns the answer to its loan requests, null if there is none. */
     public OutgoingReport onReport(long now, LoadReport report) {
         if (!fleetLoad.onReport(now, report)) {
             return null;
@@ -161,7 +161,7 @@
 
     // ---- Rounds. ----
 
-    /** To be called once a round; {@code pendingMessages} gives what is pending for a destination. Returns prices that have changed. */
+    /** Runs one round and returns the changed prices. {@code pendingMessages} returns the pending messages of a destination. */
     public List<AdmissionPrice> runRound(long now, IntToDoubleFunction pendingMessages) {
         List<AdmissionPrice> changed = new ArrayList<>();
         destinationReports.clear();
@@ -198,7 +198,7 @@
         return price;
     }
 
-    /** To be called after {@link #runRound}: the rate limits that have changed. */
+    /** Returns the rate limits that have changed; to be called after {@link #runRound}. */
     public List<RateLimit> changedRateLimits(long now) {
         List<RateLimit> changed = new ArrayList<>();
         capacities.forEach((destination, capacity) -> {
@@ -210,12 +210,12 @@
         return changed;
     }
 
-    /** The fraction of a destination that this daemon may use now, whether or not anything limits it. */
+    /** The fraction of a destination's capacity that this sender may use now, whether or not a limit is in force. */
     double usableFraction(long now, int destination) {
         return share(now, destination).usableFraction(now);
     }
 
-    /** Requests for shares of what is limited, by peer. */
+    /** The loan requests for limited destinations, one or more reports for each peer. */
     public List<OutgoingReport> loanRequests(long now) {
         Map<String, List<LoadReport.QuotaLoan>> loansByPeer = new LinkedHashMap<>();
         capacities.forEach((destination, capacity) -> {
@@ -245,7 +245,7 @@
         }
     }
 
-    /** What to report in this round, and to whom. */
+    /** The load reports of this round. */
     public List<OutgoingReport> nextReports(long now) {
         if (peers.isEmpty()) {
             return List.of();
@@ -258,7 +258,7 @@
                 .toList();
     }
 
-    /** As many destinations as fit, the next ones in the next round. */
+    /** Reports as many destinations as fit; the next report continues after them. */
     private LoadReport buildReport(long now) {
         List<Integer> destinations = new ArrayList<>(counters.keySet());
         Map<Integer, DestinationLoad> loads = new LinkedHashMap<>();
@@ -277,12 +277,12 @@
         return new LoadReport(self, incarnation, ++lastSequence, loads, List.of());
     }
 
-    /** As of the last round. */
+    /** The state of all destinations as of the last round. */
     public List<DestinationReport> destinationReports() {
         return List.copyOf(destinationReports);
     }
 
-    /** Peers that this daemon has heard of lately. */
+    /** Number of peers from which a report has arrived within {@link FleetLoadEstimate#REPORT_LIFE_MICROS}. */
     public int reachablePeers(long now) {
         return fleetLoad.reachablePeers(now);
     }
--- a/overload/src/main/java/amberroute/overload/FleetLoadEstimate.java
+++ b/overload/src/main/java/amberroute/overload/FleetLoadEstimate.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 
 /**
- * What all daemons together have to do with a destination, as far as one of them has heard. In a large fleet each hears only some
- * of the others in the time for which a report counts; those that it heard stand for all by the probability of having been heard, so
- * the estimate is right in the mean, and off by about one part in the root of how many were heard. A daemon that is not alive is
- * heard by nobody and counts for nothing.
+ * Estimates the load of the whole fleet for each destination from the reports that one sender received. In a large fleet, a sender
+ * receives valid reports from only some of its peers. Each report is scaled by the inverse of the probability that it arrives, so the
+ * estimate is unbiased, with a relative error of about one over the square root of the number of reports. A failed sender sends no reports
+ * and does not count.
  *
- * <p>Invariant: no peer counts for more than all others together, whatever it says: half of the traffic may be at one daemon, and one
- * that reports nonsense can at most double what the fleet believes. Times are microseconds. Not thread-safe.
+ * <p>Invariant: no peer counts for more than all others together, whatever it reports. One sender may carry half of the traffic, and one that
+ * reports wrong values can at most double the estimate. Times are in microseconds. Not thread-safe.
  */
 final class FleetLoadEstimate {
-    /** A report counts for so long. */
+    /** How long a report is valid. */
     static final long REPORT_LIFE_MICROS = 2_000_000;
 
     private static final long NEVER = Long.MIN_VALUE;
@@ -38,16 +38,16 @@
     }
 
     private final Map<String, Peer> peers = new HashMap<>();
-    /** The probability that a peer that is alive was heard while a report counts. */
+    /** Probability that a live peer has a valid report at this sender. */
     private final double reachProbability;
 
-    /** Each daemon reports to {@code fanOut} peers in each of {@code rounds} while a report counts. */
+    /** Each sender reports to {@code fanOut} peers in each of the {@code rounds} for which a report is valid. */
     FleetLoadEstimate(List<String> names, int fanOut, double rounds) {
         names.forEach(name -> peers.put(name, new Peer()));
         reachProbability = names.isEmpty() ? 1 : 1 - Math.pow(1 - Math.min(1, (double) fanOut / names.size()), rounds);
     }
 
-    /** False for a report that is older than what is known, from a stranger, or of an earlier process. */
+    /** Returns false for a report that is not newer than the last one, of an unknown sender, or of an earlier process. */
     boolean onReport(long now, LoadReport report) {
         Peer peer = peers.get(report.sender());
         if (peer == null
@@ -70,7 +70,7 @@
         return true;
     }
 
-    /** The load of all, with this daemon's own. */
+    /** The estimated load of the whole fleet, including this sender's own. */
     DestinationLoad fleetLoad(long now, int destination, DestinationLoad localLoad) {
         List<DestinationLoad> reportedLoads = new ArrayList<>();
         for (Peer peer : peers.values()) {
@@ -83,7 +83,7 @@
         for (DestinationLoad load : reportedLoads) {
             sum = sum.plusScaled(load, 1 / reachProbability);
         }
-        // Of two nobody can say which of them reports nonsense.
+        // With a single report, it cannot be told whether that or the local load is the outlier.
         return reportedLoads.size() > 1 ? withoutOutliers(sum, reportedLoads) : sum;
     }
 
@@ -97,7 +97,7 @@
         return sum;
     }
 
-    /** Peers that were heard of lately and do less at a destination than this. */
+    /** Reachable peers whose load at a destination is below {@code perSecond} or unknown. */
     List<String> peersWithLoadBelow(long now, int destination, double perSecond) {
         List<String> below = new ArrayList<>();
         peers.forEach((name, peer) -> {
@@ -112,7 +112,7 @@
         return below;
     }
 
-    /** Peers that were heard of lately. */
+    /** Number of peers with a valid report. */
     int reachablePeers(long now) {
         return (int)
                 peers.values().stream().filter(peer -> peer.isReachable(now)).count();
--- a/overload/src/main/java/amberroute/overload/LoadReport.java
+++ b/overload/src/main/java/amberroute/overload/LoadReport.java
@@ -11,8 +11,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One datagram in which a daemon reports its load at some destinations, beside the heartbeats on the same socket.
- * At most {@value #MAX_DATAGRAM_BYTES} bytes. The form, all numbers big-endian:
+ * A datagram in which a sender reports its load for some destinations. It uses the same socket as the heartbeats and has at most
+ * {@value #MAX_DATAGRAM_BYTES} bytes. The format, with all numbers big-endian:
  *
  * <pre>
  * "AL", version 1, length and bytes of the sender, incarnation (8), sequence (8),
@@ -20,34 +20,34 @@
  * count and loans: kind (1), destination (4), request number (8), fraction (float)
  * </pre>
  *
- * A datagram of another form, or with values out of range, is no load report. Immutable.
+ * A datagram of another format, or with values out of range, is not a load report. Immutable.
  *
- * @param incarnation tells the processes of the sender apart and grows
- * @param sequence counts the sender's reports
+ * @param incarnation identifies the process of the sender; later processes have higher values
+ * @param sequence number of the report, increasing within an incarnation
  */
 public record LoadReport(
         String sender, long incarnation, long sequence, Map<Integer, DestinationLoad> loads, List<QuotaLoan> loans) {
-    /** A request for a fraction of a destination's capacity, or its answer under the same request number. */
+    /** A request for a fraction of a destination's capacity, or the answer to one, with the same request number. */
     public record QuotaLoan(boolean granted, int destination, long requestNumber, float fraction) {}
 
-    /** Below what any link carries whole. */
+    /** Below the MTU of common links, so that a datagram is not fragmented. */
     public static final int MAX_DATAGRAM_BYTES = 1_400;
 
     private static final byte VERSION = 1;
     private static final int MAX_NAME_BYTES = 64;
     private static final int MAX_LOADS = 64;
-    /** All fields but the name, without loads and loans. */
+    /** Bytes of all fixed fields, without the name, loads and loans. */
     private static final int FIXED_BYTES = 22;
-    /** A load takes so much, and so much more for each band. */
+    /** Bytes of a load without its bands; each band takes {@link #BAND_BYTES} more. */
     private static final int LOAD_BYTES = 17;
 
     private static final int BAND_BYTES = 5;
-    /** Beside no load at all. */
+    /** Fits into a datagram only without loads. */
     static final int MAX_LOANS = 32;
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]+");
 
-    /** Bytes without any load. */
+    /** Bytes of a report without loads and loans. */
     static int headerBytes(String sender) {
         return FIXED_BYTES + sender.length();
     }
@@ -64,12 +64,12 @@
         return bands;
     }
 
-    /** Whether one more load fits. */
+    /** Whether one more load fits into a datagram of {@code bytes} bytes with {@code loads} loads. */
     static boolean fits(int bytes, int loads, DestinationLoad load) {
         return loads < MAX_LOADS && bytes + encodedBytes(load) <= MAX_DATAGRAM_BYTES;
     }
 
-    /** The bytes to send, from 0 to the limit. */
+    /** Encodes the report; the datagram is the content of the buffer from position 0 to its limit. */
     public ByteBuffer encode() {
         byte[] name = sender.getBytes(StandardCharsets.US_ASCII);
         ByteBuffer out = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Reads a datagram; null where it is no load report. */
+    /** Decodes a datagram; returns null if it is not a valid load report. */
     public static LoadReport decode(ByteBuffer in) {
         try {
             if (in.get() != 'A' || in.get() != 'L' || in.get() != VERSION) {
--- a/overload/src/main/java/amberroute/overload/LocalLoadCounter.java
+++ b/overload/src/main/java/amberroute/overload/LocalLoadCounter.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts what this daemon itself has to do with one destination. Times are microseconds. Not thread-safe. */
+/** Measures the load of this sender alone for one destination. Times are in microseconds. Not thread-safe. */
 final class LocalLoadCounter {
-    /** Short enough to follow a spike, long enough that some tens of messages a second are no noise. */
+    /** Short enough to follow a spike, long enough to average out the noise at some tens of messages per second. */
     private static final double WINDOW_MICROS = 1_000_000;
 
     private final Map<Integer, DecayingRate> demandByBand = new TreeMap<>();
--- a/overload/src/main/java/amberroute/overload/PriorityBands.java
+++ b/overload/src/main/java/amberroute/overload/PriorityBands.java
@@ -1,17 +1,18 @@
 package amberroute.overload;
 
 /**
- * Priority weights in bands of a quarter of a doubling: fine enough that classes which differ by a fifth stand apart, coarse enough that a
- * report of all of them is short. What weighs less than the first band counts as that, what weighs more as the last. Stateless.
+ * Divides priority weights into logarithmic bands, four for each doubling: fine enough that classes whose weights differ by a fifth fall
+ * into different bands, coarse enough that a report of all bands is short. Weights outside the range count to the first or last band.
+ * Stateless.
  */
 final class PriorityBands {
     /** Number of bands. */
     static final int COUNT = 64;
 
     private static final double BANDS_PER_DOUBLING = 4;
-    /** In the middle. */
+    /** The middle band, so that the range is symmetric on the logarithmic scale. */
     private static final int BAND_OF_WEIGHT_ONE = COUNT / 2;
-    /** Rounding must not put a weight below the lower bound of its own band. */
+    /** Keeps rounding errors from placing a weight below the lower bound of its own band. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private PriorityBands() {}
@@ -25,7 +26,7 @@
         return Math.max(0, Math.min(COUNT - 1, band));
     }
 
-    /** The least weight of a band; of the first one 0, behind the last one infinite. */
+    /** The least weight of a band: 0 for the first one, infinite for an index past the last one. */
     static double lowerBound(int band) {
         if (band <= 0) {
             return 0;
--- a/overload/src/main/java/amberroute/overload/RateShare.java
+++ b/overload/src/main/java/amberroute/overload/RateShare.java
@@ -5,20 +5,21 @@
 import java.util.List;
 
 /**
- * This daemon's share of the calls that a destination can take a second: an equal fraction that is its own, and what peers that need less
- * lend it. Invariant: fractions in use add up to 1 at most, whatever is lost, delayed or believed ({@link QuotaShare}); how many calls a
- * fraction is each daemon computes by its own estimate of the capacity. Times are microseconds. Not thread-safe.
+ * This sender's share of the calls per second that a destination can serve: an equal fraction that it owns, and loans from peers that need
+ * less than theirs. Invariant: the fractions in use add up to at most 1, whatever messages are lost or delayed and whatever senders assume
+ * about one another ({@link QuotaShare}). Each sender converts its fraction to a rate by its own estimate of the capacity. Times are in
+ * microseconds. Not thread-safe.
  */
 final class RateShare {
-    /** Long beside a lost request and the next one, short enough that a failed daemon blocks what it was lent for a moment only. */
+    /** Much longer than the time to repeat a lost request; short enough that what a failed sender has borrowed is soon usable again. */
     static final long LEASE_MICROS = 2_000_000;
-    /** A peer is asked in every round until it has lent what is missing. */
+    /** Less than a round, so that a peer can be asked in every round while a fraction is missing. */
     private static final long REQUEST_INTERVAL_MICROS = FleetAdmissionControl.ROUND_MICROS / 2;
-    /** What is pending is to be called within so many seconds. */
+    /** Time in which the pending messages are to be sent. */
     private static final double QUEUE_DRAIN_SECONDS = 1;
-    /** Requested is a little more than is needed, as rates are averages. */
+    /** Factor by which the request exceeds the computed need, as rates are averages. */
     private static final double DEMAND_MARGIN_RATIO = 1.15;
-    /** A rate that changes by less is not passed on. */
+    /** Smaller relative changes of the rate are not reported. */
     private static final double MIN_RATE_CHANGE_RATIO = 0.05;
 
     private static final double MIN_CAPACITY_PER_SECOND = 1e-3;
@@ -33,7 +34,7 @@
         lending = new QuotaLending(share, REQUEST_INTERVAL_MICROS);
     }
 
-    /** Computes what this daemon has to call: its load as far as the price admits it, of the destination's capacity. */
+    /** Computes the fraction of the destination's capacity that this sender's pending and admitted messages need. */
     void updateNeed(DestinationLoad localLoad, AdmissionPrice price, double capacityPerSecond) {
         double calls = localLoad.pendingMessages() / QUEUE_DRAIN_SECONDS;
         for (int band = 0; band < PriorityBands.COUNT; band++) {
@@ -51,7 +52,7 @@
         return priorityWeight < price.priorityCeiling() ? price.admittedFraction() : 1;
     }
 
-    /** The calls a second that it may make, infinite where nothing limits them; -1 where that is about as before. */
+    /** The permitted calls per second, infinite for no limit; -1 if the rate is about the one reported last. */
     double changedPerSecond(long now, double capacityPerSecond) {
         double rate = Double.isInfinite(capacityPerSecond)
                 ? capacityPerSecond
@@ -65,7 +66,7 @@
         return rate;
     }
 
-    /** Requests for what is missing, to peers that need less than they own. */
+    /** Loan requests for the missing fraction, to peers that need less than they own. */
     List<QuotaLending.Request> requestLoans(long now, List<String> lenders) {
         double missingFraction = neededFraction - lending.usableFraction(now);
         return missingFraction <= 0 ? List.of() : lending.requestLoans(now, missingFraction, lenders);
@@ -79,7 +80,7 @@
         return lending.usableFraction(now);
     }
 
-    /** Answers a request. */
+    /** Answers a peer's loan request. */
     LoadReport.QuotaLoan onLoanRequest(long now, String peer, LoadReport.QuotaLoan loan) {
         float lent = lending.onLoanRequest(now, peer, loan.requestNumber(), loan.fraction(), neededFraction);
         return new LoadReport.QuotaLoan(true, loan.destination(), loan.requestNumber(), lent);
--- a/overload/src/test/java/amberroute/overload/FleetAdmissionControlTest.java
+++ b/overload/src/test/java/amberroute/overload/FleetAdmissionControlTest.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What senders believe of the whole, what they take a destination to be able to do, and what a call costs. */
+/** Tests the fleet-wide load estimate, the capacity estimate and the admission price, alone and in a simulated fleet. */
 class FleetAdmissionControlTest {
     private static DestinationLoad load(
             double highPriority, double lowPriority, double served, double rejected, double pending) {
@@ -42,10 +42,10 @@
             leastServedPerSecond = Math.min(leastServedPerSecond, simulation.served - servedBefore);
         }
         System.out.printf(
-                "%d senders, %s%s, loss %.1f, news up to %d ms late: %.3f of the worth, %.3f refused a message, least second"
-                        + " %.2f of the capacity, %.0f bytes a sender a second%n",
+                "%d senders, %s%s, loss %.1f, reports up to %d ms late: %.3f of the ideal value, %.3f rejected calls per served"
+                        + " message, least second %.2f of the capacity, %.0f report bytes per sender and second%n",
                 senderCount,
-                usePrices ? enforceShares ? "prices and parts" : "prices" : "none",
+                usePrices ? enforceShares ? "prices and shares" : "prices" : "no prices",
                 skewed ? ", skewed" : "",
                 lossProbability,
                 maxDelayMicros / 1_000,
@@ -54,7 +54,8 @@
                 leastServedPerSecond / simulation.capacityPerSecond,
                 simulation.reportBytes / 20.0 / senderCount);
         assertTrue(
-                simulation.highestFractionSum <= 1 + 1e-6, "parts in use add up to " + simulation.highestFractionSum);
+                simulation.highestFractionSum <= 1 + 1e-6,
+                "usable fractions add up to " + simulation.highestFractionSum);
         return new double[] {
             simulation.value / simulation.idealValue,
             (double) simulation.rejectedCalls / simulation.served,
@@ -68,26 +69,32 @@
         double[] withoutPrices = simulate(12, false, false, false, 0, 20_000);
         double[] withPrices = simulate(12, true, false, false, 0, 20_000);
         assertTrue(
-                withPrices[0] > 0.95 && withPrices[0] > withoutPrices[0], withPrices[0] + " after " + withoutPrices[0]);
+                withPrices[0] > 0.95 && withPrices[0] > withoutPrices[0],
+                "part of the ideal value: " + withPrices[0] + ", without prices " + withoutPrices[0]);
         assertTrue(
-                withPrices[1] < withoutPrices[1], "refused a message: " + withPrices[1] + " after " + withoutPrices[1]);
-        // No swing between all and none.
-        assertTrue(withPrices[2] > 0.85, "least second " + withPrices[2]);
+                withPrices[1] < withoutPrices[1],
+                "rejected calls per served message: " + withPrices[1] + ", without prices " + withoutPrices[1]);
+        // The prices must not oscillate between admitting all and nothing.
+        assertTrue(withPrices[2] > 0.85, "part of the capacity served in the least second: " + withPrices[2]);
         for (double[] impaired : List.of(
                 simulate(12, true, true, false, 0.2, 200_000), simulate(12, true, true, false, 0.2, 2_000_000))) {
-            // Half of all is at one sender, which is refused as often as those that have little.
-            assertTrue(impaired[0] > 0.8 && impaired[2] > 0.85, impaired[0] + " and " + impaired[2]);
+            // One sender has half of the traffic and is rejected as often as those with little.
+            assertTrue(
+                    impaired[0] > 0.8 && impaired[2] > 0.85,
+                    "part of the ideal value: " + impaired[0] + ", of the capacity in the least second: "
+                            + impaired[2]);
         }
     }
 
-    /** Where traffic is even, calls that are held to parts are hardly refused; the parts in use never add up to more than all. */
+    /** With even traffic, limiting calls to shares at least halves the rejections; the usable fractions never exceed 1 in total. */
     @Test
     void sharesOfALimitReduceRejections() {
         double[] withoutShares = simulate(12, true, false, false, 0, 20_000);
         double[] withShares = simulate(12, true, false, true, 0, 20_000);
         assertTrue(
                 withShares[0] > 0.95 && withShares[1] < 0.5 * withoutShares[1],
-                withShares[0] + ", refused " + withShares[1] + " after " + withoutShares[1]);
+                "part of the ideal value: " + withShares[0] + ", rejected calls per served message: " + withShares[1]
+                        + ", without shares " + withoutShares[1]);
         simulate(12, true, true, true, 0.2, 200_000);
     }
 
@@ -95,11 +102,15 @@
     void reportTrafficPerSenderDoesNotGrowWithTheFleet() {
         double[] smallFleet = simulate(100, true, true, false, 0, 50_000);
         double[] largeFleet = simulate(1_000, true, true, false, 0, 50_000);
-        assertTrue(smallFleet[0] > 0.93 && largeFleet[0] > 0.87, smallFleet[0] + ", " + largeFleet[0]);
-        assertTrue(largeFleet[3] < 1.1 * smallFleet[3], smallFleet[3] + " to " + largeFleet[3] + " bytes");
+        assertTrue(
+                smallFleet[0] > 0.93 && largeFleet[0] > 0.87,
+                "part of the ideal value: " + smallFleet[0] + ", in the large fleet " + largeFleet[0]);
+        assertTrue(
+                largeFleet[3] < 1.1 * smallFleet[3],
+                "report bytes per sender and second: " + smallFleet[3] + ", in the large fleet " + largeFleet[3]);
     }
 
-    /** Three times the load for ten seconds, then what it can do, with clients that come again all along. */
+    /** A load of 3 times the capacity for 10 s, then of 0.9 times; clients submit rejected messages again throughout. */
     @Test
     void fleetRecoversWithinSecondsAfterASpike() {
         FleetSimulation simulation = new FleetSimulation(12, 9, true, false, false);
@@ -111,13 +122,15 @@
         simulation.run(3_000_000);
         simulation.resetCounters();
         simulation.run(5_000_000);
-        assertTrue(simulation.expired < 0.02 * simulation.served, simulation.expired + " taken on and not in time");
+        assertTrue(simulation.expired < 0.02 * simulation.served, simulation.expired + " accepted messages expired");
         System.out.printf(
-                "from 3 to 8 s behind a spike: %.3f of the worth%n", simulation.value / simulation.idealValue);
-        assertTrue(simulation.value >= 0.85 * simulation.idealValue, simulation.value + " of " + simulation.idealValue);
+                "from 3 to 8 s after a spike: %.3f of the ideal value%n", simulation.value / simulation.idealValue);
+        assertTrue(
+                simulation.value >= 0.85 * simulation.idealValue,
+                "value " + simulation.value + " of the ideal " + simulation.idealValue);
     }
 
-    /** Failure: behind a spike too much of what was taken on is not in time; each seed has the bounds of the test before. */
+    /** Guards against accepting, after a spike, too many messages that then expire. Same bounds as the test above, for each seed. */
     @Test
     void behindASpikeItIsBackWithinSecondsOnEachOfTenSeeds() {
         List<String> failures = new ArrayList<>();
@@ -132,7 +145,7 @@
             simulation.resetCounters();
             simulation.run(5_000_000);
             if (simulation.expired >= 0.02 * simulation.served || simulation.value < 0.85 * simulation.idealValue) {
-                failures.add("seed " + seed + ": " + simulation.expired + " of " + simulation.served + " not in time");
+                failures.add("seed " + seed + ": " + simulation.expired + " expired, " + simulation.served + " served");
             }
         }
         assertEquals(List.of(), failures);
@@ -158,16 +171,17 @@
         admission.runRound(now, d -> 0);
         FleetAdmissionControl.DestinationReport report =
                 admission.destinationReports().get(0);
-        // Its word at most doubles what is asked: of the cheap messages that all others have about half still go.
+        // Its report at most doubles the estimated demand, so about half of the low-priority messages are still
+        // admitted.
         assertTrue(report.demandPerSecond() < 2.2 * 300, report.toString());
         assertTrue(report.price().priorityFloor() <= 4 && report.rejectedPerSecond() < 200, report.toString());
-        // Older words, and those of a stranger, change nothing.
+        // Old reports, and those of an unknown sender, change nothing.
         admission.onReport(now, new LoadReport("s1", 1, 1, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
         admission.onReport(now, new LoadReport("who", 1, 9, Map.of(1, load(9_000, 0, 0, 0, 0)), List.of()));
         admission.runRound(now, d -> 0);
         assertEquals(
                 report.demandPerSecond(), admission.destinationReports().get(0).demandPerSecond(), 1e-6);
-        // And after a while nobody's.
+        // All reports have expired.
         admission.runRound(now + FleetLoadEstimate.REPORT_LIFE_MICROS, d -> 0);
         assertTrue(admission.destinationReports().get(0).demandPerSecond() < 60);
     }
@@ -177,19 +191,19 @@
         CapacityEstimate capacity = new CapacityEstimate(false);
         assertEquals(Double.POSITIVE_INFINITY, capacity.update(1, load(0, 500, 0, 0, 3_000)));
         assertEquals(Double.POSITIVE_INFINITY, capacity.update(3_200_000, load(0, 500, 100, 0, 0)));
-        // Averages have not settled; then what it refuses shows.
+        // The averages have not settled; after that, rejections set the estimate.
         assertEquals(Double.POSITIVE_INFINITY, capacity.update(3_400_000, load(0, 500, 100, 50, 0)));
         double limited = capacity.update(6_400_000, load(0, 500, 100, 50, 0));
         assertEquals(100, limited, 1);
-        // Out: as it was known before, however much waits.
+        // In an outage the estimate stays, however many messages are pending.
         assertEquals(limited, capacity.update(6_600_000, load(0, 500, 5, 0, 5_000)), 1e-6);
-        // What waits is worked off: less is taken on.
+        // A backlog is to be sent, so fewer messages are admitted.
         assertTrue(capacity.update(6_800_000, load(0, 500, 100, 50, 300)) < 60);
-        // Asked for little, it has no limit.
+        // With little demand there is no limit.
         assertEquals(Double.POSITIVE_INFINITY, capacity.update(7_000_000, load(0, 20, 20, 0, 0)));
     }
 
-    /** What was idle without a limit for long takes on no more than others once there is one. */
+    /** A long idle time without a limit must not raise the admitted rate once there is a limit. */
     @Test
     void idleTimeBeforeALimitDoesNotRaiseIt() {
         CapacityEstimate capacity = new CapacityEstimate(false);
@@ -218,14 +232,14 @@
         assertEquals(
                 AdmissionPrice.none(1),
                 AdmissionPrice.fromDemand(1, load(50, 50, 0, 0, 0).demandByBand(), 150));
-        // Every worth is at or above the floor of its step and below the next.
+        // Every weight is at or above the lower bound of its band and below that of the next one.
         Random random = new Random(4);
         for (int i = 0; i < 10_000; i++) {
             double priorityWeight = Math.exp(random.nextDouble() * 10 - 5);
             assertTrue(
                     priorityWeight >= PriorityBands.lowerBound(PriorityBands.bandOf(priorityWeight))
                             && priorityWeight < PriorityBands.lowerBound(PriorityBands.bandOf(priorityWeight) + 1),
-                    "worth " + priorityWeight);
+                    "priority weight " + priorityWeight);
         }
     }
 
@@ -251,9 +265,9 @@
                             .allMatch(
                                     decodedLoad -> decodedLoad.totalDemand() >= 0 && decodedLoad.totalDemand() < 1e12));
         }
-        assertTrue(undecodable > 10_000, "only " + undecodable);
+        assertTrue(undecodable > 10_000, "datagrams that were not decoded: " + undecodable);
         assertNull(LoadReport.decode(ByteBuffer.allocate(0)));
-        // Of more destinations than fit in one the others are told next.
+        // Destinations that do not fit into one report are in the next ones.
         FleetAdmissionControl admission =
                 new FleetAdmissionControl(0, "a", List.of("a", "b"), 2, false, 1, new SplittableRandom(1));
         for (int destination = 0; destination < 200; destination++) {
--- a/overload/src/test/java/amberroute/overload/FleetSimulation.java
+++ b/overload/src/test/java/amberroute/overload/FleetSimulation.java
@@ -9,17 +9,18 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet in virtual time before one destination that answers so many messages a second and refuses what is above. Senders take on by
- * the price that each computes, and hand over what they hold the dearest first; what was turned away comes again as told, somewhere.
+ * Simulates a fleet that sends to one destination in virtual time. The destination serves a fixed number of messages per second and rejects
+ * the rest. Each sender admits messages by the price that it computes and sends those of the highest value first. Clients submit a rejected
+ * message again after the advised time, to a random sender.
  */
 final class FleetSimulation {
     static final double[] VALUE_BY_CLASS = {4, 2, 1};
     private static final double[] FRACTION_BY_CLASS = {0.2, 0.45, 0.35};
     private static final int STEP_MICROS = 10_000;
     private static final long MESSAGE_LIFE_MICROS = 6_000_000;
-    /** Behind this a message is worth half. */
+    /** After this time a message has half of its value. */
     private static final long LATENCY_OBJECTIVE_MICROS = 1_500_000;
-    /** A sender calls again so long after a refusal. */
+    /** Mean pause of a sender after a rejected call. */
     private static final long RETRY_PAUSE_MICROS = 100_000;
 
     private record Message(int classIndex, long deadlineMicros) {}
@@ -28,7 +29,7 @@
 
     private record Retry(long retryAtMicros, long sequence, Message message) {}
 
-    /** One daemon of the simulation with the messages that it holds. */
+    /** One sender with its pending messages. */
     static final class Sender {
         FleetAdmissionControl admission;
         AdmissionPrice price = AdmissionPrice.none(1);
@@ -42,7 +43,7 @@
     final List<Sender> senders = new ArrayList<>();
     final Random random;
     private final boolean usePrices;
-    /** Calls are held to parts of the limit. */
+    /** Whether calls are limited to the sender's share of the limit. */
     private final boolean enforceShares;
 
     private final PriorityQueue<ReportInFlight> reportsInFlight =
@@ -52,14 +53,14 @@
     private final PriorityQueue<Retry> retries = new PriorityQueue<>((a, b) -> a.retryAtMicros() != b.retryAtMicros()
             ? Long.compare(a.retryAtMicros(), b.retryAtMicros())
             : Long.compare(a.sequence(), b.sequence()));
-    /** All demand so far, for the one that sees all: what waits there, by kind. */
+    /** Pending messages of the ideal sender, by class; it receives all demand. */
     private final List<Deque<Message>> idealPending =
             List.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
 
     double capacityPerSecond = 400;
     double loadFactor = 1.3;
     double lossProbability;
-    /** The longest that news are on the way. */
+    /** Upper bound of the random part of the delay of a report. */
     long maxDelayMicros = 20_000;
 
     long now;
@@ -75,10 +76,10 @@
     long expired;
     long reportBytes;
     private double totalTrafficWeight;
-    /** The most that the parts in use added up to, behind the rounds and behind the deliveries of any step. */
+    /** The highest sum of usable fractions, observed after the rounds and after the deliveries of each step. */
     double highestFractionSum;
 
-    /** {@code skewed}: half of the senders are asked for a tenth of what the rest is; of twelve, one for as much as all others. */
+    /** With {@code skewed}, half of the senders get a tenth of the traffic of the others; of 12, one gets half of all traffic. */
     FleetSimulation(int senderCount, long seed, boolean usePrices, boolean skewed, boolean enforceShares) {
         random = new Random(seed);
         this.enforceShares = enforceShares;
@@ -142,8 +143,8 @@
     }
 
     /**
-     * Looks at the sum of the parts in use. A part changes with time and with what a sender hears, so a look behind the
-     * rounds and one behind the deliveries of each step sees every sum.
+     * Records the sum of the usable fractions. A fraction changes with time and with received reports, so observing it after
+     * the rounds and after the deliveries of each step covers every sum.
      */
     private void observeUsableFractions() {
         double sum = 0;
@@ -192,7 +193,7 @@
                 && (priorityWeight < sender.price.priorityFloor()
                         || priorityWeight < sender.price.priorityCeiling()
                                 && random.nextDouble() >= sender.price.admittedFraction());
-        // Without prices a sender turns away what it could not have done in time alone.
+        // A sender also rejects what its part of the capacity could not serve in time.
         boolean queueFull = sender.pending.stream().mapToInt(Deque::size).sum()
                 > MESSAGE_LIFE_MICROS / 1e6 * capacityPerSecond / senders.size() * sender.trafficWeight;
         if (belowPrice || queueFull) {
@@ -240,7 +241,7 @@
                 * (now <= message.deadlineMicros() - MESSAGE_LIFE_MICROS + LATENCY_OBJECTIVE_MICROS ? 1 : 0.5);
     }
 
-    /** One sender that has all before it and takes what is worth most now; what is late, or would be, waits behind the rest. */
+    /** Serves the highest value first from all demand, as the bound for the fleet; late messages come after the others. */
     private void runIdealSender() {
         while (idealTokens >= 1) {
             Deque<Message> bestQueue = null;
@@ -256,14 +257,14 @@
             if (bestQueue == null) {
                 return;
             }
-            // The oldest that is still in time, else the newest.
+            // The newest message, which has the highest value of its queue.
             Message message = bestQueue.pollLast();
             idealTokens--;
             idealValue += valueOf(message);
         }
     }
 
-    /** Forgets what was counted so far. */
+    /** Resets the counters of results. */
     void resetCounters() {
         value = 0;
         idealValue = 0;
--- a/overload/src/test/java/amberroute/overload/LoadReportCompatibilityTest.java
+++ b/overload/src/test/java/amberroute/overload/LoadReportCompatibilityTest.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Load report datagrams recorded from version 131520b, which daemons of both versions read and write alike. */
+/** Load report datagrams recorded from version 131520b, which senders of both versions must read and write alike. */
 class LoadReportCompatibilityTest {
     @Test
     void emptyReportMatchesTheRecordedDatagram() throws IOException {
--- a/quota/src/main/java/amberroute/quota/DecayingRate.java
+++ b/quota/src/main/java/amberroute/quota/DecayingRate.java
@@ -1,6 +1,6 @@
 package amberroute.quota;
 
-/** An exponentially averaged rate; times in microseconds. Not thread-safe. */
+/** An exponentially decaying average of an event rate. Times are in microseconds. Not thread-safe. */
 public final class DecayingRate {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -8,18 +8,18 @@
     private double sum;
     private long updatedAtMicros;
 
-    /** Averages over about a window. */
+    /** Creates a rate of zero. {@code windowMicros} is the time constant of the decay. */
     public DecayingRate(double windowMicros) {
         this.windowMicros = windowMicros;
     }
 
-    /** So many happened now. */
+    /** Counts {@code count} events at {@code now}. */
     public void add(long now, double count) {
         sum = sum * Math.exp((updatedAtMicros - now) / windowMicros) + count;
         updatedAtMicros = now;
     }
 
-    /** How many happened a second, averaged over about a window. */
+    /** Returns the average number of events per second over about one window. */
     public double perSecond(long now) {
         return sum * Math.exp((updatedAtMicros - now) / windowMicros) * MICROS_PER_SECOND / windowMicros;
     }
--- a/quota/src/main/java/amberroute/quota/QuotaShare.java
+++ b/quota/src/main/java/amberroute/quota/QuotaShare.java
@@ -4,28 +4,28 @@
 import java.util.Map;
 
 /**
- * One daemon's share of a destination's limit. It owns an equal fraction by the number of daemons in the settings, whatever it believes
- * of the others: so however their views differ, nobody's belief adds to the whole. It may lend of its own fraction for a
- * lease, and use what others have lent it until that ends.
+ * One sender's share of a destination's limit. A sender owns an equal fraction, computed from the number of senders in the settings and not
+ * from its view of the membership, so differing views cannot make the fractions add up to more than the limit. It may lend some of its
+ * own fraction for one lease, and may use what others have lent to it until that lease ends.
  *
- * <p>Invariant: over all daemons the fractions that may be used never add up to more than 1. A lender counts a loan as lent
- * for the whole lease, from its grant, by its own clock; a borrower uses it for less than that, from before it asked, by
- * its own: {@link #usableLeaseMicros}. Clocks may differ in rate by {@link #MAX_CLOCK_DRIFT_RATIO}, messages may be lost, delayed or
- * repeated, and either side may die: each only leaves a fraction unused until its lease is over. A daemon that restarts knows of no loans
- * of its own, so it uses nothing before {@link #quietPeriodMicros} is over. Times are microseconds on the daemon's own monotonic
- * clock; fractions are of the whole limit, 0 to 1. At most {@value #MAX_PEERS} peers are dealt with. Not thread-safe.
+ * <p>Invariant: the usable fractions of all senders never add up to more than 1. A lender counts a loan as lent for the whole lease,
+ * from the grant, on its own clock. A borrower uses it for the shorter {@link #usableLeaseMicros}, from the time of its request, on its own
+ * clock. The rate of each clock may be off by {@link #MAX_CLOCK_DRIFT_RATIO}, messages may be lost, delayed or duplicated, and either side
+ * may crash: each of these only leaves a fraction unused until its lease ends. A sender that restarts does not know which loans it has
+ * granted, so it uses and lends nothing of its own until {@link #quietPeriodMicros} is over. Times are microseconds on the sender's own
+ * monotonic clock; fractions are of the whole limit, 0 to 1. At most {@value #MAX_PEERS} peers are tracked. Not thread-safe.
  */
 public final class QuotaShare {
-    /** A clock may be so much fast or slow. */
+    /** The largest relative error of a clock's rate, fast or slow. */
     public static final double MAX_CLOCK_DRIFT_RATIO = 0.02;
 
     private static final int MAX_PEERS = 4_096;
     private static final long MIN_LEASE_MICROS = 1_000;
 
-    /** What a peer is asked for. The number is the borrower's and grows with each request. */
+    /** A request for a loan. The borrower assigns the number and increases it with each request. */
     public record LoanRequest(long requestNumber, double fraction) {}
 
-    /** What was lent, for the lease that both know from the settings; 0 for nothing. */
+    /** The fraction lent, 0 for none. The length of the lease is a setting that both sides share. */
     public record LoanGrant(long requestNumber, double fraction) {}
 
     private record Loan(double fraction, long untilMicros) {}
@@ -33,7 +33,7 @@
     private final double ownFraction;
     private final long leaseMicros;
     private final long quietUntilMicros;
-    /** Of each borrower by request number: all loans that may still be in use; a renewal stands beside the one before. */
+    /** The loans that may still be in use, by borrower and request number; a renewal is kept beside the loan before it. */
     private final Map<String, Map<Long, Loan>> loansByBorrower = new HashMap<>();
 
     private final Map<String, Long> lastRequestNumberByBorrower = new HashMap<>();
@@ -43,15 +43,16 @@
     private long lastRequestNumber;
 
     /**
-     * A share of a limit.
+     * Creates the share of one sender.
      *
-     * @param firstRequestNumber higher than any that an earlier process of this daemon used for its requests, such as wall time
-     * @param senderCount how many there are by the settings
-     * @param restarted whether an earlier process may have lent something
+     * @param firstRequestNumber higher than any request number of an earlier process of this sender, such as the wall-clock time
+     * @param senderCount number of senders in the settings
+     * @param restarted whether an earlier process may have granted loans that are still in use
      */
     public QuotaShare(long now, long firstRequestNumber, int senderCount, long leaseMicros, boolean restarted) {
         if (senderCount < 1 || leaseMicros < MIN_LEASE_MICROS) {
-            throw new IllegalArgumentException("no daemons or no lease");
+            throw new IllegalArgumentException(
+                    "senderCount must be at least 1 and leaseMicros at least " + MIN_LEASE_MICROS);
         }
         ownFraction = 1.0 / senderCount;
         this.leaseMicros = leaseMicros;
@@ -59,27 +60,27 @@
         quietUntilMicros = restarted ? now + quietPeriodMicros(leaseMicros) : now;
     }
 
-    /** How long a borrower may use a lease, from before it asked for it. */
+    /** How long a borrower may use a loan, counted from the time of its request. */
     public static long usableLeaseMicros(long leaseMicros) {
         return (long) (leaseMicros * (1 - MAX_CLOCK_DRIFT_RATIO) / (1 + MAX_CLOCK_DRIFT_RATIO));
     }
 
-    /** How long a daemon that has just restarted uses nothing, as its earlier process may have lent all. */
+    /** How long a restarted sender uses nothing of its own fraction, as its earlier process may have lent all of it. */
     public static long quietPeriodMicros(long leaseMicros) {
         return (long) Math.ceil(leaseMicros * (1 + MAX_CLOCK_DRIFT_RATIO) / (1 - MAX_CLOCK_DRIFT_RATIO)) + 1;
     }
 
-    /** The fraction that is this daemon's by the settings. */
+    /** The fraction that this sender owns by configuration. */
     public double ownFraction() {
         return ownFraction;
     }
 
-    /** The fraction of the whole that may be used now. */
+    /** The fraction of the limit that this sender may use now. */
     public double usableFraction(long now) {
         return Math.max(0, now < quietUntilMicros ? 0 : ownFraction - lentFraction(now)) + borrowedFraction(now);
     }
 
-    /** What is lent and may still be in use. */
+    /** The fraction that is lent and may still be in use. */
     public double lentFraction(long now) {
         double sum = 0;
         for (Map<Long, Loan> loans : loansByBorrower.values()) {
@@ -95,10 +96,10 @@
         return loanByLender.values().stream().mapToDouble(Loan::fraction).sum();
     }
 
-    /** Asks a peer for a fraction; the request may be sent again as it is, and replaces one that was not answered. */
+    /** Creates a loan request to a peer. It replaces an earlier one without an answer, and may be sent again unchanged. */
     public LoanRequest requestLoan(long now, String peer, double fraction) {
         if (!pendingRequests.containsKey(peer) && pendingRequests.size() >= MAX_PEERS) {
-            throw new IllegalStateException("more than " + MAX_PEERS + " peers");
+            throw new IllegalStateException("more than " + MAX_PEERS + " peers with a pending loan request");
         }
         LoanRequest request = new LoanRequest(++lastRequestNumber, fraction);
         pendingRequests.put(peer, request);
@@ -107,8 +108,8 @@
     }
 
     /**
-     * A peer asks; {@code neededFraction} is what this daemon wants for itself. An old or repeated request gets nothing: its
-     * first answer may be on the way, and nobody may get a loan twice.
+     * Handles a peer's loan request; {@code neededFraction} is what this sender needs itself. An old or repeated request is granted
+     * nothing: the first answer to it may be on the way, and a loan must not be granted twice.
      */
     public LoanGrant onLoanRequest(long now, String peer, LoanRequest request, double neededFraction) {
         LoanGrant emptyGrant = new LoanGrant(request.requestNumber(), 0);
@@ -131,7 +132,7 @@
         return new LoanGrant(request.requestNumber(), fraction);
     }
 
-    /** A peer's answer; it counts from when it was asked for, so one that was delayed is worth little. */
+    /** Handles a peer's grant. The loan runs from the time of the request, so a delayed grant can be used for a shorter time. */
     public void onLoanGrant(long now, String peer, LoanGrant grant) {
         LoanRequest request = pendingRequests.get(peer);
         if (request == null
--- a/quota/src/main/java/amberroute/quota/SlowStartLimit.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimit.java
@@ -8,46 +8,45 @@
 import java.util.Map;
 
 /**
- * What this daemon may send to one destination: nothing limits that while the destination is healthy; while it is unavailable, warms up, or
- * nothing is known of it, all daemons together have a limit, of which this one has its {@link QuotaShare}.
+ * The rate limit of this sender for one destination. A healthy destination has no limit. While the destination is unavailable, warms up, or
+ * nothing is known of it, the fleet as a whole has a limit, and this sender may use its {@link QuotaShare} of it.
  *
- * <p><b>Whether there is a limit.</b> By what the decision module saw here, and by what peers say: a destination that recovered
- * for any of them warms up for all, so that one half-open trial serves everybody. A peer's update is ignored where this
- * daemon itself was answered during the outage that it tells of: then the way there was broken, not the destination. A daemon
- * that has just started knows nothing of a destination; if a peer is answered by it, it is healthy, else it warms up from
- * its first answer.
+ * <p><b>Whether there is a limit</b> follows from what the decision module of this sender observed and from what peers report. A destination
+ * that recovered for any sender warms up for all of them, so the fleet needs only one half-open trial. A peer's report of an outage is
+ * ignored if this sender had successes during that outage: then the network path from the peer failed, not the destination. A sender that
+ * has just started knows nothing of a destination; if it is healthy for a peer, it counts as healthy, else it warms up from its first success.
  *
- * <p><b>How much.</b> The rule: more than {@code overloadMultiple} times what the destination can do now, kept up for {@code
- * overloadWindowMicros}, overloads it; it starts with {@code initialFraction} of its capacity and is warm after {@code warmUpMicros}. What it
- * can do when warm is taken from the peak that all daemons were answered at one time; what it can do now is at least what it answers now.
- * With neither, all daemons together begin with {@code initialPerSecond} messages a second.
+ * <p><b>How high it is.</b> A destination is overloaded by more than {@code overloadMultiple} times its current capacity for {@code
+ * overloadWindowMicros}. Its capacity starts at {@code initialFraction} of the full one and is full after {@code warmUpMicros}. The full
+ * capacity is taken from the peak of the rate that it served to all senders; its current capacity is at least the rate that it serves now.
+ * If neither is known, the fleet starts with {@code initialPerSecond} messages per second.
  *
- * <p>Times are microseconds on the daemon's monotonic clock. At most {@value #MAX_PEERS} peers count. Not thread-safe.
+ * <p>Times are microseconds on the sender's monotonic clock. At most {@value #MAX_PEERS} peers are tracked. Not thread-safe.
  */
 public final class SlowStartLimit {
-    /** Used of the permitted multiple of the warm capacity: endpoints do not get even shares. */
+    /** Part used of the permitted multiple of the known capacity; a margin, as endpoints do not get equal shares of the load. */
     public static final double KNOWN_CAPACITY_RATIO = 0.85;
-    /** Used of the permitted multiple of what it answers now, which averages over a while that is past. */
+    /** Part used of the permitted multiple of the served rate; a margin, as that rate is an average over the recent past. */
     public static final double OBSERVED_RATE_RATIO = 0.9;
-    /** Daemons send evenly but independently: so many standard deviations in a window are allowed for. */
+    /** Standard deviations of the messages in a window that the limit allows for: senders send evenly, but independently. */
     private static final double ALLOWED_DEVIATIONS = 1;
-    /** A peer's report counts for so long. */
+    /** How long a peer's report is valid. */
     static final long REPORT_LIFE_MICROS = 1_500_000;
-    /** A destination that answered a peer within this is healthy, if the peer says so. */
+    /** A destination that a peer reports as healthy is taken as healthy if it served the peer within this time. */
     static final long RECENT_SUCCESS_MICROS = 5_000_000;
-    /** The peak loses half of its weight in this time, as destinations change. */
+    /** Time in which the remembered peak decays by half, as the capacity of a destination may change. */
     static final double PEAK_HALF_LIFE_MICROS = 600e6;
 
     private static final double SMOOTHING_MICROS = 4e6;
     private static final double SERVED_WINDOW_MICROS = 1e6;
     private static final double LONG_SERVED_WINDOW_MICROS = 8e6;
-    /** What is pending is to be sent within this, for how much of the limit this daemon wants. */
+    /** Time in which the pending messages are to be sent; determines the part of the limit that this sender requests. */
     private static final double QUEUE_DRAIN_MICROS = 1e6;
-    /** Successes are remembered by slots of this length, for so many of them. */
+    /** Successes are remembered by time slot, for the last {@link #SLOTS} slots of this length. */
     private static final long SLOT_MICROS = 250_000;
 
     private static final int SLOTS = 256;
-    /** The first and the last slots of an outage are uncertain. */
+    /** Slots at each end of an outage that are left out, as the times of its start and end are not exact. */
     private static final int UNCERTAIN_SLOTS = 2;
 
     static final int MAX_PEERS = 4_096;
@@ -57,13 +56,13 @@
     private static final long MICROS_PER_MILLISECOND = 1_000;
 
     /**
-     * The parameters of the rule, from the settings.
+     * The configured parameters of slow start.
      *
-     * @param initialFraction of its capacity that a destination has when it recovers
-     * @param warmUpMicros until it has all of it
-     * @param overloadMultiple of its capacity that overloads it
-     * @param overloadWindowMicros for which that has to be kept up
-     * @param initialPerSecond messages a second that all daemons together send to a destination of which nothing is known
+     * @param initialFraction part of its full capacity that a destination has when it recovers
+     * @param warmUpMicros time from the recovery to the full capacity
+     * @param overloadMultiple multiple of the current capacity that overloads a destination
+     * @param overloadWindowMicros time for which such a load has to last to overload it
+     * @param initialPerSecond messages per second that the fleet sends to a destination of unknown capacity
      */
     public record Rules(
             double initialFraction,
@@ -72,7 +71,7 @@
             long overloadWindowMicros,
             double initialPerSecond) {}
 
-    /** A request to a peer. */
+    /** A loan request to a peer. */
     public record LoanRequest(String peer, Heartbeat.QuotaLoan loan) {}
 
     private record PeerReport(SlowStartUpdate update, long atMicros) {
@@ -80,7 +79,7 @@
             return now - atMicros < REPORT_LIFE_MICROS;
         }
 
-        /** The moment of an age that the report has. */
+        /** Converts an age in the report to a time on the local clock, {@link #NEVER} for a negative age. */
         long timeAtAge(int ageMillis) {
             return ageMillis < 0 ? NEVER : atMicros - ageMillis * MICROS_PER_MILLISECOND;
         }
@@ -110,13 +109,13 @@
         lending = new QuotaLending(share, leaseMicros / 2);
     }
 
-    // ---- What is seen here. ----
+    // ---- Local observations. ----
 
     /** A message was delivered. */
     void onSuccess(long now) {
         rememberSuccess(now);
         if (localHealth == Health.NEW) {
-            // It warms up from now, unless peers know better.
+            // It warms up from now, unless peers report a warm-up that has begun or a healthy destination.
             long recoveryMicros = warmUpStartFromPeers(now);
             localHealth = isHealthyForAnyPeer(now) ? Health.HEALTHY : Health.SLOW_START;
             recoveryAtMicros = recoveryMicros >= 0 ? recoveryMicros : now;
@@ -135,7 +134,7 @@
         successSlots[Math.floorMod(slot, SLOTS)] = true;
     }
 
-    /** What the decision module has found: an outage or its end, since when. */
+    /** Handles the start or end of an outage that the decision module detected; {@code sinceMicros} is the time of the change. */
     void onHealthChanged(long now, Health health, long sinceMicros) {
         if (health == Health.UNAVAILABLE) {
             outageAtMicros = sinceMicros;
@@ -150,9 +149,9 @@
         pendingMessages = messages;
     }
 
-    // ---- What peers say. ----
+    // ---- Reports of peers. ----
 
-    /** True where a peer was just answered by a destination that is unavailable for this daemon. */
+    /** Returns true if a destination that is unavailable for this sender has served the peer after the start of the outage. */
     boolean onPeerUpdate(long now, String peer, SlowStartUpdate update) {
         if (!reportByPeer.containsKey(peer) && reportByPeer.size() >= MAX_PEERS) {
             return false;
@@ -177,7 +176,7 @@
                         && now - report.timeAtAge(report.update().successAgoMillis()) < RECENT_SUCCESS_MICROS);
     }
 
-    /** Since when it warms up as peers say, -1 where none says so against what was seen here. */
+    /** Latest start of a warm-up that a peer reports, -1 for none; reports that contradict local successes do not count. */
     private long warmUpStartFromPeers(long now) {
         long latestMicros = NEVER;
         for (PeerReport report : reportByPeer.values()) {
@@ -193,7 +192,7 @@
         return latestMicros;
     }
 
-    /** Whether this daemon was answered in an outage that another tells of. */
+    /** Whether this sender had a success during an outage that a peer reports. */
     private boolean hadSuccessBetween(long outageMicros, long recoveryMicros) {
         if (outageMicros < 0 || latestSlot == Long.MIN_VALUE) {
             return false;
@@ -210,7 +209,7 @@
 
     // ---- The limit. ----
 
-    /** Since when it warms up; {@code now} while it has not recovered, -1 where there is no limit. */
+    /** Start of the warm-up; {@code now} while the destination has not recovered, -1 if there is no limit. */
     private long warmUpStart(long now) {
         if (localHealth == Health.SLOW_START && now - recoveryAtMicros >= rules.warmUpMicros()) {
             localHealth = Health.HEALTHY;
@@ -224,12 +223,12 @@
         };
     }
 
-    /** Whether there is a limit now. */
+    /** Whether the destination has a limit now. */
     boolean isLimited(long now) {
         return warmUpStart(now) >= 0;
     }
 
-    /** What all daemons together may send now, in messages a second; infinite without a limit. */
+    /** The limit of the whole fleet in messages per second; infinite if there is none. */
     double fleetPerSecond(long now) {
         long startMicros = warmUpStart(now);
         if (startMicros < 0) {
@@ -243,8 +242,8 @@
     }
 
     /**
-     * The even flow that stays under a rate with chance allowed for: m messages in a window, from daemons that do not know
-     * of one another's, are m and some square roots of m now and then.
+     * The steady rate whose random peaks stay below the given rate. Senders do not coordinate the times of their calls, so a window with an
+     * expected m messages may hold m plus {@link #ALLOWED_DEVIATIONS} times the square root of m.
      */
     private double steadyRateBelow(double perSecond) {
         double windowSeconds = rules.overloadWindowMicros() / MICROS_PER_SECOND;
@@ -254,13 +253,13 @@
         return root * root / windowSeconds;
     }
 
-    /** This daemon's share of it. */
+    /** This sender's share of the limit, in messages per second. */
     double ownPerSecond(long now) {
         double fleetPerSecond = fleetPerSecond(now);
         return Double.isInfinite(fleetPerSecond) ? fleetPerSecond : lending.usableFraction(now) * fleetPerSecond;
     }
 
-    /** Answered a second, here as this rate has it and at all peers that report it. */
+    /** Messages per second that the destination serves, by the given local rate and the valid reports of peers. */
     private double servedByFleet(long now, DecayingRate localServed) {
         double sum = localServed.perSecond(now);
         for (PeerReport report : reportByPeer.values()) {
@@ -269,7 +268,7 @@
         return sum;
     }
 
-    /** The most that was answered at one time, as far as any daemon remembers; short peaks count for little. */
+    /** Updates and returns the highest served rate of the fleet that any sender remembers; smoothing keeps short peaks out. */
     double updatedPeak(long now) {
         double peakOfPeers = 0;
         for (PeerReport report : reportByPeer.values()) {
@@ -285,9 +284,9 @@
         return peakPerSecond;
     }
 
-    // ---- Lending. ----
+    // ---- Quota lending. ----
 
-    /** The fraction of the whole that this daemon has use for. */
+    /** The fraction of the limit that this sender needs. */
     private double neededFraction(long now) {
         double fleetPerSecond = fleetPerSecond(now);
         if (Double.isInfinite(fleetPerSecond)) {
@@ -300,7 +299,7 @@
         return pendingMessages * MICROS_PER_SECOND / QUEUE_DRAIN_MICROS + servedPerSecond;
     }
 
-    /** Requests to peers that are alive and seem to have quota to spare. */
+    /** Loan requests to peers that are alive and, by their reports, need less than they own. */
     List<LoanRequest> loanRequests(long now, List<String> alivePeers) {
         double missingFraction = isLimited(now) ? neededFraction(now) - lending.usableFraction(now) : 0;
         if (missingFraction <= 0) {
@@ -327,7 +326,7 @@
         return usedFraction < lending.ownFraction();
     }
 
-    /** A peer asks: its answer. A daemon without a limit uses its share itself. */
+    /** Answers a peer's loan request. A sender that sees no limit needs its whole share itself and lends nothing. */
     Heartbeat.QuotaLoan onLoanRequest(long now, String peer, Heartbeat.QuotaLoan loan) {
         float lent = lending.onLoanRequest(now, peer, loan.requestNumber(), loan.fraction(), neededFraction(now));
         return new Heartbeat.QuotaLoan(true, destination, loan.requestNumber(), lent);
@@ -337,10 +336,10 @@
         lending.onLoanGrant(now, peer, loan.requestNumber(), loan.fraction());
     }
 
-    // ---- What is said to peers. ----
+    // ---- Reports to peers. ----
 
     SlowStartUpdate currentUpdate(long now) {
-        // Notices the end of the warm-up.
+        // Updates the local health if the warm-up has ended.
         warmUpStart(now);
         boolean hasRecovered = localHealth == Health.SLOW_START || localHealth == Health.HEALTHY;
         return new SlowStartUpdate(
--- a/quota/src/main/java/amberroute/quota/SlowStartLimits.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimits.java
@@ -12,23 +12,23 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * The limits of all destinations of one daemon: takes what is seen here and said by peers, and says what has changed. At most
- * {@value #MAX_DESTINATIONS} destinations are kept; further ones have no limit, as without this package. Not thread-safe.
+ * The slow-start limits of all destinations of one sender. Takes local observations and the reports of peers, and returns the limits that
+ * have changed. At most {@value #MAX_DESTINATIONS} destinations are tracked; any others have no limit. Not thread-safe.
  */
 public final class SlowStartLimits {
     static final int MAX_DESTINATIONS = 1_024;
-    /** A rate that changes by less is not passed on. */
+    /** Smaller relative changes of a rate are not returned. */
     private static final double MIN_RATE_CHANGE_RATIO = 0.02;
 
-    /** What daemons have in their settings; {@code index} tells this one from the others. */
+    /** The settings of the fleet; {@code senderIndex}, from 0, is the position of this sender in it. */
     public record FleetParameters(int senderCount, int senderIndex, long leaseMicros, SlowStartLimit.Rules rules) {}
 
     /**
-     * What holds from now on.
+     * A new rate limit of a destination.
      *
-     * @param perSecond messages a second, infinite for no limit
-     * @param initialCredit fraction of the first message that is saved up already
-     * @param recoveredElsewhere whether the destination answered another daemon
+     * @param perSecond messages per second, infinite for no limit
+     * @param initialCredit part of the credit for one message that is available at once, 0 to 1
+     * @param recoveredElsewhere whether the destination has recovered for another sender
      */
     public record RateLimit(int destination, double perSecond, double initialCredit, boolean recoveredElsewhere) {}
 
@@ -39,14 +39,14 @@
     private final Map<Integer, Double> lastRateByDestination = new HashMap<>();
     private int updateOffset;
 
-    /** {@code firstRequestNumber} is higher than any that an earlier process used, such as wall time in microseconds. */
+    /** {@code firstRequestNumber} must exceed every request number of an earlier process, such as wall-clock microseconds. */
     public SlowStartLimits(long now, FleetParameters fleet, long firstRequestNumber) {
         this.fleet = fleet;
         this.firstRequestNumber = firstRequestNumber;
         quietUntilMicros = now + QuotaShare.quietPeriodMicros(fleet.leaseMicros());
     }
 
-    /** Null for one destination too many. */
+    /** Returns null for a new destination if {@link #MAX_DESTINATIONS} are tracked already. */
     private SlowStartLimit limitFor(long now, int destination) {
         SlowStartLimit limit = limits.get(destination);
         if (limit == null && limits.size() < MAX_DESTINATIONS) {
@@ -61,14 +61,14 @@
         return limit;
     }
 
-    /** There is such a destination; its limit where that is new, else null. To be asked before anything is sent to it. */
+    /** Adds a destination; returns its limit if it is new, else null. Must be called before the first call to the destination. */
     public RateLimit onDestinationListed(long now, int destination) {
         boolean isNew = !limits.containsKey(destination);
         SlowStartLimit limit = limitFor(now, destination);
         return isNew && limit != null ? currentLimit(now, destination, limit, false) : null;
     }
 
-    /** A message was delivered; true where peers had better hear of it at once. */
+    /** Counts a delivered message; returns true if the health changed, so that peers should be told at once. */
     public boolean onSuccess(long now, int destination) {
         SlowStartLimit limit = limitFor(now, destination);
         if (limit == null) {
@@ -79,7 +79,7 @@
         return limit.localHealth() != healthBefore;
     }
 
-    /** What the decision module has found of a destination, since when. */
+    /** Handles a health change that the decision module detected; {@code sinceMicros} is the time of the change. */
     public void onHealthChanged(long now, int destination, Health health, long sinceMicros) {
         SlowStartLimit limit = limitFor(now, destination);
         if (limit != null) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** A peer's updates; returns the limits of destinations that it was answered by and this daemon takes to be unavailable. */
+    /** Handles a peer's updates; returns the limits of destinations that recovered for the peer and are unavailable for this sender. */
     public List<RateLimit> onPeerUpdates(long now, String peer, List<Heartbeat.SlowStartUpdate> updates) {
         List<RateLimit> recovered = new ArrayList<>();
         for (Heartbeat.SlowStartUpdate update : updates) {
@@ -99,7 +99,7 @@
         return recovered;
     }
 
-    /** Answers a peer's requests; grants that it gives are taken. */
+    /** Handles a peer's loan requests and grants; returns the answers to the requests. */
     public List<Heartbeat.QuotaLoan> onLoans(long now, String peer, List<Heartbeat.QuotaLoan> loans) {
         List<Heartbeat.QuotaLoan> answers = new ArrayList<>();
         for (Heartbeat.QuotaLoan loan : loans) {
@@ -116,7 +116,7 @@
         return answers;
     }
 
-    /** To be called often: the limits that have changed. {@code pendingMessages} gives what is pending for a destination. */
+    /** Returns the limits that have changed; to be called often. {@code pendingMessages} returns the pending messages of a destination. */
     public List<RateLimit> changedLimits(long now, IntToDoubleFunction pendingMessages) {
         List<RateLimit> changed = new ArrayList<>();
         limits.forEach((destination, limit) -> {
@@ -136,12 +136,12 @@
     private RateLimit currentLimit(long now, int destination, SlowStartLimit limit, boolean recoveredElsewhere) {
         double rate = limit.ownPerSecond(now);
         lastRateByDestination.put(destination, rate);
-        // Daemons that begin together begin one after another.
+        // Spreads the first messages of senders that start at the same time.
         double initialCredit = (double) fleet.senderIndex() / fleet.senderCount();
         return new RateLimit(destination, rate, initialCredit, recoveredElsewhere);
     }
 
-    /** Requests for more of what is limited, by peer. */
+    /** The loan requests for limited destinations, by peer. */
     public Map<String, List<Heartbeat.QuotaLoan>> loanRequests(long now, MembershipView view) {
         List<String> alivePeers = view.members(now).stream()
                 .filter(MembershipView.Member::alive)
@@ -160,7 +160,7 @@
         return requestsByPeer;
     }
 
-    /** What to tell peers: destinations that are unavailable or warm up first, then by turns. */
+    /** The updates for the next heartbeat: destinations that are unavailable or warm up first, the others in rotation. */
     public List<Heartbeat.SlowStartUpdate> currentUpdates(long now) {
         List<Map.Entry<Integer, SlowStartLimit>> entries = new ArrayList<>(limits.entrySet());
         if (entries.size() > Heartbeat.MAX_UPDATES) {
@@ -181,7 +181,7 @@
         return limit.localHealth() == Health.UNAVAILABLE || limit.localHealth() == Health.SLOW_START;
     }
 
-    /** Destinations that have a limit now. */
+    /** Number of destinations that have a limit now. */
     public int limitedCount(long now) {
         return (int)
                 limits.values().stream().filter(limit -> limit.isLimited(now)).count();
--- a/quota/src/main/java/amberroute/quota/package-info.java
+++ b/quota/src/main/java/amberroute/quota/package-info.java
@@ -1,13 +1,14 @@
 /**
- * What all daemons together may send to a destination that is warming up. {@link amberroute.quota.QuotaShare} divides a limit among daemons,
- * {@link amberroute.quota.QuotaLending} asks peers for more, {@link amberroute.quota.SlowStartLimit} says how much the whole is just now
- * and whether there is a limit at all, and {@link amberroute.quota.SlowStartLimits} keeps one of them for each destination.
+ * Limits the rate at which all senders of a fleet together send to a destination that is warming up. {@link amberroute.quota.QuotaShare}
+ * divides a limit among the senders, {@link amberroute.quota.QuotaLending} requests loans from peers, {@link
+ * amberroute.quota.SlowStartLimit} computes the current limit of one destination, if it has one, and {@link
+ * amberroute.quota.SlowStartLimits} keeps the limits of all destinations.
  *
- * <p>Assumes clocks whose rates differ by {@link amberroute.quota.QuotaShare#MAX_CLOCK_DRIFT_RATIO} at most, and datagrams that may be lost,
- * delayed and repeated. Invariant: the fractions of a limit that daemons may use add up to 1 at most, whatever daemons believe of one
- * another and whoever fails.
+ * <p>Assumes that the rate of each clock is off by at most {@link amberroute.quota.QuotaShare#MAX_CLOCK_DRIFT_RATIO}, and that datagrams may
+ * be lost, delayed and duplicated. Invariant: the fractions of a limit that senders may use add up to at most 1, whatever the senders
+ * assume about one another and whichever of them fail.
  *
- * <p>No I/O and no clock; times are microseconds on the daemon's own monotonic clock. It knows the messages of {@code membership} and neither
- * sockets nor the sender nor the decision module.
+ * <p>The package does no I/O and reads no clock; times are microseconds on the sender's own monotonic clock. It depends on the messages of
+ * the {@code membership} module, and not on sockets, the sender module or the decision module.
  */
 package amberroute.quota;
--- a/quota/src/test/java/amberroute/quota/QuotaShareTest.java
+++ b/quota/src/test/java/amberroute/quota/QuotaShareTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** That the fractions in use never add up to more than the whole, and what loans give. */
+/** Tests that the usable fractions never add up to more than the limit, and how loans are granted and end. */
 class QuotaShareTest {
     private static final long LEASE_MICROS = 1_000_000;
 
@@ -89,7 +89,7 @@
                 0, newShare(2).onLoanRequest(0, "p", new LoanRequest(1, -1), 0).fraction());
     }
 
-    /** One daemon of a simulated fleet, with a clock of its own rate. */
+    /** A sender of a simulated fleet, with a clock of its own rate. */
     private static final class SimulatedSender {
         final String name;
         final double clockRate;
@@ -112,21 +112,24 @@
     private record Packet(long deliverAtMicros, SimulatedSender from, SimulatedSender to, Object payload) {}
 
     /**
-     * Up to forty daemons with clocks up to two per cent fast or slow ask each other at random over a network that
-     * loses, delays and doubles, is split in halves now and then, while daemons die with what they borrowed and come
-     * back. At no real moment may the parts add up to more than the whole.
+     * Up to 40 senders, with clocks up to 2 % fast or slow, request loans from random peers. The network loses, delays and
+     * duplicates packets and is partitioned into halves at times; senders crash while they hold loans, and restart. At no
+     * point of real time may the usable fractions add up to more than the whole limit.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
     void usableFractionsNeverExceedTheWholeLimit(long seed) {
         double[] highestFractions = simulate(seed);
-        assertTrue(highestFractions[0] <= 1 + 1e-9, "seed " + seed + ": " + highestFractions[0]);
+        assertTrue(
+                highestFractions[0] <= 1 + 1e-9,
+                "seed " + seed + ": usable fractions add up to " + highestFractions[0]);
         assertTrue(
                 highestFractions[1] > 1.2,
-                "seed " + seed + ": hardly anything was lent, the test shows nothing: " + highestFractions[1]);
+                "seed " + seed + ": too little was lent to test the invariant, largest multiple of the own fraction: "
+                        + highestFractions[1]);
     }
 
-    /** The largest sum of all parts, and the largest part of one daemon as a multiple of what it owns. */
+    /** Returns the largest sum of usable fractions, and the largest one of a sender as a multiple of the fraction that it owns. */
     private static double[] simulate(long seed) {
         Random random = new Random(seed);
         int senderCount = 2 + random.nextInt(39);
--- a/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
+++ b/quota/src/test/java/amberroute/quota/SlowStartFleetTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whole fleets against one partner that falls over, in simulated time: beats are lost, late and doubled, views are split,
- * daemons die, clocks differ. What is counted is the largest load that the partner had over any window of the rule, as a
- * share of what brings it down.
+ * Simulates whole fleets that send to one destination while it warms up after an outage. Heartbeats are lost, delayed and
+ * duplicated, the fleet is partitioned, senders crash and clocks differ. The tests check the highest load of the
+ * destination over any overload window, relative to the load that overloads it.
  */
 class SlowStartFleetTest {
     private static final SlowStartLimit.Rules RULES = new SlowStartLimit.Rules(0.15, 14_000_000, 2.5, 1_500_000, 20);
@@ -29,7 +29,7 @@
     private static final long STEP_MICROS = 2_000;
     private static final int DESTINATION = 7;
 
-    /** A partner that is out until it comes back, cold. */
+    /** A destination that is unavailable until it recovers, and then warms up. */
     private static final class SimulatedDestination {
         final double capacityPerSecond;
         final Deque<Long> recentCalls = new ArrayDeque<>();
@@ -54,7 +54,7 @@
                                             / RULES.warmUpMicros());
         }
 
-        /** Whether a message that comes now is answered as done; a refused one weighs as much. */
+        /** Returns whether a message that arrives now is served; a rejected one adds as much load. */
         boolean tryServe(long timeMicros) {
             if (timeMicros < recoversAtMicros) {
                 return false;
@@ -85,7 +85,7 @@
 
     private record Packet(long deliverAtMicros, long sequence, int recipient, Heartbeat heartbeat) {}
 
-    /** How a run is disturbed. */
+    /** The faults of a run, and whether the rate limits are enforced. */
     private record Scenario(
             double lossProbability,
             long maxDelayMicros,
@@ -158,7 +158,7 @@
             sender.heartbeats = new HeartbeatMonitor(peers, 1);
             sender.backlog = backlog / senderCount;
             if (!freshStart) {
-                // It has seen the outage, and what the partner did before.
+                // The sender has observed successes and then the outage.
                 sender.limits.onSuccess(now, DESTINATION);
                 sender.limits.onHealthChanged(now, DESTINATION, Health.UNAVAILABLE, now);
             }
@@ -212,7 +212,7 @@
         }
     }
 
-    /** Returns how long after its return the partner first answered so many messages within a second. */
+    /** Returns the time from the recovery until the destination first served the target rate for a second, -1 if it never did. */
     private long run(long durationMicros, double targetPerSecond) {
         Deque<Long> recentlyServed = new ArrayDeque<>();
         long targetReachedMicros = -1;
@@ -277,7 +277,7 @@
         if (sender.heartbeats.isDue(now)) {
             broadcastHeartbeat(timeMicros, sender);
         }
-        // What the sender's own slots allow, 16 calls of 20 ms.
+        // At most 2 calls in a step, roughly what 16 slots allow with calls of 20 ms.
         for (int i = 0; i < 2 && sender.backlog > 0; i++) {
             if (scenario.limitsEnforced() && !Double.isInfinite(sender.ratePerSecond)) {
                 updateCredit(sender, now);
@@ -313,25 +313,27 @@
                 true);
     }
 
-    /** Forty daemons that know nothing start in one second before a partner that is cold, with a full backlog. */
+    /** Forty senders with no knowledge of the destination and a large backlog start together while it is cold. */
     @Test
     void fortyFreshSendersDoNotOverloadAColdDestination() {
         for (long seed = 1; seed <= 5; seed++) {
             startFreshFleet(40, seed, Scenario.withoutFaults(), 400);
             long recoveryMicros = run(20_000_000, 400 * 0.5);
-            System.out.println("40 fresh, seed " + seed + ": highest " + destination.highestLoadRatio
-                    + ", half its usual after " + recoveryMicros / 1e6 + " s");
-            assertTrue(destination.highestLoadRatio <= 1, "seed " + seed + ": " + destination.highestLoadRatio);
-            assertTrue(recoveryMicros > 0, "seed " + seed + ": it never carried half of its usual load");
+            System.out.println("40 fresh senders, seed " + seed + ": highest load ratio " + destination.highestLoadRatio
+                    + ", half of the capacity served after " + recoveryMicros / 1e6 + " s");
+            assertTrue(
+                    destination.highestLoadRatio <= 1,
+                    "seed " + seed + ": highest load ratio " + destination.highestLoadRatio);
+            assertTrue(recoveryMicros > 0, "seed " + seed + ": never served half of its capacity");
         }
     }
 
-    /** The same without the ceilings pushes it over, or the test would show nothing. */
+    /** Control run: without limits, the same load overloads the destination. */
     @Test
     void sameFleetWithoutLimitsOverloadsTheDestination() {
         startFreshFleet(40, 1, new Scenario(0, 2_000, false, false, 1, 0), 400);
         run(2_000_000, 200);
-        assertTrue(destination.highestLoadRatio > 1, "highest " + destination.highestLoadRatio);
+        assertTrue(destination.highestLoadRatio > 1, "highest load ratio " + destination.highestLoadRatio);
         assertTrue(destination.overloadCount > 0);
     }
 
@@ -340,8 +342,10 @@
         for (long seed = 1; seed <= 5; seed++) {
             startFreshFleet(40, seed, new Scenario(0.1, 50_000, true, true, 1, 0), 400);
             run(20_000_000, 200);
-            assertTrue(destination.highestLoadRatio <= 1, "seed " + seed + ": " + destination.highestLoadRatio);
-            assertTrue(destination.servedCount > 400, "seed " + seed + ": only " + destination.servedCount);
+            assertTrue(
+                    destination.highestLoadRatio <= 1,
+                    "seed " + seed + ": highest load ratio " + destination.highestLoadRatio);
+            assertTrue(destination.servedCount > 400, "seed " + seed + ": messages served: " + destination.servedCount);
         }
     }
 
@@ -350,12 +354,14 @@
         for (long seed = 1; seed <= 5; seed++) {
             startFreshFleet(20, seed, new Scenario(0.2, 300_000, false, true, 1.02, 8), 400);
             run(20_000_000, 200);
-            assertTrue(destination.highestLoadRatio <= 1, "seed " + seed + ": " + destination.highestLoadRatio);
-            assertTrue(destination.servedCount > 400, "seed " + seed + ": only " + destination.servedCount);
+            assertTrue(
+                    destination.highestLoadRatio <= 1,
+                    "seed " + seed + ": highest load ratio " + destination.highestLoadRatio);
+            assertTrue(destination.servedCount > 400, "seed " + seed + ": messages served: " + destination.servedCount);
         }
     }
 
-    /** Where one daemon has all the messages, it gets more than its own part, lent by the others. */
+    /** A sender that has all the messages borrows quota from the others and so uses more than its own fraction. */
     @Test
     void quotaIsLentToTheSenderWithTheMessages() {
         startFreshFleet(20, 1, Scenario.withoutFaults(), 200);
@@ -364,13 +370,13 @@
         }
         run(13_500_000, 1e9);
         long servedWithLending = destination.servedCount;
-        assertTrue(destination.highestLoadRatio <= 1, "" + destination.highestLoadRatio);
+        assertTrue(destination.highestLoadRatio <= 1, "highest load ratio " + destination.highestLoadRatio);
         startFreshFleet(20, 1, new Scenario(1, 2_000, false, true, 1, 0), 200);
         for (SimulatedSender sender : senders) {
             sender.backlog = sender.index == 3 ? 4_000 : 0;
         }
         run(13_500_000, 1e9);
-        System.out.println("one of 20 has all: " + servedWithLending + " answered with lending, "
+        System.out.println("one of 20 senders has all messages: " + servedWithLending + " served with lending, "
                 + destination.servedCount + " without");
         assertTrue(
                 servedWithLending > 2 * destination.servedCount,
@@ -394,7 +400,7 @@
         assertTrue(Double.isInfinite(limit.ownPerSecond(3_000)));
         limit.onSuccess(4_000);
         assertEquals(Health.HEALTHY, limit.localHealth());
-        // A word that is old or of an answer long ago says nothing.
+        // An expired report, or one whose last success is long ago, has no effect.
         SlowStartLimit other = limit(10);
         other.onPeerUpdate(2_000, "b", healthyUpdate(6_000));
         assertTrue(other.isLimited(3_000));
@@ -402,7 +408,7 @@
         assertTrue(other.isLimited(3_000 + SlowStartLimit.REPORT_LIFE_MICROS));
     }
 
-    /** An outage that only a peer has seen, while this daemon was answered all along, is that peer's own. */
+    /** A peer reports an outage during which this sender had successes, so only the path from that peer failed. */
     @Test
     void outageSeenByOnePeerOnlyLimitsNobodyElse() {
         SlowStartLimit limit = limit(10);
@@ -414,7 +420,7 @@
                 new Heartbeat.SlowStartUpdate(DESTINATION, Health.SLOW_START, 8_000, 500, 100, 5, 100, 0);
         limit.onPeerUpdate(20_000_000, "b", slowStartUpdate);
         assertTrue(Double.isInfinite(limit.ownPerSecond(20_000_000)));
-        // One that was answered by nobody here meanwhile is believed.
+        // Without local successes during the outage, the report counts.
         SlowStartLimit withoutSuccesses = limit(10);
         withoutSuccesses.onPeerUpdate(0, "c", healthyUpdate(100));
         for (long now = 0; now < 11_000_000; now += 50_000) {
@@ -430,7 +436,9 @@
         limit.onPeerUpdate(0, "c", healthyUpdate(100));
         limit.onSuccess(1_000);
         limit.onHealthChanged(2_000_000, Health.UNAVAILABLE, 2_000_000);
-        assertTrue(!limit.onPeerUpdate(2_100_000, "b", healthyUpdate(3_000)), "its answer is older than the outage");
+        assertTrue(
+                !limit.onPeerUpdate(2_100_000, "b", healthyUpdate(3_000)),
+                "the success of the peer is older than the outage");
         Heartbeat.SlowStartUpdate recovered =
                 new Heartbeat.SlowStartUpdate(DESTINATION, Health.SLOW_START, 4_000, 10, 10, 5, 100, 0);
         assertTrue(limit.onPeerUpdate(8_000_000, "b", recovered));
@@ -438,7 +446,7 @@
         assertTrue(limit.isLimited(8_200_000));
     }
 
-    /** The cold span over, nothing is limited any more, and what is told of it is the same. */
+    /** After the warm-up there is no limit, and the update to peers reports the destination as healthy. */
     @Test
     void limitEndsWithTheWarmUp() {
         SlowStartLimit limit = limit(4);
