--- a/quota/src/main/java/amberroute/quota/SlowStartLimits.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimits.java
@@ -12,23 +12,23 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * The limits of all destinations of one daemon: takes what is seen here and said by peers, and says what has changed. At most
- * {@value #MAX_DESTINATIONS} destinations are kept; further ones have no limit, as without this package. Not thread-safe.
+ * The slow-start limits of all destinations of one sender. Takes local observations and the reports of peers, and returns the limits that
+ * have changed. At most {@value #MAX_DESTINATIONS} destinations are tracked; any others have no limit. Not thread-safe.
  */
 public final class SlowStartLimits {
     static final int MAX_DESTINATIONS = 1_024;
-    /** A rate that changes by less is not passed on. */
+    /** Smaller relative changes of a rate are not returned. */
     private static final double MIN_RATE_CHANGE_RATIO = 0.02;
 
-    /** What daemons have in their settings; {@code index} tells this one from the others. */
-    public record FleetParameters(int daemons, int index, long leaseMicros, SlowStartLimit.Rules rules) {}
+    /** The settings of the fleet; {@code senderIndex}, from 0, is the position of this sender in it. */
+    public record FleetParameters(int senderCount, int senderIndex, long leaseMicros, SlowStartLimit.Rules rules) {}
 
     /**
-     * What holds from now on.
+     * A new rate limit of a destination.
      *
-     * @param perSecond messages a second, infinite for no limit
-     * @param initialCredit fraction of the first message that is saved up already
-     * @param recoveredElsewhere whether the destination answered another daemon
+     * @param perSecond messages per second, infinite for no limit
+     * @param initialCredit part of the credit for one message that is available at once, 0 to 1
+     * @param recoveredElsewhere whether the destination has recovered for another sender
      */
     public record RateLimit(int destination, double perSecond, double initialCredit, boolean recoveredElsewhere) {}
 
@@ -39,67 +39,67 @@
     private final Map<Integer, Double> lastRateByDestination = new HashMap<>();
     private int updateOffset;
 
-    /** {@code firstRequestNumber} is higher than any that an earlier process used, such as wall time in microseconds. */
+    /** {@code firstRequestNumber} must exceed every request number of an earlier process, such as wall-clock microseconds. */
     public SlowStartLimits(long now, FleetParameters fleet, long firstRequestNumber) {
         this.fleet = fleet;
         this.firstRequestNumber = firstRequestNumber;
         quietUntilMicros = now + QuotaShare.quietPeriodMicros(fleet.leaseMicros());
     }
 
-    /** Null for one destination too many. */
-    private SlowStartLimit limitOf(long now, int destination) {
+    /** Returns null for a new destination if {@link #MAX_DESTINATIONS} are tracked already. */
+    private SlowStartLimit limitFor(long now, int destination) {
         SlowStartLimit limit = limits.get(destination);
         if (limit == null && limits.size() < MAX_DESTINATIONS) {
             boolean restarted = now < quietUntilMicros;
             limit = new SlowStartLimit(
                     destination,
                     fleet.rules(),
-                    new QuotaShare(now, firstRequestNumber, fleet.daemons(), fleet.leaseMicros(), restarted),
+                    new QuotaShare(now, firstRequestNumber, fleet.senderCount(), fleet.leaseMicros(), restarted),
                     fleet.leaseMicros());
             limits.put(destination, limit);
         }
         return limit;
     }
 
-    /** There is such a destination; its limit where that is new, else null. To be asked before anything is sent to it. */
+    /** Adds a destination; returns its limit if it is new, else null. Must be called before the first call to the destination. */
     public RateLimit onDestinationListed(long now, int destination) {
         boolean isNew = !limits.containsKey(destination);
-        SlowStartLimit limit = limitOf(now, destination);
-        return isNew && limit != null ? limitNow(now, destination, limit, false) : null;
+        SlowStartLimit limit = limitFor(now, destination);
+        return isNew && limit != null ? currentLimit(now, destination, limit, false) : null;
     }
 
-    /** A message was delivered; true where peers had better hear of it at once. */
+    /** Counts a delivered message; returns true if the health changed, so that peers should be told at once. */
     public boolean onSuccess(long now, int destination) {
-        SlowStartLimit limit = limitOf(now, destination);
+        SlowStartLimit limit = limitFor(now, destination);
         if (limit == null) {
             return false;
         }
-        Health before = limit.localHealth();
+        Health healthBefore = limit.localHealth();
         limit.onSuccess(now);
-        return limit.localHealth() != before;
+        return limit.localHealth() != healthBefore;
     }
 
-    /** What the decision module has found of a destination, since when. */
+    /** Handles a health change that the decision module detected; {@code sinceMicros} is the time of the change. */
     public void onHealthChanged(long now, int destination, Health health, long sinceMicros) {
-        SlowStartLimit limit = limitOf(now, destination);
+        SlowStartLimit limit = limitFor(now, destination);
         if (limit != null) {
             limit.onHealthChanged(now, health, sinceMicros);
         }
     }
 
-    /** A peer's updates; returns the limits of destinations that it was answered by and this daemon takes to be unavailable. */
+    /** Handles a peer's updates; returns the limits of destinations that recovered for the peer and are unavailable for this sender. */
     public List<RateLimit> onPeerUpdates(long now, String peer, List<Heartbeat.SlowStartUpdate> updates) {
         List<RateLimit> recovered = new ArrayList<>();
         for (Heartbeat.SlowStartUpdate update : updates) {
-            SlowStartLimit limit = limitOf(now, update.destination());
+            SlowStartLimit limit = limitFor(now, update.destination());
             if (limit != null && limit.onPeerUpdate(now, peer, update)) {
-                recovered.add(limitNow(now, update.destination(), limit, true));
+                recovered.add(currentLimit(now, update.destination(), limit, true));
             }
         }
         return recovered;
     }
 
-    /** Answers a peer's requests; grants that it gives are taken. */
+    /** Handles a peer's loan requests and grants; returns the answers to the requests. */
     public List<Heartbeat.QuotaLoan> onLoans(long now, String peer, List<Heartbeat.QuotaLoan> loans) {
         List<Heartbeat.QuotaLoan> answers = new ArrayList<>();
         for (Heartbeat.QuotaLoan loan : loans) {
@@ -116,39 +116,40 @@
         return answers;
     }
 
-    /** To be called often: the limits that have changed. {@code pendingMessages} gives what is pending for a destination. */
+    /** Returns the limits that have changed; to be called often. {@code pendingMessages} returns the pending messages of a destination. */
     public List<RateLimit> changedLimits(long now, IntToDoubleFunction pendingMessages) {
         List<RateLimit> changed = new ArrayList<>();
         limits.forEach((destination, limit) -> {
             limit.setPendingMessages(pendingMessages.applyAsDouble(destination));
             limit.updatedPeak(now);
             double rate = limit.ownPerSecond(now);
-            double before = lastRateByDestination.getOrDefault(destination, Double.POSITIVE_INFINITY);
-            boolean similar = !Double.isInfinite(before) && Math.abs(rate - before) < MIN_RATE_CHANGE_RATIO * before;
-            if (rate != before && !similar) {
-                changed.add(limitNow(now, destination, limit, false));
+            double previousRate = lastRateByDestination.getOrDefault(destination, Double.POSITIVE_INFINITY);
+            boolean similar = !Double.isInfinite(previousRate)
+                    && Math.abs(rate - previousRate) < MIN_RATE_CHANGE_RATIO * previousRate;
+            if (rate != previousRate && !similar) {
+                changed.add(currentLimit(now, destination, limit, false));
             }
         });
         return changed;
     }
 
-    private RateLimit limitNow(long now, int destination, SlowStartLimit limit, boolean recoveredElsewhere) {
+    private RateLimit currentLimit(long now, int destination, SlowStartLimit limit, boolean recoveredElsewhere) {
         double rate = limit.ownPerSecond(now);
         lastRateByDestination.put(destination, rate);
-        // Daemons that begin together begin one after another.
-        double initialCredit = (double) fleet.index() / fleet.daemons();
+        // Spreads the first messages of senders that start at the same time.
+        double initialCredit = (double) fleet.senderIndex() / fleet.senderCount();
         return new RateLimit(destination, rate, initialCredit, recoveredElsewhere);
     }
 
-    /** Requests for more of what is limited, by peer. */
+    /** The loan requests for limited destinations, by peer. */
     public Map<String, List<Heartbeat.QuotaLoan>> loanRequests(long now, MembershipView view) {
-        List<String> alive = view.members(now).stream()
+        List<String> alivePeers = view.members(now).stream()
                 .filter(MembershipView.Member::alive)
                 .map(MembershipView.Member::name)
                 .toList();
         Map<String, List<Heartbeat.QuotaLoan>> requestsByPeer = new LinkedHashMap<>();
         limits.forEach((destination, limit) -> {
-            for (SlowStartLimit.LoanRequest request : limit.loanRequests(now, alive)) {
+            for (SlowStartLimit.LoanRequest request : limit.loanRequests(now, alivePeers)) {
                 List<Heartbeat.QuotaLoan> requests =
                         requestsByPeer.computeIfAbsent(request.peer(), peer -> new ArrayList<>());
                 if (requests.size() < Heartbeat.MAX_LOANS) {
@@ -159,17 +160,18 @@
         return requestsByPeer;
     }
 
-    /** What to tell peers: destinations that are unavailable or warm up first, then by turns. */
+    /** The updates for the next heartbeat: destinations that are unavailable or warm up first, the others in rotation. */
     public List<Heartbeat.SlowStartUpdate> currentUpdates(long now) {
-        List<Map.Entry<Integer, SlowStartLimit>> all = new ArrayList<>(limits.entrySet());
-        if (all.size() > Heartbeat.MAX_UPDATES) {
-            updateOffset = (updateOffset + Heartbeat.MAX_UPDATES / 2) % all.size();
-            List<Map.Entry<Integer, SlowStartLimit>> rotated = new ArrayList<>(all.subList(updateOffset, all.size()));
-            rotated.addAll(all.subList(0, updateOffset));
+        List<Map.Entry<Integer, SlowStartLimit>> entries = new ArrayList<>(limits.entrySet());
+        if (entries.size() > Heartbeat.MAX_UPDATES) {
+            updateOffset = (updateOffset + Heartbeat.MAX_UPDATES / 2) % entries.size();
+            List<Map.Entry<Integer, SlowStartLimit>> rotated =
+                    new ArrayList<>(entries.subList(updateOffset, entries.size()));
+            rotated.addAll(entries.subList(0, updateOffset));
             rotated.sort(Comparator.comparing(entry -> isUrgent(entry.getValue()) ? 0 : 1));
-            all = rotated;
+            entries = rotated;
         }
-        return all.stream()
+        return entries.stream()
                 .limit(Heartbeat.MAX_UPDATES)
                 .map(entry -> entry.getValue().currentUpdate(now))
                 .toList();
@@ -179,7 +181,7 @@
         return limit.localHealth() == Health.UNAVAILABLE || limit.localHealth() == Health.SLOW_START;
     }
 
-    /** Destinations that have a limit now. */
+    /** Number of destinations that have a limit now. */
     public int limitedCount(long now) {
         return (int)
                 limits.values().stream().filter(limit -> limit.isLimited(now)).count();
