--- a/replication/src/main/java/amberroute/replication/ReplicaSet.java
+++ b/replication/src/main/java/amberroute/replication/ReplicaSet.java
@@ -8,8 +8,6 @@
  * The senders that have replicas of a journal, including its leader. {@code version} grows by one with each change.
  * Invariant: a change adds or removes exactly one member. Any quorum before the change and any quorum after it then
  * have a member in common, so two versions cannot make conflicting decisions. Immutable.
- *
- * @throws IllegalArgumentException for a duplicate member or more than {@link #MAX_MEMBERS} members
  */
 public record ReplicaSet(long version, List<String> members) {
     /**
@@ -18,7 +16,11 @@
      */
     public static final int MAX_MEMBERS = 7;
 
-    /** Validates the members. */
+    /**
+     * Validates the members.
+     *
+     * @throws IllegalArgumentException for a duplicate member or more than {@link #MAX_MEMBERS} members
+     */
     public ReplicaSet {
         members = List.copyOf(members);
         if (members.size() > MAX_MEMBERS || members.stream().distinct().count() != members.size()) {
