--- a/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
+++ b/decisions/src/main/java/amberroute/decisions/AttemptOutcomeHandler.java
@@ -5,8 +5,9 @@
 import amberroute.decisions.DeliveryScheduler.Event.AttemptCompleted;
 
 /**
- * Applies the outcome of an attempt to its message and to its upstream. Each message of a call has its own outcome, but only the
- * first one updates the upstream. Times are microseconds on the caller's clock.
+ * Applies the outcome of an attempt to its message and to its upstream. Each message of a call has its own outcome. Every
+ * outcome updates Retry-After and the served rate of the upstream; only the first one of a call updates the rest of the
+ * upstream's health. Times are microseconds on the caller's clock.
  */
 final class AttemptOutcomeHandler {
     private final CurrentSettings settings;
@@ -125,7 +126,11 @@
         rateLimiter.raisePace(now, health);
     }
 
-    /** A rejection causes a backoff and cuts the pace. A rejected trial or a long Retry-After opens the breaker instead. */
+    /**
+     * A rejection of a call that was sent after the last rejection, or one with Retry-After, causes a backoff. In addition, a
+     * rejected trial or a long Retry-After opens the breaker. Any other rejection cuts the pace if its call was sent after the
+     * last cut and no connection limit was reached.
+     */
     private void handleRejection(
             long now, PendingMessage message, UpstreamCall call, AttemptCompleted event, boolean wasTrial) {
         UpstreamHealth health = call.endpoint.health;
@@ -150,7 +155,10 @@
         }
     }
 
-    /** A call that was cancelled because it was silent is a failure, unless its endpoint has answered a later call. */
+    /**
+     * A call that was cancelled because it was silent is a failure, unless its endpoint has answered another call successfully
+     * after this one was sent.
+     */
     private void handleCancellation(long now, UpstreamCall call, boolean wasTrial) {
         if (call.silent && call.sentAt >= call.endpoint.lastSuccessAt) {
             breaker.recordFailure(now, call, AttemptOutcome.CANCELLED, wasTrial);
--- a/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/amberroute/decisions/EndpointSelector.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Selects the endpoint that a message is sent to: the one with the lowest cost among those that accept it now. The unit of
- * costs is a call in flight: a disadvantage weighs as much as this many more calls in flight. Times are microseconds on the
+ * Selects the endpoint that a message is sent to: the one with the lowest cost among those that accept it now. Costs are
+ * in calls in flight: a disadvantage that costs 2 weighs as much as two more calls in flight. Times are microseconds on the
  * caller's clock.
  */
 final class EndpointSelector {
@@ -84,7 +84,7 @@
         return Math.max(gate.nextCallAt(now, endpoint.health), endpoint.destination.fleetRateLimit.nextMessageAt(now));
     }
 
-    /** Blocks a destination whose endpoints all accept no calls now, until that may change. */
+    /** If no endpoint of the destination accepts calls now, skips the destination until one may accept them. */
     private void blockIfUnavailable(long now, long round, Destination destination) {
         long sleepUntil = Micros.NEVER;
         for (Endpoint endpoint : destination.endpoints) {
--- a/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/amberroute/decisions/KeyOrdering.java
@@ -9,10 +9,13 @@
 import java.util.Map;
 
 /**
- * Keeps messages in the order of their keys: the messages of a key are sent one at a time, in the order of acceptance. After an
+ * Keeps the messages of each key in order: they are sent one at a time, in the order of acceptance. After an
  * attempt whose outcome is unknown the key is paused for the settle period, because the attempt may still run; meanwhile only
  * the message itself may be retried. Times are microseconds on the caller's clock.
  *
+ * <p>This sender answers a message by rejecting or failing it. If acknowledgements are awaited, an answered message holds back
+ * the later ones of its key until the answer is acknowledged.
+ *
  * <p>Cost of an unnecessary pause: the messages of one key wait for the settle period.
  */
 final class KeyOrdering {
@@ -20,7 +23,7 @@
     private final PendingMessages pending;
     private final boolean awaitAcknowledgements;
     private final Map<Long, KeyQueue> queues = new HashMap<>();
-    /** Answered messages that stay first of their key until the answer is acknowledged. */
+    /** Messages that this sender answered and that stay in the queue of their key until the answer is acknowledged. */
     private final Map<Long, PendingMessage> unacknowledged = new HashMap<>();
     /** Empty queues that are kept until their pause is over, in the order in which they became empty. */
     private final Deque<KeyQueue> emptyQueues = new ArrayDeque<>();
@@ -45,7 +48,7 @@
         return queues.computeIfAbsent(key, KeyQueue::new);
     }
 
-    /** Appends a message that an earlier process answered and whose acknowledgement is still to come. */
+    /** Appends a message that an earlier process answered; {@link #acknowledge} is still to be called for it. */
     void appendAnswered(long key, long id) {
         PendingMessage message = new PendingMessage();
         append(key, message);
@@ -91,7 +94,10 @@
         return List.copyOf(paused);
     }
 
-    /** Lets the next message of a key be sent after a message is completed, or after its answer is acknowledged. */
+    /**
+     * Dequeues a completed message so that the next one of its key can be sent. If this sender answered it and acknowledgements
+     * are awaited, {@link #acknowledge} dequeues it instead.
+     */
     void complete(long now, PendingMessage message) {
         if (message.keyQueue != null && message.answeredBySender && awaitAcknowledgements) {
             unacknowledged.put(message.id, message);
@@ -100,7 +106,7 @@
         }
     }
 
-    /** Records that the answer of a message has reached its client; ignores unknown messages. */
+    /** Dequeues a message that this sender answered, after its answer is acknowledged; ignores unknown messages. */
     void acknowledge(long now, long id) {
         dequeue(now, unacknowledged.remove(id));
     }
--- a/decisions/src/main/java/amberroute/decisions/collections/DecayingSum.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DecayingSum.java
@@ -2,8 +2,9 @@
 
 /**
  * A sum whose terms each have a constant part and a part that decays exponentially. All decaying parts have the same time
- * constant and decay as one, so the value at any time costs one exponential, however many terms there are. Each addition and
- * subtraction leaves an error of about 1e-16 of the largest term, which a new sum of the same terms does not have. Times are
+ * constant and decay as one, so the value at any time costs one exponential, however many terms there are. Rounding errors
+ * accumulate, about 1e-16 of the largest term for each addition or subtraction; to remove them, build a new sum of the current
+ * terms. Times are
  * microseconds. Not thread-safe.
  */
 public final class DecayingSum {
--- a/sender/src/main/java/amberroute/sender/DeliveryComponents.java
+++ b/sender/src/main/java/amberroute/sender/DeliveryComponents.java
@@ -34,7 +34,7 @@
     final MessageRecovery recovery;
     private final EndpointListUpdates endpointListUpdates;
 
-    /** {@code actionHandler} carries out the actions of an event loop iteration. */
+    /** {@code actionHandler} is called once per event loop iteration, with the actions that the scheduler has decided on. */
     DeliveryComponents(
             SenderState state,
             EventLoopStallDetector stallDetector,
--- a/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionAdmission.java
@@ -138,7 +138,10 @@
         return shutdown.stopping() ? Optional.of(decideWhileStopping(submission)) : Optional.empty();
     }
 
-    /** Decides on a submission during a stop: the message must not overtake those of its ordered key that are still here. */
+    /**
+     * Defers or rejects a submission during a stop. Its message must not overtake pending messages of this sender with the same
+     * ordered key.
+     */
     SubmissionVerdict decideWhileStopping(ClientServer.Submission submission) {
         long orderedKey = messages.classes().number(submission.className()) >= 0
                         && messageClass(submission).ordered()
--- a/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalCompatibilityTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The journal's bytes are those of version 131520b, which recorded the resources: its journal can be read, and it can
- * read what is written here, since the records are identical.
+ * Checks that the journal format is unchanged since version 131520b, which wrote the recorded resources. This version reads a
+ * journal of 131520b. It also writes the same bytes, apart from random salts and the checksums that cover them, so 131520b can
+ * read its journals.
  */
 class JournalCompatibilityTest {
     private static final int HEADER_BYTES = 48;
@@ -99,7 +100,7 @@
         TreeMap<String, byte[]> expected = segments(recorded("journal"));
         TreeMap<String, byte[]> written = segments(state);
         assertEquals(expected.keySet(), written.keySet());
-        assertTrue(expected.size() > 2, "the recorded journal has several segments");
+        assertTrue(expected.size() > 2, "the recorded journal must have more than 2 segments");
         for (String number : expected.keySet()) {
             assertArrayEquals(expected.get(number), written.get(number), "segment " + number);
         }
--- a/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
+++ b/sender/src/test/java/amberroute/sender/journal/JournalMeasurement.java
@@ -175,7 +175,7 @@
             adapter.attempt(journal, newMessage);
             long attemptEnd = System.nanoTime();
             pendingMessages.add(newMessage);
-            // One in ten outlives those that are completed immediately.
+            // Every tenth iteration completes the oldest pending message; the others complete the new one.
             AcceptedMessage completed = i % 10 == 0 ? pendingMessages.poll() : pendingMessages.pollLast();
             long completeStart = System.nanoTime();
             adapter.complete(journal, completed);
@@ -192,8 +192,8 @@
         Arrays.sort(callNanos);
         System.out.printf(
                 Locale.ROOT,
-                "%-11s pending %7d body %4d bytes: %.1f us per message, calls 99.9%% %.0f us, longest %.1f ms, "
-                        + "%.2f bytes written per byte%n",
+                "%-11s pending %7d body %4d bytes: %.1f us per message, "
+                        + "99.9th percentile of calls %.0f us, longest %.1f ms, %.2f bytes written per message byte%n",
                 name,
                 pending,
                 bodyBytes,
@@ -205,7 +205,10 @@
         delete(folder);
     }
 
-    /** Accepts, attempts and completes a number of messages per iteration, with effects that wait for a force. */
+    /**
+     * Accepts, attempts and completes a number of messages per iteration. Acknowledgements and completions run only after the
+     * records before them are as durable as configured.
+     */
     private static void measureForces(Durability durability, int messagesPerIteration, int iterations)
             throws IOException {
         Path folder = createFolder();
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -9,14 +9,16 @@
 
 /**
  * Stores contents of owners in segments. An owner has at most one content of each kind, the one written last, until the owner is
- * deleted. A batch whose {@link #write} has returned is recovered each time the log is opened, unless its bytes are damaged on the
- * disk. A batch whose write has failed is not recovered, and does not affect other batches.
+ * deleted. An exclusive content ({@link Batch#putExclusive}) replaces all contents of its owner, and all later contents of this
+ * owner must be exclusive too. A batch whose {@link #write} has returned is recovered each time the log is opened, unless its
+ * bytes are damaged on the disk. A batch whose write has failed is not recovered, and does not affect other batches.
  *
  * <p>If the log cannot ensure that a failed batch will not be recovered, {@link #hasUncertainWrite} returns true until this is
  * resolved. Until then, callers must not rely on the absence of the batch.
  *
- * <p>{@link #compact} reclaims disk space. A deletion remains recorded until no copy of the owner's contents is left on the disk, or
- * a restart would restore them; {@code docs/journal.md} has the proof. Not thread-safe, except for {@link PendingForce#run}.
+ * <p>{@link #compact} reclaims disk space. A deletion remains recorded until no copy of the owner's contents is left on the disk;
+ * otherwise a restart would restore them. {@code docs/journal.md} has the proof. Not thread-safe, except for
+ * {@link PendingForce#run}.
  */
 public final class SegmentLog implements Closeable {
     private static final long UNLIMITED_BYTES = Long.MAX_VALUE;
@@ -44,8 +46,8 @@
     /**
      * Opens a log, or creates an empty one. Writes only the space reserve.
      *
-     * @param saltSupplier returns a number for each segment that no client can guess; with a known salt, stored content could imitate
-     *     a record when recovery searches after damaged bytes
+     * @param saltSupplier returns, for each segment, a number that no client can guess; with a known salt, stored content could
+     *     imitate a record when recovery searches after damaged bytes
      * @throws UnsupportedFormatException if a segment was written by a newer version; nothing is changed then
      */
     public static SegmentLog open(Disk disk, LogLimits limits, LongSupplier saltSupplier) throws IOException {
@@ -98,15 +100,16 @@
      * @return the sequence number of the last record
      * @throws LogFullException if the budget has no room for the batch
      * @throws IOException if the write failed; the log is then unchanged, unless {@link #hasUncertainWrite} returns true
-     * @throws IllegalArgumentException if the batch has a non-exclusive content of an owner that has an exclusive one
+     * @throws IllegalArgumentException if the batch has a content that is not exclusive, of an owner that already has an
+     *     exclusive one
      */
     public long write(Batch batch) throws IOException {
         if (batch.isEmpty()) {
             return writer.lastSequence();
         }
         RecordBuilder items = new RecordBuilder();
-        // If this batch starts a segment, the segment list takes this sequence number and the record the next one; the
-        // version in the items is this one in either case.
+        // The items keep this version even if the record gets a higher sequence number, because compaction or the
+        // segment list of a new segment is written first.
         long version = writer.lastSequence() + 1;
         List<ItemPosition> positions = addContentItems(items, batch, version);
         List<Long> deletedOwnerIds = deletionsToRecord(batch);
@@ -191,7 +194,7 @@
         return files.usedBytes();
     }
 
-    /** Returns the bytes of all live contents and tombstones, including the other fields of their items. */
+    /** Returns the bytes of all items with live contents or tombstones, including their owner IDs, versions and lengths. */
     public long liveBytes() {
         return files.totals.liveBytes;
     }
@@ -212,7 +215,7 @@
         return files.limits;
     }
 
-    /** Returns the unreadable ranges that are followed by readable records, damaged headers and missing segments. */
+    /** Returns the losses: damaged headers, missing segments, and unreadable ranges that are followed by readable records. */
     public List<DataLoss> losses() {
         return losses;
     }
