--- a/storage/src/main/java/amberroute/storage/UnsupportedFormatException.java
+++ b/storage/src/main/java/amberroute/storage/UnsupportedFormatException.java
@@ -7,7 +7,7 @@
     private static final long serialVersionUID = 1;
 
     UnsupportedFormatException(int version) {
-        super("segment format " + version + " is not supported: the newest supported format is "
+        super("segment format " + version + " is newer than the newest supported format "
                 + SegmentFormat.FORMAT_VERSION);
     }
 }
