--- a/sender/src/main/java/amberroute/sender/SubmissionVerdict.java
+++ b/sender/src/main/java/amberroute/sender/SubmissionVerdict.java
@@ -18,7 +18,7 @@
         CAPACITY
     }
 
-    /** Why a submission cannot be accepted by any sender. */
+    /** Why a submission is invalid for this sender. */
     enum InvalidReason {
         /** The class was removed after the request was read, or a process with older settings read it. */
         UNKNOWN_CLASS("unknown class"),
@@ -56,7 +56,7 @@
     /** Answered {@code -BUSY}; {@code retryAfterMillis} is the retry advice, 0 for none. */
     record Reject(RejectionReason reason, long retryAfterMillis) implements SubmissionVerdict {}
 
-    /** The submission cannot be accepted by any sender; the client is sent an error. */
+    /** The submission is invalid for this sender; the client is sent an error. */
     record Invalid(InvalidReason reason) implements SubmissionVerdict {}
 
     /** The submission is decided later. */
--- a/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
+++ b/sender/src/main/java/amberroute/sender/journal/ForceScheduler.java
@@ -155,7 +155,13 @@
         return !log.needsRewrite() && log.forcedSequence() >= log.lastSequence();
     }
 
-    /** Forces on the calling thread, which blocks it, and repeats a failed force. Returns whether one succeeded. */
+    /**
+     * Forces on the calling thread, which blocks it, up to {@value #MAX_FORCE_ATTEMPTS} times until all records so far
+     * survive a power loss.
+     *
+     * @return true if that succeeded or durability is not required; false also if the thread was interrupted while it
+     *     waited for a running force
+     */
     boolean forceAll() {
         if (durability == Durability.NONE) {
             return true;
--- a/sender/src/main/java/amberroute/sender/journal/Journal.java
+++ b/sender/src/main/java/amberroute/sender/journal/Journal.java
@@ -290,7 +290,7 @@
             return false;
         }
         if (!writer.write(MessageRecords.putPending(new Batch(), message))) {
-            lastWriteUncertain = writer.lastWriteUncertain();
+            lastWriteUncertain = writer.hasUncertainWrite();
             return false;
         }
         contents.addPending(message);
@@ -308,7 +308,7 @@
         if (writer.pendingWrites().hasEffect(message.number)
                 || !writer.write(MessageRecords.putAttempts(new Batch(), message))) {
             message.restore(previous);
-            lastWriteUncertain = writer.lastWriteUncertain();
+            lastWriteUncertain = writer.hasUncertainWrite();
             return false;
         }
         // This record includes the outcome of the previous attempt.
--- a/sender/src/main/java/amberroute/sender/journal/JournalImport.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalImport.java
@@ -12,7 +12,7 @@
  * All records of another journal, to be added to an empty one.
  *
  * @param messages in the order of acceptance
- * @param firstFreeNumber lower bound of unused message numbers
+ * @param firstFreeNumber lowest number such that no message read from the other journal has it or a higher one
  */
 record JournalImport(
         Collection<AcceptedMessage> messages,
--- a/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalRecovery.java
@@ -21,7 +21,7 @@
  * then sorted: messages by rank, handoff batches by version, health records and completed ids by owner.
  */
 final class JournalRecovery {
-    /** Bound on the number of batches with the same version: those of one write share it. */
+    /** Number of batches with the same version that recovery can tell apart; batches of one write share a version. */
     private static final int BATCHES_PER_VERSION = 4_096;
 
     /** The records of one message, in any order. */
--- a/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
+++ b/sender/src/main/java/amberroute/sender/journal/JournalWriter.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns whether a batch whose write failed may be found after a restart. */
-    boolean lastWriteUncertain() {
+    boolean hasUncertainWrite() {
         return log.hasUncertainWrite();
     }
 
--- a/sender/src/main/java/amberroute/sender/journal/SteadyClock.java
+++ b/sender/src/main/java/amberroute/sender/journal/SteadyClock.java
@@ -14,8 +14,9 @@
  * processes share until the next boot ({@code CLOCK_MONOTONIC}), plus an offset that made it equal to the wall clock
  * when the folder was first used. The folder's file {@value #FILE_NAME} has the offset, the boot id and a checksum.
  *
- * <p>After a boot, on another machine, or if the file cannot be read, it is unknown how long the folder was unused: a
- * new offset is taken from the wall clock, and {@link #isBeforeGap} reports that durations across the gap are unknown.
+ * <p>After a boot or on another machine, it is unknown how long the folder was unused: a new offset is taken from the
+ * wall clock, and {@link #isBeforeGap} reports that durations across the gap are unknown. If the file is missing or
+ * cannot be read, the offset is also new, but no gap is reported.
  */
 public final class SteadyClock {
     private static final String FILE_NAME = "clock";
--- a/storage/src/main/java/amberroute/storage/DamagedFiles.java
+++ b/storage/src/main/java/amberroute/storage/DamagedFiles.java
@@ -4,8 +4,8 @@
 import java.util.TreeSet;
 
 /**
- * Files of retired segments that contain unreadable bytes. They are renamed, not deleted, so that an operator can inspect them. The
- * oldest is deleted if there are more than {@link #MAX_FILES}. Not thread-safe.
+ * Files of retired segments that contain unreadable bytes. They are renamed instead of deleted if they fit the size limit, so that
+ * an operator can inspect them. The oldest is deleted if there are more than {@link #MAX_FILES}. Not thread-safe.
  */
 final class DamagedFiles {
     static final String SUFFIX = ".damaged";
--- a/storage/src/main/java/amberroute/storage/LogFiles.java
+++ b/storage/src/main/java/amberroute/storage/LogFiles.java
@@ -27,7 +27,10 @@
         return SegmentTotals.roundUpToBlocks(reserve.sizeBytes()) + damagedFiles.usedBytes() + totals.blockBytes;
     }
 
-    /** Rewrites the reserve file if it was released and the budget has room for it; returns whether the reserve is complete. */
+    /**
+     * Writes the reserve file if it is missing or incomplete and the budget has room for it; returns whether the reserve is
+     * complete.
+     */
     boolean refillReserve() {
         long reserveBytes = SegmentTotals.roundUpToBlocks(limits.reserveBytes());
         if (reserve.isAllocated() || usedBytes() + reserveBytes + limits.segmentBytes() > limits.budgetBytes()) {
--- a/storage/src/main/java/amberroute/storage/SegmentFile.java
+++ b/storage/src/main/java/amberroute/storage/SegmentFile.java
@@ -33,7 +33,10 @@
 
     private boolean suspect;
     private boolean deleted;
-    /** Whether the segment has unreadable bytes; its file is then kept when the segment is retired. */
+    /**
+     * Whether the segment has unreadable bytes; its file is then kept when the segment is retired, if the limit on damaged files
+     * has room.
+     */
     boolean damaged;
 
     SegmentFile(SegmentTotals totals, String name) {
--- a/storage/src/main/java/amberroute/storage/SegmentLog.java
+++ b/storage/src/main/java/amberroute/storage/SegmentLog.java
@@ -264,7 +264,10 @@
         return files.reserve.isAllocated();
     }
 
-    /** Rewrites the space reserve if it was released and there is room; returns whether it is complete. Call periodically. */
+    /**
+     * Writes the space reserve if it is missing or incomplete and the budget has room for it; returns whether it is complete.
+     * Call periodically.
+     */
     public boolean refillReserve() {
         return files.refillReserve();
     }
