--- a/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/AtcDeliveryScheduler.java
@@ -184,8 +184,8 @@
 
     /**
      * Recovers a message that an earlier process admitted; an attempt that was in flight when that process ended may still run.
-     * A message that is not idempotent and was never tried gets the highest priority weight: during an outage only idempotent
-     * messages are sent as trials, so it got no call, and it would otherwise be sent last and expire.
+     * A message that is not idempotent and was never tried gets the highest priority weight: during an outage idempotent
+     * messages are preferred as trials, so it may have got no call, and it would otherwise be sent last and expire.
      */
     private void onRecovered(long now, Event.MessageRecovered event) {
         if (messages.get(event.id()) != null) {
@@ -230,8 +230,8 @@
     }
 
     /**
-     * Applies a rate limit of the fleet. If another sender has seen the destination answer, a trial is made at once, because
-     * this sender's next trial may be many seconds away.
+     * Applies a rate limit of the fleet. If another sender has seen the destination answer, the next trial is permitted at
+     * once, because it may otherwise be many seconds away.
      */
     private void onFleetRateLimit(long now, Event.FleetRateLimitChanged event) {
         Destination destination = registry.destination(event.destination());
--- a/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
+++ b/decisions/src/main/java/amberroute/decisions/BacklogEstimate.java
@@ -54,21 +54,21 @@
      * Recounts a queue with the present service time of its destination. Must be called when the service time or the number of
      * messages has changed.
      *
-     * @param baselineMicros the part of the service time that does not decay
+     * @param steadyMicros the part of the service time that does not decay
      * @param decayingMicros the part of the service time that decays
      */
-    void recount(long now, DispatchQueue queue, double baselineMicros, double decayingMicros) {
+    void recount(long now, DispatchQueue queue, double steadyMicros, double decayingMicros) {
         Destination destination = queue.destination;
         Sums sums = sumsByWeight.get(queue.priorityWeight);
         if (queue.backlogMessages > 0 && sums != null) {
             sums.add(now, queue, -1);
         }
         queue.backlogMessages = queue.messages.size();
-        queue.backlogSteadyMicros = destination.serviceMeasured ? baselineMicros : NOT_MEASURED;
+        queue.backlogSteadyMicros = destination.serviceMeasured ? steadyMicros : NOT_MEASURED;
         queue.backlogDecayingMicros = decayingMicros;
         queue.backlogUpdatedAt = now;
         queue.logGain = destination.serviceMeasured
-                ? Math.log(queue.priorityWeight * destination.successProbability / baselineMicros)
+                ? Math.log(queue.priorityWeight * destination.successProbability / steadyMicros)
                 : 0;
         if (queue.backlogMessages > 0) {
             if (sums == null) {
--- a/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
+++ b/decisions/src/main/java/amberroute/decisions/CircuitBreaker.java
@@ -41,7 +41,10 @@
         this.candidates = candidates;
     }
 
-    /** Returns whether an endpoint gets no calls now other than trials. */
+    /**
+     * Returns whether an endpoint counts as avoided: its breaker is open, or it has at least {@link #FAILURES_TO_OPEN}
+     * consecutive failures and silent calls. While the breaker is not open, such an endpoint only costs more in the selection.
+     */
     static boolean avoids(Endpoint endpoint) {
         return endpoint.health.breaker == BreakerState.OPEN
                 || endpoint.consecutiveFailures + endpoint.silentCalls >= FAILURES_TO_OPEN;
@@ -106,7 +109,7 @@
             candidates.wake(endpoint.destination);
         }
         if (health.breaker == BreakerState.CLOSED) {
-            health.callsPerSecondBeforeOutage = health.servedRate.perSecondAtLastEvent();
+            health.servedPerSecondBeforeOutage = health.servedRate.perSecondAtLastEvent();
         }
         if (health.breaker != BreakerState.OPEN) {
             health.openedAt = now;
@@ -120,8 +123,9 @@
     }
 
     /**
-     * Returns a jittered backoff. It is limited so that the trials of all senders together are about as frequent as the first
-     * calls of a slow start, which a recovering upstream can take.
+     * Returns a jittered backoff with two limits: {@link #MAX_TRIAL_INTERVAL_CALLS} call intervals at the initial pace of a slow
+     * start, jittered, as a recovering upstream can take calls at that pace; and {@link #MAX_TRIAL_INTERVAL_MICROS} times the
+     * number of senders.
      */
     private long trialIntervalMicros(UpstreamHealth health) {
         long interval = backoff.delayMicros(
--- a/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/ConnectionReusePolicy.java
@@ -111,7 +111,7 @@
         freshLossRatio += call.connectionIdleMicros == 0 ? POOLED_WEIGHT_RATIO * (loss - freshLossRatio) : 0;
         idleLossRatio += call.connectionIdleMicros > 0 ? POOLED_WEIGHT_RATIO * (loss - idleLossRatio) : 0;
         if (!lost && idleTimeReported) {
-            // Only a connection that was idle for at least half of the limit is evidence that the limit may be higher.
+            // Only a connection that was idle for more than half of the limit is evidence that the limit may be higher.
             maxReusableIdleMicros *= call.connectionIdleMicros > maxReusableIdleMicros / 2 ? REPORTED_RAISE_FACTOR : 1;
             maxReusableIdleMicros = Math.min(lifeMicros, maxReusableIdleMicros);
         } else if (!lost) {
--- a/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
+++ b/decisions/src/main/java/amberroute/decisions/DeliveryScheduler.java
@@ -16,7 +16,7 @@
     /** Processes one event; {@link Event.Decide} makes the decisions. Events that name unknown messages are ignored. */
     void step(long now, Event event, Actions actions);
 
-    /** Returns how many ready endpoints get no ordinary messages now, because of failures that this sender has seen. */
+    /** Returns how many ready endpoints have an open breaker or repeated failures, as seen by this sender. */
     default int avoidedEndpointCount() {
         return 0;
     }
@@ -233,7 +233,7 @@
      *
      * @param endpoint 0 for a whole destination
      * @param sinceMicros how long the upstream has been unavailable or in its slow start
-     * @param callsPerSecond rate of answered calls before the outage
+     * @param callsPerSecond messages delivered per second before the outage
      * @param usualLatencyMicros latency in normal operation, 0 if it was not measured
      */
     record HealthCheckpoint(
--- a/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
+++ b/decisions/src/main/java/amberroute/decisions/DispatchRisk.java
@@ -17,7 +17,10 @@
      * Share of failed calls among the recent ones that ran, from which an upstream is in doubt. Two failures in a row reach it.
      */
     private static final double DOUBTFUL_FAILURE_RATIO = 0.25;
-    /** Share of its deadline: with less time left, a message is sent to an upstream in doubt unless its breaker is open. */
+    /**
+     * Share of its deadline: with less time left, a message is sent to an upstream in doubt, unless the upstream is unproven
+     * (breaker open, or no success known).
+     */
     private static final double RISK_ACCEPTED_DEADLINE_RATIO = 0.25;
     /** Risk class of a non-idempotent message; other messages have the ordinal of their idempotency. */
     private static final int NON_IDEMPOTENT_RISK = 4;
--- a/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
+++ b/decisions/src/main/java/amberroute/decisions/HealthTransfer.java
@@ -36,7 +36,7 @@
                 health.endpointId,
                 status,
                 now - statusSince,
-                health.callsPerSecondBeforeOutage,
+                health.servedPerSecondBeforeOutage,
                 health.usualLatencyMicros);
     }
 
@@ -73,7 +73,7 @@
         boolean unavailable = checkpoint.status() == UpstreamStatus.UNAVAILABLE;
         health.usualLatencyMicros = checkpoint.usualLatencyMicros();
         health.presentLatencyMicros = checkpoint.usualLatencyMicros();
-        health.callsPerSecondBeforeOutage = checkpoint.callsPerSecond();
+        health.servedPerSecondBeforeOutage = checkpoint.callsPerSecond();
         if (checkpoint.usualLatencyMicros() > 0) {
             destination.serviceMicros = checkpoint.usualLatencyMicros();
             destination.serviceMeasured = true;
@@ -109,7 +109,7 @@
 
     private static void restoreMeasurements(long now, UpstreamHealth health, UpstreamSnapshot snapshot) {
         health.presentLatencyMicros = snapshot.presentLatencyMicros();
-        health.callsPerSecondBeforeOutage = snapshot.checkpoint().callsPerSecond();
+        health.servedPerSecondBeforeOutage = snapshot.checkpoint().callsPerSecond();
         health.retryAfterUntil = now + snapshot.retryAfterMicros();
         health.backoffUntil = now + snapshot.backoffMicros();
         health.pacePerSecond = snapshot.pacePerSecond();
--- a/decisions/src/main/java/amberroute/decisions/RecoveryRamp.java
+++ b/decisions/src/main/java/amberroute/decisions/RecoveryRamp.java
@@ -66,6 +66,6 @@
         return PERMITTED_OVERLOAD_RATIO
                 * rules.overloadMultiple()
                 * capacityRatio
-                * Math.max(health.callsPerSecondBeforeOutage, reportedPacePerSecond);
+                * Math.max(health.servedPerSecondBeforeOutage, reportedPacePerSecond);
     }
 }
--- a/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/amberroute/decisions/RetryPolicy.java
@@ -73,7 +73,10 @@
         }
     }
 
-    /** Sets the backoff of a message once it has had as many attempts as there are endpoints. */
+    /**
+     * Sets the backoff of a message once it has had as many attempts as there are endpoints, and at least {@link
+     * #MIN_ATTEMPTS_WITHOUT_BACKOFF}.
+     */
     void backOff(long now, PendingMessage message, UpstreamHealth health, AttemptCompleted event) {
         int attemptsWithoutBackoff = Math.max(MIN_ATTEMPTS_WITHOUT_BACKOFF, message.destination.endpoints.size());
         if (message.attempts >= attemptsWithoutBackoff) {
--- a/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
+++ b/decisions/src/main/java/amberroute/decisions/SilentCallDetector.java
@@ -57,7 +57,8 @@
                 timer.request(silentAt);
                 continue;
             }
-            // If the endpoint has answered a later call, the silent call is no evidence against the endpoint.
+            // If a call to the endpoint has succeeded since this one was sent, the silent call is no evidence against
+            // the endpoint.
             call.endpoint.silentCalls += call.sentAt >= call.endpoint.lastSuccessAt ? 1 : 0;
             if (!call.silent) {
                 call.silent = true;
--- a/decisions/src/main/java/amberroute/decisions/UpstreamHealth.java
+++ b/decisions/src/main/java/amberroute/decisions/UpstreamHealth.java
@@ -11,7 +11,7 @@
 final class UpstreamHealth {
     /** Time constant of the average rate of sent calls. */
     private static final double SENT_RATE_TIME_CONSTANT_MICROS = 2_000_000;
-    /** Time constant of the average rate of successful calls. */
+    /** Time constant of the average rate of delivered messages. */
     private static final double SERVED_RATE_TIME_CONSTANT_MICROS = 8_000_000;
     /** Weight of a new call in the averages of one upstream: about the last seven calls count. */
     static final double RECENT_CALL_WEIGHT_RATIO = 0.15;
@@ -61,8 +61,8 @@
 
     long slowStartBeganAt;
     long lastSlowStartCallAt;
-    /** Successful calls per second when the breaker opened. */
-    double callsPerSecondBeforeOutage;
+    /** Delivered messages per second when the breaker opened. */
+    double servedPerSecondBeforeOutage;
 
     long lastSuccessAt = Endpoint.LONG_AGO;
 
@@ -71,7 +71,7 @@
         this.endpointId = endpointId;
     }
 
-    /** Returns whether the upstream has not succeeded yet, or has failed since. */
+    /** Returns whether the breaker is open, or no success of the upstream is known (no usual latency). */
     boolean isUnproven() {
         return breaker == BreakerState.OPEN || usualLatencyMicros == 0;
     }
--- a/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
+++ b/decisions/src/main/java/amberroute/decisions/WaitPrediction.java
@@ -110,7 +110,10 @@
                 : recoveryRamp.callsPerSecond((1 + recoveryRamp.progress(now, health)) / 2, health);
     }
 
-    /** Returns when an upstream is expected to take calls; an outage is expected to last as long again as it has lasted. */
+    /**
+     * Returns when an upstream is expected to take calls. An outage is expected to last as long again as it has lasted, or until
+     * the end of a Retry-After or backoff if that is later.
+     */
     private static long availableAt(long now, UpstreamHealth health) {
         long holdOffUntil = Math.max(health.retryAfterUntil, health.backoffUntil);
         return health.breaker == BreakerState.OPEN ? Math.max(holdOffUntil, 2 * now - health.openedAt) : holdOffUntil;
--- a/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
+++ b/decisions/src/main/java/amberroute/decisions/collections/DueDateTreap.java
@@ -30,7 +30,7 @@
             return ready;
         }
 
-        /** Returns whether the message is marked as first of its key. */
+        /** Returns whether the message is marked as first of a key that is not paused. */
         public final boolean firstOfKey() {
             return firstOfKey;
         }
@@ -48,12 +48,15 @@
         return readyCount(root);
     }
 
-    /** Returns the number of messages marked as first of their key. */
+    /** Returns the number of messages marked as first of a key that is not paused. */
     public int firstOfKeyCount() {
         return firstOfKeyCount(root);
     }
 
-    /** Adds a message with these marks: ready to be sent, and first of a key that is not paused. */
+    /**
+     * Adds a message with these marks: ready to be sent, and first of a key that is not paused. A message without a key, or one
+     * that is exempt from the pause of its key, counts as first of a key that is not paused.
+     */
     public void add(N node, boolean ready, boolean firstOfKey) {
         Node<N> added = node;
         added.priority = (int) (mix(node.sequenceNumber) >>> 32);
@@ -139,7 +142,10 @@
         return found == null || found.due < from ? null : after(found.due, Long.MIN_VALUE, Long.MAX_VALUE, readyOnly);
     }
 
-    /** Returns the latest due date of the messages that are first of their key, {@link Long#MIN_VALUE} if there is none. */
+    /**
+     * Returns the latest due date of the messages marked as first of a key that is not paused, {@link Long#MIN_VALUE} if there
+     * is none.
+     */
     public long latestFirstOfKeyDue() {
         N found = latest(root, Long.MAX_VALUE, false, true);
         return found == null ? Long.MIN_VALUE : found.due;
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceScheduler.java
@@ -361,7 +361,7 @@
         UpstreamHealth health = endpoint == null ? destination.sharedHealth : endpoint.health;
         health.usualLatencyMicros = checkpoint.usualLatencyMicros();
         health.presentLatencyMicros = checkpoint.usualLatencyMicros();
-        health.callsPerSecondBeforeOutage = checkpoint.callsPerSecond();
+        health.servedPerSecondBeforeOutage = checkpoint.callsPerSecond();
         if (checkpoint.usualLatencyMicros() > 0) {
             destination.serviceMicros = checkpoint.usualLatencyMicros();
             destination.serviceMeasured = true;
@@ -393,7 +393,7 @@
                 health.endpointId,
                 status,
                 sinceMicros,
-                health.callsPerSecondBeforeOutage,
+                health.servedPerSecondBeforeOutage,
                 health.usualLatencyMicros);
     }
 
@@ -474,7 +474,7 @@
         destination.serviceMicros =
                 snapshot.expectedServiceMicros() > 0 ? snapshot.expectedServiceMicros() : destination.serviceMicros;
         destination.successProbability = snapshot.successProbability();
-        health.callsPerSecondBeforeOutage = snapshot.checkpoint().callsPerSecond();
+        health.servedPerSecondBeforeOutage = snapshot.checkpoint().callsPerSecond();
         health.retryAfterUntil = now + snapshot.retryAfterMicros();
         health.backoffUntil = now + snapshot.backoffMicros();
         health.pacePerSecond = snapshot.pacePerSecond();
@@ -1511,7 +1511,7 @@
 
     private void openBreaker(long now, UpstreamHealth health) {
         if (health.breaker == BreakerState.CLOSED) {
-            health.callsPerSecondBeforeOutage = health.servedRate.perSecondAtLastEvent();
+            health.servedPerSecondBeforeOutage = health.servedRate.perSecondAtLastEvent();
         }
         if (health.breaker != BreakerState.OPEN) {
             health.openedAt = now;
@@ -1541,7 +1541,7 @@
         return PERMITTED_OVERLOAD_RATIO
                 * rules.overloadMultiple()
                 * capacityRatio
-                * Math.max(health.callsPerSecondBeforeOutage, reportedPacePerSecond);
+                * Math.max(health.servedPerSecondBeforeOutage, reportedPacePerSecond);
     }
 
     /** Returns a random time between half of the given one and all of it. */
--- a/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
+++ b/decisions/src/test/java/amberroute/decisions/reference/ReferenceState.java
@@ -158,7 +158,7 @@
         Call trial;
         long slowStartBeganAt;
         long lastSlowStartCallAt;
-        double callsPerSecondBeforeOutage;
+        double servedPerSecondBeforeOutage;
         long lastSuccessAt = Long.MIN_VALUE / 2;
 
         UpstreamHealth(
--- a/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
+++ b/handoff/src/main/java/amberroute/handoff/HandoffMessage.java
@@ -3,7 +3,7 @@
 /**
  * A protocol message between two senders about one batch. The client messages of the batch travel with its offer.
  *
- * @param generation number of offers of the batch so far, by any sender
+ * @param generation increases by one with each new offer of the batch, by any sender; the first offer has 2
  */
 public record HandoffMessage(Kind kind, String batchId, long generation) {
     /** OFFER and CANCEL go to the successor; YES and NO are its replies. */
--- a/overload/src/main/java/amberroute/overload/CapacityEstimate.java
+++ b/overload/src/main/java/amberroute/overload/CapacityEstimate.java
@@ -23,9 +23,9 @@
     /** Time from the first served message until the one-second averages have settled. */
     private static final long SETTLE_MICROS = 3_000_000;
     /**
-     * Time in which the estimate falls to the served rate while at least {@link #REJECTED_RATIO_FOR_FULL_DECREASE} of the calls are
-     * rejected; with fewer rejections it falls more slowly. Reports are a second old or more, so after a spike they still show rejections
-     * while the load is already below the capacity.
+     * Time constant, in seconds, with which the estimate falls towards the served rate while there is a backlog or at least {@link
+     * #REJECTED_RATIO_FOR_FULL_DECREASE} of the calls are rejected; with fewer rejections it falls more slowly. Reports are a second old
+     * or more, so after a spike they still show rejections while the load is already below the capacity.
      */
     private static final double DECREASE_SECONDS = 1.0;
 
--- a/overload/src/main/java/amberroute/overload/LoadReport.java
+++ b/overload/src/main/java/amberroute/overload/LoadReport.java
@@ -42,7 +42,7 @@
     private static final int LOAD_BYTES = 17;
 
     private static final int BAND_BYTES = 5;
-    /** Fits into a datagram only without loads. */
+    /** Maximum number of loans in a report. Senders put no loads into a report with loans, so the loans fit into a datagram. */
     static final int MAX_LOANS = 32;
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]+");
--- a/quota/src/main/java/amberroute/quota/SlowStartLimit.java
+++ b/quota/src/main/java/amberroute/quota/SlowStartLimit.java
@@ -151,7 +151,10 @@
 
     // ---- Reports of peers. ----
 
-    /** Returns true if a destination that is unavailable for this sender has served the peer after the start of the outage. */
+    /**
+     * Returns true if a destination that is unavailable for this sender has served the peer after the start of the outage, and the peer
+     * reports it as healthy or in slow start. Returns false if the peer's previous report is still valid and has the same health.
+     */
     boolean onPeerUpdate(long now, String peer, SlowStartUpdate update) {
         if (!reportByPeer.containsKey(peer) && reportByPeer.size() >= MAX_PEERS) {
             return false;
--- a/replication/src/main/java/amberroute/replication/LeaderTerm.java
+++ b/replication/src/main/java/amberroute/replication/LeaderTerm.java
@@ -115,7 +115,7 @@
         return indexes.isEmpty() || ended ? NO_INDEX : indexes.get((indexes.size() - 1) / 2);
     }
 
-    /** Ends the term, because another sender leads a later one: no further record is committed. */
+    /** Ends the term, for example because another sender has a later one: no further record is committed. */
     public void end() {
         ended = true;
     }
